--- a/belief/belief.go
+++ b/belief/belief.go
@@ -137,13 +137,21 @@
 	return b.tell(append(touched, b.vanish(from, vanished, before)...))
 }
 
-// Changes tells what of a source has changed at once, as one revision of etcd does.
+// Changes tells what of a source has changed, in order. A watch that was held up tells several revisions of etcd at
+// once: a node that is removed and put back within them has not vanished.
 func (b *Book) Changes(now time.Duration, from Source, some []Statement) []honeyplank.List {
 	b.hear(now, from)
 	var touched, vanished []*node
 	before := b.held[from]
-	for _, s := range some {
+	last := make(map[honeyplank.OSDID]int, len(some))
+	for i, s := range some {
+		last[s.Member.OSD] = i
+	}
+	for i, s := range some {
 		if s.State == Gone {
+			if last[s.Member.OSD] != i {
+				continue
+			}
 			if n := b.nodes[s.Member.OSD]; n != nil && (n.words[from].state == On || n.words[from].state == Draining) {
 				vanished = append(vanished, n)
 			}
--- a/belief/belief_test.go
+++ b/belief/belief_test.go
@@ -362,3 +362,39 @@
 		t.Errorf("the module heard the node come back %d times in ten minutes", ups)
 	}
 }
+
+// TestTogether has a source tell of one node several times at once, as a watch does that was held up: the last counts.
+func TestTogether(t *testing.T) {
+	for name, c := range map[string]struct {
+		before, says []State
+		want         State
+	}{
+		"new, removed and back":  {nil, []State{On, Gone, On}, On},
+		"removed and back":       {[]State{On}, []State{Gone, On}, On},
+		"removed and draining":   {[]State{On}, []State{Gone, Draining}, Draining},
+		"back and removed":       {[]State{On, Gone}, []State{On, Gone}, Gone},
+		"new and removed":        {nil, []State{On, Gone}, Gone},
+		"draining and on":        {[]State{On}, []State{Draining, On}, On},
+		"on and draining":        {[]State{On}, []State{On, Draining}, Draining},
+		"draining and removed":   {[]State{On}, []State{Draining, Gone}, Gone},
+		"out and in three times": {[]State{On}, []State{Gone, On, Gone, On, Gone, On}, On},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := New(Terms{Vanish: 1})
+			now := s
+			for _, state := range c.before {
+				now += s
+				b.Changes(now, Etcd, []Statement{{honeyplank.Member{OSD: "a"}, state}})
+			}
+			var all []Statement
+			for i, state := range c.says { // the start tells which of them the book took
+				all = append(all, Statement{honeyplank.Member{OSD: "a", Started: time.Duration(i + 1)}, state})
+			}
+			b.Changes(now+s, Etcd, all)
+			v, _ := b.View("a")
+			if v.Believed != c.want || c.want != Gone && v.Member.Started != time.Duration(len(all)) {
+				t.Errorf("%v after %v: believed %v, started %d", c.says, c.before, v.Believed, v.Member.Started)
+			}
+		})
+	}
+}
