--- a/belief/belief.go
+++ b/belief/belief.go
@@ -36,6 +36,9 @@
 type Statement struct {
 	Member honeyplank.Member // its State is not read
 	State  State             // On, Draining or Gone
+	// After is a time that the member's start surely came after; 0: that can't be told. Started may be later than the
+	// true start, so that alone shows nothing.
+	After time.Duration
 }
 
 // Terms are the figures that the rule goes by; all are settings.
@@ -58,6 +61,7 @@
 	state  State
 	at     time.Duration
 	member honeyplank.Member
+	after  time.Duration
 	// doubted: it vanished with too many others at once. state and at are of before; since tells when.
 	doubted bool
 	since   time.Duration
@@ -221,7 +225,7 @@
 	if w.state != s.State || w.member.Started != s.Member.Started || w.doubted {
 		w.at = b.now // a repeated word keeps its time: it is no fresher than when it was first said
 	}
-	w.state, w.member, w.doubted = s.State, s.Member, false
+	w.state, w.member, w.after, w.doubted = s.State, s.Member, s.After, false
 	return n
 }
 
@@ -269,7 +273,7 @@
 
 // rule is what is believed by what etcd and DNS say; a doubted word counts as what it was. The worse word holds,
 // whoever says it: no source can put a node back that the other has taken out, except by showing a start that is
-// newer than the word that took it out.
+// surely newer than the word that took it out.
 var rule = [4][4]State{
 	//            DNS: never     on        draining  gone
 	Never:    {Never, On, Draining, Gone},
@@ -293,7 +297,7 @@
 		cause = Said
 		for from := range n.words {
 			out, other := &n.words[from], &n.words[1-from]
-			if (out.state == Draining || out.state == Gone) && other.state == On && !other.doubted && other.member.Started > out.at {
+			if (out.state == Draining || out.state == Gone) && other.state == On && !other.doubted && other.after > out.at {
 				state, cause = On, Newer
 			}
 		}
--- a/belief/belief_test.go
+++ b/belief/belief_test.go
@@ -209,7 +209,7 @@
 		var all []Statement
 		for _, n := range c.p.nodes {
 			if st, ok := x.says[n]; ok {
-				all = append(all, Statement{honeyplank.Member{OSD: honeyplank.OSDID(n), Started: c.p.words[n][x.from].started}, st})
+				all = append(all, Statement{honeyplank.Member{OSD: honeyplank.OSDID(n), Started: c.p.words[n][x.from].started}, st, c.p.words[n][x.from].started})
 			}
 		}
 		if x.whole {
@@ -384,11 +384,11 @@
 			now := s
 			for _, state := range c.before {
 				now += s
-				b.Changes(now, Etcd, []Statement{{honeyplank.Member{OSD: "a"}, state}})
+				b.Changes(now, Etcd, []Statement{{Member: honeyplank.Member{OSD: "a"}, State: state}})
 			}
 			var all []Statement
 			for i, state := range c.says { // the start tells which of them the book took
-				all = append(all, Statement{honeyplank.Member{OSD: "a", Started: time.Duration(i + 1)}, state})
+				all = append(all, Statement{Member: honeyplank.Member{OSD: "a", Started: time.Duration(i + 1)}, State: state})
 			}
 			b.Changes(now+s, Etcd, all)
 			v, _ := b.View("a")
@@ -398,3 +398,28 @@
 		})
 	}
 }
+
+// TestSurelyNewer has DNS hold on what etcd has taken out: only a start that surely came after that puts it back.
+func TestSurelyNewer(t *testing.T) {
+	for name, c := range map[string]struct {
+		out            State
+		started, after time.Duration
+		want           State
+	}{
+		"named again":              {Draining, 5 * s, 5 * s, Draining},
+		"first sight, after it":    {Draining, 30 * s, 0, Draining},
+		"perhaps before it":        {Draining, 30 * s, 15 * s, Draining},
+		"surely after it":          {Draining, 30 * s, 21 * s, On},
+		"gone, first sight":        {Gone, 30 * s, 0, Gone},
+		"gone, surely after it":    {Gone, 30 * s, 21 * s, On},
+		"gone, in the same moment": {Gone, 30 * s, 20 * s, Gone},
+	} {
+		b := New(Terms{Vanish: 1})
+		b.Changes(10*s, Etcd, []Statement{{Member: honeyplank.Member{OSD: "a"}, State: On}})
+		b.Changes(20*s, Etcd, []Statement{{Member: honeyplank.Member{OSD: "a"}, State: c.out}})
+		b.Whole(30*s, DNS, []Statement{{Member: honeyplank.Member{OSD: "a", Started: c.started}, State: On, After: c.after}})
+		if v, _ := b.View("a"); v.Believed != c.want {
+			t.Errorf("%s: believed %v, want %v", name, v.Believed, c.want)
+		}
+	}
+}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,6 +16,7 @@
 
 	"honeyplank"
 	"honeyplank/belief"
+	"honeyplank/incarnation"
 	"honeyplank/learnt"
 	"honeyplank/loop"
 	"honeyplank/members"
@@ -40,7 +41,9 @@
 	Module func(seed int64, settings map[string]any) Module
 	// Learnt is what an instance before this one knew of the disk servers; nil: nothing.
 	Learnt *learnt.Record
-	Log    zerolog.Logger
+	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline goes by it.
+	Wall func() time.Time
+	Log  zerolog.Logger
 }
 
 // Instance is one running gateway.
@@ -54,7 +57,8 @@
 	dns    *members.DNS
 	ask    func() // starts asking DNS; nil: not a source
 	book   *belief.Book
-	ticker *loop.Timer // for what time alone changes in the book
+	starts [2]incarnation.Tracker // by belief.Source
+	ticker *loop.Timer            // for what time alone changes in the book
 	log    zerolog.Logger
 
 	ops     *ops.Book
@@ -85,6 +89,9 @@
 // crdtUnit is the unit of CRDT1 to CRDT3 (Base 5.17.2.1).
 const crdtUnit = 100 * time.Millisecond
 
+// clockStart is the time of the loop's clock at New. 0 stands for never or long ago.
+const clockStart = time.Second
+
 // New makes an instance and listens. Nothing is served before Serve.
 func New(o Options) (*Instance, error) {
 	if o.Settings == nil {
@@ -94,12 +101,10 @@
 		o.Module = func(seed int64, v map[string]any) Module { return policy.New(seed, v) }
 	}
 	s := o.Settings
-	// The clock starts late enough for a disk server that started before this instance to have a start.
-	origin := s.List.AskWithin.D()
-	if c := s.Rules.Cold; c != nil {
-		origin += 2 * (c.Time.D() + c.Window.D())
+	if o.Wall == nil {
+		o.Wall = time.Now
 	}
-	l, err := loop.New(origin)
+	l, err := loop.New(clockStart)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
@@ -144,6 +149,9 @@
 		terms = belief.Terms{Vanish: t.Vanish, Confirm: t.Confirm.D(), Calm: t.Calm.D(), Flaps: t.Flaps, Hold: t.Hold.D()}
 	}
 	g.book = belief.New(terms)
+	for i := range g.starts {
+		g.starts[i].Most = s.List.Most
+	}
 	hear := func(from belief.Source) func(members.News) {
 		return func(n members.News) { l.Post(func() { g.news(from, n) }) }
 	}
@@ -193,10 +201,7 @@
 	stop := context.AfterFunc(ctx, func() { g.loop.Post(func() { g.drain(g.loop.Stop) }) })
 	defer stop()
 	if r := g.o.Learnt; r != nil {
-		if unit := int64(g.s.Volumes.Unit); r.Unit != unit {
-			g.log.Warn().Int64("bytes", r.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
-		}
-		g.loop.Post(func() { g.ops.Tell(r.For(int64(g.s.Volumes.Unit), g.loop.Span)) })
+		g.loop.Post(func() { g.recall(r) })
 	}
 	// An empty list as last seen starts the module, which asks for the watch.
 	g.loop.Post(func() { g.ops.Tell(honeyplank.List{Kind: honeyplank.Remembered}) })
@@ -264,13 +269,31 @@
 	}
 }
 
+// recall tells the module what an instance before had learnt, each figure with its age. The file has the wall clock's
+// time alone. Where it names a time to come, the clock has been set back since: no age in it can be told, and none of it
+// is believed. It guards against old figures that look fresh; it could harm where a clock is set back by a moment just
+// at a switch, which then begins as without the file.
+func (g *Instance) recall(r *learnt.Record) {
+	wall, now := g.o.Wall(), g.loop.Now()
+	for _, s := range r.Servers {
+		if s.At.After(wall) {
+			g.log.Warn().Str("osd", s.OSD).Time("at", s.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
+			return
+		}
+	}
+	if unit := int64(g.s.Volumes.Unit); r.Unit != unit {
+		g.log.Warn().Int64("bytes", r.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
+	}
+	g.ops.Tell(r.For(int64(g.s.Volumes.Unit), func(at time.Time) time.Duration { return now - wall.Sub(at) }))
+}
+
 // Learnt asks the loop what the module knows of the disk servers; a module that doesn't tell, and an instance that has
 // ended, answer nothing.
 func (g *Instance) Learnt() (r *learnt.Record, ok bool) {
 	module, tells := g.module.(interface{ Learnt() honeyplank.Learnt })
 	answer := make(chan *learnt.Record, 1)
 	if !tells || !g.loop.Post(func() {
-		start := time.Now().Add(-g.loop.Now())
+		start := g.o.Wall().Add(-g.loop.Now())
 		answer <- learnt.Of(module.Learnt(), int64(g.s.Volumes.Unit), start.Add)
 	}) {
 		return nil, false
@@ -356,11 +379,12 @@
 	for _, text := range n.Skipped {
 		g.log.Warn().Stringer("source", from).Str("why", text).Msg("a list entry is passed over")
 	}
+	wall, now := g.o.Wall(), g.loop.Now() // in this order: a halt between them makes starts later, not earlier
 	var all []belief.Statement
 	for _, node := range n.Nodes {
-		all = append(all, g.statement(node))
+		all = append(all, g.statement(now, wall, from, node))
 	}
-	now := g.loop.Now()
+	g.date(now, from, n)
 	var lists []honeyplank.List
 	switch n.Kind {
 	case honeyplank.Refused:
@@ -381,21 +405,47 @@
 	g.believe(lists, from == belief.Etcd || g.etcd == nil)
 }
 
-// statement is what a node's entry says. A clock that runs ahead there must not put a start into the future.
-func (g *Instance) statement(node members.Node) belief.Statement {
+// statement is what a node's entry says.
+func (g *Instance) statement(now time.Duration, wall time.Time, from belief.Source, node members.Node) belief.Statement {
 	s := belief.Statement{State: belief.On, Member: honeyplank.Member{OSD: honeyplank.OSDID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
-	if node.StartedMS > 0 {
-		s.Member.Started = max(min(g.loop.Span(time.UnixMilli(node.StartedMS)), g.loop.Now()), 0)
-	}
 	switch {
 	case node.Gone:
 		s.State = belief.Gone
+		g.starts[from].Removed(now, s.Member.OSD)
+		return s
 	case node.State == "draining":
 		s.State = belief.Draining
 	}
+	s.Member.Started, s.After = g.started(now, wall, from, s.Member.OSD, node.StartedMS)
 	return s
 }
 
+// started tells when a node that a source names has started, and what that surely came after. DNS names starts in whole
+// seconds: where the other source has named one of the same second before, it is the same.
+func (g *Instance) started(now time.Duration, wall time.Time, from belief.Source, id honeyplank.OSDID, upSinceMS int64) (started, after time.Duration) {
+	here, there := &g.starts[from], &g.starts[1-from]
+	if other, at, since, ok := there.Known(id); ok && upSinceMS > 0 && other/1000 == upSinceMS/1000 {
+		here.Adopt(id, upSinceMS, at, since)
+	}
+	started = here.Start(now, wall, id, upSinceMS)
+	_, _, after, _ = here.Known(id)
+	return started, after
+}
+
+// date tells what news says of the nodes that it doesn't name: starts that are named later came after it.
+func (g *Instance) date(now time.Duration, from belief.Source, n members.News) {
+	switch {
+	case n.Kind == honeyplank.Whole:
+		ids := make([]honeyplank.OSDID, len(n.Nodes))
+		for i, node := range n.Nodes {
+			ids[i] = honeyplank.OSDID(node.Address)
+		}
+		g.starts[from].Complete(now, ids)
+	case n.Current:
+		g.starts[from].Current(now)
+	}
+}
+
 // believe tells the module of what has changed in the book; watch tells whether that speaks of the watch too.
 func (g *Instance) believe(lists []honeyplank.List, watch bool) {
 	for _, l := range lists {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -626,6 +626,15 @@
 	})
 }
 
+// asksDNS has the settings ask a name server for _h._tcp.x. beside etcd, very often.
+func asksDNS(s *settings.Gateway, address string) {
+	s.List.DNS = &settings.NameService{Name: "_h._tcp.x.", Floor: settings.Span(50 * time.Millisecond), Ceiling: settings.Span(100 * time.Millisecond), Timeout: settings.Span(time.Second)}
+	s.List.DNS.Servers = append(s.List.DNS.Servers, struct {
+		Address string `xml:"address,attr"`
+	}{address})
+	s.List.Believe = &settings.Believe{Vanish: 0.4, Confirm: settings.Span(300 * time.Millisecond), Calm: settings.Span(time.Second), Flaps: 9}
+}
+
 // TestBulkLoss has every key in etcd go, one by one, as leases do that run out together, while DNS holds the
 // servers on: the fleet is not taken away. A drain told by DNS alone then takes one server out, and it alone.
 func TestBulkLoss(t *testing.T) {
@@ -636,11 +645,7 @@
 	defer names.Close()
 	var records []dns.Record
 	w := start(t, func(s *settings.Gateway) {
-		s.List.DNS = &settings.NameService{Name: "_h._tcp.x.", Floor: settings.Span(50 * time.Millisecond), Ceiling: settings.Span(100 * time.Millisecond), Timeout: settings.Span(time.Second)}
-		s.List.DNS.Servers = append(s.List.DNS.Servers, struct {
-			Address string `xml:"address,attr"`
-		}{names.Address()})
-		s.List.Believe = &settings.Believe{Vanish: 0.4, Confirm: settings.Span(300 * time.Millisecond), Calm: settings.Span(time.Second), Flaps: 9}
+		asksDNS(s, names.Address())
 	})
 	for cell, d := range w.disks {
 		at := netip.MustParseAddrPort(d.Address())
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -12,7 +12,7 @@
 const (
 	// removedFor is how long a server that was removed is remembered, so that it is known when it comes back.
 	removedFor = time.Hour
-	// removedMost bounds how many are remembered; the one removed first is forgotten first.
+	// removedMost bounds how many are remembered by default; the one removed first is forgotten first.
 	removedMost = 4096
 )
 
@@ -23,6 +23,9 @@
 // back for a while, never for earlier than this process can tell. It could harm for the first seconds of a process, to
 // which every server that names a start has just started.
 type Tracker struct {
+	// Most bounds the removed servers that are remembered; 0: 4,096. A fleet that is larger and is left out of one list
+	// by mistake would count as started anew where it exceeds this.
+	Most    int
 	servers map[honeyplank.OSDID]*server
 	removed []removal
 	current time.Duration // when all that was told held last
@@ -32,6 +35,7 @@
 type server struct {
 	upSinceMS int64
 	started   time.Duration
+	after     time.Duration
 	gone      bool
 	goneAt    time.Duration
 }
@@ -49,27 +53,51 @@
 func (t *Tracker) Start(now time.Duration, wall time.Time, id honeyplank.OSDID, upSinceMS int64) time.Duration {
 	s := t.servers[id]
 	if s == nil || s.upSinceMS != upSinceMS {
-		s = &server{upSinceMS: upSinceMS, started: t.place(now, wall, upSinceMS)}
-		if t.servers == nil {
-			t.servers = map[honeyplank.OSDID]*server{}
-		}
-		t.servers[id] = s
+		s = &server{upSinceMS: upSinceMS}
+		s.started, s.after = t.place(now, wall, upSinceMS)
+		t.keep(id, s)
 	}
 	s.gone = false
 	return s.started
 }
 
-// place turns the start of a new incarnation into a time of the monotonic clock.
-func (t *Tracker) place(now time.Duration, wall time.Time, upSinceMS int64) time.Duration {
+// place turns the start of a new incarnation into a time of the monotonic clock, and tells what it was surely after.
+func (t *Tracker) place(now time.Duration, wall time.Time, upSinceMS int64) (started, after time.Duration) {
 	if upSinceMS == 0 {
-		return 0
+		return 0, 0
 	}
+	named := max(wall.Sub(time.UnixMilli(upSinceMS)), 0)
 	longest := time.Duration(0) // the greatest age that it can have
 	if t.bounded {
 		longest = max(now-t.current, 0)
+		after = max(now-max(named, longest), 0)
+	}
+	return max(now-min(named, longest), 1), after
+}
+
+func (t *Tracker) keep(id honeyplank.OSDID, s *server) {
+	if t.servers == nil {
+		t.servers = map[honeyplank.OSDID]*server{}
+	}
+	t.servers[id] = s
+}
+
+// Known tells which start of a server was mentioned last, removed or not, and when it was. after is a time that the
+// start came after both by the wall clock and by what held before it; 0: that can't be told.
+func (t *Tracker) Known(id honeyplank.OSDID) (upSinceMS int64, started, after time.Duration, ok bool) {
+	s := t.servers[id]
+	if s == nil {
+		return 0, 0, 0, false
+	}
+	return s.upSinceMS, s.started, s.after, true
+}
+
+// Adopt takes over when an incarnation has started from what another source has told of it, before its first mention
+// here; one that is known here stays as it is.
+func (t *Tracker) Adopt(id honeyplank.OSDID, upSinceMS int64, started, after time.Duration) {
+	if s := t.servers[id]; s == nil || s.upSinceMS != upSinceMS {
+		t.keep(id, &server{upSinceMS: upSinceMS, started: started, after: after})
 	}
-	age := min(max(wall.Sub(time.UnixMilli(upSinceMS)), 0), longest)
-	return max(now-age, 1)
 }
 
 // Current tells that all that was told holds at this moment: each server runs as it was mentioned last, and one that
@@ -108,7 +136,11 @@
 
 // forget drops what was removed too long ago, and the oldest of too many.
 func (t *Tracker) forget(now time.Duration) {
-	for len(t.removed) > 0 && (len(t.removed) > removedMost || now-t.removed[0].at >= removedFor) {
+	most := t.Most
+	if most == 0 {
+		most = removedMost
+	}
+	for len(t.removed) > 0 && (len(t.removed) > most || now-t.removed[0].at >= removedFor) {
 		r := t.removed[0]
 		t.removed = t.removed[1:]
 		if s := t.servers[r.id]; s != nil && s.gone && s.goneAt == r.at {
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -136,8 +136,18 @@
 // A fleet whose servers are replaced without end, told in either way, and one that flaps, don't grow a Tracker.
 func TestBounded(t *testing.T) {
 	const fleet, rounds = 3200, 40
+	for _, most := range []int{0, 2 * fleet} {
+		bounded(t, fleet, rounds, most)
+	}
+}
+
+func bounded(t *testing.T, fleet, rounds, most int) {
+	remembered := most
+	if most == 0 {
+		remembered = removedMost
+	}
 	for _, way := range []string{"list", "partial", "flapping"} {
-		var k Tracker
+		k := Tracker{Most: most}
 		now := s
 		name := func(round, i int) honeyplank.OSDID {
 			if way == "flapping" {
@@ -160,7 +170,7 @@
 			} else {
 				k.Current(now)
 			}
-			if len(k.servers) > fleet+removedMost || len(k.removed) > removedMost || cap(k.removed) > 4*removedMost {
+			if len(k.servers) > fleet+remembered || len(k.removed) > remembered || cap(k.removed) > 4*remembered {
 				t.Fatalf("%s, round %d: %d servers and %d removals (room for %d)", way, round, len(k.servers), len(k.removed), cap(k.removed))
 			}
 			for _, id := range ids {
@@ -174,3 +184,39 @@
 		}
 	}
 }
+
+// What is told of a start beside it: which one it is, and after what it surely came.
+func TestKnown(t *testing.T) {
+	at := func(up time.Duration) int64 { return upSince(up) }
+	for name, c := range map[string]struct {
+		tell                 func(k *Tracker)
+		up                   int64
+		started, after, back time.Duration // back: its start when it is mentioned by another wall clock later
+	}{
+		"first sight": {func(k *Tracker) { k.Start(100*s, born.Add(100*s), id, at(50*s)) }, at(50 * s), 100 * s, 0, 100 * s},
+		"long ago":    {func(k *Tracker) { k.Complete(90*s, nil); k.Start(100*s, born.Add(100*s), id, 0) }, 0, 0, 0, 0},
+		"by the wall clock": {func(k *Tracker) { k.Complete(90*s, nil); k.Start(100*s, born.Add(100*s), id, at(95*s)) },
+			at(95 * s), 95 * s, 90 * s, 95 * s},
+		"by the wall clock before what is known": {func(k *Tracker) { k.Complete(90*s, nil); k.Start(100*s, born.Add(100*s), id, at(50*s)) },
+			at(50 * s), 90 * s, 50 * s, 90 * s},
+		"an hour back":    {func(k *Tracker) { k.Complete(90*s, nil); k.Start(100*s, born.Add(100*s-h), id, at(95*s)) }, at(95 * s), 100 * s, 90 * s, 100 * s},
+		"an hour forward": {func(k *Tracker) { k.Complete(90*s, nil); k.Start(100*s, born.Add(100*s+h), id, at(95*s)) }, at(95 * s), 90 * s, 0, 90 * s},
+		"removed":         {func(k *Tracker) { k.Start(100*s, born.Add(100*s), id, at(50*s)); k.Removed(110*s, id) }, at(50 * s), 100 * s, 0, 100 * s},
+		"adopted":         {func(k *Tracker) { k.Adopt(id, at(50*s), 70*s, 60*s) }, at(50 * s), 70 * s, 60 * s, 70 * s},
+		"adopted after its mention": {func(k *Tracker) { k.Start(100*s, born.Add(100*s), id, at(50*s)); k.Adopt(id, at(50*s), 70*s, 60*s) },
+			at(50 * s), 100 * s, 0, 100 * s},
+	} {
+		var k Tracker
+		if _, _, _, ok := k.Known(id); ok {
+			t.Errorf("%s: known before", name)
+		}
+		c.tell(&k)
+		up, started, after, ok := k.Known(id)
+		if !ok || up != c.up || started != c.started || after != c.after {
+			t.Errorf("%s: %d, %v after %v, %v; want %d, %v after %v", name, up, started, after, ok, c.up, c.started, c.after)
+		}
+		if got := k.Start(200*s, born.Add(200*s-h), id, c.up); got != c.back {
+			t.Errorf("%s: started %v when mentioned again, want %v", name, got, c.back)
+		}
+	}
+}
--- a/members/etcd.go
+++ b/members/etcd.go
@@ -44,6 +44,9 @@
 	Nodes    []Node
 	Skipped  []string // keys whose values made no sense, with the reason
 	Err      error
+	// Current tells that nothing that has happened up to now is left to be told. Only changes set it; news without nodes
+	// may tell nothing else.
+	Current bool
 }
 
 // Etcd is the list in etcd. Watch and Fetch may be called from one goroutine; news comes on another, in
--- a/members/watch.go
+++ b/members/watch.go
@@ -149,7 +149,8 @@
 	if r.Header.Revision < l.revision {
 		return nil, errHistory
 	}
-	return &News{Kind: honeyplank.Changes}, nil // nothing may come for long: the watch stands
+	// Nothing may come for long: the watch stands.
+	return &News{Kind: honeyplank.Changes, Current: r.Header.Revision == l.revision}, nil
 }
 
 // anew gives up the history told: the whole list is needed.
@@ -164,7 +165,7 @@
 func (l *list) progress(r *etcdserverpb.WatchResponse) (*News, error) {
 	l.revision = max(l.revision, r.Header.Revision)
 	l.last = max(l.last, l.revision)
-	return nil, nil
+	return &News{Kind: honeyplank.Changes, Current: r.Header.Revision == l.revision}, nil
 }
 
 // hold takes the events of a response, or of a piece of one. What was told already is passed over.
@@ -193,7 +194,7 @@
 	if len(news.Nodes)+len(news.Skipped) == 0 {
 		return nil, nil
 	}
-	news.Revision = l.revision
+	news.Revision, news.Current = l.revision, l.revision >= r.Header.Revision
 	for _, n := range news.Nodes {
 		if l.known[n.Address] = n; n.Gone {
 			delete(l.known, n.Address)
--- a/members/watch_test.go
+++ b/members/watch_test.go
@@ -194,6 +194,9 @@
 					}
 				}
 			}
+			if news != nil && news.Current && (m.open || m.revision() < out.Header.Revision) {
+				t.Fatalf("%v: told as current, the model is at %d", out, m.revision())
+			}
 			if l.revision < was || l.revision != m.revision() {
 				t.Fatalf("revision %d, was %d, the model's is %d", l.revision, was, m.revision())
 			}
