--- a/learnt/learnt.go
+++ b/learnt/learnt.go
@@ -11,7 +11,6 @@
 	"hash/crc32"
 	"math"
 	"os"
-	"path/filepath"
 	"time"
 
 	"honeyplank"
@@ -82,25 +81,13 @@
 	return r, nil
 }
 
-// Write replaces a file as a whole or leaves it as it was.
+// Write replaces a file as a whole or leaves it as it was, and removes the temporary files of killed writers.
 func (r *Record) Write(file string) error {
-	b, err := r.Encode()
+	content, err := r.Encode()
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(filepath.Dir(file), ".learnt-*")
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(b)
-	err = errors.Join(err, f.Sync(), f.Close())
-	if err == nil {
-		err = os.Rename(f.Name(), file)
-	}
-	if err != nil {
-		os.Remove(f.Name())
-	}
-	return err
+	return replace(disk{}, file, content)
 }
 
 // Of puts what a module knows into a record; at turns its clock into the wall's.
