--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -79,6 +79,14 @@
 	return s, err
 }
 
+// At a stop the file of what was learnt is written beside the settling of ops: neither waits for the other, but for
+// firstWrite. A write that fails is tried again for lastWrite, and no longer than the stop may take.
+const (
+	firstWrite = 200 * time.Millisecond // ops are taken on while a write that works is carried out
+	lastWrite  = 10 * time.Second
+	writeEnds  = time.Second // for a write that was begun before to end
+)
+
 type serveCommand struct {
 	File string        `arg:"" help:"Settings, as XML."`
 	Seed int64         `help:"Seed of the gateway's random numbers; 0: from the time."`
@@ -92,7 +100,7 @@
 	if c.Learnt == "" {
 		return nil
 	}
-	r, err := learnt.Read(c.Learnt)
+	r, err := patiently(log, c.Learnt, learnt.Read)
 	if err != nil {
 		log.Warn().Err(err).Msg("starting without what was learnt")
 		return nil
@@ -101,19 +109,45 @@
 	return r
 }
 
-// keep writes the file for the instance to come.
-func (c *serveCommand) keep(g *gateway.Instance, log zerolog.Logger) {
-	if r, ok := g.Learnt(); c.Learnt != "" && ok {
-		if err := r.Write(c.Learnt); err != nil {
+// keep writes the file for the instance to come, on a goroutine of its own that ends by lastWrite or with the context;
+// kept is closed then. Where the system itself doesn't come back from a call, it stays until the process ends.
+func (c *serveCommand) keep(ctx context.Context, g *gateway.Instance, log zerolog.Logger) (kept chan struct{}) {
+	kept = make(chan struct{})
+	r, ok := g.Learnt()
+	if c.Learnt == "" || !ok {
+		close(kept)
+		return kept
+	}
+	go func() {
+		defer close(kept)
+		ctx, cancel := context.WithTimeout(ctx, lastWrite)
+		defer cancel()
+		err := r.Keep(ctx, c.Learnt, func(err error) { log.Warn().Err(err).Msg("what was learnt is not kept yet") })
+		if err != nil {
 			log.Warn().Err(err).Msg("what was learnt is not kept")
 			return
 		}
 		log.Info().Int("osds", len(r.Servers)).Msg("what was learnt is kept")
+	}()
+	return kept
+}
+
+// over waits until a channel is closed, for a while at most, and tells whether it was.
+func over(done <-chan struct{}, wait time.Duration) bool {
+	select {
+	case <-done:
+	case <-time.After(wait):
+	}
+	select {
+	case <-done:
+		return true
+	default:
+		return false
 	}
 }
 
 func (c *serveCommand) Run(log zerolog.Logger) error {
-	s, err := read(c.File)
+	s, err := patiently(log, c.File, read)
 	if err != nil {
 		return err
 	}
@@ -135,10 +169,15 @@
 	case <-ctx.Done():
 	}
 	stop() // a second signal ends the process at once
-	c.keep(g, log)
+	began := time.Now()
 	within, cancel := context.WithTimeout(context.Background(), c.Stop)
 	defer cancel()
+	kept := c.keep(within, g, log)
+	over(kept, firstWrite)
 	err = g.Shutdown(within)
+	if !over(kept, min(c.Stop, lastWrite)-time.Since(began)+writeEnds) {
+		log.Warn().Msg("what was learnt is not kept: the system did not come back from its write")
+	}
 	log.Info().Err(err).Msg("stopped")
 	return errors.Join(err, <-served)
 }
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -10,12 +10,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
+	"golang.org/x/sys/unix"
 
 	"honeyplank/gateway"
 	"honeyplank/initiator"
@@ -175,42 +177,62 @@
 	}
 }
 
-// daemon starts serve and returns where it listens.
+// daemon starts serve and returns where it listens; it is stopped at the test's end.
 func daemon(t *testing.T, s *settings.Gateway, seed int, more ...string) string {
 	t.Helper()
-	text, err := s.XML()
-	if err != nil {
-		t.Fatal(err)
-	}
-	file := filepath.Join(t.TempDir(), "gateway.xml")
-	os.WriteFile(file, text, 0o600)
-	c := exec.Command(binary, append([]string{"serve", "--seed", fmt.Sprint(seed), file}, more...)...)
-	pipe, err := c.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := c.Start(); err != nil {
-		t.Fatal(err)
-	}
-	lines := bufio.NewScanner(pipe)
+	c, lines, address := serve(t, s, seed, more...)
 	t.Cleanup(func() {
 		c.Process.Signal(syscall.SIGTERM)
-		for lines.Scan() {
+		for range lines {
 		}
 		if err := c.Wait(); err != nil {
 			t.Errorf("the daemon ended with %v", err)
 		}
 	})
-	for lines.Scan() {
+	return address
+}
+
+// serve starts one; lines are its log after the one that tells where it listens.
+func serve(t *testing.T, s *settings.Gateway, seed int, more ...string) (c *exec.Cmd, lines chan string, address string) {
+	t.Helper()
+	text, err := s.XML()
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "gateway.xml")
+	os.WriteFile(file, text, 0o600)
+	c, lines = started(t, exec.Command(binary, append([]string{"serve", "--seed", fmt.Sprint(seed), file}, more...)...))
+	for text := range lines {
 		var line struct{ Address string }
-		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Address != "" {
+		if json.Unmarshal([]byte(text), &line) == nil && line.Address != "" {
 			if _, err := net.ResolveTCPAddr("tcp", line.Address); err == nil {
-				return line.Address
+				return c, lines, line.Address
 			}
 		}
 	}
 	t.Fatal("the daemon did not say where it serves")
-	return ""
+	return nil, nil, ""
+}
+
+// started starts a command; lines are its log.
+func started(t *testing.T, c *exec.Cmd) (*exec.Cmd, chan string) {
+	t.Helper()
+	log, err := c.StderrPipe()
+	if err == nil {
+		err = c.Start()
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Process.Kill() })
+	lines := make(chan string, 1024)
+	go func() {
+		defer close(lines)
+		for s := bufio.NewScanner(log); s.Scan(); {
+			lines <- s.Text()
+		}
+	}()
+	return c, lines
 }
 
 // play sends ops one after another and writes down their answers.
@@ -249,9 +271,9 @@
 	return b.String()
 }
 
-// TestLearntFile stops and starts a daemon that keeps what it learns: a stop writes the file, a start reads it, and one
-// that is damaged keeps no daemon from serving.
-func TestLearntFile(t *testing.T) {
+// example is settings of a gateway that finds no disk server.
+func example(t *testing.T) *settings.Gateway {
+	t.Helper()
 	text, err := os.ReadFile("../../settings/examples/gateway.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -260,6 +282,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return s
+}
+
+// TestLearntFile stops and starts a daemon that keeps what it learns: a stop writes the file, a start reads it, and one
+// that is damaged keeps no daemon from serving.
+func TestLearntFile(t *testing.T) {
+	s := example(t)
 	file := filepath.Join(t.TempDir(), "learnt")
 	known := &learnt.Record{Unit: 16 << 10, Usual: 0.01, Servers: []learnt.Server{{OSD: "127.0.0.1:9", At: time.Now().UTC(), Best: 0.001, Latency: 0.01}}}
 	sound, err := known.Encode()
@@ -281,3 +310,60 @@
 		}
 	}
 }
+
+// TestLearntFaults stops a daemon while it can open no file, for a moment or for good, and one whose folder is missing:
+// it ends in order and within its time, tells the trouble once, and keeps what it can.
+func TestLearntFaults(t *testing.T) {
+	const stop = 2 * time.Second
+	for _, c := range []struct {
+		name          string
+		missing, ends bool // the folder is missing; the trouble ends
+		says          []string
+	}{
+		{"for a moment", false, true, []string{"is not kept yet", "is kept"}},
+		{"for good", false, false, []string{"is not kept yet", "is not kept"}},
+		{"no folder", true, false, []string{"is not kept"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			file := filepath.Join(t.TempDir(), "learnt")
+			if c.missing {
+				file = filepath.Join(t.TempDir(), "missing", "learnt")
+			}
+			d, lines, _ := serve(t, example(t), 1, "--stop", stop.String(), "--learnt", file)
+			var usual unix.Rlimit
+			if err := unix.Prlimit(d.Process.Pid, unix.RLIMIT_NOFILE, nil, &usual); err != nil {
+				t.Fatal(err)
+			}
+			if !c.missing {
+				if err := unix.Prlimit(d.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 0, Max: usual.Max}, nil); err != nil {
+					t.Fatal(err)
+				}
+			}
+			d.Process.Signal(syscall.SIGTERM)
+			began, said := time.Now(), []string(nil)
+			for line := range lines {
+				var l struct{ Message string }
+				if json.Unmarshal([]byte(line), &l); strings.HasPrefix(l.Message, "what was learnt ") {
+					said = append(said, strings.TrimPrefix(l.Message, "what was learnt "))
+				}
+				if c.ends && len(said) == 1 {
+					if err := unix.Prlimit(d.Process.Pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil && d.ProcessState != nil {
+						t.Fatal(err)
+					}
+				}
+			}
+			if err := d.Wait(); err != nil {
+				t.Errorf("it ended with %v", err)
+			}
+			if took := time.Since(began); took > stop+writeEnds+5*time.Second { // generous, for a busy machine
+				t.Errorf("its stop took %v", took)
+			}
+			if !slices.Equal(said, c.says) {
+				t.Errorf("it said %q, want %q", said, c.says)
+			}
+			if _, err := learnt.Read(file); (err == nil) != c.ends {
+				t.Errorf("its file: %v", err)
+			}
+		})
+	}
+}
