--- a/loop/loop.go
+++ b/loop/loop.go
@@ -33,6 +33,7 @@
 // Loop is one event loop. Only Post, Stop and Stats may be used from other goroutines.
 type Loop struct {
 	Stats  Stats
+	sys    Syscalls
 	epoll  int
 	wake   int
 	start  time.Time
@@ -40,7 +41,8 @@
 	uses   int32 // numbers the uses of descriptors
 	timers timers
 	dirty  []*Conn
-	in     []byte // where reads go first
+	in     []byte  // where reads go first
+	small  [8]byte // what is read of the eventfd, and the byte that Quiet peeks at
 	mu     sync.Mutex
 	posted []func()
 	open   bool // Post is still heard
@@ -61,20 +63,23 @@
 const readSize = 256 << 10
 
 // New makes a loop. Its clock starts at origin: Now is origin plus the time since New.
-func New(origin time.Duration) (*Loop, error) {
-	ep, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+func New(origin time.Duration) (*Loop, error) { return NewWithSyscalls(origin, Linux{}) }
+
+// NewWithSyscalls makes a loop that makes its system calls through sys.
+func NewWithSyscalls(origin time.Duration, sys Syscalls) (*Loop, error) {
+	ep, err := sys.EpollCreate()
 	if err != nil {
 		return nil, err
 	}
-	ev, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
+	ev, err := sys.Eventfd()
 	if err != nil {
-		unix.Close(ep)
+		sys.Close(ep)
 		return nil, err
 	}
-	l := &Loop{epoll: ep, wake: ev, start: time.Now().Add(-origin), files: map[int32]entry{}, in: make([]byte, readSize), open: true}
+	l := &Loop{sys: sys, epoll: ep, wake: ev, start: time.Now().Add(-origin), files: map[int32]entry{}, in: make([]byte, readSize), open: true}
 	if err := l.add(ev, unix.EPOLLIN, wakeFile{l}); err != nil {
-		unix.Close(ep)
-		unix.Close(ev)
+		sys.Close(ep)
+		sys.Close(ev)
 		return nil, err
 	}
 	return l, nil
@@ -96,13 +101,14 @@
 	l.posted = append(l.posted, f)
 	if !l.woken {
 		l.woken = true
-		var one [8]byte
-		binary.NativeEndian.PutUint64(one[:], 1)
-		unix.Write(l.wake, one[:])
+		l.sys.Write(l.wake, one)
 	}
 	return true
 }
 
+// one is what is added to the eventfd's counter.
+var one = binary.NativeEndian.AppendUint64(nil, 1)
+
 // Stop ends Run after the present round. It must be called on the loop.
 func (l *Loop) Stop() { l.ending = true }
 
@@ -124,7 +130,7 @@
 	for !l.ending {
 		n := 0
 		l.Stats.Waits.Add(1)
-		if n, err = unix.EpollWait(l.epoll, events, l.timers.wait(l.Now())); err != nil {
+		if n, err = l.sys.EpollWait(l.epoll, events, l.timers.wait(l.Now())); err != nil {
 			if errors.Is(err, unix.EINTR) {
 				continue
 			}
@@ -142,9 +148,9 @@
 	l.open, l.posted = false, nil
 	l.mu.Unlock()
 	for fd := range l.files {
-		unix.Close(int(fd))
+		l.sys.Close(int(fd))
 	}
-	unix.Close(l.epoll)
+	l.sys.Close(l.epoll)
 	return err
 }
 
@@ -161,9 +167,8 @@
 type wakeFile struct{ l *Loop }
 
 func (w wakeFile) ready(uint32) {
-	var b [8]byte
 	w.l.Stats.Others.Add(1)
-	unix.Read(w.l.wake, b[:])
+	w.l.sys.Read(w.l.wake, w.l.small[:])
 	w.l.mu.Lock()
 	posted := w.l.posted
 	w.l.posted, w.l.woken = nil, false
@@ -181,13 +186,13 @@
 
 func (l *Loop) control(how, fd int, events uint32) error {
 	l.Stats.Others.Add(1)
-	return unix.EpollCtl(l.epoll, how, fd, &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].use})
+	return l.sys.EpollCtl(l.epoll, how, fd, unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].use})
 }
 
 func (l *Loop) drop(fd int) {
 	delete(l.files, int32(fd))
 	l.Stats.Others.Add(1)
-	unix.Close(fd)
+	l.sys.Close(fd)
 }
 
 // ---- Timers ----
@@ -404,14 +409,13 @@
 		return false
 	}
 	c.l.Stats.Others.Add(1)
-	var b [1]byte
-	_, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	_, _, err := c.l.sys.Recvfrom(c.fd, c.l.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
 func (c *Conn) half() {
 	c.l.Stats.Others.Add(1)
-	unix.Shutdown(c.fd, unix.SHUT_WR)
+	c.l.sys.Shutdown(c.fd, unix.SHUT_WR)
 }
 
 func (c *Conn) fail(err error) {
@@ -444,7 +448,7 @@
 func (c *Conn) ready(events uint32) {
 	if c.dialing {
 		c.dialing = false
-		if n, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || n != 0 {
+		if n, err := c.l.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || n != 0 {
 			c.fail(errors.Join(err, unix.Errno(n)))
 			return
 		}
@@ -470,7 +474,7 @@
 
 func (c *Conn) read() {
 	c.l.Stats.Reads.Add(1)
-	n, err := unix.Read(c.fd, c.l.in)
+	n, err := c.l.sys.Read(c.fd, c.l.in)
 	switch {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 	case err != nil:
@@ -536,7 +540,7 @@
 	}
 	for !c.closed && c.sent < len(c.Out) {
 		c.l.Stats.Writes.Add(1)
-		n, err := unix.Write(c.fd, c.Out[c.sent:])
+		n, err := c.l.sys.Write(c.fd, c.Out[c.sent:])
 		if errors.Is(err, unix.EAGAIN) {
 			break
 		}
@@ -579,14 +583,14 @@
 	if err != nil {
 		return nil, err
 	}
-	fd, err := socket(to.Addr())
+	fd, err := l.socket(to.Addr())
 	if err != nil {
 		return nil, err
 	}
 	l.Stats.Others.Add(2)
-	err = unix.Connect(fd, sockaddr(to))
+	err = l.sys.Connect(fd, sockaddr(to))
 	if err != nil && !errors.Is(err, unix.EINPROGRESS) {
-		unix.Close(fd)
+		l.sys.Close(fd)
 		return nil, err
 	}
 	c := &Conn{l: l, fd: fd, h: h, dialing: true, events: unix.EPOLLOUT}
@@ -608,30 +612,30 @@
 	if err != nil {
 		return nil, err
 	}
-	fd, err := socket(at.Addr())
+	fd, err := l.socket(at.Addr())
 	if err != nil {
 		return nil, err
 	}
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, sockaddr(at)); err == nil {
-		err = unix.Listen(fd, 1024)
+	l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	if err = l.sys.Bind(fd, sockaddr(at)); err == nil {
+		err = l.sys.Listen(fd, 1024)
 	}
 	if err != nil {
-		unix.Close(fd)
+		l.sys.Close(fd)
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
 	n := &Listener{l: l, fd: fd, accept: accept}
 	return n, l.add(fd, unix.EPOLLIN, n)
 }
 
-func socket(to netip.Addr) (int, error) {
+func (l *Loop) socket(to netip.Addr) (int, error) {
 	family := unix.AF_INET
 	if to.Unmap().Is6() {
 		family = unix.AF_INET6
 	}
-	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := l.sys.Socket(family, unix.SOCK_STREAM)
 	if err == nil {
-		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+		l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	}
 	return fd, err
 }
@@ -645,7 +649,7 @@
 
 // Address is where the listener listens.
 func (n *Listener) Address() string {
-	if sa, err := unix.Getsockname(n.fd); err == nil {
+	if sa, err := n.l.sys.Getsockname(n.fd); err == nil {
 		switch in := sa.(type) {
 		case *unix.SockaddrInet4:
 			return netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String()
@@ -670,7 +674,7 @@
 func (n *Listener) ready(uint32) {
 	for !n.closed {
 		n.l.Stats.Others.Add(1)
-		fd, from, err := unix.Accept4(n.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		fd, from, err := n.l.sys.Accept(n.fd)
 		if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) { // who waits would wake the loop all the time
 			n.l.control(unix.EPOLL_CTL_MOD, n.fd, 0)
 			n.l.AtTime(n.l.Now()+shortOfFiles, func() {
@@ -683,7 +687,7 @@
 		if err != nil {
 			return
 		}
-		unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+		n.l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		c := &Conn{l: n.l, fd: fd, events: unix.EPOLLIN}
 		switch a := from.(type) {
 		case *unix.SockaddrInet4:
@@ -692,7 +696,7 @@
 			c.Peer = netip.AddrFrom16(a.Addr)
 		}
 		if c.h = n.accept(c); c.h == nil {
-			unix.Close(fd)
+			n.l.sys.Close(fd)
 			continue
 		}
 		if err := n.l.add(fd, c.events, c); err != nil {
@@ -714,12 +718,12 @@
 	if err != nil {
 		return nil, err
 	}
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := l.sys.Socket(unix.AF_INET, unix.SOCK_DGRAM)
 	if err != nil {
 		return nil, err
 	}
-	if err := unix.Bind(fd, sockaddr(at)); err != nil {
-		unix.Close(fd)
+	if err := l.sys.Bind(fd, sockaddr(at)); err != nil {
+		l.sys.Close(fd)
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
 	}
 	p := &Packets{l, fd, got}
@@ -729,13 +733,13 @@
 // Send sends one datagram; one that finds no room is lost, as on the way.
 func (p *Packets) Send(to netip.AddrPort, b []byte) {
 	p.l.Stats.Writes.Add(1)
-	unix.Sendto(p.fd, b, unix.MSG_DONTWAIT, sockaddr(to))
+	p.l.sys.Sendto(p.fd, b, unix.MSG_DONTWAIT, sockaddr(to))
 }
 
 func (p *Packets) ready(uint32) {
 	for range 64 { // then others have their turn
 		p.l.Stats.Reads.Add(1)
-		n, from, err := unix.Recvfrom(p.fd, p.l.in, unix.MSG_DONTWAIT)
+		n, from, err := p.l.sys.Recvfrom(p.fd, p.l.in, unix.MSG_DONTWAIT)
 		if err != nil {
 			return
 		}
