--- a/loop/loop.go
+++ b/loop/loop.go
@@ -311,6 +311,7 @@
 	queued  bool
 	closed  bool
 	ending  bool          // close once Out is sent
+	halved  bool          // it is, and the other end has been told so
 	last    time.Duration // from then until the close, after Drop
 }
 
@@ -370,7 +371,8 @@
 
 // Finish ends the connection in order: what is in Out is sent, then no more, and the socket is closed once the
 // other end has closed too, or a second has passed. Closing at once would have the kernel answer what still
-// comes with a reset, which can take from the other end what it has not read yet. What comes is dropped.
+// comes with a reset, which can take from the other end what it has not read yet. Nothing more is read: a request
+// that crosses the end stays unread, so that its sender may send it again.
 func (c *Conn) Finish() {
 	if c.ending || c.closed {
 		return
@@ -380,7 +382,7 @@
 		return
 	}
 	c.ending, c.left, c.last = true, nil, linger
-	c.Resume()
+	c.Pause()
 	c.write()
 	c.l.AtTime(c.l.Now()+unread, c.Close)
 }
@@ -397,6 +399,46 @@
 	c.l.AtTime(c.l.Now()+linger+after, c.Close)
 }
 
+// ackWait is how long after one look at what the other end has acknowledged the next follows.
+const ackWait = 10 * time.Millisecond
+
+// release closes a connection that has ended its sending, once that takes nothing from the other end: a close over unread
+// bytes resets the connection, and what the other end has not acknowledged yet is lost with it.
+func (c *Conn) release() {
+	if c.closed {
+		return
+	}
+	if c.Unacked() == 0 || c.ended() {
+		c.Close()
+		return
+	}
+	// The end of both directions would be told in every round.
+	c.l.control(unix.EPOLL_CTL_DEL, c.fd, 0)
+	c.l.AtTime(c.l.Now()+ackWait, c.release)
+}
+
+// ended tells that the other end has ended its sending and all of it has been read.
+func (c *Conn) ended() bool {
+	c.l.Stats.Others.Add(1)
+	var b [1]byte
+	n, _, err := unix.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	return n == 0 && err == nil
+}
+
+// Unacked is how many bytes the other end's system has not acknowledged, unsent ones included; 0 where the system does
+// not tell.
+func (c *Conn) Unacked() int {
+	if c.closed || c.dialing {
+		return 0
+	}
+	c.l.Stats.Others.Add(1)
+	n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
+	if err != nil {
+		n = 0
+	}
+	return n + c.Unsent()
+}
+
 // Quiet tells that nothing has come that was not read, the end of the connection included: what is sent now has
 // the next byte that comes for an answer.
 func (c *Conn) Quiet() bool {
@@ -410,6 +452,7 @@
 }
 
 func (c *Conn) half() {
+	c.halved = true
 	c.l.Stats.Others.Add(1)
 	unix.Shutdown(c.fd, unix.SHUT_WR)
 }
@@ -429,7 +472,7 @@
 	if !c.paused && !c.dialing {
 		want |= unix.EPOLLIN
 	}
-	if c.paused && c.HearEnd && !c.ending {
+	if c.paused && (c.HearEnd && !c.ending || c.halved) {
 		want |= unix.EPOLLRDHUP
 	}
 	if c.dialing || c.sent < len(c.Out) && !c.queued {
@@ -460,6 +503,8 @@
 		switch {
 		case !c.paused:
 			c.read()
+		case c.halved && events&unix.EPOLLERR == 0:
+			c.release()
 		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
 			c.fail(unix.ECONNRESET)
 		case events&unix.EPOLLRDHUP != 0:
@@ -563,7 +608,7 @@
 			c.half()
 		}
 		if c.last > 0 {
-			c.l.AtTime(c.l.Now()+c.last, c.Close)
+			c.l.AtTime(c.l.Now()+c.last, c.release)
 			c.last = 0
 		}
 	case c.sent > readSize:
