--- a/loop/loop.go
+++ b/loop/loop.go
@@ -46,6 +46,7 @@
 	open   bool // Post is still heard
 	woken  bool
 	ending bool
+	looked time.Duration // when events were last waited for
 }
 
 // file is what hangs on a descriptor. Each use of a descriptor has a number of its own, since an event of a
@@ -122,20 +123,12 @@
 	events := make([]unix.EpollEvent, 256)
 	var err error
 	for !l.ending {
-		n := 0
-		l.Stats.Waits.Add(1)
-		if n, err = unix.EpollWait(l.epoll, events, l.timers.wait(l.Now())); err != nil {
-			if errors.Is(err, unix.EINTR) {
-				continue
-			}
+		if err = l.look(events, l.timers.wait(l.Now())); err != nil {
 			break
 		}
-		for _, e := range events[:n] {
-			if f, ok := l.files[e.Fd]; ok && f.use == e.Pad {
-				f.ready(e.Events)
-			}
-		}
+		l.lookAgain(events)
 		l.timers.fire(l.Now)
+		l.lookAgain(events)
 		l.flush()
 	}
 	l.mu.Lock()
@@ -148,6 +141,37 @@
 	return err
 }
 
+// look waits for events, for so many milliseconds at most, and hands them out.
+func (l *Loop) look(events []unix.EpollEvent, wait int) error {
+	l.Stats.Waits.Add(1)
+	n, err := unix.EpollWait(l.epoll, events, wait)
+	l.looked = l.Now()
+	if err != nil {
+		if errors.Is(err, unix.EINTR) {
+			return nil
+		}
+		return err
+	}
+	for _, e := range events[:n] {
+		if f, ok := l.files[e.Fd]; ok && f.use == e.Pad {
+			f.ready(e.Events)
+		}
+	}
+	return nil
+}
+
+// stale is how old the last look at what has come may be before timers fire and before bytes are written.
+const stale = 20 * time.Millisecond
+
+// lookAgain looks once more where the round has taken long. It guards a loop that was held up against acting on what is
+// no longer so, as for a client that has gone meanwhile; it would harm one that is always late, which then takes up new
+// work before it has written what is done, by one round at most.
+func (l *Loop) lookAgain(events []unix.EpollEvent) {
+	if l.Now()-l.looked > stale && !l.ending {
+		l.look(events, 0)
+	}
+}
+
 // flush writes what the round has produced, once for each connection.
 func (l *Loop) flush() {
 	for i := 0; i < len(l.dirty); i++ { // it may grow meanwhile
@@ -295,8 +319,8 @@
 	Peer netip.Addr
 	// Ended, where set, is called once the socket is closed, by whichever end.
 	Ended func()
-	// HearEnd has Closed told also while the connection is paused, once the other end has ended its sending; what
-	// came before that and was not read is lost.
+	// HearEnd has Closed told at once when the other end has ended its sending, also while the connection is paused;
+	// what came before that and was not read is lost. It must be set before the connection is on the loop.
 	HearEnd bool
 
 	l       *Loop
@@ -363,6 +387,14 @@
 	}
 }
 
+// Abort ends the connection at once with a reset: what the other end's system has not taken yet never arrives.
+func (c *Conn) Abort() {
+	if !c.closed {
+		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+	}
+	c.Close()
+}
+
 // linger is how long Finish waits for an end that does not close once all is sent, unread for one that does not read.
 const (
 	linger = time.Second
@@ -472,7 +504,7 @@
 	if !c.paused && !c.dialing {
 		want |= unix.EPOLLIN
 	}
-	if c.paused && (c.HearEnd && !c.ending || c.halved) {
+	if c.HearEnd && !c.ending || c.halved {
 		want |= unix.EPOLLRDHUP
 	}
 	if c.dialing || c.sent < len(c.Out) && !c.queued {
@@ -501,14 +533,16 @@
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR|unix.EPOLLRDHUP) != 0 && !c.closed {
 		switch {
+		case c.HearEnd && !c.ending && events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
+			c.fail(unix.ECONNRESET)
+		case c.HearEnd && !c.ending && events&unix.EPOLLRDHUP != 0:
+			c.fail(nil)
 		case !c.paused:
 			c.read()
 		case c.halved && events&unix.EPOLLERR == 0:
 			c.release()
 		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
 			c.fail(unix.ECONNRESET)
-		case events&unix.EPOLLRDHUP != 0:
-			c.fail(nil)
 		}
 	}
 }
@@ -740,6 +774,9 @@
 			unix.Close(fd)
 			continue
 		}
+		if c.HearEnd {
+			c.events |= unix.EPOLLRDHUP
+		}
 		if err := n.l.add(fd, c.events, c); err != nil {
 			c.fail(err)
 		}
