--- a/loop/loop.go
+++ b/loop/loop.go
@@ -47,6 +47,8 @@
 	woken  bool
 	ending bool
 	looked time.Duration // when events were last waited for
+	since  time.Duration // what was not heard of before has come after this
+	looks  uint64
 }
 
 // file is what hangs on a descriptor. Each use of a descriptor has a number of its own, since an event of a
@@ -122,6 +124,7 @@
 	defer runtime.UnlockOSThread()
 	events := make([]unix.EpollEvent, 256)
 	var err error
+	l.looked = l.Now()
 	for !l.ending {
 		if err = l.look(events, l.timers.wait(l.Now())); err != nil {
 			break
@@ -144,8 +147,12 @@
 // look waits for events, for so many milliseconds at most, and hands them out.
 func (l *Loop) look(events []unix.EpollEvent, wait int) error {
 	l.Stats.Waits.Add(1)
+	begun, before := l.Now(), l.looked
 	n, err := unix.EpollWait(l.epoll, events, wait)
-	l.looked = l.Now()
+	l.looked, l.looks = l.Now(), l.looks+1
+	if l.since = l.looked; l.looked-begun < time.Millisecond { // it may have come before the wait began
+		l.since = before
+	}
 	if err != nil {
 		if errors.Is(err, unix.EINTR) {
 			return nil
@@ -317,6 +324,8 @@
 	Bend Bend
 	// Peer is who connected; not set for a connection that was dialled.
 	Peer netip.Addr
+	// Before, where set, is called before bytes of Out are written, and may change what is unsent.
+	Before func()
 	// Ended, where set, is called once the socket is closed, by whichever end.
 	Ended func()
 	// HearEnd has Closed told at once when the other end has ended its sending, also while the connection is paused;
@@ -337,6 +346,10 @@
 	ending  bool          // close once Out is sent
 	halved  bool          // it is, and the other end has been told so
 	last    time.Duration // from then until the close, after Drop
+	came    time.Duration // what was read last has come after this,
+	looked  time.Duration // and before this
+	held    bool          // it was not all, or reading has stopped since
+	resumed uint64        // the look before reading went on
 }
 
 func (c *Conn) Loop() *Loop { return c.l }
@@ -358,8 +371,21 @@
 // Left is how many bytes have come and were not used: a part of what the handler waits for.
 func (c *Conn) Left() int { return len(c.left) }
 
+// Came is a time after which what was read last has come: what waits to be read while the loop is held up, or the
+// connection paused, has come earlier than it is read.
+func (c *Conn) Came() time.Duration { return c.came }
+
+// arrived notes when what is being read may have come at the earliest.
+func (c *Conn) arrived(n int) {
+	c.came = c.l.since
+	if c.held && c.l.looks <= c.resumed+1 { // it waited already when reading went on
+		c.came = min(c.came, c.looked)
+	}
+	c.looked, c.held, c.resumed = c.l.looked, n == len(c.l.in), c.l.looks
+}
+
 // Pause stops reading until Resume.
-func (c *Conn) Pause() { c.paused = true; c.watch() }
+func (c *Conn) Pause() { c.paused, c.held = true, true; c.watch() }
 
 // Resume reads again. What came before and was not used is offered once more.
 func (c *Conn) Resume() {
@@ -367,6 +393,7 @@
 		return
 	}
 	c.paused = false
+	c.resumed = c.l.looks
 	c.watch()
 	if len(c.left) > 0 {
 		c.l.AtTime(0, func() { c.input(nil) })
@@ -558,6 +585,7 @@
 		c.fail(nil)
 	default:
 		c.l.Stats.BytesIn.Add(int64(n))
+		c.arrived(n)
 		if c.Tap != nil {
 			c.Tap(false, c.l.in[:n])
 		}
@@ -613,6 +641,9 @@
 		c.Out = append(c.Out[:c.bent], c.Bend.Out(fresh)...)
 		c.bent = len(c.Out)
 	}
+	if c.Before != nil && !c.closed && c.sent < len(c.Out) {
+		c.Before()
+	}
 	for !c.closed && c.sent < len(c.Out) {
 		c.l.Stats.Writes.Add(1)
 		n, err := unix.Write(c.fd, c.Out[c.sent:])
