--- a/loop/loop.go
+++ b/loop/loop.go
@@ -48,6 +48,9 @@
 	open   bool // Post is still heard
 	woken  bool
 	ending bool
+	looked time.Duration // when events were last waited for
+	since  time.Duration // what was not heard of before has come after this
+	looks  uint64
 }
 
 // file is what hangs on a descriptor. Each use of a descriptor has a number of its own, since an event of a
@@ -127,21 +130,14 @@
 	defer runtime.UnlockOSThread()
 	events := make([]unix.EpollEvent, 256)
 	var err error
+	l.looked = l.Now()
 	for !l.ending {
-		n := 0
-		l.Stats.Waits.Add(1)
-		if n, err = l.sys.EpollWait(l.epoll, events, l.timers.wait(l.Now())); err != nil {
-			if errors.Is(err, unix.EINTR) {
-				continue
-			}
+		if err = l.look(events, l.timers.wait(l.Now())); err != nil {
 			break
 		}
-		for _, e := range events[:n] {
-			if f, ok := l.files[e.Fd]; ok && f.use == e.Pad {
-				f.ready(e.Events)
-			}
-		}
+		l.lookAgain(events)
 		l.timers.fire(l.Now)
+		l.lookAgain(events)
 		l.flush()
 	}
 	l.mu.Lock()
@@ -154,6 +150,41 @@
 	return err
 }
 
+// look waits for events, for so many milliseconds at most, and hands them out.
+func (l *Loop) look(events []unix.EpollEvent, wait int) error {
+	l.Stats.Waits.Add(1)
+	begun, before := l.Now(), l.looked
+	n, err := l.sys.EpollWait(l.epoll, events, wait)
+	l.looked, l.looks = l.Now(), l.looks+1
+	if l.since = l.looked; l.looked-begun < time.Millisecond { // it may have come before the wait began
+		l.since = before
+	}
+	if err != nil {
+		if errors.Is(err, unix.EINTR) {
+			return nil
+		}
+		return err
+	}
+	for _, e := range events[:n] {
+		if f, ok := l.files[e.Fd]; ok && f.use == e.Pad {
+			f.ready(e.Events)
+		}
+	}
+	return nil
+}
+
+// stale is how old the last look at what has come may be before timers fire and before bytes are written.
+const stale = 20 * time.Millisecond
+
+// lookAgain looks once more where the round has taken long. It guards a loop that was held up against acting on what is
+// no longer so, as for a client that has gone meanwhile; it would harm one that is always late, which then takes up new
+// work before it has written what is done, by one round at most.
+func (l *Loop) lookAgain(events []unix.EpollEvent) {
+	if l.Now()-l.looked > stale && !l.ending {
+		l.look(events, 0)
+	}
+}
+
 // flush writes what the round has produced, once for each connection.
 func (l *Loop) flush() {
 	for i := 0; i < len(l.dirty); i++ { // it may grow meanwhile
@@ -298,10 +329,12 @@
 	Bend Bend
 	// Peer is who connected; not set for a connection that was dialled.
 	Peer netip.Addr
+	// Before, where set, is called before bytes of Out are written, and may change what is unsent.
+	Before func()
 	// Ended, where set, is called once the socket is closed, by whichever end.
 	Ended func()
-	// HearEnd has Closed told also while the connection is paused, once the other end has ended its sending; what
-	// came before that and was not read is lost.
+	// HearEnd has Closed told at once when the other end has ended its sending, also while the connection is paused;
+	// what came before that and was not read is lost. It must be set before the connection is on the loop.
 	HearEnd bool
 
 	l       *Loop
@@ -316,7 +349,12 @@
 	queued  bool
 	closed  bool
 	ending  bool          // close once Out is sent
+	halved  bool          // it is, and the other end has been told so
 	last    time.Duration // from then until the close, after Drop
+	came    time.Duration // what was read last has come after this,
+	looked  time.Duration // and before this
+	held    bool          // it was not all, or reading has stopped since
+	resumed uint64        // the look before reading went on
 }
 
 func (c *Conn) Loop() *Loop { return c.l }
@@ -338,8 +376,21 @@
 // Left is how many bytes have come and were not used: a part of what the handler waits for.
 func (c *Conn) Left() int { return len(c.left) }
 
+// Came is a time after which what was read last has come: what waits to be read while the loop is held up, or the
+// connection paused, has come earlier than it is read.
+func (c *Conn) Came() time.Duration { return c.came }
+
+// arrived notes when what is being read may have come at the earliest.
+func (c *Conn) arrived(n int) {
+	c.came = c.l.since
+	if c.held && c.l.looks <= c.resumed+1 { // it waited already when reading went on
+		c.came = min(c.came, c.looked)
+	}
+	c.looked, c.held, c.resumed = c.l.looked, n == len(c.l.in), c.l.looks
+}
+
 // Pause stops reading until Resume.
-func (c *Conn) Pause() { c.paused = true; c.watch() }
+func (c *Conn) Pause() { c.paused, c.held = true, true; c.watch() }
 
 // Resume reads again. What came before and was not used is offered once more.
 func (c *Conn) Resume() {
@@ -347,6 +398,7 @@
 		return
 	}
 	c.paused = false
+	c.resumed = c.l.looks
 	c.watch()
 	if len(c.left) > 0 {
 		c.l.AtTime(0, func() { c.input(nil) })
@@ -367,6 +419,14 @@
 	}
 }
 
+// Abort ends the connection at once with a reset: what the other end's system has not taken yet never arrives.
+func (c *Conn) Abort() {
+	if !c.closed {
+		c.l.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1})
+	}
+	c.Close()
+}
+
 // linger is how long Finish waits for an end that does not close once all is sent, unread for one that does not read.
 const (
 	linger = time.Second
@@ -375,7 +435,8 @@
 
 // Finish ends the connection in order: what is in Out is sent, then no more, and the socket is closed once the
 // other end has closed too, or a second has passed. Closing at once would have the kernel answer what still
-// comes with a reset, which can take from the other end what it has not read yet. What comes is dropped.
+// comes with a reset, which can take from the other end what it has not read yet. Nothing more is read: a request
+// that crosses the end stays unread, so that its sender may send it again.
 func (c *Conn) Finish() {
 	if c.ending || c.closed {
 		return
@@ -385,7 +446,7 @@
 		return
 	}
 	c.ending, c.left, c.last = true, nil, linger
-	c.Resume()
+	c.Pause()
 	c.write()
 	c.l.AtTime(c.l.Now()+unread, c.Close)
 }
@@ -402,6 +463,46 @@
 	c.l.AtTime(c.l.Now()+linger+after, c.Close)
 }
 
+// ackWait is how long after one look at what the other end has acknowledged the next follows.
+const ackWait = 10 * time.Millisecond
+
+// release closes a connection that has ended its sending, once that takes nothing from the other end: a close over unread
+// bytes resets the connection, and what the other end has not acknowledged yet is lost with it.
+func (c *Conn) release() {
+	if c.closed {
+		return
+	}
+	if c.Unacked() == 0 || c.ended() {
+		c.Close()
+		return
+	}
+	// The end of both directions would be told in every round.
+	c.l.control(unix.EPOLL_CTL_DEL, c.fd, 0)
+	c.l.AtTime(c.l.Now()+ackWait, c.release)
+}
+
+// ended tells that the other end has ended its sending and all of it has been read.
+func (c *Conn) ended() bool {
+	c.l.Stats.Others.Add(1)
+	var b [1]byte
+	n, _, err := c.l.sys.Recvfrom(c.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	return n == 0 && err == nil
+}
+
+// Unacked is how many bytes the other end's system has not acknowledged, unsent ones included; 0 where the system does
+// not tell.
+func (c *Conn) Unacked() int {
+	if c.closed || c.dialing {
+		return 0
+	}
+	c.l.Stats.Others.Add(1)
+	n, err := c.l.sys.UnackedBytes(c.fd)
+	if err != nil {
+		n = 0
+	}
+	return n + c.Unsent()
+}
+
 // Quiet tells that nothing has come that was not read, the end of the connection included: what is sent now has
 // the next byte that comes for an answer.
 func (c *Conn) Quiet() bool {
@@ -414,6 +515,7 @@
 }
 
 func (c *Conn) half() {
+	c.halved = true
 	c.l.Stats.Others.Add(1)
 	c.l.sys.Shutdown(c.fd, unix.SHUT_WR)
 }
@@ -433,7 +535,7 @@
 	if !c.paused && !c.dialing {
 		want |= unix.EPOLLIN
 	}
-	if c.paused && c.HearEnd && !c.ending {
+	if c.HearEnd && !c.ending || c.halved {
 		want |= unix.EPOLLRDHUP
 	}
 	if c.dialing || c.sent < len(c.Out) && !c.queued {
@@ -462,12 +564,16 @@
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR|unix.EPOLLRDHUP) != 0 && !c.closed {
 		switch {
+		case c.HearEnd && !c.ending && events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
+			c.fail(unix.ECONNRESET)
+		case c.HearEnd && !c.ending && events&unix.EPOLLRDHUP != 0:
+			c.fail(nil)
 		case !c.paused:
 			c.read()
+		case c.halved && events&unix.EPOLLERR == 0:
+			c.release()
 		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
 			c.fail(unix.ECONNRESET)
-		case events&unix.EPOLLRDHUP != 0:
-			c.fail(nil)
 		}
 	}
 }
@@ -483,6 +589,7 @@
 		c.fail(nil)
 	default:
 		c.l.Stats.BytesIn.Add(int64(n))
+		c.arrived(n)
 		if c.Tap != nil {
 			c.Tap(false, c.l.in[:n])
 		}
@@ -538,6 +645,9 @@
 		c.Out = append(c.Out[:c.bent], c.Bend.Out(fresh)...)
 		c.bent = len(c.Out)
 	}
+	if c.Before != nil && !c.closed && c.sent < len(c.Out) {
+		c.Before()
+	}
 	for !c.closed && c.sent < len(c.Out) {
 		c.l.Stats.Writes.Add(1)
 		n, err := c.l.sys.Write(c.fd, c.Out[c.sent:])
@@ -567,7 +677,7 @@
 			c.half()
 		}
 		if c.last > 0 {
-			c.l.AtTime(c.l.Now()+c.last, c.Close)
+			c.l.AtTime(c.l.Now()+c.last, c.release)
 			c.last = 0
 		}
 	case c.sent > readSize:
@@ -699,6 +809,9 @@
 			n.l.sys.Close(fd)
 			continue
 		}
+		if c.HearEnd {
+			c.events |= unix.EPOLLRDHUP
+		}
 		if err := n.l.add(fd, c.events, c); err != nil {
 			c.fail(err)
 		}
--- a/loop/syscalls.go
+++ b/loop/syscalls.go
@@ -20,6 +20,9 @@
 	Getsockname(fd int) (unix.Sockaddr, error)
 	GetsockoptInt(fd, level, option int) (int, error)
 	SetsockoptInt(fd, level, option, value int) error
+	SetsockoptLinger(fd int, linger unix.Linger) error
+	// UnackedBytes is how many bytes of a TCP socket's send buffer the other end has not acknowledged (SIOCOUTQ).
+	UnackedBytes(fd int) (int, error)
 
 	Read(fd int, b []byte) (int, error)
 	Write(fd int, b []byte) (int, error)
@@ -64,6 +67,14 @@
 	return unix.SetsockoptInt(fd, level, option, value)
 }
 
+// SetsockoptLinger sets SO_LINGER.
+func (Linux) SetsockoptLinger(fd int, linger unix.Linger) error {
+	return unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &linger)
+}
+
+// UnackedBytes reads SIOCOUTQ.
+func (Linux) UnackedBytes(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.SIOCOUTQ) }
+
 func (Linux) Read(fd int, b []byte) (int, error)  { return unix.Read(fd, b) }
 func (Linux) Write(fd int, b []byte) (int, error) { return unix.Write(fd, b) }
 
