--- a/internal/wire/provision.go
+++ b/internal/wire/provision.go
@@ -174,7 +174,8 @@
 		"cold.from": f.Rules.ColdFrom, "cold.time": span(f.Rules.Cold),
 		"cold.window": span(f.Rules.Fall), "cold.units": f.Family.YoungLimit,
 		"cold.multiple": f.Rules.Multiple, "order.settle": span(f.Rules.Settle),
-		"units.mean": f.Family.UnitMean, "units.largest": f.Family.Largest,
+		"connect.within": span(f.Caps.Connect),
+		"units.mean":     f.Family.UnitMean, "units.largest": f.Family.Largest,
 		"utility.share": f.Family.WithinShare, "utility.spare": f.Family.IdleWorth,
 		"meter.period": span(f.Family.UsePeriod), "meter.elsewhere": f.Family.CountsOthers,
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -26,7 +26,8 @@
 	creditMost       = 2 * floor         // further dispatches; each answer earns one
 	failingTooMuch   = 0.2               // share of errors at which new objects go elsewhere
 	bestForgets      = 1.0 / 256
-	coldSpread       = 7.0 / 8 // by lot: the mean of what is sent, of the part; chance does the rest
+	coldSpread       = 7.0 / 8 // by lot: the mean of what is sent, of the part at most; chance does the rest
+	coldDeviations   = 4.0     // and so many standard deviations of it stay below what pushes a server over
 	coldMost         = 1.5     // mean ops by lot to a cold server within a window
 	keptOfLimit      = 0.5     // of a limit's store, kept from an op type of no utility
 	lostAfter        = 8.0     // times the usual answer time, for a dispatch that others overtake,
@@ -35,6 +36,10 @@
 	usualFades       = 16 // longest target latencies in which the usual answer time of a type is forgotten
 )
 
+// holdUp is for how long the process may be held up between reading its clock and writing: what is decided at one time
+// may leave so much later.
+const holdUp = 150 * time.Millisecond
+
 // Handle takes one event and returns what is to be done at once.
 func (s *Scheduler) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 	s.now, s.out = now, nil
@@ -101,6 +106,7 @@
 			o = s.add(&osd{Member: m, window: floor, credit: creditMost, log: []sent{{s.born, math.Inf(1)}}})
 		}
 		if m.Started > o.Started {
+			o.heard = false
 			s.judge(o, inBorn)
 		}
 		s.place(o, m)
@@ -163,6 +169,7 @@
 	}
 	s.taken = append(recent(s.taken, s.now-s.set.budgetWindow), s.now)
 	p := &op{Op: e, lot: s.rng.Float64(), drawn: s.now}
+	s.units, s.squares = s.units+e.Units, s.squares+e.Units*e.Units
 	// A retry's target latency runs from its client's first try. An op with less time than its target latency
 	// is wanted within the time it brings.
 	p.target = min(s.now+at(s.set.target, e.Type)-s.waited(p), e.Timeout)
@@ -171,7 +178,7 @@
 		s.line(p)
 	}
 	s.open(p)
-	s.tally(p, s.due(p), 2*s.set.longest)
+	s.tally(p, s.due(p))
 	if s.house(p); p.queue != nil {
 		p.queue.thinkt.gap(s.now, avgA, avgB)
 		p.queue.demand.add(s.now, p.Units, 2*s.set.longest)
@@ -549,29 +556,31 @@
 }
 
 // coldRoom keeps a disk server that has just started below this host's part of what it always bears. The part
-// grows no faster than the slowest warm-up. Every dispatch of the last window counts. Where the part is below
-// the largest op, lots keep the mean of what hosts send below it, reserves first: against what this host is
-// asked of that server, or of a mean one if that is more, since a hot place would take most of a fleet's ops.
-// It guards against pushing the server over; it could harm service where hosts with little traffic can't use
-// their parts, and would not hold where a place grows hot in that moment.
+// grows no faster than the slowest warm-up. What counts is what may arrive within one window: every dispatch that is
+// out, since it may wait for its connection and arrive with others at once, and every one that ended less than a window
+// ago. Where the part is below the largest op, lots keep the mean of what hosts send below it, reserves first: against
+// what this host is asked of that server, or of a mean one if that is more, since a hot place would take most of a
+// fleet's ops. It guards against pushing the server over; it could harm service where hosts with little traffic can't
+// use their parts or answers take long, and would not hold where a place grows hot in that moment.
 func (s *Scheduler) coldRoom(o *osd, units, lot float64, due bool) bool {
-	window, warm := s.set.coldWindow, s.set.coldTime
+	window := s.set.coldWindow
 	o.trim(s.now - window)
-	if o.Started <= 0 || window <= 0 || s.now >= o.Started+warm+window {
+	if !s.cold(o) {
 		return true
 	}
-	from, grown := s.set.coldFrom, 1.0
-	if age := s.now - o.Started; from > 0 && from < 1 && age > 0 && warm > 0 {
-		grown = (from + (1-from)*min(1, float64(age)/float64(warm))) / from
-	}
-	part, used := grown*s.set.coldUnits*s.share(o), o.logged()
+	bears := s.bears(o)
+	part, used := bears*s.share(o), o.logged()
 	if part >= max(s.set.unitsMean, s.set.unitsLargest) {
 		return used+units <= part
 	}
 	if used > part+coldMost*s.set.unitsMean {
 		return false
 	}
-	part *= coldSpread
+	// Until an answer tells that connections come up, those of many hosts may come up late and together.
+	if late := s.set.late; !o.heard && s.now < o.Started+late+window {
+		window += late
+	}
+	part *= s.spread(bears)
 	first, others := s.wanted(o, window)
 	return due && lot*first < part || lot*others < part-first
 }
@@ -579,7 +588,7 @@
 // share is this host's part of what all hosts ask of a node, at least an even one. What others ask is told by
 // what this host is asked of a mean node, and by how many hosts the volumes come through that it knows there.
 func (s *Scheduler) share(o *osd) float64 {
-	hosts := float64(max(s.set.hosts, 1))
+	hosts := float64(max(s.set.hosts, s.hosts, 1)) // settings may lag behind what volumes tell
 	usual := s.bound.rate() / float64(max(s.running, 1))
 	if !(usual > 0) {
 		return 1 / hosts
@@ -614,29 +623,33 @@
 
 // outcomes tells what each end of a dispatch means: whether it may have run, whether it may be running
 // still, and what it says of the disk server.
-var outcomes = map[honeyplank.Code]struct {
-	maybe, runs bool
-	says        finding
-	effect      func(*Scheduler, *osd, *op, honeyplank.Outcome)
-}{
-	honeyplank.Acked:       {maybe: true, says: inGood, effect: (*Scheduler).measure},
-	honeyplank.Errored:     {maybe: true, says: inGood, effect: (*Scheduler).blame},
-	honeyplank.Full:        {says: inGood, effect: (*Scheduler).ranOut},
-	honeyplank.TimedOut:    {maybe: true, runs: true, effect: (*Scheduler).ranOut},
+var outcomes = map[honeyplank.Code]end{
+	honeyplank.Acked:       {arrived: true, maybe: true, says: inGood, effect: (*Scheduler).measure},
+	honeyplank.Errored:     {arrived: true, maybe: true, says: inGood, effect: (*Scheduler).blame},
+	honeyplank.Full:        {arrived: true, says: inGood, effect: (*Scheduler).ranOut},
+	honeyplank.TimedOut:    {arrived: true, maybe: true, runs: true, effect: (*Scheduler).ranOut},
 	honeyplank.Unconnected: {says: inLost, effect: (*Scheduler).blame},
-	honeyplank.Reset:       {maybe: true, runs: true, says: inLost, effect: (*Scheduler).blame},
-	honeyplank.Cancelled:   {maybe: true, runs: true},
+	honeyplank.Reset:       {arrived: true, maybe: true, runs: true, says: inLost, effect: (*Scheduler).blame},
+	honeyplank.Cancelled:   {arrived: true, maybe: true, runs: true},
 	honeyplank.Moot:        {},
 }
 
+// end is an entry of outcomes; arrived: the disk server may have got it.
+type end struct {
+	arrived, maybe, runs bool
+	says                 finding
+	effect               func(*Scheduler, *osd, *op, honeyplank.Outcome)
+}
+
 func (s *Scheduler) outcome(e honeyplank.Outcome) {
 	o, p, way := s.osds[e.OSD], s.ops[e.Op], outcomes[e.Code]
-	if o == nil || p == nil || !p.close(e.Dispatch, way.maybe) {
+	if o == nil || p == nil || !s.close(p, e.Dispatch, way) {
 		return
 	}
 	o.out--
 	if way.says == inGood {
 		o.oldest = s.now
+		o.heard = o.heard || p.sends[e.Dispatch].at >= o.Started
 		o.overtake(p.sends[e.Dispatch].at, s.now)
 	}
 	s.judge(o, way.says)
@@ -842,7 +855,7 @@
 	for p := s.first; p != nil; p = p.after {
 		if s.now-p.drawn >= s.set.shortest {
 			p.drawn, p.lot = s.now, s.rng.Float64()
-			s.tally(p, s.due(p), 2*s.set.longest)
+			s.redraw(p)
 		}
 	}
 	s.move(s.order)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -310,7 +310,7 @@
 	s := New(1, set)
 	s.now, s.running = time.Minute, 20
 	s.demand = [2]flow{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 nodes
-	o, sent := &osd{Member: member(0, s.now)}, [2]float64{}
+	o, sent := &osd{Member: member(0, s.now), heard: true}, [2]float64{}
 	for lot := 0.0005; lot < 1; lot += 0.001 {
 		for i := range sent {
 			if s.coldRoom(o, 2, lot, i == 0) {
@@ -321,6 +321,15 @@
 	if total := sent[0] + sent[1]; total < 0.17 || total > 0.18 || sent[1] > 0.01 {
 		t.Errorf("%v units a second on average, of seven eighths of a part of 0.2", sent)
 	}
+	o.heard = false // connections that come up late bring together what was sent until then
+	lots := 0.0
+	for lot := 0.0005; lot < 1; lot += 0.001 {
+		lots += float64(count(s.coldRoom(o, 2, lot, true))) / 1000
+	}
+	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(lots-want) > 0.002 {
+		t.Errorf("%v of the ops may leave before an answer, want %v", lots, want)
+	}
+	o.heard = true
 	for n := range 4 { // two mean ops a window, whatever their lots
 		if got := s.coldRoom(o, 2, 0, true); got != (n < 2) {
 			t.Errorf("op %d of a window may leave: %v", n+1, got)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -58,6 +58,7 @@
 	coldTime             time.Duration
 	coldFrom             float64
 	coldUnits            float64
+	late                 time.Duration // the longest from a decision until the dispatch is written
 	orderSettle          time.Duration
 	adviceMost           time.Duration // 0: no advice is given
 	budgeted             bool
@@ -98,6 +99,7 @@
 		coldFrom:     get[float64](settings, "cold.from"),
 		coldUnits:    get[float64](settings, "cold.units"),
 		orderSettle:  get[time.Duration](settings, "order.settle"),
+		late:         get[time.Duration](settings, "connect.within") + holdUp,
 	}
 	if get[bool](settings, "throttle.advice") {
 		t.adviceMost = get[time.Duration](settings, "throttle.advice.max")
--- a/policy/state.go
+++ b/policy/state.go
@@ -63,7 +63,10 @@
 	credit   float64       // further dispatches earned by answers
 	failing  float64       // recent share of dispatches that brought nothing, when last blamed
 	blamed   time.Duration
-	log      []sent   // units sent within the window of the cold rule
+	log      []sent   // units of dispatches that ended within the window of the cold rule and may have arrived
+	flight   float64  // units of those that are out, which may arrive at any time
+	heard    bool     // an answer came since its last start
+	redrawn  [2]flow  // units of held ops that drew their lots anew: due, and beyond
 	holding  int      // ops held here
 	queues   []*queue // in ring order
 	live     []*queue // those with held ops, in ring order
@@ -192,6 +195,7 @@
 	known      map[honeyplank.OSDID]honeyplank.Known // from before this instance
 	order      []*osd                                // by id
 	running    int                                   // how many are listed as on
+	hosts      int                                   // the most that volumes were seen to come through
 	demand     [2]flow                               // units taken: due, and beyond
 	bound      flow                                  // units asked of those that hold data, over a longer time
 	everywhere flow                                  // units asked of all hosts for the volumes known here
@@ -200,6 +204,8 @@
 	times      []typeTime                            // by op type
 	unserved   map[identity]*attempt
 	lost       float64 // recent share of dispatches whose answers seemed lost
+	units      float64 // of all ops taken, and their squares
+	squares    float64
 	ops        map[honeyplank.OpID]*op
 	first      *op // of the held ones, in the order taken; also those with no disk server
 	last       *op
@@ -420,20 +426,26 @@
 	o.flying = append(o.flying, flight{op: p, n: len(p.sends), at: s.now})
 	p.sends = append(p.sends, send{osd: o, at: s.now})
 	o.out++
-	o.log = append(o.log, sent{s.now, p.Units})
+	o.flight += p.Units
 	if p.Keyed {
 		o.lastKey = p.Key
 	}
 }
 
-// close notes how a dispatch ended; it tells whether that was news.
-func (p *op) close(n int, maybe bool) bool {
+// close notes how a dispatch ended, and for the cold rule when it arrived at the latest; it tells whether that was news.
+func (s *Scheduler) close(p *op, n int, way end) bool {
 	if n < 0 || n >= len(p.sends) || p.sends[n].done {
 		return false
 	}
-	p.sends[n].done, p.sends[n].maybe = true, maybe
+	p.sends[n].done, p.sends[n].maybe = true, way.maybe
 	o := p.sends[n].osd
 	o.flying = slices.DeleteFunc(o.flying, func(f flight) bool { return f.op == p && f.n == n })
+	if o.flight -= p.Units; len(o.flying) == 0 { // no rest of rounding
+		o.flight = 0
+	}
+	if way.arrived && s.cold(o) {
+		o.log = append(o.log, sent{s.now, p.Units})
+	}
 	return true
 }
 
@@ -448,6 +460,7 @@
 	if v.hosts < 1 {
 		v.hosts = max(s.set.hosts, 1)
 	}
+	s.hosts = max(s.hosts, v.hosts)
 	v.open++
 	p.volume, p.sends = v, p.one[:0]
 	s.hold(p)
@@ -463,7 +476,7 @@
 	return true
 }
 
-// trim drops what was sent before a time from the log, and logged adds up the rest.
+// trim drops what ended before a time from the log; logged adds up the rest and what is out.
 func (o *osd) trim(from time.Duration) {
 	old := 0
 	for old < len(o.log) && o.log[old].at < from {
@@ -474,7 +487,8 @@
 	}
 }
 
-func (o *osd) logged() (sum float64) {
+func (o *osd) logged() float64 {
+	sum := o.flight
 	for _, x := range o.log {
 		sum += x.units
 	}
