--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"math"
 	"os"
@@ -29,36 +30,42 @@
 	if c.File == "" {
 		return invalid{errors.New("no configuration file is named, nor PROXY_CONFIG set")}
 	}
-	p, err := platform.Read(c.File)
-	if err != nil {
+	// A signal is dropped where its channel is full: one that waits there is as good as two, of its own kind only.
+	anew, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(anew, syscall.SIGHUP)
+	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	file := reader[*platform.Papers]{func() (*platform.Papers, error) { return platform.Read(c.File) }, unread, log}
+	p, err := before(end, func() (*platform.Papers, error) { return file.load(ctx, anew) })
+	if err != nil && err != errEnded {
 		return invalid{err}
 	}
-	debug.SetGCPercent(heapGrowth)
-	limit(p)
-	heard := make(chan os.Signal, 8)
-	signal.Notify(heard, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
-	s, err := platform.New(p, log.With().Str("scheduler", p.Name).Logger())
+	var s *platform.Scheduler
+	if err == nil {
+		debug.SetGCPercent(heapGrowth)
+		limit(p)
+		s, err = before(end, func() (*platform.Scheduler, error) {
+			return platform.New(p, log.With().Str("scheduler", p.Name).Logger())
+		})
+	}
+	if err == errEnded {
+		log.Info().Msg(err.Error())
+		return nil
+	}
 	if err != nil {
 		return err
 	}
 	log.Info().Str("address", s.Address()).Str("discovery", p.Discovery).Int("sockets", p.Sockets).Int("memory_mb", p.MemoryMB).Msg("serving")
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
+	go file.follow(ctx, anew, func(p *platform.Papers) { limit(p); s.Reload(p) })
 	for {
 		select {
 		case err := <-served:
 			return err
-		case sig := <-heard:
-			if sig != syscall.SIGHUP {
-				s.Shutdown()
-				continue
-			}
-			if p, err := platform.Read(c.File); err != nil {
-				log.Error().Err(err).Msg("the configuration stays as it was")
-			} else {
-				limit(p)
-				s.Reload(p)
-			}
+		case <-end:
+			s.Shutdown()
 		}
 	}
 }
--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"net"
 	"os"
 	"os/exec"
@@ -11,6 +13,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // configuration writes what the platform hands a scheduler, changed by change.
@@ -40,22 +44,7 @@
 	t.Helper()
 	c := exec.Command(binary, "platform")
 	c.Env = append(os.Environ(), "PROXY_CONFIG="+file)
-	log, err := c.StderrPipe()
-	if err == nil {
-		err = c.Start()
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Process.Kill() })
-	lines := make(chan string, 1024)
-	go func() {
-		defer close(lines)
-		for s := bufio.NewScanner(log); s.Scan(); {
-			lines <- s.Text()
-		}
-	}()
-	return c, lines
+	return started(t, c)
 }
 
 // says waits for a line of the log.
@@ -152,3 +141,159 @@
 		}
 	}
 }
+
+// queue makes a configuration file that is a named pipe: a read of it is what the test makes of it, when the test does.
+func queue(t *testing.T) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "queue")
+	if err := syscall.Mkfifo(file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// asked waits until someone reads the queue. As long as the writer is open, the read does not end.
+func asked(t *testing.T, file string) (writer *os.File) {
+	t.Helper()
+	for late := time.Now().Add(10 * time.Second); time.Now().Before(late); time.Sleep(time.Millisecond) {
+		if f, err := os.OpenFile(file, os.O_WRONLY|syscall.O_NONBLOCK, 0); err == nil {
+			t.Cleanup(func() { f.Close() })
+			return f
+		}
+	}
+	t.Fatal("nobody reads the configuration")
+	return nil
+}
+
+// answer ends a read of the queue with a text. The next read finds another pipe there, so that none gets two answers.
+func answer(t *testing.T, writer *os.File, text []byte) {
+	file := writer.Name()
+	err := syscall.Mkfifo(file+".next", 0o600)
+	if err == nil {
+		err = os.Rename(file+".next", file)
+	}
+	if err == nil {
+		_, err = writer.Write(text)
+	}
+	if err = errors.Join(err, writer.Close()); err != nil {
+		t.Error(err)
+	}
+}
+
+// feed answers reads of the queue until stop is called: the first with a part of the configuration, the others with
+// the whole.
+func feed(t *testing.T, file string, change func(map[string]any)) (stop func()) {
+	t.Helper()
+	whole := filepath.Join(t.TempDir(), "whole")
+	configuration(t, whole, change)
+	text, err := os.ReadFile(whole)
+	if err != nil {
+		t.Fatal(err)
+	}
+	answer(t, asked(t, file), text[:len(text)/2])
+	end, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		for {
+			select {
+			case <-end:
+				return
+			case <-time.After(time.Millisecond):
+			}
+			if f, err := os.OpenFile(file, os.O_WRONLY|syscall.O_NONBLOCK, 0); err == nil {
+				answer(t, f, text)
+			}
+		}
+	}()
+	return func() { close(end); <-ended }
+}
+
+// ends waits for a process that was told to end: by itself, in order, and not by the signal.
+func ends(t *testing.T, c *exec.Cmd) {
+	t.Helper()
+	late := time.AfterFunc(10*time.Second, func() { c.Process.Kill() })
+	if err := c.Wait(); err != nil || !late.Stop() {
+		t.Errorf("it ended with %v", err)
+	}
+}
+
+// TestPlatformRead has reads of the configuration fail for a moment, hang, or find it half written, at the start and at
+// SIGHUP: none of it keeps a scheduler from starting, from the newest configuration, or from hearing SIGTERM.
+func TestPlatformRead(t *testing.T) {
+	const anew = `"message":"configuration read anew"`
+	moved := func(c map[string]any) { c["discovery"] = "127.0.0.1:2" }
+	t.Run("SIGTERM while the first read hangs", func(t *testing.T) {
+		file := queue(t)
+		c, lines := scheduler(t, file)
+		asked(t, file)
+		c.Process.Signal(syscall.SIGTERM)
+		says(t, lines, errEnded.Error())
+		ends(t, c)
+	})
+	t.Run("SIGHUP and a half file before it is ready", func(t *testing.T) {
+		file := queue(t)
+		c, lines := scheduler(t, file)
+		writer := asked(t, file)
+		c.Process.Signal(syscall.SIGHUP)
+		answer(t, writer, nil)
+		stop := feed(t, file, nil)
+		says(t, lines, "serving")
+		c.Process.Signal(syscall.SIGHUP)
+		says(t, lines, anew)
+		stop()
+		c.Process.Signal(syscall.SIGTERM)
+		ends(t, c)
+	})
+	t.Run("a half file, and one that hangs, at SIGHUP", func(t *testing.T) {
+		file := queue(t)
+		c, lines := scheduler(t, file)
+		stop := feed(t, file, nil)
+		says(t, lines, "serving")
+		stop()
+		c.Process.Signal(syscall.SIGHUP)
+		stop = feed(t, file, moved)
+		if got := says(t, lines, anew); !strings.Contains(got, `"discovery":"127.0.0.1:2","moved":true`) {
+			t.Error(got)
+		}
+		stop()
+		c.Process.Signal(syscall.SIGHUP)
+		asked(t, file)
+		for range 20 { // none of these takes the place of the signal to end
+			c.Process.Signal(syscall.SIGHUP)
+		}
+		c.Process.Signal(syscall.SIGTERM)
+		says(t, lines, "ending")
+		ends(t, c)
+	})
+	t.Run("no descriptor for a moment, and many in quick succession", func(t *testing.T) {
+		file := filepath.Join(t.TempDir(), "config.json")
+		configuration(t, file, nil)
+		c, lines := scheduler(t, file)
+		says(t, lines, "serving")
+		configuration(t, file, moved)
+		var usual unix.Rlimit
+		err := unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, nil, &usual)
+		if err == nil {
+			err = unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Max: usual.Max}, nil)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.Process.Signal(syscall.SIGHUP)
+		time.Sleep(readWithin / 10)
+		if err := unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil {
+			t.Fatal(err)
+		}
+		if got := says(t, lines, anew); !strings.Contains(got, `"discovery":"127.0.0.1:2","moved":true`) {
+			t.Error(got)
+		}
+		for n := range 30 { // written in place, so that some are read half
+			configuration(t, file, func(c map[string]any) { c["discovery"] = fmt.Sprintf("127.0.0.1:%d", 10+n) })
+			c.Process.Signal(syscall.SIGHUP)
+		}
+		says(t, lines, `"discovery":"127.0.0.1:39","moved":true`)
+		c.Process.Signal(syscall.SIGTERM)
+		c.Process.Signal(syscall.SIGTERM)
+		ends(t, c)
+	})
+}
--- a/cmd/honeyplank/read.go
+++ b/cmd/honeyplank/read.go
@@ -17,6 +17,7 @@
 const (
 	readWithin    = 3 * time.Second        // while the system can't read the file
 	replaceWithin = 500 * time.Millisecond // while its content is wrong: it may be half written
+	leastReads    = 5                      // also where the process was held up in between
 )
 
 var reading = learnt.Backoff{First: 20 * time.Millisecond, Most: 500 * time.Millisecond}
@@ -43,7 +44,8 @@
 		}
 		failed++
 		wait := reading.Wait(failed)
-		if time.Since(began)+wait > r.within(err) {
+		within := r.within(err)
+		if within == 0 || failed >= leastReads && time.Since(began)+wait > within {
 			return what, err
 		}
 		select {
