--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -230,6 +230,21 @@
 		says(t, lines, errEnded.Error())
 		ends(t, c)
 	})
+	t.Run("SIGHUP at any time after the start, where the shell ignores it", func(t *testing.T) {
+		file := filepath.Join(t.TempDir(), "config.json")
+		configuration(t, file, nil)
+		for _, after := range []time.Duration{0, 5 * time.Millisecond, 20 * time.Millisecond} {
+			c, lines := started(t, exec.Command("/bin/sh", "-c", "trap '' HUP; echo ignored >&2; exec "+binary+" platform "+file))
+			says(t, lines, "ignored")
+			time.Sleep(after)
+			c.Process.Signal(syscall.SIGHUP)
+			says(t, lines, "serving")
+			c.Process.Signal(syscall.SIGHUP)
+			says(t, lines, anew)
+			c.Process.Signal(syscall.SIGTERM)
+			ends(t, c)
+		}
+	})
 	t.Run("SIGHUP and a half file before it is ready", func(t *testing.T) {
 		file := queue(t)
 		c, lines := scheduler(t, file)
--- a/learnt/write.go
+++ b/learnt/write.go
@@ -40,6 +40,16 @@
 // errLocked tells that another writer is at work in the folder.
 var errLocked = errors.New("learnt: another writer holds the folder's lock")
 
+// patience is how many attempts a write leaves to who holds the lock. That may be a program that knows nothing of it, or
+// a writer that the system doesn't let go; the write is carried out without the lock then. It could harm where the holder
+// is a living writer that removes the temporary file: the rename fails, and the write is tried again.
+const patience = 8
+
+// unlocked is a file system without locks.
+type unlocked struct{ fileSystem }
+
+func (unlocked) Lock(string) (func(), error) { return nil, syscall.ENOLCK }
+
 // replace puts a file in the place of another: whatever fails and wherever the process is killed, the former or the new
 // one is there as a whole, also after a loss of power. Once it has succeeded, no temporary file is left. After an error
 // the file may be the former or the new one.
@@ -144,6 +154,9 @@
 		if n == 1 {
 			failed(err)
 		}
+		if n == patience && errors.Is(err, errLocked) {
+			system = unlocked{system}
+		}
 		select {
 		case <-ctx.Done():
 			return err
--- a/learnt/write_test.go
+++ b/learnt/write_test.go
@@ -312,7 +312,14 @@
 	if err := versions()[1].Write(name); !errors.Is(err, errLocked) || whole(t, name) != 0 || !slices.Equal(beside(t, name), all) {
 		t.Errorf("beside a living writer: %v, %v", err, beside(t, name))
 	}
+	quick(t)
+	if err := versions()[1].Keep(t.Context(), name, func(error) {}); err != nil || whole(t, name) != 1 || !slices.Equal(beside(t, name), all) {
+		t.Errorf("beside one that never ends: %v, %v", err, beside(t, name))
+	}
 	unlock()
+	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
+		t.Fatal(err)
+	}
 	system := &faulty{fault: func(call string) (error, bool) {
 		if call == "lock" {
 			return syscall.ENOLCK, false
