--- a/loop/loop.go
+++ b/loop/loop.go
@@ -4,6 +4,7 @@
 package loop
 
 import (
+	"cmp"
 	"container/heap"
 	"encoding/binary"
 	"errors"
@@ -46,8 +47,10 @@
 	mu     sync.Mutex
 	posted []func()
 	open   bool // Post is still heard
-	woken  bool
+	woken  bool // the eventfd is readable, or will be
 	ending bool
+	// strained tells that something which cannot be silenced would wake the loop at once.
+	strained bool
 }
 
 // file is what hangs on a descriptor. Each use of a descriptor has a number of its own, since an event of a
@@ -79,7 +82,6 @@
 	l := &Loop{sys: sys, epoll: ep, wake: ev, start: time.Now().Add(-origin), files: map[int32]entry{}, in: make([]byte, readSize), open: true}
 	if err := l.add(ev, unix.EPOLLIN, wakeFile{l}); err != nil {
 		sys.Close(ep)
-		sys.Close(ev)
 		return nil, err
 	}
 	return l, nil
@@ -99,11 +101,28 @@
 		return false
 	}
 	l.posted = append(l.posted, f)
-	if !l.woken {
+	l.rouse()
+	return true
+}
+
+// retryWake is how long a write to the eventfd that failed waits for the next.
+const retryWake = time.Millisecond
+
+// rouse makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable. After another error
+// it is tried again: a loop that waits without a timer would never run what was posted. It is called with mu held.
+func (l *Loop) rouse() {
+	if l.woken || !l.open || len(l.posted) == 0 {
+		return
+	}
+	if _, err := l.sys.Write(l.wake, one); err == nil || errors.Is(err, unix.EAGAIN) {
 		l.woken = true
-		l.sys.Write(l.wake, one)
+		return
 	}
-	return true
+	time.AfterFunc(retryWake, func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.rouse()
+	})
 }
 
 // one is what is added to the eventfd's counter.
@@ -121,19 +140,19 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Run serves until Stop, then closes all that is open, without telling its owners.
+// pause is how long a loop sleeps in a round in which something would wake it at once that cannot be served.
+const pause = time.Millisecond
+
+// Run serves until Stop, then closes all that is open, without telling its owners. It ends earlier, with the error, if
+// epoll_wait fails with one that does not pass.
 func (l *Loop) Run() error {
 	runtime.LockOSThread() // so that CPU counts the loop alone
 	defer runtime.UnlockOSThread()
 	events := make([]unix.EpollEvent, 256)
 	var err error
 	for !l.ending {
-		n := 0
-		l.Stats.Waits.Add(1)
-		if n, err = l.sys.EpollWait(l.epoll, events, l.timers.wait(l.Now())); err != nil {
-			if errors.Is(err, unix.EINTR) {
-				continue
-			}
+		var n int
+		if n, err = l.wait(events); err != nil {
 			break
 		}
 		for _, e := range events[:n] {
@@ -141,8 +160,13 @@
 				f.ready(e.Events)
 			}
 		}
+		l.takePosted(false)
 		l.timers.fire(l.Now)
 		l.flush()
+		if l.strained {
+			l.strained = false
+			time.Sleep(pause)
+		}
 	}
 	l.mu.Lock()
 	l.open, l.posted = false, nil
@@ -150,10 +174,28 @@
 	for fd := range l.files {
 		l.sys.Close(int(fd))
 	}
+	clear(l.files) // so that a Close after this leaves the descriptor to who has it then
 	l.sys.Close(l.epoll)
 	return err
 }
 
+// wait returns how many events there are. An error that may pass is none: timers and what was posted have their turn, and
+// the next round waits again. Without that, a signal that comes all the time would keep timers from running.
+func (l *Loop) wait(events []unix.EpollEvent) (int, error) {
+	l.Stats.Waits.Add(1)
+	n, err := l.sys.EpollWait(l.epoll, events, l.timers.wait(l.Now()))
+	switch {
+	case err == nil:
+		return n, nil
+	case errors.Is(err, unix.EINTR):
+		return 0, nil
+	case Transient(err):
+		l.strained = true
+		return 0, nil
+	}
+	return 0, err
+}
+
 // flush writes what the round has produced, once for each connection.
 func (l *Loop) flush() {
 	for i := 0; i < len(l.dirty); i++ { // it may grow meanwhile
@@ -168,20 +210,41 @@
 
 func (w wakeFile) ready(uint32) {
 	w.l.Stats.Others.Add(1)
-	w.l.sys.Read(w.l.wake, w.l.small[:])
-	w.l.mu.Lock()
-	posted := w.l.posted
-	w.l.posted, w.l.woken = nil, false
-	w.l.mu.Unlock()
+	if _, err := w.l.sys.Read(w.l.wake, w.l.small[:]); err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
+		w.l.strained = true // it stays readable
+	}
+	w.l.takePosted(true)
+}
+
+// takePosted runs what was posted, at the end of a round only what the eventfd does not tell of.
+func (l *Loop) takePosted(told bool) {
+	l.mu.Lock()
+	if l.woken && !told {
+		l.mu.Unlock()
+		return
+	}
+	posted := l.posted
+	l.posted, l.woken = nil, false
+	l.mu.Unlock()
 	for _, f := range posted {
 		f()
 	}
 }
 
-func (l *Loop) add(fd int, events uint32, f file) error {
+// enter notes what hangs on a descriptor.
+func (l *Loop) enter(fd int, f file) {
 	l.uses++
 	l.files[int32(fd)] = entry{f, l.uses}
-	return l.control(unix.EPOLL_CTL_ADD, fd, events)
+}
+
+// add enters a descriptor and has epoll watch it; if that fails, the descriptor is closed.
+func (l *Loop) add(fd int, events uint32, f file) error {
+	l.enter(fd, f)
+	err := l.control(unix.EPOLL_CTL_ADD, fd, events)
+	if err != nil {
+		l.drop(fd)
+	}
+	return err
 }
 
 func (l *Loop) control(how, fd int, events uint32) error {
@@ -189,7 +252,11 @@
 	return l.sys.EpollCtl(l.epoll, how, fd, unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].use})
 }
 
+// drop closes a descriptor. It is released whatever close returns, so that is not tried again, see close(2).
 func (l *Loop) drop(fd int) {
+	if _, ok := l.files[int32(fd)]; !ok { // Run has ended
+		return
+	}
 	delete(l.files, int32(fd))
 	l.Stats.Others.Add(1)
 	l.sys.Close(fd)
@@ -310,7 +377,8 @@
 	left    []byte // read and not yet used
 	sent    int    // bytes of Out that are gone already
 	bent    int    // bytes of Out that Bend has passed
-	events  uint32
+	events  uint32 // what epoll watches
+	watched bool   // epoll does
 	dialing bool
 	paused  bool
 	queued  bool
@@ -408,11 +476,19 @@
 	if c.closed || c.dialing || len(c.left) > 0 {
 		return false
 	}
-	c.l.Stats.Others.Add(1)
-	_, _, err := c.l.sys.Recvfrom(c.fd, c.l.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return errors.Is(err, unix.EAGAIN)
+	for range interruptions {
+		c.l.Stats.Others.Add(1)
+		_, _, err := c.l.sys.Recvfrom(c.fd, c.l.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		if !errors.Is(err, unix.EINTR) {
+			return errors.Is(err, unix.EAGAIN)
+		}
+	}
+	return false
 }
 
+// interruptions is how often a call that does not wait is made anew in one round after a signal has interrupted it.
+const interruptions = 16
+
 func (c *Conn) half() {
 	c.l.Stats.Others.Add(1)
 	c.l.sys.Shutdown(c.fd, unix.SHUT_WR)
@@ -439,17 +515,38 @@
 	if c.dialing || c.sent < len(c.Out) && !c.queued {
 		want |= unix.EPOLLOUT
 	}
-	if want != c.events && !c.closed {
-		c.events = want
-		c.l.control(unix.EPOLL_CTL_MOD, c.fd, want)
+	if want == c.events || c.closed {
+		return
 	}
+	if c.watched {
+		if err := c.l.control(unix.EPOLL_CTL_MOD, c.fd, want); err != nil {
+			c.failLater(err)
+			return
+		}
+	}
+	c.events = want
+}
+
+// failLater fails the connection once the call that runs now, which may be one of its handler, has returned.
+func (c *Conn) failLater(err error) {
+	c.l.AtTime(0, func() { c.fail(err) })
+}
+
+// socketError is what the socket has failed with; nil: nothing that is known.
+func (c *Conn) socketError() error {
+	c.l.Stats.Others.Add(1)
+	n, err := c.l.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	if err == nil && n != 0 {
+		err = unix.Errno(n)
+	}
+	return err
 }
 
 func (c *Conn) ready(events uint32) {
 	if c.dialing {
 		c.dialing = false
-		if n, err := c.l.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err != nil || n != 0 {
-			c.fail(errors.Join(err, unix.Errno(n)))
+		if err := c.socketError(); err != nil {
+			c.fail(err)
 			return
 		}
 		c.h.Opened(c)
@@ -465,7 +562,7 @@
 		case !c.paused:
 			c.read()
 		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
-			c.fail(unix.ECONNRESET)
+			c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
 		case events&unix.EPOLLRDHUP != 0:
 			c.fail(nil)
 		}
@@ -532,7 +629,10 @@
 }
 
 func (c *Conn) write() {
-	if c.Bend != nil && !c.closed {
+	if c.closed { // its descriptor may be another's
+		return
+	}
+	if c.Bend != nil {
 		c.bent = min(c.bent, len(c.Out))
 		fresh := append([]byte(nil), c.Out[c.bent:]...)
 		c.Out = append(c.Out[:c.bent], c.Bend.Out(fresh)...)
@@ -541,12 +641,9 @@
 	for !c.closed && c.sent < len(c.Out) {
 		c.l.Stats.Writes.Add(1)
 		n, err := c.l.sys.Write(c.fd, c.Out[c.sent:])
-		if errors.Is(err, unix.EAGAIN) {
+		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll tells when to go on
 			break
 		}
-		if errors.Is(err, unix.EINTR) {
-			continue
-		}
 		if err != nil {
 			c.fail(err)
 			return
@@ -557,6 +654,9 @@
 		c.l.Stats.BytesOut.Add(int64(n))
 		c.sent += n
 	}
+	if c.closed { // by Tap
+		return
+	}
 	switch {
 	case c.sent == len(c.Out):
 		c.Out, c.sent, c.bent = c.Out[:0], 0, 0
@@ -589,12 +689,15 @@
 	}
 	l.Stats.Others.Add(2)
 	err = l.sys.Connect(fd, sockaddr(to))
-	if err != nil && !errors.Is(err, unix.EINPROGRESS) {
+	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // both: it goes on, see connect(2)
 		l.sys.Close(fd)
 		return nil, err
 	}
-	c := &Conn{l: l, fd: fd, h: h, dialing: true, events: unix.EPOLLOUT}
-	return c, l.add(fd, c.events, c)
+	c := &Conn{l: l, fd: fd, h: h, dialing: true, events: unix.EPOLLOUT, watched: true}
+	if err := l.add(fd, c.events, c); err != nil {
+		return nil, err
+	}
+	return c, nil
 }
 
 // Listener accepts connections.
@@ -603,6 +706,7 @@
 	fd     int
 	accept func(*Conn) Handler
 	closed bool
+	rests  bool // until a timer runs
 }
 
 // Listen accepts on an address and port, 0 for any; accept gives each connection its handler, or nil to
@@ -625,7 +729,10 @@
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
 	n := &Listener{l: l, fd: fd, accept: accept}
-	return n, l.add(fd, unix.EPOLLIN, n)
+	if err := l.add(fd, unix.EPOLLIN, n); err != nil {
+		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
+	}
+	return n, nil
 }
 
 func (l *Loop) socket(to netip.Addr) (int, error) {
@@ -660,8 +767,12 @@
 	return ""
 }
 
-// shortOfFiles is how long a listener waits for descriptors to be closed.
-const shortOfFiles = 50 * time.Millisecond
+const (
+	// shortOfFiles is how long a listener, or a socket of datagrams, waits for descriptors or memory to come free.
+	shortOfFiles = 50 * time.Millisecond
+	// errorsOfAccept is how many errors of single connections a listener passes over in one round.
+	errorsOfAccept = 64
+)
 
 // Close stops accepting.
 func (n *Listener) Close() {
@@ -672,39 +783,81 @@
 }
 
 func (n *Listener) ready(uint32) {
-	for !n.closed {
+	if n.rests { // epoll was not told
+		n.rest()
+		return
+	}
+	for failed := 0; !n.closed; {
 		n.l.Stats.Others.Add(1)
 		fd, from, err := n.l.sys.Accept(n.fd)
-		if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) { // who waits would wake the loop all the time
-			n.l.control(unix.EPOLL_CTL_MOD, n.fd, 0)
-			n.l.AtTime(n.l.Now()+shortOfFiles, func() {
-				if !n.closed {
-					n.l.control(unix.EPOLL_CTL_MOD, n.fd, unix.EPOLLIN)
-				}
-			})
+		switch {
+		case err == nil:
+			n.take(fd, from)
+		case errors.Is(err, unix.EAGAIN):
 			return
-		}
-		if err != nil {
+		case failed < errorsOfAccept && ofOneConnection(err):
+			failed++
+		default:
+			n.rest()
 			return
 		}
-		n.l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-		c := &Conn{l: n.l, fd: fd, events: unix.EPOLLIN}
-		switch a := from.(type) {
-		case *unix.SockaddrInet4:
-			c.Peer = netip.AddrFrom4(a.Addr)
-		case *unix.SockaddrInet6:
-			c.Peer = netip.AddrFrom16(a.Addr)
-		}
-		if c.h = n.accept(c); c.h == nil {
-			n.l.sys.Close(fd)
-			continue
-		}
-		if err := n.l.add(fd, c.events, c); err != nil {
+	}
+}
+
+// ofOneConnection tells of an error of accept that the next call need not meet: a signal, or an error that waited on the
+// new socket, see accept(2).
+func ofOneConnection(err error) bool {
+	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
+		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
+}
+
+// take serves a new connection, or turns it away.
+func (n *Listener) take(fd int, from unix.Sockaddr) {
+	n.l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	c := &Conn{l: n.l, fd: fd, events: unix.EPOLLIN}
+	switch a := from.(type) {
+	case *unix.SockaddrInet4:
+		c.Peer = netip.AddrFrom4(a.Addr)
+	case *unix.SockaddrInet6:
+		c.Peer = netip.AddrFrom16(a.Addr)
+	}
+	n.l.enter(fd, c)
+	c.h = n.accept(c)
+	switch {
+	case c.closed:
+	case c.h == nil:
+		c.closed = true
+		n.l.drop(fd)
+	default:
+		c.watched = true
+		if err := n.l.control(unix.EPOLL_CTL_ADD, fd, c.events); err != nil {
 			c.fail(err)
 		}
 	}
 }
 
+// rest stops accepting for a time: connections that wait and cannot be accepted would wake the loop all the time.
+func (n *Listener) rest() {
+	if n.l.control(unix.EPOLL_CTL_MOD, n.fd, 0) != nil {
+		n.l.strained = true
+	}
+	if !n.rests {
+		n.rests = true
+		n.l.AtTime(n.l.Now()+shortOfFiles, n.resume)
+	}
+}
+
+func (n *Listener) resume() {
+	if n.closed {
+		return
+	}
+	if n.l.control(unix.EPOLL_CTL_MOD, n.fd, unix.EPOLLIN) != nil {
+		n.l.AtTime(n.l.Now()+shortOfFiles, n.resume)
+		return
+	}
+	n.rests = false
+}
+
 // Packets is a UDP socket.
 type Packets struct {
 	l   *Loop
@@ -727,21 +880,43 @@
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
 	}
 	p := &Packets{l, fd, got}
-	return p, l.add(fd, unix.EPOLLIN, p)
+	if err := l.add(fd, unix.EPOLLIN, p); err != nil {
+		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
+	}
+	return p, nil
 }
 
 // Send sends one datagram; one that finds no room is lost, as on the way.
 func (p *Packets) Send(to netip.AddrPort, b []byte) {
-	p.l.Stats.Writes.Add(1)
-	p.l.sys.Sendto(p.fd, b, unix.MSG_DONTWAIT, sockaddr(to))
+	at := sockaddr(to)
+	for range interruptions {
+		p.l.Stats.Writes.Add(1)
+		if err := p.l.sys.Sendto(p.fd, b, unix.MSG_DONTWAIT, at); !errors.Is(err, unix.EINTR) {
+			return
+		}
+	}
 }
 
+// datagrams is how many are read in one round, then others have their turn.
+const datagrams = 64
+
 func (p *Packets) ready(uint32) {
-	for range 64 { // then others have their turn
+	failed := 0
+	for range datagrams {
 		p.l.Stats.Reads.Add(1)
 		n, from, err := p.l.sys.Recvfrom(p.fd, p.l.in, unix.MSG_DONTWAIT)
-		if err != nil {
+		switch {
+		case err == nil:
+		case errors.Is(err, unix.EAGAIN):
 			return
+		case anyOf(err, unix.ENOMEM, unix.ENOBUFS): // the datagram stays and would wake the loop at once
+			p.l.strained = true
+			return
+		default: // a signal, or what became of a datagram that was sent
+			if failed++; failed == datagrams {
+				p.l.strained = true
+			}
+			continue
 		}
 		if a, ok := from.(*unix.SockaddrInet4); ok {
 			p.got(netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)), p.l.in[:n])
--- a/loop/syscalls.go
+++ b/loop/syscalls.go
@@ -1,6 +1,11 @@
 package loop
 
-import "golang.org/x/sys/unix"
+import (
+	"errors"
+	"slices"
+
+	"golang.org/x/sys/unix"
+)
 
 // Syscalls is the system calls that a loop makes. Linux is the real one; tests put one round it that fails as Linux
 // documents. Write must be safe for concurrent use, since Post calls it; the others are called on the loop alone.
@@ -77,3 +82,27 @@
 
 func (Linux) Shutdown(fd, how int) error { return unix.Shutdown(fd, how) }
 func (Linux) Close(fd int) error         { return unix.Close(fd) }
+
+// Transient tells of an error of New, Dial, Listen or Packets that says nothing of the other end, nor of what was asked
+// for, and may pass in a moment, so that the call is worth making again after a pause:
+//
+//	EMFILE, ENFILE          no descriptors, of the process or of the system
+//	ENOBUFS, ENOMEM         no memory
+//	ENOSPC                  too many descriptors watched by epoll for one user
+//	EAGAIN                  no entry free in the kernel's tables
+//	EADDRNOTAVAIL           no local port free; a bind to an address that this host does not have yet
+//	ENETUNREACH, ENETDOWN   no route, or no interface, at this host
+//	EINTR                   a signal
+//
+// EADDRINUSE is none: another listens there. Nor are ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which tell of
+// the other end or the way to it.
+func Transient(err error) bool {
+	return anyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EADDRNOTAVAIL, unix.ENETUNREACH,
+		unix.ENETDOWN, unix.EINTR)
+}
+
+// anyOf tells whether err is, or wraps, one of some errors of system calls.
+func anyOf(err error, errnos ...unix.Errno) bool {
+	var errno unix.Errno
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
+}
