--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -34,7 +34,7 @@
 	order  []*told // as taken
 	osds   map[honeyplank.OSDID]honeyplank.Member
 	stop   map[honeyplank.OSDID]time.Duration // since when a host has been told to stop
-	cold   map[honeyplank.OSDID][]sent
+	cold   map[honeyplank.OSDID][]heating
 	gone   map[int64]float64 // out of the limit's store
 	filled map[int64]time.Duration
 	extras map[int][]time.Duration
@@ -55,6 +55,20 @@
 	osd          honeyplank.OSDID
 	at           time.Duration
 	ended, maybe bool
+	never        bool          // it reached no server
+	end          time.Duration // when it ended
+}
+
+// heating is a dispatch to a disk server, for the fourth rule.
+type heating struct {
+	op *told
+	n  int
+}
+
+// mayArrive tells whether a dispatch made since a time may reach its server at another one or later.
+func (h heating) mayArrive(since, at time.Duration) bool {
+	d := h.op.sends[h.n]
+	return d.at >= since && !d.never && (!d.ended || d.end >= at)
 }
 
 func (m *model) broken(rule int, format string, a ...any) {
@@ -66,13 +80,13 @@
 	return !slices.ContainsFunc(t.sends, func(d wentOut) bool { return !d.ended || d.maybe })
 }
 
-// mayRepeat is the second rule for a further dispatch.
-func (m *model) mayRepeat(t *told, osd honeyplank.OSDID) bool {
+// mayRepeat is the second rule for a further dispatch, which is at work a time after its decision.
+func (m *model) mayRepeat(t *told, osd honeyplank.OSDID, after time.Duration) bool {
 	kind, scope := m.kind(t)
 	for _, d := range t.sends {
 		a, b := m.osds[d.osd], m.osds[osd]
 		drops := []bool{true, a.Zone == b.Zone, a.Cell == b.Cell}[scope] &&
-			m.now-d.at < pick[time.Duration](m.set, "optypes.remember", t.Type)
+			m.now+after-d.at < pick[time.Duration](m.set, "optypes.remember", t.Type)
 		allowed := kind == honeyplank.Replayable || kind == honeyplank.Deduplicated && drops
 		if !d.ended && !get[bool](m.set, "dispatches.parallel") || (!d.ended || d.maybe) && !allowed {
 			return false
@@ -105,7 +119,10 @@
 	return true
 }
 
-// inBudget is the sixth rule, for one more further dispatch.
+// heldUp is for how long a process may stand still between a decision and the dispatch.
+const heldUp = 150 * ms
+
+// inBudget is the sixth rule, for one more further dispatch, when this or earlier ones are held up.
 func (m *model) inBudget(host int) bool {
 	free, stated := m.set["budget.free"].(float64)
 	if !stated {
@@ -113,9 +130,9 @@
 	}
 	from, taken := m.now-get[time.Duration](m.set, "budget.window"), 0.0
 	for _, t := range m.order {
-		taken += float64(count(t.host == host && t.at >= from))
+		taken += float64(count(t.host == host && t.at >= from+heldUp))
 	}
-	return float64(1+len(recent(m.extras[host], from))) <= free+get[float64](m.set, "budget.share")*taken
+	return float64(1+len(recent(m.extras[host], from-heldUp))) <= free+get[float64](m.set, "budget.share")*taken
 }
 
 func (m *model) dispatch(host int, a honeyplank.Dispatch) {
@@ -130,7 +147,7 @@
 	if t.Cell != honeyplank.NewObject && t.Cell != o.Cell {
 		m.broken(2, "%s goes to a server without its data", a.Op)
 	}
-	if !m.mayRepeat(t, a.OSD) || len(t.sends) >= max(get[int](m.set, "dispatches.max"), 1) {
+	if !m.mayRepeat(t, a.OSD, get[time.Duration](m.set, "connect.within")+heldUp) || len(t.sends) >= max(get[int](m.set, "dispatches.max"), 1) {
 		m.broken(2, "%s repeated", a.Op)
 	}
 	if !m.inTurn(t) {
@@ -148,21 +165,21 @@
 			m.broken(7, "volume %d at %.1f", t.Volume, left)
 		}
 	}
-	m.heat(o, t.Units)
 	t.sends = append(t.sends, wentOut{osd: a.OSD, at: m.now})
+	m.cold[o.OSD] = append(m.cold[o.OSD], heating{t, len(t.sends) - 1})
+	m.heat(o)
 }
 
-// heat is the fourth rule: all hosts' units to a cold server within a window.
-func (m *model) heat(o honeyplank.Member, units float64) {
+// heat is the fourth rule: all hosts' units that may reach a cold server within one window.
+func (m *model) heat(o honeyplank.Member) {
 	window, warm := get[time.Duration](m.set, "cold.window"), get[time.Duration](m.set, "cold.time")
-	m.cold[o.OSD] = append(m.cold[o.OSD], sent{m.now, units})
 	age := m.now - o.Started
 	if window <= 0 || o.Started == 0 || age >= warm {
 		return
 	}
 	sum, from := 0.0, get[float64](m.set, "cold.from")
 	for _, x := range m.cold[o.OSD] {
-		sum += x.units * float64(count(x.at >= max(m.now-window, o.Started)))
+		sum += x.op.Units * float64(count(x.mayArrive(o.Started, m.now-window)))
 	}
 	sure := (from + (1-from)*float64(age)/float64(warm)) / from * get[float64](m.set, "cold.units")
 	if sum > sure+1e-9 {
@@ -195,7 +212,7 @@
 func newWorld(t *testing.T, seed int64, set map[string]any) *world {
 	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), due: map[honeyplank.OpID]time.Duration{}, model: &model{
 		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.OSDID]honeyplank.Member{},
-		stop: map[honeyplank.OSDID]time.Duration{}, cold: map[honeyplank.OSDID][]sent{},
+		stop: map[honeyplank.OSDID]time.Duration{}, cold: map[honeyplank.OSDID][]heating{},
 		gone: map[int64]float64{}, filled: map[int64]time.Duration{}, extras: map[int][]time.Duration{}}}
 	for i := range max(get[int](set, "hosts"), 1) {
 		w.hosts = append(w.hosts, New(seed+int64(i), set))
@@ -252,6 +269,7 @@
 func (w *world) end(t *told, code honeyplank.Code) {
 	n := len(t.sends) - 1
 	d := &t.sends[n]
+	d.never, d.end = code == honeyplank.Unconnected || code == honeyplank.Moot, w.now
 	d.ended, d.maybe = true, code != honeyplank.Full && code != honeyplank.Unconnected && code != honeyplank.Moot
 	if code == honeyplank.TimedOut || code == honeyplank.Reset || code == honeyplank.Cancelled {
 		t.rested = w.now + get[time.Duration](w.set, "order.settle")
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -476,7 +476,16 @@
 		part = max(part, reserve*v.served.units/(v.served.units+v.others.units))
 	}
 	v.reserve = min(v.reserve+gap*part, reserve+s.set.unitsLargest)
-	v.limit = min(v.limit+gap*limit/hosts, at(s.set.burst, v.plan)/hosts)
+	v.limit = min(v.limit+gap*limit/hosts, s.store(v.plan, v.hosts))
+}
+
+// store is what this host's part of a limit's store holds. What left a full one may be held up and arrive with what it
+// was filled with since, so that much less is kept, unless the slack covers it. A largest op always fits if it did.
+func (s *Scheduler) store(plan, hosts int) float64 {
+	whole := at(s.set.burst, plan)
+	less := max(0, holdUp.Seconds()*at(s.set.limit, plan)-at(s.set.slack, plan))
+	whole, less = whole/float64(hosts), less/float64(hosts)
+	return max(whole-less, min(whole, s.set.unitsLargest))
 }
 
 // memory is how far back a host looks at what a volume is served.
@@ -510,17 +519,21 @@
 // though a full store lets any op go. It guards against surges of cheap large ops that use up a limit which
 // dearer ones then lack; it could harm where the dearer never come.
 func (s *Scheduler) keeps(p *op) float64 {
-	burst, hosts := at(s.set.burst, p.Plan), float64(p.volume.hosts)
-	return max(p.Units, min(p.Units+keptOfLimit*at(s.set.cheap, p.Type)*burst/hosts, burst/hosts))
+	store := s.store(p.Plan, p.volume.hosts)
+	return max(p.Units, min(p.Units+keptOfLimit*at(s.set.cheap, p.Type)*store, store))
 }
 
-// repeats tells whether the kind of an op allows another dispatch at this disk server.
+// repeats tells whether the kind of an op allows another dispatch at this disk server. Repeats are dropped for a time
+// that runs from the first dispatch's decision at the earliest, and this one has to be at work within it: it may be held
+// up, wait for its connection and stand in the server's queue. It could harm where the settings tell less time than that:
+// such ops are never repeated.
 func (s *Scheduler) repeats(p *op, o *osd) bool {
 	kind, scope := at(s.set.kind, p.Type), at(s.set.scope, p.Type)
+	works := s.now + s.set.late + 2*s.soonest(o, p.Type)
 	for _, d := range p.sends {
 		far := scope == honeyplank.ScopeZone && d.osd.Zone != o.Zone ||
 			scope == honeyplank.ScopeCell && d.osd.Cell != o.Cell
-		late := s.now >= d.at+at(s.set.remember, p.Type)
+		late := works >= d.at+at(s.set.remember, p.Type)
 		switch {
 		case !d.done && !s.set.parallel:
 			return false
@@ -539,13 +552,14 @@
 	return kind == honeyplank.Replayable || kind == honeyplank.Deduplicated && anywhere || p.neverRan()
 }
 
-// budget tells whether one more further dispatch fits into the sliding window.
+// budget tells whether one more further dispatch fits into the sliding window, also where it or those before it leave
+// held up: an earlier one may be seen later than it was counted, and by then some ops taken lie outside of the window.
 func (s *Scheduler) budget() bool {
 	if !s.set.budgeted {
 		return true
 	}
 	from := s.now - s.set.budgetWindow
-	s.taken, s.extras = recent(s.taken, from), recent(s.extras, from)
+	s.taken, s.extras = recent(s.taken, from+holdUp), recent(s.extras, from-holdUp)
 	return float64(len(s.extras)+1) <= s.set.budgetFree+s.set.budgetShare*float64(len(s.taken))
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -29,6 +29,7 @@
 		set["budget.free"], set["budget.share"], set["budget.window"] = float64(r.Intn(3)), 0.1, 500*ms
 	}
 	set["plans.limit"], set["plans.burst"] = []float64{float64(30 * r.Intn(2))}, []float64{36}
+	set["connect.within"] = time.Duration(r.Intn(2)*r.Intn(300)) * ms
 	set["cold.from"], set["cold.units"], set["cold.time"], set["cold.window"] = 0.2, 20.0, 2*time.Second, 300*ms
 	set["list.ask"], set["list.ask_within"] = r.Intn(2) == 0, time.Second
 	set["throttle.advice"], set["throttle.advice.max"] = r.Intn(2) == 0, 500*ms
@@ -118,7 +119,8 @@
 		s.now = w.now
 		module, model := []bool{s.harmless(p), s.turnOf(p), s.budget()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
 		for _, o := range s.order {
-			module, model = append(module, s.repeats(p, o)), append(model, w.mayRepeat(e, o.OSD))
+			after := get[time.Duration](w.set, "connect.within") + heldUp + time.Duration(s.latency(o, p.Type)*float64(time.Second))
+			module, model = append(module, s.repeats(p, o)), append(model, w.mayRepeat(e, o.OSD, after))
 		}
 		if !reflect.DeepEqual(module, model) {
 			w.t.Fatalf("%s: throttled, turn, budget, repeated at each: module %v, model %v", e.ID, module, model)
@@ -445,6 +447,7 @@
 func TestLimitIsKeptForDearerOps(t *testing.T) {
 	set := figures()
 	set["plans.limit"], set["plans.burst"], set["plans.reserve"] = []float64{1}, []float64{12}, []float64{20}
+	set["plans.slack"] = []float64{1}     // what a hold-up adds
 	for typ, want := range []int{12, 9} { // utilities 2 and 1: half of half is left by the second
 		w := newWorld(t, 1, set)
 		w.list(honeyplank.Remembered, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
@@ -656,6 +659,84 @@
 	}
 }
 
+// TestRepeatIsAtWorkInTime: a repeat of a deduplicated op goes out only while it can be at work before the servers forget
+// the first one, though the process is held up and the connection comes up late. The first dispatch always goes.
+func TestRepeatIsAtWorkInTime(t *testing.T) {
+	for _, x := range []struct {
+		remember, connect, after time.Duration
+		want                     int
+	}{
+		{time.Second, 0, 500 * ms, 2}, {time.Second, 0, 840 * ms, 2}, {time.Second, 0, 852 * ms, 1},
+		{time.Second, 400 * ms, 400 * ms, 2}, {time.Second, 400 * ms, 500 * ms, 1},
+		{100 * ms, 0, 5 * ms, 1}, {0, 0, 5 * ms, 1},
+	} {
+		set := figures()
+		set["optypes.kind"] = []honeyplank.Kind{honeyplank.Deduplicated, honeyplank.Deduplicated}
+		set["optypes.remember"], set["connect.within"] = []time.Duration{x.remember, x.remember}, x.connect
+		w := newWorld(t, 1, set)
+		w.list(honeyplank.Remembered, member(0, 0))
+		w.hosts[0].answeredIn(0.001)
+		w.give(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Hosts: 1})
+		w.now += x.after
+		w.end(w.ops["a"], honeyplank.Reset)
+		if n := len(w.ops["a"].sends); n != x.want || len(w.errs) > 0 {
+			t.Errorf("%+v: %d dispatches, %v", x, n, w.errs)
+		}
+	}
+}
+
+// TestBudgetWhenHeldUp: further dispatches are seen at their servers up to a hold-up after they were counted.
+func TestBudgetWhenHeldUp(t *testing.T) {
+	for _, x := range []struct {
+		free, share  float64
+		taken, extra time.Duration // how long ago; 0: none was
+		want         bool
+	}{
+		{1, 0, 0, 1100 * ms, false}, {1, 0, 0, 1160 * ms, true}, {1, 0, 0, 0, true}, {2, 0, 0, 900 * ms, true},
+		{0, 1, 840 * ms, 0, true}, {0, 1, 900 * ms, 0, false},
+	} {
+		set := figures()
+		set["budget.free"], set["budget.share"], set["budget.window"] = x.free, x.share, time.Second
+		s := New(1, set)
+		s.now = time.Minute
+		if x.taken > 0 {
+			s.taken = []time.Duration{s.now - x.taken}
+		}
+		if x.extra > 0 {
+			s.extras = []time.Duration{s.now - x.extra}
+		}
+		if got := s.budget(); got != x.want {
+			t.Errorf("%+v: may leave: %v", x, got)
+		}
+	}
+}
+
+// TestLimitWhenHeldUp: what is decided within a hold-up may arrive in one moment, and then takes no more from a limit's
+// store than that holds; one that holds little more than a largest op still lets it go.
+func TestLimitWhenHeldUp(t *testing.T) {
+	for _, x := range []struct{ limit, burst, slack, units, least, most float64 }{
+		{20, 40, 0, 1, 36, 40}, {20, 40, 3, 1, 40, 43}, {200, 6, 0, 6, 6, 6 + 200*0.15}, {20, 40, 0, 5, 30, 40},
+	} {
+		set := figures()
+		set["plans.limit"], set["plans.burst"], set["plans.slack"] = []float64{x.limit}, []float64{x.burst}, []float64{x.slack}
+		w := newWorld(t, 1, set)
+		var members []honeyplank.Member
+		for i := range 50 {
+			members = append(members, member(i, 0))
+		}
+		w.list(honeyplank.Remembered, members...)
+		sent, begin := 0.0, time.Hour
+		for i := range 150 {
+			w.now = begin + time.Duration(i)*ms
+			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: x.units, Timeout: w.now + time.Second, Hosts: 1, Cell: i % 50})
+			sent += x.units * float64(len(w.order[i].sends))
+		}
+		if sent < x.least || sent > x.most {
+			t.Errorf("%+v: %v units leave within a hold-up", x, sent)
+		}
+	}
+}
+
 // answeredIn has all types answered in a time as of late, in seconds.
 func (s *Scheduler) answeredIn(seconds float64) {
 	for i := range s.times {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -45,6 +45,7 @@
 	reserve              []float64
 	limit                []float64
 	burst                []float64
+	slack                []float64
 	hosts                int
 	unitsMean            float64
 	unitsLargest         float64
@@ -84,6 +85,7 @@
 		reserve:      get[[]float64](settings, "plans.reserve"),
 		limit:        get[[]float64](settings, "plans.limit"),
 		burst:        get[[]float64](settings, "plans.burst"),
+		slack:        get[[]float64](settings, "plans.slack"),
 		hosts:        get[int](settings, "hosts"),
 		unitsMean:    get[float64](settings, "units.mean"),
 		unitsLargest: get[float64](settings, "units.largest"),
