--- a/policy/policy.go
+++ b/policy/policy.go
@@ -628,10 +628,12 @@
 	if v.reserve > 0 { // from an empty store nothing is taken: no debt but that of one op
 		v.reserve -= p.Units
 	}
-	if o.out == 0 || o.health == trial {
+	// A server may drop an op with little time left, and say nothing: its silence tells nothing.
+	hurried := p.Timeout-s.now < 2*s.soonest(o, p.Type)
+	if !hurried && o.patient == 0 || o.health == trial {
 		o.oldest = s.now
 	}
-	s.book(p, o)
+	s.book(p, o, hurried)
 	s.act(honeyplank.Dispatch{Op: p.ID, OSD: o.OSD})
 }
 
@@ -661,6 +663,7 @@
 		return
 	}
 	o.out--
+	o.patient -= count(!p.sends[e.Dispatch].hurried)
 	if way.says == inGood {
 		o.oldest = s.now
 		o.heard = o.heard || p.sends[e.Dispatch].at >= o.Started
@@ -854,7 +857,7 @@
 func (s *Scheduler) sweep() {
 	s.timer(s.now+s.sweepEvery(), "sweep")
 	for _, o := range s.order {
-		if o.out > 0 && s.now-o.oldest > s.set.longest/2 {
+		if o.patient > 0 && s.now-o.oldest > s.set.longest/2 {
 			s.judge(o, inLost)
 			o.oldest = s.now
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -737,6 +737,33 @@
 	}
 }
 
+// TestDroppedForLackOfTime: ops with less time than a usual answer takes may be dropped without a word, which says
+// nothing of the server; silence to ops with time does.
+func TestDroppedForLackOfTime(t *testing.T) {
+	for left, want := range map[time.Duration]health{30 * ms: up, 400 * ms: down} {
+		set := figures()
+		set["plans.reserve"] = []float64{1e6}
+		w := newWorld(t, 1, set)
+		w.list(honeyplank.Remembered, member(0, 0))
+		s, sent := w.hosts[0], 0
+		for i := range 250 {
+			s.answeredIn(0.04)
+			w.now += 10 * ms
+			w.give(0, honeyplank.Timer{Name: "sweep"})
+			for _, e := range w.order {
+				if n := len(e.sends); n > 0 && !e.sends[n-1].ended && w.now >= e.Timeout {
+					w.end(e, honeyplank.TimedOut)
+				}
+			}
+			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: w.now + left, Hosts: 1})
+			sent += len(w.order[i].sends)
+		}
+		if got := s.osds["osd0"].health; sent < 4 || (got == up) != (want == up) {
+			t.Errorf("%v left: %d sent, the server counts as %v", left, sent, got)
+		}
+	}
+}
+
 // answeredIn has all types answered in a time as of late, in seconds.
 func (s *Scheduler) answeredIn(seconds float64) {
 	for i := range s.times {
--- a/policy/state.go
+++ b/policy/state.go
@@ -53,7 +53,8 @@
 	window   float64       // ops of this host that may be out here
 	out      int           // ops of this host that are out here
 	flying   []flight      // those, in the order sent
-	oldest   time.Duration // since when something has been out without any answer
+	patient  int           // those that had time for a usual answer
+	oldest   time.Duration // since when one of these has been out without any answer
 	slowness float64       // recent answer times, against the usual ones of the types answered; 0: not known
 	told     time.Duration // when slowness last took something in
 	perUnit  float64       // recent answer time for each unit of size, in seconds
@@ -143,6 +144,8 @@
 	at    time.Duration
 	done  bool
 	maybe bool // it may have run
+
+	hurried bool // it had less time than a usual answer takes
 }
 
 // key keeps ops of ordered types apart.
@@ -419,13 +422,14 @@
 }
 
 // book notes that an op goes out to a disk server.
-func (s *Scheduler) book(p *op, o *osd) {
+func (s *Scheduler) book(p *op, o *osd, hurried bool) {
 	p.leave()
 	s.release(p)
 	p.osd, p.early = o, false
 	o.flying = append(o.flying, flight{op: p, n: len(p.sends), at: s.now})
-	p.sends = append(p.sends, send{osd: o, at: s.now})
+	p.sends = append(p.sends, send{osd: o, at: s.now, hurried: hurried})
 	o.out++
+	o.patient += count(!hurried)
 	o.flight += p.Units
 	if p.Keyed {
 		o.lastKey = p.Key
