--- a/members/etcd.go
+++ b/members/etcd.go
@@ -192,10 +192,16 @@
 		}
 		return fmt.Errorf("members: watch at %s: %w", endpoint, err)
 	}
-	from := int64(0)
+	from, created := int64(0), func() {}
 	if err := e.locked(serial, func() (*News, error) { e.list.watch(); from = e.list.revision; return nil, nil }); err != nil {
 		return err
 	}
+	if e.quiet > 0 {
+		// Neither a connection that is not made nor a watch that is not created has said anything.
+		begun := time.AfterFunc(e.quiet, func() { cancel(fmt.Errorf("no watch was created within %v", e.quiet)) })
+		defer begun.Stop()
+		created = func() { begun.Stop() }
+	}
 	stream, err := etcdserverpb.NewWatchClient(c).Watch(ctx)
 	if err != nil {
 		return wrap(err)
@@ -212,11 +218,22 @@
 		if err != nil {
 			return wrap(err)
 		}
-		select {
-		case heard <- struct{}{}:
-		default:
+		awaiting := false // progress keeps up a watch that stands, not one of which more is awaited
+		err = e.locked(serial, func() (*News, error) {
+			news, err := e.list.hear(r)
+			awaiting = e.list.state != stands && len(r.Events) == 0
+			return news, err
+		})
+		if r.Created {
+			created()
+		}
+		if !awaiting {
+			select {
+			case heard <- struct{}{}:
+			default:
+			}
 		}
-		if err := e.locked(serial, func() (*News, error) { return e.list.hear(r) }); errors.Is(err, errHistory) || errors.Is(err, errReplaced) {
+		if errors.Is(err, errHistory) || errors.Is(err, errReplaced) {
 			return err
 		} else if err != nil {
 			return wrap(err)
--- a/members/etcd_test.go
+++ b/members/etcd_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net"
 	"testing"
 	"time"
 
@@ -26,19 +27,20 @@
 
 func next(t *testing.T, c chan News, kind honeyplank.ListKind) News {
 	t.Helper()
-	select {
-	case n := <-c:
-		if n.Kind == honeyplank.Changes && len(n.Nodes)+len(n.Skipped) == 0 && n.Err == nil && kind >= 0 {
-			return next(t, c, kind) // the watch stands
-		}
-		if n.Kind != kind {
-			t.Fatalf("news of kind %d, want %d: %+v", n.Kind, kind, n)
+	for late := time.After(5 * time.Second); ; {
+		select {
+		case n := <-c:
+			if n.Kind == honeyplank.Changes && len(n.Nodes)+len(n.Skipped) == 0 && n.Err == nil && kind >= 0 {
+				continue // the watch stands
+			}
+			if n.Kind != kind {
+				t.Fatalf("news of kind %d, want %d: %+v", n.Kind, kind, n)
+			}
+			return n
+		case <-late:
+			t.Fatalf("no news of kind %d", kind)
 		}
-		return n
-	case <-time.After(5 * time.Second):
-		t.Fatalf("no news of kind %d", kind)
 	}
-	return News{}
 }
 
 // TestFollow reads a list of more than one page, follows its changes, and tells of a break.
@@ -146,6 +148,44 @@
 	}
 }
 
+// TestHalfOpen has the next endpoint take a call and not go through with it: that counts as broken after about as long
+// as a watch may be quiet, and the endpoint after it is asked.
+func TestHalfOpen(t *testing.T) {
+	for name, half := range map[string]func(t *testing.T, s *etcd.Server) string{
+		"no handshake": func(t *testing.T, _ *etcd.Server) string {
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { l.Close() })
+			return l.Addr().String()
+		},
+		"never created": func(t *testing.T, s *etcd.Server) string {
+			s.Withhold(true)
+			return s.Address()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, e, news := watch(t)
+			e.Watch(true)
+			next(t, news, honeyplank.Whole)
+			s.Set(prefix+"127.0.0.1:2", []byte(`{"state":"on"}`))
+			next(t, news, honeyplank.Changes) // the watch stands
+			s.Break()
+			next(t, news, honeyplank.Refused)
+			e.endpoints = append(e.endpoints, half(t, s))
+			e.Watch(true)
+			next(t, news, honeyplank.Refused)
+			s.Withhold(false)
+			s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
+			e.Watch(true)
+			if n := next(t, news, honeyplank.Changes); len(n.Nodes) != 1 {
+				t.Errorf("%+v", n)
+			}
+		})
+	}
+}
+
 // TestLongHistory has a watch go on after thousands of revisions: etcd sends them in several responses, each with
 // the present revision in its header. None may be taken for told already.
 func TestLongHistory(t *testing.T) {
--- a/standin/etcd/etcd.go
+++ b/standin/etcd/etcd.go
@@ -39,6 +39,7 @@
 	breaks   chan struct{}   // closed when watches break
 	down     bool
 	mute     bool // watches stay open and say nothing
+	withheld bool // watches asked for are not created
 	late     time.Duration
 	kept     int64                       // revisions before are compacted away
 	old      map[string]*mvccpb.KeyValue // the state before the events that are kept
@@ -155,6 +156,13 @@
 	s.changed = make(chan struct{})
 }
 
+// Withhold has watches that are asked for from now on not created; their streams stand, and answer for progress.
+func (s *Server) Withhold(withheld bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.withheld = withheld
+}
+
 // Apply puts (or, without a value, deletes) many keys in one revision, as a transaction does.
 func (s *Server) Apply(values map[string][]byte) {
 	s.mu.Lock()
@@ -356,7 +364,7 @@
 
 func (s *Server) follow(ctx context.Context, id int64, r *etcdserverpb.WatchCreateRequest, send func(*etcdserverpb.WatchResponse) error, end func(error)) {
 	s.mu.Lock()
-	next, breaks, down := r.StartRevision, s.breaks, s.down
+	next, breaks, down, withheld := r.StartRevision, s.breaks, s.down, s.withheld
 	compacted := int64(0)
 	if next > 0 && next < s.kept {
 		compacted = s.kept
@@ -370,6 +378,9 @@
 		end(errDown)
 		return
 	}
+	if withheld {
+		return
+	}
 	if send(&etcdserverpb.WatchResponse{Header: head, WatchId: id, Created: true}) != nil {
 		return
 	}
