--- a/policy/policy.go
+++ b/policy/policy.go
@@ -16,15 +16,16 @@
 	avgA, avgB, avgC = 7.0 / 8, 32, 1024 // the paper's a, b and c
 	floor, ceiling   = 4.0, 32.0         // bounds of the window
 	idle             = 30 * time.Second  // entries idle for longer are dropped
-	learntFor        = 24 * time.Hour    // what an instance before had learnt is dropped after
-	near, past       = 1.5, 2.0          // latency near its best, and far past it
-	sliceOfTarget    = 0.25              // a round of slices lasts this part of the shortest target latency
-	spareOfTarget    = 0.04              // latency that leaves room for ops beyond the reserve
-	dueOfTarget      = 0.18              // the same for ops within the reserve
-	sweepOfTarget    = 1.0 / 20          // how often held ops are looked at
-	blending         = 1.0 / 8           // weight of the newest answer in a recent mean
-	creditMost       = 2 * floor         // further dispatches; each answer earns one
-	failingTooMuch   = 0.2               // share of errors at which new objects go elsewhere
+	tidyEvery        = time.Second
+	learntFor        = 24 * time.Hour // what an instance before had learnt is dropped after
+	near, past       = 1.5, 2.0       // latency near its best, and far past it
+	sliceOfTarget    = 0.25           // a round of slices lasts this part of the shortest target latency
+	spareOfTarget    = 0.04           // latency that leaves room for ops beyond the reserve
+	dueOfTarget      = 0.18           // the same for ops within the reserve
+	sweepOfTarget    = 1.0 / 20       // how often held ops are looked at
+	blending         = 1.0 / 8        // weight of the newest answer in a recent mean
+	creditMost       = 2 * floor      // further dispatches; each answer earns one
+	failingTooMuch   = 0.2            // share of errors at which new objects go elsewhere
 	bestForgets      = 1.0 / 256
 	coldSpread       = 7.0 / 8 // by lot: the mean of what is sent, of the part at most; chance does the rest
 	coldDeviations   = 4.0     // and so many standard deviations of it stay below what pushes a server over
@@ -114,6 +115,9 @@
 	}
 	if !changes {
 		touched = s.order
+		for _, o := range s.order {
+			o.was = false
+		}
 	}
 	s.stopped(touched)
 	s.move(touched)
@@ -148,6 +152,9 @@
 		s.logf("osd %s: %s, was %s", o.OSD, rule.next, o.health)
 	}
 	o.health, o.since = rule.next, s.now
+	if o.health == down { // the sweep ends its rest
+		s.touch(o)
+	}
 	if rule.effect != nil {
 		rule.effect(s, o)
 	}
@@ -206,8 +213,7 @@
 	return max(a.left-left, 0)
 }
 
-// house puts a held op into a queue: at the holder of its data, or for a new object at the first disk
-// server of the volume's ranking that has not enough already.
+// house puts a held op into a queue: at the holder of its data, or for a new object where newHome says.
 func (s *Scheduler) house(p *op) {
 	var home *osd
 	for _, o := range s.holders[p.Cell] { // the healthiest, of those the one that has run for longest
@@ -216,27 +222,59 @@
 		}
 	}
 	if p.Cell == honeyplank.NewObject {
-		least := math.Inf(1)
-		for _, o := range s.ranking(p.volume, p.Volume) {
-			if !s.sound(o) || !s.mayDispatch(p, o) {
-				continue
-			}
-			load := float64(1+o.out+o.holding) / s.places(o, p.Type, spareOfTarget)
-			if load < least {
-				home, least = o, load
-			}
-			if load < 1 {
-				break
-			}
-		}
+		home = s.newHome(p)
 	}
 	if home != nil {
 		s.nowhere--
 		home.keep(p)
+		s.touch(home)
 		p.queue.lastSeen = s.now
 	}
 }
 
+// newHome is the first disk server of the volume's ranking that has not enough already, or else the one that has least
+// against its room: of the first ones in rank, and only if no new object may go to any of these, of all.
+func (s *Scheduler) newHome(p *op) (home *osd) {
+	if !s.mayLeave(p) {
+		return nil
+	}
+	due, least := s.due(p), math.Inf(1)
+	for _, r := range s.nearest(p.volume, p.Volume) {
+		s.visited++
+		load := s.loadFor(p, r.osd, due)
+		if load < least {
+			home, least = r.osd, load
+		}
+		if load < 1 {
+			break
+		}
+	}
+	if home != nil || p.volume.whole {
+		return home
+	}
+	hash, first := volumeHash(p.Volume), uint64(0)
+	for _, o := range s.soundOnes() { // in no order of rank: of those with room the first in rank, else of the least
+		s.visited++
+		load := s.loadFor(p, o, due)
+		if load < 1 { // room is room, however much
+			load = 0
+		}
+		if at := rank(hash, o.OSD); load < least || load == least && !math.IsInf(load, 1) && at > first {
+			home, least, first = o, load, at
+		}
+	}
+	return home
+}
+
+// loadFor is what is out and held at a disk server against the room there for a new object, without end where it may
+// not go.
+func (s *Scheduler) loadFor(p *op, o *osd, due bool) float64 {
+	if !s.sound(o) || !s.mayGo(p, o, due) {
+		return math.Inf(1)
+	}
+	return float64(1+o.out+o.holding) / s.places(o, p.Type, spareOfTarget)
+}
+
 // sound tells whether a disk server may be given new objects: not where errors, resets or full queues come
 // back fast, which would otherwise look like room, nor where it is cold or down. It could harm when most
 // servers fail at once. Cold is one where a middle lot beyond the reserves would not do.
@@ -501,18 +539,31 @@
 
 // mayDispatch holds an op to the rules: attempts, kind, drains, cold starts, order, budget and limit.
 func (s *Scheduler) mayDispatch(p *op, o *osd) bool {
-	home := p.Cell == honeyplank.NewObject || p.Cell == o.Cell
-	if p.begun || !home || o.State != honeyplank.On || p.Timeout <= s.now {
+	return s.mayLeave(p) && s.mayGo(p, o, s.due(p))
+}
+
+// mayLeave holds an op to those rules that are the same wherever it goes.
+func (s *Scheduler) mayLeave(p *op) bool {
+	if p.begun || p.Timeout <= s.now || len(p.sends) > 0 && !s.budget() {
 		return false
 	}
-	if len(p.sends) > 0 && (!s.repeats(p, o) || !s.budget() || o.credit < 1) {
+	s.fillUp(p.volume)
+	if at(s.set.limit, p.volume.plan) > 0 && len(p.sends) == 0 && p.volume.limit < s.keeps(p) {
 		return false
 	}
-	due := s.due(p) // brings the stores up to now
-	if at(s.set.limit, p.volume.plan) > 0 && len(p.sends) == 0 && p.volume.limit < s.keeps(p) {
+	return s.turnOf(p)
+}
+
+// mayGo holds an op to the rules of a disk server.
+func (s *Scheduler) mayGo(p *op, o *osd, due bool) bool {
+	home := p.Cell == honeyplank.NewObject || p.Cell == o.Cell
+	if !home || o.State != honeyplank.On {
 		return false
 	}
-	return s.turnOf(p) && s.coldRoom(o, p.Units, p.lot, due)
+	if len(p.sends) > 0 && (!s.repeats(p, o) || o.credit < 1) {
+		return false
+	}
+	return s.coldRoom(o, p.Units, p.lot, due)
 }
 
 // keeps is what the limit's store must hold for an op to leave: a part stays for op types of more utility,
@@ -856,7 +907,8 @@
 
 func (s *Scheduler) sweep() {
 	s.timer(s.now+s.sweepEvery(), "sweep")
-	for _, o := range s.order {
+	s.settle()
+	for _, o := range s.active {
 		if o.patient > 0 && s.now-o.oldest > s.set.longest/2 {
 			s.judge(o, inLost)
 			o.oldest = s.now
@@ -875,7 +927,7 @@
 			s.redraw(p)
 		}
 	}
-	s.move(s.order)
+	s.moveHeld()
 	for p := s.first; p != nil; {
 		next := p.after
 		if s.useless(p) {
@@ -886,5 +938,8 @@
 	if s.set.ask && !s.watched && s.now-s.asked > s.set.askWithin/2 {
 		s.ask()
 	}
-	s.tidy(idle)
+	if s.now-s.tidied >= tidyEvery {
+		s.tidied = s.now
+		s.tidy(idle)
+	}
 }
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -139,6 +139,20 @@
 // busy counts the volumes with held ops.
 func (o *osd) busy() int { return len(o.live) }
 
+// moveHeld finds a place for ops that have none and sends what may leave, from all servers.
+func (s *Scheduler) moveHeld() {
+	for p := s.first; p != nil && s.nowhere > 0; p = p.after {
+		if p.osd == nil {
+			s.house(p)
+		}
+	}
+	for _, o := range s.active {
+		if o.holding > 0 {
+			s.pump(o)
+		}
+	}
+}
+
 // move finds a place for ops that have none and sends what may leave, from some servers and from where it
 // found one: after a change only there, since the rest is looked at with the next sweep.
 func (s *Scheduler) move(from []*osd) {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,13 +2,11 @@
 
 import (
 	"fmt"
-	"hash/fnv"
 	"maps"
 	"math"
 	"math/rand"
 	"slices"
 	"sort"
-	"strconv"
 	"time"
 
 	"honeyplank"
@@ -23,8 +21,8 @@
 		osds: map[honeyplank.OSDID]*osd{}, ops: map[honeyplank.OpID]*op{},
 		known: map[honeyplank.OSDID]honeyplank.Known{}, volumes: map[int64]*volume{},
 		keys: map[int64]*key{}, holders: map[int][]*osd{}, byCell: map[int]*cellDemand{},
-		unserved: map[identity]*attempt{},
-		times:    make([]typeTime, len(get[[]time.Duration](settings, "optypes.target_latency"))),
+		unserved: map[identity]*attempt{}, epoch: 1,
+		times: make([]typeTime, len(get[[]time.Duration](settings, "optypes.target_latency"))),
 	}
 }
 
@@ -47,6 +45,8 @@
 type osd struct {
 	honeyplank.Member
 	placed   bool // counted among those that run
+	was      bool // so before the whole list that is being read
+	active   bool // the sweep looks at it
 	health   health
 	since    time.Duration // start of the present health state
 	rest     time.Duration // how long it is left alone once down
@@ -111,10 +111,13 @@
 	reserve  float64 // units of the reserve left
 	limit    float64 // units of this host's part of the limit left
 	filled   time.Duration
-	served   flow    // units this host was served
-	others   flow    // units others were served, as answers tell
-	total    float64 // units a second served everywhere, by the late meter
-	ranked   []*osd
+	served   flow     // units this host was served
+	others   flow     // units others were served, as answers tell
+	total    float64  // units a second served everywhere, by the late meter
+	best     []ranked // the first of its ranking
+	whole    bool     // best holds all that are on
+	epoch    int      // those that best was made from
+	seen     int
 	open     int // ops taken and not over
 	lastSeen time.Duration
 }
@@ -155,28 +158,6 @@
 	restBy honeyplank.OpID
 }
 
-// rank is the rendezvous hash of a volume and a disk server.
-func rank(volume int64, id honeyplank.OSDID) uint64 {
-	h := fnv.New64a()
-	h.Write(strconv.AppendInt(nil, volume, 10))
-	h.Write([]byte(id))
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>33
-}
-
-// ranking returns the disk servers in a volume's order, made anew only when there are more of them.
-func (s *Scheduler) ranking(v *volume, id int64) []*osd {
-	if len(v.ranked) != len(s.order) {
-		v.ranked = append([]*osd(nil), s.order...)
-		sort.SliceStable(v.ranked, func(i, j int) bool {
-			return rank(id, v.ranked[i].OSD) > rank(id, v.ranked[j].OSD)
-		})
-	}
-	return v.ranked
-}
-
 func without[T comparable](list []T, x T) []T {
 	for i, y := range list {
 		if y == x {
@@ -197,14 +178,21 @@
 	osds       map[honeyplank.OSDID]*osd
 	known      map[honeyplank.OSDID]honeyplank.Known // from before this instance
 	order      []*osd                                // by id
-	running    int                                   // how many are listed as on
-	hosts      int                                   // the most that volumes were seen to come through
-	demand     [2]flow                               // units taken: due, and beyond
-	bound      flow                                  // units asked of those that hold data, over a longer time
-	everywhere flow                                  // units asked of all hosts for the volumes known here
-	byCell     map[int]*cellDemand                   // by where the data lies
-	holders    map[int][]*osd                        // disk servers by the data they hold
-	times      []typeTime                            // by op type
+	active     []*osd                                // those that the sweep looks at, by id
+	joined     []*osd                                // those that came, in that order
+	epoch      int                                   // counts the starts of joined
+	soundList  []*osd                                // sound ones, as seen at a time
+	soundAt    time.Duration
+	visited    int // disk servers looked at for new objects and in sweeps
+	tidied     time.Duration
+	running    int                 // how many are listed as on
+	hosts      int                 // the most that volumes were seen to come through
+	demand     [2]flow             // units taken: due, and beyond
+	bound      flow                // units asked of those that hold data, over a longer time
+	everywhere flow                // units asked of all hosts for the volumes known here
+	byCell     map[int]*cellDemand // by where the data lies
+	holders    map[int][]*osd      // disk servers by the data they hold
+	times      []typeTime          // by op type
 	unserved   map[identity]*attempt
 	lost       float64 // recent share of dispatches whose answers seemed lost
 	units      float64 // of all ops taken, and their squares
@@ -382,6 +370,7 @@
 // place notes what the list says of a disk server, and with it who holds what and how many run. The work does
 // not grow with the fleet.
 func (s *Scheduler) place(o *osd, m honeyplank.Member) {
+	stayed := o.placed || o.was
 	if o.placed {
 		s.running--
 		s.holders[o.Cell] = without(s.holders[o.Cell], o)
@@ -390,6 +379,9 @@
 	if o.placed {
 		s.running++
 		s.holders[o.Cell] = insert(s.holders[o.Cell], o)
+		if !stayed {
+			s.join(o)
+		}
 	}
 }
 
@@ -404,6 +396,7 @@
 
 func (s *Scheduler) allGone() {
 	for _, o := range s.order {
+		o.was = o.placed
 		m := o.Member
 		m.State = honeyplank.Gone
 		s.place(o, m)
@@ -430,6 +423,7 @@
 	p.sends = append(p.sends, send{osd: o, at: s.now, hurried: hurried})
 	o.out++
 	o.patient += count(!hurried)
+	s.touch(o)
 	o.flight += p.Units
 	if p.Keyed {
 		o.lastKey = p.Key
