--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"math"
 	"math/rand"
 	"strings"
 	"testing"
@@ -43,6 +44,10 @@
 	retryAfter     = 100 * ms
 	mostTries      = 3
 	leastServed    = 0.5             // of a class on a calm day
+	leastOfAll     = 0.9             // of a class during a fault that takes no capacity from it
+	leastOfRest    = 0.6             // of a class where a quarter of the servers serve nothing
+	leastOfLost    = 0.3             // of a class where a quarter of the answers get lost and hold their places
+	chanceErrors   = 3.0             // standard errors that chance may take off these
 	mostLost       = 0.1             // of a class's service before the fault, once it is over
 	starvedFor     = 5 * time.Second // with nothing dispatched of a class, while its servers answer others
 	starvedNumber  = 12              // and so many of its requests
@@ -152,6 +157,17 @@
 	// whole: the fault leaves no capacity, so that nothing is asked of service until it is over.
 	whole bool
 	surge bool // it asks for more than a limit allows
+	// least is the part of each class that is served while it lasts; the class that is slow itself is left out.
+	least       float64
+	first, last bool // the first or the last class is slow itself
+}
+
+// floor is what a class is served at least during the fault, of so many requests: no less than chance takes off.
+func (f *serviceFault) floor(class, classes int, requests float64) float64 {
+	if f.first && class == 0 || f.last && class == classes-1 {
+		return 0
+	}
+	return f.least - chanceErrors*math.Sqrt(f.least*(1-f.least)/requests)
 }
 
 func (p *servicePlay) add(at time.Duration, e honeyplank.Event) {
@@ -182,31 +198,31 @@
 }
 
 var serviceFaults = []serviceFault{
-	{name: "none"},
-	{name: "one client of each class with an unusual timeout", begin: func(p *servicePlay) {
+	{name: "none", least: leastOfAll},
+	{name: "one client of each class with an unusual timeout", least: leastOfAll, begin: func(p *servicePlay) {
 		for class := range p.classes {
 			p.arrive(class, unusualTimeout)
 		}
 	}},
-	{name: "some clients wait for less than others", begin: func(p *servicePlay) {
+	{name: "some clients wait for less than others", least: leastOfAll, begin: func(p *servicePlay) {
 		p.patience = func(p *servicePlay, _ int, timeout time.Duration) time.Duration {
 			return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[p.rng.Intn(4)])
 		}
 	}},
 	{name: "all servers slow", begin: slowed(20, fleetServers, -1), whole: true},
-	{name: "a quarter of the servers slow", begin: slowed(20, fleetServers/4, -1)},
-	{name: "the first class slow", begin: slowed(20, fleetServers, 0)},
-	{name: "the last class slow", begin: func(p *servicePlay) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
+	{name: "a quarter of the servers slow", least: leastOfRest, begin: slowed(20, fleetServers/4, -1)},
+	{name: "the first class slow", least: leastOfAll, first: true, begin: slowed(20, fleetServers, 0)},
+	{name: "the last class slow", least: leastOfAll, last: true, begin: func(p *servicePlay) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
 	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), whole: true},
-	{name: "silence of a quarter", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
+	{name: "silence of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
 	{name: "errors", begin: answeredBy(honeyplank.Errored, ms, fleetServers), whole: true},
-	{name: "errors of a quarter", begin: answeredBy(honeyplank.Errored, ms, fleetServers/4)},
+	{name: "errors of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Errored, ms, fleetServers/4)},
 	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), whole: true},
 	{name: "no connections", begin: answeredBy(honeyplank.Unconnected, 250*ms, fleetServers), whole: true},
 	{name: "full queues", begin: answeredBy(honeyplank.Full, ms, fleetServers), whole: true},
-	{name: "full queues of a quarter", begin: answeredBy(honeyplank.Full, ms, fleetServers/4)},
+	{name: "full queues of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Full, ms, fleetServers/4)},
 	{name: "no descriptors", begin: answeredBy(honeyplank.Moot, 0, fleetServers), whole: true},
-	{name: "one very fast answer of each server", begin: func(p *servicePlay) {
+	{name: "one very fast answer of each server", least: leastOfAll, begin: func(p *servicePlay) {
 		seen := map[int]bool{}
 		p.answer = func(_ *servicePlay, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if !seen[server] {
@@ -216,7 +232,7 @@
 			return honeyplank.Acked, took
 		}
 	}},
-	{name: "lost answers", begin: func(p *servicePlay) {
+	{name: "lost answers", least: leastOfLost, begin: func(p *servicePlay) {
 		p.answer = func(p *servicePlay, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if p.rng.Intn(4) == 0 {
 				return honeyplank.TimedOut, silentAnswer
@@ -224,7 +240,7 @@
 			return honeyplank.Acked, took
 		}
 	}},
-	{name: "the first class surges", begin: func(p *servicePlay) { p.surging = 10 }, surge: true},
+	{name: "the first class surges", least: leastOfAll, begin: func(p *servicePlay) { p.surging = 10 }, surge: true},
 	{name: "all servers are gone and come back", begin: func(p *servicePlay) { p.list(honeyplank.Gone, 0) },
 		end: func(p *servicePlay) { p.list(honeyplank.On, 0) }, whole: true},
 	{name: "all servers restart cold", begin: func(p *servicePlay) { p.list(honeyplank.On, p.now) }, whole: true},
@@ -456,6 +472,9 @@
 					if x < leastServed {
 						t.Errorf("class %d: served %.2f of its %v requests on a calm day", c, x, before[1][c])
 					}
+					if floor := fault.floor(c, n, during[1][c]); y < floor && !(d.limited && fault.surge) {
+						t.Errorf("class %d: served %.2f of its %v requests during the fault, at least %.2f expected", c, y, during[1][c], floor)
+					}
 					if z < x-mostLost {
 						t.Errorf("class %d: served %.2f of its requests before the fault, %.2f once it is over", c, x, z)
 					}
