--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -207,10 +207,12 @@
 	timers []map[string]time.Duration
 	due    map[honeyplank.OpID]time.Duration // when a dispatch that is out ends
 	acked  int
+	took   time.Duration  // the most that a dispatch takes
+	asked  func(host int) // a host asks for the list
 }
 
 func newWorld(t *testing.T, seed int64, set map[string]any) *world {
-	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), due: map[honeyplank.OpID]time.Duration{}, model: &model{
+	w := &world{t: t, took: 400 * ms, asked: func(int) {}, rng: rand.New(rand.NewSource(seed)), due: map[honeyplank.OpID]time.Duration{}, model: &model{
 		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.OSDID]honeyplank.Member{},
 		stop: map[honeyplank.OSDID]time.Duration{}, cold: map[honeyplank.OSDID][]heating{},
 		gone: map[int64]float64{}, filled: map[int64]time.Duration{}, extras: map[int][]time.Duration{}}}
@@ -246,7 +248,7 @@
 		switch a := a.(type) {
 		case honeyplank.Dispatch:
 			w.dispatch(i, a)
-			w.due[a.Op] = min(w.now+time.Duration(w.rng.Int63n(int64(400*ms))), w.ops[a.Op].Timeout)
+			w.due[a.Op] = min(w.now+time.Duration(w.rng.Int63n(int64(w.took))), w.ops[a.Op].Timeout)
 		case honeyplank.Throttle:
 			w.answer(a.Op, true)
 		case honeyplank.Abort:
@@ -260,6 +262,8 @@
 			}
 		case honeyplank.SetTimer:
 			w.timers[i][a.Name] = a.At
+		case honeyplank.Watch:
+			w.asked(i)
 		}
 	}
 	return out
