--- a/members/etcd_test.go
+++ b/members/etcd_test.go
@@ -186,6 +186,20 @@
 	}
 }
 
+// TestLate has changes told late while the watch is asked for its progress: none is passed over.
+func TestLate(t *testing.T) {
+	s, e, news := watch(t)
+	e.Watch(true)
+	next(t, news, honeyplank.Whole)
+	s.Late(600 * time.Millisecond) // three times as long as it may be quiet before it is asked
+	for i := range 3 {
+		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1+i), []byte(`{"state":"on"}`))
+		if n := next(t, news, honeyplank.Changes); len(n.Nodes) != 1 {
+			t.Errorf("%+v", n)
+		}
+	}
+}
+
 // TestLongHistory has a watch go on after thousands of revisions: etcd sends them in several responses, each with
 // the present revision in its header. None may be taken for told already.
 func TestLongHistory(t *testing.T) {
--- a/standin/etcd/etcd.go
+++ b/standin/etcd/etcd.go
@@ -10,6 +10,7 @@
 	"sort"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
@@ -321,6 +322,7 @@
 		}
 	}
 	stops := map[int64]context.CancelFunc{}
+	reached := map[int64]*atomic.Int64{}
 	go func() {
 		for id := int64(0); ; {
 			r, err := stream.Recv()
@@ -331,16 +333,23 @@
 			switch {
 			case r.GetCreateRequest() != nil:
 				one, stop := context.WithCancel(ctx)
-				stops[id] = stop
-				go s.follow(one, id, r.GetCreateRequest(), send, end)
+				stops[id], reached[id] = stop, &atomic.Int64{}
+				reached[id].Store(max(0, r.GetCreateRequest().StartRevision-1))
+				go s.follow(one, id, r.GetCreateRequest(), send, end, reached[id])
 				id++
 			case r.GetCancelRequest() != nil:
 				if stop := stops[r.GetCancelRequest().WatchId]; stop != nil {
 					stop()
+					delete(reached, r.GetCancelRequest().WatchId)
 					send(&etcdserverpb.WatchResponse{Header: s.head(), WatchId: r.GetCancelRequest().WatchId, Canceled: true})
 				}
 			case r.GetProgressRequest() != nil && !s.silent():
-				send(&etcdserverpb.WatchResponse{Header: s.head(), WatchId: -1})
+				// As etcd promises, nothing up to the revision that it names is still to be sent on this stream.
+				head := s.head()
+				for _, r := range reached {
+					head.Revision = min(head.Revision, r.Load())
+				}
+				send(&etcdserverpb.WatchResponse{Header: head, WatchId: -1})
 			}
 		}
 	}()
@@ -362,7 +371,7 @@
 // batch is how many revisions one response tells of at most.
 const batch = 1000
 
-func (s *Server) follow(ctx context.Context, id int64, r *etcdserverpb.WatchCreateRequest, send func(*etcdserverpb.WatchResponse) error, end func(error)) {
+func (s *Server) follow(ctx context.Context, id int64, r *etcdserverpb.WatchCreateRequest, send func(*etcdserverpb.WatchResponse) error, end func(error), reached *atomic.Int64) {
 	s.mu.Lock()
 	next, breaks, down, withheld := r.StartRevision, s.breaks, s.down, s.withheld
 	compacted := int64(0)
@@ -424,6 +433,7 @@
 		if len(out.Events) > 0 && send(out) != nil {
 			return
 		}
+		reached.Store(next - 1)
 		if more {
 			continue
 		}
