--- a/loop/loop.go
+++ b/loop/loop.go
@@ -324,6 +324,8 @@
 	Bend Bend
 	// Peer is who connected; not set for a connection that was dialled.
 	Peer netip.Addr
+	// MostRead, where set, is how much one read takes at most.
+	MostRead int
 	// Before, where set, is called before bytes of Out are written, and may change what is unsent.
 	Before func()
 	// Ended, where set, is called once the socket is closed, by whichever end.
@@ -376,12 +378,12 @@
 func (c *Conn) Came() time.Duration { return c.came }
 
 // arrived notes when what is being read may have come at the earliest.
-func (c *Conn) arrived(n int) {
+func (c *Conn) arrived(full bool) {
 	c.came = c.l.since
 	if c.held && c.l.looks <= c.resumed+1 { // it waited already when reading went on
 		c.came = min(c.came, c.looked)
 	}
-	c.looked, c.held, c.resumed = c.l.looked, n == len(c.l.in), c.l.looks
+	c.looked, c.held, c.resumed = c.l.looked, full, c.l.looks
 }
 
 // Pause stops reading until Resume.
@@ -576,7 +578,11 @@
 
 func (c *Conn) read() {
 	c.l.Stats.Reads.Add(1)
-	n, err := unix.Read(c.fd, c.l.in)
+	room := c.l.in
+	if c.MostRead > 0 {
+		room = room[:min(c.MostRead, len(room))]
+	}
+	n, err := unix.Read(c.fd, room)
 	switch {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 	case err != nil:
@@ -585,7 +591,7 @@
 		c.fail(nil)
 	default:
 		c.l.Stats.BytesIn.Add(int64(n))
-		c.arrived(n)
+		c.arrived(n == len(room))
 		if c.Tap != nil {
 			c.Tap(false, c.l.in[:n])
 		}
@@ -777,8 +783,11 @@
 	}
 }
 
+// mostAccepts is how many connections are accepted at a time; then others have their turn.
+const mostAccepts = 32
+
 func (n *Listener) ready(uint32) {
-	for !n.closed {
+	for i := 0; i < mostAccepts && !n.closed; i++ {
 		n.l.Stats.Others.Add(1)
 		fd, from, err := unix.Accept4(n.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) { // who waits would wake the loop all the time
