--- a/standin/resp/disk.go
+++ b/standin/resp/disk.go
@@ -106,7 +106,12 @@
 func (d *Disk) Stop() { d.loop.Post(d.loop.Stop) }
 
 // CutIdle closes all connections in order, as a disk server does with idle ones.
-func (d *Disk) CutIdle() {
+func (d *Disk) CutIdle() { d.each((*loop.Conn).Finish) }
+
+// ResetIdle resets all connections.
+func (d *Disk) ResetIdle() { d.each((*loop.Conn).Abort) }
+
+func (d *Disk) each(end func(*loop.Conn)) {
 	d.loop.Post(func() {
 		d.mu.Lock()
 		var all []*conn
@@ -115,7 +120,7 @@
 		}
 		d.mu.Unlock()
 		for _, c := range all {
-			c.c.Finish()
+			end(c.c)
 		}
 	})
 }
