--- a/loop/errno_test.go
+++ b/loop/errno_test.go
@@ -420,3 +420,40 @@
 		}
 	}
 }
+
+// TestReadsDoNotSpin has what epoll tells of be unreadable for a time: few calls are made, then it is read.
+func TestReadsDoNotSpin(t *testing.T) {
+	for _, c := range []struct {
+		call     string
+		errnos   []unix.Errno
+		perRound int
+	}{
+		{"recvfrom", []unix.Errno{unix.ENOMEM, unix.ENOBUFS}, 1},
+		{"recvfrom", []unix.Errno{unix.EINTR, unix.ECONNREFUSED, unix.EIO}, datagrams},
+		{"read eventfd", []unix.Errno{unix.ENOMEM, unix.EIO}, 1},
+	} {
+		call := c.call
+		for _, errno := range c.errnos {
+			t.Run(call+"/"+unix.ErrnoName(errno), func(t *testing.T) {
+				t.Parallel()
+				heard, posted, calls, span := false, false, 0, 100*time.Millisecond
+				onStage(t, func(s *stage) {
+					p, err := s.l.Packets("127.0.0.1:0", func(netip.AddrPort, []byte) { heard = true })
+					if err != nil {
+						t.Fatal(err)
+					}
+					p.Send(bound(t, p.fd), []byte("hello"))
+					s.l.Post(func() { posted = true })
+					s.k.will(call, errno)
+					s.l.AtTime(s.l.Now()+span, func() {
+						calls = s.k.count(call)
+						s.k.will(call, 0)
+					})
+				}, func() bool { return heard && posted && calls > 0 })
+				if atMost := (int(span/pause) + 10) * c.perRound; calls > atMost {
+					t.Errorf("%s was made %d times in %v, want %d at most", call, calls, span, atMost)
+				}
+			})
+		}
+	}
+}
