--- a/belief/belief.go
+++ b/belief/belief.go
@@ -69,7 +69,7 @@
 
 // node is the one record of a disk server.
 type node struct {
-	id       honeyplank.OSDID
+	id       honeyplank.ServerID
 	words    [sources]word
 	believed State
 	cause    Cause
@@ -103,7 +103,7 @@
 type Book struct {
 	terms   Terms
 	now     time.Duration
-	nodes   map[honeyplank.OSDID]*node
+	nodes   map[honeyplank.ServerID]*node
 	held    [sources]int             // nodes that a source holds on or draining, doubted ones included
 	recent  [sources][]time.Duration // vanishings believed within Confirm
 	heard   [sources]time.Duration   // when it last spoke; 0: never
@@ -116,7 +116,7 @@
 
 // New makes a book that has heard nothing.
 func New(t Terms) *Book {
-	return &Book{terms: t, nodes: map[honeyplank.OSDID]*node{}}
+	return &Book{terms: t, nodes: map[honeyplank.ServerID]*node{}}
 }
 
 // ---- Inputs ----
@@ -126,10 +126,10 @@
 func (b *Book) Whole(now time.Duration, from Source, all []Statement) (out []honeyplank.List) {
 	b.hear(now, from)
 	before := b.held[from]
-	stated := make(map[honeyplank.OSDID]bool, len(all))
+	stated := make(map[honeyplank.ServerID]bool, len(all))
 	var touched []*node
 	for _, s := range all {
-		stated[s.Member.OSD] = true
+		stated[s.Member.ID] = true
 		touched = append(touched, b.say(from, s))
 	}
 	var vanished []*node
@@ -147,16 +147,16 @@
 	b.hear(now, from)
 	var touched, vanished []*node
 	before := b.held[from]
-	last := make(map[honeyplank.OSDID]int, len(some))
+	last := make(map[honeyplank.ServerID]int, len(some))
 	for i, s := range some {
-		last[s.Member.OSD] = i
+		last[s.Member.ID] = i
 	}
 	for i, s := range some {
 		if s.State == Gone {
-			if last[s.Member.OSD] != i {
+			if last[s.Member.ID] != i {
 				continue
 			}
-			if n := b.nodes[s.Member.OSD]; n != nil && (n.words[from].state == On || n.words[from].state == Draining) {
+			if n := b.nodes[s.Member.ID]; n != nil && (n.words[from].state == On || n.words[from].state == Draining) {
 				vanished = append(vanished, n)
 			}
 			continue
@@ -213,9 +213,9 @@
 
 // say takes in that a source holds a node on or draining.
 func (b *Book) say(from Source, s Statement) *node {
-	n := b.nodes[s.Member.OSD]
+	n := b.nodes[s.Member.ID]
 	if n == nil {
-		n = &node{id: s.Member.OSD}
+		n = &node{id: s.Member.ID}
 		b.nodes[n.id] = n
 	}
 	w := &n.words[from]
@@ -370,9 +370,9 @@
 		return nil
 	}
 	b.version++
-	kind := honeyplank.Changes
+	kind := honeyplank.Delta
 	if !b.first {
-		kind, b.first = honeyplank.Whole, true
+		kind, b.first = honeyplank.Complete, true
 	}
 	return []honeyplank.List{{Kind: kind, Version: b.version, Members: members}}
 }
@@ -385,14 +385,14 @@
 	if e.state == Never || e.state == Gone && (d.state == On || d.state == Draining) {
 		m = d.member
 	}
-	m.OSD, m.Started = n.id, max(e.member.Started, d.member.Started)
+	m.ID, m.Started = n.id, max(e.member.Started, d.member.Started)
 	switch n.believed {
 	case On:
-		m.State = honeyplank.On
+		m.State = honeyplank.Up
 	case Draining:
 		m.State = honeyplank.Draining
 	default:
-		m.State = honeyplank.Gone
+		m.State = honeyplank.Removed
 	}
 	return m
 }
@@ -410,7 +410,7 @@
 }
 
 // View tells of a node; ok is false for one that nobody spoke of.
-func (b *Book) View(id honeyplank.OSDID) (v View, ok bool) {
+func (b *Book) View(id honeyplank.ServerID) (v View, ok bool) {
 	n := b.nodes[id]
 	if n == nil {
 		return v, false
@@ -423,7 +423,7 @@
 }
 
 // Nodes lists the ids of all nodes that were spoken of, in no order.
-func (b *Book) Nodes() (ids []honeyplank.OSDID) {
+func (b *Book) Nodes() (ids []honeyplank.ServerID) {
 	for id := range b.nodes {
 		ids = append(ids, id)
 	}
--- a/belief/belief_test.go
+++ b/belief/belief_test.go
@@ -185,11 +185,11 @@
 type pair struct {
 	b    *Book
 	p    *plain
-	list map[honeyplank.OSDID]honeyplank.MemberState
+	list map[honeyplank.ServerID]honeyplank.MemberState
 }
 
 func newPair() *pair {
-	return &pair{New(terms), newPlain(), map[honeyplank.OSDID]honeyplank.MemberState{}}
+	return &pair{New(terms), newPlain(), map[honeyplank.ServerID]honeyplank.MemberState{}}
 }
 
 // play plays one input; what is wrong after it is returned.
@@ -209,7 +209,7 @@
 		var all []Statement
 		for _, n := range c.p.nodes {
 			if st, ok := x.says[n]; ok {
-				all = append(all, Statement{honeyplank.Member{OSD: honeyplank.OSDID(n), Started: c.p.words[n][x.from].started}, st, c.p.words[n][x.from].started})
+				all = append(all, Statement{honeyplank.Member{ID: honeyplank.ServerID(n), Started: c.p.words[n][x.from].started}, st, c.p.words[n][x.from].started})
 			}
 		}
 		if x.whole {
@@ -220,17 +220,17 @@
 	}
 	for _, l := range out {
 		for _, m := range l.Members {
-			c.list[m.OSD] = m.State
+			c.list[m.ID] = m.State
 		}
 	}
 	for _, n := range c.p.nodes {
-		id := honeyplank.OSDID(n)
+		id := honeyplank.ServerID(n)
 		v, _ := c.b.View(id)
 		if v.Believed != c.p.is[n] {
 			return fmt.Errorf("%s is believed %v, the plain model says %v: book %+v, plain %+v now %v held %v", n, v.Believed, c.p.is[n], v, c.p.words[n], c.p.now, c.p.held[n])
 		}
 		told, known := c.list[id]
-		if known != (v.Believed != Never) && v.Believed == On || known && (told == honeyplank.On) != (v.Believed == On) {
+		if known != (v.Believed != Never) && v.Believed == On || known && (told == honeyplank.Up) != (v.Believed == On) {
 			return fmt.Errorf("%s is believed %v, the module was told %v", n, v.Believed, told)
 		}
 		if err := c.invariants(n, v, was[n], x); err != nil {
@@ -353,7 +353,7 @@
 			if err := c.play(x); err != nil {
 				t.Fatal(err)
 			}
-			if is := c.list["a"]; was != honeyplank.On && is == honeyplank.On {
+			if is := c.list["a"]; was != honeyplank.Up && is == honeyplank.Up {
 				ups++
 			}
 		}
@@ -384,11 +384,11 @@
 			now := s
 			for _, state := range c.before {
 				now += s
-				b.Changes(now, Etcd, []Statement{{Member: honeyplank.Member{OSD: "a"}, State: state}})
+				b.Changes(now, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: state}})
 			}
 			var all []Statement
 			for i, state := range c.says { // the start tells which of them the book took
-				all = append(all, Statement{Member: honeyplank.Member{OSD: "a", Started: time.Duration(i + 1)}, State: state})
+				all = append(all, Statement{Member: honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}, State: state})
 			}
 			b.Changes(now+s, Etcd, all)
 			v, _ := b.View("a")
@@ -415,9 +415,9 @@
 		"gone, in the same moment": {Gone, 30 * s, 20 * s, Gone},
 	} {
 		b := New(Terms{Vanish: 1})
-		b.Changes(10*s, Etcd, []Statement{{Member: honeyplank.Member{OSD: "a"}, State: On}})
-		b.Changes(20*s, Etcd, []Statement{{Member: honeyplank.Member{OSD: "a"}, State: c.out}})
-		b.Whole(30*s, DNS, []Statement{{Member: honeyplank.Member{OSD: "a", Started: c.started}, State: On, After: c.after}})
+		b.Changes(10*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: On}})
+		b.Changes(20*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
+		b.Whole(30*s, DNS, []Statement{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: On, After: c.after}})
 		if v, _ := b.View("a"); v.Believed != c.want {
 			t.Errorf("%s: believed %v, want %v", name, v.Believed, c.want)
 		}
--- a/belief/bench_test.go
+++ b/belief/bench_test.go
@@ -20,7 +20,7 @@
 			module := policy.New(1, map[string]any{"optypes.target_latency": []time.Duration{200 * time.Millisecond}, "optypes.op_timeout": []time.Duration{time.Second}})
 			var all []belief.Statement
 			for i := range n {
-				all = append(all, belief.Statement{Member: honeyplank.Member{OSD: honeyplank.OSDID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: belief.On})
+				all = append(all, belief.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: belief.On})
 			}
 			for from := range 2 {
 				for _, l := range book.Whole(now, belief.Source(from), all) {
--- a/bench/sources.go
+++ b/bench/sources.go
@@ -41,8 +41,8 @@
 type ear struct {
 	*policy.Scheduler
 	mu    sync.Mutex
-	heard map[honeyplank.OSDID]honeyplank.MemberState
-	wait  map[honeyplank.OSDID]waited
+	heard map[honeyplank.ServerID]honeyplank.MemberState
+	wait  map[honeyplank.ServerID]waited
 	hist  *hdrhistogram.Histogram
 }
 
@@ -56,10 +56,10 @@
 	if l, ok := event.(honeyplank.List); ok {
 		e.mu.Lock()
 		for _, m := range l.Members {
-			e.heard[m.OSD] = m.State
-			if w, ok := e.wait[m.OSD]; ok && w.state == m.State {
+			e.heard[m.ID] = m.State
+			if w, ok := e.wait[m.ID]; ok && w.state == m.State {
 				e.hist.RecordValue(int64(time.Since(w.since) / time.Microsecond))
-				delete(e.wait, m.OSD)
+				delete(e.wait, m.ID)
 			}
 		}
 		e.mu.Unlock()
@@ -91,9 +91,9 @@
 		return nil, err
 	}
 	defer registry.Close()
-	key := func(i int) (string, honeyplank.OSDID) {
+	key := func(i int) (string, honeyplank.ServerID) {
 		id := fmt.Sprintf("127.%d.%d.%d:7000", 1+i>>16, i>>8&255, i&255)
-		return s.List.Prefix + id, honeyplank.OSDID(id)
+		return s.List.Prefix + id, honeyplank.ServerID(id)
 	}
 	value := func(i int, state string) []byte {
 		b, _ := json.Marshal(members.Record{State: state, Size: 1, Cell: i})
@@ -108,7 +108,7 @@
 	s.Rehearsal = nil
 	s.List.Etcd[0].Endpoint = registry.Address()
 	s.List.AskWithin = settings.Span(2 * time.Second)
-	e := &ear{heard: map[honeyplank.OSDID]honeyplank.MemberState{}, wait: map[honeyplank.OSDID]waited{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
+	e := &ear{heard: map[honeyplank.ServerID]honeyplank.MemberState{}, wait: map[honeyplank.ServerID]waited{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
 	before := heap()
 	g, err := gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop(), Module: func(seed int64, v map[string]any) gateway.Module {
 		e.Scheduler = policy.New(seed, v)
@@ -155,7 +155,7 @@
 		<-tick.C
 		k, id := key(i / 2 * 7919 % n)
 		e.mu.Lock()
-		e.wait[id] = waited{time.Now(), []honeyplank.MemberState{honeyplank.Draining, honeyplank.On}[i%2]}
+		e.wait[id] = waited{time.Now(), []honeyplank.MemberState{honeyplank.Draining, honeyplank.Up}[i%2]}
 		e.mu.Unlock()
 		registry.Set(k, value(i/2*7919%n, states[i%2]))
 		m.Changes++
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -32,7 +32,7 @@
 	gateway.Module
 	mu     *sync.Mutex
 	told   *[]told
-	learnt *[]honeyplank.Known
+	learnt *[]honeyplank.ServerEstimate
 }
 
 func (m tap) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
@@ -42,7 +42,7 @@
 		for _, x := range e.Members {
 			*m.told = append(*m.told, told{now, x})
 		}
-	case honeyplank.Learnt:
+	case honeyplank.SavedEstimates:
 		*m.learnt = append(*m.learnt, e.Servers...)
 	}
 	m.mu.Unlock()
@@ -55,7 +55,7 @@
 	step   atomic.Int64 // by which the wall clock is off, a time.Duration
 	mu     sync.Mutex
 	told   []told
-	learnt []honeyplank.Known
+	learnt []honeyplank.ServerEstimate
 }
 
 func (c *clocked) wall() time.Time { return time.Now().Add(time.Duration(c.step.Load())) }
@@ -83,7 +83,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range c.told {
-		if x.OSD == honeyplank.OSDID(address) {
+		if x.ID == honeyplank.ServerID(address) {
 			list = append(list, x)
 		}
 	}
@@ -216,7 +216,7 @@
 			now := c.told[0].now
 			for i, k := range c.learnt {
 				if off := now - k.At - x.want[i]; off < -100*time.Millisecond || off > time.Minute {
-					t.Errorf("%s is told as %v old, not %v", k.OSD, now-k.At, x.want[i])
+					t.Errorf("%s is told as %v old, not %v", k.Server, now-k.At, x.want[i])
 				}
 			}
 		})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -63,7 +63,7 @@
 
 	ops     *ops.Book
 	last    uint64
-	disks   map[honeyplank.OSDID]*disk
+	disks   map[honeyplank.ServerID]*disk
 	volumes map[uint32]*volume
 	advice  []time.Duration // what CRDT1 to CRDT3 stand for
 	ending  bool
@@ -109,7 +109,7 @@
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g := &Instance{o: o, s: s, loop: l, log: o.Log, module: o.Module(o.Seed, s.Values()),
-		disks: map[honeyplank.OSDID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
+		disks: map[honeyplank.ServerID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
 	g.ops = ops.New(l, g.module, sender{g})
 	g.ops.Rest, g.ops.Settled = g.act, g.check
 	offer := target.Offer{Subsystem: s.Listen.Subsystem, Serial: "HP" + strconv.Itoa(s.Scheduler.Ordinal),
@@ -204,7 +204,7 @@
 		g.loop.Post(func() { g.recall(r) })
 	}
 	// An empty list as last seen starts the module, which asks for the watch.
-	g.loop.Post(func() { g.ops.Tell(honeyplank.List{Kind: honeyplank.Remembered}) })
+	g.loop.Post(func() { g.ops.Tell(honeyplank.List{Kind: honeyplank.Cached}) })
 	if g.ask != nil {
 		g.ask()
 	}
@@ -290,7 +290,9 @@
 // Learnt asks the loop what the module knows of the disk servers; a module that doesn't tell, and an instance that has
 // ended, answer nothing.
 func (g *Instance) Learnt() (r *learnt.Record, ok bool) {
-	module, tells := g.module.(interface{ Learnt() honeyplank.Learnt })
+	module, tells := g.module.(interface {
+		Learnt() honeyplank.SavedEstimates
+	})
 	answer := make(chan *learnt.Record, 1)
 	if !tells || !g.loop.Post(func() {
 		start := g.o.Wall().Add(-g.loop.Now())
@@ -339,18 +341,18 @@
 func (g *Instance) act(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.Probe:
-		g.probe(a.OSD)
+		g.probe(a.Server)
 	case honeyplank.CloseIdle:
-		if d := g.disks[a.OSD]; d != nil {
+		if d := g.disks[a.Server]; d != nil {
 			d.closeIdle()
 		}
 	case honeyplank.Log:
 		g.log.Warn().Msg(a.Text)
 	case honeyplank.Watch:
 		if g.etcd != nil {
-			g.etcd.Watch(a.On)
-		} else if a.On { // DNS has no watch to break: it is asked all the time
-			g.ops.Tell(honeyplank.List{Kind: honeyplank.Changes})
+			g.etcd.Watch(a.Enabled)
+		} else if a.Enabled { // DNS has no watch to break: it is asked all the time
+			g.ops.Tell(honeyplank.List{Kind: honeyplank.Delta})
 		}
 	case honeyplank.Fetch:
 		if g.etcd != nil {
@@ -387,42 +389,42 @@
 	g.date(now, from, n)
 	var lists []honeyplank.List
 	switch n.Kind {
-	case honeyplank.Refused:
+	case honeyplank.WatchFailed:
 		g.log.Warn().Stringer("source", from).Err(n.Err).Msg("the list can't be followed")
 		g.book.Failed(now, from)
 		if from == belief.Etcd {
-			g.ops.Tell(honeyplank.List{Kind: honeyplank.Refused})
+			g.ops.Tell(honeyplank.List{Kind: honeyplank.WatchFailed})
 		}
 		return
-	case honeyplank.Whole:
+	case honeyplank.Complete:
 		lists = g.book.Whole(now, from, all)
 	default:
 		lists = g.book.Changes(now, from, all)
 	}
 	if from == belief.Etcd && len(lists) == 0 { // nothing new, but the watch stands
-		lists = []honeyplank.List{{Kind: honeyplank.Changes}}
+		lists = []honeyplank.List{{Kind: honeyplank.Delta}}
 	}
 	g.believe(lists, from == belief.Etcd || g.etcd == nil)
 }
 
 // statement is what a node's entry says.
 func (g *Instance) statement(now time.Duration, wall time.Time, from belief.Source, node members.Node) belief.Statement {
-	s := belief.Statement{State: belief.On, Member: honeyplank.Member{OSD: honeyplank.OSDID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
+	s := belief.Statement{State: belief.On, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
 	switch {
 	case node.Gone:
 		s.State = belief.Gone
-		g.starts[from].Removed(now, s.Member.OSD)
+		g.starts[from].Removed(now, s.Member.ID)
 		return s
 	case node.State == "draining":
 		s.State = belief.Draining
 	}
-	s.Member.Started, s.After = g.started(now, wall, from, s.Member.OSD, node.StartedMS)
+	s.Member.Started, s.After = g.started(now, wall, from, s.Member.ID, node.StartedMS)
 	return s
 }
 
 // started tells when a node that a source names has started, and what that surely came after. DNS names starts in whole
 // seconds: where the other source has named one of the same second before, it is the same.
-func (g *Instance) started(now time.Duration, wall time.Time, from belief.Source, id honeyplank.OSDID, upSinceMS int64) (started, after time.Duration) {
+func (g *Instance) started(now time.Duration, wall time.Time, from belief.Source, id honeyplank.ServerID, upSinceMS int64) (started, after time.Duration) {
 	here, there := &g.starts[from], &g.starts[1-from]
 	if other, at, since, ok := there.Known(id); ok && upSinceMS > 0 && other/1000 == upSinceMS/1000 {
 		here.Adopt(id, upSinceMS, at, since)
@@ -435,10 +437,10 @@
 // date tells what news says of the nodes that it doesn't name: starts that are named later came after it.
 func (g *Instance) date(now time.Duration, from belief.Source, n members.News) {
 	switch {
-	case n.Kind == honeyplank.Whole:
-		ids := make([]honeyplank.OSDID, len(n.Nodes))
+	case n.Kind == honeyplank.Complete:
+		ids := make([]honeyplank.ServerID, len(n.Nodes))
 		for i, node := range n.Nodes {
-			ids[i] = honeyplank.OSDID(node.Address)
+			ids[i] = honeyplank.ServerID(node.Address)
 		}
 		g.starts[from].Complete(now, ids)
 	case n.Current:
@@ -450,11 +452,11 @@
 func (g *Instance) believe(lists []honeyplank.List, watch bool) {
 	for _, l := range lists {
 		if !watch {
-			l.Kind = honeyplank.Aside
+			l.Kind = honeyplank.OutOfBand
 		}
 		for _, m := range l.Members {
-			if v, _ := g.book.View(m.OSD); m.State != honeyplank.On || v.Cause != belief.Agreed {
-				g.log.Info().Str("osd", string(m.OSD)).Stringer("believed", v.Believed).Stringer("cause", v.Cause).
+			if v, _ := g.book.View(m.ID); m.State != honeyplank.Up || v.Cause != belief.Agreed {
+				g.log.Info().Str("osd", string(m.ID)).Stringer("believed", v.Believed).Stringer("cause", v.Cause).
 					Stringer("etcd", v.Says[belief.Etcd]).Stringer("dns", v.Says[belief.DNS]).Msg("the list of disk servers")
 			}
 		}
--- a/gateway/ops.go
+++ b/gateway/ops.go
@@ -21,7 +21,7 @@
 // disk is the connection to one disk server, made when something is to be sent.
 type disk struct {
 	g       *Instance
-	id      honeyplank.OSDID
+	id      honeyplank.ServerID
 	link    *initiator.Association
 	waiting []func(ready bool) // until the association stands
 	out     int
@@ -55,8 +55,8 @@
 	write := c.Opcode() == nvme.Write
 	g.ops.Take(honeyplank.Op{
 		ID: p.id, Units: float64(g.s.Units(int64(c.Bytes))), Timeout: c.Arrived + g.patience(c), Plan: v.plan,
-		Type: g.s.Type(write, int64(c.Bytes)), Key: int64(c.NSID())<<32 ^ extent, Keyed: true, Write: write,
-		Hosts: v.hosts, Volume: int64(c.NSID()), Cell: v.cells[extent%int64(len(v.cells))],
+		Type: g.s.Type(write, int64(c.Bytes)), Key: int64(c.NSID())<<32 ^ extent, HasKey: true, Write: write,
+		Schedulers: v.hosts, Volume: int64(c.NSID()), Cell: v.cells[extent%int64(len(v.cells))],
 	}, p)
 }
 
@@ -93,7 +93,7 @@
 
 // ---- To disk servers ----
 
-func (g *Instance) disk(id honeyplank.OSDID) *disk {
+func (g *Instance) disk(id honeyplank.ServerID) *disk {
 	d := g.disks[id]
 	if d == nil {
 		d = &disk{g: g, id: id}
@@ -116,9 +116,9 @@
 		switch {
 		case d.Ended():
 		case d.Over(): // its client went while the connection was made
-			d.End(honeyplank.Moot, nil, ops.Told{})
+			d.End(honeyplank.NotSent, nil, ops.Told{})
 		case !ready:
-			d.End(honeyplank.Unconnected, nil, ops.Told{})
+			d.End(honeyplank.ConnectFailed, nil, ops.Told{})
 		default:
 			k.submit(d)
 		}
@@ -188,7 +188,7 @@
 	sqe := nvme.NewRW(c.Opcode(), c.NSID(), c.SLBA(), c.Blocks())
 	cid, ok := k.link.IO.Submit(sqe, data, read, (*call)(d))
 	if !ok { // every command id is out there
-		d.End(honeyplank.Unconnected, nil, ops.Told{})
+		d.End(honeyplank.ConnectFailed, nil, ops.Told{})
 		return
 	}
 	d.Link, d.Tag = k, uint64(cid)
@@ -209,12 +209,12 @@
 		d.End(honeyplank.Reset, nil, ops.Told{})
 		return
 	}
-	code, load := honeyplank.Errored, r.Load()
+	code, load := honeyplank.Failed, r.Load()
 	switch r.Status().Code() {
 	case nvme.Success:
-		code = honeyplank.Acked
+		code = honeyplank.Succeeded
 	case nvme.TurnedAway:
-		code = honeyplank.Full
+		code = honeyplank.Rejected
 	}
 	d.End(code, r.Data, ops.Told{Used: int(load.Used), Elsewhere: float64(load.Elsewhere), Load: told(load)})
 }
@@ -228,10 +228,10 @@
 }
 
 // probe asks a disk server for its load.
-func (g *Instance) probe(id honeyplank.OSDID) {
+func (g *Instance) probe(id honeyplank.ServerID) {
 	d, at := g.disk(id), g.loop.Now()
 	tell := func(code honeyplank.Code, load nvme.Load) {
-		g.ops.Tell(honeyplank.Probed{OSD: id, Code: code, Elapsed: g.loop.Now() - at, Load: told(load)})
+		g.ops.Tell(honeyplank.ProbeResult{Server: id, Code: code, Elapsed: g.loop.Now() - at, Load: told(load)})
 	}
 	d.when(func(ready bool) {
 		sent := ready && d.link.Page(nvme.LogLoad, nvme.LoadLen, initiator.CallFunc(func(r initiator.Result) {
@@ -239,13 +239,13 @@
 			case r.Lost:
 				tell(honeyplank.Reset, nvme.Load{})
 			case r.Status() != nvme.Success || len(r.Data) < nvme.LoadLen:
-				tell(honeyplank.Errored, nvme.Load{})
+				tell(honeyplank.Failed, nvme.Load{})
 			default:
-				tell(honeyplank.Acked, nvme.ParseLoad(r.Data))
+				tell(honeyplank.Succeeded, nvme.ParseLoad(r.Data))
 			}
 		}))
 		if !sent {
-			tell(honeyplank.Unconnected, nvme.Load{})
+			tell(honeyplank.ConnectFailed, nvme.Load{})
 		}
 	})
 }
--- a/honeyplank.go
+++ b/honeyplank.go
@@ -8,26 +8,26 @@
 
 import "time"
 
-// OpID names an op and OSDID a disk server, both as the wire gives them.
+// OpID names an op and ServerID a disk server, both as the wire gives them.
 type (
-	OpID  string
-	OSDID string
+	OpID     string
+	ServerID string
 )
 
-// Kind tells what a repeat of an op may do.
-type Kind int
+// Semantics tells what a repeat of an op may do.
+type Semantics int
 
 const (
-	Replayable   Kind = iota // may run again
-	Deduplicated             // repeats are dropped inside a scope, for a time
-	OnceOnly                 // must never run twice
+	Idempotent   Semantics = iota // may run again
+	Deduplicated                  // repeats are dropped inside a scope, for a time
+	AtMostOnce                    // must never run twice
 )
 
-// Scope is the group of disk servers that drops repeats of a deduplicated op.
-type Scope int
+// DedupScope is the group of disk servers that drops repeats of a deduplicated op.
+type DedupScope int
 
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
@@ -36,39 +36,39 @@
 type Code int
 
 const (
-	Acked       Code = 1 + iota // served
-	Errored                     // an error came back; it may have run
-	Full                        // turned away unseen
-	TimedOut                    // no answer in time; it may have run
-	Unconnected                 // no connection; it never ran
-	Reset                       // the connection dropped; it may have run
-	Cancelled                   // withdrawn; it may have run
-	Moot                        // never sent
+	Succeeded     Code = 1 + iota // served
+	Failed                        // an error came back; it may have run
+	Rejected                      // turned away unseen
+	TimedOut                      // no answer in time; it may have run
+	ConnectFailed                 // no connection; it never ran
+	Reset                         // the connection dropped; it may have run
+	Cancelled                     // withdrawn; it may have run
+	NotSent                       // never sent
 )
 
 // MemberState is what the list says of a disk server.
 type MemberState int
 
 const (
-	On MemberState = iota
+	Up MemberState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // ListKind tells how to read the entries of a list event.
 type ListKind int
 
 const (
-	Changes    ListKind = iota // apply on top of the list held
-	Whole                      // replaces the list held
-	Remembered                 // the whole list as last seen, perhaps stale
-	Refused                    // a watch or fetch failed or a watch ended; no entries
-	Aside                      // changes from elsewhere than the watch, which they say nothing of
+	Delta       ListKind = iota // apply on top of the list held
+	Complete                    // replaces the list held
+	Cached                      // the whole list as last seen, perhaps stale
+	WatchFailed                 // a watch or fetch failed or a watch ended; no entries
+	OutOfBand                   // changes from elsewhere than the watch, which they say nothing of
 )
 
 // Member is a disk server as the list knows it.
 type Member struct {
-	OSD     OSDID
+	ID      ServerID
 	Started time.Duration // when it last started; 0: long ago
 	Size    float64       // a size to compare with other servers'
 	Model   int
@@ -92,78 +92,78 @@
 	}
 	// Op is a client's op that this scheduler now owes one final answer.
 	Op struct {
-		ID      OpID
-		Units   float64
-		Timeout time.Duration // the clock time at which the client gives up
-		Plan    int
-		Type    int
-		Key     int64 // piece of data read or written
-		Keyed   bool
-		Write   bool
-		Hosts   int // schedulers through which the volume's ops come
-		Retry   bool
-		Volume  int64
-		Cell    int // holder of the data, or NewObject
+		ID         OpID
+		Units      float64
+		Timeout    time.Duration // the clock time at which the client gives up
+		Plan       int
+		Type       int
+		Key        int64 // piece of data read or written
+		HasKey     bool
+		Write      bool
+		Schedulers int // schedulers through which the volume's ops come
+		Retry      bool
+		Volume     int64
+		Cell       int // holder of the data, or NewObject
 	}
 	// Outcome ends one dispatch. Done: the op has had its final answer.
 	Outcome struct {
-		Op        OpID
-		Dispatch  int
-		OSD       OSDID
-		Code      Code
-		Elapsed   time.Duration
-		Done      bool
-		Used      int     // 1 + percent of the plan's rate served everywhere; 0: not told
-		Elsewhere float64 // units this server did for the volume for other schedulers
-		Load      map[string]float64
+		Op              OpID
+		Dispatch        int
+		Server          ServerID
+		Code            Code
+		Elapsed         time.Duration
+		Answered        bool
+		QuotaUsed       int     // 1 + percent of the plan's rate served everywhere; 0: not told
+		ServedElsewhere float64 // units this server did for the volume for other schedulers
+		Load            map[string]float64
 	}
-	// Began tells that a streamed answer has started.
-	Began struct {
+	// ResponseStarted tells that a streamed answer has started.
+	ResponseStarted struct {
 		Op       OpID
 		Dispatch int
-		OSD      OSDID
+		Server   ServerID
 		Elapsed  time.Duration
 	}
 	// Timer is a timer set by SetTimer that has run out.
 	Timer struct{ Name string }
-	// Probed ends a Probe.
-	Probed struct {
-		OSD     OSDID
+	// ProbeResult ends a Probe.
+	ProbeResult struct {
+		Server  ServerID
 		Code    Code
 		Elapsed time.Duration
 		Load    map[string]float64
 	}
-	// Peer is a message from another scheduler.
-	Peer struct {
+	// PeerMessage is a message from another scheduler.
+	PeerMessage struct {
 		From int
 		Data []byte
 	}
-	// Lapsed tells that the client has gone; nothing more is owed.
-	Lapsed struct{ Op OpID }
-	// Learnt tells, before any other event, what an instance before this one knew of the disk servers.
-	Learnt struct {
-		Usual   float64 // recent answer time of all, in seconds
-		Servers []Known
+	// ClientGone tells that the client has gone; nothing more is owed.
+	ClientGone struct{ Op OpID }
+	// SavedEstimates tells, before any other event, what an instance before this one knew of the disk servers.
+	SavedEstimates struct {
+		TypicalLatency float64 // recent answer time of all, in seconds
+		Servers        []ServerEstimate
 	}
-	// Known is what was known of a disk server. At is on the clock of the instance that is told, and may lie
+	// ServerEstimate is what was known of a disk server. At is on the clock of the instance that is told, and may lie
 	// before its start.
-	Known struct {
-		OSD     OSDID
-		At      time.Duration // when something was last learnt there
-		Best    float64       // best answer time for each unit, in seconds; 0: not known
-		Latency float64       // recent answer time, in seconds
+	ServerEstimate struct {
+		Server      ServerID
+		At          time.Duration // when something was last learnt there
+		BestPerUnit float64       // best answer time for each unit, in seconds; 0: not known
+		Latency     float64       // recent answer time, in seconds
 	}
 )
 
-func (List) event()    {}
-func (Op) event()      {}
-func (Outcome) event() {}
-func (Began) event()   {}
-func (Timer) event()   {}
-func (Probed) event()  {}
-func (Peer) event()    {}
-func (Lapsed) event()  {}
-func (Learnt) event()  {}
+func (List) event()            {}
+func (Op) event()              {}
+func (Outcome) event()         {}
+func (ResponseStarted) event() {}
+func (Timer) event()           {}
+func (ProbeResult) event()     {}
+func (PeerMessage) event()     {}
+func (ClientGone) event()      {}
+func (SavedEstimates) event()  {}
 
 // Action is one of Dispatch, Throttle, Abort, Cancel, Probe, Tell, Log,
 // Watch, Fetch, SetTimer, CloseIdle.
@@ -172,35 +172,35 @@
 type (
 	// Dispatch sends an op to a disk server; After 0: until the op timeout.
 	Dispatch struct {
-		Op    OpID
-		OSD   OSDID
-		After time.Duration
+		Op      OpID
+		Server  ServerID
+		Timeout time.Duration
 	}
-	// Throttle answers that trying again is harmless, with advice when.
-	Throttle struct {
+	// Reject answers that trying again is harmless, with advice when.
+	Reject struct {
 		Op         OpID
 		RetryAfter time.Duration
 	}
-	// Abort answers with no promise.
-	Abort struct{ Op OpID }
+	// Fail answers with no promise.
+	Fail struct{ Op OpID }
 	// Cancel stops waiting for one dispatch.
 	Cancel struct {
 		Op       OpID
 		Dispatch int
 	}
 	// Probe checks on a disk server.
-	Probe struct{ OSD OSDID }
+	Probe struct{ Server ServerID }
 	// CloseIdle shuts idle connections to a disk server.
-	CloseIdle struct{ OSD OSDID }
-	// Tell sends a message to a peer, or to all with Everyone.
-	Tell struct {
+	CloseIdle struct{ Server ServerID }
+	// Gossip sends a message to a peer, or to all with Everyone.
+	Gossip struct {
 		To   int
 		Data []byte
 	}
 	// Log adds a line to the operators' report.
 	Log struct{ Text string }
 	// Watch asks for list changes from now on.
-	Watch struct{ On bool }
+	Watch struct{ Enabled bool }
 	// Fetch asks for the whole list once.
 	Fetch struct{}
 	// SetTimer asks for a Timer event at a clock time.
@@ -210,16 +210,16 @@
 	}
 )
 
-// Everyone as Tell.To addresses every peer.
-const Everyone = -1
+// AllPeers as Tell.To addresses every peer.
+const AllPeers = -1
 
 func (Dispatch) action()  {}
-func (Throttle) action()  {}
-func (Abort) action()     {}
+func (Reject) action()    {}
+func (Fail) action()      {}
 func (Cancel) action()    {}
 func (Probe) action()     {}
 func (CloseIdle) action() {}
-func (Tell) action()      {}
+func (Gossip) action()    {}
 func (Log) action()       {}
 func (Watch) action()     {}
 func (Fetch) action()     {}
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -26,7 +26,7 @@
 	// Most bounds the removed servers that are remembered; 0: 4,096. A fleet that is larger and is left out of one list
 	// by mistake would count as started anew where it exceeds this.
 	Most    int
-	servers map[honeyplank.OSDID]*server
+	servers map[honeyplank.ServerID]*server
 	removed []removal
 	current time.Duration // when all that was told held last
 	bounded bool          // current is set
@@ -42,7 +42,7 @@
 
 // removal is an entry in the order of removals. It is out of date where the server has come back since.
 type removal struct {
-	id honeyplank.OSDID
+	id honeyplank.ServerID
 	at time.Duration
 }
 
@@ -50,7 +50,7 @@
 // wall is the wall clock at now. The first mention of an incarnation sets its start. The wall clock may place it before
 // that mention, but not before the last moment of Current or Complete, when the former one held or the server was not
 // there; without such a moment it has started now. An incarnation that comes back after its removal keeps its start.
-func (t *Tracker) Start(now time.Duration, wall time.Time, id honeyplank.OSDID, upSinceMS int64) time.Duration {
+func (t *Tracker) Start(now time.Duration, wall time.Time, id honeyplank.ServerID, upSinceMS int64) time.Duration {
 	s := t.servers[id]
 	if s == nil || s.upSinceMS != upSinceMS {
 		s = &server{upSinceMS: upSinceMS}
@@ -75,16 +75,16 @@
 	return max(now-min(named, longest), 1), after
 }
 
-func (t *Tracker) keep(id honeyplank.OSDID, s *server) {
+func (t *Tracker) keep(id honeyplank.ServerID, s *server) {
 	if t.servers == nil {
-		t.servers = map[honeyplank.OSDID]*server{}
+		t.servers = map[honeyplank.ServerID]*server{}
 	}
 	t.servers[id] = s
 }
 
 // Known tells which start of a server was mentioned last, removed or not, and when it was. after is a time that the
 // start came after both by the wall clock and by what held before it; 0: that can't be told.
-func (t *Tracker) Known(id honeyplank.OSDID) (upSinceMS int64, started, after time.Duration, ok bool) {
+func (t *Tracker) Known(id honeyplank.ServerID) (upSinceMS int64, started, after time.Duration, ok bool) {
 	s := t.servers[id]
 	if s == nil {
 		return 0, 0, 0, false
@@ -94,7 +94,7 @@
 
 // Adopt takes over when an incarnation has started from what another source has told of it, before its first mention
 // here; one that is known here stays as it is.
-func (t *Tracker) Adopt(id honeyplank.OSDID, upSinceMS int64, started, after time.Duration) {
+func (t *Tracker) Adopt(id honeyplank.ServerID, upSinceMS int64, started, after time.Duration) {
 	if s := t.servers[id]; s == nil || s.upSinceMS != upSinceMS {
 		t.keep(id, &server{upSinceMS: upSinceMS, started: started, after: after})
 	}
@@ -110,8 +110,8 @@
 
 // Complete tells that a whole list has just been heard, after its mentions: servers that it does not name are removed.
 // Current is implied.
-func (t *Tracker) Complete(now time.Duration, ids []honeyplank.OSDID) {
-	named := make(map[honeyplank.OSDID]bool, len(ids))
+func (t *Tracker) Complete(now time.Duration, ids []honeyplank.ServerID) {
+	named := make(map[honeyplank.ServerID]bool, len(ids))
 	for _, id := range ids {
 		named[id] = true
 	}
@@ -124,7 +124,7 @@
 }
 
 // Removed tells that a server is not listed any more. It is remembered for a while.
-func (t *Tracker) Removed(now time.Duration, id honeyplank.OSDID) {
+func (t *Tracker) Removed(now time.Duration, id honeyplank.ServerID) {
 	s := t.servers[id]
 	if s == nil || s.gone {
 		return
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -98,12 +98,12 @@
 	}
 }
 
-const id = honeyplank.OSDID("osd")
+const id = honeyplank.ServerID("osd")
 
 func (k *Tracker) run(t *testing.T, i int, x step) {
 	t.Helper()
 	wall := born.Add(x.at + x.wall)
-	var ids []honeyplank.OSDID
+	var ids []honeyplank.ServerID
 	if x.what != "removed" && x.what != "current" && x.up != absent {
 		ids = append(ids, id)
 		if got := k.Start(x.at, wall, id, upSince(x.up)); got != x.want {
@@ -149,15 +149,15 @@
 	for _, way := range []string{"list", "partial", "flapping"} {
 		k := Tracker{Most: most}
 		now := s
-		name := func(round, i int) honeyplank.OSDID {
+		name := func(round, i int) honeyplank.ServerID {
 			if way == "flapping" {
 				round = 0
 			}
-			return honeyplank.OSDID(fmt.Sprint(round, "/", i))
+			return honeyplank.ServerID(fmt.Sprint(round, "/", i))
 		}
 		for round := range rounds {
 			now += s
-			var ids []honeyplank.OSDID
+			var ids []honeyplank.ServerID
 			for i := range fleet {
 				if round > 0 && way != "list" {
 					k.Removed(now, name(round-1, i))
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -27,27 +27,27 @@
 	m := message{Inst: inst}
 	switch a := action.(type) {
 	case honeyplank.Dispatch:
-		m.Op, m.Job, m.Server, m.GiveUp = "assign", string(a.Op), string(a.OSD), millis(a.After)
-	case honeyplank.Throttle:
+		m.Op, m.Job, m.Server, m.GiveUp = "assign", string(a.Op), string(a.Server), millis(a.Timeout)
+	case honeyplank.Reject:
 		m.Op, m.Job, m.Backoff = "push_back", string(a.Op), millis(a.RetryAfter)
-	case honeyplank.Abort:
+	case honeyplank.Fail:
 		m.Op, m.Job = "respond_error", string(a.Op)
 	case honeyplank.Cancel:
 		m.Op, m.Job, m.Leg = "call_off", string(a.Op), &a.Dispatch
 	case honeyplank.Probe:
-		m.Op, m.Server = "test", string(a.OSD)
+		m.Op, m.Server = "test", string(a.Server)
 	case honeyplank.CloseIdle:
-		m.Op, m.Server = "release", string(a.OSD)
-	case honeyplank.Tell:
+		m.Op, m.Server = "release", string(a.Server)
+	case honeyplank.Gossip:
 		raw := hex.EncodeToString(a.Data)
 		m.Op, m.Addressee, m.Raw = "say", a.To, &raw
-		if a.To == honeyplank.Everyone {
+		if a.To == honeyplank.AllPeers {
 			m.Addressee = "*"
 		}
 	case honeyplank.Log:
 		m.Op, m.Text = "print", a.Text
 	case honeyplank.Watch:
-		m.Op, m.Enable = "track", &a.On
+		m.Op, m.Enable = "track", &a.Enabled
 	case honeyplank.Fetch:
 		m.Op = "read_list"
 	case honeyplank.SetTimer:
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -23,12 +23,12 @@
 }
 
 var listKinds = map[string]honeyplank.ListKind{
-	"changes": honeyplank.Changes, "all": honeyplank.Whole,
-	"remembered": honeyplank.Remembered, "refused": honeyplank.Refused,
+	"changes": honeyplank.Delta, "all": honeyplank.Complete,
+	"remembered": honeyplank.Cached, "refused": honeyplank.WatchFailed,
 }
 
 var memberStates = map[string]honeyplank.MemberState{
-	"on": honeyplank.On, "fading": honeyplank.Draining, "off": honeyplank.Gone,
+	"on": honeyplank.Up, "fading": honeyplank.Draining, "off": honeyplank.Removed,
 }
 
 func decodeList(raw []byte, _ []string) (honeyplank.Event, error) {
@@ -59,7 +59,7 @@
 			return nil, fmt.Errorf("readiness %q is unknown", n.Readiness)
 		}
 		l.Members = append(l.Members, honeyplank.Member{
-			OSD: honeyplank.OSDID(n.Server), Started: span(n.StartMS), Size: n.Capacity,
+			ID: honeyplank.ServerID(n.Server), Started: span(n.StartMS), Size: n.Capacity,
 			Model: n.Kind, Zone: n.AZ, Cell: n.Cell, State: state,
 		})
 	}
@@ -85,7 +85,7 @@
 	}
 	op := honeyplank.Op{
 		ID: honeyplank.OpID(m.Job), Units: m.Units, Timeout: span(m.Deadline), Plan: m.Tier,
-		Type: m.Priority, Keyed: m.Chunk != nil, Write: m.IsWrite, Hosts: int(m.SetSize),
+		Type: m.Priority, HasKey: m.Chunk != nil, Write: m.IsWrite, Schedulers: int(m.SetSize),
 		Retry: m.Retry, Volume: m.Share,
 	}
 	if m.Chunk != nil {
@@ -117,14 +117,14 @@
 		return nil, err
 	}
 	return honeyplank.Outcome{
-		Op: honeyplank.OpID(m.Job), Dispatch: m.Leg, OSD: honeyplank.OSDID(m.Server), Code: code,
-		Elapsed: span(m.Elapsed), Done: m.Done, Used: m.Use, Elsewhere: m.Foreign,
+		Op: honeyplank.OpID(m.Job), Dispatch: m.Leg, Server: honeyplank.ServerID(m.Server), Code: code,
+		Elapsed: span(m.Elapsed), Answered: m.Done, QuotaUsed: m.Use, ServedElsewhere: m.Foreign,
 		Load: report(m.Load, fields),
 	}, nil
 }
 
 func outcomeCode(code int) (honeyplank.Code, error) {
-	if code < int(honeyplank.Acked) || code > int(honeyplank.Moot) {
+	if code < int(honeyplank.Succeeded) || code > int(honeyplank.NotSent) {
 		return 0, fmt.Errorf("state_code %d is unknown", code)
 	}
 	return honeyplank.Code(code), nil
@@ -157,8 +157,8 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, err
 	}
-	return honeyplank.Began{Op: honeyplank.OpID(m.Job), Dispatch: m.Leg,
-		OSD: honeyplank.OSDID(m.Server), Elapsed: span(m.Elapsed)}, nil
+	return honeyplank.ResponseStarted{Op: honeyplank.OpID(m.Job), Dispatch: m.Leg,
+		Server: honeyplank.ServerID(m.Server), Elapsed: span(m.Elapsed)}, nil
 }
 
 func decodeTimer(raw []byte, _ []string) (honeyplank.Event, error) {
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return honeyplank.Probed{OSD: honeyplank.OSDID(m.Server), Code: code,
+	return honeyplank.ProbeResult{Server: honeyplank.ServerID(m.Server), Code: code,
 		Elapsed: span(m.Elapsed), Load: report(m.Load, fields)}, nil
 }
 
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("raw: %w", err)
 	}
-	return honeyplank.Peer{From: m.From, Data: data}, nil
+	return honeyplank.PeerMessage{From: m.From, Data: data}, nil
 }
 
 func decodeLapsed(raw []byte, _ []string) (honeyplank.Event, error) {
@@ -211,5 +211,5 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, err
 	}
-	return honeyplank.Lapsed{Op: honeyplank.OpID(m.Job)}, nil
+	return honeyplank.ClientGone{Op: honeyplank.OpID(m.Job)}, nil
 }
--- a/internal/wire/provision.go
+++ b/internal/wire/provision.go
@@ -84,12 +84,12 @@
 	Step float64 `json:"step_ms"`
 }
 
-var kinds = map[string]honeyplank.Kind{
-	"": honeyplank.Replayable, "pure": honeyplank.Replayable,
-	"token": honeyplank.Deduplicated, "side_effect": honeyplank.OnceOnly,
+var kinds = map[string]honeyplank.Semantics{
+	"": honeyplank.Idempotent, "pure": honeyplank.Idempotent,
+	"token": honeyplank.Deduplicated, "side_effect": honeyplank.AtMostOnce,
 }
 
-var scopes = map[string]honeyplank.Scope{
+var scopes = map[string]honeyplank.DedupScope{
 	"": honeyplank.ScopeAll, "all": honeyplank.ScopeAll,
 	"zone": honeyplank.ScopeZone, "cell": honeyplank.ScopeCell,
 }
@@ -134,8 +134,8 @@
 func (f *siteFigures) values() (map[string]any, error) {
 	var target, timeout, remember []time.Duration
 	var utility, late []float64
-	var kind []honeyplank.Kind
-	var scope []honeyplank.Scope
+	var kind []honeyplank.Semantics
+	var scope []honeyplank.DedupScope
 	var ordered []bool
 	for i, c := range f.Classes {
 		k, ok := kinds[c.Semantics]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,8 +14,8 @@
 func (echo) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 	switch e := e.(type) {
 	case honeyplank.Op:
-		return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, OSD: "a:1", After: 80 * time.Millisecond},
-			honeyplank.Tell{To: 0, Data: []byte("hi")}, honeyplank.Watch{}, honeyplank.Cancel{Op: e.ID}}
+		return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "a:1", Timeout: 80 * time.Millisecond},
+			honeyplank.Gossip{To: 0, Data: []byte("hi")}, honeyplank.Watch{}, honeyplank.Cancel{Op: e.ID}}
 	case honeyplank.Timer:
 		panic(e.Name)
 	}
--- a/learnt/learnt.go
+++ b/learnt/learnt.go
@@ -91,22 +91,22 @@
 }
 
 // Of puts what a module knows into a record; at turns its clock into the wall's.
-func Of(l honeyplank.Learnt, unit int64, at func(time.Duration) time.Time) *Record {
-	r := &Record{Unit: unit, Usual: l.Usual}
+func Of(l honeyplank.SavedEstimates, unit int64, at func(time.Duration) time.Time) *Record {
+	r := &Record{Unit: unit, Usual: l.TypicalLatency}
 	for _, k := range l.Servers {
-		r.Servers = append(r.Servers, Server{string(k.OSD), at(k.At), k.Best, k.Latency})
+		r.Servers = append(r.Servers, Server{string(k.Server), at(k.At), k.BestPerUnit, k.Latency})
 	}
 	return r
 }
 
 // For is what a record tells an instance whose units are so large. Where they differ, a time for each unit means
 // something else and is left out.
-func (r *Record) For(unit int64, span func(time.Time) time.Duration) honeyplank.Learnt {
-	l := honeyplank.Learnt{Usual: r.Usual}
+func (r *Record) For(unit int64, span func(time.Time) time.Duration) honeyplank.SavedEstimates {
+	l := honeyplank.SavedEstimates{TypicalLatency: r.Usual}
 	for _, s := range r.Servers {
-		k := honeyplank.Known{OSD: honeyplank.OSDID(s.OSD), At: span(s.At), Best: s.Best, Latency: s.Latency}
+		k := honeyplank.ServerEstimate{Server: honeyplank.ServerID(s.OSD), At: span(s.At), BestPerUnit: s.Best, Latency: s.Latency}
 		if r.Unit != unit {
-			k.Best = 0
+			k.BestPerUnit = 0
 		}
 		l.Servers = append(l.Servers, k)
 	}
--- a/learnt/learnt_test.go
+++ b/learnt/learnt_test.go
@@ -57,10 +57,10 @@
 func TestOtherUnits(t *testing.T) {
 	span := func(at time.Time) time.Duration { return at.Sub(time.UnixMilli(0)) }
 	same, other := record().For(16<<10, span), record().For(4<<10, span)
-	if k := same.Servers[1]; k != (honeyplank.Known{OSD: "127.0.0.1:5002", At: 2000 * time.Second, Best: 0.02, Latency: 0.3}) {
+	if k := same.Servers[1]; k != (honeyplank.ServerEstimate{Server: "127.0.0.1:5002", At: 2000 * time.Second, BestPerUnit: 0.02, Latency: 0.3}) {
 		t.Errorf("same units: %+v", k)
 	}
-	if k := other.Servers[1]; k.Best != 0 || k.Latency != 0.3 {
+	if k := other.Servers[1]; k.BestPerUnit != 0 || k.Latency != 0.3 {
 		t.Errorf("other units: %+v", k)
 	}
 	if back := Of(same, 16<<10, func(d time.Duration) time.Time { return time.UnixMilli(0).Add(d).UTC() }); !reflect.DeepEqual(back, record()) {
--- a/members/dns.go
+++ b/members/dns.go
@@ -83,7 +83,7 @@
 			if !d.asker.Failed(time.Since(start)) {
 				continue
 			}
-			news = News{Kind: honeyplank.Refused, Err: failures}
+			news = News{Kind: honeyplank.WatchFailed, Err: failures}
 		} else {
 			d.asker.Answered(time.Since(start), time.Duration(life)*time.Second)
 		}
@@ -99,7 +99,7 @@
 
 // list gets the SRV records and the addresses of their targets from one server, with the shortest lifetime.
 func (d *DNS) list(server string) (News, uint32, error) {
-	news := News{Kind: honeyplank.Whole}
+	news := News{Kind: honeyplank.Complete}
 	m, err := d.ask(server, d.t.Name, dns.TypeSRV)
 	var negative errNegative
 	if errors.As(err, &negative) { // an answer: there is none
--- a/members/dns_test.go
+++ b/members/dns_test.go
@@ -77,10 +77,10 @@
 			}
 		}
 		n := <-news
-		if c.says != "" && (n.Kind != honeyplank.Refused || n.Err == nil || !strings.Contains(n.Err.Error(), c.says)) {
+		if c.says != "" && (n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), c.says)) {
 			t.Errorf("%s: %v, want %q", c.name, n.Err, c.says)
 		}
-		if c.says == "" && (n.Kind != honeyplank.Whole || len(n.Nodes) != c.count) {
+		if c.says == "" && (n.Kind != honeyplank.Complete || len(n.Nodes) != c.count) {
 			t.Errorf("%s: kind %d, %d nodes, %v", c.name, n.Kind, len(n.Nodes), n.Err)
 		}
 	}
--- a/members/etcd.go
+++ b/members/etcd.go
@@ -108,7 +108,7 @@
 		defer e.running.Done()
 		defer cancel()
 		if err := e.run(ctx, endpoint, watch, serial); err != nil {
-			e.locked(serial, func() (*News, error) { return &News{Kind: honeyplank.Refused, Err: err}, nil })
+			e.locked(serial, func() (*News, error) { return &News{Kind: honeyplank.WatchFailed, Err: err}, nil })
 		}
 	}()
 }
--- a/members/etcd_test.go
+++ b/members/etcd_test.go
@@ -30,7 +30,7 @@
 	for late := time.After(5 * time.Second); ; {
 		select {
 		case n := <-c:
-			if n.Kind == honeyplank.Changes && len(n.Nodes)+len(n.Skipped) == 0 && n.Err == nil && kind >= 0 {
+			if n.Kind == honeyplank.Delta && len(n.Nodes)+len(n.Skipped) == 0 && n.Err == nil && kind >= 0 {
 				continue // the watch stands
 			}
 			if n.Kind != kind {
@@ -51,44 +51,44 @@
 	}
 	s.Set("/honeyplank/other", []byte("not of the list"))
 	e.Watch(true)
-	if n := next(t, news, honeyplank.Whole); len(n.Nodes) != 2500 || n.Nodes[0].Cell != 3 || n.Nodes[0].StartedMS != 5 {
+	if n := next(t, news, honeyplank.Complete); len(n.Nodes) != 2500 || n.Nodes[0].Cell != 3 || n.Nodes[0].StartedMS != 5 {
 		t.Fatalf("%d nodes", len(n.Nodes))
 	}
 	a := "127.0.0.1:1000"
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":3}`))
-	if n := next(t, news, honeyplank.Changes).Nodes; len(n) != 1 || n[0].Address != a || n[0].State != "draining" {
+	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 1 || n[0].Address != a || n[0].State != "draining" {
 		t.Errorf("%+v", n)
 	}
 	s.Delete(prefix + a)
-	if n := next(t, news, honeyplank.Changes).Nodes; len(n) != 1 || !n[0].Gone || n[0].Cell != 3 {
+	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 1 || !n[0].Gone || n[0].Cell != 3 {
 		t.Errorf("%+v", n)
 	}
 	s.Break()
-	if n := next(t, news, honeyplank.Refused); n.Err == nil || len(n.Nodes) > 0 {
+	if n := next(t, news, honeyplank.WatchFailed); n.Err == nil || len(n.Nodes) > 0 {
 		t.Errorf("%+v", n)
 	}
 	s.Set(prefix+a, []byte(`{"state":"on","cell":9}`)) // nobody watches
 	s.Delete(prefix + "127.0.0.1:1001")
 	e.Watch(true)
-	if n := next(t, news, honeyplank.Changes).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Gone {
+	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Gone {
 		t.Errorf("after the break, from the revision told last: %+v", n)
 	}
 	s.Break()
-	next(t, news, honeyplank.Refused)
+	next(t, news, honeyplank.WatchFailed)
 	s.Delete(prefix + "127.0.0.1:1002")
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":8}`))
 	s.Forget() // the drain and the loss are history that is gone
 	e.Watch(true)
-	if n := next(t, news, honeyplank.Whole); len(n.Nodes) != 2498 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
+	if n := next(t, news, honeyplank.Complete); len(n.Nodes) != 2498 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
 		t.Errorf("after compaction: %d nodes, the first %+v", len(n.Nodes), n.Nodes[0])
 	}
 	s.Apply(map[string][]byte{prefix + "127.0.0.1:1003": nil, prefix + "127.0.0.1:1004": []byte(`{"state":"draining"}`), prefix + "127.0.0.1:1005": nil})
-	if n := next(t, news, honeyplank.Changes).Nodes; len(n) != 3 {
+	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 3 {
 		t.Errorf("of one revision, %d changes came together", len(n))
 	}
 	e.Fetch()
-	next(t, news, honeyplank.Whole)
+	next(t, news, honeyplank.Complete)
 	e.Watch(false)
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
 	select {
@@ -107,11 +107,11 @@
 	}
 	s.Set(prefix+"no address", []byte(`{"state":"on"}`))
 	e.Watch(true)
-	if n := next(t, news, honeyplank.Whole); len(n.Nodes) != 1 || len(n.Skipped) != 6 {
+	if n := next(t, news, honeyplank.Complete); len(n.Nodes) != 1 || len(n.Skipped) != 6 {
 		t.Errorf("%d nodes, %d skipped", len(n.Nodes), len(n.Skipped))
 	}
 	s.Set(prefix+"127.0.0.1:1", []byte("gibberish"))
-	if n := next(t, news, honeyplank.Changes); len(n.Nodes) != 0 || len(n.Skipped) != 1 {
+	if n := next(t, news, honeyplank.Delta); len(n.Nodes) != 0 || len(n.Skipped) != 1 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -122,11 +122,11 @@
 	s.Down(true)
 	for range 3 {
 		e.Watch(true)
-		next(t, news, honeyplank.Refused)
+		next(t, news, honeyplank.WatchFailed)
 	}
 	s.Close()
 	e.Watch(true)
-	next(t, news, honeyplank.Refused)
+	next(t, news, honeyplank.WatchFailed)
 }
 
 // TestMute has a watch stay open and deliver nothing, not even progress: it counts as broken, and what was missed
@@ -134,16 +134,16 @@
 func TestMute(t *testing.T) {
 	s, e, news := watch(t)
 	e.Watch(true)
-	next(t, news, honeyplank.Whole)
+	next(t, news, honeyplank.Complete)
 	time.Sleep(time.Second) // a quiet watch that answers stands
 	s.Mute(true)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
-	if n := next(t, news, honeyplank.Refused); n.Err == nil {
+	if n := next(t, news, honeyplank.WatchFailed); n.Err == nil {
 		t.Error("no reason")
 	}
 	s.Mute(false)
 	e.Watch(true)
-	if n := next(t, news, honeyplank.Changes); len(n.Nodes) != 1 {
+	if n := next(t, news, honeyplank.Delta); len(n.Nodes) != 1 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -168,18 +168,18 @@
 		t.Run(name, func(t *testing.T) {
 			s, e, news := watch(t)
 			e.Watch(true)
-			next(t, news, honeyplank.Whole)
+			next(t, news, honeyplank.Complete)
 			s.Set(prefix+"127.0.0.1:2", []byte(`{"state":"on"}`))
-			next(t, news, honeyplank.Changes) // the watch stands
+			next(t, news, honeyplank.Delta) // the watch stands
 			s.Break()
-			next(t, news, honeyplank.Refused)
+			next(t, news, honeyplank.WatchFailed)
 			e.endpoints = append(e.endpoints, half(t, s))
 			e.Watch(true)
-			next(t, news, honeyplank.Refused)
+			next(t, news, honeyplank.WatchFailed)
 			s.Withhold(false)
 			s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
 			e.Watch(true)
-			if n := next(t, news, honeyplank.Changes); len(n.Nodes) != 1 {
+			if n := next(t, news, honeyplank.Delta); len(n.Nodes) != 1 {
 				t.Errorf("%+v", n)
 			}
 		})
@@ -190,11 +190,11 @@
 func TestLate(t *testing.T) {
 	s, e, news := watch(t)
 	e.Watch(true)
-	next(t, news, honeyplank.Whole)
+	next(t, news, honeyplank.Complete)
 	s.Late(600 * time.Millisecond) // three times as long as it may be quiet before it is asked
 	for i := range 3 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1+i), []byte(`{"state":"on"}`))
-		if n := next(t, news, honeyplank.Changes); len(n.Nodes) != 1 {
+		if n := next(t, news, honeyplank.Delta); len(n.Nodes) != 1 {
 			t.Errorf("%+v", n)
 		}
 	}
@@ -205,18 +205,18 @@
 func TestLongHistory(t *testing.T) {
 	s, e, news := watch(t)
 	e.Watch(true)
-	next(t, news, honeyplank.Whole)
+	next(t, news, honeyplank.Complete)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
-	next(t, news, honeyplank.Changes) // the watch stands
+	next(t, news, honeyplank.Delta) // the watch stands
 	s.Break()
-	next(t, news, honeyplank.Refused)
+	next(t, news, honeyplank.WatchFailed)
 	for i := range 3500 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1000+i), []byte(`{"state":"on"}`))
 	}
 	e.Watch(true)
 	told := 0
 	for told < 3500 {
-		told += len(next(t, news, honeyplank.Changes).Nodes)
+		told += len(next(t, news, honeyplank.Delta).Nodes)
 	}
 	if told != 3500 {
 		t.Errorf("%d of 3500 told", told)
--- a/members/watch.go
+++ b/members/watch.go
@@ -150,7 +150,7 @@
 		return nil, errHistory
 	}
 	// Nothing may come for long: the watch stands.
-	return &News{Kind: honeyplank.Changes, Current: r.Header.Revision == l.revision}, nil
+	return &News{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
 // anew gives up the history told: the whole list is needed.
@@ -165,7 +165,7 @@
 func (l *list) progress(r *etcdserverpb.WatchResponse) (*News, error) {
 	l.revision = max(l.revision, r.Header.Revision)
 	l.last = max(l.last, l.revision)
-	return &News{Kind: honeyplank.Changes, Current: r.Header.Revision == l.revision}, nil
+	return &News{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
 // hold takes the events of a response, or of a piece of one. What was told already is passed over.
@@ -188,7 +188,7 @@
 	if _, err := l.hold(r); err != nil {
 		return nil, err
 	}
-	news := &News{Kind: honeyplank.Changes, Nodes: l.held, Skipped: l.skipped}
+	news := &News{Kind: honeyplank.Delta, Nodes: l.held, Skipped: l.skipped}
 	l.drop()
 	l.revision = max(l.revision, l.last)
 	if len(news.Nodes)+len(news.Skipped) == 0 {
@@ -281,11 +281,11 @@
 // whole puts what was read in the place of what was told, unless a watch that stands has told of later revisions.
 func (l *list) whole(r *reading) *News {
 	if r.revision < l.revision && (l.state == stands || l.state == pieces) {
-		return &News{Kind: honeyplank.Changes}
+		return &News{Kind: honeyplank.Delta}
 	}
 	l.known, l.revision = make(map[string]Node, len(r.held)), r.revision
 	for _, n := range r.held {
 		l.known[n.Address] = n
 	}
-	return &News{Kind: honeyplank.Whole, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
+	return &News{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
 }
--- a/ops/ops.go
+++ b/ops/ops.go
@@ -74,7 +74,7 @@
 
 // Dispatch is one sending of an op to a disk server.
 type Dispatch struct {
-	OSD   honeyplank.OSDID
+	OSD   honeyplank.ServerID
 	At    time.Duration
 	Until time.Duration // clock time at which the wait for it ends
 	// Link and Tag are the sender's own.
@@ -118,7 +118,7 @@
 	if p := b.owe(id); p != nil {
 		b.Counts.Lapsed++
 		b.close(p)
-		b.Tell(honeyplank.Lapsed{Op: id})
+		b.Tell(honeyplank.ClientGone{Op: id})
 		b.recall(p)
 	}
 }
@@ -139,7 +139,7 @@
 		b.Counts.Aborted++
 		b.close(p)
 		p.client.Aborted()
-		b.Tell(honeyplank.Lapsed{Op: p.id})
+		b.Tell(honeyplank.ClientGone{Op: p.id})
 		b.recall(p)
 	}
 }
@@ -177,14 +177,14 @@
 	switch a := action.(type) {
 	case honeyplank.Dispatch:
 		b.dispatch(a)
-	case honeyplank.Throttle:
+	case honeyplank.Reject:
 		if p := b.owe(a.Op); p != nil {
 			b.Counts.Throttled++
 			b.close(p)
 			p.client.Throttled(a.RetryAfter)
 			b.recall(p)
 		}
-	case honeyplank.Abort:
+	case honeyplank.Fail:
 		if p := b.owe(a.Op); p != nil {
 			b.Counts.Aborted++
 			b.close(p)
@@ -224,7 +224,7 @@
 func (b *Book) recall(p *op) {
 	for i := 0; i < len(p.sends); i++ {
 		if d := p.sends[i]; !d.done && !b.to.Written(d) {
-			d.stop(honeyplank.Moot)
+			d.stop(honeyplank.NotSent)
 		}
 	}
 }
@@ -248,15 +248,15 @@
 	} else {
 		p.sends = p.room[:0]
 	}
-	*d = Dispatch{OSD: a.OSD, At: b.loop.Now(), book: b, op: p, n: len(p.sends)}
+	*d = Dispatch{OSD: a.Server, At: b.loop.Now(), book: b, op: p, n: len(p.sends)}
 	p.sends = append(p.sends, d)
 	p.live++
 	b.Counts.Dispatches++
-	if d.Until = p.timeout; a.After > 0 {
-		d.Until = min(d.Until, d.At+a.After)
+	if d.Until = p.timeout; a.Timeout > 0 {
+		d.Until = min(d.Until, d.At+a.Timeout)
 	}
 	if p.over || d.At >= p.timeout {
-		d.End(honeyplank.Moot, nil, Told{})
+		d.End(honeyplank.NotSent, nil, Told{})
 		return
 	}
 	b.loop.Arm(&d.timer, d.Until, d)
@@ -278,7 +278,7 @@
 	if d.book.to.Written(d) {
 		d.stop(honeyplank.TimedOut)
 	} else {
-		d.stop(honeyplank.Unconnected)
+		d.stop(honeyplank.ConnectFailed)
 	}
 }
 
@@ -299,14 +299,14 @@
 	b, p := d.book, d.op
 	b.loop.Cancel(&d.timer)
 	p.live--
-	if code == honeyplank.Acked && !p.over {
+	if code == honeyplank.Succeeded && !p.over {
 		b.Counts.Acked++
 		b.close(p)
 		p.client.Acked(data)
 	}
 	b.forget(p)
-	b.Tell(honeyplank.Outcome{Op: p.id, Dispatch: d.n, OSD: d.OSD, Code: code, Elapsed: b.loop.Now() - d.At, Done: p.over,
-		Used: told.Used, Elsewhere: told.Elsewhere, Load: told.Load})
+	b.Tell(honeyplank.Outcome{Op: p.id, Dispatch: d.n, Server: d.OSD, Code: code, Elapsed: b.loop.Now() - d.At, Answered: p.over,
+		QuotaUsed: told.Used, ServedElsewhere: told.Elsewhere, Load: told.Load})
 	if p.over {
 		b.recall(p)
 	}
--- a/ops/ops_test.go
+++ b/ops/ops_test.go
@@ -56,10 +56,10 @@
 	w.says = func(e honeyplank.Event) []honeyplank.Action {
 		switch e := e.(type) {
 		case honeyplank.Op:
-			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, OSD: "x"}}
+			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x"}}
 		case honeyplank.Outcome:
-			if !e.Done {
-				return []honeyplank.Action{honeyplank.Abort{Op: e.Op}}
+			if !e.Answered {
+				return []honeyplank.Action{honeyplank.Fail{Op: e.Op}}
 			}
 		}
 		return nil
@@ -104,21 +104,21 @@
 	w := start(t)
 	w.says = func(e honeyplank.Event) []honeyplank.Action {
 		if e, ok := e.(honeyplank.Op); ok {
-			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, OSD: "x"}, honeyplank.Dispatch{Op: e.ID, OSD: "y"}}
+			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x"}, honeyplank.Dispatch{Op: e.ID, Server: "y"}}
 		}
 		return nil
 	}
 	a := w.take("a", time.Second)
 	w.written[w.sent[0]], w.written[w.sent[1]] = true, true
-	w.sent[1].End(honeyplank.Acked, []byte("1"), Told{Used: 3})
+	w.sent[1].End(honeyplank.Succeeded, []byte("1"), Told{Used: 3})
 	w.sent[1].End(honeyplank.Reset, nil, Told{})
 	if w.b.Owed() != 0 || w.b.Out() != 1 {
 		t.Errorf("owed %d, out %d", w.b.Owed(), w.b.Out())
 	}
-	w.sent[0].End(honeyplank.Acked, []byte("2"), Told{})
+	w.sent[0].End(honeyplank.Succeeded, []byte("2"), Told{})
 	same(t, a, "acked 1")
 	got := w.outcomes()
-	if len(got) != 2 || got[0].Dispatch != 1 || got[0].Used != 3 || !got[0].Done || got[1].Dispatch != 0 || !got[1].Done {
+	if len(got) != 2 || got[0].Dispatch != 1 || got[0].QuotaUsed != 3 || !got[0].Answered || got[1].Dispatch != 0 || !got[1].Answered {
 		t.Errorf("%+v", got)
 	}
 	if len(w.b.ops) != 0 {
@@ -135,7 +135,7 @@
 	same(t, a, "aborted")
 	same(t, b, "aborted")
 	got := w.outcomes()
-	if len(got) != 2 || got[0].Code != honeyplank.TimedOut || got[1].Code != honeyplank.Unconnected || len(w.stopped) != 2 {
+	if len(got) != 2 || got[0].Code != honeyplank.TimedOut || got[1].Code != honeyplank.ConnectFailed || len(w.stopped) != 2 {
 		t.Errorf("%+v, %d stopped", got, len(w.stopped))
 	}
 }
@@ -146,9 +146,9 @@
 	w.says = func(e honeyplank.Event) []honeyplank.Action {
 		switch e := e.(type) {
 		case honeyplank.Op:
-			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, OSD: "x", After: 10 * time.Millisecond}}
+			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x", Timeout: 10 * time.Millisecond}}
 		case honeyplank.Outcome:
-			return []honeyplank.Action{honeyplank.Throttle{Op: e.Op, RetryAfter: time.Second}}
+			return []honeyplank.Action{honeyplank.Reject{Op: e.Op, RetryAfter: time.Second}}
 		}
 		return nil
 	}
@@ -169,7 +169,7 @@
 	if w.b.Take(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
 		t.Error("an id with a dispatch out is taken twice")
 	}
-	w.sent[0].End(honeyplank.Acked, nil, Told{})
+	w.sent[0].End(honeyplank.Succeeded, nil, Told{})
 	same(t, a)
 	same(t, again)
 	if !w.b.Take(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
@@ -182,16 +182,16 @@
 func TestRecalled(t *testing.T) {
 	for name, end := range map[string]func(*world){
 		"leave":     func(w *world) { w.b.Lapse("a") },
-		"ack":       func(w *world) { w.sent[1].End(honeyplank.Acked, nil, Told{}) },
-		"throttled": func(w *world) { w.b.act(honeyplank.Throttle{Op: "a"}) },
-		"aborted":   func(w *world) { w.b.act(honeyplank.Abort{Op: "a"}) },
+		"ack":       func(w *world) { w.sent[1].End(honeyplank.Succeeded, nil, Told{}) },
+		"throttled": func(w *world) { w.b.act(honeyplank.Reject{Op: "a"}) },
+		"aborted":   func(w *world) { w.b.act(honeyplank.Fail{Op: "a"}) },
 		"all":       func(w *world) { w.b.AbortAll() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t)
 			w.says = func(e honeyplank.Event) []honeyplank.Action {
 				if e, ok := e.(honeyplank.Op); ok {
-					d := honeyplank.Dispatch{Op: e.ID, OSD: "x"}
+					d := honeyplank.Dispatch{Op: e.ID, Server: "x"}
 					return []honeyplank.Action{d, d, d}
 				}
 				return nil
@@ -204,15 +204,15 @@
 			}
 			var moot []int
 			for _, o := range w.outcomes() {
-				if o.Code == honeyplank.Moot && o.Done {
+				if o.Code == honeyplank.NotSent && o.Answered {
 					moot = append(moot, o.Dispatch)
 				}
 			}
 			if fmt.Sprint(moot) != "[2]" {
 				t.Errorf("%v are told as never sent", moot)
 			}
-			w.sent[0].End(honeyplank.Acked, nil, Told{})
-			w.sent[1].End(honeyplank.Acked, nil, Told{})
+			w.sent[0].End(honeyplank.Succeeded, nil, Told{})
+			w.sent[1].End(honeyplank.Succeeded, nil, Told{})
 			if w.b.Out() != 0 || len(w.b.ops) != 0 {
 				t.Errorf("%d out, %d ops kept", w.b.Out(), len(w.b.ops))
 			}
@@ -223,7 +223,7 @@
 // TestOrder: what happens while the module is told waits its turn.
 func TestOrder(t *testing.T) {
 	w := start(t)
-	w.send = func(d *Dispatch) { d.End(honeyplank.Full, nil, Told{}) }
+	w.send = func(d *Dispatch) { d.End(honeyplank.Rejected, nil, Told{}) }
 	depth, most := 0, 0
 	says := w.says
 	w.says = func(e honeyplank.Event) []honeyplank.Action {
@@ -244,7 +244,7 @@
 	w := start(t)
 	a := w.take("a", 0)
 	same(t, a, "aborted")
-	if got := w.outcomes(); len(got) != 1 || got[0].Code != honeyplank.Moot || len(w.sent) != 0 {
+	if got := w.outcomes(); len(got) != 1 || got[0].Code != honeyplank.NotSent || len(w.sent) != 0 {
 		t.Errorf("%+v, %d sent", got, len(w.sent))
 	}
 }
@@ -290,12 +290,12 @@
 				case 0, 1:
 					if w.b.ops[id] != nil {
 						dispatched++
-						out = append(out, honeyplank.Dispatch{Op: id, OSD: "x"})
+						out = append(out, honeyplank.Dispatch{Op: id, Server: "x"})
 					}
 				case 2:
-					out = append(out, honeyplank.Throttle{Op: id})
+					out = append(out, honeyplank.Reject{Op: id})
 				case 3:
-					out = append(out, honeyplank.Abort{Op: id})
+					out = append(out, honeyplank.Fail{Op: id})
 				case 4:
 					out = append(out, honeyplank.Cancel{Op: id, Dispatch: rng.Intn(3)})
 				}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -45,7 +45,7 @@
 type arrival struct {
 	op    honeyplank.OpID
 	n     int
-	osd   honeyplank.OSDID
+	osd   honeyplank.ServerID
 	host  int
 	at    time.Duration
 	units float64
@@ -106,7 +106,7 @@
 	for i := range hosts {
 		hosts[i] = New(seed+int64(i), set)
 		at := now + time.Duration(rng.Int63n(int64(100*ms)))
-		add(at, i, honeyplank.List{Kind: honeyplank.Whole, Members: members})
+		add(at, i, honeyplank.List{Kind: honeyplank.Complete, Members: members})
 		// Each cold one comes in the place of another, under an id of its own, told within a part of a second.
 		starts := []time.Duration{begin}
 		if f.again > 0 {
@@ -117,10 +117,10 @@
 			var news []honeyplank.Member
 			for k := range max(f.cold, 1) {
 				gone, fresh := member(k, 0), member(k, start)
-				gone.State, fresh.OSD = honeyplank.Gone, cold(k)
+				gone.State, fresh.ID = honeyplank.Removed, cold(k)
 				news = append(news, gone, fresh)
 			}
-			add(at, i, honeyplank.List{Kind: honeyplank.Changes, Members: news})
+			add(at, i, honeyplank.List{Kind: honeyplank.Delta, Members: news})
 		}
 	}
 	started := func(at time.Duration) time.Duration {
@@ -143,7 +143,7 @@
 				rate *= f.burst
 			}
 			at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(cell, "/", n)), Hosts: f.hosts, Cell: cell,
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(cell, "/", n)), Schedulers: f.hosts, Cell: cell,
 				Units: 1 + float64(rng.Intn(3)), Timeout: at + patience, Volume: rng.Int63n(50)}
 			if f.late > 0 { // a class with time to wait for its connection
 				op.Type = 1
@@ -156,7 +156,7 @@
 			if f.hot && cell == 0 && rng.Intn(2) == 0 {
 				v = 0
 			}
-			op.Hosts, op.Volume = f.through, int64(7*cell+v)
+			op.Schedulers, op.Volume = f.through, int64(7*cell+v)
 			add(at, (7*cell+v+rng.Intn(f.through)*101)%f.hosts, op)
 		}
 	}
@@ -172,7 +172,7 @@
 		sends, tries int
 	}
 	ops := map[honeyplank.OpID]*open{}
-	logs := map[honeyplank.OSDID][]arrival{}
+	logs := map[honeyplank.ServerID][]arrival{}
 	for len(a) > 0 {
 		d := heap.Pop(&a).(due)
 		now = d.at
@@ -186,14 +186,14 @@
 				ops[e.ID] = &open{Op: e}
 			}
 		case honeyplank.List:
-			if e.Kind == honeyplank.Changes {
+			if e.Kind == honeyplank.Delta {
 				told[h.host] = started(now)
 			}
 		case reaches:
-			ended := honeyplank.Outcome{Op: e.op, Dispatch: e.n, OSD: e.osd, Code: honeyplank.Acked, Done: true}
+			ended := honeyplank.Outcome{Op: e.op, Dispatch: e.n, Server: e.osd, Code: honeyplank.Succeeded, Answered: true}
 			took := 20*ms + time.Duration(rng.Int63n(int64(30*ms)))
 			if e.never != 0 {
-				ended.Code, ended.Done, took = e.never, false, 0
+				ended.Code, ended.Answered, took = e.never, false, 0
 			} else if strings.HasPrefix(string(e.osd), "cold") {
 				sent++
 				e.at, e.told = now, told[h.host] == started(now)
@@ -207,20 +207,20 @@
 			switch x := action.(type) {
 			case honeyplank.Dispatch:
 				op := ops[x.Op]
-				r := reaches{arrival: arrival{op: x.Op, n: op.sends, osd: x.OSD, host: h.host, units: op.Units},
+				r := reaches{arrival: arrival{op: x.Op, n: op.sends, osd: x.Server, host: h.host, units: op.Units},
 					decided: now, timeout: op.Timeout}
 				op.sends++
 				up := now
-				if strings.HasPrefix(string(x.OSD), "cold") {
+				if strings.HasPrefix(string(x.Server), "cold") {
 					up = max(now, started(now)+f.late)
 				}
 				if within := now + f.connect; up > within && within < op.Timeout {
-					up, r.never = within, honeyplank.Unconnected
+					up, r.never = within, honeyplank.ConnectFailed
 				} else if up > op.Timeout {
 					up, r.never = op.Timeout, honeyplank.TimedOut
 				}
 				add(up, h.host, r)
-			case honeyplank.Throttle:
+			case honeyplank.Reject:
 				if op := ops[x.Op]; f.retries && op.tries < 3 {
 					again := open{op.Op, 0, op.tries + 1}
 					again.ID = honeyplank.OpID(fmt.Sprint(x.Op, "+"))
@@ -254,7 +254,7 @@
 	return worst, sent
 }
 
-func cold(k int) honeyplank.OSDID { return honeyplank.OSDID(fmt.Sprint("cold", k)) }
+func cold(k int) honeyplank.ServerID { return honeyplank.ServerID(fmt.Sprint("cold", k)) }
 
 // hosted is an event of one of many hosts.
 type hosted struct {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -17,8 +17,8 @@
 	return map[string]any{
 		"optypes.target_latency": []time.Duration{200 * ms, 1500 * ms},
 		"optypes.op_timeout":     []time.Duration{1200 * ms, 5000 * ms},
-		"optypes.utility":        []float64{2, 1}, "optypes.kind": []honeyplank.Kind{0, 0},
-		"optypes.scope": []honeyplank.Scope{0, 0}, "optypes.remember": []time.Duration{time.Second, time.Second},
+		"optypes.utility":        []float64{2, 1}, "optypes.kind": []honeyplank.Semantics{0, 0},
+		"optypes.scope": []honeyplank.DedupScope{0, 0}, "optypes.remember": []time.Duration{time.Second, time.Second},
 		"plans.rate": []float64{20}, "plans.reserve": []float64{10}, "plans.weight": []float64{1},
 		"plans.limit": []float64{0}, "plans.burst": []float64{0}, "plans.slack": []float64{0},
 		"hosts": 1, "step": 2 * ms, "dispatches.max": 4, "dispatches.parallel": false, "units.largest": 6.0,
@@ -32,9 +32,9 @@
 	now    time.Duration
 	ops    map[honeyplank.OpID]*told
 	order  []*told // as taken
-	osds   map[honeyplank.OSDID]honeyplank.Member
-	stop   map[honeyplank.OSDID]time.Duration // since when a host has been told to stop
-	cold   map[honeyplank.OSDID][]heating
+	osds   map[honeyplank.ServerID]honeyplank.Member
+	stop   map[honeyplank.ServerID]time.Duration // since when a host has been told to stop
+	cold   map[honeyplank.ServerID][]heating
 	gone   map[int64]float64 // out of the limit's store
 	filled map[int64]time.Duration
 	extras map[int][]time.Duration
@@ -52,7 +52,7 @@
 
 type wentOut struct {
 	withdrawn    bool
-	osd          honeyplank.OSDID
+	osd          honeyplank.ServerID
 	at           time.Duration
 	ended, maybe bool
 	never        bool          // it reached no server
@@ -81,13 +81,13 @@
 }
 
 // mayRepeat is the second rule for a further dispatch, which is at work a time after its decision.
-func (m *model) mayRepeat(t *told, osd honeyplank.OSDID, after time.Duration) bool {
+func (m *model) mayRepeat(t *told, osd honeyplank.ServerID, after time.Duration) bool {
 	kind, scope := m.kind(t)
 	for _, d := range t.sends {
 		a, b := m.osds[d.osd], m.osds[osd]
 		drops := []bool{true, a.Zone == b.Zone, a.Cell == b.Cell}[scope] &&
 			m.now+after-d.at < pick[time.Duration](m.set, "optypes.remember", t.Type)
-		allowed := kind == honeyplank.Replayable || kind == honeyplank.Deduplicated && drops
+		allowed := kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && drops
 		if !d.ended && !get[bool](m.set, "dispatches.parallel") || (!d.ended || d.maybe) && !allowed {
 			return false
 		}
@@ -95,23 +95,23 @@
 	return true
 }
 
-func (m *model) kind(t *told) (honeyplank.Kind, honeyplank.Scope) {
-	return pick[honeyplank.Kind](m.set, "optypes.kind", t.Type), pick[honeyplank.Scope](m.set, "optypes.scope", t.Type)
+func (m *model) kind(t *told) (honeyplank.Semantics, honeyplank.DedupScope) {
+	return pick[honeyplank.Semantics](m.set, "optypes.kind", t.Type), pick[honeyplank.DedupScope](m.set, "optypes.scope", t.Type)
 }
 
 // mayThrottle is the second rule for an answer.
 func (m *model) mayThrottle(t *told) bool {
 	kind, scope := m.kind(t)
-	return t.fresh() || kind == honeyplank.Replayable || kind == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
+	return t.fresh() || kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
 }
 
 // inTurn is the fifth rule.
 func (m *model) inTurn(t *told) bool {
-	if !t.Keyed || !pick[bool](m.set, "optypes.ordered", t.Type) {
+	if !t.HasKey || !pick[bool](m.set, "optypes.ordered", t.Type) {
 		return true
 	}
 	for _, e := range m.order[:slices.Index(m.order, t)] {
-		same := e.host == t.host && e.Keyed && e.Key == t.Key && pick[bool](m.set, "optypes.ordered", e.Type)
+		same := e.host == t.host && e.HasKey && e.Key == t.Key && pick[bool](m.set, "optypes.ordered", e.Type)
 		if n := len(e.sends); same && (!e.over || m.now < e.rested || n > 0 && !e.sends[n-1].ended) {
 			return false
 		}
@@ -140,14 +140,14 @@
 	if t.over {
 		m.broken(1, "%s dispatched after its answer", a.Op)
 	}
-	o := m.osds[a.OSD]
-	if since, told := m.stop[a.OSD]; told && m.now > since+get[time.Duration](m.set, "drain.grace") {
-		m.broken(3, "%s goes to %s", a.Op, a.OSD)
+	o := m.osds[a.Server]
+	if since, told := m.stop[a.Server]; told && m.now > since+get[time.Duration](m.set, "drain.grace") {
+		m.broken(3, "%s goes to %s", a.Op, a.Server)
 	}
 	if t.Cell != honeyplank.NewObject && t.Cell != o.Cell {
 		m.broken(2, "%s goes to a server without its data", a.Op)
 	}
-	if !m.mayRepeat(t, a.OSD, get[time.Duration](m.set, "connect.within")+heldUp) || len(t.sends) >= max(get[int](m.set, "dispatches.max"), 1) {
+	if !m.mayRepeat(t, a.Server, get[time.Duration](m.set, "connect.within")+heldUp) || len(t.sends) >= max(get[int](m.set, "dispatches.max"), 1) {
 		m.broken(2, "%s repeated", a.Op)
 	}
 	if !m.inTurn(t) {
@@ -165,8 +165,8 @@
 			m.broken(7, "volume %d at %.1f", t.Volume, left)
 		}
 	}
-	t.sends = append(t.sends, wentOut{osd: a.OSD, at: m.now})
-	m.cold[o.OSD] = append(m.cold[o.OSD], heating{t, len(t.sends) - 1})
+	t.sends = append(t.sends, wentOut{osd: a.Server, at: m.now})
+	m.cold[o.ID] = append(m.cold[o.ID], heating{t, len(t.sends) - 1})
 	m.heat(o)
 }
 
@@ -178,12 +178,12 @@
 		return
 	}
 	sum, from := 0.0, get[float64](m.set, "cold.from")
-	for _, x := range m.cold[o.OSD] {
+	for _, x := range m.cold[o.ID] {
 		sum += x.op.Units * float64(count(x.mayArrive(o.Started, m.now-window)))
 	}
 	sure := (from + (1-from)*float64(age)/float64(warm)) / from * get[float64](m.set, "cold.units")
 	if sum > sure+1e-9 {
-		m.broken(4, "%s gets %.1f of %.1f", o.OSD, sum, sure)
+		m.broken(4, "%s gets %.1f of %.1f", o.ID, sum, sure)
 	}
 }
 
@@ -213,8 +213,8 @@
 
 func newWorld(t *testing.T, seed int64, set map[string]any) *world {
 	w := &world{t: t, took: 400 * ms, asked: func(int) {}, rng: rand.New(rand.NewSource(seed)), due: map[honeyplank.OpID]time.Duration{}, model: &model{
-		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.OSDID]honeyplank.Member{},
-		stop: map[honeyplank.OSDID]time.Duration{}, cold: map[honeyplank.OSDID][]heating{},
+		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.ServerID]honeyplank.Member{},
+		stop: map[honeyplank.ServerID]time.Duration{}, cold: map[honeyplank.ServerID][]heating{},
 		gone: map[int64]float64{}, filled: map[int64]time.Duration{}, extras: map[int][]time.Duration{}}}
 	for i := range max(get[int](set, "hosts"), 1) {
 		w.hosts = append(w.hosts, New(seed+int64(i), set))
@@ -226,12 +226,12 @@
 // list tells every host of disk servers.
 func (w *world) list(kind honeyplank.ListKind, members ...honeyplank.Member) {
 	for _, m := range members {
-		if _, told := w.stop[m.OSD]; m.State == honeyplank.On {
-			delete(w.stop, m.OSD)
+		if _, told := w.stop[m.ID]; m.State == honeyplank.Up {
+			delete(w.stop, m.ID)
 		} else if !told {
-			w.stop[m.OSD] = w.now
+			w.stop[m.ID] = w.now
 		}
-		w.osds[m.OSD] = m
+		w.osds[m.ID] = m
 	}
 	for i := range w.hosts {
 		w.give(i, honeyplank.List{Kind: kind, Members: members})
@@ -249,9 +249,9 @@
 		case honeyplank.Dispatch:
 			w.dispatch(i, a)
 			w.due[a.Op] = min(w.now+time.Duration(w.rng.Int63n(int64(w.took))), w.ops[a.Op].Timeout)
-		case honeyplank.Throttle:
+		case honeyplank.Reject:
 			w.answer(a.Op, true)
-		case honeyplank.Abort:
+		case honeyplank.Fail:
 			w.answer(a.Op, false)
 		case honeyplank.Cancel:
 			t := w.ops[a.Op]
@@ -273,16 +273,16 @@
 func (w *world) end(t *told, code honeyplank.Code) {
 	n := len(t.sends) - 1
 	d := &t.sends[n]
-	d.never, d.end = code == honeyplank.Unconnected || code == honeyplank.Moot, w.now
-	d.ended, d.maybe = true, code != honeyplank.Full && code != honeyplank.Unconnected && code != honeyplank.Moot
+	d.never, d.end = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, w.now
+	d.ended, d.maybe = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
 	if code == honeyplank.TimedOut || code == honeyplank.Reset || code == honeyplank.Cancelled {
 		t.rested = w.now + get[time.Duration](w.set, "order.settle")
 	}
-	if code == honeyplank.Acked || t.begun {
+	if code == honeyplank.Succeeded || t.begun {
 		w.acked, t.over = w.acked+count(!t.over), true
 	}
-	w.give(t.host, honeyplank.Outcome{Op: t.ID, Dispatch: n, OSD: d.osd, Code: code, Done: t.over,
-		Elapsed: w.now - d.at, Used: w.rng.Intn(200), Elsewhere: float64(len(w.order) % 4), Load: map[string]float64{"latency": 30}})
+	w.give(t.host, honeyplank.Outcome{Op: t.ID, Dispatch: n, Server: d.osd, Code: code, Answered: t.over,
+		Elapsed: w.now - d.at, QuotaUsed: w.rng.Intn(200), ServedElsewhere: float64(len(w.order) % 4), Load: map[string]float64{"latency": 30}})
 }
 
 // step moves the clock, fires timers, ends dispatches and looks for ops past their time.
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -45,7 +45,7 @@
 func (f flood) settings() map[string]any {
 	set := figures()
 	set["optypes.target_latency"], set["optypes.op_timeout"] = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
-	set["optypes.kind"], set["optypes.scope"], set["optypes.remember"] = []honeyplank.Kind{0}, []honeyplank.Scope{0}, []time.Duration{0}
+	set["optypes.kind"], set["optypes.scope"], set["optypes.remember"] = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
 	rate := 1000 * float64(f.servers) / float64(f.volumes)
 	set["plans.rate"], set["plans.reserve"], set["units.mean"], set["units.largest"] = []float64{rate}, []float64{rate / 2}, 1.0, 4.0
 	set["meter.period"] = time.Second
@@ -66,7 +66,7 @@
 	for i := range f.servers {
 		members = append(members, member(i, 0))
 	}
-	add(now, honeyplank.List{Kind: honeyplank.Whole, Members: members})
+	add(now, honeyplank.List{Kind: honeyplank.Complete, Members: members})
 	each := time.Duration(float64(time.Second) / (1000 * float64(f.servers) * f.load))
 	next, key := now, int64(0)
 	type taken struct {
@@ -83,9 +83,9 @@
 				key = rng.Int63n(1000)
 			}
 			ops++
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(f.volumes)), Cell: rng.Intn(f.servers), Hosts: 1}
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(f.volumes)), Cell: rng.Intn(f.servers), Schedulers: 1}
 			if f.runs {
-				op.Keyed, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
+				op.HasKey, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
 			}
 			open[op.ID] = &taken{Op: op}
 			e = op
@@ -101,15 +101,15 @@
 			case honeyplank.Dispatch:
 				op := open[x.Op]
 				at := -1
-				fmt.Sscanf(string(x.OSD), "osd%d", &at)
+				fmt.Sscanf(string(x.Server), "osd%d", &at)
 				free[at] = max(free[at], now) + time.Duration(op.Units*float64(ms))
-				o := honeyplank.Outcome{Op: x.Op, Dispatch: op.sends, OSD: x.OSD, Code: honeyplank.Acked, Done: true, Elapsed: free[at] - now}
+				o := honeyplank.Outcome{Op: x.Op, Dispatch: op.sends, Server: x.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: free[at] - now}
 				if f.metered {
-					o.Used = 1 + rng.Intn(150)
+					o.QuotaUsed = 1 + rng.Intn(150)
 				}
 				op.sends++
 				add(free[at], o)
-			case honeyplank.Throttle:
+			case honeyplank.Reject:
 				delete(open, x.Op)
 			case honeyplank.SetTimer:
 				add(x.At, honeyplank.Timer{Name: x.Name})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -58,7 +58,7 @@
 		s.take(e)
 	case honeyplank.Outcome:
 		s.outcome(e)
-	case honeyplank.Began:
+	case honeyplank.ResponseStarted:
 		if p := s.ops[e.Op]; p != nil {
 			p.begun = true
 		}
@@ -69,9 +69,9 @@
 		if e.Name == "watch" && !s.watched {
 			s.ask()
 		}
-	case honeyplank.Learnt:
+	case honeyplank.SavedEstimates:
 		s.recall(e)
-	case honeyplank.Lapsed:
+	case honeyplank.ClientGone:
 		if p := s.ops[e.Op]; p != nil && !p.over {
 			s.forget(p)
 		}
@@ -87,22 +87,22 @@
 
 func (s *Scheduler) list(l honeyplank.List) {
 	switch l.Kind {
-	case honeyplank.Refused: // nothing tells whether a watch still stands: watch again, ever less often
+	case honeyplank.WatchFailed: // nothing tells whether a watch still stands: watch again, ever less often
 		s.watched = false
 		most := s.set.askWithin / 4
 		s.backoff = min(max(2*s.backoff, most/16, s.sweepEvery()), max(most, s.sweepEvery()))
 		s.timer(s.now+s.backoff/2+time.Duration(s.rng.Int63n(int64(s.backoff/2)+1)), "watch")
 		return
-	case honeyplank.Changes, honeyplank.Whole:
+	case honeyplank.Delta, honeyplank.Complete:
 		s.watched, s.backoff = true, 0
 	}
-	changes := l.Kind == honeyplank.Changes || l.Kind == honeyplank.Aside
+	changes := l.Kind == honeyplank.Delta || l.Kind == honeyplank.OutOfBand
 	if !changes { // what a whole list leaves out is gone
 		s.allGone()
 	}
 	touched := make([]*osd, 0, len(l.Members))
 	for _, m := range l.Members {
-		o := s.osds[m.OSD]
+		o := s.osds[m.ID]
 		if o == nil { // what was sent to it before this instance started is unknown: that counts as too much
 			o = s.add(&osd{Member: m, window: floor, credit: creditMost, log: []sent{{s.born, math.Inf(1)}}})
 		}
@@ -124,7 +124,7 @@
 }
 
 // holds tells whether what an instance before learnt still does: than a time to come no start could be newer.
-func (s *Scheduler) holds(k honeyplank.Known, started time.Duration) bool {
+func (s *Scheduler) holds(k honeyplank.ServerEstimate, started time.Duration) bool {
 	return k.At <= s.now && s.now-k.At < learntFor && started <= max(k.At, 0)
 }
 
@@ -149,7 +149,7 @@
 		return
 	}
 	if o.health != rule.next && (o.health == down || rule.next == down) {
-		s.logf("osd %s: %s, was %s", o.OSD, rule.next, o.health)
+		s.logf("osd %s: %s, was %s", o.ID, rule.next, o.health)
 	}
 	o.health, o.since = rule.next, s.now
 	if o.health == down { // the sweep ends its rest
@@ -181,7 +181,7 @@
 	// is wanted within the time it brings.
 	p.target = min(s.now+at(s.set.target, e.Type)-s.waited(p), e.Timeout)
 	s.ops[e.ID] = p
-	if e.Keyed && at(s.set.ordered, e.Type) {
+	if e.HasKey && at(s.set.ordered, e.Type) {
 		s.line(p)
 	}
 	s.open(p)
@@ -200,7 +200,7 @@
 // earlier one of the same identity that came to nothing.
 func (s *Scheduler) waited(p *op) time.Duration {
 	total := at(s.set.timeout, p.Type)
-	if !p.Keyed || total <= 0 {
+	if !p.HasKey || total <= 0 {
 		return 0
 	}
 	left := p.Timeout - s.now
@@ -259,7 +259,7 @@
 		if load < 1 { // room is room, however much
 			load = 0
 		}
-		if at := rank(hash, o.OSD); load < least || load == least && !math.IsInf(load, 1) && at > first {
+		if at := rank(hash, o.ID); load < least || load == least && !math.IsInf(load, 1) && at > first {
 			home, least, first = o, load, at
 		}
 	}
@@ -426,7 +426,7 @@
 	if than == nil || p.early != than.early {
 		return than == nil || p.early
 	}
-	if run := p.Keyed && p.Key == o.lastKey; run != (than.Keyed && than.Key == o.lastKey) {
+	if run := p.HasKey && p.Key == o.lastKey; run != (than.HasKey && than.Key == o.lastKey) {
 		return run
 	}
 	return p.target < than.target
@@ -557,7 +557,7 @@
 // mayGo holds an op to the rules of a disk server.
 func (s *Scheduler) mayGo(p *op, o *osd, due bool) bool {
 	home := p.Cell == honeyplank.NewObject || p.Cell == o.Cell
-	if !home || o.State != honeyplank.On {
+	if !home || o.State != honeyplank.Up {
 		return false
 	}
 	if len(p.sends) > 0 && (!s.repeats(p, o) || o.credit < 1) {
@@ -589,7 +589,7 @@
 		case !d.done && !s.set.parallel:
 			return false
 		case d.done && !d.maybe:
-		case kind == honeyplank.OnceOnly || kind == honeyplank.Deduplicated && (far || late):
+		case kind == honeyplank.AtMostOnce || kind == honeyplank.Deduplicated && (far || late):
 			return false
 		}
 	}
@@ -600,7 +600,7 @@
 func (s *Scheduler) harmless(p *op) bool {
 	kind := at(s.set.kind, p.Type)
 	anywhere := at(s.set.scope, p.Type) == honeyplank.ScopeAll
-	return kind == honeyplank.Replayable || kind == honeyplank.Deduplicated && anywhere || p.neverRan()
+	return kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && anywhere || p.neverRan()
 }
 
 // budget tells whether one more further dispatch fits into the sliding window, also where it or those before it leave
@@ -685,20 +685,20 @@
 		o.oldest = s.now
 	}
 	s.book(p, o, hurried)
-	s.act(honeyplank.Dispatch{Op: p.ID, OSD: o.OSD})
+	s.act(honeyplank.Dispatch{Op: p.ID, Server: o.ID})
 }
 
 // outcomes tells what each end of a dispatch means: whether it may have run, whether it may be running
 // still, and what it says of the disk server.
 var outcomes = map[honeyplank.Code]end{
-	honeyplank.Acked:       {arrived: true, maybe: true, says: inGood, effect: (*Scheduler).measure},
-	honeyplank.Errored:     {arrived: true, maybe: true, says: inGood, effect: (*Scheduler).blame},
-	honeyplank.Full:        {arrived: true, says: inGood, effect: (*Scheduler).ranOut},
-	honeyplank.TimedOut:    {arrived: true, maybe: true, runs: true, effect: (*Scheduler).ranOut},
-	honeyplank.Unconnected: {says: inLost, effect: (*Scheduler).blame},
-	honeyplank.Reset:       {arrived: true, maybe: true, runs: true, says: inLost, effect: (*Scheduler).blame},
-	honeyplank.Cancelled:   {arrived: true, maybe: true, runs: true},
-	honeyplank.Moot:        {},
+	honeyplank.Succeeded:     {arrived: true, maybe: true, says: inGood, effect: (*Scheduler).measure},
+	honeyplank.Failed:        {arrived: true, maybe: true, says: inGood, effect: (*Scheduler).blame},
+	honeyplank.Rejected:      {arrived: true, says: inGood, effect: (*Scheduler).ranOut},
+	honeyplank.TimedOut:      {arrived: true, maybe: true, runs: true, effect: (*Scheduler).ranOut},
+	honeyplank.ConnectFailed: {says: inLost, effect: (*Scheduler).blame},
+	honeyplank.Reset:         {arrived: true, maybe: true, runs: true, says: inLost, effect: (*Scheduler).blame},
+	honeyplank.Cancelled:     {arrived: true, maybe: true, runs: true},
+	honeyplank.NotSent:       {},
 }
 
 // end is an entry of outcomes; arrived: the disk server may have got it.
@@ -709,7 +709,7 @@
 }
 
 func (s *Scheduler) outcome(e honeyplank.Outcome) {
-	o, p, way := s.osds[e.OSD], s.ops[e.Op], outcomes[e.Code]
+	o, p, way := s.osds[e.Server], s.ops[e.Op], outcomes[e.Code]
 	if o == nil || p == nil || !s.close(p, e.Dispatch, way) {
 		return
 	}
@@ -721,17 +721,17 @@
 		o.overtake(p.sends[e.Dispatch].at, s.now)
 	}
 	s.judge(o, way.says)
-	p.volume.others.add(s.now, e.Elsewhere, s.memory()) // told with any answer, and once
+	p.volume.others.add(s.now, e.ServedElsewhere, s.memory()) // told with any answer, and once
 	if way.effect != nil {
 		way.effect(s, o, p, e)
 	}
 	if k := p.key; k != nil && way.runs {
 		k.rest, k.restBy = s.now+s.set.orderSettle, p.ID
 	}
-	if e.Code == honeyplank.Acked {
+	if e.Code == honeyplank.Succeeded {
 		delete(s.unserved, identify(p))
 	}
-	if p.over || e.Done {
+	if p.over || e.Answered {
 		s.forget(p)
 	} else if !p.busy() && p.queue == nil {
 		s.again(p, o)
@@ -768,7 +768,7 @@
 		f := &o.flying[i]
 		usual := time.Duration(max(s.latency(o, f.op.Type), o.perUnit*f.op.Units) * float64(time.Second))
 		late := s.now-f.at > times*usual && s.now-f.passed > usual
-		if late && f.passed > 0 && !f.asked && !f.op.begun && at(s.set.kind, f.op.Type) != honeyplank.OnceOnly {
+		if late && f.passed > 0 && !f.asked && !f.op.begun && at(s.set.kind, f.op.Type) != honeyplank.AtMostOnce {
 			f.asked = true
 			s.lost += blending / 8 * (1 - s.lost)
 			s.act(honeyplank.Cancel{Op: f.op.ID, Dispatch: f.n})
@@ -790,9 +790,9 @@
 // answer gives an op up at once.
 func (s *Scheduler) answer(p *op) {
 	if s.harmless(p) {
-		s.act(honeyplank.Throttle{Op: p.ID, RetryAfter: min(at(s.set.target, p.Type), s.set.adviceMost)})
+		s.act(honeyplank.Reject{Op: p.ID, RetryAfter: min(at(s.set.target, p.Type), s.set.adviceMost)})
 	} else {
-		s.act(honeyplank.Abort{Op: p.ID})
+		s.act(honeyplank.Fail{Op: p.ID})
 	}
 	s.forget(p)
 }
@@ -821,8 +821,8 @@
 	q.await.gap(s.now, avgA, avgB)
 	q.lastSeen = s.now
 	p.volume.served.add(s.now, p.Units, s.memory())
-	if e.Used > 0 {
-		p.volume.total = float64(e.Used-1) / 100 * at(s.set.rate, p.Plan)
+	if e.QuotaUsed > 0 {
+		p.volume.total = float64(e.QuotaUsed-1) / 100 * at(s.set.rate, p.Plan)
 	}
 }
 
@@ -884,13 +884,13 @@
 // This guards the rest against a node that turns all away, and could harm where all are full at once.
 func (s *Scheduler) ranOut(o *osd, p *op, e honeyplank.Outcome) {
 	least := min(e.Elapsed, s.set.shortest)
-	if e.Code == honeyplank.Full {
+	if e.Code == honeyplank.Rejected {
 		least = s.set.longest
 		halve(o)
 		s.blame(o, p, e)
 	}
 	if least.Seconds() > s.latency(o, p.Type) {
-		s.learn(o, p.Type, least.Seconds(), e.Code != honeyplank.Full)
+		s.learn(o, p.Type, least.Seconds(), e.Code != honeyplank.Rejected)
 	}
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,14 +12,14 @@
 )
 
 func member(i int, started time.Duration) honeyplank.Member {
-	return honeyplank.Member{OSD: honeyplank.OSDID(fmt.Sprint("osd", i)), Started: started, Cell: i, Zone: i % 2, Size: 1}
+	return honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprint("osd", i)), Started: started, Cell: i, Zone: i % 2, Size: 1}
 }
 
 // generate draws settings, also such as no site has today.
 func generate(r *rand.Rand) map[string]any {
 	set := figures()
-	set["optypes.kind"] = []honeyplank.Kind{honeyplank.Kind(r.Intn(3)), honeyplank.Kind(r.Intn(3))}
-	set["optypes.scope"] = []honeyplank.Scope{honeyplank.Scope(r.Intn(3)), honeyplank.Scope(r.Intn(3))}
+	set["optypes.kind"] = []honeyplank.Semantics{honeyplank.Semantics(r.Intn(3)), honeyplank.Semantics(r.Intn(3))}
+	set["optypes.scope"] = []honeyplank.DedupScope{honeyplank.DedupScope(r.Intn(3)), honeyplank.DedupScope(r.Intn(3))}
 	set["optypes.ordered"] = []bool{r.Intn(2) == 0, r.Intn(2) == 0}
 	set["optypes.remember"] = []time.Duration{time.Duration(r.Intn(600)) * ms, time.Second}
 	set["dispatches.parallel"], set["dispatches.max"] = r.Intn(2) == 0, r.Intn(5)
@@ -59,17 +59,17 @@
 		w.now = time.Second
 		before := rand.New(rand.NewSource(seed + 1))
 		for i := range before.Intn(2) * len(w.hosts) { // some have learnt before, also nonsense
-			w.give(i, honeyplank.Learnt{Usual: before.Float64(), Servers: []honeyplank.Known{{OSD: "osd0",
-				At: time.Duration(before.Intn(4000)-2000) * ms, Best: before.Float64() * 0.1, Latency: before.Float64()}, {OSD: "osd9", Latency: 3}}})
+			w.give(i, honeyplank.SavedEstimates{TypicalLatency: before.Float64(), Servers: []honeyplank.ServerEstimate{{Server: "osd0",
+				At: time.Duration(before.Intn(4000)-2000) * ms, BestPerUnit: before.Float64() * 0.1, Latency: before.Float64()}, {Server: "osd9", Latency: 3}}})
 		}
-		w.list(honeyplank.Remembered, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
+		w.list(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
 		for n := 0; n < 1500; n++ {
 			for range r.Intn(3) {
 				typ := r.Intn(2)
 				left := pick[time.Duration](w.set, "optypes.op_timeout", typ) / time.Duration(1+r.Intn(20))
 				w.give(r.Intn(len(w.hosts)), honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n, w.rng.Int63())),
-					Units: float64(1 + r.Intn(6)), Timeout: w.now + left, Type: typ, Keyed: true,
-					Key: int64(r.Intn(6)), Hosts: len(w.hosts), Volume: int64(r.Intn(5)), Cell: r.Intn(5) - 1})
+					Units: float64(1 + r.Intn(6)), Timeout: w.now + left, Type: typ, HasKey: true,
+					Key: int64(r.Intn(6)), Schedulers: len(w.hosts), Volume: int64(r.Intn(5)), Cell: r.Intn(5) - 1})
 			}
 			kind := r.Intn(150)
 			if len(w.order) == 0 {
@@ -77,28 +77,28 @@
 			}
 			switch o := r.Intn(4); kind {
 			case 0: // a restart
-				w.list(honeyplank.Changes, member(o, w.now))
+				w.list(honeyplank.Delta, member(o, w.now))
 			case 1:
 				gone := member(o, 0)
 				gone.State = honeyplank.MemberState(1 + r.Intn(2))
-				w.list(honeyplank.Changes, gone)
+				w.list(honeyplank.Delta, gone)
 			case 2:
-				w.list(honeyplank.Refused)
+				w.list(honeyplank.WatchFailed)
 			case 3: // the client leaves
 				if e := w.order[r.Intn(len(w.order))]; !e.over {
 					e.over = true
-					w.give(e.host, honeyplank.Lapsed{Op: e.ID})
+					w.give(e.host, honeyplank.ClientGone{Op: e.ID})
 				}
 			case 4: // nothing of an unknown op, server or timer may do harm, nor a garbled message
-				w.give(0, honeyplank.Outcome{Op: "none", OSD: "osd1", Code: 1})
-				w.give(0, honeyplank.Outcome{OSD: "none", Code: 6})
+				w.give(0, honeyplank.Outcome{Op: "none", Server: "osd1", Code: 1})
+				w.give(0, honeyplank.Outcome{Server: "none", Code: 6})
 				w.give(0, honeyplank.Timer{Name: "none"})
-				w.give(0, honeyplank.Peer{From: -1})
+				w.give(0, honeyplank.PeerMessage{From: -1})
 			case 5: // a stream begins
 				e := w.order[r.Intn(len(w.order))]
 				if k := len(e.sends); !e.over && k > 0 && !e.sends[k-1].ended && w.due[e.ID] < e.Timeout-10*ms {
 					e.begun = true
-					w.give(e.host, honeyplank.Began{Op: e.ID, Dispatch: k - 1})
+					w.give(e.host, honeyplank.ResponseStarted{Op: e.ID, Dispatch: k - 1})
 				}
 			}
 			w.step(codes)
@@ -120,7 +120,7 @@
 		module, model := []bool{s.harmless(p), s.turnOf(p), s.budget()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
 		for _, o := range s.order {
 			after := get[time.Duration](w.set, "connect.within") + heldUp + time.Duration(s.latency(o, p.Type)*float64(time.Second))
-			module, model = append(module, s.repeats(p, o)), append(model, w.mayRepeat(e, o.OSD, after))
+			module, model = append(module, s.repeats(p, o)), append(model, w.mayRepeat(e, o.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
 			w.t.Fatalf("%s: throttled, turn, budget, repeated at each: module %v, model %v", e.ID, module, model)
@@ -145,7 +145,7 @@
 // crowd is one host and one node whose window of four is full; ops of several volumes are held behind it.
 func crowd(t *testing.T) *world {
 	w := newWorld(t, 1, figures())
-	w.list(honeyplank.Remembered, member(0, 0))
+	w.list(honeyplank.Cached, member(0, 0))
 	for i := range 4 {
 		w.op("full", i, 9, 1, 0)
 	}
@@ -154,7 +154,7 @@
 
 func (w *world) op(name string, i int, volume, key int64, typ int) {
 	w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(name, i)), Units: 1, Timeout: w.now + time.Second, Type: typ,
-		Keyed: true, Key: key, Hosts: 1, Volume: volume})
+		HasKey: true, Key: key, Schedulers: 1, Volume: volume})
 }
 
 // The window bounds what is out, the served volume goes first when a place comes free, and a slice that is
@@ -167,13 +167,13 @@
 	o := s.osds["osd0"]
 	out := o.out
 	o.until = time.Second
-	w.end(w.ops["full0"], honeyplank.Acked)
+	w.end(w.ops["full0"], honeyplank.Succeeded)
 	if out != 4 || len(w.ops["own0"].sends) != 1 || len(w.ops["other0"].sends) != 0 {
 		t.Errorf("%d ops out in a window of 4, or the served volume did not go first", out)
 	}
 	w.op("own", 1, 9, 4, 0)
 	o.until = 0
-	if w.end(w.ops["full1"], honeyplank.Acked); len(w.ops["other0"].sends) != 1 {
+	if w.end(w.ops["full1"], honeyplank.Succeeded); len(w.ops["other0"].sends) != 1 {
 		t.Error("the slice did not end")
 	}
 	w.set["plans.weight"] = []float64{1, 3}
@@ -224,7 +224,7 @@
 	o := s.osds["osd0"]
 	s.volumes[9].reserve, s.volumes[8].reserve, o.until = 0, 0, 0
 	s.believe(o, 0.025)
-	w.end(w.ops["full0"], honeyplank.Acked)
+	w.end(w.ops["full0"], honeyplank.Succeeded)
 	if len(w.ops["due0"].sends) != 1 || len(w.ops["spare0"].sends) != 0 {
 		t.Error("an op beyond its reserve left before one within")
 	}
@@ -241,7 +241,7 @@
 	w := crowd(t)
 	w.op("other", 0, 9, 2, 0)
 	w.op("run", 0, 9, 1, 0)
-	w.end(w.order[0], honeyplank.Acked)
+	w.end(w.order[0], honeyplank.Succeeded)
 	if len(w.ops["run0"].sends) != 1 || len(w.ops["other0"].sends) != 0 {
 		t.Error("the run under way does not go on first")
 	}
@@ -255,8 +255,8 @@
 // New objects leave the first server in rank where latency leaves no room.
 func TestNewObjectsLeaveCrowdedServers(t *testing.T) {
 	w := newWorld(t, 1, figures())
-	w.list(honeyplank.Remembered, member(0, 0), member(1, 0), member(2, 0))
-	var homes []honeyplank.OSDID
+	w.list(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0))
+	var homes []honeyplank.ServerID
 	for _, id := range []honeyplank.OpID{"a", "b", "c"} {
 		w.give(0, honeyplank.Op{ID: id, Units: 1, Timeout: time.Second, Volume: 5, Cell: honeyplank.NewObject})
 		homes = append(homes, w.ops[id].sends[0].osd)
@@ -293,7 +293,7 @@
 		for _, a := range w.give(0, e) {
 			if _, ok := a.(honeyplank.Watch); ok {
 				asks, last = asks+1, w.now
-				w.give(0, honeyplank.List{Kind: honeyplank.Refused})
+				w.give(0, honeyplank.List{Kind: honeyplank.WatchFailed})
 				due = w.timers[0]["watch"]
 			}
 		}
@@ -379,7 +379,7 @@
 		code    honeyplank.Code
 		elapsed time.Duration
 		least   float64
-	}{{honeyplank.TimedOut, 10 * ms, 0.04}, {honeyplank.TimedOut, 5 * time.Second, 0.15}, {honeyplank.Full, 0, 0.3}} {
+	}{{honeyplank.TimedOut, 10 * ms, 0.04}, {honeyplank.TimedOut, 5 * time.Second, 0.15}, {honeyplank.Rejected, 0, 0.3}} {
 		s.ranOut(o, &op{}, honeyplank.Outcome{Code: c.code, Elapsed: c.elapsed})
 		if l := s.latency(o, 0); l < c.least || l > 2*c.least {
 			t.Errorf("%v s after %+v", l, c)
@@ -390,9 +390,9 @@
 // A client in a hurry is not one that has waited for long (thies-campus-later, rough-1): its op leaves at once.
 func TestClientInAHurry(t *testing.T) {
 	w := newWorld(t, 1, figures())
-	w.list(honeyplank.Remembered, member(0, 0))
+	w.list(honeyplank.Cached, member(0, 0))
 	w.op("patient", 0, 8, 1, 0)
-	w.give(0, honeyplank.Op{ID: "hurry", Units: 1, Timeout: w.now + 60*ms, Hosts: 1, Volume: 7})
+	w.give(0, honeyplank.Op{ID: "hurry", Units: 1, Timeout: w.now + 60*ms, Schedulers: 1, Volume: 7})
 	if p := w.hosts[0].ops["hurry"]; p == nil || len(p.sends) != 1 || p.target != w.now+60*ms {
 		t.Errorf("%+v", p)
 	}
@@ -430,11 +430,11 @@
 		set := figures()
 		set["plans.limit"], set["plans.burst"] = []float64{2}, []float64{6}
 		w := newWorld(t, 1, set)
-		w.list(honeyplank.Remembered, member(0, 0), member(1, 0))
+		w.list(honeyplank.Cached, member(0, 0), member(1, 0))
 		w.now += up
 		sent := 0
 		for i := range 10 {
-			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: w.now + time.Second, Hosts: 1, Cell: i % 2})
+			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: w.now + time.Second, Schedulers: 1, Cell: i % 2})
 			sent += len(w.order[i].sends)
 		}
 		if sent != want {
@@ -450,11 +450,11 @@
 	set["plans.slack"] = []float64{1}     // what a hold-up adds
 	for typ, want := range []int{12, 9} { // utilities 2 and 1: half of half is left by the second
 		w := newWorld(t, 1, set)
-		w.list(honeyplank.Remembered, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
+		w.list(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
 		w.now = 10 * time.Hour
 		sent := 0
 		for i := range 16 {
-			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: typ, Timeout: w.now + time.Second, Hosts: 1, Cell: i % 4})
+			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: typ, Timeout: w.now + time.Second, Schedulers: 1, Cell: i % 4})
 			sent += len(w.order[i].sends)
 		}
 		if sent != want {
@@ -469,9 +469,9 @@
 	set := figures()
 	set["plans.limit"], set["plans.burst"] = []float64{0.1}, []float64{8}
 	w := newWorld(t, 1, set)
-	w.list(honeyplank.Remembered, member(0, 0))
+	w.list(honeyplank.Cached, member(0, 0))
 	give := func(n int, units float64) int {
-		w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n)), Units: units, Type: 1, Timeout: w.now + 5*time.Second, Hosts: 1})
+		w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n)), Units: units, Type: 1, Timeout: w.now + 5*time.Second, Schedulers: 1})
 		return len(w.order[n].sends)
 	}
 	w.now = time.Hour
@@ -493,10 +493,10 @@
 // What a node served others is told once, also with an error or by a full queue.
 func TestElsewhereWithAnyAnswer(t *testing.T) {
 	w := newWorld(t, 1, figures())
-	w.list(honeyplank.Remembered, member(0, 0))
-	for i, code := range []honeyplank.Code{honeyplank.Acked, honeyplank.Errored, honeyplank.Full} {
+	w.list(honeyplank.Cached, member(0, 0))
+	for i, code := range []honeyplank.Code{honeyplank.Succeeded, honeyplank.Failed, honeyplank.Rejected} {
 		w.op("a", i, 1, int64(i), 0)
-		w.give(0, honeyplank.Outcome{Op: w.order[i].ID, OSD: "osd0", Code: code, Elsewhere: 5, Done: true})
+		w.give(0, honeyplank.Outcome{Op: w.order[i].ID, Server: "osd0", Code: code, ServedElsewhere: 5, Answered: true})
 		if got := w.hosts[0].volumes[1].others.units; got != float64(5*(i+1)) {
 			t.Errorf("after %d answers: %v units of others", i+1, got)
 		}
@@ -505,9 +505,9 @@
 
 // A server that turns ops away or breaks connections gets no new objects for a while, and tells nothing of the others.
 func TestServerThatTurnsAllAway(t *testing.T) {
-	for _, code := range []honeyplank.Code{honeyplank.Full, honeyplank.Reset} {
+	for _, code := range []honeyplank.Code{honeyplank.Rejected, honeyplank.Reset} {
 		w := newWorld(t, 1, figures())
-		w.list(honeyplank.Remembered, member(0, 0), member(1, 0))
+		w.list(honeyplank.Cached, member(0, 0), member(1, 0))
 		s, o := w.hosts[0], w.hosts[0].osds["osd0"]
 		s.answeredIn(0.02)
 		for i := range 8 {
@@ -561,14 +561,14 @@
 		set["units.mean"] = 1.0
 		w := newWorld(t, 1, set)
 		w.now = 10 * time.Second
-		w.give(0, honeyplank.Learnt{Usual: 0.02, Servers: []honeyplank.Known{{OSD: "osd0", At: c.at, Best: 0.02, Latency: 0.4}, {OSD: "osd1", At: time.Second, Latency: 0.1}}})
-		w.list(honeyplank.Remembered, member(0, c.started))
+		w.give(0, honeyplank.SavedEstimates{TypicalLatency: 0.02, Servers: []honeyplank.ServerEstimate{{Server: "osd0", At: c.at, BestPerUnit: 0.02, Latency: 0.4}, {Server: "osd1", At: time.Second, Latency: 0.1}}})
+		w.list(honeyplank.Cached, member(0, c.started))
 		out := 0
 		for i := range 8 {
 			w.op("a", i, 1, int64(i), 0)
 			out += len(w.order[i].sends)
 		}
-		if l := w.hosts[0].Learnt(); out != c.out || len(l.Servers) != c.known || l.Usual != 0.02 {
+		if l := w.hosts[0].Learnt(); out != c.out || len(l.Servers) != c.known || l.TypicalLatency != 0.02 {
 			t.Errorf("learnt at %v, started at %v: %d ops leave at once, want %d; handed on %+v", c.at, c.started, out, c.out, l)
 		}
 	}
@@ -587,7 +587,7 @@
 		{"overtaken", func(map[string]any) {}, true, 2},
 		{"alone", func(map[string]any) {}, false, 1},
 		{"once-only", func(set map[string]any) {
-			set["optypes.kind"] = []honeyplank.Kind{honeyplank.OnceOnly, honeyplank.OnceOnly}
+			set["optypes.kind"] = []honeyplank.Semantics{honeyplank.AtMostOnce, honeyplank.AtMostOnce}
 		}, true, 1},
 		{"not allowed", func(set map[string]any) { set["cancel"] = false }, true, 1},
 		{"one at a time", func(set map[string]any) { set["dispatches.parallel"] = false }, true, 1},
@@ -597,11 +597,11 @@
 			set["cancel"], set["dispatches.parallel"] = true, true
 			x.change(set)
 			w := newWorld(t, 1, set)
-			w.list(honeyplank.Remembered, member(0, 0))
+			w.list(honeyplank.Cached, member(0, 0))
 			answer := func(i int) { // one op that is answered after 5 ms
 				w.op("quick", i, 9, int64(i), 0)
 				w.now += 5 * ms
-				w.end(w.ops[honeyplank.OpID(fmt.Sprint("quick", i))], honeyplank.Acked)
+				w.end(w.ops[honeyplank.OpID(fmt.Sprint("quick", i))], honeyplank.Succeeded)
 			}
 			for i := range 10 {
 				answer(i)
@@ -614,7 +614,7 @@
 				answer(10)
 			}
 			for begun := w.now; w.now < begun+120*ms; {
-				w.step([]honeyplank.Code{honeyplank.Acked})
+				w.step([]honeyplank.Code{honeyplank.Succeeded})
 				if len(lost.sends) == 1 && !lost.sends[0].withdrawn {
 					w.due["lost0"] = lost.Timeout
 				}
@@ -632,12 +632,12 @@
 		set := figures()
 		set["cancel"], set["dispatches.parallel"] = true, true
 		w := newWorld(t, 1, set)
-		w.list(honeyplank.Remembered, member(0, 0))
+		w.list(honeyplank.Cached, member(0, 0))
 		quick := 0
 		answer := func() {
 			w.op("quick", quick, 9, int64(quick), 0)
 			w.now += 5 * ms
-			w.end(w.ops[honeyplank.OpID(fmt.Sprint("quick", quick))], honeyplank.Acked)
+			w.end(w.ops[honeyplank.OpID(fmt.Sprint("quick", quick))], honeyplank.Succeeded)
 			quick++
 		}
 		for range 10 {
@@ -671,12 +671,12 @@
 		{100 * ms, 0, 5 * ms, 1}, {0, 0, 5 * ms, 1},
 	} {
 		set := figures()
-		set["optypes.kind"] = []honeyplank.Kind{honeyplank.Deduplicated, honeyplank.Deduplicated}
+		set["optypes.kind"] = []honeyplank.Semantics{honeyplank.Deduplicated, honeyplank.Deduplicated}
 		set["optypes.remember"], set["connect.within"] = []time.Duration{x.remember, x.remember}, x.connect
 		w := newWorld(t, 1, set)
-		w.list(honeyplank.Remembered, member(0, 0))
+		w.list(honeyplank.Cached, member(0, 0))
 		w.hosts[0].answeredIn(0.001)
-		w.give(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Hosts: 1})
+		w.give(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Schedulers: 1})
 		w.now += x.after
 		w.end(w.ops["a"], honeyplank.Reset)
 		if n := len(w.ops["a"].sends); n != x.want || len(w.errs) > 0 {
@@ -724,11 +724,11 @@
 		for i := range 50 {
 			members = append(members, member(i, 0))
 		}
-		w.list(honeyplank.Remembered, members...)
+		w.list(honeyplank.Cached, members...)
 		sent, begin := 0.0, time.Hour
 		for i := range 150 {
 			w.now = begin + time.Duration(i)*ms
-			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: x.units, Timeout: w.now + time.Second, Hosts: 1, Cell: i % 50})
+			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: x.units, Timeout: w.now + time.Second, Schedulers: 1, Cell: i % 50})
 			sent += x.units * float64(len(w.order[i].sends))
 		}
 		if sent < x.least || sent > x.most {
@@ -744,7 +744,7 @@
 		set := figures()
 		set["plans.reserve"] = []float64{1e6}
 		w := newWorld(t, 1, set)
-		w.list(honeyplank.Remembered, member(0, 0))
+		w.list(honeyplank.Cached, member(0, 0))
 		s, sent := w.hosts[0], 0
 		for i := range 250 {
 			s.answeredIn(0.04)
@@ -755,7 +755,7 @@
 					w.end(e, honeyplank.TimedOut)
 				}
 			}
-			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: w.now + left, Hosts: 1})
+			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: w.now + left, Schedulers: 1})
 			sent += len(w.order[i].sends)
 		}
 		if got := s.osds["osd0"].health; sent < 4 || (got == up) != (want == up) {
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -64,7 +64,7 @@
 	}
 	i := sort.Search(len(q.held), func(i int) bool { return sooner(p, q.held[i]) })
 	q.held = slices.Insert(q.held, i, p)
-	if q.again += count(len(p.sends) > 0); p.Keyed {
+	if q.again += count(len(p.sends) > 0); p.HasKey {
 		q.keys[p.Key]++
 	}
 }
@@ -72,7 +72,7 @@
 func (q *queue) remove(p *op) {
 	i := sort.Search(len(q.held), func(i int) bool { return !sooner(q.held[i], p) })
 	q.held = slices.Delete(q.held, i, i+1)
-	if q.again -= count(len(p.sends) > 0); p.Keyed {
+	if q.again -= count(len(p.sends) > 0); p.HasKey {
 		if q.keys[p.Key]--; q.keys[p.Key] == 0 {
 			delete(q.keys, p.Key)
 		}
--- a/policy/quiet_test.go
+++ b/policy/quiet_test.go
@@ -15,7 +15,7 @@
 	number  int
 	served  map[*told]bool
 	refused bool // discovery refuses every watch
-	used    map[honeyplank.OSDID]time.Duration
+	used    map[honeyplank.ServerID]time.Duration
 }
 
 const (
@@ -30,16 +30,16 @@
 	set["units.mean"], set["plans.reserve"], set["connect.within"] = 1.5, []float64{1e3}, 200*ms
 	set["budget.free"], set["budget.share"], set["budget.window"] = 3.0, 0.2, 5*time.Second
 	set["plans.limit"], set["plans.burst"] = []float64{1000}, []float64{2000}
-	d := &quietDay{world: newWorld(t, 3, set), used: map[honeyplank.OSDID]time.Duration{}}
+	d := &quietDay{world: newWorld(t, 3, set), used: map[honeyplank.ServerID]time.Duration{}}
 	d.took, d.now = 30*ms, time.Second
 	d.asked = func(host int) {
-		kind := honeyplank.Changes
+		kind := honeyplank.Delta
 		if d.refused {
-			kind = honeyplank.Refused
+			kind = honeyplank.WatchFailed
 		}
 		d.give(host, honeyplank.List{Kind: kind})
 	}
-	d.members(honeyplank.Whole, 0, quietServers, honeyplank.On, 0)
+	d.members(honeyplank.Complete, 0, quietServers, honeyplank.Up, 0)
 	return d
 }
 
@@ -56,7 +56,7 @@
 
 // rest lets ops end, and then nothing happen but the modules' timers.
 func (d *quietDay) rest(length time.Duration) {
-	d.serve(6*time.Second, 0, honeyplank.Acked)
+	d.serve(6*time.Second, 0, honeyplank.Succeeded)
 	for end := d.now + length; ; {
 		host, name, at := -1, "", end
 		for i, timers := range d.timers {
@@ -84,7 +84,7 @@
 			d.number++
 			cell := d.rng.Intn(quietServers+2) - 2
 			typ := d.rng.Intn(2)
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(d.number)), Units: float64(1 + d.rng.Intn(2)), Type: typ, Hosts: 2,
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(d.number)), Units: float64(1 + d.rng.Intn(2)), Type: typ, Schedulers: 2,
 				Timeout: d.now + pick[time.Duration](d.set, "optypes.op_timeout", typ), Volume: d.rng.Int63n(9), Cell: max(cell, honeyplank.NewObject)}
 			d.give(d.rng.Intn(2), op)
 			taken = append(taken, d.order[len(d.order)-1])
@@ -108,7 +108,7 @@
 // TestTroubleAfterLongQuiet: whatever begins after ten minutes or an hour in which nothing happened, each op gets exactly
 // one answer in time, the rules hold, and once the trouble is over the servers are used again.
 func TestTroubleAfterLongQuiet(t *testing.T) {
-	good := honeyplank.Acked
+	good := honeyplank.Succeeded
 	troubles := map[string]func(*quietDay){
 		"none": func(*quietDay) {},
 		"silence": func(d *quietDay) {
@@ -118,41 +118,41 @@
 			d.serve(200*ms, quietRate, honeyplank.Reset)
 		},
 		"no connections": func(d *quietDay) {
-			d.serve(4*time.Second, quietRate, honeyplank.Unconnected)
+			d.serve(4*time.Second, quietRate, honeyplank.ConnectFailed)
 		},
 		"no descriptors, full queues and errors": func(d *quietDay) {
-			d.serve(3*time.Second, quietRate, honeyplank.Moot, honeyplank.Full, honeyplank.Errored)
+			d.serve(3*time.Second, quietRate, honeyplank.NotSent, honeyplank.Rejected, honeyplank.Failed)
 		},
 		"discovery refuses for minutes": func(d *quietDay) {
 			d.refused = true
-			d.give(0, honeyplank.List{Kind: honeyplank.Refused})
-			d.give(1, honeyplank.List{Kind: honeyplank.Refused})
+			d.give(0, honeyplank.List{Kind: honeyplank.WatchFailed})
+			d.give(1, honeyplank.List{Kind: honeyplank.WatchFailed})
 			d.serve(5*time.Second, quietRate, good)
 			d.rest(4 * time.Minute)
 			d.serve(5*time.Second, quietRate, good, good, honeyplank.Reset)
 			d.refused = false
-			d.members(honeyplank.Whole, 0, quietServers, honeyplank.On, d.now-time.Minute)
+			d.members(honeyplank.Complete, 0, quietServers, honeyplank.Up, d.now-time.Minute)
 		},
 		"restarts and drains together": func(d *quietDay) {
-			d.members(honeyplank.Changes, 0, 3, honeyplank.On, d.now)
-			d.members(honeyplank.Changes, 3, 6, honeyplank.Draining, 0)
+			d.members(honeyplank.Delta, 0, 3, honeyplank.Up, d.now)
+			d.members(honeyplank.Delta, 3, 6, honeyplank.Draining, 0)
 			d.serve(time.Second, quietRate, good, good, honeyplank.Reset)
-			d.members(honeyplank.Changes, 9, 12, honeyplank.On, d.now)
+			d.members(honeyplank.Delta, 9, 12, honeyplank.Up, d.now)
 			d.serve(time.Second, quietRate, good)
-			d.members(honeyplank.Changes, 3, 6, honeyplank.Gone, 0)
+			d.members(honeyplank.Delta, 3, 6, honeyplank.Removed, 0)
 		},
 		"all servers replaced while discovery refuses": func(d *quietDay) {
 			d.refused = true
-			d.give(0, honeyplank.List{Kind: honeyplank.Refused})
-			d.give(1, honeyplank.List{Kind: honeyplank.Refused})
-			d.serve(3*time.Second, quietRate, honeyplank.Unconnected)
+			d.give(0, honeyplank.List{Kind: honeyplank.WatchFailed})
+			d.give(1, honeyplank.List{Kind: honeyplank.WatchFailed})
+			d.serve(3*time.Second, quietRate, honeyplank.ConnectFailed)
 			d.rest(2 * time.Minute)
 			d.refused = false
 			for id, m := range d.osds { // a whole list leaves out what is gone
-				m.State = honeyplank.Gone
+				m.State = honeyplank.Removed
 				d.osds[id], d.stop[id] = m, d.now
 			}
-			d.members(honeyplank.Whole, 6, 12, honeyplank.On, d.now)
+			d.members(honeyplank.Complete, 6, 12, honeyplank.Up, d.now)
 			d.serve(3*time.Second, quietRate, good)
 		},
 	}
@@ -180,7 +180,7 @@
 					t.Errorf("%d of %d ops served once the trouble was over", served, len(last))
 				}
 				for id, m := range d.osds {
-					if m.State == honeyplank.On && d.used[id] < since {
+					if m.State == honeyplank.Up && d.used[id] < since {
 						t.Errorf("%s was not used after %v, last at %v", id, since, d.used[id])
 					}
 				}
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -39,7 +39,7 @@
 }
 
 // rank is the rendezvous hash of a volume, by its hash, and a disk server.
-func rank(volume uint64, id honeyplank.OSDID) uint64 {
+func rank(volume uint64, id honeyplank.ServerID) uint64 {
 	x := volume
 	for i := range len(id) {
 		x = (x ^ uint64(id[i])) * hashPrime
@@ -51,7 +51,7 @@
 
 // ahead is the order of a ranking: by hash, equal ones by id.
 func (r ranked) ahead(than ranked) bool {
-	return r.rank > than.rank || r.rank == than.rank && r.osd.OSD < than.osd.OSD
+	return r.rank > than.rank || r.rank == than.rank && r.osd.ID < than.osd.ID
 }
 
 // nearest returns the first disk servers of a volume's ranking that are on, in its order. They are always exactly the
@@ -80,7 +80,7 @@
 	if !o.placed {
 		return
 	}
-	r, n := ranked{o, rank(hash, o.OSD)}, len(v.best)
+	r, n := ranked{o, rank(hash, o.ID)}, len(v.best)
 	if n > 0 && !v.whole && v.best[n-1].ahead(r) {
 		return
 	}
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -16,7 +16,7 @@
 )
 
 // plainRank is the hash of a volume and a disk server, as the library computes it.
-func plainRank(volume int64, id honeyplank.OSDID) uint64 {
+func plainRank(volume int64, id honeyplank.ServerID) uint64 {
 	h := fnv.New64a()
 	h.Write(strconv.AppendInt(nil, volume, 10))
 	h.Write([]byte(id))
@@ -29,11 +29,11 @@
 // wholeRanking is the slow model: all disk servers that are on, sorted.
 func wholeRanking(s *Scheduler, volume int64) (list []*osd) {
 	for _, o := range s.order {
-		if o.State == honeyplank.On {
+		if o.State == honeyplank.Up {
 			list = append(list, o)
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return plainRank(volume, list[i].OSD) > plainRank(volume, list[j].OSD) })
+	sort.SliceStable(list, func(i, j int) bool { return plainRank(volume, list[i].ID) > plainRank(volume, list[j].ID) })
 	return list
 }
 
@@ -79,7 +79,7 @@
 		for range size {
 			all = append(all, fresh())
 		}
-		tell(honeyplank.Whole, all...)
+		tell(honeyplank.Complete, all...)
 		for step := range 150 {
 			now += time.Duration(rng.Intn(30)) * ms
 			i := rng.Intn(len(all))
@@ -88,23 +88,23 @@
 				gone := all[i]
 				gone.State = honeyplank.MemberState(1 + rng.Intn(2))
 				all[i] = fresh()
-				tell(honeyplank.Changes, gone, all[i])
+				tell(honeyplank.Delta, gone, all[i])
 			case 1:
 				all[i].Started = now
-				tell(honeyplank.Changes, all[i])
+				tell(honeyplank.Delta, all[i])
 			case 2: // the whole list again, part of it replaced
 				for range rng.Intn(size/2 + 1) {
 					all[rng.Intn(len(all))] = fresh()
 				}
-				tell(honeyplank.Whole, all...)
+				tell(honeyplank.Complete, all...)
 			case 3: // leaves and comes back
 				gone := all[i]
 				gone.State = honeyplank.Draining
-				tell(honeyplank.Changes, gone)
+				tell(honeyplank.Delta, gone)
 				if rng.Intn(2) == 0 {
 					s.nearest(&volume{}, 1)
 				}
-				tell(honeyplank.Changes, all[i])
+				tell(honeyplank.Delta, all[i])
 			case 4:
 				for _, o := range s.order {
 					o.out = rng.Intn(2) * rng.Intn(40)
@@ -120,7 +120,7 @@
 			s.now = now
 			s.soundAt = 0 // the list of sound ones may be a sweep old: made anew here
 			id := int64(rng.Intn(4))
-			p := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Hosts: 1, Cell: honeyplank.NewObject},
+			p := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Schedulers: 1, Cell: honeyplank.NewObject},
 				lot: rng.Float64(), target: now + 200*ms}
 			s.open(p)
 			list := wholeRanking(s, id)
@@ -131,7 +131,7 @@
 			near := s.nearest(p.volume, id)
 			for k, r := range near {
 				if r.osd != list[k] {
-					t.Fatalf("seed %d, step %d: place %d of the ranking is %s, want %s", seed, step, k, r.osd.OSD, list[k].OSD)
+					t.Fatalf("seed %d, step %d: place %d of the ranking is %s, want %s", seed, step, k, r.osd.ID, list[k].ID)
 				}
 			}
 			if len(near) < min(len(list), fewest) {
@@ -165,7 +165,7 @@
 	for i := range servers {
 		members = append(members, member(i, 0))
 	}
-	s.Handle(time.Second, honeyplank.List{Kind: honeyplank.Whole, Members: members})
+	s.Handle(time.Second, honeyplank.List{Kind: honeyplank.Complete, Members: members})
 	return s
 }
 
@@ -176,10 +176,10 @@
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
 		id := honeyplank.OpID(fmt.Sprint(i))
-		out := s.Handle(now, honeyplank.Op{ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Hosts: 1, Cell: honeyplank.NewObject})
+		out := s.Handle(now, honeyplank.Op{ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Schedulers: 1, Cell: honeyplank.NewObject})
 		for _, a := range out {
 			if d, ok := a.(honeyplank.Dispatch); ok {
-				s.Handle(now+4*ms, honeyplank.Outcome{Op: id, OSD: d.OSD, Code: honeyplank.Acked, Done: true, Elapsed: 4 * ms})
+				s.Handle(now+4*ms, honeyplank.Outcome{Op: id, Server: d.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: 4 * ms})
 			}
 		}
 		if i%2 == 0 {
@@ -187,8 +187,8 @@
 		}
 		if replace && i%50 == 0 {
 			gone, fresh := member(i/50, 0), member(servers+i, 0)
-			gone.State = honeyplank.Gone
-			s.Handle(now+4*ms, honeyplank.List{Kind: honeyplank.Changes, Members: []honeyplank.Member{gone, fresh}})
+			gone.State = honeyplank.Removed
+			s.Handle(now+4*ms, honeyplank.List{Kind: honeyplank.Delta, Members: []honeyplank.Member{gone, fresh}})
 		}
 	}
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -19,8 +19,8 @@
 	unitTime        time.Duration
 	target, timeout time.Duration
 	utility         float64
-	kind            honeyplank.Kind
-	scope           honeyplank.Scope
+	kind            honeyplank.Semantics
+	scope           honeyplank.DedupScope
 }
 
 // deployment is what one process of a fleet of 300 is told and asked.
@@ -59,32 +59,32 @@
 // deployments differ in effects, sizes, times, limits and rules; none is fitted to a site.
 var deployments = []deployment{
 	{name: "replayable", classes: []requestClass{
-		{0.55, 3, 15 * ms, 200 * ms, 1200 * ms, 2, honeyplank.Replayable, 0},
-		{0.3, 3, 15 * ms, 300 * ms, 2000 * ms, 2, honeyplank.Replayable, 0},
-		{0.15, 6, 15 * ms, 1500 * ms, 5000 * ms, 1, honeyplank.Replayable, 0}}},
+		{0.55, 3, 15 * ms, 200 * ms, 1200 * ms, 2, honeyplank.Idempotent, 0},
+		{0.3, 3, 15 * ms, 300 * ms, 2000 * ms, 2, honeyplank.Idempotent, 0},
+		{0.15, 6, 15 * ms, 1500 * ms, 5000 * ms, 1, honeyplank.Idempotent, 0}}},
 	{name: "one copy at a time", classes: []requestClass{
-		{0.55, 2, 8 * ms, 90 * ms, 350 * ms, 3, honeyplank.Replayable, 0},
-		{0.23, 2, 12 * ms, 250 * ms, 1500 * ms, 5, honeyplank.OnceOnly, 0},
+		{0.55, 2, 8 * ms, 90 * ms, 350 * ms, 3, honeyplank.Idempotent, 0},
+		{0.23, 2, 12 * ms, 250 * ms, 1500 * ms, 5, honeyplank.AtMostOnce, 0},
 		{0.22, 3, 20 * ms, 800 * ms, 2500 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell}},
 		change: func(set map[string]any) {
 			set["dispatches.parallel"], set["dispatches.max"] = false, 2
 			set["throttle.advice"], set["throttle.advice.max"] = true, 300*ms
 		}},
 	{name: "nothing withdrawn", classes: []requestClass{
-		{0.35, 8, 12 * ms, 3000 * ms, 9000 * ms, 0.5, honeyplank.Replayable, 0},
+		{0.35, 8, 12 * ms, 3000 * ms, 9000 * ms, 0.5, honeyplank.Idempotent, 0},
 		{0.27, 2, 10 * ms, 150 * ms, 600 * ms, 6, honeyplank.Deduplicated, honeyplank.ScopeAll},
-		{0.3, 3, 12 * ms, 400 * ms, 900 * ms, 2, honeyplank.Replayable, 0},
-		{0.08, 3, 12 * ms, 500 * ms, 2000 * ms, 3, honeyplank.OnceOnly, 0}},
+		{0.3, 3, 12 * ms, 400 * ms, 900 * ms, 2, honeyplank.Idempotent, 0},
+		{0.08, 3, 12 * ms, 500 * ms, 2000 * ms, 3, honeyplank.AtMostOnce, 0}},
 		change: func(set map[string]any) { set["cancel"], set["dispatches.max"] = false, 6 }},
 	{name: "far apart", classes: []requestClass{
-		{0.6, 1, 10 * ms, 80 * ms, 300 * ms, 2, honeyplank.Replayable, 0},
-		{0.4, 6, 60 * ms, 5000 * ms, 15000 * ms, 1, honeyplank.Replayable, 0}}},
+		{0.6, 1, 10 * ms, 80 * ms, 300 * ms, 2, honeyplank.Idempotent, 0},
+		{0.4, 6, 60 * ms, 5000 * ms, 15000 * ms, 1, honeyplank.Idempotent, 0}}},
 	{name: "close together, rare", classes: []requestClass{
-		{0.9, 2, 15 * ms, 200 * ms, 220 * ms, 1, honeyplank.Replayable, 0},
-		{0.05, 2, 15 * ms, 180 * ms, 200 * ms, 4, honeyplank.OnceOnly, 0},
+		{0.9, 2, 15 * ms, 200 * ms, 220 * ms, 1, honeyplank.Idempotent, 0},
+		{0.05, 2, 15 * ms, 180 * ms, 200 * ms, 4, honeyplank.AtMostOnce, 0},
 		{0.05, 6, 15 * ms, 400 * ms, 450 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeZone}}},
 	{name: "limit and budget", limited: true, classes: []requestClass{
-		{0.6, 2, 15 * ms, 200 * ms, 1200 * ms, 4, honeyplank.Replayable, 0},
+		{0.6, 2, 15 * ms, 200 * ms, 1200 * ms, 4, honeyplank.Idempotent, 0},
 		{0.4, 6, 15 * ms, 1000 * ms, 4000 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell}},
 		change: func(set map[string]any) {
 			set["plans.limit"], set["plans.burst"] = []float64{20}, []float64{60}
@@ -96,8 +96,8 @@
 	set := figures()
 	var target, timeout, remember []time.Duration
 	var utility []float64
-	var kind []honeyplank.Kind
-	var scope []honeyplank.Scope
+	var kind []honeyplank.Semantics
+	var scope []honeyplank.DedupScope
 	largest, mean := 0, 0.0
 	for _, c := range d.classes {
 		target, timeout, remember = append(target, c.target), append(timeout, c.timeout), append(remember, 4*time.Second)
@@ -181,7 +181,7 @@
 			if server < servers {
 				return code, after
 			}
-			return honeyplank.Acked, took
+			return honeyplank.Succeeded, took
 		}
 	}
 }
@@ -192,7 +192,7 @@
 			if server < servers && (class < 0 || r.class == class) {
 				took *= by
 			}
-			return honeyplank.Acked, took
+			return honeyplank.Succeeded, took
 		}
 	}
 }
@@ -215,21 +215,21 @@
 	{name: "the last class slow", least: leastOfAll, last: true, begin: func(p *servicePlay) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
 	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), whole: true},
 	{name: "silence of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
-	{name: "errors", begin: answeredBy(honeyplank.Errored, ms, fleetServers), whole: true},
-	{name: "errors of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Errored, ms, fleetServers/4)},
+	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), whole: true},
+	{name: "errors of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
 	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), whole: true},
-	{name: "no connections", begin: answeredBy(honeyplank.Unconnected, 250*ms, fleetServers), whole: true},
-	{name: "full queues", begin: answeredBy(honeyplank.Full, ms, fleetServers), whole: true},
-	{name: "full queues of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Full, ms, fleetServers/4)},
-	{name: "no descriptors", begin: answeredBy(honeyplank.Moot, 0, fleetServers), whole: true},
+	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), whole: true},
+	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), whole: true},
+	{name: "full queues of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4)},
+	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), whole: true},
 	{name: "one very fast answer of each server", least: leastOfAll, begin: func(p *servicePlay) {
 		seen := map[int]bool{}
 		p.answer = func(_ *servicePlay, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if !seen[server] {
 				seen[server] = true
-				return honeyplank.Acked, 50 * time.Microsecond
+				return honeyplank.Succeeded, 50 * time.Microsecond
 			}
-			return honeyplank.Acked, took
+			return honeyplank.Succeeded, took
 		}
 	}},
 	{name: "lost answers", least: leastOfLost, begin: func(p *servicePlay) {
@@ -237,13 +237,13 @@
 			if p.rng.Intn(4) == 0 {
 				return honeyplank.TimedOut, silentAnswer
 			}
-			return honeyplank.Acked, took
+			return honeyplank.Succeeded, took
 		}
 	}},
 	{name: "the first class surges", least: leastOfAll, begin: func(p *servicePlay) { p.surging = 10 }, surge: true},
-	{name: "all servers are gone and come back", begin: func(p *servicePlay) { p.list(honeyplank.Gone, 0) },
-		end: func(p *servicePlay) { p.list(honeyplank.On, 0) }, whole: true},
-	{name: "all servers restart cold", begin: func(p *servicePlay) { p.list(honeyplank.On, p.now) }, whole: true},
+	{name: "all servers are gone and come back", begin: func(p *servicePlay) { p.list(honeyplank.Removed, 0) },
+		end: func(p *servicePlay) { p.list(honeyplank.Up, 0) }, whole: true},
+	{name: "all servers restart cold", begin: func(p *servicePlay) { p.list(honeyplank.Up, p.now) }, whole: true},
 }
 
 func (p *servicePlay) list(state honeyplank.MemberState, started time.Duration) {
@@ -253,7 +253,7 @@
 		m.State = state
 		members = append(members, m)
 	}
-	p.add(p.now, honeyplank.List{Kind: honeyplank.Changes, Members: members})
+	p.add(p.now, honeyplank.List{Kind: honeyplank.Delta, Members: members})
 }
 
 // arrive brings a new request of a class.
@@ -261,8 +261,8 @@
 	c := p.classes[class]
 	r := &clientRequest{class: class, first: p.now, deadline: p.now + timeout}
 	volume := p.rng.Intn(fleetVolumes)
-	r.op = honeyplank.Op{Units: float64(1 + p.rng.Intn(c.units)), Type: class, Keyed: true, Key: p.rng.Int63n(1 << 40),
-		Volume: int64(volume), Hosts: volumeHosts, Cell: (volume*5 + p.rng.Intn(3)) % fleetServers}
+	r.op = honeyplank.Op{Units: float64(1 + p.rng.Intn(c.units)), Type: class, HasKey: true, Key: p.rng.Int63n(1 << 40),
+		Volume: int64(volume), Schedulers: volumeHosts, Cell: (volume*5 + p.rng.Intn(3)) % fleetServers}
 	p.all = append(p.all, r)
 	p.try(r)
 }
@@ -286,11 +286,11 @@
 		switch a := action.(type) {
 		case honeyplank.Dispatch:
 			p.dispatch(a)
-		case honeyplank.Throttle:
+		case honeyplank.Reject:
 			r := p.requests[a.Op]
 			delete(p.requests, a.Op)
 			p.add(p.now+max(a.RetryAfter, retryAfter), honeyplank.Timer{Name: fmt.Sprint("again ", p.index(r))})
-		case honeyplank.Abort:
+		case honeyplank.Fail:
 			delete(p.requests, a.Op)
 		case honeyplank.Cancel:
 			if r := p.requests[a.Op]; r != nil {
@@ -317,10 +317,10 @@
 		return
 	}
 	server := -1
-	fmt.Sscanf(string(a.OSD), "osd%d", &server)
+	fmt.Sscanf(string(a.Server), "osd%d", &server)
 	c := p.classes[r.class]
 	took := time.Duration(r.op.Units * float64(c.unitTime) * (0.5 + p.rng.ExpFloat64()/2))
-	code := honeyplank.Acked
+	code := honeyplank.Succeeded
 	if p.answer != nil {
 		code, took = p.answer(p, r, server, took)
 	}
@@ -328,7 +328,7 @@
 	if end >= r.op.Timeout {
 		code, end = honeyplank.TimedOut, r.op.Timeout
 	}
-	p.add(end, honeyplank.Outcome{Op: a.Op, Dispatch: r.sends, OSD: a.OSD, Code: code, Elapsed: end - p.now})
+	p.add(end, honeyplank.Outcome{Op: a.Op, Dispatch: r.sends, Server: a.Server, Code: code, Elapsed: end - p.now})
 	r.sends++
 	p.sent[r.class], p.unsent[r.class] = p.now, 0
 }
@@ -353,8 +353,8 @@
 			p.tell(e)
 			return
 		}
-		if e.Code == honeyplank.Acked {
-			e.Done, r.ended, p.answered = true, true, p.now
+		if e.Code == honeyplank.Succeeded {
+			e.Answered, r.ended, p.answered = true, true, p.now
 			p.served[r] = p.now-r.first <= p.classes[r.class].target
 			delete(p.requests, e.Op)
 		}
@@ -409,7 +409,7 @@
 		requests: map[honeyplank.OpID]*clientRequest{}, served: map[*clientRequest]bool{},
 		sent: make([]time.Duration, len(d.classes)), unsent: make([]int, len(d.classes))}
 	p.now = time.Second
-	p.list(honeyplank.On, 0)
+	p.list(honeyplank.Up, 0)
 	p.add(p.now, honeyplank.Timer{Name: "arrival"})
 	return p
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -36,8 +36,8 @@
 	ask                  bool
 	askWithin            time.Duration
 	target, timeout      []time.Duration
-	kind                 []honeyplank.Kind
-	scope                []honeyplank.Scope
+	kind                 []honeyplank.Semantics
+	scope                []honeyplank.DedupScope
 	remember             []time.Duration
 	ordered              []bool
 	rate                 []float64
@@ -76,8 +76,8 @@
 		askWithin:    get[time.Duration](settings, "list.ask_within"),
 		target:       get[[]time.Duration](settings, "optypes.target_latency"),
 		timeout:      get[[]time.Duration](settings, "optypes.op_timeout"),
-		kind:         get[[]honeyplank.Kind](settings, "optypes.kind"),
-		scope:        get[[]honeyplank.Scope](settings, "optypes.scope"),
+		kind:         get[[]honeyplank.Semantics](settings, "optypes.kind"),
+		scope:        get[[]honeyplank.DedupScope](settings, "optypes.scope"),
 		remember:     get[[]time.Duration](settings, "optypes.remember"),
 		ordered:      get[[]bool](settings, "optypes.ordered"),
 		rate:         get[[]float64](settings, "plans.rate"),
--- a/policy/state.go
+++ b/policy/state.go
@@ -18,8 +18,8 @@
 func New(seed int64, settings map[string]any) *Scheduler {
 	return &Scheduler{
 		set: read(settings), rng: rand.New(rand.NewSource(seed)),
-		osds: map[honeyplank.OSDID]*osd{}, ops: map[honeyplank.OpID]*op{},
-		known: map[honeyplank.OSDID]honeyplank.Known{}, volumes: map[int64]*volume{},
+		osds: map[honeyplank.ServerID]*osd{}, ops: map[honeyplank.OpID]*op{},
+		known: map[honeyplank.ServerID]honeyplank.ServerEstimate{}, volumes: map[int64]*volume{},
 		keys: map[int64]*key{}, holders: map[int][]*osd{}, byCell: map[int]*cellDemand{},
 		unserved: map[identity]*attempt{}, epoch: 1,
 		times: make([]typeTime, len(get[[]time.Duration](settings, "optypes.target_latency"))),
@@ -27,15 +27,15 @@
 }
 
 // Learnt is what means the same to an instance that comes after: how fast servers are, seen yet or not.
-func (s *Scheduler) Learnt() honeyplank.Learnt {
+func (s *Scheduler) Learnt() honeyplank.SavedEstimates {
 	usual := s.meanTime()
-	l := honeyplank.Learnt{Usual: usual}
+	l := honeyplank.SavedEstimates{TypicalLatency: usual}
 	for _, id := range slices.Sorted(maps.Keys(s.known)) {
 		l.Servers = append(l.Servers, s.known[id])
 	}
 	for _, o := range s.order {
 		if o.slowness > 0 && o.Started <= max(o.told, 0) {
-			l.Servers = append(l.Servers, honeyplank.Known{OSD: o.OSD, At: o.told, Best: o.best, Latency: o.slowness * usual})
+			l.Servers = append(l.Servers, honeyplank.ServerEstimate{Server: o.ID, At: o.told, BestPerUnit: o.best, Latency: o.slowness * usual})
 		}
 	}
 	return l
@@ -175,13 +175,13 @@
 	born       time.Duration
 	started    bool
 	out        []honeyplank.Action
-	osds       map[honeyplank.OSDID]*osd
-	known      map[honeyplank.OSDID]honeyplank.Known // from before this instance
-	order      []*osd                                // by id
-	active     []*osd                                // those that the sweep looks at, by id
-	joined     []*osd                                // those that came, in that order
-	epoch      int                                   // counts the starts of joined
-	soundList  []*osd                                // sound ones, as seen at a time
+	osds       map[honeyplank.ServerID]*osd
+	known      map[honeyplank.ServerID]honeyplank.ServerEstimate // from before this instance
+	order      []*osd                                            // by id
+	active     []*osd                                            // those that the sweep looks at, by id
+	joined     []*osd                                            // those that came, in that order
+	epoch      int                                               // counts the starts of joined
+	soundList  []*osd                                            // sound ones, as seen at a time
 	soundAt    time.Duration
 	visited    int // disk servers looked at for new objects and in sweeps
 	tidied     time.Duration
@@ -335,35 +335,35 @@
 
 // add takes up the record of a disk server.
 func (s *Scheduler) add(o *osd) *osd {
-	s.osds[o.OSD] = o
+	s.osds[o.ID] = o
 	s.order = insert(s.order, o)
 	// What an instance before this one had learnt holds unless the server has started since. It guards
 	// the first seconds after a switch; it could harm where a machine was replaced under one address.
-	if k, ok := s.known[o.OSD]; ok && s.holds(k, o.Started) {
-		o.best, o.slowness, o.told = k.Best, k.Latency/max(s.meanTime(), 1e-9), k.At
+	if k, ok := s.known[o.ID]; ok && s.holds(k, o.Started) {
+		o.best, o.slowness, o.told = k.BestPerUnit, k.Latency/max(s.meanTime(), 1e-9), k.At
 	}
-	delete(s.known, o.OSD)
+	delete(s.known, o.ID)
 	return o
 }
 
 // recall takes in what an instance before this one had learnt, unless it is too old, or of a time to come: by that no
 // start could be told to be newer.
-func (s *Scheduler) recall(e honeyplank.Learnt) {
+func (s *Scheduler) recall(e honeyplank.SavedEstimates) {
 	for i := range s.times {
-		s.times[i] = typeTime{mean: e.Usual, least: e.Usual, told: s.now}
+		s.times[i] = typeTime{mean: e.TypicalLatency, least: e.TypicalLatency, told: s.now}
 	}
 	for _, k := range e.Servers {
 		if s.holds(k, 0) {
-			s.known[k.OSD] = k
+			s.known[k.Server] = k
 		} else {
-			s.logf("osd %s: what was learnt of it is too old, or of a time to come: passed over", k.OSD)
+			s.logf("osd %s: what was learnt of it is too old, or of a time to come: passed over", k.Server)
 		}
 	}
 }
 
 // insert puts a disk server into a list kept by id.
 func insert(list []*osd, o *osd) []*osd {
-	i := sort.Search(len(list), func(i int) bool { return list[i].OSD >= o.OSD })
+	i := sort.Search(len(list), func(i int) bool { return list[i].ID >= o.ID })
 	return slices.Insert(list, i, o)
 }
 
@@ -375,7 +375,7 @@
 		s.running--
 		s.holders[o.Cell] = without(s.holders[o.Cell], o)
 	}
-	o.Member, o.placed = m, m.State == honeyplank.On
+	o.Member, o.placed = m, m.State == honeyplank.Up
 	if o.placed {
 		s.running++
 		s.holders[o.Cell] = insert(s.holders[o.Cell], o)
@@ -398,7 +398,7 @@
 	for _, o := range s.order {
 		o.was = o.placed
 		m := o.Member
-		m.State = honeyplank.Gone
+		m.State = honeyplank.Removed
 		s.place(o, m)
 	}
 }
@@ -425,7 +425,7 @@
 	o.patient += count(!hurried)
 	s.touch(o)
 	o.flight += p.Units
-	if p.Keyed {
+	if p.HasKey {
 		o.lastKey = p.Key
 	}
 }
@@ -454,7 +454,7 @@
 		v = &volume{plan: p.Plan, filled: s.unsent(), reserve: math.Inf(1)}
 		s.volumes[p.Volume] = v
 	}
-	v.hosts, v.lastSeen = p.Hosts, s.now
+	v.hosts, v.lastSeen = p.Schedulers, s.now
 	if v.hosts < 1 {
 		v.hosts = max(s.set.hosts, 1)
 	}
@@ -515,5 +515,5 @@
 // ask asks discovery for changes from now on.
 func (s *Scheduler) ask() {
 	s.asked = s.now
-	s.act(honeyplank.Watch{On: true})
+	s.act(honeyplank.Watch{Enabled: true})
 }
--- a/rehearse/baseline.go
+++ b/rehearse/baseline.go
@@ -14,41 +14,41 @@
 // Arrival makes a baseline to measure against: every op is passed on at once in order of arrival, whatever
 // the node's state, and tried no second time. It keeps no rule but the first.
 func Arrival(_ int64, _ map[string]any) gateway.Module {
-	return &arrival{holders: map[int]honeyplank.OSDID{}}
+	return &arrival{holders: map[int]honeyplank.ServerID{}}
 }
 
 type arrival struct {
-	holders map[int]honeyplank.OSDID
+	holders map[int]honeyplank.ServerID
 	asked   bool
 }
 
 func (a *arrival) Handle(now time.Duration, event honeyplank.Event) (out []honeyplank.Action) {
 	if !a.asked {
 		a.asked = true
-		out = append(out, honeyplank.Watch{On: true})
+		out = append(out, honeyplank.Watch{Enabled: true})
 	}
 	switch e := event.(type) {
 	case honeyplank.List:
-		if e.Kind == honeyplank.Refused {
+		if e.Kind == honeyplank.WatchFailed {
 			return append(out, honeyplank.SetTimer{At: now + time.Second, Name: "watch"})
 		}
 		for _, m := range e.Members {
-			if m.State == honeyplank.On {
-				a.holders[m.Cell] = m.OSD
-			} else if a.holders[m.Cell] == m.OSD {
+			if m.State == honeyplank.Up {
+				a.holders[m.Cell] = m.ID
+			} else if a.holders[m.Cell] == m.ID {
 				delete(a.holders, m.Cell)
 			}
 		}
 	case honeyplank.Timer:
-		out = append(out, honeyplank.Watch{On: true})
+		out = append(out, honeyplank.Watch{Enabled: true})
 	case honeyplank.Op:
 		if o, ok := a.holders[e.Cell]; ok {
-			return append(out, honeyplank.Dispatch{Op: e.ID, OSD: o})
+			return append(out, honeyplank.Dispatch{Op: e.ID, Server: o})
 		}
-		return append(out, honeyplank.Abort{Op: e.ID})
+		return append(out, honeyplank.Fail{Op: e.ID})
 	case honeyplank.Outcome:
-		if !e.Done {
-			return append(out, honeyplank.Abort{Op: e.Op})
+		if !e.Answered {
+			return append(out, honeyplank.Fail{Op: e.Op})
 		}
 	}
 	return out
--- a/rehearse/sabotage_test.go
+++ b/rehearse/sabotage_test.go
@@ -53,7 +53,7 @@
 	{name: "an answer is dropped", rule: 1, troubles: []settings.Trouble{at("die", time.Second, time.Second, 2, 0)},
 		make: func() change {
 			return func(_ time.Duration, _ honeyplank.Event, out []honeyplank.Action) []honeyplank.Action {
-				return slices.DeleteFunc(out, func(a honeyplank.Action) bool { _, ok := a.(honeyplank.Throttle); return ok })
+				return slices.DeleteFunc(out, func(a honeyplank.Action) bool { _, ok := a.(honeyplank.Reject); return ok })
 			}
 		}},
 	{name: "an answer comes late", rule: 1, troubles: []settings.Trouble{at("silent", time.Second, 3*time.Second, 3, 0)},
@@ -66,7 +66,7 @@
 				}
 				n := len(kept)
 				out = slices.DeleteFunc(out, func(a honeyplank.Action) bool {
-					_, ok := a.(honeyplank.Throttle)
+					_, ok := a.(honeyplank.Reject)
 					if ok {
 						kept = append(kept, a)
 					}
@@ -91,19 +91,19 @@
 		}},
 	{name: "a drained server is sent to", rule: 3, troubles: []settings.Trouble{at("drain", 500*time.Millisecond, 3*time.Second, 2, 0)},
 		make: func() change {
-			first, known := map[int]honeyplank.OSDID{}, ops{}
+			first, known := map[int]honeyplank.ServerID{}, ops{}
 			return func(_ time.Duration, e honeyplank.Event, out []honeyplank.Action) []honeyplank.Action {
 				switch e := e.(type) {
 				case honeyplank.List:
 					for _, m := range e.Members {
 						if _, ok := first[m.Cell]; !ok {
-							first[m.Cell] = m.OSD
+							first[m.Cell] = m.ID
 						}
 					}
 				case honeyplank.Op:
 					known[e.ID] = e
 					out = slices.DeleteFunc(out, func(a honeyplank.Action) bool { _, ok := a.(honeyplank.Dispatch); return ok })
-					return append(out, honeyplank.Dispatch{Op: e.ID, OSD: first[e.Cell]})
+					return append(out, honeyplank.Dispatch{Op: e.ID, Server: first[e.Cell]})
 				}
 				return out
 			}
@@ -117,9 +117,9 @@
 				if o, ok := e.(honeyplank.Op); ok {
 					known[o.ID] = o
 				}
-				if o, ok := e.(honeyplank.Outcome); ok && !o.Done && o.Code == honeyplank.Errored && o.Dispatch < 6 && known[o.Op].Type < 2 {
-					out = slices.DeleteFunc(out, func(a honeyplank.Action) bool { _, ok := a.(honeyplank.Throttle); return ok })
-					return append(out, honeyplank.Dispatch{Op: o.Op, OSD: o.OSD})
+				if o, ok := e.(honeyplank.Outcome); ok && !o.Answered && o.Code == honeyplank.Failed && o.Dispatch < 6 && known[o.Op].Type < 2 {
+					out = slices.DeleteFunc(out, func(a honeyplank.Action) bool { _, ok := a.(honeyplank.Reject); return ok })
+					return append(out, honeyplank.Dispatch{Op: o.Op, Server: o.Server})
 				}
 				return out
 			}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -407,9 +407,9 @@
 	return nil
 }
 
-var kinds = map[string]honeyplank.Kind{"replayable": honeyplank.Replayable, "deduplicated": honeyplank.Deduplicated, "once-only": honeyplank.OnceOnly}
+var kinds = map[string]honeyplank.Semantics{"replayable": honeyplank.Idempotent, "deduplicated": honeyplank.Deduplicated, "once-only": honeyplank.AtMostOnce}
 
-var scopes = map[string]honeyplank.Scope{"": honeyplank.ScopeAll, "all": honeyplank.ScopeAll, "zone": honeyplank.ScopeZone, "cell": honeyplank.ScopeCell}
+var scopes = map[string]honeyplank.DedupScope{"": honeyplank.ScopeAll, "all": honeyplank.ScopeAll, "zone": honeyplank.ScopeZone, "cell": honeyplank.ScopeCell}
 
 // Values are the settings under the module's names.
 func (g *Gateway) Values() map[string]any {
@@ -436,8 +436,8 @@
 	list(v, "optypes.remember", g.OpTypes, func(t OpType) time.Duration { return t.Remember.D() })
 	list(v, "optypes.utility", g.OpTypes, func(t OpType) float64 { return t.Utility })
 	list(v, "optypes.late_utility", g.OpTypes, func(t OpType) float64 { return t.LateUtility })
-	list(v, "optypes.kind", g.OpTypes, func(t OpType) honeyplank.Kind { return kinds[t.Kind] })
-	list(v, "optypes.scope", g.OpTypes, func(t OpType) honeyplank.Scope { return scopes[t.Scope] })
+	list(v, "optypes.kind", g.OpTypes, func(t OpType) honeyplank.Semantics { return kinds[t.Kind] })
+	list(v, "optypes.scope", g.OpTypes, func(t OpType) honeyplank.DedupScope { return scopes[t.Scope] })
 	list(v, "optypes.ordered", g.OpTypes, func(t OpType) bool { return t.Ordered })
 	list(v, "optypes.writes", g.OpTypes, func(t OpType) bool { return t.Opcode == "write" })
 	list(v, "plans.rate", g.Plans.List, func(p Plan) float64 { return p.Rate })
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	v := g.Values()
-	if k := v["optypes.kind"].([]honeyplank.Kind); k[3] != honeyplank.OnceOnly || k[0] != honeyplank.Replayable {
+	if k := v["optypes.kind"].([]honeyplank.Semantics); k[3] != honeyplank.AtMostOnce || k[0] != honeyplank.Idempotent {
 		t.Error("optypes.kind", k)
 	}
 	if d := v["optypes.target_latency"].([]time.Duration); d[1] != 900*time.Millisecond {
