--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// scheduler starts one as the platform does; lines are its log.
-func scheduler(t *testing.T, file string) (*exec.Cmd, chan string) {
+// schedulerProcess starts one as the platform does; lines are its log.
+func schedulerProcess(t *testing.T, file string) (*exec.Cmd, chan string) {
 	t.Helper()
 	c := exec.Command(binary, "platform")
 	c.Env = append(os.Environ(), "PROXY_CONFIG="+file)
@@ -94,7 +94,7 @@
 	defer silent.Close()
 	down := func(c map[string]any) { c["discovery"] = silent.Addr().String() }
 	configuration(t, file, down)
-	c, lines := scheduler(t, file)
+	c, lines := schedulerProcess(t, file)
 	var line struct{ Address string }
 	json.Unmarshal([]byte(says(t, lines, "serving")), &line)
 	ping := func() {
@@ -131,7 +131,7 @@
 	// Before it is ready: whenever the signal comes it ends by itself, and not by a fault.
 	configuration(t, file, down)
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
-		c, _ := scheduler(t, file)
+		c, _ := schedulerProcess(t, file)
 		time.Sleep(after)
 		c.Process.Signal(syscall.SIGTERM)
 		late := time.AfterFunc(5*time.Second, func() { c.Process.Kill() })
@@ -224,7 +224,7 @@
 	moved := func(c map[string]any) { c["discovery"] = "127.0.0.1:2" }
 	t.Run("SIGTERM while the first read hangs", func(t *testing.T) {
 		file := queue(t)
-		c, lines := scheduler(t, file)
+		c, lines := schedulerProcess(t, file)
 		asked(t, file)
 		c.Process.Signal(syscall.SIGTERM)
 		says(t, lines, errEnded.Error())
@@ -247,7 +247,7 @@
 	})
 	t.Run("SIGHUP and a half file before it is ready", func(t *testing.T) {
 		file := queue(t)
-		c, lines := scheduler(t, file)
+		c, lines := schedulerProcess(t, file)
 		writer := asked(t, file)
 		c.Process.Signal(syscall.SIGHUP)
 		answer(t, writer, nil)
@@ -261,7 +261,7 @@
 	})
 	t.Run("a half file, and one that hangs, at SIGHUP", func(t *testing.T) {
 		file := queue(t)
-		c, lines := scheduler(t, file)
+		c, lines := schedulerProcess(t, file)
 		stop := feed(t, file, nil)
 		says(t, lines, "serving")
 		stop()
@@ -283,7 +283,7 @@
 	t.Run("no descriptor for a moment, and many in quick succession", func(t *testing.T) {
 		file := filepath.Join(t.TempDir(), "config.json")
 		configuration(t, file, nil)
-		c, lines := scheduler(t, file)
+		c, lines := schedulerProcess(t, file)
 		says(t, lines, "serving")
 		configuration(t, file, moved)
 		var usual unix.Rlimit
