--- a/bench/bench.go
+++ b/bench/bench.go
@@ -14,15 +14,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
+	"honeyplank/discovery"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/etcd"
+	"honeyplank/faulttest"
 	"honeyplank/gateway"
 	"honeyplank/initiator"
-	"honeyplank/loop"
-	"honeyplank/members"
 	"honeyplank/nvme"
-	"honeyplank/rehearse"
 	"honeyplank/settings"
-	"honeyplank/standin/disk"
-	"honeyplank/standin/etcd"
 )
 
 // Baseline is the recorded cost of an op.
@@ -70,8 +70,8 @@
 
 type rig struct {
 	script  *settings.Gateway
-	disks   *loop.Loop
-	clients *loop.Loop
+	disks   *eventloop.Loop
+	clients *eventloop.Loop
 	servers []*disk.Server
 }
 
@@ -85,13 +85,13 @@
 		change(s)
 	}
 	r = &rig{script: s}
-	if r.disks, err = loop.New(time.Minute); err != nil {
+	if r.disks, err = eventloop.New(time.Minute); err != nil {
 		return nil, nil, nil, err
 	}
-	if r.clients, err = loop.New(time.Minute); err != nil {
+	if r.clients, err = eventloop.New(time.Minute); err != nil {
 		return nil, nil, nil, err
 	}
-	model := rehearse.Model(s)
+	model := faulttest.Model(s)
 	model.Meter = nil
 	registry, err := etcd.New("127.0.0.1:0")
 	if err != nil {
@@ -103,7 +103,7 @@
 			return nil, nil, nil, err
 		}
 		r.servers = append(r.servers, d)
-		value, _ := json.Marshal(members.Record{State: "on", Size: 1, Cell: cell})
+		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
 		registry.Set(s.List.Prefix+d.Address(), value)
 	}
 	own := *s
--- a/bench/sources.go
+++ b/bench/sources.go
@@ -14,12 +14,12 @@
 	"github.com/rs/zerolog"
 
 	"honeyplank"
+	"honeyplank/discovery"
+	"honeyplank/fake/dns"
+	"honeyplank/fake/etcd"
 	"honeyplank/gateway"
-	"honeyplank/members"
 	"honeyplank/policy"
 	"honeyplank/settings"
-	"honeyplank/standin/dns"
-	"honeyplank/standin/etcd"
 )
 
 // Membership is what following the list costs, at one size and rate.
@@ -96,7 +96,7 @@
 		return s.List.Prefix + id, honeyplank.ServerID(id)
 	}
 	value := func(i int, state string) []byte {
-		b, _ := json.Marshal(members.Record{State: state, Size: 1, Cell: i})
+		b, _ := json.Marshal(discovery.Record{State: state, Size: 1, Cell: i})
 		return b
 	}
 	all := map[string][]byte{}
@@ -214,10 +214,10 @@
 	}
 	defer s.Close()
 	s.Set(life, []dns.Record{{Target: "a--c0.storage.example.", IP: "127.0.0.1", Port: 7000, Weight: 1}})
-	var group []*members.DNS
+	var group []*discovery.DNS
 	for i := range schedulers {
-		group = append(group, members.NewDNS(members.DNSTerms{Servers: []string{s.Address()}, Name: "_honeyplank._tcp.storage.example.",
-			Floor: 100 * time.Millisecond, Ceiling: time.Minute, Timeout: time.Second, Seed: int64(i)}, func(members.News) {}))
+		group = append(group, discovery.NewDNS(discovery.DNSTerms{Servers: []string{s.Address()}, Name: "_honeyplank._tcp.storage.example.",
+			Floor: 100 * time.Millisecond, Ceiling: time.Minute, Timeout: time.Second, Seed: int64(i)}, func(discovery.News) {}))
 	}
 	time.Sleep(time.Duration(2*life) * time.Second) // all began at once; two lifetimes spread them
 	from, last := s.Queries(), s.Queries()
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -7,15 +7,15 @@
 	"fmt"
 	"os"
 
-	"honeyplank/internal/wire"
+	"honeyplank/internal/simwire"
 	"honeyplank/policy"
 )
 
 func main() {
-	start := func(seed int64, settings map[string]any) wire.Handler {
+	start := func(seed int64, settings map[string]any) simwire.Handler {
 		return policy.New(seed, settings)
 	}
-	if err := wire.Serve(os.Stdin, os.Stdout, start); err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/honeyplank/corpus.go
+++ b/cmd/honeyplank/corpus.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"honeyplank/corpus"
+	"honeyplank/fuzzcorpus"
 )
 
 type corpusCommand struct {
@@ -20,8 +20,8 @@
 	Sabotage sabotageCommand `cmd:"" help:"Put seeded faults into parsers and state machines, and see whether their targets find them."`
 }
 
-func (c *corpusCommand) targets() ([]corpus.Target, error) {
-	targets, err := corpus.Find(c.Root, c.Target)
+func (c *corpusCommand) targets() ([]fuzzcorpus.Target, error) {
+	targets, err := fuzzcorpus.Find(c.Root, c.Target)
 	if err != nil {
 		err = invalid{err}
 	}
@@ -31,7 +31,7 @@
 var errCorpus = errors.New("an input fails or is not one for its target")
 
 // play runs one of the corpus' works over the targets; show prints each result, faults decide how it ends.
-func (c *corpusCommand) play(work func(context.Context, []corpus.Target, func(corpus.Result)) error, show func(corpus.Result)) error {
+func (c *corpusCommand) play(work func(context.Context, []fuzzcorpus.Target, func(fuzzcorpus.Result)) error, show func(fuzzcorpus.Result)) error {
 	targets, err := c.targets()
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 	ctx, stop := signals()
 	defer stop()
 	failed := false
-	err = work(ctx, targets, func(r corpus.Result) {
+	err = work(ctx, targets, func(r fuzzcorpus.Result) {
 		show(r)
 		for _, f := range r.Faults {
 			fmt.Println(f)
@@ -55,9 +55,9 @@
 type replayCommand struct{}
 
 func (*replayCommand) Run(c *corpusCommand) error {
-	return c.play(func(ctx context.Context, targets []corpus.Target, done func(corpus.Result)) error {
-		return corpus.Replay(ctx, c.Root, targets, done)
-	}, func(r corpus.Result) {
+	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
+		return fuzzcorpus.Replay(ctx, c.Root, targets, done)
+	}, func(r fuzzcorpus.Result) {
 		fmt.Printf("%-28s %5d inputs %8d bytes %8s\n", r.Target, r.Files, r.Bytes, r.Took.Round(10*time.Millisecond))
 	})
 }
@@ -69,9 +69,9 @@
 }
 
 func (g *growCommand) Run(c *corpusCommand) error {
-	return c.play(func(ctx context.Context, targets []corpus.Target, done func(corpus.Result)) error {
-		return corpus.Grow(ctx, c.Root, targets, g.Time, g.Workers, g.Most, done)
-	}, func(r corpus.Result) {
+	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
+		return fuzzcorpus.Grow(ctx, c.Root, targets, g.Time, g.Workers, g.Most, done)
+	}, func(r fuzzcorpus.Result) {
 		fmt.Printf("%-28s %10d inputs tried in %6s, %4d kept, now %5d\n", r.Target, r.Tried, r.Took.Round(time.Second), len(r.Added), r.Files)
 		if r.Crash != "" {
 			fmt.Printf("a finding, kept as %s; go test -run '%s/%s' ./%s plays it\n", r.Crash, r.Target.Name, r.Crash, r.Target.Package)
@@ -82,9 +82,9 @@
 type minimiseCommand struct{}
 
 func (*minimiseCommand) Run(c *corpusCommand) error {
-	return c.play(func(ctx context.Context, targets []corpus.Target, done func(corpus.Result)) error {
-		return corpus.Minimise(ctx, c.Root, targets, done)
-	}, func(r corpus.Result) {
+	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
+		return fuzzcorpus.Minimise(ctx, c.Root, targets, done)
+	}, func(r fuzzcorpus.Result) {
 		fmt.Printf("%-28s %5d inputs dropped, %5d stay, %d rewritten; %.1f%% of the package's statements, seeds alone %.1f%%\n",
 			r.Target, len(r.Dropped), r.Files, r.Upgraded, 100*r.Covered, 100*r.Seeds)
 	})
@@ -93,10 +93,10 @@
 type statsCommand struct{}
 
 func (*statsCommand) Run(c *corpusCommand) error {
-	return c.play(func(ctx context.Context, targets []corpus.Target, done func(corpus.Result)) error {
+	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
 		fmt.Printf("%-28s %8s %9s   share of the package's statements: %5s %11s\n", "target", "inputs", "bytes", "seeds", "with corpus")
-		return corpus.Stats(ctx, c.Root, targets, done)
-	}, func(r corpus.Result) {
+		return fuzzcorpus.Stats(ctx, c.Root, targets, done)
+	}, func(r fuzzcorpus.Result) {
 		fmt.Printf("%-28s %8d %9d %42.1f%% %10.1f%%\n", r.Target, r.Files, r.Bytes, 100*r.Seeds, 100*r.Covered)
 	})
 }
@@ -114,8 +114,8 @@
 	for _, t := range targets {
 		wanted[t.String()] = true
 	}
-	var list []corpus.Sabotage
-	for _, x := range corpus.Sabotages {
+	var list []fuzzcorpus.Sabotage
+	for _, x := range fuzzcorpus.Sabotages {
 		if wanted[x.Package+" "+x.Target] {
 			list = append(list, x)
 		}
@@ -123,7 +123,7 @@
 	ctx, stop := signals()
 	defer stop()
 	missed := 0
-	err = corpus.Try(ctx, c.Root, list, s.Runs, func(f corpus.Found) {
+	err = fuzzcorpus.Try(ctx, c.Root, list, s.Runs, func(f fuzzcorpus.Found) {
 		word := fmt.Sprintf("found by input %d of the corpus", f.Replayed)
 		switch {
 		case !f.Found:
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -19,9 +19,9 @@
 	"github.com/rs/zerolog"
 
 	"honeyplank/bench"
+	"honeyplank/estimates"
+	"honeyplank/faulttest"
 	"honeyplank/gateway"
-	"honeyplank/learnt"
-	"honeyplank/rehearse"
 	"honeyplank/settings"
 )
 
@@ -96,11 +96,11 @@
 }
 
 // learnt reads the file of the instance before; without a sound one the start is as any other.
-func (c *serveCommand) learnt(log zerolog.Logger) *learnt.Record {
+func (c *serveCommand) learnt(log zerolog.Logger) *estimates.Record {
 	if c.Learnt == "" {
 		return nil
 	}
-	r, err := patiently(log, c.Learnt, learnt.Read)
+	r, err := patiently(log, c.Learnt, estimates.Read)
 	if err != nil {
 		log.Warn().Err(err).Msg("starting without what was learnt")
 		return nil
@@ -291,11 +291,11 @@
 	var err error
 	switch c.Script {
 	case "badday":
-		script, err = settings.Parse("built-in script", rehearse.BadDay)
+		script, err = settings.Parse("built-in script", faulttest.BadDay)
 	case "wires":
-		script, err = settings.Parse("built-in script", rehearse.Wires)
+		script, err = settings.Parse("built-in script", faulttest.Wires)
 	case "sources":
-		script, err = settings.Parse("built-in script", rehearse.Sources)
+		script, err = settings.Parse("built-in script", faulttest.Sources)
 	default:
 		script, err = read(c.Script)
 	}
@@ -310,11 +310,11 @@
 	scripts := map[string]*settings.Gateway{"": script}
 	names := []string{""}
 	if c.Trouble != "" {
-		if scripts, names, err = rehearse.Troubles(script, c.Trouble); err != nil {
+		if scripts, names, err = faulttest.Troubles(script, c.Trouble); err != nil {
 			return invalid{err}
 		}
 	}
-	reports := make([]*rehearse.Report, len(names))
+	reports := make([]*faulttest.Report, len(names))
 	errs := make([]error, len(names))
 	var group sync.WaitGroup
 	slots := make(chan struct{}, 3) // so many play at a time
@@ -324,14 +324,14 @@
 			defer group.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			o := rehearse.Options{Script: scripts[name], Seed: c.Seed, Log: zerolog.Nop()}
+			o := faulttest.Options{Script: scripts[name], Seed: c.Seed, Log: zerolog.Nop()}
 			if c.Verbose {
 				o.Log = log
 			}
 			if c.Baseline {
-				o.Module = rehearse.Arrival
+				o.Module = faulttest.Arrival
 			}
-			reports[i], errs[i] = rehearse.Run(ctx, o)
+			reports[i], errs[i] = faulttest.Run(ctx, o)
 		}()
 	}
 	group.Wait()
@@ -344,7 +344,7 @@
 		if c.JSON {
 			if err := json.NewEncoder(os.Stdout).Encode(struct {
 				Trouble string `json:"trouble,omitempty"`
-				*rehearse.Report
+				*faulttest.Report
 			}{name, reports[i]}); err != nil {
 				return err
 			}
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -19,16 +19,16 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
+	"honeyplank/discovery"
+	"honeyplank/estimates"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/etcd"
+	"honeyplank/faulttest"
 	"honeyplank/gateway"
 	"honeyplank/initiator"
-	"honeyplank/learnt"
-	"honeyplank/loop"
-	"honeyplank/members"
 	"honeyplank/nvme"
-	"honeyplank/rehearse"
 	"honeyplank/settings"
-	"honeyplank/standin/disk"
-	"honeyplank/standin/etcd"
 )
 
 var binary string
@@ -112,11 +112,11 @@
 // against stand-ins of the same kind: one server sound, one failing every op, one not listed, one turning
 // ops away. The answers are the same, op by op.
 func TestSameAnswers(t *testing.T) {
-	script, err := settings.Parse("built-in script", rehearse.BadDay)
+	script, err := settings.Parse("built-in script", faulttest.BadDay)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := loop.New(time.Minute)
+	l, err := eventloop.New(time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	defer registry.Close()
-	model := rehearse.Model(script)
+	model := faulttest.Model(script)
 	model.Spread, model.Pause, model.PauseEvery, model.PutOffEvery, model.UnitTime = 0, 0, 0, 0, settings.Span(time.Millisecond)
 	for cell, faults := range map[int]disk.Faults{0: {}, 1: {Fail: 1}, 4: {Draining: true}} {
 		d, err := disk.New(l, "127.0.0.1:0", model, 1)
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 		d.Apply(faults)
-		value, _ := json.Marshal(members.Record{State: "on", Size: 1, Cell: cell})
+		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
 		registry.Set(script.List.Prefix+d.Address(), value)
 	}
 	ended := make(chan struct{})
@@ -236,7 +236,7 @@
 }
 
 // play sends ops one after another and writes down their answers.
-func play(t *testing.T, l *loop.Loop, subsystem, address string) string {
+func play(t *testing.T, l *eventloop.Loop, subsystem, address string) string {
 	t.Helper()
 	ready := make(connected, 2)
 	var a *initiator.Association
@@ -290,7 +290,7 @@
 func TestLearntFile(t *testing.T) {
 	s := example(t)
 	file := filepath.Join(t.TempDir(), "learnt")
-	known := &learnt.Record{Unit: 16 << 10, Usual: 0.01, Servers: []learnt.Server{{OSD: "127.0.0.1:9", At: time.Now().UTC(), Best: 0.001, Latency: 0.01}}}
+	known := &estimates.Record{Unit: 16 << 10, Usual: 0.01, Servers: []estimates.Server{{OSD: "127.0.0.1:9", At: time.Now().UTC(), Best: 0.001, Latency: 0.01}}}
 	sound, err := known.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -302,7 +302,7 @@
 			os.WriteFile(file, []byte(before), 0o600)
 		}
 		t.Run(fmt.Sprintf("%.8s", before), func(t *testing.T) { daemon(t, s, 1, "--learnt", file) }) // its end is a stop in order
-		r, err := learnt.Read(file)
+		r, err := estimates.Read(file)
 		if err != nil {
 			t.Errorf("after a start with %q and a stop: %v", before, err)
 		} else if n := len(r.Servers); (n == 1) != (before == string(sound)) { // no server was listed
@@ -361,7 +361,7 @@
 			if !slices.Equal(said, c.says) {
 				t.Errorf("it said %q, want %q", said, c.says)
 			}
-			if _, err := learnt.Read(file); (err == nil) != c.ends {
+			if _, err := estimates.Read(file); (err == nil) != c.ends {
 				t.Errorf("its file: %v", err)
 			}
 		})
--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"honeyplank/platform"
+	"honeyplank/scheduler"
 )
 
 type platformCommand struct {
@@ -36,17 +36,17 @@
 	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	file := reader[*platform.Papers]{func() (*platform.Papers, error) { return platform.Read(c.File) }, unread, log}
-	p, err := before(end, func() (*platform.Papers, error) { return file.load(ctx, anew) })
+	file := reader[*scheduler.Papers]{func() (*scheduler.Papers, error) { return scheduler.Read(c.File) }, unread, log}
+	p, err := before(end, func() (*scheduler.Papers, error) { return file.load(ctx, anew) })
 	if err != nil && err != errEnded {
 		return invalid{err}
 	}
-	var s *platform.Scheduler
+	var s *scheduler.Scheduler
 	if err == nil {
 		debug.SetGCPercent(heapGrowth)
 		limit(p)
-		s, err = before(end, func() (*platform.Scheduler, error) {
-			return platform.New(p, log.With().Str("scheduler", p.Name).Logger())
+		s, err = before(end, func() (*scheduler.Scheduler, error) {
+			return scheduler.New(p, log.With().Str("scheduler", p.Name).Logger())
 		})
 	}
 	if err == errEnded {
@@ -59,7 +59,7 @@
 	log.Info().Str("address", s.Address()).Str("discovery", p.Discovery).Int("sockets", p.Sockets).Int("memory_mb", p.MemoryMB).Msg("serving")
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
-	go file.follow(ctx, anew, func(p *platform.Papers) { limit(p); s.Reload(p) })
+	go file.follow(ctx, anew, func(p *scheduler.Papers) { limit(p); s.Reload(p) })
 	for {
 		select {
 		case err := <-served:
@@ -71,7 +71,7 @@
 }
 
 // limit keeps the process within what the configuration allows it.
-func limit(p *platform.Papers) {
+func limit(p *scheduler.Papers) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMB) * (1 << 20)))
 }
--- a/cmd/honeyplank/read.go
+++ b/cmd/honeyplank/read.go
@@ -9,8 +9,8 @@
 
 	"github.com/rs/zerolog"
 
-	"honeyplank/learnt"
-	"honeyplank/platform"
+	"honeyplank/estimates"
+	"honeyplank/scheduler"
 )
 
 // How long reading is tried again, from the first attempt on, and how soon.
@@ -20,7 +20,7 @@
 	leastReads    = 5                      // also where the process was held up in between
 )
 
-var reading = learnt.Backoff{First: 20 * time.Millisecond, Most: 500 * time.Millisecond}
+var reading = estimates.Backoff{First: 20 * time.Millisecond, Most: 500 * time.Millisecond}
 
 // reader reads a file, again where that fails for a moment.
 type reader[T any] struct {
@@ -97,7 +97,7 @@
 
 // unread tells a file that could not be read, line 0, from one with a wrong content, which may be half written.
 func unread(err error) time.Duration {
-	var fault *platform.Fault
+	var fault *scheduler.Fault
 	if errors.As(err, &fault) && fault.Line > 0 {
 		return replaceWithin
 	}
--- a/cmd/honeyplank/read_test.go
+++ b/cmd/honeyplank/read_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/rs/zerolog"
 
-	"honeyplank/platform"
+	"honeyplank/scheduler"
 	"honeyplank/settings"
 )
 
 var (
-	errContent = &platform.Fault{File: "config.json", Line: 3, Wrong: "unexpected end of JSON input", Want: "one JSON object"}
-	errUnread  = &platform.Fault{File: "config.json", Wrong: "open config.json: too many open files", Want: "the configuration that the platform writes"}
+	errContent = &scheduler.Fault{File: "config.json", Line: 3, Wrong: "unexpected end of JSON input", Want: "one JSON object"}
+	errUnread  = &scheduler.Fault{File: "config.json", Wrong: "open config.json: too many open files", Want: "the configuration that the platform writes"}
 )
 
 // fails is a reader that fails so many times, and then reads a 7.
--- a/cmd/honeyplank/standin.go
+++ b/cmd/honeyplank/standin.go
@@ -9,12 +9,12 @@
 
 	"github.com/rs/zerolog"
 
-	"honeyplank/loop"
-	"honeyplank/members"
-	"honeyplank/rehearse"
-	"honeyplank/standin/disk"
-	"honeyplank/standin/dns"
-	"honeyplank/standin/etcd"
+	"honeyplank/discovery"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/dns"
+	"honeyplank/fake/etcd"
+	"honeyplank/faulttest"
 )
 
 type standinCommand struct {
@@ -40,11 +40,11 @@
 	if s.Rehearsal == nil {
 		return invalid{fmt.Errorf("%s has no <rehearsal>", c.Script)}
 	}
-	l, err := loop.New(time.Minute)
+	l, err := eventloop.New(time.Minute)
 	if err != nil {
 		return err
 	}
-	d, err := disk.New(l, c.Listen, rehearse.Model(s), time.Now().UnixNano())
+	d, err := disk.New(l, c.Listen, faulttest.Model(s), time.Now().UnixNano())
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	}
 	defer s.Close()
 	for cell, address := range c.Nodes {
-		value, _ := json.Marshal(members.Record{State: "on", Size: 1, Cell: cell})
+		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
 		s.Set(c.Prefix+address, value)
 	}
 	fmt.Println(s.Address())
--- a/members/dns.go
+++ b/discovery/dns.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/miekg/dns"
 
 	"honeyplank"
-	"honeyplank/names"
+	"honeyplank/discovery/resolver"
 )
 
 // DNSTerms say whom to ask for what. docs/dns.md gives the convention of the records.
@@ -32,7 +32,7 @@
 type DNS struct {
 	t       DNSTerms
 	tell    func(News)
-	asker   *names.Asker
+	asker   *resolver.Asker
 	ask     func(server, name string, kind uint16) (*dns.Msg, error)
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -44,7 +44,7 @@
 	t.Name = dns.Fqdn(t.Name)
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &DNS{t: t, tell: tell, cancel: cancel}
-	d.asker = names.New(names.Terms{Servers: len(t.Servers), Floor: t.Floor, Ceiling: t.Ceiling, Seed: t.Seed})
+	d.asker = resolver.New(resolver.Terms{Servers: len(t.Servers), Floor: t.Floor, Ceiling: t.Ceiling, Seed: t.Seed})
 	d.ask = func(server, name string, kind uint16) (*dns.Msg, error) { return d.exchange(ctx, server, name, kind) }
 	d.running.Add(1)
 	go func() {
@@ -153,11 +153,11 @@
 			break // one target is one server
 		}
 	}
-	records := make([]names.Record, len(found))
+	records := make([]resolver.Record, len(found))
 	for i, s := range found {
-		records[i] = names.Record{Server: s.node.Address, Cell: s.node.Cell, Priority: s.priority, Drains: s.node.State != "on"}
+		records[i] = resolver.Record{Server: s.node.Address, Cell: s.node.Cell, Priority: s.priority, Drains: s.node.State != "on"}
 	}
-	for _, i := range names.Choose(records) {
+	for _, i := range resolver.Choose(records) {
 		news.Nodes = append(news.Nodes, found[i].node)
 	}
 	return news, life, nil
--- a/members/dns_test.go
+++ b/discovery/dns_test.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	mdns "github.com/miekg/dns"
 
 	"honeyplank"
-	"honeyplank/standin/dns"
+	"honeyplank/fake/dns"
 )
 
 const zone = "_honeyplank._tcp.storage.example."
--- a/members/etcd.go
+++ b/discovery/etcd.go
@@ -1,7 +1,7 @@
-// Package members learns of the disk servers: from etcd over its published gRPC API (docs/etcd.md) and from DNS
+// Package discovery learns of the disk servers: from etcd over its published gRPC API (docs/etcd.md) and from DNS
 // SRV records (docs/dns.md). The sources ask, tell what they heard and report what failed. Whom to believe is
 // decided in package belief, when to ask etcd again by the module.
-package members
+package discovery
 
 import (
 	"context"
--- a/members/etcd_test.go
+++ b/discovery/etcd_test.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/standin/etcd"
+	"honeyplank/fake/etcd"
 )
 
 const prefix = "/honeyplank/nodes/"
--- a/members/fuzz_test.go
+++ b/discovery/fuzz_test.go
@@ -1,4 +1,4 @@
-package members
+package discovery
 
 import (
 	"encoding/json"
--- a/names/names.go
+++ b/discovery/resolver/names.go
@@ -1,6 +1,6 @@
-// Package names decides whom to ask for the list in DNS and when, and which records of an answer count. It does no
+// Package resolver decides whom to ask for the list in DNS and when, and which records of an answer count. It does no
 // I/O, has no clock and no goroutine: outcomes go in, the next question comes out. Package members asks.
-package names
+package resolver
 
 import (
 	"math/rand"
--- a/names/names_test.go
+++ b/discovery/resolver/names_test.go
@@ -1,4 +1,4 @@
-package names
+package resolver
 
 import (
 	"fmt"
--- a/learnt/learnt.go
+++ b/estimates/learnt.go
@@ -1,7 +1,7 @@
-// Package learnt is the file in which what an instance knows of disk servers outlives it: the figures that mean the
+// Package estimates is the file in which what an instance knows of disk servers outlives it: the figures that mean the
 // same to the instance that comes after. docs/migration.md has the format. It decides nothing: what a figure is still
 // worth, the module tells by its age and the server's last start.
-package learnt
+package estimates
 
 import (
 	"bytes"
--- a/learnt/write.go
+++ b/estimates/write.go
@@ -1,4 +1,4 @@
-package learnt
+package estimates
 
 import (
 	"context"
--- a/loop/connection.go
+++ b/eventloop/connection.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"cmp"
--- a/loop/loop.go
+++ b/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package loop is the event loop that one instance runs on: epoll over non-blocking sockets, timers, and an
+// Package eventloop is the event loop that one instance runs on: epoll over non-blocking sockets, timers, and an
 // eventfd by which other goroutines hand it work. Everything it calls runs on the goroutine of Run, so what
 // hangs on one loop needs no locks. It knows bytes and connections, no protocol, and decides nothing.
-package loop
+package eventloop
 
 import (
 	"encoding/binary"
--- a/standin/disk/disk.go
+++ b/fake/disk/disk.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 	"honeyplank/settings"
 	"honeyplank/target"
@@ -28,7 +28,7 @@
 	Meter    *Meter
 	Offer    target.Offer
 	Tap      func() func(sent bool, b []byte)
-	Wire     func(*loop.Conn)
+	Wire     func(*eventloop.Conn)
 }
 
 // Faults are what is wrong with a server now.
@@ -50,7 +50,7 @@
 	Started time.Duration // last start, by the loop's clock; 0: long ago
 
 	m       Model
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	rng     *rand.Rand
 	server  *target.Server
 	address string
@@ -84,7 +84,7 @@
 }
 
 // New starts a warm server at an address, port 0 for any.
-func New(l *loop.Loop, address string, m Model, seed int64) (*Server, error) {
+func New(l *eventloop.Loop, address string, m Model, seed int64) (*Server, error) {
 	s := &Server{m: m, loop: l, rng: rand.New(rand.NewSource(seed)), blocks: map[blockID][]byte{}, address: address,
 		seen: map[volumeHost]float64{}, served: map[uint32]float64{}}
 	if err := s.listen(); err != nil {
--- a/standin/disk/disk_test.go
+++ b/fake/disk/disk_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/settings"
 )
 
 // TestCapacity checks what a cold server can do by its age, whatever starts come later.
 func TestCapacity(t *testing.T) {
-	l, err := loop.New(time.Minute)
+	l, err := eventloop.New(time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/standin/resp/disk.go
+++ b/fake/resp/disk.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/resp"
 )
 
@@ -40,8 +40,8 @@
 
 // Disk is one disk server on a loop of its own.
 type Disk struct {
-	loop     *loop.Loop
-	listener *loop.Listener
+	loop     *eventloop.Loop
+	listener *eventloop.Listener
 	address  string
 
 	mu     sync.Mutex
@@ -54,7 +54,7 @@
 type conn struct {
 	d    *Disk
 	n    int
-	c    *loop.Conn
+	c    *eventloop.Conn
 	in   resp.Reader
 	due  [][]byte // answers in the order of commands; nil: not ready
 	base int      // number of the first of due
@@ -63,7 +63,7 @@
 
 // NewDisk starts a disk server at an address of loopback, port 0 for any.
 func NewDisk(address string) (*Disk, error) {
-	l, err := loop.New(time.Minute)
+	l, err := eventloop.New(time.Minute)
 	if err != nil {
 		return nil, err
 	}
@@ -106,12 +106,12 @@
 func (d *Disk) Stop() { d.loop.Post(d.loop.Stop) }
 
 // CutIdle closes all connections in order, as a disk server does with idle ones.
-func (d *Disk) CutIdle() { d.each((*loop.Conn).Finish) }
+func (d *Disk) CutIdle() { d.each((*eventloop.Conn).Finish) }
 
 // ResetIdle resets all connections.
-func (d *Disk) ResetIdle() { d.each((*loop.Conn).Abort) }
+func (d *Disk) ResetIdle() { d.each((*eventloop.Conn).Abort) }
 
-func (d *Disk) each(end func(*loop.Conn)) {
+func (d *Disk) each(end func(*eventloop.Conn)) {
 	d.loop.Post(func() {
 		d.mu.Lock()
 		var all []*conn
@@ -125,7 +125,7 @@
 	})
 }
 
-func (d *Disk) accept(raw *loop.Conn) loop.Handler {
+func (d *Disk) accept(raw *eventloop.Conn) eventloop.Handler {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := &conn{d: d, n: d.opened, c: raw, in: resp.Reader{Bounds: resp.Bounds{Line: 64, Bulk: 64 << 10, Items: 8, Depth: 1, Total: 80 << 10, Command: true}}}
@@ -139,10 +139,10 @@
 	return c
 }
 
-func (c *conn) Opened(*loop.Conn)        {}
-func (c *conn) Closed(*loop.Conn, error) {}
+func (c *conn) Opened(*eventloop.Conn)        {}
+func (c *conn) Closed(*eventloop.Conn, error) {}
 
-func (c *conn) Input(_ *loop.Conn, b []byte) (used int) {
+func (c *conn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
 		n, v, whole, err := c.in.Next(b[used:])
 		used += n
--- a/rehearse/baseline.go
+++ b/faulttest/baseline.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"fmt"
--- a/rehearse/rehearse.go
+++ b/faulttest/rehearse.go
@@ -1,7 +1,7 @@
-// Package rehearse plays a script: gateways, stand-in disk servers, a stand-in etcd and clients on loopback in
+// Package faulttest plays a script: gateways, stand-in disk servers, a stand-in etcd and clients on loopback in
 // one process, with what goes wrong when. The audit judges the rules from what crossed the sockets. All
 // figures are of stand-ins.
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -20,14 +20,14 @@
 	"github.com/rs/zerolog"
 
 	"honeyplank/audit"
+	"honeyplank/discovery"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/dns"
+	"honeyplank/fake/etcd"
 	"honeyplank/gateway"
-	"honeyplank/load"
-	"honeyplank/loop"
-	"honeyplank/members"
+	"honeyplank/loadgen"
 	"honeyplank/settings"
-	"honeyplank/standin/disk"
-	"honeyplank/standin/dns"
-	"honeyplank/standin/etcd"
 	"honeyplank/target"
 )
 
@@ -96,7 +96,7 @@
 type stage struct {
 	o        Options
 	script   *settings.Gateway
-	loop     *loop.Loop
+	loop     *eventloop.Loop
 	rng      *rand.Rand
 	log      *audit.Log
 	etcd     *etcd.Server
@@ -111,7 +111,7 @@
 	cut      atomic.Bool
 	looks    int
 	wrong    int // of looks
-	load     *load.Generator
+	load     *loadgen.Generator
 	mu       sync.Mutex
 	gateways []*gateway.Instance
 	serving  sync.WaitGroup
@@ -127,7 +127,7 @@
 		return nil, fmt.Errorf("rehearse: the script has no <rehearsal>")
 	}
 	began := time.Now()
-	l, err := loop.New(time.Minute)
+	l, err := eventloop.New(time.Minute)
 	if err != nil {
 		return nil, err
 	}
@@ -231,7 +231,7 @@
 			return
 		}
 		state, started := "gone", time.Time{}
-		var r members.Record
+		var r discovery.Record
 		if len(value) > 0 && json.Unmarshal(value, &r) == nil {
 			state = r.State
 			if r.StartedMS > 0 {
@@ -263,13 +263,13 @@
 		}
 		st.list(cell, "on")
 	}
-	var targets []load.Target
+	var targets []loadgen.Target
 	for n := range s.Rehearsal.Gateways {
 		st.gateways = append(st.gateways, nil)
 		if err := st.gateway(n, "127.0.0.1:0"); err != nil {
 			return err
 		}
-		targets = append(targets, load.Target{Address: st.gateways[n].Address(), Subsystem: s.Listen.Subsystem, Wire: st.client(n), Left: func() { st.log.Left(n) }})
+		targets = append(targets, loadgen.Target{Address: st.gateways[n].Address(), Subsystem: s.Listen.Subsystem, Wire: st.client(n), Left: func() { st.log.Left(n) }})
 	}
 	r := s.Rehearsal
 	var aside func(int) bool
@@ -277,7 +277,7 @@
 		aside = apart
 	}
 	st.loop.AtTime(0, func() {
-		st.load = load.Start(st.loop, load.Options{Settings: s, Targets: targets, Traffic: r.Traffic, Clients: r.Clients, Retries: r.Retries, Seed: st.o.Seed, Expect: disk.Fill, Digests: wired(s), Apart: aside})
+		st.load = loadgen.Start(st.loop, loadgen.Options{Settings: s, Targets: targets, Traffic: r.Traffic, Clients: r.Clients, Retries: r.Retries, Seed: st.o.Seed, Expect: disk.Fill, Digests: wired(s), Apart: aside})
 	})
 	return nil
 }
@@ -401,7 +401,7 @@
 // list tells etcd of the server of a cell.
 func (st *stage) list(cell int, state string) {
 	d := st.cells[cell]
-	r := members.Record{State: state, Size: float64(st.model.Cores), Zone: cell % 3, Cell: cell}
+	r := discovery.Record{State: state, Size: float64(st.model.Cores), Zone: cell % 3, Cell: cell}
 	if d.Started > 0 {
 		r.StartedMS = st.loop.At(d.Started).UnixMilli()
 	}
--- a/rehearse/wire.go
+++ b/faulttest/wire.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"encoding/binary"
@@ -7,10 +7,10 @@
 	"time"
 
 	"honeyplank/audit"
-	"honeyplank/loop"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
 	"honeyplank/nvme"
 	"honeyplank/settings"
-	"honeyplank/standin/disk"
 )
 
 // wireTrouble begins the names of troubles of the wire between.
@@ -51,7 +51,7 @@
 // bend is one end of a wire, at a client or at a disk server.
 type bend struct {
 	st    *stage
-	c     *loop.Conn
+	c     *eventloop.Conn
 	bad   func() bool
 	spoil func()
 	lies  bool // it may change what a length field says
@@ -122,10 +122,10 @@
 
 // client is the wire of a client's connection to a gateway. What damages one connection of an association ends both,
 // admin queue and I/O queue (TCP 3.5), so both are spoiled.
-func (st *stage) client(gateway int) func(client int, c *loop.Conn) {
+func (st *stage) client(gateway int) func(client int, c *eventloop.Conn) {
 	link := st.log.Client(gateway, int(st.script.Volumes.Block))
 	associations := map[int][]audit.Link{}
-	return func(client int, c *loop.Conn) {
+	return func(client int, c *eventloop.Conn) {
 		l := link()
 		c.Tap = l.Tap
 		if len(associations[client]) == 2 {
@@ -144,8 +144,8 @@
 }
 
 // disk is the wire of a gateway's connection at a disk server.
-func (st *stage) disk(d func() *disk.Server) func(c *loop.Conn) {
-	return func(c *loop.Conn) {
+func (st *stage) disk(d func() *disk.Server) func(c *eventloop.Conn) {
+	return func(c *eventloop.Conn) {
 		if wired(st.script) {
 			c.Bend = &bend{st: st, c: c, spoil: func() {}, lies: true, bad: func() bool { return st.bad.disks[d()] }}
 		}
--- a/corpus/corpus.go
+++ b/fuzzcorpus/corpus.go
@@ -1,7 +1,7 @@
-// Package corpus keeps what the fuzz targets of a source tree have learnt: it replays, grows, minimises and measures
+// Package fuzzcorpus keeps what the fuzz targets of a source tree have learnt: it replays, grows, minimises and measures
 // the inputs under testdata/fuzz, and tries the targets themselves by sabotage. It drives the go command; the files
 // are in its format ("go test fuzz v1", one Go literal a line).
-package corpus
+package fuzzcorpus
 
 import (
 	"bufio"
--- a/corpus/corpus_test.go
+++ b/fuzzcorpus/corpus_test.go
@@ -1,4 +1,4 @@
-package corpus
+package fuzzcorpus
 
 import (
 	"context"
--- a/corpus/sabotage.go
+++ b/fuzzcorpus/sabotage.go
@@ -1,4 +1,4 @@
-package corpus
+package fuzzcorpus
 
 import (
 	"context"
@@ -46,24 +46,24 @@
 	{"initiator", "FuzzModel", "initiator/session.go", "&& v.read != v.got {", "&& v.read < v.got {", "success before the data"},
 	{"initiator", "FuzzModel", "initiator/session.go", "&& v.asked != len(v.data) && v.write {", "&& false {", "success of a Write before its data"},
 	{"initiator", "FuzzController", "initiator/session.go", "	s.free = append(s.free, v.index)\n	if call", "	s.free = append(s.free, v.index, v.index)\n	if call", "a slot is freed twice"},
-	{"members", "FuzzWatch", "members/watch.go", "if e.Kv.ModRevision <= l.revision {", "if e.Kv.ModRevision < l.revision {", "a revision told is told again"},
-	{"members", "FuzzWatch", "members/watch.go", "l.revision = max(l.revision, l.last)", "l.revision = max(l.revision, r.Header.Revision)", "the header's revision counts as reached"},
-	{"members", "FuzzWatch", "members/watch.go", "if e.GetKv() == nil || e.Kv.ModRevision < before {", "if e.Kv.ModRevision < before {", "an event without its pair"},
-	{"members", "FuzzWatch", "members/watch.go", "if r.Header.Revision < l.revision {", "if r.Header.Revision < l.revision-1 {", "a history that is another"},
-	{"members", "FuzzWatch", "members/watch.go", "		saysPart:      {pieces, (*list).hold},\n		saysAll:       {stands, (*list).tell},\n		saysProgress:  {pieces, nothing},", "		saysPart:      {pieces, (*list).hold},\n		saysAll:       {stands, (*list).tell},\n		saysProgress:  {pieces, (*list).progress},", "progress passes what is still in pieces"},
-	{"members", "FuzzWatch", "members/watch.go", "case !there && len(l.known)+l.growth >= l.most:", "case !there && len(l.known)+l.growth > l.most:", "one node more than the bound"},
-	{"members", "FuzzRecord", "members/etcd.go", "r.Cell < 0 || ", "r.Cell < -1 || ", "a cell below zero"},
-	{"members", "FuzzAnswer", "members/dns.go", "if h.Rrtype == kind {", "if h.Rrtype >= kind {", "records of another type are taken"},
-	{"members", "FuzzNames", "members/dns.go", "!m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) != 1", "!m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) > 1", "an answer without its question"},
-	{"members", "FuzzNames", "members/dns.go", "if part == nil || r.Port == 0 {", "if part == nil {", "a server without a port counts"},
-	{"names", "FuzzAsk", "names/names.go", "a.failed >= a.t.Servers {", "a.failed > a.t.Servers {", "one server more than there is"},
-	{"names", "FuzzAsk", "names/names.go", "a.first, a.failed, a.pause = a.next.Server, 0, 0", "a.first, a.failed = a.next.Server, 0", "an answer does not shorten the pause"},
+	{"discovery", "FuzzWatch", "discovery/watch.go", "if e.Kv.ModRevision <= l.revision {", "if e.Kv.ModRevision < l.revision {", "a revision told is told again"},
+	{"discovery", "FuzzWatch", "discovery/watch.go", "l.revision = max(l.revision, l.last)", "l.revision = max(l.revision, r.Header.Revision)", "the header's revision counts as reached"},
+	{"discovery", "FuzzWatch", "discovery/watch.go", "if e.GetKv() == nil || e.Kv.ModRevision < before {", "if e.Kv.ModRevision < before {", "an event without its pair"},
+	{"discovery", "FuzzWatch", "discovery/watch.go", "if r.Header.Revision < l.revision {", "if r.Header.Revision < l.revision-1 {", "a history that is another"},
+	{"discovery", "FuzzWatch", "discovery/watch.go", "		saysPart:      {pieces, (*list).hold},\n		saysAll:       {stands, (*list).tell},\n		saysProgress:  {pieces, nothing},", "		saysPart:      {pieces, (*list).hold},\n		saysAll:       {stands, (*list).tell},\n		saysProgress:  {pieces, (*list).progress},", "progress passes what is still in pieces"},
+	{"discovery", "FuzzWatch", "discovery/watch.go", "case !there && len(l.known)+l.growth >= l.most:", "case !there && len(l.known)+l.growth > l.most:", "one node more than the bound"},
+	{"discovery", "FuzzRecord", "discovery/etcd.go", "r.Cell < 0 || ", "r.Cell < -1 || ", "a cell below zero"},
+	{"discovery", "FuzzAnswer", "discovery/dns.go", "if h.Rrtype == kind {", "if h.Rrtype >= kind {", "records of another type are taken"},
+	{"discovery", "FuzzNames", "discovery/dns.go", "!m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) != 1", "!m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) > 1", "an answer without its question"},
+	{"discovery", "FuzzNames", "discovery/dns.go", "if part == nil || r.Port == 0 {", "if part == nil {", "a server without a port counts"},
+	{"discovery/resolver", "FuzzAsk", "discovery/resolver/names.go", "a.failed >= a.t.Servers {", "a.failed > a.t.Servers {", "one server more than there is"},
+	{"discovery/resolver", "FuzzAsk", "discovery/resolver/names.go", "a.first, a.failed, a.pause = a.next.Server, 0, 0", "a.first, a.failed = a.next.Server, 0", "an answer does not shorten the pause"},
 	{"settings", "FuzzEdit", "settings/schema.go", "			if a.Use == \"required\" {", "			if a.Use == \"required\" && len(n.children) > 0 {", "a required attribute is missed"},
 	{"settings", "FuzzEdit", "settings/schema.go", "		if !known[name] {", "		if !known[name] && len(n.children) > 0 {", "an attribute that is not known"},
 	{"settings", "FuzzEdit", "settings/schema.go", "if seen++; seen > most {", "if seen++; seen > most+1 {", "one element more than the schema has"},
 	{"settings", "FuzzEdit", "settings/schema.go", "		if seen < least {", "		if seen < least-1 {", "an element that must be there is missed"},
-	{"internal/wire", "FuzzServe", "internal/wire/serve.go", "	if b.WallMS == nil {", "	if b.News == nil {", "a batch without its time"},
-	{"internal/wire", "FuzzServe", "internal/wire/serve.go", "	if in == nil || in.failed {", "	if in != nil && in.failed {", "an event for an instance that never was"},
+	{"internal/simwire", "FuzzServe", "internal/simwire/serve.go", "	if b.WallMS == nil {", "	if b.News == nil {", "a batch without its time"},
+	{"internal/simwire", "FuzzServe", "internal/simwire/serve.go", "	if in == nil || in.failed {", "	if in != nil && in.failed {", "an event for an instance that never was"},
 }
 
 // Found is what a target made of a fault.
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -14,11 +14,11 @@
 	"github.com/rs/zerolog"
 
 	"honeyplank"
+	"honeyplank/discovery"
+	"honeyplank/estimates"
+	"honeyplank/fake/dns"
 	"honeyplank/gateway"
-	"honeyplank/learnt"
-	"honeyplank/members"
 	"honeyplank/policy"
-	"honeyplank/standin/dns"
 )
 
 // told is a server as a module was told of it, and when.
@@ -61,7 +61,7 @@
 func (c *clocked) wall() time.Time { return time.Now().Add(time.Duration(c.step.Load())) }
 
 // clock puts such a gateway in the place of the one of a world.
-func clock(w *world, step time.Duration, known *learnt.Record) *clocked {
+func clock(w *world, step time.Duration, known *estimates.Record) *clocked {
 	w.t.Helper()
 	c := &clocked{world: w}
 	c.g.Kill()
@@ -100,7 +100,7 @@
 // started lists a server and returns what the module is told of it; each call gives it another size.
 func (c *clocked) started(address string, size float64, at time.Time) told {
 	c.t.Helper()
-	value, _ := json.Marshal(members.Record{State: "on", Size: size, Cell: 1, StartedMS: at.UnixMilli()})
+	value, _ := json.Marshal(discovery.Record{State: "on", Size: size, Cell: 1, StartedMS: at.UnixMilli()})
 	c.etcd.Set("/honeyplank/nodes/"+address, value)
 	c.eventually("the module is told", func() bool { return c.last(address).Size == size })
 	return c.last(address)
@@ -159,7 +159,7 @@
 			}
 			t.Cleanup(names.Close)
 			w, at := start(t), time.Now().Add(-time.Minute)
-			value, _ := json.Marshal(members.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
+			value, _ := json.Marshal(discovery.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
 			address := w.disks[1].Address()
 			w.etcd.Set("/honeyplank/nodes/"+address, value)
 			port := netip.MustParseAddrPort(address).Port()
@@ -203,9 +203,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := &learnt.Record{Unit: 16 << 10, Usual: 0.01}
+			r := &estimates.Record{Unit: 16 << 10, Usual: 0.01}
 			for i, age := range x.ages { // as read from a file: without a monotonic reading
-				r.Servers = append(r.Servers, learnt.Server{OSD: []string{"a:1", "b:1"}[i], At: time.Now().Add(-age).Round(0), Best: 0.01, Latency: 0.01})
+				r.Servers = append(r.Servers, estimates.Server{OSD: []string{"a:1", "b:1"}[i], At: time.Now().Add(-age).Round(0), Best: 0.01, Latency: 0.01})
 			}
 			c := clock(start(t), x.step, r)
 			c.mu.Lock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -15,20 +15,20 @@
 	"github.com/rs/zerolog"
 
 	"honeyplank"
-	"honeyplank/belief"
+	"honeyplank/discovery"
+	"honeyplank/estimates"
+	"honeyplank/eventloop"
 	"honeyplank/incarnation"
-	"honeyplank/learnt"
-	"honeyplank/loop"
-	"honeyplank/members"
-	"honeyplank/ops"
-	"honeyplank/peers"
+	"honeyplank/inflight"
+	"honeyplank/membership"
+	"honeyplank/peerlimit"
 	"honeyplank/policy"
 	"honeyplank/settings"
 	"honeyplank/target"
 )
 
 // Module makes the decisions: policy.Scheduler, or a baseline to measure against.
-type Module = ops.Module
+type Module = inflight.Module
 
 // Tap sees the bytes of one connection, in order; sent tells which way.
 type Tap = func(sent bool, b []byte)
@@ -40,7 +40,7 @@
 	// Module makes the decision module; nil: policy.New.
 	Module func(seed int64, settings map[string]any) Module
 	// Learnt is what an instance before this one knew of the disk servers; nil: nothing.
-	Learnt *learnt.Record
+	Learnt *estimates.Record
 	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline goes by it.
 	Wall func() time.Time
 	Log  zerolog.Logger
@@ -50,18 +50,18 @@
 type Instance struct {
 	o      Options
 	s      *settings.Gateway
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	module Module
 	server *target.Server
-	etcd   *members.Etcd // nil: not a source
-	dns    *members.DNS
+	etcd   *discovery.Etcd // nil: not a source
+	dns    *discovery.DNS
 	ask    func() // starts asking DNS; nil: not a source
-	book   *belief.Book
+	book   *membership.Book
 	starts [2]incarnation.Tracker // by belief.Source
-	ticker *loop.Timer            // for what time alone changes in the book
+	ticker *eventloop.Timer       // for what time alone changes in the book
 	log    zerolog.Logger
 
-	ops     *ops.Book
+	ops     *inflight.Book
 	last    uint64
 	disks   map[honeyplank.ServerID]*disk
 	volumes map[uint32]*volume
@@ -73,7 +73,7 @@
 
 // Counts are what an instance has done so far.
 type Counts struct {
-	ops.Counts
+	inflight.Counts
 	Open        int // ops owed an answer now
 	Out         int // dispatches without an outcome now
 	Held        int // bytes of write data held now
@@ -104,13 +104,13 @@
 	if o.Wall == nil {
 		o.Wall = time.Now
 	}
-	l, err := loop.New(clockStart)
+	l, err := eventloop.New(clockStart)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g := &Instance{o: o, s: s, loop: l, log: o.Log, module: o.Module(o.Seed, s.Values()),
 		disks: map[honeyplank.ServerID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
-	g.ops = ops.New(l, g.module, sender{g})
+	g.ops = inflight.New(l, g.module, sender{g})
 	g.ops.Rest, g.ops.Settled = g.act, g.check
 	offer := target.Offer{Subsystem: s.Listen.Subsystem, Serial: "HP" + strconv.Itoa(s.Scheduler.Ordinal),
 		MaxTransfer: int(s.Limits.Transfer), Capsule: int(s.Limits.Capsule), Piece: int(s.Limits.Piece),
@@ -137,37 +137,37 @@
 		return nil, fmt.Errorf("gateway: %s: %w", s.Listen.Address, err)
 	}
 	if p := s.Limits.Peer; p != nil {
-		g.server.Guard = peers.New(peers.Terms{Connections: p.Connections, Handshakes: p.Handshakes, Commands: p.Commands, Bytes: int(p.Bytes), PDU: p.PDU.D(),
+		g.server.Guard = peerlimit.New(peerlimit.Terms{Connections: p.Connections, Handshakes: p.Handshakes, Commands: p.Commands, Bytes: int(p.Bytes), PDU: p.PDU.D(),
 			Breaches: p.Breaches, Window: p.Window.D(), Shut: p.Shut.D(), Most: p.Most.D()})
 	}
 	g.server.Judged = func(peer, what string, span time.Duration) {
 		g.log.Warn().Str("peer", peer).Str("why", what).Dur("for_ms", span).Msg("a peer is turned away")
 	}
 	g.server.Patience = func(c *target.Command) time.Duration { return g.patience(c) }
-	terms := belief.Terms{Vanish: 1} // one source alone is believed
+	terms := membership.Terms{Vanish: 1} // one source alone is believed
 	if t := s.List.Believe; t != nil {
-		terms = belief.Terms{Vanish: t.Vanish, Confirm: t.Confirm.D(), Calm: t.Calm.D(), Flaps: t.Flaps, Hold: t.Hold.D()}
+		terms = membership.Terms{Vanish: t.Vanish, Confirm: t.Confirm.D(), Calm: t.Calm.D(), Flaps: t.Flaps, Hold: t.Hold.D()}
 	}
-	g.book = belief.New(terms)
+	g.book = membership.New(terms)
 	for i := range g.starts {
 		g.starts[i].Most = s.List.Most
 	}
-	hear := func(from belief.Source) func(members.News) {
-		return func(n members.News) { l.Post(func() { g.news(from, n) }) }
+	hear := func(from membership.Source) func(discovery.News) {
+		return func(n discovery.News) { l.Post(func() { g.news(from, n) }) }
 	}
 	if len(s.List.Etcd) > 0 {
 		var endpoints []string
 		for _, e := range s.List.Etcd {
 			endpoints = append(endpoints, e.Endpoint)
 		}
-		g.etcd = members.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(belief.Etcd))
+		g.etcd = discovery.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(membership.Etcd))
 	}
 	if d := s.List.DNS; d != nil {
-		terms := members.DNSTerms{Name: d.Name, Floor: d.Floor.D(), Ceiling: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
+		terms := discovery.DNSTerms{Name: d.Name, Floor: d.Floor.D(), Ceiling: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
 		for _, x := range d.Servers {
 			terms.Servers = append(terms.Servers, x.Address)
 		}
-		g.ask = func() { g.dns = members.NewDNS(terms, hear(belief.DNS)) }
+		g.ask = func() { g.dns = discovery.NewDNS(terms, hear(membership.DNS)) }
 	}
 	return g, nil
 }
@@ -192,7 +192,7 @@
 func (g *Instance) Address() string { return g.server.Address() }
 
 // Stats counts what the instance's loop has done.
-func (g *Instance) Stats() *loop.Stats { return &g.loop.Stats }
+func (g *Instance) Stats() *eventloop.Stats { return &g.loop.Stats }
 
 // Serve runs the instance until Shutdown has ended it or the context is over; then what it has taken is
 // settled first, within the longest op timeout. It must be called once.
@@ -273,7 +273,7 @@
 // time alone. Where it names a time to come, the clock has been set back since: no age in it can be told, and none of it
 // is believed. It guards against old figures that look fresh; it could harm where a clock is set back by a moment just
 // at a switch, which then begins as without the file.
-func (g *Instance) recall(r *learnt.Record) {
+func (g *Instance) recall(r *estimates.Record) {
 	wall, now := g.o.Wall(), g.loop.Now()
 	for _, s := range r.Servers {
 		if s.At.After(wall) {
@@ -289,14 +289,14 @@
 
 // Learnt asks the loop what the module knows of the disk servers; a module that doesn't tell, and an instance that has
 // ended, answer nothing.
-func (g *Instance) Learnt() (r *learnt.Record, ok bool) {
+func (g *Instance) Learnt() (r *estimates.Record, ok bool) {
 	module, tells := g.module.(interface {
 		Learnt() honeyplank.SavedEstimates
 	})
-	answer := make(chan *learnt.Record, 1)
+	answer := make(chan *estimates.Record, 1)
 	if !tells || !g.loop.Post(func() {
 		start := g.o.Wall().Add(-g.loop.Now())
-		answer <- learnt.Of(module.Learnt(), int64(g.s.Volumes.Unit), start.Add)
+		answer <- estimates.Of(module.Learnt(), int64(g.s.Volumes.Unit), start.Add)
 	}) {
 		return nil, false
 	}
@@ -377,12 +377,12 @@
 // ---- The list ----
 
 // news carries what a source heard to the book, and what the book makes of it to the module.
-func (g *Instance) news(from belief.Source, n members.News) {
+func (g *Instance) news(from membership.Source, n discovery.News) {
 	for _, text := range n.Skipped {
 		g.log.Warn().Stringer("source", from).Str("why", text).Msg("a list entry is passed over")
 	}
 	wall, now := g.o.Wall(), g.loop.Now() // in this order: a halt between them makes starts later, not earlier
-	var all []belief.Statement
+	var all []membership.Statement
 	for _, node := range n.Nodes {
 		all = append(all, g.statement(now, wall, from, node))
 	}
@@ -392,7 +392,7 @@
 	case honeyplank.WatchFailed:
 		g.log.Warn().Stringer("source", from).Err(n.Err).Msg("the list can't be followed")
 		g.book.Failed(now, from)
-		if from == belief.Etcd {
+		if from == membership.Etcd {
 			g.ops.Tell(honeyplank.List{Kind: honeyplank.WatchFailed})
 		}
 		return
@@ -401,22 +401,22 @@
 	default:
 		lists = g.book.Changes(now, from, all)
 	}
-	if from == belief.Etcd && len(lists) == 0 { // nothing new, but the watch stands
+	if from == membership.Etcd && len(lists) == 0 { // nothing new, but the watch stands
 		lists = []honeyplank.List{{Kind: honeyplank.Delta}}
 	}
-	g.believe(lists, from == belief.Etcd || g.etcd == nil)
+	g.believe(lists, from == membership.Etcd || g.etcd == nil)
 }
 
 // statement is what a node's entry says.
-func (g *Instance) statement(now time.Duration, wall time.Time, from belief.Source, node members.Node) belief.Statement {
-	s := belief.Statement{State: belief.On, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
+func (g *Instance) statement(now time.Duration, wall time.Time, from membership.Source, node discovery.Node) membership.Statement {
+	s := membership.Statement{State: membership.On, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
 	switch {
 	case node.Gone:
-		s.State = belief.Gone
+		s.State = membership.Gone
 		g.starts[from].Removed(now, s.Member.ID)
 		return s
 	case node.State == "draining":
-		s.State = belief.Draining
+		s.State = membership.Draining
 	}
 	s.Member.Started, s.After = g.started(now, wall, from, s.Member.ID, node.StartedMS)
 	return s
@@ -424,7 +424,7 @@
 
 // started tells when a node that a source names has started, and what that surely came after. DNS names starts in whole
 // seconds: where the other source has named one of the same second before, it is the same.
-func (g *Instance) started(now time.Duration, wall time.Time, from belief.Source, id honeyplank.ServerID, upSinceMS int64) (started, after time.Duration) {
+func (g *Instance) started(now time.Duration, wall time.Time, from membership.Source, id honeyplank.ServerID, upSinceMS int64) (started, after time.Duration) {
 	here, there := &g.starts[from], &g.starts[1-from]
 	if other, at, since, ok := there.Known(id); ok && upSinceMS > 0 && other/1000 == upSinceMS/1000 {
 		here.Adopt(id, upSinceMS, at, since)
@@ -435,7 +435,7 @@
 }
 
 // date tells what news says of the nodes that it doesn't name: starts that are named later came after it.
-func (g *Instance) date(now time.Duration, from belief.Source, n members.News) {
+func (g *Instance) date(now time.Duration, from membership.Source, n discovery.News) {
 	switch {
 	case n.Kind == honeyplank.Complete:
 		ids := make([]honeyplank.ServerID, len(n.Nodes))
@@ -455,9 +455,9 @@
 			l.Kind = honeyplank.OutOfBand
 		}
 		for _, m := range l.Members {
-			if v, _ := g.book.View(m.ID); m.State != honeyplank.Up || v.Cause != belief.Agreed {
+			if v, _ := g.book.View(m.ID); m.State != honeyplank.Up || v.Cause != membership.Agreed {
 				g.log.Info().Str("osd", string(m.ID)).Stringer("believed", v.Believed).Stringer("cause", v.Cause).
-					Stringer("etcd", v.Says[belief.Etcd]).Stringer("dns", v.Says[belief.DNS]).Msg("the list of disk servers")
+					Stringer("etcd", v.Says[membership.Etcd]).Stringer("dns", v.Says[membership.DNS]).Msg("the list of disk servers")
 			}
 		}
 		g.ops.Tell(l)
@@ -489,8 +489,8 @@
 		now := g.loop.Now()
 		for _, id := range ids {
 			v, _ := g.book.View(id)
-			says := func(s belief.Source) string {
-				if v.Says[s] == belief.Never {
+			says := func(s membership.Source) string {
+				if v.Says[s] == membership.Never {
 					return v.Says[s].String()
 				}
 				text := fmt.Sprintf("%v for %v", v.Says[s], (now - v.Told[s]).Round(time.Second))
@@ -499,7 +499,7 @@
 				}
 				return text
 			}
-			list = append(list, Node{string(id), v.Member.Cell, v.Believed.String(), v.Cause.String(), (now - v.Since).Round(time.Second).String(), says(belief.Etcd), says(belief.DNS)})
+			list = append(list, Node{string(id), v.Member.Cell, v.Believed.String(), v.Cause.String(), (now - v.Since).Round(time.Second).String(), says(membership.Etcd), says(membership.DNS)})
 		}
 		answer <- list
 	}) {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -18,24 +18,24 @@
 
 	"github.com/rs/zerolog"
 
+	"honeyplank/discovery"
+	"honeyplank/estimates"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/dns"
+	"honeyplank/fake/etcd"
+	"honeyplank/faulttest"
 	"honeyplank/gateway"
 	"honeyplank/initiator"
-	"honeyplank/learnt"
-	"honeyplank/loop"
-	"honeyplank/members"
 	"honeyplank/nvme"
-	"honeyplank/rehearse"
 	"honeyplank/settings"
-	"honeyplank/standin/disk"
-	"honeyplank/standin/dns"
-	"honeyplank/standin/etcd"
 )
 
 // world is a gateway with stand-ins, all on loopback.
 type world struct {
 	t     *testing.T
 	s     *settings.Gateway
-	loop  *loop.Loop
+	loop  *eventloop.Loop
 	etcd  *etcd.Server
 	disks []*disk.Server
 	g     *gateway.Instance
@@ -77,7 +77,7 @@
 		f(s)
 	}
 	w := &world{t: t, s: s}
-	if w.loop, err = loop.New(time.Minute); err != nil {
+	if w.loop, err = eventloop.New(time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	if w.etcd, err = etcd.New("127.0.0.1:0"); err != nil {
@@ -108,7 +108,7 @@
 
 // add brings up a stand-in for a cell; before the loop runs.
 func (w *world) add(cell int) *disk.Server {
-	d, err := disk.New(w.loop, "127.0.0.1:0", rehearse.Model(w.s), int64(cell))
+	d, err := disk.New(w.loop, "127.0.0.1:0", faulttest.Model(w.s), int64(cell))
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 }
 
 func (w *world) list(address string, cell int, state string) {
-	value, _ := json.Marshal(members.Record{State: state, Size: 1, Cell: cell})
+	value, _ := json.Marshal(discovery.Record{State: state, Size: 1, Cell: cell})
 	w.etcd.Set("/honeyplank/nodes/"+address, value)
 }
 
@@ -844,13 +844,13 @@
 	if err := before.Write(file); err != nil {
 		t.Fatal(err)
 	}
-	kept, err := learnt.Read(file)
+	kept, err := estimates.Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.g.Kill()
 	// The second one has started anew since.
-	value, _ := json.Marshal(members.Record{State: "on", Size: 1, Cell: 1, StartedMS: time.Now().UnixMilli()})
+	value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: 1, StartedMS: time.Now().UnixMilli()})
 	w.etcd.Set("/honeyplank/nodes/"+w.disks[1].Address(), value)
 	if w.g, err = gateway.New(gateway.Options{Settings: w.s, Seed: 2, Learnt: kept, Log: zerolog.Nop()}); err != nil {
 		t.Fatal(err)
--- a/gateway/ops.go
+++ b/gateway/ops.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"honeyplank"
+	"honeyplank/inflight"
 	"honeyplank/initiator"
 	"honeyplank/nvme"
-	"honeyplank/ops"
 	"honeyplank/target"
 )
 
@@ -106,7 +106,7 @@
 // has been submitted.
 type sender struct{ *Instance }
 
-func (s sender) Send(d *ops.Dispatch) {
+func (s sender) Send(d *inflight.Dispatch) {
 	k := s.disk(d.OSD)
 	if k.link != nil && k.link.IsReady() {
 		k.submit(d)
@@ -116,18 +116,18 @@
 		switch {
 		case d.Ended():
 		case d.Over(): // its client went while the connection was made
-			d.End(honeyplank.NotSent, nil, ops.Told{})
+			d.End(honeyplank.NotSent, nil, inflight.Told{})
 		case !ready:
-			d.End(honeyplank.ConnectFailed, nil, ops.Told{})
+			d.End(honeyplank.ConnectFailed, nil, inflight.Told{})
 		default:
 			k.submit(d)
 		}
 	})
 }
 
-func (s sender) Written(d *ops.Dispatch) bool { return d.Link != nil }
+func (s sender) Written(d *inflight.Dispatch) bool { return d.Link != nil }
 
-func (s sender) Stop(d *ops.Dispatch) {
+func (s sender) Stop(d *inflight.Dispatch) {
 	if k, ok := d.Link.(*disk); ok {
 		k.out--
 		if k.link != nil {
@@ -179,7 +179,7 @@
 }
 
 // submit sends a dispatch on a connection that stands.
-func (k *disk) submit(d *ops.Dispatch) {
+func (k *disk) submit(d *inflight.Dispatch) {
 	c := d.Client().(*op).command
 	read, data := c.Bytes, c.Data
 	if len(data) > 0 {
@@ -188,7 +188,7 @@
 	sqe := nvme.NewRW(c.Opcode(), c.NSID(), c.SLBA(), c.Blocks())
 	cid, ok := k.link.IO.Submit(sqe, data, read, (*call)(d))
 	if !ok { // every command id is out there
-		d.End(honeyplank.ConnectFailed, nil, ops.Told{})
+		d.End(honeyplank.ConnectFailed, nil, inflight.Told{})
 		return
 	}
 	d.Link, d.Tag = k, uint64(cid)
@@ -196,17 +196,17 @@
 }
 
 // call is a dispatch that has been submitted.
-type call ops.Dispatch
+type call inflight.Dispatch
 
 // Done is told how the command ended.
 func (c *call) Done(r initiator.Result) {
-	d := (*ops.Dispatch)(c)
+	d := (*inflight.Dispatch)(c)
 	if d.Ended() {
 		return
 	}
 	d.Link.(*disk).out--
 	if r.Lost {
-		d.End(honeyplank.Reset, nil, ops.Told{})
+		d.End(honeyplank.Reset, nil, inflight.Told{})
 		return
 	}
 	code, load := honeyplank.Failed, r.Load()
@@ -216,7 +216,7 @@
 	case nvme.TurnedAway:
 		code = honeyplank.Rejected
 	}
-	d.End(code, r.Data, ops.Told{Used: int(load.Used), Elsewhere: float64(load.Elsewhere), Load: told(load)})
+	d.End(code, r.Data, inflight.Told{Used: int(load.Used), Elsewhere: float64(load.Elsewhere), Load: told(load)})
 }
 
 // told names the figures of a load report as the module knows them.
--- a/ops/ops.go
+++ b/inflight/ops.go
@@ -1,7 +1,7 @@
-// Package ops keeps the books of one instance: the ops that it owes an answer and the dispatches that are out.
+// Package inflight keeps the books of one instance: the ops that it owes an answer and the dispatches that are out.
 // What happens goes to the decision module as events, what the module says is done at once. Each op has one final
 // answer, each dispatch one timer and one outcome. It knows no protocol and decides nothing.
-package ops
+package inflight
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 )
 
 // Module makes the decisions: policy.Scheduler, or a baseline to measure against.
@@ -49,7 +49,7 @@
 	// Settled, where set, is called after an event that leaves no op owed an answer.
 	Settled func()
 
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	module  Module
 	to      Sender
 	queue   []honeyplank.Event
@@ -84,7 +84,7 @@
 	book  *Book
 	op    *op
 	n     int
-	timer loop.Timer
+	timer eventloop.Timer
 	done  bool
 }
 
@@ -96,7 +96,7 @@
 }
 
 // New makes empty books.
-func New(l *loop.Loop, module Module, to Sender) *Book {
+func New(l *eventloop.Loop, module Module, to Sender) *Book {
 	return &Book{loop: l, module: module, to: to, Rest: func(honeyplank.Action) {}, ops: map[honeyplank.OpID]*op{}}
 }
 
--- a/ops/ops_test.go
+++ b/inflight/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package inflight
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 )
 
 // world is books between a module, clients and a sender that tests play themselves.
 type world struct {
 	t       *testing.T
-	l       *loop.Loop
+	l       *eventloop.Loop
 	b       *Book
 	says    func(honeyplank.Event) []honeyplank.Action
 	events  []honeyplank.Event
@@ -46,7 +46,7 @@
 func (w *world) Stop(d *Dispatch)         { w.stopped = append(w.stopped, d) }
 
 func start(t *testing.T) *world {
-	l, err := loop.New(time.Second)
+	l, err := eventloop.New(time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -22,7 +22,7 @@
 	KeepAlive time.Duration // 0: none. Silence of this long on the admin queue ends the association
 	Tap       func() func(sent bool, b []byte)
 	// Wire, where set, is handed each new connection, and sets its tap: the faults of a stand-in's wire.
-	Wire func(*loop.Conn)
+	Wire func(*eventloop.Conn)
 }
 
 // Handler hears of an association. It is called on the loop.
@@ -37,19 +37,19 @@
 type Association struct {
 	IO      *Session
 	Admin   *Session
-	Buffers loop.Buffers
+	Buffers eventloop.Buffers
 	// Delays are CRDT1 to CRDT3 of the controller, in units of 100 ms.
 	Delays [3]uint16
 
 	terms      Terms
-	loop       *loop.Loop
+	loop       *eventloop.Loop
 	handler    Handler
-	conns      [2]*loop.Conn
+	conns      [2]*eventloop.Conn
 	sessions   [2]*Session
 	cntlid     uint16
 	ready      bool
 	over       bool
-	timer      *loop.Timer
+	timer      *eventloop.Timer
 	answeredAt time.Duration // last answer to a Keep Alive
 }
 
@@ -65,7 +65,7 @@
 var errKeepAlive = errors.New("initiator: Keep Alive was not answered in time")
 
 // Dial begins an association; the handler hears of it later, never during the call.
-func Dial(l *loop.Loop, terms Terms, h Handler) *Association {
+func Dial(l *eventloop.Loop, terms Terms, h Handler) *Association {
 	a := &Association{terms: terms, loop: l, handler: h}
 	a.Buffers.Keep, a.Buffers.Stats = 64*terms.MaxData, &l.Stats
 	a.timer = l.AtTime(l.Now()+terms.Within, func() { a.end(errHandshake) })
@@ -85,7 +85,7 @@
 	return err
 }
 
-func (q *queue) Opened(c *loop.Conn) {
+func (q *queue) Opened(c *eventloop.Conn) {
 	depth, most := adminDepth, nvme.IdentifyLen
 	if q.n == 1 {
 		depth, most = q.a.terms.Depth, max(q.a.terms.MaxData, nvme.IdentifyLen)
@@ -93,7 +93,7 @@
 	q.a.sessions[q.n] = newSession(depth, most, q.a.terms.Digests, &q.a.Buffers, &c.Out, c.Send, func() { q.a.join(q.n) })
 }
 
-func (q *queue) Input(_ *loop.Conn, b []byte) int {
+func (q *queue) Input(_ *eventloop.Conn, b []byte) int {
 	used, err := q.a.sessions[q.n].Input(b)
 	if err != nil {
 		q.a.end(err)
@@ -101,7 +101,7 @@
 	return used
 }
 
-func (q *queue) Closed(_ *loop.Conn, err error) {
+func (q *queue) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
 		err = errors.New("initiator: the controller closed the connection")
 	}
--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -16,7 +16,7 @@
 	f.Add([]byte{0, 0, 2, 0, 0, 1, 4, 0, 4, 1, 4, 1, 6, 1})
 	f.Add([]byte{1, 0, 1, 1, 0, 2, 5, 0, 5, 1, 4, 0x10, 7, 2, 8, 0})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		buffers := &loop.Buffers{}
+		buffers := &eventloop.Buffers{}
 		var out []byte
 		s := newSession(4, 64<<10, false, buffers, &out, func() {}, func() {})
 		if _, err := s.Input(nvme.AppendInit(nil, nvme.TypeICResp, nvme.Init{Limit: 4096})); err != nil {
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -25,7 +25,7 @@
 	f.Add(byte(3), []byte{1, 0, 4, 0, 0, 0, 6, 1, 7, 0, 8, 0x41})
 	f.Add(byte(2), []byte{8, 0, 4, 0, 0, 0, 9, 1, 4, 1})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
-		buffers := &loop.Buffers{}
+		buffers := &eventloop.Buffers{}
 		var out []byte
 		s := newSession(4, 64<<10, true, buffers, &out, func() {}, func() {})
 		i := nvme.Init{Limit: 4096, HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0}
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -53,7 +53,7 @@
 type Session struct {
 	out     *[]byte
 	flush   func()
-	buffers *loop.Buffers
+	buffers *eventloop.Buffers
 	in      nvme.Framing
 	outF    nvme.Framing
 	// Capsule is how much data may travel in a command's capsule.
@@ -64,7 +64,7 @@
 	free    []uint16
 }
 
-func newSession(depth, most int, digests bool, buffers *loop.Buffers, out *[]byte, flush func(), opened func()) *Session {
+func newSession(depth, most int, digests bool, buffers *eventloop.Buffers, out *[]byte, flush func(), opened func()) *Session {
 	s := &Session{out: out, flush: flush, buffers: buffers, opened: opened, slots: make([]slot, depth)}
 	s.in.MaxData = most
 	for i := depth - 1; i >= 0; i-- {
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -18,7 +18,7 @@
 func newPipe(t *testing.T) *pipe {
 	t.Helper()
 	p := &pipe{frame: nvme.Framing{MaxData: 1 << 20}}
-	p.s = newSession(4, 64<<10, false, &loop.Buffers{}, &p.out, func() {}, func() {})
+	p.s = newSession(4, 64<<10, false, &eventloop.Buffers{}, &p.out, func() {}, func() {})
 	if _, ok := p.s.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, 4096, CallFunc(func(Result) {})); ok {
 		t.Error("a command before ICResp")
 	}
--- a/internal/wire/events.go
+++ b/internal/simwire/events.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/hex"
--- a/internal/wire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's JSON dialect and translates it to the
+// Package simwire speaks the simulator's JSON dialect and translates it to the
 // interface of package honeyplank. Wire names end here.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/load/load.go
+++ b/loadgen/load.go
@@ -1,7 +1,7 @@
-// Package load drives gateways, or anything that speaks the subset, with Reads and Writes over NVMe/TCP from
+// Package loadgen drives gateways, or anything that speaks the subset, with Reads and Writes over NVMe/TCP from
 // clients with patience and retries. It is open-loop: ops come at their times whether or not answers do, and
 // latency counts from when an op was due, so that slow answers hide nothing. It runs on the loop it is given.
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"honeyplank/eventloop"
 	"honeyplank/initiator"
-	"honeyplank/loop"
 	"honeyplank/nvme"
 	"honeyplank/settings"
 )
@@ -37,8 +37,8 @@
 type Target struct {
 	Address   string
 	Subsystem string
-	Wire      func(client int, c *loop.Conn) // where set, is handed each new connection
-	Left      func()                         // where set, hears before a client breaks its connection
+	Wire      func(client int, c *eventloop.Conn) // where set, is handed each new connection
+	Left      func()                              // where set, hears before a client breaks its connection
 }
 
 // Tally is what became of the ops of one type. A client's retries belong to its first try.
@@ -74,7 +74,7 @@
 	Apart struct{ Due, Earned float64 }
 
 	o       Options
-	loop    *loop.Loop
+	loop    *eventloop.Loop
 	rng     *rand.Rand
 	clients []*client
 	rates   []float64
@@ -121,12 +121,12 @@
 	want   []byte
 	left   int // retries
 	ended  bool
-	giveUp *loop.Timer
+	giveUp *eventloop.Timer
 	cid    uint16
 }
 
 // Start begins a load; it runs until Stop.
-func Start(l *loop.Loop, o Options) *Generator {
+func Start(l *eventloop.Loop, o Options) *Generator {
 	g := &Generator{Factor: map[uint32]float64{}, o: o, loop: l, rng: rand.New(rand.NewSource(o.Seed)), used: map[[2]uint64]uint64{},
 		ByType: make([]Tally, len(o.Settings.OpTypes)), runs: make([]run, len(o.Traffic))}
 	for i := range g.ByType {
@@ -195,7 +195,7 @@
 	host := fmt.Sprintf("nqn.2026-12.org.honeyplank:client-%d", c.n)
 	c.link = initiator.Dial(c.g.loop, initiator.Terms{Address: c.at.Address, Subsystem: c.at.Subsystem, Host: host, HostID: [16]byte{byte(c.n), 1},
 		Depth: depth, MaxData: int(c.g.o.Settings.Limits.Transfer), Within: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
-		Wire: func(conn *loop.Conn) {
+		Wire: func(conn *eventloop.Conn) {
 			if c.at.Wire != nil {
 				c.at.Wire(c.n, conn)
 			}
--- a/load/load_test.go
+++ b/loadgen/load_test.go
@@ -1,10 +1,10 @@
-package load
+package loadgen
 
 import (
 	"testing"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/settings"
 )
 
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := loop.New(time.Minute)
+	l, err := eventloop.New(time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/belief/belief.go
+++ b/membership/belief.go
@@ -1,7 +1,7 @@
-// Package belief decides which disk servers are believed to be there. What two sources say, and when, goes in;
+// Package membership decides which disk servers are believed to be there. What two sources say, and when, goes in;
 // the list for the decision module comes out. It does no I/O, reads no clock and starts no goroutine.
 // docs/sources.md is its table to read aloud.
-package belief
+package membership
 
 import (
 	"time"
--- a/belief/belief_test.go
+++ b/membership/belief_test.go
@@ -1,4 +1,4 @@
-package belief
+package membership
 
 import (
 	"fmt"
--- a/belief/bench_test.go
+++ b/membership/bench_test.go
@@ -1,4 +1,4 @@
-package belief_test
+package membership_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/belief"
+	"honeyplank/membership"
 	"honeyplank/policy"
 )
 
@@ -15,15 +15,15 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
-			terms := belief.Terms{Vanish: 0.5, Confirm: 10 * time.Second, Calm: time.Minute}
-			book, now := belief.New(terms), time.Minute
+			terms := membership.Terms{Vanish: 0.5, Confirm: 10 * time.Second, Calm: time.Minute}
+			book, now := membership.New(terms), time.Minute
 			module := policy.New(1, map[string]any{"optypes.target_latency": []time.Duration{200 * time.Millisecond}, "optypes.op_timeout": []time.Duration{time.Second}})
-			var all []belief.Statement
+			var all []membership.Statement
 			for i := range n {
-				all = append(all, belief.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: belief.On})
+				all = append(all, membership.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.On})
 			}
 			for from := range 2 {
-				for _, l := range book.Whole(now, belief.Source(from), all) {
+				for _, l := range book.Whole(now, membership.Source(from), all) {
 					module.Handle(now, l)
 				}
 			}
@@ -31,11 +31,11 @@
 			for i := range b.N {
 				now += time.Millisecond
 				x := all[i*7919%n]
-				x.State = belief.Draining
+				x.State = membership.Draining
 				if i%2 == 1 {
 					x = all[(i-1)*7919%n]
 				}
-				for _, l := range book.Changes(now, belief.Etcd, []belief.Statement{x}) {
+				for _, l := range book.Changes(now, membership.Etcd, []membership.Statement{x}) {
 					module.Handle(now, l)
 				}
 			}
--- a/peers/peers.go
+++ b/peerlimit/peers.go
@@ -1,7 +1,7 @@
-// Package peers decides what one peer may cost a gateway before an op is taken: connections, handshakes under way,
+// Package peerlimit decides what one peer may cost a gateway before an op is taken: connections, handshakes under way,
 // bytes of data under way, time to complete a PDU, and breaches of the protocol before it is shut out. Events in,
 // verdicts out: it does no I/O, reads no clock and starts no goroutine. docs/peers.md has its tables.
-package peers
+package peerlimit
 
 import "time"
 
--- a/peers/peers_test.go
+++ b/peerlimit/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package peerlimit
 
 import (
 	"math/rand"
--- a/platform/classes_test.go
+++ b/scheduler/classes_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"honeyplank"
-	standin "honeyplank/standin/resp"
+	standin "honeyplank/fake/resp"
 )
 
 const largeFleet = 300
--- a/platform/clients.go
+++ b/scheduler/clients.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/internal/wire"
-	"honeyplank/loop"
+	"honeyplank/eventloop"
+	"honeyplank/internal/simwire"
 	"honeyplank/resp"
 )
 
@@ -40,7 +40,7 @@
 // client is one connection from clients.
 type client struct {
 	s      *Scheduler
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	in     resp.Reader
 	due    []*request    // commands without an answer sent, in order
 	heard  time.Duration // when a command or an answer last ended
@@ -65,7 +65,7 @@
 	done  bool
 }
 
-func (s *Scheduler) accept(conn *loop.Conn) loop.Handler {
+func (s *Scheduler) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clientFiles >= s.share(ofClients) && !s.evict() {
 		s.turnedAway++
 		return nil
@@ -140,9 +140,9 @@
 // owed is how many bytes of answers a client may yet have to read, at most.
 func (c *client) owed() int { return c.conn.Unsent() + len(c.due)*mostBody }
 
-func (c *client) Opened(*loop.Conn) {}
+func (c *client) Opened(*eventloop.Conn) {}
 
-func (c *client) Input(_ *loop.Conn, b []byte) (used int) {
+func (c *client) Input(_ *eventloop.Conn, b []byte) (used int) {
 	now, taken, commands := c.s.loop.Now(), c.s.book.Counts.Taken, 0
 	for used < len(b) && !c.over {
 		if commands >= mostAtOnce && c.s.book.Counts.Taken == taken && !c.s.shut {
@@ -205,7 +205,7 @@
 }
 
 // Closed is told that the client has gone.
-func (c *client) Closed(*loop.Conn, error) { c.leave() }
+func (c *client) Closed(*eventloop.Conn, error) { c.leave() }
 
 // leave ends what is owed to a client.
 func (c *client) leave() {
@@ -428,7 +428,7 @@
 
 // longestWait is how long an op of a class may take at most, whatever its client says: some times what the settings give
 // all of its tries. It guards against dispatches without an answer that would hold a connection and a place for ever.
-func longestWait(site *wire.Site, class int) time.Duration {
+func longestWait(site *simwire.Site, class int) time.Duration {
 	if timeouts, _ := site.Values["optypes.op_timeout"].([]time.Duration); timeouts[class] > 0 {
 		return unusualWait * timeouts[class]
 	}
--- a/platform/endings_test.go
+++ b/scheduler/endings_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 
 	"honeyplank"
+	standin "honeyplank/fake/resp"
 	"honeyplank/resp"
-	standin "honeyplank/standin/resp"
 )
 
 // The tests of this file force the crossing of something that ends with something that is still owed.
--- a/platform/floods_test.go
+++ b/scheduler/floods_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	standin "honeyplank/standin/resp"
+	standin "honeyplank/fake/resp"
 )
 
 // floods are what bad clients send.
--- a/platform/helper_test.go
+++ b/scheduler/helper_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 	"golang.org/x/sys/unix"
 
 	"honeyplank"
-	"honeyplank/ops"
+	standin "honeyplank/fake/resp"
+	"honeyplank/inflight"
 	"honeyplank/policy"
 	"honeyplank/resp"
-	standin "honeyplank/standin/resp"
 )
 
 // world is a scheduler with disk servers and a discovery of our own, all on loopback.
@@ -39,7 +39,7 @@
 
 // spy lets a test hear what the module is told. It is touched on the loop.
 type spy struct {
-	ops.Module
+	inflight.Module
 	heard func(honeyplank.Event)
 }
 
--- a/platform/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"honeyplank"
-	standin "honeyplank/standin/resp"
+	standin "honeyplank/fake/resp"
 )
 
 // later is a module that sends an op to its disk server a time after it came, and aborts what brings no ack.
--- a/platform/papers.go
+++ b/scheduler/papers.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"honeyplank/internal/wire"
+	"honeyplank/internal/simwire"
 )
 
 // Papers are what the platform tells a scheduler: its configuration file.
@@ -27,7 +27,7 @@
 	Peers     []netip.AddrPort // one a scheduler, by ordinal
 	PeersAll  netip.AddrPort
 	Known     []byte // the list as last had, in discovery's form
-	Site      *wire.Site
+	Site      *simwire.Site
 }
 
 // Fault is a file that can't be used: where, what is wrong, and what would be right.
@@ -133,7 +133,7 @@
 		return nil, fault("", "settings is missing", "the object of the settings")
 	}
 	var err error
-	if p.Site, err = wire.ReadSite(f.Settings); err != nil {
+	if p.Site, err = simwire.ReadSite(f.Settings); err != nil {
 		return nil, fault("settings", "settings: "+err.Error(), "what the simulator's first message holds")
 	}
 	if len(p.Site.OpTypes) == 0 || len(p.Site.Plans) == 0 {
--- a/platform/platform_test.go
+++ b/scheduler/platform_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"errors"
@@ -15,8 +15,8 @@
 	"time"
 
 	"honeyplank"
+	standin "honeyplank/fake/resp"
 	"honeyplank/resp"
-	standin "honeyplank/standin/resp"
 )
 
 // TestServes: a command reaches the holder of its data as it came, but for the time that is left, and the value
--- a/platform/quiet_test.go
+++ b/scheduler/quiet_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"honeyplank"
-	standin "honeyplank/standin/resp"
+	standin "honeyplank/fake/resp"
 )
 
 // TestReloadsInARow: of several new configurations within a moment the last holds: one watch, at its discovery, none of
--- a/platform/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,7 +1,7 @@
-// Package platform is honeyplank as one scheduler of the operators' platform: clients and disk servers in RESP2,
+// Package scheduler is honeyplank as one scheduler of the operators' platform: clients and disk servers in RESP2,
 // the list from discovery, peers by datagrams, one configuration file. It carries what happens to the books of
 // package ops and does what the decision module says; it decides nothing on ops.
-package platform
+package scheduler
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 
 	"honeyplank"
-	"honeyplank/internal/wire"
-	"honeyplank/loop"
-	"honeyplank/ops"
+	"honeyplank/eventloop"
+	"honeyplank/inflight"
+	"honeyplank/internal/simwire"
 	"honeyplank/policy"
 )
 
@@ -24,10 +24,10 @@
 type Scheduler struct {
 	papers      *Papers
 	log         zerolog.Logger
-	loop        *loop.Loop
-	book        *ops.Book
-	listener    *loop.Listener
-	peers       *loop.Packets
+	loop        *eventloop.Loop
+	book        *inflight.Book
+	listener    *eventloop.Listener
+	peers       *eventloop.Packets
 	clients     map[*client]bool
 	servers     map[honeyplank.ServerID]*server
 	files       int // connections to disk servers
@@ -79,7 +79,7 @@
 	reopenFor = 5 * time.Second
 )
 
-func (s *Scheduler) site() *wire.Site { return s.papers.Site }
+func (s *Scheduler) site() *simwire.Site { return s.papers.Site }
 
 func (s *Scheduler) share(of float64) int { return int(of * float64(s.papers.Sockets-kept)) }
 
@@ -89,7 +89,7 @@
 }
 
 // with makes a scheduler round a module.
-func with(p *Papers, module ops.Module, log zerolog.Logger) (*Scheduler, error) {
+func with(p *Papers, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
 	v := p.Site.Values
 	span := func(name string) time.Duration { d, _ := v[name].(time.Duration); return d }
 	// The clock starts late enough for a disk server that started before to have a start.
@@ -114,13 +114,13 @@
 }
 
 // open opens what a scheduler listens on.
-func open(p *Papers, module ops.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
-	l, err := loop.New(origin)
+func open(p *Papers, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
+	l, err := eventloop.New(origin)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
 	s := &Scheduler{papers: p, log: log, loop: l, wall: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*server{}}
-	s.book = ops.New(l, module, sender{s})
+	s.book = inflight.New(l, module, sender{s})
 	s.book.Rest = s.act
 	s.book.Settled = s.check
 	if s.listener, err = l.Listen(p.Listen, s.accept); err == nil && p.Peer != "" && p.Site.Peers {
--- a/platform/servers.go
+++ b/scheduler/servers.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/internal/wire"
-	"honeyplank/loop"
-	"honeyplank/ops"
+	"honeyplank/eventloop"
+	"honeyplank/inflight"
+	"honeyplank/internal/simwire"
 	"honeyplank/resp"
 )
 
@@ -34,19 +34,19 @@
 // link is one connection to a disk server.
 type link struct {
 	server *server
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	up     bool
 	shut   bool     // takes nothing new and closes after what is out
 	out    []*entry // in the order written
 	in     resp.Reader
 	put    uint64 // bytes ever appended
 	since  time.Duration
-	timer  *loop.Timer
+	timer  *eventloop.Timer
 }
 
 // entry is a dispatch, or a probe, on its way.
 type entry struct {
-	d      *ops.Dispatch // nil: a probe
+	d      *inflight.Dispatch // nil: a probe
 	server *server
 	link   *link // nil: it waits for a connection
 	at     time.Duration
@@ -54,7 +54,7 @@
 	head   uint64        // where its bytes on the link begin,
 	tail   uint64        // and end
 	left   bool          // given up: its answer is nobody's
-	timer  *loop.Timer
+	timer  *eventloop.Timer
 }
 
 const (
@@ -83,10 +83,10 @@
 // sender carries the dispatches of the books, each with its entry for Link.
 type sender struct{ *Scheduler }
 
-func (s sender) Send(d *ops.Dispatch) {
+func (s sender) Send(d *inflight.Dispatch) {
 	sv := s.servers[d.OSD]
 	if sv == nil {
-		d.End(honeyplank.NotSent, nil, ops.Told{})
+		d.End(honeyplank.NotSent, nil, inflight.Told{})
 		return
 	}
 	e := &entry{d: d, server: sv, at: s.loop.Now()}
@@ -94,12 +94,12 @@
 	sv.carry(e)
 }
 
-func (s sender) Written(d *ops.Dispatch) bool {
+func (s sender) Written(d *inflight.Dispatch) bool {
 	e, _ := d.Link.(*entry)
 	return e != nil && e.written()
 }
 
-func (s sender) Stop(d *ops.Dispatch) {
+func (s sender) Stop(d *inflight.Dispatch) {
 	if e, _ := d.Link.(*entry); e != nil {
 		e.giveUp()
 	}
@@ -178,7 +178,7 @@
 }
 
 // end tells how a dispatch or probe ended, once.
-func (e *entry) finish(code honeyplank.Code, data []byte, told ops.Told) {
+func (e *entry) finish(code honeyplank.Code, data []byte, told inflight.Told) {
 	if e.left {
 		return
 	}
@@ -219,7 +219,7 @@
 	case e.d != nil && sv.s.loop.Now() < sv.dialAt && sv.dialAt <= min(e.at+mostDialWait, e.d.Until):
 		sv.waiting = append(sv.waiting, e)
 	default: // no descriptor is to be had, which tells nothing of the server
-		e.finish(honeyplank.NotSent, nil, ops.Told{})
+		e.finish(honeyplank.NotSent, nil, inflight.Told{})
 	}
 }
 
@@ -341,7 +341,7 @@
 			if sv.dialAt <= min(e.at+mostDialWait, e.d.Until) {
 				sv.waiting = append(sv.waiting, e)
 			} else {
-				e.finish(honeyplank.NotSent, nil, ops.Told{})
+				e.finish(honeyplank.NotSent, nil, inflight.Told{})
 			}
 		}
 		return
@@ -401,7 +401,7 @@
 	if i > 0 {
 		if e := l.out[i-1]; e.tail > gone && now-e.made > mostStale && !e.left {
 			l.takeBack(e)
-			e.finish(honeyplank.ConnectFailed, nil, ops.Told{})
+			e.finish(honeyplank.ConnectFailed, nil, inflight.Told{})
 			return
 		}
 	}
@@ -422,7 +422,7 @@
 
 // ---- What comes back ----
 
-func (l *link) Opened(*loop.Conn) {
+func (l *link) Opened(*eventloop.Conn) {
 	l.server.s.loop.Cancel(l.timer)
 	l.up = true
 	sv := l.server
@@ -438,7 +438,7 @@
 	}
 }
 
-func (l *link) Input(_ *loop.Conn, b []byte) (used int) {
+func (l *link) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
 		if len(l.out) == 0 { // nothing is asked: it is no answer
 			l.fail(errMore)
@@ -483,7 +483,7 @@
 }
 
 // read tells what an answer means.
-func (e *entry) read(v *resp.Value) (code honeyplank.Code, data []byte, told ops.Told, err error) {
+func (e *entry) read(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Told, err error) {
 	fields := e.server.s.site().Fields
 	if v.Kind == resp.Error {
 		text := string(v.Text)
@@ -537,7 +537,7 @@
 		if !ok {
 			return nil
 		}
-		named[wire.FieldName(f)] = x
+		named[simwire.FieldName(f)] = x
 	}
 	return named
 }
@@ -554,9 +554,9 @@
 	rest := l.out[1:]
 	l.note(err)
 	l.close()
-	e.finish(honeyplank.Failed, nil, ops.Told{})
+	e.finish(honeyplank.Failed, nil, inflight.Told{})
 	for _, x := range rest {
-		x.finish(honeyplank.Reset, nil, ops.Told{})
+		x.finish(honeyplank.Reset, nil, inflight.Told{})
 	}
 }
 
@@ -571,7 +571,7 @@
 }
 
 // Closed is told that the connection broke, ended or never came up.
-func (l *link) Closed(_ *loop.Conn, err error) {
+func (l *link) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
 		err = errors.New("the disk server ended it")
 	}
@@ -591,14 +591,14 @@
 	}
 	l.close()
 	for i, e := range out {
-		e.finish(codes[i], nil, ops.Told{})
+		e.finish(codes[i], nil, inflight.Told{})
 	}
 	// Each waits for a connection of its own while descriptors last. Past that several wait for one, and with the last
 	// one that is being opened all of them have failed: they would wait for their op timeouts else.
 	for n := 0; !up && len(sv.waiting) > sv.dialing && (n == 0 || sv.dialing == 0 && len(sv.idle) == 0); n++ {
 		e := sv.waiting[0]
 		sv.waiting = sv.waiting[1:]
-		e.finish(honeyplank.ConnectFailed, nil, ops.Told{})
+		e.finish(honeyplank.ConnectFailed, nil, inflight.Told{})
 	}
 }
 
@@ -692,13 +692,13 @@
 	waiting := sv.waiting
 	sv.waiting = nil
 	for _, e := range waiting {
-		e.finish(honeyplank.NotSent, nil, ops.Told{})
+		e.finish(honeyplank.NotSent, nil, inflight.Told{})
 	}
 	for _, l := range slices.Clone(sv.links) {
 		for _, e := range slices.Clone(l.out) {
 			if l.conn != nil && !e.left && e.head >= l.put-uint64(l.conn.Unsent()) && !e.written() {
 				l.takeBack(e)
-				e.finish(honeyplank.NotSent, nil, ops.Told{})
+				e.finish(honeyplank.NotSent, nil, inflight.Told{})
 			}
 		}
 	}
--- a/platform/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"honeyplank"
-	standin "honeyplank/standin/resp"
+	standin "honeyplank/fake/resp"
 )
 
 // hoard takes all descriptors of the process; the function that it returns gives them back.
--- a/platform/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	standin "honeyplank/fake/resp"
 	"honeyplank/resp"
-	standin "honeyplank/standin/resp"
 )
 
 // deadlines gives every class a time.
--- a/platform/starts_test.go
+++ b/scheduler/starts_test.go
@@ -1,4 +1,4 @@
-package platform
+package scheduler
 
 import (
 	"fmt"
--- a/target/server.go
+++ b/target/server.go
@@ -3,24 +3,24 @@
 import (
 	"time"
 
-	"honeyplank/loop"
-	"honeyplank/peers"
+	"honeyplank/eventloop"
+	"honeyplank/peerlimit"
 )
 
 // Server accepts connections on a loop and drives a session for each.
 type Server struct {
 	// Buffers holds write data; whoever gives some back calls Release.
-	Buffers loop.Buffers
+	Buffers eventloop.Buffers
 	// Patience is how long the data of a Write is waited for; nil: for ever.
 	Patience func(*Command) time.Duration
 	// Tap, where set, is asked for a tap of each new connection.
 	Tap func() func(sent bool, b []byte)
 	// Wire, where set, is handed each new connection: a stand-in's faults.
-	Wire func(*loop.Conn)
+	Wire func(*eventloop.Conn)
 	// Deaf drops what comes on new and, with DeafAll, on all connections: faults of a stand-in.
 	Deaf, DeafAll bool
 	// Guard, where set, decides what one peer may cost; Judged hears what it took away.
-	Guard  *peers.Guard
+	Guard  *peerlimit.Guard
 	Judged func(peer, what string, span time.Duration)
 	// Shut turns new connections away.
 	Shut bool
@@ -29,18 +29,18 @@
 
 	offer    Offer
 	handler  Handler
-	loop     *loop.Loop
-	listener *loop.Listener
+	loop     *eventloop.Loop
+	listener *eventloop.Listener
 	subs     associations
 	conns    map[*conn]bool
 }
 
 // conn is a connection with its session.
 type conn struct {
-	*loop.Conn
+	*eventloop.Conn
 	server  *Server
 	session *Session
-	timer   *loop.Timer
+	timer   *eventloop.Timer
 	deaf    bool
 	peer    string
 	joined  bool          // its handshake is complete
@@ -48,8 +48,8 @@
 }
 
 // Listen starts a server at an address.
-func Listen(l *loop.Loop, address string, offer Offer, handler Handler) (*Server, error) {
-	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peers.New(peers.Terms{}), Judged: func(string, string, time.Duration) {}}
+func Listen(l *eventloop.Loop, address string, offer Offer, handler Handler) (*Server, error) {
+	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peerlimit.New(peerlimit.Terms{}), Judged: func(string, string, time.Duration) {}}
 	s.Buffers.Keep, s.Buffers.Stats = offer.Held, &l.Stats
 	s.subs.byID = map[uint16]*controller{}
 	var err error
@@ -109,14 +109,14 @@
 	}
 }
 
-func (s *Server) accept(raw *loop.Conn) loop.Handler {
+func (s *Server) accept(raw *eventloop.Conn) eventloop.Handler {
 	if s.Shut || len(s.conns) >= s.offer.Connections {
 		s.Refused++
 		return nil
 	}
 	now := s.loop.Now()
 	c := &conn{Conn: raw, server: s, deaf: s.Deaf, peer: raw.Peer.String()}
-	if v := s.Guard.Open(now, c.peer); v != peers.Admit {
+	if v := s.Guard.Open(now, c.peer); v != peerlimit.Admit {
 		s.Refused++
 		s.Judged(c.peer, v.String(), 0)
 		return nil
@@ -140,9 +140,9 @@
 	return c
 }
 
-func (c *conn) Opened(*loop.Conn) {}
+func (c *conn) Opened(*eventloop.Conn) {}
 
-func (c *conn) Input(_ *loop.Conn, b []byte) int {
+func (c *conn) Input(_ *eventloop.Conn, b []byte) int {
 	if c.deaf || c.server.DeafAll {
 		return len(b)
 	}
@@ -161,7 +161,7 @@
 	return used
 }
 
-func (c *conn) Closed(*loop.Conn, error) { c.gone() }
+func (c *conn) Closed(*eventloop.Conn, error) { c.gone() }
 
 // flush sends, and bounds what a client that does not read can cost: past half the bound nothing more is
 // read from it, past the bound its connection ends.
--- a/target/session.go
+++ b/target/session.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -106,7 +106,7 @@
 	offer   *Offer
 	subs    *associations
 	handler Handler
-	buffers *loop.Buffers
+	buffers *eventloop.Buffers
 	out     *[]byte
 	flush   func()
 	end     func()         // the connection is to be ended
@@ -413,7 +413,7 @@
 
 // grant sends R2Ts while there is room for the data, past those whose peer has its part already. One always
 // fits, so nobody waits for ever.
-func (a *associations) grant(o *Offer, buffers *loop.Buffers) {
+func (a *associations) grant(o *Offer, buffers *eventloop.Buffers) {
 	if a.again = a.granting; a.granting { // sending an R2T ended a connection, which gave room
 		return
 	}
@@ -426,7 +426,7 @@
 }
 
 // round goes once through what waits.
-func (a *associations) round(o *Offer, buffers *loop.Buffers) {
+func (a *associations) round(o *Offer, buffers *eventloop.Buffers) {
 	waiting := a.waiting
 	a.waiting = nil
 	for i, c := range waiting {
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"honeyplank/loop"
+	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
@@ -33,7 +33,7 @@
 
 func newBench(t *testing.T, o *Offer, subs *associations) *bench {
 	b := &bench{t: t, host: nvme.Framing{FromHost: true}, in: nvme.Framing{MaxData: 1 << 20}}
-	b.s = &Session{offer: o, subs: subs, handler: b, buffers: &loop.Buffers{}, out: &b.out, flush: func() {}, await: func(*Command) {}, ask: func(int) bool { return true }, gotten: func(int) {},
+	b.s = &Session{offer: o, subs: subs, handler: b, buffers: &eventloop.Buffers{}, out: &b.out, flush: func() {}, await: func(*Command) {}, ask: func(int) bool { return true }, gotten: func(int) {},
 		begin: func() bool {
 			if b.most > 0 && b.begun >= b.most {
 				return false
