--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,7 +61,7 @@
 	ticker *eventloop.Timer       // for what time alone changes in the book
 	log    zerolog.Logger
 
-	ops     *inflight.Book
+	ops     *inflight.Tracker
 	last    uint64
 	disks   map[honeyplank.ServerID]*disk
 	volumes map[uint32]*volume
@@ -111,7 +111,7 @@
 	g := &Instance{o: o, s: s, loop: l, log: o.Log, module: o.Module(o.Seed, s.Values()),
 		disks: map[honeyplank.ServerID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
 	g.ops = inflight.New(l, g.module, sender{g})
-	g.ops.Rest, g.ops.Settled = g.act, g.check
+	g.ops.OnAction, g.ops.OnIdle = g.act, g.check
 	offer := target.Offer{Subsystem: s.Listen.Subsystem, Serial: "HP" + strconv.Itoa(s.Scheduler.Ordinal),
 		MaxTransfer: int(s.Limits.Transfer), Capsule: int(s.Limits.Capsule), Piece: int(s.Limits.Piece),
 		Depth: s.Limits.Depth, Queues: 64, Handshake: s.Limits.Handshake.D(), Connections: s.Limits.Connections,
@@ -204,7 +204,7 @@
 		g.loop.Post(func() { g.recall(r) })
 	}
 	// An empty list as last seen starts the module, which asks for the watch.
-	g.loop.Post(func() { g.ops.Tell(honeyplank.List{Kind: honeyplank.Cached}) })
+	g.loop.Post(func() { g.ops.Deliver(honeyplank.List{Kind: honeyplank.Cached}) })
 	if g.ask != nil {
 		g.ask()
 	}
@@ -230,7 +230,7 @@
 	case <-ctx.Done():
 	}
 	g.loop.Post(func() {
-		g.ops.AbortAll()
+		g.ops.FailAll()
 	})
 	<-g.done
 	return ctx.Err()
@@ -254,7 +254,7 @@
 func (g *Instance) Counts() (c Counts, ok bool) {
 	answer := make(chan Counts, 1)
 	if !g.loop.Post(func() {
-		c := Counts{Counts: g.ops.Counts, Open: g.ops.Owed(), Out: g.ops.Out()}
+		c := Counts{Counts: g.ops.Counts, Open: g.ops.Unanswered(), Out: g.ops.Outstanding()}
 		c.Held, c.Connections = g.server.Buffers.Held, g.server.Connections()
 		c.CPU = g.loop.CPU()
 		answer <- c
@@ -284,7 +284,7 @@
 	if unit := int64(g.s.Volumes.Unit); r.Unit != unit {
 		g.log.Warn().Int64("bytes", r.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
 	}
-	g.ops.Tell(r.For(int64(g.s.Volumes.Unit), func(at time.Time) time.Duration { return now - wall.Sub(at) }))
+	g.ops.Deliver(r.For(int64(g.s.Volumes.Unit), func(at time.Time) time.Duration { return now - wall.Sub(at) }))
 }
 
 // Learnt asks the loop what the module knows of the disk servers; a module that doesn't tell, and an instance that has
@@ -315,7 +315,7 @@
 	}
 	g.ending = true
 	g.server.Shut = true
-	g.log.Info().Int("open", g.ops.Owed()).Msg("no more ops are taken")
+	g.log.Info().Int("open", g.ops.Unanswered()).Msg("no more ops are taken")
 	g.settled = func() {
 		g.settled = nil
 		if g.etcd != nil {
@@ -332,7 +332,7 @@
 }
 
 func (g *Instance) check() {
-	if g.settled != nil && g.ops.Owed() == 0 {
+	if g.settled != nil && g.ops.Unanswered() == 0 {
 		g.settled()
 	}
 }
@@ -352,7 +352,7 @@
 		if g.etcd != nil {
 			g.etcd.Watch(a.Enabled)
 		} else if a.Enabled { // DNS has no watch to break: it is asked all the time
-			g.ops.Tell(honeyplank.List{Kind: honeyplank.Delta})
+			g.ops.Deliver(honeyplank.List{Kind: honeyplank.Delta})
 		}
 	case honeyplank.Fetch:
 		if g.etcd != nil {
@@ -393,7 +393,7 @@
 		g.log.Warn().Stringer("source", from).Err(n.Err).Msg("the list can't be followed")
 		g.book.Failed(now, from)
 		if from == membership.Etcd {
-			g.ops.Tell(honeyplank.List{Kind: honeyplank.WatchFailed})
+			g.ops.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 		}
 		return
 	case honeyplank.Complete:
@@ -460,7 +460,7 @@
 					Stringer("etcd", v.Says[membership.Etcd]).Stringer("dns", v.Says[membership.DNS]).Msg("the list of disk servers")
 			}
 		}
-		g.ops.Tell(l)
+		g.ops.Deliver(l)
 	}
 	g.loop.Cancel(g.ticker)
 	if at := g.book.Next(); at > 0 {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -345,8 +345,8 @@
 			t.Fatalf("read %d: %#x", i, status)
 		}
 	}
-	if c := w.counts(); c.Dispatches < c.Taken+5 {
-		t.Errorf("%d dispatches of %d ops: nothing was torn", c.Dispatches, c.Taken)
+	if c := w.counts(); c.Dispatches < c.Admitted+5 {
+		t.Errorf("%d dispatches of %d ops: nothing was torn", c.Dispatches, c.Admitted)
 	}
 }
 
@@ -543,8 +543,8 @@
 		}
 		group.Add(1)
 		go func() { defer group.Done(); g.Serve(context.Background()) }()
-		if c, ok := g.Counts(); !ok || c.Taken != 0 {
-			t.Errorf("a fresh instance has taken %d ops", c.Taken)
+		if c, ok := g.Counts(); !ok || c.Admitted != 0 {
+			t.Errorf("a fresh instance has taken %d ops", c.Admitted)
 		}
 		if n == 0 {
 			g.Kill()
@@ -866,7 +866,7 @@
 			was = before.Servers[1]
 		}
 		is := now.Servers[0]
-		return w.counts().Taken == 0 && is.OSD == was.OSD && is.Best == was.Best && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
+		return w.counts().Admitted == 0 && is.OSD == was.OSD && is.Best == was.Best && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
 	})
 	a = w.dial("client")
 	began := time.Now()
--- a/gateway/ops.go
+++ b/gateway/ops.go
@@ -53,7 +53,7 @@
 	c.User = p
 	extent := int64(c.SLBA()) * int64(g.s.Volumes.Block) / int64(g.s.Volumes.Extent)
 	write := c.Opcode() == nvme.Write
-	g.ops.Take(honeyplank.Op{
+	g.ops.Admit(honeyplank.Op{
 		ID: p.id, Units: float64(g.s.Units(int64(c.Bytes))), Timeout: c.Arrived + g.patience(c), Plan: v.plan,
 		Type: g.s.Type(write, int64(c.Bytes)), Key: int64(c.NSID())<<32 ^ extent, HasKey: true, Write: write,
 		Schedulers: v.hosts, Volume: int64(c.NSID()), Cell: v.cells[extent%int64(len(v.cells))],
@@ -64,7 +64,7 @@
 func (g *Instance) Lapse(c *target.Command) {
 	if p, ok := c.User.(*op); ok {
 		p.release()
-		g.ops.Lapse(p.id)
+		g.ops.ClientGone(p.id)
 	}
 }
 
@@ -73,9 +73,9 @@
 
 // The answers of an op.
 
-func (p *op) Acked(data []byte) { p.answer(nvme.Success, 0, data) }
-func (p *op) Aborted()          { p.answer(nvme.InternalError|nvme.DoNotRetry, 0, nil) }
-func (p *op) Throttled(after time.Duration) {
+func (p *op) Succeeded(data []byte) { p.answer(nvme.Success, 0, data) }
+func (p *op) Failed()               { p.answer(nvme.InternalError|nvme.DoNotRetry, 0, nil) }
+func (p *op) Rejected(after time.Duration) {
 	p.g.log.Debug().Uint32("volume", p.command.NSID()).Dur("advice_ms", after).Msg("throttled")
 	p.answer(nvme.CommandInterrupted.WithDelay(p.g.delay(after)), uint32(after/time.Millisecond), nil)
 }
@@ -107,7 +107,7 @@
 type sender struct{ *Instance }
 
 func (s sender) Send(d *inflight.Dispatch) {
-	k := s.disk(d.OSD)
+	k := s.disk(d.Server)
 	if k.link != nil && k.link.IsReady() {
 		k.submit(d)
 		return
@@ -115,23 +115,23 @@
 	k.when(func(ready bool) {
 		switch {
 		case d.Ended():
-		case d.Over(): // its client went while the connection was made
-			d.End(honeyplank.NotSent, nil, inflight.Told{})
+		case d.Abandoned(): // its client went while the connection was made
+			d.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		case !ready:
-			d.End(honeyplank.ConnectFailed, nil, inflight.Told{})
+			d.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 		default:
 			k.submit(d)
 		}
 	})
 }
 
-func (s sender) Written(d *inflight.Dispatch) bool { return d.Link != nil }
+func (s sender) Written(d *inflight.Dispatch) bool { return d.SenderState != nil }
 
-func (s sender) Stop(d *inflight.Dispatch) {
-	if k, ok := d.Link.(*disk); ok {
+func (s sender) Cancel(d *inflight.Dispatch) {
+	if k, ok := d.SenderState.(*disk); ok {
 		k.out--
 		if k.link != nil {
-			k.link.IO.Abandon(uint16(d.Tag))
+			k.link.IO.Abandon(uint16(d.SenderTag))
 		}
 	}
 }
@@ -188,10 +188,10 @@
 	sqe := nvme.NewRW(c.Opcode(), c.NSID(), c.SLBA(), c.Blocks())
 	cid, ok := k.link.IO.Submit(sqe, data, read, (*call)(d))
 	if !ok { // every command id is out there
-		d.End(honeyplank.ConnectFailed, nil, inflight.Told{})
+		d.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 		return
 	}
-	d.Link, d.Tag = k, uint64(cid)
+	d.SenderState, d.SenderTag = k, uint64(cid)
 	k.out++
 }
 
@@ -204,9 +204,9 @@
 	if d.Ended() {
 		return
 	}
-	d.Link.(*disk).out--
+	d.SenderState.(*disk).out--
 	if r.Lost {
-		d.End(honeyplank.Reset, nil, inflight.Told{})
+		d.Finish(honeyplank.Reset, nil, inflight.Feedback{})
 		return
 	}
 	code, load := honeyplank.Failed, r.Load()
@@ -216,7 +216,7 @@
 	case nvme.TurnedAway:
 		code = honeyplank.Rejected
 	}
-	d.End(code, r.Data, inflight.Told{Used: int(load.Used), Elsewhere: float64(load.Elsewhere), Load: told(load)})
+	d.Finish(code, r.Data, inflight.Feedback{QuotaUsed: int(load.Used), ServedElsewhere: float64(load.Elsewhere), Load: told(load)})
 }
 
 // told names the figures of a load report as the module knows them.
@@ -231,7 +231,7 @@
 func (g *Instance) probe(id honeyplank.ServerID) {
 	d, at := g.disk(id), g.loop.Now()
 	tell := func(code honeyplank.Code, load nvme.Load) {
-		g.ops.Tell(honeyplank.ProbeResult{Server: id, Code: code, Elapsed: g.loop.Now() - at, Load: told(load)})
+		g.ops.Deliver(honeyplank.ProbeResult{Server: id, Code: code, Elapsed: g.loop.Now() - at, Load: told(load)})
 	}
 	d.when(func(ready bool) {
 		sent := ready && d.link.Page(nvme.LogLoad, nvme.LoadLen, initiator.CallFunc(func(r initiator.Result) {
--- a/inflight/ops_test.go
+++ b/inflight/ops_test.go
@@ -14,7 +14,7 @@
 type world struct {
 	t       *testing.T
 	l       *eventloop.Loop
-	b       *Book
+	b       *Tracker
 	says    func(honeyplank.Event) []honeyplank.Action
 	events  []honeyplank.Event
 	sent    []*Dispatch
@@ -25,11 +25,11 @@
 
 type answers struct{ list []string }
 
-func (a *answers) Acked(data []byte) { a.list = append(a.list, "acked "+string(data)) }
-func (a *answers) Throttled(after time.Duration) {
+func (a *answers) Succeeded(data []byte) { a.list = append(a.list, "acked "+string(data)) }
+func (a *answers) Rejected(after time.Duration) {
 	a.list = append(a.list, "throttled "+after.String())
 }
-func (a *answers) Aborted() { a.list = append(a.list, "aborted") }
+func (a *answers) Failed() { a.list = append(a.list, "aborted") }
 
 func (w *world) Handle(_ time.Duration, e honeyplank.Event) []honeyplank.Action {
 	w.events = append(w.events, e)
@@ -43,7 +43,7 @@
 	}
 }
 func (w *world) Written(d *Dispatch) bool { return w.written[d] }
-func (w *world) Stop(d *Dispatch)         { w.stopped = append(w.stopped, d) }
+func (w *world) Cancel(d *Dispatch)       { w.stopped = append(w.stopped, d) }
 
 func start(t *testing.T) *world {
 	l, err := eventloop.New(time.Second)
@@ -77,7 +77,7 @@
 
 func (w *world) take(id string, within time.Duration) *answers {
 	a := &answers{}
-	if !w.b.Take(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: w.l.Now() + within}, a) {
+	if !w.b.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: w.l.Now() + within}, a) {
 		w.t.Fatalf("op %s is not taken", id)
 	}
 	return a
@@ -110,12 +110,12 @@
 	}
 	a := w.take("a", time.Second)
 	w.written[w.sent[0]], w.written[w.sent[1]] = true, true
-	w.sent[1].End(honeyplank.Succeeded, []byte("1"), Told{Used: 3})
-	w.sent[1].End(honeyplank.Reset, nil, Told{})
-	if w.b.Owed() != 0 || w.b.Out() != 1 {
-		t.Errorf("owed %d, out %d", w.b.Owed(), w.b.Out())
+	w.sent[1].Finish(honeyplank.Succeeded, []byte("1"), Feedback{QuotaUsed: 3})
+	w.sent[1].Finish(honeyplank.Reset, nil, Feedback{})
+	if w.b.Unanswered() != 0 || w.b.Outstanding() != 1 {
+		t.Errorf("owed %d, out %d", w.b.Unanswered(), w.b.Outstanding())
 	}
-	w.sent[0].End(honeyplank.Succeeded, []byte("2"), Told{})
+	w.sent[0].Finish(honeyplank.Succeeded, []byte("2"), Feedback{})
 	same(t, a, "acked 1")
 	got := w.outcomes()
 	if len(got) != 2 || got[0].Dispatch != 1 || got[0].QuotaUsed != 3 || !got[0].Answered || got[1].Dispatch != 0 || !got[1].Answered {
@@ -161,18 +161,18 @@
 func TestSameID(t *testing.T) {
 	w := start(t)
 	a, again := w.take("a", time.Second), &answers{}
-	if w.b.Take(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+	if w.b.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
 		t.Error("an open id is taken twice")
 	}
 	w.written[w.sent[0]] = true
-	w.b.Lapse("a")
-	if w.b.Take(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+	w.b.ClientGone("a")
+	if w.b.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
 		t.Error("an id with a dispatch out is taken twice")
 	}
-	w.sent[0].End(honeyplank.Succeeded, nil, Told{})
+	w.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
 	same(t, a)
 	same(t, again)
-	if !w.b.Take(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+	if !w.b.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
 		t.Error("an id that is over is not taken")
 	}
 }
@@ -181,11 +181,11 @@
 // stopped and told as never sent; what has left is waited for.
 func TestRecalled(t *testing.T) {
 	for name, end := range map[string]func(*world){
-		"leave":     func(w *world) { w.b.Lapse("a") },
-		"ack":       func(w *world) { w.sent[1].End(honeyplank.Succeeded, nil, Told{}) },
-		"throttled": func(w *world) { w.b.act(honeyplank.Reject{Op: "a"}) },
-		"aborted":   func(w *world) { w.b.act(honeyplank.Fail{Op: "a"}) },
-		"all":       func(w *world) { w.b.AbortAll() },
+		"leave":     func(w *world) { w.b.ClientGone("a") },
+		"ack":       func(w *world) { w.sent[1].Finish(honeyplank.Succeeded, nil, Feedback{}) },
+		"throttled": func(w *world) { w.b.execute(honeyplank.Reject{Op: "a"}) },
+		"aborted":   func(w *world) { w.b.execute(honeyplank.Fail{Op: "a"}) },
+		"all":       func(w *world) { w.b.FailAll() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t)
@@ -211,10 +211,10 @@
 			if fmt.Sprint(moot) != "[2]" {
 				t.Errorf("%v are told as never sent", moot)
 			}
-			w.sent[0].End(honeyplank.Succeeded, nil, Told{})
-			w.sent[1].End(honeyplank.Succeeded, nil, Told{})
-			if w.b.Out() != 0 || len(w.b.ops) != 0 {
-				t.Errorf("%d out, %d ops kept", w.b.Out(), len(w.b.ops))
+			w.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
+			w.sent[1].Finish(honeyplank.Succeeded, nil, Feedback{})
+			if w.b.Outstanding() != 0 || len(w.b.ops) != 0 {
+				t.Errorf("%d out, %d ops kept", w.b.Outstanding(), len(w.b.ops))
 			}
 		})
 	}
@@ -223,7 +223,7 @@
 // TestOrder: what happens while the module is told waits its turn.
 func TestOrder(t *testing.T) {
 	w := start(t)
-	w.send = func(d *Dispatch) { d.End(honeyplank.Rejected, nil, Told{}) }
+	w.send = func(d *Dispatch) { d.Finish(honeyplank.Rejected, nil, Feedback{}) }
 	depth, most := 0, 0
 	says := w.says
 	w.says = func(e honeyplank.Event) []honeyplank.Action {
@@ -254,19 +254,19 @@
 	var order []string
 	for i := range 20 {
 		id := fmt.Sprint(i)
-		w.b.Take(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: time.Hour}, &told{func(string) { order = append(order, id) }})
+		w.b.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: time.Hour}, &told{func(string) { order = append(order, id) }})
 	}
-	w.b.AbortAll()
-	if fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19]" || w.b.Owed() != 0 {
-		t.Errorf("%v, %d owed", order, w.b.Owed())
+	w.b.FailAll()
+	if fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19]" || w.b.Unanswered() != 0 {
+		t.Errorf("%v, %d owed", order, w.b.Unanswered())
 	}
 }
 
 type told struct{ f func(string) }
 
-func (a *told) Acked([]byte)            { a.f("acked") }
-func (a *told) Throttled(time.Duration) { a.f("throttled") }
-func (a *told) Aborted()                { a.f("aborted") }
+func (a *told) Succeeded([]byte)       { a.f("acked") }
+func (a *told) Rejected(time.Duration) { a.f("throttled") }
+func (a *told) Failed()                { a.f("aborted") }
 
 // FuzzBook plays any module and any sender: each op has at most one answer, and one in the end unless it lapsed;
 // each dispatch has one outcome.
@@ -304,21 +304,21 @@
 		}
 		answered, lapsed, taken := map[int]int{}, map[int]bool{}, 0
 		for i := range 30 {
-			w.b.Take(honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Timeout: time.Hour}, &told{func(string) { answered[i]++ }})
+			w.b.Admit(honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Timeout: time.Hour}, &told{func(string) { answered[i]++ }})
 			taken++
 			if len(w.sent) > 0 && rng.Intn(2) == 0 {
-				w.sent[rng.Intn(len(w.sent))].End(honeyplank.Code(1+rng.Intn(8)), nil, Told{})
+				w.sent[rng.Intn(len(w.sent))].Finish(honeyplank.Code(1+rng.Intn(8)), nil, Feedback{})
 			}
 			if n := rng.Intn(30); n <= i && rng.Intn(4) == 0 {
 				lapsed[n] = lapsed[n] || answered[n] == 0
-				w.b.Lapse(honeyplank.OpID(fmt.Sprint(n)))
+				w.b.ClientGone(honeyplank.OpID(fmt.Sprint(n)))
 			}
 		}
-		w.b.AbortAll()
+		w.b.FailAll()
 		for len(w.sent) > 0 {
 			d := w.sent[0]
 			w.sent = w.sent[1:]
-			d.End(honeyplank.TimedOut, nil, Told{})
+			d.Finish(honeyplank.TimedOut, nil, Feedback{})
 		}
 		for i := range taken {
 			if want := 1; lapsed[i] {
@@ -335,8 +335,8 @@
 				t.Fatalf("dispatch %s has %d outcomes", name, n)
 			}
 		}
-		if w.b.Owed() != 0 || len(outcomes) != w.b.Counts.Dispatches {
-			t.Fatalf("%d owed, %d outcomes of %d dispatches", w.b.Owed(), len(outcomes), w.b.Counts.Dispatches)
+		if w.b.Unanswered() != 0 || len(outcomes) != w.b.Counts.Dispatches {
+			t.Fatalf("%d owed, %d outcomes of %d dispatches", w.b.Unanswered(), len(outcomes), w.b.Counts.Dispatches)
 		}
 	})
 }
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -143,9 +143,9 @@
 func (c *client) Opened(*eventloop.Conn) {}
 
 func (c *client) Input(_ *eventloop.Conn, b []byte) (used int) {
-	now, taken, commands := c.s.loop.Now(), c.s.book.Counts.Taken, 0
+	now, taken, commands := c.s.loop.Now(), c.s.book.Counts.Admitted, 0
 	for used < len(b) && !c.over {
-		if commands >= mostAtOnce && c.s.book.Counts.Taken == taken && !c.s.shut {
+		if commands >= mostAtOnce && c.s.book.Counts.Admitted == taken && !c.s.shut {
 			break
 		}
 		if c.owed() >= mostOwed && !c.s.shut {
@@ -170,7 +170,7 @@
 		commands++
 	}
 	switch {
-	case c.s.book.Counts.Taken > taken:
+	case c.s.book.Counts.Admitted > taken:
 		c.spent = 0
 	case !c.over && !c.s.shut:
 		c.spent += c.s.loop.Now() - now
@@ -215,7 +215,7 @@
 	for _, r := range due {
 		if !r.done {
 			r.done = true
-			c.s.book.Lapse(r.id)
+			c.s.book.ClientGone(r.id)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 	switch name := string(bytes.ToUpper(args[0])); {
 	case string(args[0]) == "BLK.READ" || string(args[0]) == "BLK.WRITE":
 		op, err := r.op(came)
-		if err == nil && !c.s.book.Take(op, r) {
+		if err == nil && !c.s.book.Admit(op, r) {
 			err = errors.New("the id is that of an open request")
 		}
 		if err == nil && !c.spoke {
@@ -341,9 +341,9 @@
 
 // The answers of an op.
 
-func (r *request) Acked(data []byte) { r.answer(resp.AppendBulk(nil, data)) }
-func (r *request) Aborted()          { r.answer(resp.AppendError(nil, "ERR failed")) }
-func (r *request) Throttled(after time.Duration) {
+func (r *request) Succeeded(data []byte) { r.answer(resp.AppendBulk(nil, data)) }
+func (r *request) Failed()               { r.answer(resp.AppendError(nil, "ERR failed")) }
+func (r *request) Rejected(after time.Duration) {
 	text := "BUSY"
 	if ms := (after + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		text += " " + strconv.FormatInt(int64(ms), 10)
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -61,7 +61,7 @@
 	leaves.send("BLK.READ", piece, "leaves", terms("read", 4000, 0))
 	w.eventually("the wait for a connection", func() bool { n, _ := w.waits(0); return n == 1 })
 	leaves.Close()
-	w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.Lapsed == 1 }); return ok })
+	w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.ClientsGone == 1 }); return ok })
 	g.open()
 	g.pass()
 	w.eventually("a connection", func() bool { _, n := w.waits(0); return n > 0 })
@@ -72,7 +72,7 @@
 		t.Errorf("%v have reached the disk server", ids)
 	}
 	w.on(func() {
-		if n := w.s.book.Out(); n != 0 {
+		if n := w.s.book.Outstanding(); n != 0 {
 			t.Errorf("%d dispatches are out", n)
 		}
 	})
@@ -131,7 +131,7 @@
 			}
 			w.on(func() { w.s.files = 1 })
 			callers[leaver].Close()
-			w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.Lapsed == 1 }); return ok })
+			w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.ClientsGone == 1 }); return ok })
 			g.pass()
 			served := 0
 			for i, c := range callers {
@@ -200,7 +200,7 @@
 	})
 	c.Close()
 	w.eventually("the leave", func() (ok bool) {
-		w.on(func() { ok = len(w.s.clients) == 0 && w.s.book.Owed() == 0 })
+		w.on(func() { ok = len(w.s.clients) == 0 && w.s.book.Unanswered() == 0 })
 		return ok
 	})
 	if n := len(w.disks[0].Got()); n != sent {
--- a/scheduler/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -97,7 +97,7 @@
 				}
 				if !x.fresh {
 					c.Write(append(op, behind...))
-					w.eventually("the command", func() (ok bool) { w.on(func() { ok = w.s.book.Owed() == 1 }); return ok })
+					w.eventually("the command", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 1 }); return ok })
 				}
 				w.on(func() {
 					if g != nil {
@@ -110,7 +110,7 @@
 					leave(c)
 					time.Sleep(heldUp)
 				})
-				w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Owed() == 0 }); return ok })
+				w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 0 }); return ok })
 				if g != nil {
 					w.eventually("a connection", func() bool { _, n := w.waits(0); return n > 0 })
 				}
@@ -153,7 +153,7 @@
 			c.Close()
 		}
 		w.eventually("the end", func() (ok bool) {
-			w.on(func() { ok = w.s.book.Owed() == 0 && w.s.book.Out() == 0 })
+			w.on(func() { ok = w.s.book.Unanswered() == 0 && w.s.book.Outstanding() == 0 })
 			return ok
 		})
 	}
--- a/scheduler/platform_test.go
+++ b/scheduler/platform_test.go
@@ -530,7 +530,7 @@
 	w.eventually("the end of all", func() bool {
 		ok := false
 		w.on(func() {
-			ok = len(w.s.servers) == 1 && len(w.s.clients) == 0 && w.s.clientFiles == 0 && w.s.book.Out() == 0
+			ok = len(w.s.servers) == 1 && len(w.s.clients) == 0 && w.s.clientFiles == 0 && w.s.book.Outstanding() == 0
 		})
 		return ok
 	})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -25,7 +25,7 @@
 	papers      *Papers
 	log         zerolog.Logger
 	loop        *eventloop.Loop
-	book        *inflight.Book
+	book        *inflight.Tracker
 	listener    *eventloop.Listener
 	peers       *eventloop.Packets
 	clients     map[*client]bool
@@ -121,8 +121,8 @@
 	}
 	s := &Scheduler{papers: p, log: log, loop: l, wall: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*server{}}
 	s.book = inflight.New(l, module, sender{s})
-	s.book.Rest = s.act
-	s.book.Settled = s.check
+	s.book.OnAction = s.act
+	s.book.OnIdle = s.check
 	if s.listener, err = l.Listen(p.Listen, s.accept); err == nil && p.Peer != "" && p.Site.Peers {
 		s.peers, err = l.Packets(p.Peer, s.hearPeer)
 	}
@@ -167,8 +167,8 @@
 // tell logs what has been done so far and what is open.
 func (s *Scheduler) tell() {
 	n := &s.book.Counts
-	s.log.Info().Int("taken", n.Taken).Int("acked", n.Acked).Int("throttled", n.Throttled).Int("aborted", n.Aborted).Int("lapsed", n.Lapsed).
-		Int("dispatches", n.Dispatches).Int("owed", s.book.Owed()).Int("out", s.book.Out()).Int("errors", s.errors).Int("breaches", s.breaches).
+	s.log.Info().Int("taken", n.Admitted).Int("acked", n.Succeeded).Int("throttled", n.Rejected).Int("aborted", n.Failed).Int("lapsed", n.ClientsGone).
+		Int("dispatches", n.Dispatches).Int("owed", s.book.Unanswered()).Int("out", s.book.Outstanding()).Int("errors", s.errors).Int("breaches", s.breaches).
 		Int("turned_away", s.turnedAway).Int("clients", s.clientFiles).Int("spoken", s.spoken).Int("disk_servers", len(s.servers)).Int("connections", s.files).Msg("counts")
 }
 
@@ -182,7 +182,7 @@
 			return
 		}
 		s.ending = true
-		s.log.Info().Int("open", s.book.Owed()).Msg("ending")
+		s.log.Info().Int("open", s.book.Unanswered()).Msg("ending")
 		s.tell()
 		var longest time.Duration
 		for _, t := range s.site().Values["optypes.op_timeout"].([]time.Duration) {
@@ -215,7 +215,7 @@
 	}
 	s.check()
 	s.loop.AtTime(s.last.answers, func() {
-		s.book.AbortAll()
+		s.book.FailAll()
 		s.tell()
 		s.leave(s.loop.Now() + lastReads)
 	})
@@ -250,7 +250,7 @@
 	})
 }
 
-func (s *Scheduler) alone() bool { return s.sure && s.book.Owed() == 0 && len(s.clients) == 0 }
+func (s *Scheduler) alone() bool { return s.sure && s.book.Unanswered() == 0 && len(s.clients) == 0 }
 
 // Reload takes over a configuration that has been replaced: where discovery is, the peers, and the limits.
 func (s *Scheduler) Reload(p *Papers) {
@@ -293,14 +293,14 @@
 func (s *Scheduler) probe(id honeyplank.ServerID) {
 	sv := s.servers[id]
 	if sv == nil || !s.site().Probes {
-		s.book.Tell(honeyplank.ProbeResult{Server: id, Code: honeyplank.NotSent})
+		s.book.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.NotSent})
 		return
 	}
 	e := &entry{server: sv, at: s.loop.Now()}
 	e.timer = s.loop.AtTime(e.at+s.site().ConnectWithin, func() {
 		if !e.left {
 			e.giveUp()
-			s.book.Tell(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - e.at})
+			s.book.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - e.at})
 		}
 	})
 	sv.carry(e)
@@ -344,7 +344,7 @@
 	return func() {
 		s.loop.Post(func() {
 			if ctx.Err() == nil && s.site().Ask {
-				s.book.Tell(honeyplank.List{Kind: honeyplank.Delta, Version: s.held.revision})
+				s.book.Deliver(honeyplank.List{Kind: honeyplank.Delta, Version: s.held.revision})
 			}
 		})
 	}
@@ -381,7 +381,7 @@
 		s.loop.Post(func() {
 			switch {
 			case call == once && s.site().Ask: // a watch that stands goes on
-				s.book.Tell(honeyplank.List{Kind: honeyplank.WatchFailed})
+				s.book.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 			case call == following && ctx.Err() == nil:
 				s.broken(err)
 			}
@@ -395,7 +395,7 @@
 	s.log.Info().Err(err).Msg("discovery can't be followed")
 	s.watch(false)
 	if s.site().Ask {
-		s.book.Tell(honeyplank.List{Kind: honeyplank.WatchFailed})
+		s.book.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 	} else {
 		s.loop.AtTime(s.loop.Now()+again, func() { s.watch(!s.ended) })
 	}
@@ -420,7 +420,7 @@
 			}
 		}
 	}
-	s.book.Tell(e)
+	s.book.Deliver(e)
 	for _, sv := range named { // by now the module sends them nothing new
 		sv.ends(told)
 	}
@@ -454,7 +454,7 @@
 func (s *Scheduler) hearPeer(from netip.AddrPort, b []byte) {
 	for i, p := range s.papers.Peers {
 		if p == from && len(b) <= mostDatagram {
-			s.book.Tell(honeyplank.PeerMessage{From: i, Data: append([]byte(nil), b...)})
+			s.book.Deliver(honeyplank.PeerMessage{From: i, Data: append([]byte(nil), b...)})
 		}
 	}
 }
--- a/scheduler/servers.go
+++ b/scheduler/servers.go
@@ -84,23 +84,23 @@
 type sender struct{ *Scheduler }
 
 func (s sender) Send(d *inflight.Dispatch) {
-	sv := s.servers[d.OSD]
+	sv := s.servers[d.Server]
 	if sv == nil {
-		d.End(honeyplank.NotSent, nil, inflight.Told{})
+		d.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		return
 	}
 	e := &entry{d: d, server: sv, at: s.loop.Now()}
-	d.Link = e
+	d.SenderState = e
 	sv.carry(e)
 }
 
 func (s sender) Written(d *inflight.Dispatch) bool {
-	e, _ := d.Link.(*entry)
+	e, _ := d.SenderState.(*entry)
 	return e != nil && e.written()
 }
 
-func (s sender) Stop(d *inflight.Dispatch) {
-	if e, _ := d.Link.(*entry); e != nil {
+func (s sender) Cancel(d *inflight.Dispatch) {
+	if e, _ := d.SenderState.(*entry); e != nil {
 		e.giveUp()
 	}
 }
@@ -178,18 +178,18 @@
 }
 
 // end tells how a dispatch or probe ended, once.
-func (e *entry) finish(code honeyplank.Code, data []byte, told inflight.Told) {
+func (e *entry) finish(code honeyplank.Code, data []byte, told inflight.Feedback) {
 	if e.left {
 		return
 	}
 	e.left = true
 	s := e.server.s
 	if e.d != nil {
-		e.d.End(code, data, told)
+		e.d.Finish(code, data, told)
 		return
 	}
 	s.loop.Cancel(e.timer)
-	s.book.Tell(honeyplank.ProbeResult{Server: e.server.id, Code: code, Elapsed: s.loop.Now() - e.at, Load: told.Load})
+	s.book.Deliver(honeyplank.ProbeResult{Server: e.server.id, Code: code, Elapsed: s.loop.Now() - e.at, Load: told.Load})
 }
 
 // ---- Which connection ----
@@ -216,10 +216,10 @@
 	case sv.dialing > 0 || len(sv.idle) > 0:
 		sv.waiting = append(sv.waiting, e)
 		sv.wake()
-	case e.d != nil && sv.s.loop.Now() < sv.dialAt && sv.dialAt <= min(e.at+mostDialWait, e.d.Until):
+	case e.d != nil && sv.s.loop.Now() < sv.dialAt && sv.dialAt <= min(e.at+mostDialWait, e.d.Deadline):
 		sv.waiting = append(sv.waiting, e)
 	default: // no descriptor is to be had, which tells nothing of the server
-		e.finish(honeyplank.NotSent, nil, inflight.Told{})
+		e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 	}
 }
 
@@ -338,10 +338,10 @@
 		waiting := sv.waiting
 		sv.waiting = nil
 		for _, e := range waiting {
-			if sv.dialAt <= min(e.at+mostDialWait, e.d.Until) {
+			if sv.dialAt <= min(e.at+mostDialWait, e.d.Deadline) {
 				sv.waiting = append(sv.waiting, e)
 			} else {
-				e.finish(honeyplank.NotSent, nil, inflight.Told{})
+				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 			}
 		}
 		return
@@ -382,7 +382,7 @@
 	if e.d == nil {
 		l.conn.Out = resp.AppendCommand(l.conn.Out, []byte("INFO"), []byte("load"))
 	} else {
-		l.conn.Out = e.d.Client().(*request).append(l.conn.Out, e.d.Until-e.made)
+		l.conn.Out = e.d.Client().(*request).append(l.conn.Out, e.d.Deadline-e.made)
 	}
 	l.put += uint64(len(l.conn.Out) - before)
 	e.tail = l.put
@@ -401,7 +401,7 @@
 	if i > 0 {
 		if e := l.out[i-1]; e.tail > gone && now-e.made > mostStale && !e.left {
 			l.takeBack(e)
-			e.finish(honeyplank.ConnectFailed, nil, inflight.Told{})
+			e.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 			return
 		}
 	}
@@ -409,7 +409,7 @@
 		return
 	}
 	for _, e := range l.out[i:] {
-		if e.left || e.d != nil && e.d.Over() { // it is about to be taken back, and its command is no longer held
+		if e.left || e.d != nil && e.d.Abandoned() { // it is about to be taken back, and its command is no longer held
 			return
 		}
 	}
@@ -483,7 +483,7 @@
 }
 
 // read tells what an answer means.
-func (e *entry) read(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Told, err error) {
+func (e *entry) read(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Feedback, err error) {
 	fields := e.server.s.site().Fields
 	if v.Kind == resp.Error {
 		text := string(v.Text)
@@ -507,7 +507,7 @@
 		return 0, nil, told, errAnswer
 	}
 	if len(v.List) > 1 && v.List[1].Kind == resp.Bulk {
-		told.Used, told.Elsewhere = use(string(v.List[1].Text))
+		told.QuotaUsed, told.ServedElsewhere = use(string(v.List[1].Text))
 	}
 	if len(v.List) > 2 && v.List[2].Kind == resp.Bulk {
 		told.Load = load(string(v.List[2].Text), fields)
@@ -554,9 +554,9 @@
 	rest := l.out[1:]
 	l.note(err)
 	l.close()
-	e.finish(honeyplank.Failed, nil, inflight.Told{})
+	e.finish(honeyplank.Failed, nil, inflight.Feedback{})
 	for _, x := range rest {
-		x.finish(honeyplank.Reset, nil, inflight.Told{})
+		x.finish(honeyplank.Reset, nil, inflight.Feedback{})
 	}
 }
 
@@ -591,14 +591,14 @@
 	}
 	l.close()
 	for i, e := range out {
-		e.finish(codes[i], nil, inflight.Told{})
+		e.finish(codes[i], nil, inflight.Feedback{})
 	}
 	// Each waits for a connection of its own while descriptors last. Past that several wait for one, and with the last
 	// one that is being opened all of them have failed: they would wait for their op timeouts else.
 	for n := 0; !up && len(sv.waiting) > sv.dialing && (n == 0 || sv.dialing == 0 && len(sv.idle) == 0); n++ {
 		e := sv.waiting[0]
 		sv.waiting = sv.waiting[1:]
-		e.finish(honeyplank.ConnectFailed, nil, inflight.Told{})
+		e.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 	}
 }
 
@@ -692,13 +692,13 @@
 	waiting := sv.waiting
 	sv.waiting = nil
 	for _, e := range waiting {
-		e.finish(honeyplank.NotSent, nil, inflight.Told{})
+		e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 	}
 	for _, l := range slices.Clone(sv.links) {
 		for _, e := range slices.Clone(l.out) {
 			if l.conn != nil && !e.left && e.head >= l.put-uint64(l.conn.Unsent()) && !e.written() {
 				l.takeBack(e)
-				e.finish(honeyplank.NotSent, nil, inflight.Told{})
+				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 			}
 		}
 	}
--- a/scheduler/told_test.go
+++ b/scheduler/told_test.go
@@ -69,7 +69,7 @@
 		sent[id] = time.Now()
 		c.send("BLK.WRITE", piece, id, terms("write", 9000, 0), body)
 	}
-	w.eventually("the commands", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.Taken == n }); return ok })
+	w.eventually("the commands", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.Admitted == n }); return ok })
 	time.Sleep(waits)
 	unsent := map[string]bool{}
 	w.on(func() {
@@ -83,7 +83,7 @@
 	if len(stuck) == 0 {
 		t.Fatal("none has left in part")
 	}
-	w.eventually("the end", func() (ok bool) { w.on(func() { ok = w.s.book.Owed() == 0 }); return ok })
+	w.eventually("the end", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 0 }); return ok })
 	for _, c := range w.disks[0].Got() {
 		if stuck[c.ID] {
 			t.Errorf("%s, of which a part had left, has arrived", c.ID)
@@ -110,7 +110,7 @@
 		}},
 		"behind others": {first: mostPending, delay: held, late: held, send: func(_ *world, send func()) { send() }},
 		"long after others": {first: mostPending, delay: held, send: func(w *world, send func()) {
-			w.eventually("their answers", func() (ok bool) { w.on(func() { ok = w.s.book.Owed() == 0 }); return ok })
+			w.eventually("their answers", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 0 }); return ok })
 			time.Sleep(2 * held)
 			send()
 		}},
@@ -163,7 +163,10 @@
 			}
 			c := w.dial()
 			c.send("BLK.READ", piece, "a", terms("read", 60, 0))
-			w.eventually("the command", func() (ok bool) { w.on(func() { ok = w.s.book.Owed() > 0 || w.s.book.Counts.Aborted > 0 }); return ok })
+			w.eventually("the command", func() (ok bool) {
+				w.on(func() { ok = w.s.book.Unanswered() > 0 || w.s.book.Counts.Failed > 0 })
+				return ok
+			})
 			w.on(func() {
 				g.open()
 				g.pass()
