--- a/bench/bench.go
+++ b/bench/bench.go
@@ -272,7 +272,7 @@
 		for range depth {
 			d.submit(again)
 		}
-		d.r.clients.AtTime(d.r.clients.Now()+time.Duration(seconds*float64(time.Second)), func() { d.running = false })
+		d.r.clients.Schedule(d.r.clients.Now()+time.Duration(seconds*float64(time.Second)), func() { d.running = false })
 	})
 	n := <-finished
 	return n, time.Since(began)
@@ -287,11 +287,11 @@
 		var tick func()
 		tick = func() {
 			if d.r.clients.Now() >= end {
-				d.r.clients.AtTime(end+100*time.Millisecond, func() { close(finished) })
+				d.r.clients.Schedule(end+100*time.Millisecond, func() { close(finished) })
 				return
 			}
 			d.submit(func() {})
-			d.r.clients.AtTime(d.r.clients.Now()+time.Duration(float64(time.Second)/rate), tick)
+			d.r.clients.Schedule(d.r.clients.Now()+time.Duration(float64(time.Second)/rate), tick)
 		}
 		tick()
 	})
--- a/cmd/honeyplank/standin.go
+++ b/cmd/honeyplank/standin.go
@@ -50,7 +50,7 @@
 	}
 	d.Apply(disk.Faults{Slow: c.Slow, Fail: c.Fail, Lose: c.Lose})
 	if c.Silent > 0 {
-		l.AtTime(l.Now()+c.Silent, func() {
+		l.Schedule(l.Now()+c.Silent, func() {
 			log.Warn().Msg("silent from now on")
 			d.Apply(disk.Faults{Silent: true})
 		})
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -21,8 +21,8 @@
 	Closed(c *Conn, err error)
 }
 
-// Bend changes bytes on their way; what it keeps back it gives at a later call, see Conn.Stir.
-type Bend interface {
+// FaultFilter changes bytes on their way; what it keeps back it gives at a later call, see Conn.Stir.
+type FaultFilter interface {
 	In(b []byte) []byte
 	Out(b []byte) []byte
 }
@@ -33,75 +33,75 @@
 	Out []byte
 	// Tap, where set, sees the bytes that cross the socket, in order; sent tells which way. No bytes: the end.
 	Tap func(sent bool, b []byte)
-	// Bend, where set, stands between socket and handler and changes what crosses: the faults of a stand-in's wire.
-	Bend Bend
+	// FaultFilter, where set, stands between socket and handler and changes what crosses: the faults of a stand-in's wire.
+	FaultFilter FaultFilter
 	// Peer is who connected; not set for a connection that was dialled.
 	Peer netip.Addr
-	// MostRead, where set, is how much one read takes at most.
-	MostRead int
-	// Before, where set, is called before bytes of Out are written, and may change what is unsent.
-	Before func()
-	// Ended, where set, is called once the socket is closed, by whichever end.
-	Ended func()
-	// HearEnd has Closed told at once when the other end has ended its sending, also while the connection is paused;
+	// MaxRead, where set, is how much one read takes at most.
+	MaxRead int
+	// BeforeWrite, where set, is called before bytes of Out are written, and may change what is unsent.
+	BeforeWrite func()
+	// OnClosed, where set, is called once the socket is closed, by whichever end.
+	OnClosed func()
+	// NotifyHalfClose has Closed told at once when the other end has ended its sending, also while the connection is paused;
 	// what came before that and was not read is lost. It must be set before the connection is on the loop.
-	HearEnd bool
-
-	l       *Loop
-	fd      int
-	h       Handler
-	left    []byte // read and not yet used
-	sent    int    // bytes of Out that are gone already
-	bent    int    // bytes of Out that Bend has passed
-	events  uint32 // what epoll watches
-	watched bool   // epoll does
-	dialing bool
-	paused  bool
-	queued  bool
-	closed  bool
-	ending  bool          // close once Out is sent
-	halved  bool          // it is, and the other end has been told so
-	last    time.Duration // from then until the close, after Drop
-	came    time.Duration // what was read last has come after this,
-	looked  time.Duration // and before this
-	held    bool          // it was not all, or reading has stopped since
-	resumed uint64        // the look before reading went on
+	NotifyHalfClose bool
+
+	loop          *Loop
+	fd            int
+	handler       Handler
+	buffered      []byte // read and not yet used
+	sent          int    // bytes of Out that are gone already
+	filtered      int    // bytes of Out that Bend has passed
+	events        uint32 // what epoll watches
+	watched       bool   // epoll does
+	dialing       bool
+	paused        bool
+	queued        bool
+	closed        bool
+	closing       bool          // close once Out is sent
+	writeClosed   bool          // it is, and the other end has been told so
+	closeDelay    time.Duration // from then until the close, after Drop
+	receivedAfter time.Duration // what was read last has come after this,
+	looked        time.Duration // and before this
+	held          bool          // it was not all, or reading has stopped since
+	resumed       uint64        // the look before reading went on
 }
 
-func (c *Conn) Loop() *Loop { return c.l }
+func (c *Conn) Loop() *Loop { return c.loop }
 
-// Unsent is how many bytes of Out wait for the other end to read.
-func (c *Conn) Unsent() int { return len(c.Out) - c.sent }
+// UnsentBytes is how many bytes of Out wait for the other end to read.
+func (c *Conn) UnsentBytes() int { return len(c.Out) - c.sent }
 
-// Cut takes back bytes of what is unsent: those from one place in it up to another. It must not be used with Bend.
-func (c *Conn) Cut(from, to int) { c.Out = slices.Delete(c.Out, c.sent+from, c.sent+to) }
+// DiscardUnsent takes back bytes of what is unsent: those from one place in it up to another. It must not be used with Bend.
+func (c *Conn) DiscardUnsent(from, to int) { c.Out = slices.Delete(c.Out, c.sent+from, c.sent+to) }
 
 // Send has Out written at the end of the round.
 func (c *Conn) Send() {
 	if !c.queued && !c.closed && !c.dialing && len(c.Out) > c.sent {
 		c.queued = true
-		c.l.dirty = append(c.l.dirty, c)
+		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
 	}
 }
 
-// Left is how many bytes have come and were not used: a part of what the handler waits for.
-func (c *Conn) Left() int { return len(c.left) }
+// BufferedBytes is how many bytes have come and were not used: a part of what the handler waits for.
+func (c *Conn) BufferedBytes() int { return len(c.buffered) }
 
-// Came is a time after which what was read last has come: what waits to be read while the loop is held up, or the
+// ReceivedAfter is a time after which what was read last has come: what waits to be read while the loop is held up, or the
 // connection paused, has come earlier than it is read.
-func (c *Conn) Came() time.Duration { return c.came }
+func (c *Conn) ReceivedAfter() time.Duration { return c.receivedAfter }
 
-// arrived notes when what is being read may have come at the earliest.
-func (c *Conn) arrived(full bool) {
-	c.came = c.l.since
-	if c.held && c.l.looks <= c.resumed+1 { // it waited already when reading went on
-		c.came = min(c.came, c.looked)
+// noteArrival notes when what is being read may have come at the earliest.
+func (c *Conn) noteArrival(full bool) {
+	c.receivedAfter = c.loop.eventsAfter
+	if c.held && c.loop.polls <= c.resumed+1 { // it waited already when reading went on
+		c.receivedAfter = min(c.receivedAfter, c.looked)
 	}
-	c.looked, c.held, c.resumed = c.l.looked, full, c.l.looks
+	c.looked, c.held, c.resumed = c.loop.lastPoll, full, c.loop.polls
 }
 
 // Pause stops reading until Resume.
-func (c *Conn) Pause() { c.paused, c.held = true, true; c.watch() }
+func (c *Conn) Pause() { c.paused, c.held = true, true; c.updateInterest() }
 
 // Resume reads again. What came before and was not used is offered once more.
 func (c *Conn) Resume() {
@@ -109,10 +109,10 @@
 		return
 	}
 	c.paused = false
-	c.resumed = c.l.looks
-	c.watch()
-	if len(c.left) > 0 {
-		c.l.AtTime(0, func() { c.input(nil) })
+	c.resumed = c.loop.polls
+	c.updateInterest()
+	if len(c.buffered) > 0 {
+		c.loop.Schedule(0, func() { c.input(nil) })
 	}
 }
 
@@ -120,12 +120,12 @@
 func (c *Conn) Close() {
 	if !c.closed {
 		c.closed = true
-		c.l.drop(c.fd)
+		c.loop.closeFile(c.fd)
 		if c.Tap != nil {
 			c.Tap(false, nil)
 		}
-		if c.Ended != nil {
-			c.Ended()
+		if c.OnClosed != nil {
+			c.OnClosed()
 		}
 	}
 }
@@ -133,98 +133,98 @@
 // Abort ends the connection at once with a reset: what the other end's system has not taken yet never arrives.
 func (c *Conn) Abort() {
 	if !c.closed {
-		c.l.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1})
+		c.loop.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1})
 	}
 	c.Close()
 }
 
-// linger is how long Finish waits for an end that does not close once all is sent, unread for one that does not read.
+// gracefulCloseTimeout is how long Finish waits for an end that does not close once all is sent, unread for one that does not read.
 const (
-	linger = time.Second
-	unread = 10 * time.Second
+	gracefulCloseTimeout = time.Second
+	unreadCloseTimeout   = 10 * time.Second
 )
 
-// Finish ends the connection in order: what is in Out is sent, then no more, and the socket is closed once the
+// CloseGracefully ends the connection in order: what is in Out is sent, then no more, and the socket is closed once the
 // other end has closed too, or a second has passed. Closing at once would have the kernel answer what still
 // comes with a reset, which can take from the other end what it has not read yet. Nothing more is read: a request
 // that crosses the end stays unread, so that its sender may send it again.
-func (c *Conn) Finish() {
-	if c.ending || c.closed {
+func (c *Conn) CloseGracefully() {
+	if c.closing || c.closed {
 		return
 	}
 	if c.dialing {
 		c.Close()
 		return
 	}
-	c.ending, c.left, c.last = true, nil, linger
+	c.closing, c.buffered, c.closeDelay = true, nil, gracefulCloseTimeout
 	c.Pause()
 	c.write()
-	c.l.AtTime(c.l.Now()+unread, c.Close)
+	c.loop.Schedule(c.loop.Now()+unreadCloseTimeout, c.Close)
 }
 
-// Drop ends a connection whose bytes are of no use: what is in Out is sent, nothing more is read, and the socket is
+// CloseAfterFlush ends a connection whose bytes are of no use: what is in Out is sent, nothing more is read, and the socket is
 // closed after a time in which the other end can read that, or a second later where it does not. Closed is not called.
-func (c *Conn) Drop(after time.Duration) {
-	if c.ending || c.closed {
+func (c *Conn) CloseAfterFlush(after time.Duration) {
+	if c.closing || c.closed {
 		return
 	}
-	c.ending, c.left, c.last = true, nil, after
+	c.closing, c.buffered, c.closeDelay = true, nil, after
 	c.Pause()
 	c.write()
-	c.l.AtTime(c.l.Now()+linger+after, c.Close)
+	c.loop.Schedule(c.loop.Now()+gracefulCloseTimeout+after, c.Close)
 }
 
-// ackWait is how long after one look at what the other end has acknowledged the next follows.
-const ackWait = 10 * time.Millisecond
+// ackPollInterval is how long after one look at what the other end has acknowledged the next follows.
+const ackPollInterval = 10 * time.Millisecond
 
-// release closes a connection that has ended its sending, once that takes nothing from the other end: a close over unread
+// closeWhenAcked closes a connection that has ended its sending, once that takes nothing from the other end: a close over unread
 // bytes resets the connection, and what the other end has not acknowledged yet is lost with it.
-func (c *Conn) release() {
+func (c *Conn) closeWhenAcked() {
 	if c.closed {
 		return
 	}
-	if c.Unacked() == 0 || c.ended() {
+	if c.UnackedBytes() == 0 || c.peerHasEnded() {
 		c.Close()
 		return
 	}
 	// The end of both directions would be told in every round.
 	if c.watched {
 		c.watched = false
-		c.l.control(unix.EPOLL_CTL_DEL, c.fd, 0)
+		c.loop.control(unix.EPOLL_CTL_DEL, c.fd, 0)
 	}
-	c.l.AtTime(c.l.Now()+ackWait, c.release)
+	c.loop.Schedule(c.loop.Now()+ackPollInterval, c.closeWhenAcked)
 }
 
-// ended tells that the other end has ended its sending and all of it has been read.
-func (c *Conn) ended() bool {
-	c.l.Stats.Others.Add(1)
-	n, _, err := c.l.sys.Recvfrom(c.fd, c.l.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+// peerHasEnded tells that the other end has ended its sending and all of it has been read.
+func (c *Conn) peerHasEnded() bool {
+	c.loop.Stats.Others.Add(1)
+	n, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n == 0 && err == nil
 }
 
-// Unacked is how many bytes the other end's system has not acknowledged, unsent ones included; 0 where the system does
+// UnackedBytes is how many bytes the other end's system has not acknowledged, unsent ones included; 0 where the system does
 // not tell.
-func (c *Conn) Unacked() int {
+func (c *Conn) UnackedBytes() int {
 	if c.closed || c.dialing {
 		return 0
 	}
-	c.l.Stats.Others.Add(1)
-	n, err := c.l.sys.UnackedBytes(c.fd)
+	c.loop.Stats.Others.Add(1)
+	n, err := c.loop.sys.UnackedBytes(c.fd)
 	if err != nil {
 		n = 0
 	}
-	return n + c.Unsent()
+	return n + c.UnsentBytes()
 }
 
 // Quiet tells that nothing has come that was not read, the end of the connection included: what is sent now has
 // the next byte that comes for an answer.
 func (c *Conn) Quiet() bool {
-	if c.closed || c.dialing || len(c.left) > 0 {
+	if c.closed || c.dialing || len(c.buffered) > 0 {
 		return false
 	}
-	for range interruptions {
-		c.l.Stats.Others.Add(1)
-		_, _, err := c.l.sys.Recvfrom(c.fd, c.l.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	for range maxInterruptions {
+		c.loop.Stats.Others.Add(1)
+		_, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if !errors.Is(err, unix.EINTR) {
 			return errors.Is(err, unix.EAGAIN)
 		}
@@ -232,13 +232,13 @@
 	return false
 }
 
-// interruptions is how often a call that does not wait is made anew in one round after a signal has interrupted it.
-const interruptions = 16
+// maxInterruptions is how often a call that does not wait is made anew in one round after a signal has interrupted it.
+const maxInterruptions = 16
 
-func (c *Conn) half() {
-	c.halved = true
-	c.l.Stats.Others.Add(1)
-	c.l.sys.Shutdown(c.fd, unix.SHUT_WR)
+func (c *Conn) closeWrite() {
+	c.writeClosed = true
+	c.loop.Stats.Others.Add(1)
+	c.loop.sys.Shutdown(c.fd, unix.SHUT_WR)
 }
 
 func (c *Conn) fail(err error) {
@@ -246,17 +246,17 @@
 		return
 	}
 	c.Close()
-	if !c.ending {
-		c.h.Closed(c, err)
+	if !c.closing {
+		c.handler.Closed(c, err)
 	}
 }
 
-func (c *Conn) watch() {
+func (c *Conn) updateInterest() {
 	var want uint32
 	if !c.paused && !c.dialing {
 		want |= unix.EPOLLIN
 	}
-	if c.HearEnd && !c.ending || c.halved {
+	if c.NotifyHalfClose && !c.closing || c.writeClosed {
 		want |= unix.EPOLLRDHUP
 	}
 	if c.dialing || c.sent < len(c.Out) && !c.queued {
@@ -266,7 +266,7 @@
 		return
 	}
 	if c.watched {
-		if err := c.l.control(unix.EPOLL_CTL_MOD, c.fd, want); err != nil {
+		if err := c.loop.control(unix.EPOLL_CTL_MOD, c.fd, want); err != nil {
 			c.failLater(err)
 			return
 		}
@@ -276,13 +276,13 @@
 
 // failLater fails the connection once the call that runs now, which may be one of its handler, has returned.
 func (c *Conn) failLater(err error) {
-	c.l.AtTime(0, func() { c.fail(err) })
+	c.loop.Schedule(0, func() { c.fail(err) })
 }
 
 // socketError is what the socket has failed with; nil: nothing that is known.
 func (c *Conn) socketError() error {
-	c.l.Stats.Others.Add(1)
-	n, err := c.l.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	c.loop.Stats.Others.Add(1)
+	n, err := c.loop.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && n != 0 {
 		err = unix.Errno(n)
 	}
@@ -296,8 +296,8 @@
 			c.fail(err)
 			return
 		}
-		c.h.Opened(c)
-		c.watch()
+		c.handler.Opened(c)
+		c.updateInterest()
 		c.Send()
 		return
 	}
@@ -306,14 +306,14 @@
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR|unix.EPOLLRDHUP) != 0 && !c.closed {
 		switch {
-		case c.HearEnd && !c.ending && events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
+		case c.NotifyHalfClose && !c.closing && events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
 			c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
-		case c.HearEnd && !c.ending && events&unix.EPOLLRDHUP != 0:
+		case c.NotifyHalfClose && !c.closing && events&unix.EPOLLRDHUP != 0:
 			c.fail(nil)
 		case !c.paused:
 			c.read()
-		case c.halved && events&unix.EPOLLERR == 0:
-			c.release()
+		case c.writeClosed && events&unix.EPOLLERR == 0:
+			c.closeWhenAcked()
 		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
 			c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
 		}
@@ -321,12 +321,12 @@
 }
 
 func (c *Conn) read() {
-	c.l.Stats.Reads.Add(1)
-	room := c.l.in
-	if c.MostRead > 0 {
-		room = room[:min(c.MostRead, len(room))]
+	c.loop.Stats.Reads.Add(1)
+	room := c.loop.readBuffer
+	if c.MaxRead > 0 {
+		room = room[:min(c.MaxRead, len(room))]
 	}
-	n, err := c.l.sys.Read(c.fd, room)
+	n, err := c.loop.sys.Read(c.fd, room)
 	switch {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 	case err != nil:
@@ -334,52 +334,52 @@
 	case n == 0:
 		c.fail(nil)
 	default:
-		c.l.Stats.BytesIn.Add(int64(n))
-		c.arrived(n == len(room))
+		c.loop.Stats.BytesIn.Add(int64(n))
+		c.noteArrival(n == len(room))
 		if c.Tap != nil {
-			c.Tap(false, c.l.in[:n])
+			c.Tap(false, c.loop.readBuffer[:n])
 		}
-		b := c.l.in[:n]
-		if c.Bend != nil {
-			b = c.Bend.In(b)
+		b := c.loop.readBuffer[:n]
+		if c.FaultFilter != nil {
+			b = c.FaultFilter.In(b)
 		}
 		c.input(b)
 	}
 }
 
-// Stir has Bend give what it kept back.
-func (c *Conn) Stir() {
-	if c.Bend != nil && !c.closed && !c.dialing {
-		c.input(c.Bend.In(nil))
+// FlushFilter has Bend give what it kept back.
+func (c *Conn) FlushFilter() {
+	if c.FaultFilter != nil && !c.closed && !c.dialing {
+		c.input(c.FaultFilter.In(nil))
 		c.write()
 	}
 }
 
-// Break ends the connection as a reset by the other end does.
-func (c *Conn) Break() { c.fail(unix.ECONNRESET) }
+// Reset ends the connection as a reset by the other end does.
+func (c *Conn) Reset() { c.fail(unix.ECONNRESET) }
 
 // input offers b behind what was left.
 func (c *Conn) input(b []byte) {
-	if c.closed || c.ending {
+	if c.closed || c.closing {
 		return
 	}
-	if len(c.left) > 0 {
-		c.left = append(c.left, b...)
-		c.l.Stats.Copied.Add(int64(len(b)))
-		b = c.left
+	if len(c.buffered) > 0 {
+		c.buffered = append(c.buffered, b...)
+		c.loop.Stats.Copied.Add(int64(len(b)))
+		b = c.buffered
 	}
 	used := 0
 	if !c.paused {
-		used = c.h.Input(c, b)
+		used = c.handler.Input(c, b)
 	}
 	if c.closed {
 		return
 	}
 	rest := b[used:]
-	c.l.Stats.Copied.Add(int64(len(rest)))
-	c.left = append(c.left[:0], rest...)
-	if len(c.left) == 0 && cap(c.left) > readSize {
-		c.left = nil
+	c.loop.Stats.Copied.Add(int64(len(rest)))
+	c.buffered = append(c.buffered[:0], rest...)
+	if len(c.buffered) == 0 && cap(c.buffered) > readSize {
+		c.buffered = nil
 	}
 	c.Send()
 }
@@ -388,18 +388,18 @@
 	if c.closed { // its descriptor may be another's
 		return
 	}
-	if c.Bend != nil {
-		c.bent = min(c.bent, len(c.Out))
-		fresh := append([]byte(nil), c.Out[c.bent:]...)
-		c.Out = append(c.Out[:c.bent], c.Bend.Out(fresh)...)
-		c.bent = len(c.Out)
+	if c.FaultFilter != nil {
+		c.filtered = min(c.filtered, len(c.Out))
+		fresh := append([]byte(nil), c.Out[c.filtered:]...)
+		c.Out = append(c.Out[:c.filtered], c.FaultFilter.Out(fresh)...)
+		c.filtered = len(c.Out)
 	}
-	if c.Before != nil && !c.closed && c.sent < len(c.Out) {
-		c.Before()
+	if c.BeforeWrite != nil && !c.closed && c.sent < len(c.Out) {
+		c.BeforeWrite()
 	}
 	for !c.closed && c.sent < len(c.Out) {
-		c.l.Stats.Writes.Add(1)
-		n, err := c.l.sys.Write(c.fd, c.Out[c.sent:])
+		c.loop.Stats.Writes.Add(1)
+		n, err := c.loop.sys.Write(c.fd, c.Out[c.sent:])
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll tells when to go on
 			break
 		}
@@ -410,7 +410,7 @@
 		if c.Tap != nil {
 			c.Tap(true, c.Out[c.sent:c.sent+n])
 		}
-		c.l.Stats.BytesOut.Add(int64(n))
+		c.loop.Stats.BytesOut.Add(int64(n))
 		c.sent += n
 	}
 	if c.closed { // by Tap
@@ -418,22 +418,22 @@
 	}
 	switch {
 	case c.sent == len(c.Out):
-		c.Out, c.sent, c.bent = c.Out[:0], 0, 0
+		c.Out, c.sent, c.filtered = c.Out[:0], 0, 0
 		if cap(c.Out) > readSize {
 			c.Out = nil
 		}
-		if c.ending {
-			c.half()
+		if c.closing {
+			c.closeWrite()
 		}
-		if c.last > 0 {
-			c.l.AtTime(c.l.Now()+c.last, c.release)
-			c.last = 0
+		if c.closeDelay > 0 {
+			c.loop.Schedule(c.loop.Now()+c.closeDelay, c.closeWhenAcked)
+			c.closeDelay = 0
 		}
 	case c.sent > readSize:
 		c.Out = append(c.Out[:0], c.Out[c.sent:]...)
-		c.bent, c.sent = max(0, c.bent-c.sent), 0
+		c.filtered, c.sent = max(0, c.filtered-c.sent), 0
 	}
-	c.watch()
+	c.updateInterest()
 }
 
 // Dial starts a connection to an address and port; the handler hears Opened or Closed later.
@@ -452,7 +452,7 @@
 		l.sys.Close(fd)
 		return nil, err
 	}
-	c := &Conn{l: l, fd: fd, h: h, dialing: true, events: unix.EPOLLOUT, watched: true}
+	c := &Conn{loop: l, fd: fd, handler: h, dialing: true, events: unix.EPOLLOUT, watched: true}
 	if err := l.add(fd, c.events, c); err != nil {
 		return nil, err
 	}
--- a/eventloop/ending_test.go
+++ b/eventloop/ending_test.go
@@ -22,8 +22,8 @@
 // before from the other end, whatever that does in the meantime.
 func TestEndsUnread(t *testing.T) {
 	ends := map[string]func(*Conn){
-		"finish": (*Conn).Finish,
-		"drop":   func(c *Conn) { c.Drop(200 * time.Millisecond) },
+		"finish": (*Conn).CloseGracefully,
+		"drop":   func(c *Conn) { c.CloseAfterFlush(200 * time.Millisecond) },
 	}
 	for name, end := range ends {
 		for _, size := range []int{1, 4 << 20} { // 4 MB: more than the system holds on their way
@@ -52,7 +52,7 @@
 					gone, crossed := make(chan bool), make(chan bool)
 					var reads int64
 					l.Post(func() { // nothing is read before this ends
-						c.Ended = func() {
+						c.OnClosed = func() {
 							reads = l.Stats.BytesIn.Load()
 							close(gone)
 						}
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -35,7 +35,7 @@
 	}
 	s.address = s.listener.Address()
 	set(s)
-	s.l.AtTime(s.l.Now()+patience, func() {
+	s.l.Schedule(s.l.Now()+patience, func() {
 		t.Error("what is waited for did not come")
 		s.l.Stop()
 	})
@@ -44,7 +44,7 @@
 		if until() {
 			s.l.Stop()
 		}
-		s.l.AtTime(s.l.Now()+time.Millisecond, ask)
+		s.l.Schedule(s.l.Now()+time.Millisecond, ask)
 	}
 	ask()
 	if err := s.l.Run(); err != nil {
@@ -123,13 +123,13 @@
 						if !silenced {
 							s.k.will("epoll_ctl mod", unix.ENOMEM)
 						}
-						s.l.AtTime(s.l.Now()+span, func() {
+						s.l.Schedule(s.l.Now()+span, func() {
 							calls = s.k.count("accept")
 							s.k.will("accept", 0)
 							s.k.will("epoll_ctl mod", 0)
 						})
 					}, func() bool { return len(s.accepted) > 0 })
-					atMost := 10 * errorsOfAccept
+					atMost := 10 * maxAcceptErrors
 					if calls > atMost {
 						t.Errorf("accept was called %d times in %v, want %d at most", calls, span, atMost)
 					}
@@ -156,7 +156,7 @@
 		"Dial":   func(s *stage) (any, error) { c, err := s.l.Dial(s.address, &party{}); return c, err },
 		"Listen": func(s *stage) (any, error) { n, err := s.l.Listen("127.0.0.1:0", s.accept); return n, err },
 		"Packets": func(s *stage) (any, error) {
-			p, err := s.l.Packets("127.0.0.1:0", func(netip.AddrPort, []byte) {})
+			p, err := s.l.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) {})
 			return p, err
 		},
 	}
@@ -237,7 +237,7 @@
 				k.faults["write eventfd"] = nil
 				k.mu.Unlock()
 				l.mu.Lock()
-				l.woken = false
+				l.wakePending = false
 				l.mu.Unlock()
 			}
 			l.Post(l.Stop)
@@ -258,9 +258,9 @@
 		x := &party{}
 		onStage(t, func(s *stage) {
 			conn := s.dial(x)
-			s.l.AtTime(0, func() {})
+			s.l.Schedule(0, func() {})
 			x.input = nil
-			s.l.AtTime(s.l.Now()+2*time.Millisecond, func() { s.quiet(conn, x, c.errno, c.quiet) })
+			s.l.Schedule(s.l.Now()+2*time.Millisecond, func() { s.quiet(conn, x, c.errno, c.quiet) })
 		}, func() bool { return x.gone })
 	}
 }
@@ -268,7 +268,7 @@
 // quiet asks once the connection stands.
 func (s *stage) quiet(c *Conn, x *party, errno unix.Errno, want bool) {
 	if !x.opened {
-		s.l.AtTime(s.l.Now()+time.Millisecond, func() { s.quiet(c, x, errno, want) })
+		s.l.Schedule(s.l.Now()+time.Millisecond, func() { s.quiet(c, x, errno, want) })
 		return
 	}
 	s.k.faults["recvfrom"] = []unix.Errno{errno, errno, errno}[:min(3, 3*int(errno))]
@@ -288,7 +288,7 @@
 			onStage(t, func(s *stage) {
 				s.dial(x)
 				s.k.will("epoll_wait", errno)
-				s.l.AtTime(s.l.Now()+30*time.Millisecond, func() {
+				s.l.Schedule(s.l.Now()+30*time.Millisecond, func() {
 					fired, calls = true, s.k.count("epoll_wait")
 					s.k.will("epoll_wait", 0)
 				})
@@ -320,7 +320,7 @@
 			x := &party{}
 			onStage(t, func(s *stage) {
 				s.onAccept = func(c *Conn) Handler {
-					s.l.AtTime(0, func() {
+					s.l.Schedule(0, func() {
 						if c.paused = paused; paused {
 							s.k.faults["SO_ERROR"] = []unix.Errno{errno}
 							c.ready(unix.EPOLLERR | unix.EPOLLHUP)
@@ -358,14 +358,14 @@
 		},
 		"paused, then taken": func(s *stage, c *Conn) Handler {
 			c.Pause()
-			s.l.AtTime(s.l.Now()+time.Millisecond, c.Close)
+			s.l.Schedule(s.l.Now()+time.Millisecond, c.Close)
 			return &party{}
 		},
 		"closed between Finish and the end of the round": func(s *stage, c *Conn) Handler {
-			s.l.AtTime(0, func() {
+			s.l.Schedule(0, func() {
 				c.Out = append(c.Out, "bye"...)
 				c.Send()
-				c.Finish()
+				c.CloseGracefully()
 				c.Close()
 			})
 			return &party{}
@@ -438,19 +438,19 @@
 				t.Parallel()
 				heard, posted, calls, span := false, false, 0, 100*time.Millisecond
 				onStage(t, func(s *stage) {
-					p, err := s.l.Packets("127.0.0.1:0", func(netip.AddrPort, []byte) { heard = true })
+					p, err := s.l.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { heard = true })
 					if err != nil {
 						t.Fatal(err)
 					}
 					p.Send(bound(t, p.fd), []byte("hello"))
 					s.l.Post(func() { posted = true })
 					s.k.will(call, errno)
-					s.l.AtTime(s.l.Now()+span, func() {
+					s.l.Schedule(s.l.Now()+span, func() {
 						calls = s.k.count(call)
 						s.k.will(call, 0)
 					})
 				}, func() bool { return heard && posted && calls > 0 })
-				if atMost := (int(span/pause) + 10) * c.perRound; calls > atMost {
+				if atMost := (int(span/roundPause) + 10) * c.perRound; calls > atMost {
 					t.Errorf("%s was made %d times in %v, want %d at most", call, calls, span, atMost)
 				}
 			})
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -54,7 +54,7 @@
 	p.got = append(p.got, b...)
 	if len(p.got) >= len(p.send) && !p.served {
 		p.served = bytes.Equal(p.got, p.send)
-		c.Finish()
+		c.CloseGracefully()
 	}
 	return len(b)
 }
@@ -104,9 +104,9 @@
 	p := &play{t: t, k: k, l: l, done: make(chan bool), ended: make(chan error, 1)}
 	start := time.Now()
 	listener, err := l.Listen("127.0.0.1:0", p.accept)
-	var packets *Packets
+	var packets *UDPConn
 	if err == nil {
-		packets, err = l.Packets("127.0.0.1:0", func(netip.AddrPort, []byte) { p.heard = true })
+		packets, err = l.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { p.heard = true })
 	}
 	if err != nil {
 		l.Stop()
@@ -175,7 +175,7 @@
 
 func (p *play) accept(c *Conn) Handler {
 	x := p.join("accepted", nil)
-	c.Ended = func() { x.gone = true }
+	c.OnClosed = func() { x.gone = true }
 	return x
 }
 
@@ -188,7 +188,7 @@
 				x.input = nil
 				c.Quiet()
 				c.Pause()
-				p.l.AtTime(p.l.Now()+time.Millisecond, c.Resume)
+				p.l.Schedule(p.l.Now()+time.Millisecond, c.Resume)
 			}
 		}
 		c, err := p.l.Dial(address, x)
@@ -199,12 +199,12 @@
 			x.closed, x.gone = 1, true
 			continue
 		}
-		c.Ended = func() { x.gone = true }
+		c.OnClosed = func() { x.gone = true }
 	}
 }
 
 // tick sends datagrams until one has come, and ends the play once all is over.
-func (p *play) tick(packets *Packets, to netip.AddrPort) {
+func (p *play) tick(packets *UDPConn, to netip.AddrPort) {
 	if !p.heard {
 		packets.Send(to, []byte("hello"))
 	}
@@ -212,7 +212,7 @@
 		close(p.done)
 		return
 	}
-	p.l.AtTime(p.l.Now()+2*time.Millisecond, func() { p.tick(packets, to) })
+	p.l.Schedule(p.l.Now()+2*time.Millisecond, func() { p.tick(packets, to) })
 }
 
 func (p *play) judge() {
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -11,11 +11,11 @@
 
 // Listener accepts connections.
 type Listener struct {
-	l      *Loop
-	fd     int
-	accept func(*Conn) Handler
-	closed bool
-	rests  bool // until a timer runs
+	l          *Loop
+	fd         int
+	accept     func(*Conn) Handler
+	closed     bool
+	backingOff bool // until a timer runs
 }
 
 // Listen accepts on an address and port, 0 for any; accept gives each connection its handler, or nil to
@@ -58,72 +58,72 @@
 }
 
 const (
-	// shortOfFiles is how long a listener, or a socket of datagrams, waits for descriptors or memory to come free.
-	shortOfFiles = 50 * time.Millisecond
-	// errorsOfAccept is how many errors of single connections a listener passes over in one round.
-	errorsOfAccept = 64
+	// acceptBackoff is how long a listener, or a socket of datagrams, waits for descriptors or memory to come free.
+	acceptBackoff = 50 * time.Millisecond
+	// maxAcceptErrors is how many errors of single connections a listener passes over in one round.
+	maxAcceptErrors = 64
 )
 
 // Close stops accepting.
 func (n *Listener) Close() {
 	if !n.closed {
 		n.closed = true
-		n.l.drop(n.fd)
+		n.l.closeFile(n.fd)
 	}
 }
 
-// mostAccepts is how many connections are accepted at a time; then others have their turn.
-const mostAccepts = 32
+// maxAccepts is how many connections are accepted at a time; then others have their turn.
+const maxAccepts = 32
 
 func (n *Listener) ready(uint32) {
-	if n.rests { // epoll was not told
-		n.rest()
+	if n.backingOff { // epoll was not told
+		n.backOff()
 		return
 	}
-	for accepted, failed := 0, 0; accepted < mostAccepts && !n.closed; {
+	for accepted, failed := 0, 0; accepted < maxAccepts && !n.closed; {
 		n.l.Stats.Others.Add(1)
 		fd, from, err := n.l.sys.Accept(n.fd)
 		switch {
 		case err == nil:
 			accepted++
-			n.take(fd, from)
+			n.serve(fd, from)
 		case errors.Is(err, unix.EAGAIN):
 			return
-		case failed < errorsOfAccept && ofOneConnection(err):
+		case failed < maxAcceptErrors && isConnectionError(err):
 			failed++
 		default:
-			n.rest()
+			n.backOff()
 			return
 		}
 	}
 }
 
-// ofOneConnection tells of an error of accept that the next call need not meet: a signal, or an error that waited on the
+// isConnectionError tells of an error of accept that the next call need not meet: a signal, or an error that waited on the
 // new socket, see accept(2).
-func ofOneConnection(err error) bool {
+func isConnectionError(err error) bool {
 	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
-// take serves a new connection, or turns it away.
-func (n *Listener) take(fd int, from unix.Sockaddr) {
+// serve serves a new connection, or turns it away.
+func (n *Listener) serve(fd int, from unix.Sockaddr) {
 	n.l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{l: n.l, fd: fd, events: unix.EPOLLIN}
+	c := &Conn{loop: n.l, fd: fd, events: unix.EPOLLIN}
 	switch a := from.(type) {
 	case *unix.SockaddrInet4:
 		c.Peer = netip.AddrFrom4(a.Addr)
 	case *unix.SockaddrInet6:
 		c.Peer = netip.AddrFrom16(a.Addr)
 	}
-	n.l.enter(fd, c)
-	c.h = n.accept(c)
+	n.l.register(fd, c)
+	c.handler = n.accept(c)
 	switch {
 	case c.closed:
-	case c.h == nil:
+	case c.handler == nil:
 		c.closed = true
-		n.l.drop(fd)
+		n.l.closeFile(fd)
 	default:
-		if c.HearEnd {
+		if c.NotifyHalfClose {
 			c.events |= unix.EPOLLRDHUP
 		}
 		c.watched = true
@@ -133,14 +133,14 @@
 	}
 }
 
-// rest stops accepting for a time: connections that wait and cannot be accepted would wake the loop all the time.
-func (n *Listener) rest() {
+// backOff stops accepting for a time: connections that wait and cannot be accepted would wake the loop all the time.
+func (n *Listener) backOff() {
 	if n.l.control(unix.EPOLL_CTL_MOD, n.fd, 0) != nil {
-		n.l.strained = true
+		n.l.pauseRound = true
 	}
-	if !n.rests {
-		n.rests = true
-		n.l.AtTime(n.l.Now()+shortOfFiles, n.resume)
+	if !n.backingOff {
+		n.backingOff = true
+		n.l.Schedule(n.l.Now()+acceptBackoff, n.resume)
 	}
 }
 
@@ -149,8 +149,8 @@
 		return
 	}
 	if n.l.control(unix.EPOLL_CTL_MOD, n.fd, unix.EPOLLIN) != nil {
-		n.l.AtTime(n.l.Now()+shortOfFiles, n.resume)
+		n.l.Schedule(n.l.Now()+acceptBackoff, n.resume)
 		return
 	}
-	n.rests = false
+	n.backingOff = false
 }
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -29,36 +29,36 @@
 
 // Loop is one event loop. Only Post, Stop and Stats may be used from other goroutines.
 type Loop struct {
-	Stats  Stats
-	sys    Syscalls
-	epoll  int
-	wake   int
-	start  time.Time
-	files  map[int32]entry
-	uses   int32 // numbers the uses of descriptors
-	timers timers
-	dirty  []*Conn
-	in     []byte  // where reads go first
-	small  [8]byte // what is read of the eventfd, and the byte that Quiet peeks at
-	mu     sync.Mutex
-	posted []func()
-	open   bool // Post is still heard
-	woken  bool // the eventfd is readable, or will be
-	ending bool
-	looked time.Duration // when events were last waited for
-	since  time.Duration // what was not heard of before has come after this
-	looks  uint64
-	// strained tells that something which cannot be silenced would wake the loop at once.
-	strained bool
+	Stats         Stats
+	sys           Syscalls
+	epoll         int
+	wakeFD        int
+	start         time.Time
+	files         map[int32]registration
+	generation    int32 // numbers the uses of descriptors
+	timers        timers
+	pendingWrites []*Conn
+	readBuffer    []byte  // where reads go first
+	small         [8]byte // what is read of the eventfd, and the byte that Quiet peeks at
+	mu            sync.Mutex
+	posted        []func()
+	open          bool // Post is still heard
+	wakePending   bool // the eventfd is readable, or will be
+	stopping      bool
+	lastPoll      time.Duration // when events were last waited for
+	eventsAfter   time.Duration // what was not heard of before has come after this
+	polls         uint64
+	// pauseRound tells that something which cannot be silenced would wake the loop at once.
+	pauseRound bool
 }
 
 // file is what hangs on a descriptor. Each use of a descriptor has a number of its own, since an event of a
 // closed one may still wait in the round in which the kernel gives the same descriptor out again.
 type file interface{ ready(events uint32) }
 
-type entry struct {
+type registration struct {
 	file
-	use int32
+	generation int32
 }
 
 // readSize is how much one read takes at most.
@@ -78,8 +78,8 @@
 		sys.Close(ep)
 		return nil, err
 	}
-	l := &Loop{sys: sys, epoll: ep, wake: ev, start: time.Now().Add(-origin), files: map[int32]entry{}, in: make([]byte, readSize), open: true}
-	if err := l.add(ev, unix.EPOLLIN, wakeFile{l}); err != nil {
+	l := &Loop{sys: sys, epoll: ep, wakeFD: ev, start: time.Now().Add(-origin), files: map[int32]registration{}, readBuffer: make([]byte, readSize), open: true}
+	if err := l.add(ev, unix.EPOLLIN, wakeHandler{l}); err != nil {
 		sys.Close(ep)
 		return nil, err
 	}
@@ -87,9 +87,9 @@
 }
 
 // Now is the span since the start of the loop's clock; At turns it into a wall clock time.
-func (l *Loop) Now() time.Duration              { return time.Since(l.start) }
-func (l *Loop) At(span time.Duration) time.Time { return l.start.Add(span) }
-func (l *Loop) Span(at time.Time) time.Duration { return at.Sub(l.start) }
+func (l *Loop) Now() time.Duration                    { return time.Since(l.start) }
+func (l *Loop) WallTime(span time.Duration) time.Time { return l.start.Add(span) }
+func (l *Loop) SinceStart(at time.Time) time.Duration { return at.Sub(l.start) }
 
 // Post has f run on the loop, in the order of the calls. It tells whether f will run: after the loop has
 // ended nothing does.
@@ -100,27 +100,27 @@
 		return false
 	}
 	l.posted = append(l.posted, f)
-	l.rouse()
+	l.signalWake()
 	return true
 }
 
-// retryWake is how long a write to the eventfd that failed waits for the next.
-const retryWake = time.Millisecond
+// wakeRetryDelay is how long a write to the eventfd that failed waits for the next.
+const wakeRetryDelay = time.Millisecond
 
-// rouse makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable. After another error
+// signalWake makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable. After another error
 // it is tried again: a loop that waits without a timer would never run what was posted. It is called with mu held.
-func (l *Loop) rouse() {
-	if l.woken || !l.open || len(l.posted) == 0 {
+func (l *Loop) signalWake() {
+	if l.wakePending || !l.open || len(l.posted) == 0 {
 		return
 	}
-	if _, err := l.sys.Write(l.wake, one); err == nil || errors.Is(err, unix.EAGAIN) {
-		l.woken = true
+	if _, err := l.sys.Write(l.wakeFD, one); err == nil || errors.Is(err, unix.EAGAIN) {
+		l.wakePending = true
 		return
 	}
-	time.AfterFunc(retryWake, func() {
+	time.AfterFunc(wakeRetryDelay, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.rouse()
+		l.signalWake()
 	})
 }
 
@@ -128,7 +128,7 @@
 var one = binary.NativeEndian.AppendUint64(nil, 1)
 
 // Stop ends Run after the present round. It must be called on the loop.
-func (l *Loop) Stop() { l.ending = true }
+func (l *Loop) Stop() { l.stopping = true }
 
 // CPU is the processor time that the loop has used. It must be called on the loop.
 func (l *Loop) CPU() time.Duration {
@@ -139,8 +139,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// pause is how long a loop sleeps in a round in which something would wake it at once that cannot be served.
-const pause = time.Millisecond
+// roundPause is how long a loop sleeps in a round in which something would wake it at once that cannot be served.
+const roundPause = time.Millisecond
 
 // Run serves until Stop, then closes all that is open, without telling its owners. It ends earlier, with the error, if
 // epoll_wait fails with one that does not pass.
@@ -149,19 +149,19 @@
 	defer runtime.UnlockOSThread()
 	events := make([]unix.EpollEvent, 256)
 	var err error
-	l.looked = l.Now()
-	for !l.ending {
-		if err = l.look(events, l.timers.wait(l.Now())); err != nil {
+	l.lastPoll = l.Now()
+	for !l.stopping {
+		if err = l.poll(events, l.timers.wait(l.Now())); err != nil {
 			break
 		}
-		l.lookAgain(events)
-		l.takePosted(false)
+		l.pollAgain(events)
+		l.runPosted(false)
 		l.timers.fire(l.Now)
-		l.lookAgain(events)
+		l.pollAgain(events)
 		l.flush()
-		if l.strained {
-			l.strained = false
-			time.Sleep(pause)
+		if l.pauseRound {
+			l.pauseRound = false
+			time.Sleep(roundPause)
 		}
 	}
 	l.mu.Lock()
@@ -175,105 +175,105 @@
 	return err
 }
 
-// look waits for events, for so many milliseconds at most, and hands them out. An error that may pass is no event: timers
+// poll waits for events, for so many milliseconds at most, and hands them out. An error that may pass is no event: timers
 // and what was posted have their turn, and the next round waits again. Without that, a signal that comes all the time
 // would keep timers from running.
-func (l *Loop) look(events []unix.EpollEvent, wait int) error {
+func (l *Loop) poll(events []unix.EpollEvent, wait int) error {
 	l.Stats.Waits.Add(1)
-	begun, before := l.Now(), l.looked
+	begun, before := l.Now(), l.lastPoll
 	n, err := l.sys.EpollWait(l.epoll, events, wait)
-	l.looked, l.looks = l.Now(), l.looks+1
-	if l.since = l.looked; l.looked-begun < time.Millisecond { // it may have come before the wait began
-		l.since = before
+	l.lastPoll, l.polls = l.Now(), l.polls+1
+	if l.eventsAfter = l.lastPoll; l.lastPoll-begun < time.Millisecond { // it may have come before the wait began
+		l.eventsAfter = before
 	}
 	switch {
 	case err == nil:
 	case errors.Is(err, unix.EINTR):
 		return nil
 	case Transient(err):
-		l.strained = true
+		l.pauseRound = true
 		return nil
 	default:
 		return err
 	}
 	for _, e := range events[:n] {
-		if f, ok := l.files[e.Fd]; ok && f.use == e.Pad {
+		if f, ok := l.files[e.Fd]; ok && f.generation == e.Pad {
 			f.ready(e.Events)
 		}
 	}
 	return nil
 }
 
-// stale is how old the last look at what has come may be before timers fire and before bytes are written.
-const stale = 20 * time.Millisecond
+// maxPollAge is how old the last look at what has come may be before timers fire and before bytes are written.
+const maxPollAge = 20 * time.Millisecond
 
-// lookAgain looks once more where the round has taken long. It guards a loop that was held up against acting on what is
+// pollAgain looks once more where the round has taken long. It guards a loop that was held up against acting on what is
 // no longer so, as for a client that has gone meanwhile; it would harm one that is always late, which then takes up new
 // work before it has written what is done, by one round at most. An error comes again with the round's own wait.
-func (l *Loop) lookAgain(events []unix.EpollEvent) {
-	if l.Now()-l.looked > stale && !l.ending {
-		l.look(events, 0)
+func (l *Loop) pollAgain(events []unix.EpollEvent) {
+	if l.Now()-l.lastPoll > maxPollAge && !l.stopping {
+		l.poll(events, 0)
 	}
 }
 
 // flush writes what the round has produced, once for each connection.
 func (l *Loop) flush() {
-	for i := 0; i < len(l.dirty); i++ { // it may grow meanwhile
-		l.dirty[i].queued = false
-		l.dirty[i].write()
-		l.dirty[i] = nil
+	for i := 0; i < len(l.pendingWrites); i++ { // it may grow meanwhile
+		l.pendingWrites[i].queued = false
+		l.pendingWrites[i].write()
+		l.pendingWrites[i] = nil
 	}
-	l.dirty = l.dirty[:0]
+	l.pendingWrites = l.pendingWrites[:0]
 }
 
-type wakeFile struct{ l *Loop }
+type wakeHandler struct{ l *Loop }
 
-func (w wakeFile) ready(uint32) {
+func (w wakeHandler) ready(uint32) {
 	w.l.Stats.Others.Add(1)
-	if _, err := w.l.sys.Read(w.l.wake, w.l.small[:]); err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
-		w.l.strained = true // it stays readable
+	if _, err := w.l.sys.Read(w.l.wakeFD, w.l.small[:]); err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
+		w.l.pauseRound = true // it stays readable
 	}
-	w.l.takePosted(true)
+	w.l.runPosted(true)
 }
 
-// takePosted runs what was posted, at the end of a round only what the eventfd does not tell of.
-func (l *Loop) takePosted(told bool) {
+// runPosted runs what was posted, at the end of a round only what the eventfd does not tell of.
+func (l *Loop) runPosted(told bool) {
 	l.mu.Lock()
-	if l.woken && !told {
+	if l.wakePending && !told {
 		l.mu.Unlock()
 		return
 	}
 	posted := l.posted
-	l.posted, l.woken = nil, false
+	l.posted, l.wakePending = nil, false
 	l.mu.Unlock()
 	for _, f := range posted {
 		f()
 	}
 }
 
-// enter notes what hangs on a descriptor.
-func (l *Loop) enter(fd int, f file) {
-	l.uses++
-	l.files[int32(fd)] = entry{f, l.uses}
+// register notes what hangs on a descriptor.
+func (l *Loop) register(fd int, f file) {
+	l.generation++
+	l.files[int32(fd)] = registration{f, l.generation}
 }
 
 // add enters a descriptor and has epoll watch it; if that fails, the descriptor is closed.
 func (l *Loop) add(fd int, events uint32, f file) error {
-	l.enter(fd, f)
+	l.register(fd, f)
 	err := l.control(unix.EPOLL_CTL_ADD, fd, events)
 	if err != nil {
-		l.drop(fd)
+		l.closeFile(fd)
 	}
 	return err
 }
 
 func (l *Loop) control(how, fd int, events uint32) error {
 	l.Stats.Others.Add(1)
-	return l.sys.EpollCtl(l.epoll, how, fd, unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].use})
+	return l.sys.EpollCtl(l.epoll, how, fd, unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation})
 }
 
-// drop closes a descriptor. It is released whatever close returns, so that is not tried again, see close(2).
-func (l *Loop) drop(fd int) {
+// closeFile closes a descriptor. It is released whatever close returns, so that is not tried again, see close(2).
+func (l *Loop) closeFile(fd int) {
 	if _, ok := l.files[int32(fd)]; !ok { // Run has ended
 		return
 	}
--- a/eventloop/timers.go
+++ b/eventloop/timers.go
@@ -7,24 +7,24 @@
 
 // Timer is a call due at a time of the loop's clock. The zero value may be armed.
 type Timer struct {
-	at    time.Duration
-	run   func()
-	due   Due
-	index int // in the heap, from 1; 0: not armed
+	at      time.Duration
+	run     func()
+	expirer Expirer
+	index   int // in the heap, from 1; 0: not armed
 }
 
-// Due is what a Timer inside a record of its owner's calls, so that arming it allocates nothing.
-type Due interface{ Due() }
+// Expirer is what a Timer inside a record of its owner's calls, so that arming it allocates nothing.
+type Expirer interface{ Expire() }
 
 // Arm has d.Due called at a time of the loop's clock; an armed timer is armed anew.
-func (l *Loop) Arm(t *Timer, at time.Duration, d Due) {
+func (l *Loop) Arm(t *Timer, at time.Duration, d Expirer) {
 	l.Cancel(t)
-	t.at, t.due = at, d
+	t.at, t.expirer = at, d
 	heap.Push(&l.timers, t)
 }
 
-// AtTime has run called at a time of the loop's clock, or in the next round if that has passed.
-func (l *Loop) AtTime(at time.Duration, run func()) *Timer {
+// Schedule has run called at a time of the loop's clock, or in the next round if that has passed.
+func (l *Loop) Schedule(at time.Duration, run func()) *Timer {
 	t := &Timer{at: at, run: run}
 	heap.Push(&l.timers, t)
 	return t
@@ -73,8 +73,8 @@
 func (h *timers) fire(now func() time.Duration) {
 	for at := now(); len(*h) > 0 && (*h)[0].at <= at; {
 		t := heap.Pop(h).(*Timer)
-		if t.due != nil {
-			t.due.Due()
+		if t.expirer != nil {
+			t.expirer.Expire()
 		} else {
 			t.run()
 		}
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -113,7 +113,7 @@
 func (s *Server) every(span time.Duration, f func()) {
 	if span > 0 {
 		next := time.Duration(float64(span) * (0.75 + s.rng.Float64()/2))
-		s.loop.AtTime(s.loop.Now()+next, func() { f(); s.start(); s.every(span, f) })
+		s.loop.Schedule(s.loop.Now()+next, func() { f(); s.start(); s.every(span, f) })
 	}
 }
 
@@ -231,7 +231,7 @@
 		s.queue = s.queue[1:]
 		s.busy++
 		took, life := s.cost(c), s.life
-		s.loop.AtTime(now+took, func() {
+		s.loop.Schedule(now+took, func() {
 			if s.life == life {
 				s.busy--
 				s.finish(c, took)
@@ -241,7 +241,7 @@
 	}
 	if now < s.frozen && len(s.queue) > 0 {
 		life := s.life
-		s.loop.AtTime(s.frozen, func() {
+		s.loop.Schedule(s.frozen, func() {
 			if s.life == life {
 				s.start()
 			}
--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -106,7 +106,7 @@
 func (d *Disk) Stop() { d.loop.Post(d.loop.Stop) }
 
 // CutIdle closes all connections in order, as a disk server does with idle ones.
-func (d *Disk) CutIdle() { d.each((*eventloop.Conn).Finish) }
+func (d *Disk) CutIdle() { d.each((*eventloop.Conn).CloseGracefully) }
 
 // ResetIdle resets all connections.
 func (d *Disk) ResetIdle() { d.each((*eventloop.Conn).Abort) }
@@ -131,7 +131,7 @@
 	c := &conn{d: d, n: d.opened, c: raw, in: resp.Reader{Bounds: resp.Bounds{Line: 64, Bulk: 64 << 10, Items: 8, Depth: 1, Total: 80 << 10, Command: true}}}
 	d.opened++
 	d.conns[c] = true
-	raw.Ended = func() {
+	raw.OnClosed = func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		delete(d.conns, c)
@@ -176,13 +176,13 @@
 		c.d.mu.Unlock()
 		switch {
 		case f.Break:
-			c.c.Break()
+			c.c.Reset()
 			return false
 		case f.Silent:
 			return true
 		}
 	}
-	c.c.Loop().AtTime(c.c.Loop().Now()+f.Delay, func() { c.ready(n, c.answer(f, args)) })
+	c.c.Loop().Schedule(c.c.Loop().Now()+f.Delay, func() { c.ready(n, c.answer(f, args)) })
 	return true
 }
 
@@ -216,7 +216,7 @@
 			}
 		}
 		if f.Late != "" {
-			c.c.Loop().AtTime(c.c.Loop().Now()+2*time.Millisecond, func() {
+			c.c.Loop().Schedule(c.c.Loop().Now()+2*time.Millisecond, func() {
 				c.c.Out = append(c.c.Out, f.Late...)
 				c.c.Send()
 			})
@@ -241,7 +241,7 @@
 func (c *conn) ready(n int, answer []byte) {
 	if c.d.now().Half {
 		c.c.Out = append(c.c.Out, answer[:len(answer)/2]...)
-		c.c.Finish()
+		c.c.CloseGracefully()
 		return
 	}
 	c.due[n-c.base] = answer
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -153,7 +153,7 @@
 	r := o.Script.Rehearsal
 	finished := make(chan struct{})
 	l.Post(st.begin)
-	l.AtTime(l.Now()+r.Length.D()+settle, func() { st.load.Stop(func() { close(finished) }) })
+	l.Schedule(l.Now()+r.Length.D()+settle, func() { st.load.Stop(func() { close(finished) }) })
 	looped := make(chan error, 1)
 	go func() { looped <- l.Run() }()
 	looking := make(chan struct{})
@@ -276,7 +276,7 @@
 	if wired(s) {
 		aside = apart
 	}
-	st.loop.AtTime(0, func() {
+	st.loop.Schedule(0, func() {
 		st.load = loadgen.Start(st.loop, loadgen.Options{Settings: s, Targets: targets, Traffic: r.Traffic, Clients: r.Clients, Retries: r.Retries, Seed: st.o.Seed, Expect: disk.Fill, Digests: wired(s), Apart: aside})
 	})
 	return nil
@@ -340,7 +340,7 @@
 	at := netip.MustParseAddrPort(d.Address())
 	target := fmt.Sprintf("n%d--c%d-z%d", at.Port(), cell, cell%3)
 	if d.Started > 0 {
-		target += fmt.Sprintf("-t%d", st.loop.At(d.Started).Unix())
+		target += fmt.Sprintf("-t%d", st.loop.WallTime(d.Started).Unix())
 	}
 	st.records[d.Address()] = dns.Record{Target: target + ".storage.example.", IP: at.Addr().String(), Port: at.Port(), Weight: weight}
 	st.publish()
@@ -403,7 +403,7 @@
 	d := st.cells[cell]
 	r := discovery.Record{State: state, Size: float64(st.model.Cores), Zone: cell % 3, Cell: cell}
 	if d.Started > 0 {
-		r.StartedMS = st.loop.At(d.Started).UnixMilli()
+		r.StartedMS = st.loop.WallTime(d.Started).UnixMilli()
 	}
 	value, _ := json.Marshal(r)
 	st.etcd.Set(st.script.List.Prefix+d.Address(), value)
@@ -450,7 +450,7 @@
 	}
 }
 
-func (st *stage) after(span time.Duration, f func()) { st.loop.AtTime(st.loop.Now()+span, f) }
+func (st *stage) after(span time.Duration, f func()) { st.loop.Schedule(st.loop.Now()+span, f) }
 
 // pick chooses count servers of those that serve a cell now; 0: one.
 func (st *stage) pick(count int) (cells []int) {
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -83,11 +83,11 @@
 	switch b.st.bad.kind {
 	case "wire-delay":
 		b.held[way], b.until[way] = p, now+time.Duration(rng.Float64()*float64(longest))
-		b.st.loop.AtTime(b.until[way], b.c.Stir)
+		b.st.loop.Schedule(b.until[way], b.c.FlushFilter)
 		return nil
 	case "wire-cut":
 		b.spoil()
-		b.st.loop.AtTime(0, b.c.Break)
+		b.st.loop.Schedule(0, b.c.Reset)
 		return p[:from]
 	case "wire-flip":
 		p[from] ^= 1 << rng.Intn(8)
@@ -138,7 +138,7 @@
 			}
 		}
 		if wired(st.script) && apart(client) {
-			c.Bend = &bend{st: st, c: c, spoil: spoil, lies: true, bad: func() bool { return true }}
+			c.FaultFilter = &bend{st: st, c: c, spoil: spoil, lies: true, bad: func() bool { return true }}
 		}
 	}
 }
@@ -147,7 +147,7 @@
 func (st *stage) disk(d func() *disk.Server) func(c *eventloop.Conn) {
 	return func(c *eventloop.Conn) {
 		if wired(st.script) {
-			c.Bend = &bend{st: st, c: c, spoil: func() {}, lies: true, bad: func() bool { return st.bad.disks[d()] }}
+			c.FaultFilter = &bend{st: st, c: c, spoil: func() {}, lies: true, bad: func() bool { return st.bad.disks[d()] }}
 		}
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -464,7 +464,7 @@
 	}
 	g.loop.Cancel(g.ticker)
 	if at := g.book.Next(); at > 0 {
-		g.ticker = g.loop.AtTime(at, func() { g.believe(g.book.Tick(g.loop.Now()), false) })
+		g.ticker = g.loop.Schedule(at, func() { g.believe(g.book.Tick(g.loop.Now()), false) })
 	}
 }
 
--- a/inflight/ops.go
+++ b/inflight/ops.go
@@ -196,7 +196,7 @@
 			p.dispatches[a.Dispatch].cancel(honeyplank.Cancelled)
 		}
 	case honeyplank.SetTimer:
-		b.loop.AtTime(a.At, func() { b.Deliver(honeyplank.Timer{Name: a.Name}) })
+		b.loop.Schedule(a.At, func() { b.Deliver(honeyplank.Timer{Name: a.Name}) })
 	default:
 		b.OnAction(action)
 	}
@@ -273,8 +273,8 @@
 // Ended tells that the dispatch has its outcome.
 func (d *Dispatch) Ended() bool { return d.done }
 
-// Due ends a dispatch that has had no answer in time.
-func (d *Dispatch) Due() {
+// Expire ends a dispatch that has had no answer in time.
+func (d *Dispatch) Expire() {
 	if d.tracker.sender.Written(d) {
 		d.cancel(honeyplank.TimedOut)
 	} else {
--- a/inflight/ops_test.go
+++ b/inflight/ops_test.go
@@ -69,7 +69,7 @@
 
 // run runs the loop for a time.
 func (w *world) run(d time.Duration) {
-	w.l.AtTime(w.l.Now()+d, w.l.Stop)
+	w.l.Schedule(w.l.Now()+d, w.l.Stop)
 	if err := w.l.Run(); err != nil {
 		w.t.Fatal(err)
 	}
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -68,9 +68,9 @@
 func Dial(l *eventloop.Loop, terms Terms, h Handler) *Association {
 	a := &Association{terms: terms, loop: l, handler: h}
 	a.Buffers.Keep, a.Buffers.Stats = 64*terms.MaxData, &l.Stats
-	a.timer = l.AtTime(l.Now()+terms.Within, func() { a.end(errHandshake) })
+	a.timer = l.Schedule(l.Now()+terms.Within, func() { a.end(errHandshake) })
 	if err := a.connect(0); err != nil {
-		l.AtTime(0, func() { a.end(err) })
+		l.Schedule(0, func() { a.end(err) })
 	}
 	return a
 }
@@ -237,7 +237,7 @@
 		c[0] = nvme.AdminKeepAlive
 		a.Admin.Submit(c, nil, 0, a.step("Keep Alive", func(Result) { a.answeredAt = a.loop.Now() }))
 	}
-	a.timer = a.loop.AtTime(now+a.terms.KeepAlive/4, a.alive)
+	a.timer = a.loop.Schedule(now+a.terms.KeepAlive/4, a.alive)
 }
 
 // IsReady tells whether commands may be submitted.
@@ -257,7 +257,7 @@
 	a.loop.Cancel(a.timer)
 	for n, c := range a.conns {
 		if c != nil {
-			c.Finish()
+			c.CloseGracefully()
 		}
 		if s := a.sessions[n]; s != nil {
 			s.lost()
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -208,7 +208,7 @@
 func (c *client) Ended(a *initiator.Association, _ error) {
 	if c.link == a {
 		c.live, c.link = false, nil
-		c.g.loop.AtTime(c.g.loop.Now()+100*time.Millisecond, c.connect)
+		c.g.loop.Schedule(c.g.loop.Now()+100*time.Millisecond, c.connect)
 	}
 }
 
@@ -223,7 +223,7 @@
 		load += g.rates[n] * g.factor(v.NSID)
 	}
 	due += time.Duration(g.rng.ExpFloat64() / (t.Rate * load / g.mean) * float64(time.Second))
-	g.loop.AtTime(due, func() {
+	g.loop.Schedule(due, func() {
 		if !g.stopped {
 			g.op(i, due)
 			g.next(i, due)
@@ -349,7 +349,7 @@
 		return
 	}
 	o.cid = cid
-	o.giveUp = o.g.loop.AtTime(o.g.loop.Now()+patience, func() {
+	o.giveUp = o.g.loop.Schedule(o.g.loop.Now()+patience, func() {
 		if !o.ended {
 			link.IO.Abandon(o.cid)
 			o.g.ByType[o.typ].Late++
@@ -372,7 +372,7 @@
 		o.left--
 		o.ended = true
 		o.place()
-		o.g.loop.AtTime(o.g.loop.Now()+time.Duration(r.DW0())*time.Millisecond, o.send)
+		o.g.loop.Schedule(o.g.loop.Now()+time.Duration(r.DW0())*time.Millisecond, o.send)
 		return
 	}
 	o.end(r.Status(), false)
--- a/loadgen/load_test.go
+++ b/loadgen/load_test.go
@@ -21,8 +21,8 @@
 	g := Start(l, Options{Settings: s, Targets: []Target{{Address: "127.0.0.1:1"}}, Clients: 1, Seed: 1, // nobody serves there
 		Traffic: []settings.Traffic{{OpType: "read", Rate: 200, Bytes: 4096}}})
 	at := -1
-	l.AtTime(l.Now()+100*time.Millisecond, func() { g.Stop(func() { at = g.ByType[0].Ops }) })
-	l.AtTime(l.Now()+300*time.Millisecond, l.Stop)
+	l.Schedule(l.Now()+100*time.Millisecond, func() { g.Stop(func() { at = g.ByType[0].Ops }) })
+	l.Schedule(l.Now()+300*time.Millisecond, l.Stop)
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -73,8 +73,8 @@
 	s.clientFiles++
 	now := s.loop.Now()
 	c := &client{s: s, conn: conn, in: resp.Reader{Bounds: commandBounds}, heard: now}
-	conn.HearEnd, conn.MostRead = true, firstRead
-	conn.Ended = func() {
+	conn.NotifyHalfClose, conn.MaxRead = true, firstRead
+	conn.OnClosed = func() {
 		s.clientFiles--
 		if c.spoke {
 			s.spoken--
@@ -134,11 +134,11 @@
 // busy tells that something is owed on a connection: an answer, or to a client that has brought ops the rest of one, or
 // the wait for the rest of a command. To others it is not: a crowd that asks for PONGs and reads none would hold all room.
 func (c *client) busy() bool {
-	return len(c.due) > 0 || c.spoke && (c.conn.Unsent() > 0 || c.began > 0)
+	return len(c.due) > 0 || c.spoke && (c.conn.UnsentBytes() > 0 || c.began > 0)
 }
 
 // owed is how many bytes of answers a client may yet have to read, at most.
-func (c *client) owed() int { return c.conn.Unsent() + len(c.due)*mostBody }
+func (c *client) owed() int { return c.conn.UnsentBytes() + len(c.due)*mostBody }
 
 func (c *client) Opened(*eventloop.Conn) {}
 
@@ -166,7 +166,7 @@
 			break
 		}
 		c.began, c.heard = 0, now
-		c.command(min(c.conn.Came(), now), v.List)
+		c.command(min(c.conn.ReceivedAfter(), now), v.List)
 		commands++
 	}
 	switch {
@@ -197,7 +197,7 @@
 	c.paused, c.slowed, c.spent = true, true, 0
 	c.s.slowed++
 	c.conn.Pause()
-	c.s.loop.AtTime(c.s.loop.Now()+min(wait, mostSlow), func() {
+	c.s.loop.Schedule(c.s.loop.Now()+min(wait, mostSlow), func() {
 		c.slowed = false
 		c.s.slowed--
 		c.resume()
@@ -236,7 +236,7 @@
 	}
 	c.over = true
 	c.conn.Out = resp.AppendError(c.conn.Out, text)
-	c.conn.Drop(readTime)
+	c.conn.CloseAfterFlush(readTime)
 }
 
 // command takes one command up that came at a time, or answers it.
@@ -258,7 +258,7 @@
 			err = errors.New("the id is that of an open request")
 		}
 		if err == nil && !c.spoke {
-			c.spoke, c.conn.MostRead = true, 0
+			c.spoke, c.conn.MaxRead = true, 0
 			c.s.spoken++
 		}
 		if err != nil {
@@ -303,12 +303,12 @@
 	c.heard = c.s.loop.Now()
 	switch {
 	case c.quit && len(c.due) == 0:
-		c.conn.Finish()
+		c.conn.CloseGracefully()
 	case c.over && len(c.due) == 0: // a breach stood behind these
-		c.conn.Drop(readTime)
+		c.conn.CloseAfterFlush(readTime)
 	case c.s.shut && len(c.due) == 0:
 		c.over = true
-		c.conn.Finish()
+		c.conn.CloseGracefully()
 	default:
 		c.conn.Send()
 		c.resume()
@@ -322,12 +322,12 @@
 		return
 	}
 	c.paused = true
-	if c.conn.Left() > 0 {
+	if c.conn.BufferedBytes() > 0 {
 		c.conn.Pause()
 		c.conn.Resume() // offers them to Input
 	} else if c.conn.Pause(); len(c.due) == 0 {
 		c.over = true
-		c.conn.Finish()
+		c.conn.CloseGracefully()
 	}
 }
 
@@ -497,7 +497,7 @@
 		case c.busy() && idle <= longIdle:
 			c.resume()
 		case len(c.due) > 0:
-		case c.conn.Unsent() > 0 && idle > longIdle: // it does not read
+		case c.conn.UnsentBytes() > 0 && idle > longIdle: // it does not read
 			c.conn.Close()
 		case !c.spoke && idle > patience: // at once: a crowd that lingers would keep others out
 			if c.paused || c.conn.Quiet() { // else what has come is read first
@@ -507,7 +507,7 @@
 		case c.spoke && idle > most:
 			if c.conn.Quiet() {
 				c.over = true
-				c.conn.Finish()
+				c.conn.CloseGracefully()
 			}
 		default:
 			c.resume()
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -109,7 +109,7 @@
 					w.on(func() {
 						if sv := w.s.servers["s-0"]; len(sv.links) == 1 && sv.links[0].up && len(sv.links[0].out) == i+1 {
 							link, ok = sv.links[0], true
-							link.conn.Before = nil // the one of which a part has left is not taken back for its age
+							link.conn.BeforeWrite = nil // the one of which a part has left is not taken back for its age
 						}
 					})
 					return ok
@@ -121,7 +121,7 @@
 					if e.written() {
 						written++
 					}
-					if gone := link.put - uint64(link.conn.Unsent()); leaver < 0 && e.head < gone && gone < e.tail {
+					if gone := link.put - uint64(link.conn.UnsentBytes()); leaver < 0 && e.head < gone && gone < e.tail {
 						leaver = i
 					}
 				}
@@ -188,7 +188,7 @@
 	w.eventually("the pause", func() (ok bool) {
 		w.on(func() {
 			for x := range w.s.clients {
-				ok = x.paused && x.conn.Left() > 0
+				ok = x.paused && x.conn.BufferedBytes() > 0
 			}
 		})
 		return ok
@@ -225,7 +225,7 @@
 	w.eventually("a full connection", func() (ok bool) {
 		w.on(func() {
 			for x := range w.s.clients {
-				ok = x.conn.Unsent() > 0 && len(x.due) == 0 && x.paused
+				ok = x.conn.UnsentBytes() > 0 && len(x.due) == 0 && x.paused
 				if x.owed() > mostOwed+2*mostBody {
 					t.Errorf("%d bytes are owed", x.owed())
 				}
@@ -461,7 +461,7 @@
 		var look func()
 		look = func() {
 			atomic.StoreInt64(&last, w.s.loop.Stats.BytesIn.Load())
-			w.s.loop.AtTime(w.s.loop.Now()+time.Millisecond, look)
+			w.s.loop.Schedule(w.s.loop.Now()+time.Millisecond, look)
 		}
 		look()
 	})
@@ -553,7 +553,7 @@
 				x.conn.Out = resp.AppendBulk(x.conn.Out, []byte(large))
 			}
 			x.breach(&resp.Breach{What: "forced"})
-			if x.conn.Unsent() == 0 {
+			if x.conn.UnsentBytes() == 0 {
 				t.Error("the system holds all of it")
 			}
 		}
@@ -588,7 +588,7 @@
 			n := 0
 			w.on(func() {
 				for x := range w.s.clients {
-					if x.paused && x.conn.Unsent() > 0 && !x.conn.Quiet() {
+					if x.paused && x.conn.UnsentBytes() > 0 && !x.conn.Quiet() {
 						n++
 					}
 				}
@@ -626,12 +626,12 @@
 			for range n {
 				x.conn.Out = resp.AppendBulk(x.conn.Out, []byte(large))
 			}
-			x.conn.Finish()
-			if x.conn.Unsent() == 0 {
+			x.conn.CloseGracefully()
+			if x.conn.UnsentBytes() == 0 {
 				t.Error("the system holds all of it")
 			}
 		}
-		w.s.loop.AtTime(w.s.loop.Now()+1200*time.Millisecond, func() { close(closing) })
+		w.s.loop.Schedule(w.s.loop.Now()+1200*time.Millisecond, func() { close(closing) })
 	})
 	<-closing
 	for i := range n {
--- a/scheduler/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -144,7 +144,7 @@
 		w.eventually("all bytes to leave", func() (ok bool) {
 			w.on(func() {
 				for _, l := range w.s.servers["s-0"].links {
-					ok = ok || l.up && len(l.out) == 1 && l.conn.Unsent() == 0 && l.conn.Unacked() > 0
+					ok = ok || l.up && len(l.out) == 1 && l.conn.UnsentBytes() == 0 && l.conn.UnackedBytes() > 0
 				}
 			})
 			return ok
@@ -262,7 +262,7 @@
 			w.on(func() {
 				w.module.heard = func(e honeyplank.Event) {
 					if l, ok := e.(honeyplank.List); ok && len(l.Members) > 0 {
-						w.s.loop.AtTime(w.s.loop.Now()+max(grace-heldUp, 0), func() { waits <- len(w.s.servers["s-0"].waiting) })
+						w.s.loop.Schedule(w.s.loop.Now()+max(grace-heldUp, 0), func() { waits <- len(w.s.servers["s-0"].waiting) })
 					}
 				}
 			})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -27,7 +27,7 @@
 	loop        *eventloop.Loop
 	book        *inflight.Tracker
 	listener    *eventloop.Listener
-	peers       *eventloop.Packets
+	peers       *eventloop.UDPConn
 	clients     map[*client]bool
 	servers     map[honeyplank.ServerID]*server
 	files       int // connections to disk servers
@@ -124,7 +124,7 @@
 	s.book.OnAction = s.act
 	s.book.OnIdle = s.check
 	if s.listener, err = l.Listen(p.Listen, s.accept); err == nil && p.Peer != "" && p.Site.Peers {
-		s.peers, err = l.Packets(p.Peer, s.hearPeer)
+		s.peers, err = l.ListenUDP(p.Peer, s.hearPeer)
 	}
 	if err != nil {
 		l.Stop()
@@ -161,7 +161,7 @@
 		s.told = now
 		s.tell()
 	}
-	s.loop.AtTime(s.loop.Now()+tending, s.tick)
+	s.loop.Schedule(s.loop.Now()+tending, s.tick)
 }
 
 // tell logs what has been done so far and what is open.
@@ -189,9 +189,9 @@
 			longest = max(longest, t)
 		}
 		s.last = lastTimes(told, longest)
-		s.loop.AtTime(told+notice, func() { s.sure = true; s.check() })
-		s.loop.AtTime(s.last.ops, func() { // in the next round: who waits at the listener comes in before
-			s.loop.AtTime(s.loop.Now(), s.takeNoMore)
+		s.loop.Schedule(told+notice, func() { s.sure = true; s.check() })
+		s.loop.Schedule(s.last.ops, func() { // in the next round: who waits at the listener comes in before
+			s.loop.Schedule(s.loop.Now(), s.takeNoMore)
 		})
 	})
 }
@@ -214,7 +214,7 @@
 		c.part()
 	}
 	s.check()
-	s.loop.AtTime(s.last.answers, func() {
+	s.loop.Schedule(s.last.answers, func() {
 		s.book.FailAll()
 		s.tell()
 		s.leave(s.loop.Now() + lastReads)
@@ -224,9 +224,9 @@
 // leave ends the loop at a time, or as soon after as all clients have what they are owed: a close over what they still
 // send would take it from them. It is not put off past the kill.
 func (s *Scheduler) leave(at time.Duration) {
-	s.loop.AtTime(at, func() {
+	s.loop.Schedule(at, func() {
 		for c := range s.clients {
-			if c.conn.Unacked() > 0 && s.loop.Now() < s.last.killed-lastReads {
+			if c.conn.UnackedBytes() > 0 && s.loop.Now() < s.last.killed-lastReads {
 				s.leave(s.loop.Now() + lastLook)
 				return
 			}
@@ -241,7 +241,7 @@
 		return
 	}
 	s.ended = true
-	s.loop.AtTime(s.loop.Now()+settling, func() {
+	s.loop.Schedule(s.loop.Now()+settling, func() {
 		if s.ended = s.alone(); s.ended {
 			s.tell()
 			s.watch(false)
@@ -297,7 +297,7 @@
 		return
 	}
 	e := &entry{server: sv, at: s.loop.Now()}
-	e.timer = s.loop.AtTime(e.at+s.site().ConnectWithin, func() {
+	e.timer = s.loop.Schedule(e.at+s.site().ConnectWithin, func() {
 		if !e.left {
 			e.giveUp()
 			s.book.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - e.at})
@@ -397,7 +397,7 @@
 	if s.site().Ask {
 		s.book.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 	} else {
-		s.loop.AtTime(s.loop.Now()+again, func() { s.watch(!s.ended) })
+		s.loop.Schedule(s.loop.Now()+again, func() { s.watch(!s.ended) })
 	}
 }
 
--- a/scheduler/servers.go
+++ b/scheduler/servers.go
@@ -107,7 +107,7 @@
 
 func (e *entry) written() bool {
 	l := e.link
-	return l != nil && l.up && e.tail <= l.put-uint64(l.conn.Unsent())
+	return l != nil && l.up && e.tail <= l.put-uint64(l.conn.UnsentBytes())
 }
 
 // giveUp ends the wait for an answer. What has not left is taken back; a connection that carries nothing else closes,
@@ -135,9 +135,9 @@
 func (l *link) takeBack(e *entry) {
 	i := slices.Index(l.out, e)
 	behind := slices.Clone(l.out[i+1:])
-	gone := l.put - uint64(l.conn.Unsent())
+	gone := l.put - uint64(l.conn.UnsentBytes())
 	if n := e.tail - e.head; e.head >= gone { // none of it has left
-		l.conn.Cut(int(e.head-gone), int(e.tail-gone))
+		l.conn.DiscardUnsent(int(e.head-gone), int(e.tail-gone))
 		l.put -= n
 		for _, x := range behind {
 			x.head, x.tail = x.head-n, x.tail-n
@@ -154,7 +154,7 @@
 	}
 	// A part has: nothing more may follow, and what is behind goes elsewhere.
 	l.shut = true
-	l.conn.Cut(0, l.conn.Unsent())
+	l.conn.DiscardUnsent(0, l.conn.UnsentBytes())
 	l.put, l.out = gone, l.out[:i]
 	l.closeLeft()
 	for _, x := range behind {
@@ -254,7 +254,7 @@
 		at = sv.idle[0].since + restOfLink
 	}
 	sv.rousing = true
-	sv.s.loop.AtTime(at, func() {
+	sv.s.loop.Schedule(at, func() {
 		sv.rousing = false
 		for len(sv.waiting) > 0 { // one that has come free is as good as one that is still to come up
 			l := sv.rested()
@@ -306,12 +306,12 @@
 		s.undialled = 0
 	}
 	l.conn = conn
-	conn.Ended = func() { s.files-- }
-	conn.Before = l.renew
+	conn.OnClosed = func() { s.files-- }
+	conn.BeforeWrite = l.renew
 	s.files++
 	sv.links = append(sv.links, l)
 	sv.dialing++
-	l.timer = s.loop.AtTime(s.loop.Now()+s.site().ConnectWithin, func() { l.Closed(conn, errConnect) })
+	l.timer = s.loop.Schedule(s.loop.Now()+s.site().ConnectWithin, func() { l.Closed(conn, errConnect) })
 	return nil
 }
 
@@ -324,7 +324,7 @@
 	}
 	sv.dialAt = s.loop.Now() + min(firstRedial<<sv.redials, lastRedial)
 	sv.redials = min(sv.redials+1, mostRedials)
-	s.loop.AtTime(sv.dialAt, sv.redial)
+	s.loop.Schedule(sv.dialAt, sv.redial)
 }
 
 // redial tries once more for those that wait. Where that fails too, those that have waited for long are told, which lets
@@ -393,7 +393,7 @@
 // arrives whole.
 func (l *link) renew() {
 	now := l.server.s.loop.Now()
-	gone := l.put - uint64(l.conn.Unsent())
+	gone := l.put - uint64(l.conn.UnsentBytes())
 	i := 0
 	for i < len(l.out) && l.out[i].head < gone {
 		i++
@@ -413,7 +413,7 @@
 			return
 		}
 	}
-	l.conn.Cut(int(l.out[i].head-gone), l.conn.Unsent())
+	l.conn.DiscardUnsent(int(l.out[i].head-gone), l.conn.UnsentBytes())
 	l.put = l.out[i].head
 	for _, e := range l.out[i:] {
 		l.encode(e)
@@ -611,7 +611,7 @@
 		return
 	}
 	sv.s.loop.Cancel(l.timer)
-	if l.conn.Unacked() > 0 {
+	if l.conn.UnackedBytes() > 0 {
 		l.conn.Abort()
 	} else {
 		l.conn.Close()
@@ -679,7 +679,7 @@
 	if sv.gone {
 		sv.halt()
 	} else if grace, ok := sv.s.site().Values["drain.grace"].(time.Duration); ok && sv.drains {
-		sv.s.loop.AtTime(told+max(grace-heldUp, 0), func() {
+		sv.s.loop.Schedule(told+max(grace-heldUp, 0), func() {
 			if sv.drains {
 				sv.halt()
 			}
@@ -696,7 +696,7 @@
 	}
 	for _, l := range slices.Clone(sv.links) {
 		for _, e := range slices.Clone(l.out) {
-			if l.conn != nil && !e.left && e.head >= l.put-uint64(l.conn.Unsent()) && !e.written() {
+			if l.conn != nil && !e.left && e.head >= l.put-uint64(l.conn.UnsentBytes()) && !e.written() {
 				l.takeBack(e)
 				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 			}
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -70,7 +70,7 @@
 				w.on(func() {
 					back := hoard()
 					t.Cleanup(back)
-					w.s.loop.AtTime(w.s.loop.Now()+x.short, back)
+					w.s.loop.Schedule(w.s.loop.Now()+x.short, back)
 				})
 			}
 			for i, c := range callers {
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -95,7 +95,7 @@
 							late += over
 						}
 						next = w.s.loop.Now() + time.Millisecond
-						w.s.loop.AtTime(next, look)
+						w.s.loop.Schedule(next, look)
 					}
 					look()
 				})
@@ -146,7 +146,7 @@
 					plan = w.s.last
 					at := map[string]time.Duration{"ops": plan.ops, "answers": plan.answers, "leave": plan.answers + lastReads}[step]
 					if at > 0 {
-						w.s.loop.AtTime(at-1, func() { time.Sleep(heldUp); late -= heldUp })
+						w.s.loop.Schedule(at-1, func() { time.Sleep(heldUp); late -= heldUp })
 					}
 				})
 				for time.Since(told) < 390*time.Millisecond {
--- a/scheduler/told_test.go
+++ b/scheduler/told_test.go
@@ -44,7 +44,7 @@
 		look = func() {
 			now := w.s.loop.Now()
 			for _, l := range w.s.servers["s-0"].links {
-				gone := l.put - uint64(l.conn.Unsent())
+				gone := l.put - uint64(l.conn.UnsentBytes())
 				if gone != was {
 					was, since = gone, now
 				}
@@ -54,7 +54,7 @@
 					}
 				}
 			}
-			w.s.loop.AtTime(now+time.Millisecond, look)
+			w.s.loop.Schedule(now+time.Millisecond, look)
 		}
 		look()
 	})
@@ -75,7 +75,7 @@
 	w.on(func() {
 		for _, l := range w.s.servers["s-0"].links {
 			for _, e := range l.out {
-				unsent[string(e.d.Op())] = e.head >= l.put-uint64(l.conn.Unsent())
+				unsent[string(e.d.Op())] = e.head >= l.put-uint64(l.conn.UnsentBytes())
 			}
 		}
 		g.pass()
--- a/target/server.go
+++ b/target/server.go
@@ -92,7 +92,7 @@
 	for c := range s.conns {
 		if which(c) {
 			left++
-			c.Ended = closed
+			c.OnClosed = closed
 			c.stop(true)
 		}
 	}
@@ -168,24 +168,24 @@
 func (c *conn) flush() {
 	c.Send()
 	switch most := c.server.offer.Unsent; {
-	case c.Unsent() > most:
+	case c.UnsentBytes() > most:
 		c.stop(false)
-	case c.Unsent() > most/2:
+	case c.UnsentBytes() > most/2:
 		c.Pause()
 	}
 }
 
 func (c *conn) await(cmd *Command) {
 	if patience := c.server.Patience; patience != nil {
-		c.server.loop.AtTime(cmd.Arrived+patience(cmd), func() { c.session.Expire(cmd) })
+		c.server.loop.Schedule(cmd.Arrived+patience(cmd), func() { c.session.Expire(cmd) })
 	}
 }
 
 // tear sends half of what is unsent and breaks the connection in the middle of a PDU.
 func (c *conn) tear() {
-	c.Out = c.Out[:len(c.Out)-c.Unsent()/2]
+	c.Out = c.Out[:len(c.Out)-c.UnsentBytes()/2]
 	c.gone()
-	c.Finish()
+	c.CloseGracefully()
 }
 
 // stop ends the connection; in order means after its answers have been sent.
@@ -195,7 +195,7 @@
 	}
 	c.gone()
 	if inOrder {
-		c.Finish()
+		c.CloseGracefully()
 	} else {
 		c.Conn.Close()
 	}
@@ -229,10 +229,10 @@
 	} else if d > 0 {
 		next = min(next, d)
 	}
-	if c.Unsent() < c.server.offer.Unsent/4 {
+	if c.UnsentBytes() < c.server.offer.Unsent/4 {
 		c.Resume()
 	}
 	if c.server.conns[c] {
-		c.timer = c.server.loop.AtTime(max(next, now+time.Millisecond), c.watch)
+		c.timer = c.server.loop.Schedule(max(next, now+time.Millisecond), c.watch)
 	}
 }
