--- a/policy/averages.go
+++ b/policy/averages.go
@@ -8,21 +8,21 @@
 
 // This file holds decayed means and rates. Nothing here decides.
 
-// typeTime is the answer time of an op type at all nodes, in seconds.
-type typeTime struct {
-	mean, least float64 // recent, and the least, slowly forgotten; 0: not known
-	told        time.Duration
+// typeLatency is the answer time of an op type at all nodes, in seconds.
+type typeLatency struct {
+	mean, fastest float64 // recent, and the least, slowly forgotten; 0: not known
+	updatedAt     time.Duration
 }
 
-// average is the paper's decayed mean: (total+c)/sum.
-type average struct {
+// decayedMean is the paper's decayed mean: (total+c)/sum.
+type decayedMean struct {
 	total, sum float64
 	last       time.Duration
 	seen       bool
 }
 
-// gap takes in the time since the last event; the first one only starts the count.
-func (m *average) gap(now time.Duration, a, b float64) {
+// observe takes in the time since the last event; the first one only starts the count.
+func (m *decayedMean) observe(now time.Duration, a, b float64) {
 	if m.seen {
 		m.total = a*m.total + b*float64(now-m.last)/float64(time.Millisecond)
 		m.sum = a*m.sum + b
@@ -31,20 +31,20 @@
 }
 
 // value is the mean gap, without end while nothing has been seen.
-func (m *average) value(c float64) time.Duration {
+func (m *decayedMean) value(c float64) time.Duration {
 	if m.sum == 0 {
 		return math.MaxInt64
 	}
 	return time.Duration((m.total + c) / m.sum * float64(time.Millisecond))
 }
 
-// flow is a decayed rate: units over the time in which they came.
-type flow struct {
+// decayedRate is a decayed rate: units over the time in which they came.
+type decayedRate struct {
 	units, time float64
 	last        time.Duration
 }
 
-func (f *flow) add(now time.Duration, units float64, memory time.Duration) {
+func (f *decayedRate) add(now time.Duration, units float64, memory time.Duration) {
 	memory = max(memory, time.Millisecond)
 	if f.time == 0 { // as if nothing had come for as long as it remembers
 		f.last = now - memory
@@ -55,39 +55,39 @@
 }
 
 // rate is in units a second, without end while nothing is known.
-func (f *flow) rate() float64 { return f.units / f.time }
+func (f *decayedRate) rate() float64 { return f.units / f.time }
 
-// near is the rate drawn towards a figure, which counts as if seen for a time.
-func (f *flow) near(figure float64, memory time.Duration) float64 {
+// rateWithPrior is the rate drawn towards a figure, which counts as if seen for a time.
+func (f *decayedRate) rateWithPrior(figure float64, memory time.Duration) float64 {
 	return (f.units + figure*memory.Seconds()) / max(f.time+memory.Seconds(), 1e-9)
 }
 
-// blend moves a mean towards a new value, which is the mean while there is none.
-func blend(mean, x, weight float64) float64 {
+// ewma moves a mean towards a new value, which is the mean while there is none.
+func ewma(mean, x, weight float64) float64 {
 	if mean == 0 {
 		return x
 	}
 	return mean + weight*(x-mean)
 }
 
-// count is 1 for what holds.
-func count(holds bool) int {
+// boolToInt is 1 for what holds.
+func boolToInt(holds bool) int {
 	if holds {
 		return 1
 	}
 	return 0
 }
 
-// recent drops what lies before a time from a log kept in order.
-func recent(log []time.Duration, from time.Duration) []time.Duration {
+// dropBefore drops what lies before a time from a log kept in order.
+func dropBefore(log []time.Duration, from time.Duration) []time.Duration {
 	i := sort.Search(len(log), func(i int) bool { return log[i] >= from })
 	return log[i:]
 }
 
-// meanTime is the mean answer time of the types that were answered, 0 where none was.
-func (s *Scheduler) meanTime() float64 {
+// meanLatency is the mean answer time of the types that were answered, 0 where none was.
+func (s *Scheduler) meanLatency() float64 {
 	sum, known := 0.0, 0
-	for _, t := range s.times {
+	for _, t := range s.latencyByType {
 		if t.mean > 0 {
 			sum, known = sum+t.mean, known+1
 		}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -238,11 +238,11 @@
 		first, sum, known := 0, 0.0, 0.0
 		for _, x := range log {
 			sum += x.units
-			known += x.units * float64(count(x.told))
+			known += x.units * float64(boolToInt(x.told))
 			start := started(x.at)
 			for log[first].at < max(x.at-window, start) {
 				sum -= log[first].units
-				known -= log[first].units * float64(count(log[first].told))
+				known -= log[first].units * float64(boolToInt(log[first].told))
 				first++
 			}
 			bears := f.always * min(1, from+(1-from)*float64(x.at-start)/float64(warm)) / from
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -86,9 +86,9 @@
 	for _, d := range t.sends {
 		a, b := m.osds[d.osd], m.osds[osd]
 		drops := []bool{true, a.Zone == b.Zone, a.Cell == b.Cell}[scope] &&
-			m.now+after-d.at < pick[time.Duration](m.set, "optypes.remember", t.Type)
+			m.now+after-d.at < settingAt[time.Duration](m.set, "optypes.remember", t.Type)
 		allowed := kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && drops
-		if !d.ended && !get[bool](m.set, "dispatches.parallel") || (!d.ended || d.maybe) && !allowed {
+		if !d.ended && !settingOf[bool](m.set, "dispatches.parallel") || (!d.ended || d.maybe) && !allowed {
 			return false
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 func (m *model) kind(t *told) (honeyplank.Semantics, honeyplank.DedupScope) {
-	return pick[honeyplank.Semantics](m.set, "optypes.kind", t.Type), pick[honeyplank.DedupScope](m.set, "optypes.scope", t.Type)
+	return settingAt[honeyplank.Semantics](m.set, "optypes.kind", t.Type), settingAt[honeyplank.DedupScope](m.set, "optypes.scope", t.Type)
 }
 
 // mayThrottle is the second rule for an answer.
@@ -107,11 +107,11 @@
 
 // inTurn is the fifth rule.
 func (m *model) inTurn(t *told) bool {
-	if !t.HasKey || !pick[bool](m.set, "optypes.ordered", t.Type) {
+	if !t.HasKey || !settingAt[bool](m.set, "optypes.ordered", t.Type) {
 		return true
 	}
 	for _, e := range m.order[:slices.Index(m.order, t)] {
-		same := e.host == t.host && e.HasKey && e.Key == t.Key && pick[bool](m.set, "optypes.ordered", e.Type)
+		same := e.host == t.host && e.HasKey && e.Key == t.Key && settingAt[bool](m.set, "optypes.ordered", e.Type)
 		if n := len(e.sends); same && (!e.over || m.now < e.rested || n > 0 && !e.sends[n-1].ended) {
 			return false
 		}
@@ -128,11 +128,11 @@
 	if !stated {
 		return true
 	}
-	from, taken := m.now-get[time.Duration](m.set, "budget.window"), 0.0
+	from, taken := m.now-settingOf[time.Duration](m.set, "budget.window"), 0.0
 	for _, t := range m.order {
-		taken += float64(count(t.host == host && t.at >= from+heldUp))
+		taken += float64(boolToInt(t.host == host && t.at >= from+heldUp))
 	}
-	return float64(1+len(recent(m.extras[host], from-heldUp))) <= free+get[float64](m.set, "budget.share")*taken
+	return float64(1+len(dropBefore(m.extras[host], from-heldUp))) <= free+settingOf[float64](m.set, "budget.share")*taken
 }
 
 func (m *model) dispatch(host int, a honeyplank.Dispatch) {
@@ -141,13 +141,13 @@
 		m.broken(1, "%s dispatched after its answer", a.Op)
 	}
 	o := m.osds[a.Server]
-	if since, told := m.stop[a.Server]; told && m.now > since+get[time.Duration](m.set, "drain.grace") {
+	if since, told := m.stop[a.Server]; told && m.now > since+settingOf[time.Duration](m.set, "drain.grace") {
 		m.broken(3, "%s goes to %s", a.Op, a.Server)
 	}
 	if t.Cell != honeyplank.NewObject && t.Cell != o.Cell {
 		m.broken(2, "%s goes to a server without its data", a.Op)
 	}
-	if !m.mayRepeat(t, a.Server, get[time.Duration](m.set, "connect.within")+heldUp) || len(t.sends) >= max(get[int](m.set, "dispatches.max"), 1) {
+	if !m.mayRepeat(t, a.Server, settingOf[time.Duration](m.set, "connect.within")+heldUp) || len(t.sends) >= max(settingOf[int](m.set, "dispatches.max"), 1) {
 		m.broken(2, "%s repeated", a.Op)
 	}
 	if !m.inTurn(t) {
@@ -158,10 +158,10 @@
 			m.broken(6, "%s past the budget", a.Op)
 		}
 		m.extras[host] = append(m.extras[host], m.now)
-	} else if limit := pick[float64](m.set, "plans.limit", t.Plan); limit > 0 {
+	} else if limit := settingAt[float64](m.set, "plans.limit", t.Plan); limit > 0 {
 		gone := max(0, m.gone[t.Volume]-limit*(m.now-m.filled[t.Volume]).Seconds()) + t.Units
 		m.gone[t.Volume], m.filled[t.Volume] = gone, m.now
-		if left := pick[float64](m.set, "plans.burst", t.Plan) - gone; left < -pick[float64](m.set, "plans.slack", t.Plan) {
+		if left := settingAt[float64](m.set, "plans.burst", t.Plan) - gone; left < -settingAt[float64](m.set, "plans.slack", t.Plan) {
 			m.broken(7, "volume %d at %.1f", t.Volume, left)
 		}
 	}
@@ -172,16 +172,16 @@
 
 // heat is the fourth rule: all hosts' units that may reach a cold server within one window.
 func (m *model) heat(o honeyplank.Member) {
-	window, warm := get[time.Duration](m.set, "cold.window"), get[time.Duration](m.set, "cold.time")
+	window, warm := settingOf[time.Duration](m.set, "cold.window"), settingOf[time.Duration](m.set, "cold.time")
 	age := m.now - o.Started
 	if window <= 0 || o.Started == 0 || age >= warm {
 		return
 	}
-	sum, from := 0.0, get[float64](m.set, "cold.from")
+	sum, from := 0.0, settingOf[float64](m.set, "cold.from")
 	for _, x := range m.cold[o.ID] {
-		sum += x.op.Units * float64(count(x.mayArrive(o.Started, m.now-window)))
+		sum += x.op.Units * float64(boolToInt(x.mayArrive(o.Started, m.now-window)))
 	}
-	sure := (from + (1-from)*float64(age)/float64(warm)) / from * get[float64](m.set, "cold.units")
+	sure := (from + (1-from)*float64(age)/float64(warm)) / from * settingOf[float64](m.set, "cold.units")
 	if sum > sure+1e-9 {
 		m.broken(4, "%s gets %.1f of %.1f", o.ID, sum, sure)
 	}
@@ -189,7 +189,7 @@
 
 func (m *model) answer(id honeyplank.OpID, throttle bool) {
 	t := m.ops[id]
-	if t.over || t.begun || m.now > t.Timeout+get[time.Duration](m.set, "answer.grace") {
+	if t.over || t.begun || m.now > t.Timeout+settingOf[time.Duration](m.set, "answer.grace") {
 		m.broken(1, "%s answered twice or late", id)
 	}
 	if throttle && !m.mayThrottle(t) {
@@ -216,7 +216,7 @@
 		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.ServerID]honeyplank.Member{},
 		stop: map[honeyplank.ServerID]time.Duration{}, cold: map[honeyplank.ServerID][]heating{},
 		gone: map[int64]float64{}, filled: map[int64]time.Duration{}, extras: map[int][]time.Duration{}}}
-	for i := range max(get[int](set, "hosts"), 1) {
+	for i := range max(settingOf[int](set, "hosts"), 1) {
 		w.hosts = append(w.hosts, New(seed+int64(i), set))
 		w.timers = append(w.timers, map[string]time.Duration{})
 	}
@@ -255,7 +255,7 @@
 			w.answer(a.Op, false)
 		case honeyplank.Cancel:
 			t := w.ops[a.Op]
-			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.sends) || !get[bool](w.set, "cancel") {
+			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.sends) || !settingOf[bool](w.set, "cancel") {
 				w.broken(0, "%s: dispatch %d is withdrawn, which was never made or may not be", a.Op, a.Dispatch)
 			} else if a.Dispatch == len(t.sends)-1 {
 				t.sends[a.Dispatch].withdrawn, w.due[a.Op] = true, w.now
@@ -276,10 +276,10 @@
 	d.never, d.end = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, w.now
 	d.ended, d.maybe = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
 	if code == honeyplank.TimedOut || code == honeyplank.Reset || code == honeyplank.Cancelled {
-		t.rested = w.now + get[time.Duration](w.set, "order.settle")
+		t.rested = w.now + settingOf[time.Duration](w.set, "order.settle")
 	}
 	if code == honeyplank.Succeeded || t.begun {
-		w.acked, t.over = w.acked+count(!t.over), true
+		w.acked, t.over = w.acked+boolToInt(!t.over), true
 	}
 	w.give(t.host, honeyplank.Outcome{Op: t.ID, Dispatch: n, Server: d.osd, Code: code, Answered: t.over,
 		Elapsed: w.now - d.at, QuotaUsed: w.rng.Intn(200), ServedElsewhere: float64(len(w.order) % 4), Load: map[string]float64{"latency": 30}})
@@ -287,7 +287,7 @@
 
 // step moves the clock, fires timers, ends dispatches and looks for ops past their time.
 func (w *world) step(codes []honeyplank.Code) {
-	w.now += get[time.Duration](w.set, "step")
+	w.now += settingOf[time.Duration](w.set, "step")
 	for i := range w.hosts {
 		for _, name := range []string{"sweep", "watch"} {
 			if at, set := w.timers[i][name]; set && at <= w.now {
@@ -309,7 +309,7 @@
 				w.end(t, honeyplank.TimedOut)
 			}
 		}
-		if !t.over && !t.begun && w.now > t.Timeout+get[time.Duration](w.set, "answer.grace") {
+		if !t.over && !t.begun && w.now > t.Timeout+settingOf[time.Duration](w.set, "answer.grace") {
 			w.broken(1, "%s has no answer", t.ID)
 			t.over = true
 		}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -159,7 +159,7 @@
 
 // waiting is how many ops are held.
 func (s *Scheduler) waiting() (n int) {
-	for p := s.first; p != nil; p = p.after {
+	for p := s.firstHeld; p != nil; p = p.nextHeld {
 		n++
 	}
 	return n
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -66,7 +66,7 @@
 		for n := 0; n < 1500; n++ {
 			for range r.Intn(3) {
 				typ := r.Intn(2)
-				left := pick[time.Duration](w.set, "optypes.op_timeout", typ) / time.Duration(1+r.Intn(20))
+				left := settingAt[time.Duration](w.set, "optypes.op_timeout", typ) / time.Duration(1+r.Intn(20))
 				w.give(r.Intn(len(w.hosts)), honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n, w.rng.Int63())),
 					Units: float64(1 + r.Intn(6)), Timeout: w.now + left, Type: typ, HasKey: true,
 					Key: int64(r.Intn(6)), Schedulers: len(w.hosts), Volume: int64(r.Intn(5)), Cell: r.Intn(5) - 1})
@@ -117,10 +117,10 @@
 			continue
 		}
 		s.now = w.now
-		module, model := []bool{s.harmless(p), s.turnOf(p), s.budget()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
-		for _, o := range s.order {
-			after := get[time.Duration](w.set, "connect.within") + heldUp + time.Duration(s.latency(o, p.Type)*float64(time.Second))
-			module, model = append(module, s.repeats(p, o)), append(model, w.mayRepeat(e, o.ID, after))
+		module, model := []bool{s.rejectIsSafe(p), s.hasKeyTurn(p), s.retryBudgetAllows()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
+		for _, o := range s.serversByID {
+			after := settingOf[time.Duration](w.set, "connect.within") + heldUp + time.Duration(s.expectedLatency(o, p.Type)*float64(time.Second))
+			module, model = append(module, s.retryAllowed(p, o)), append(model, w.mayRepeat(e, o.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
 			w.t.Fatalf("%s: throttled, turn, budget, repeated at each: module %v, model %v", e.ID, module, model)
@@ -164,24 +164,24 @@
 	w.op("other", 0, 8, 2, 0)
 	w.op("own", 0, 9, 3, 0)
 	s := w.hosts[0]
-	o := s.osds["osd0"]
-	out := o.out
-	o.until = time.Second
+	o := s.servers["osd0"]
+	out := o.outstanding
+	o.sliceEnd = time.Second
 	w.end(w.ops["full0"], honeyplank.Succeeded)
 	if out != 4 || len(w.ops["own0"].sends) != 1 || len(w.ops["other0"].sends) != 0 {
 		t.Errorf("%d ops out in a window of 4, or the served volume did not go first", out)
 	}
 	w.op("own", 1, 9, 4, 0)
-	o.until = 0
+	o.sliceEnd = 0
 	if w.end(w.ops["full1"], honeyplank.Succeeded); len(w.ops["other0"].sends) != 1 {
 		t.Error("the slice did not end")
 	}
 	w.set["plans.weight"] = []float64{1, 3}
-	s.set = read(w.set)
-	s.serve(o, &queue{volume: &volume{plan: 0}})
-	light := o.until - s.now
-	s.serve(o, &queue{volume: &volume{plan: 1}})
-	if heavy := o.until - s.now; heavy < 2*light {
+	s.settings = readSettings(w.set)
+	s.startSlice(o, &volumeQueue{volume: &volume{plan: 0}})
+	light := o.sliceEnd - s.now
+	s.startSlice(o, &volumeQueue{volume: &volume{plan: 1}})
+	if heavy := o.sliceEnd - s.now; heavy < 2*light {
 		t.Errorf("slices of %v and %v for weights 1 and 3", light, heavy)
 	}
 }
@@ -191,24 +191,24 @@
 func TestThinktAndAwait(t *testing.T) {
 	for _, c := range []struct {
 		thinkt, own, other time.Duration
-		want               sight
+		want               sliceSignal
 	}{
-		{80 * ms, 10 * ms, 20 * ms, seeLong},
-		{5 * ms, 30 * ms, 10 * ms, seeCheap},
-		{5 * ms, 10 * ms, 30 * ms, seeLull},
+		{80 * ms, 10 * ms, 20 * ms, thinkTimeTooLong},
+		{5 * ms, 30 * ms, 10 * ms, cheaperReady},
+		{5 * ms, 10 * ms, 30 * ms, worthWaiting},
 	} {
 		w := crowd(t)
 		w.op("other", 0, 8, 2, 0)
 		s := w.hosts[0]
-		o := s.osds["osd0"]
-		gap := func(d time.Duration) average { return average{total: 1e6 * float64(d/ms), sum: 1e6} }
+		o := s.servers["osd0"]
+		gap := func(d time.Duration) decayedMean { return decayedMean{total: 1e6 * float64(d/ms), sum: 1e6} }
 		for _, q := range o.queues {
 			q.await, q.round = gap(c.other), o.round-1
 		}
-		o.served.thinkt, o.served.await, o.served.round = gap(c.thinkt), gap(c.own), o.round
-		o.queues = append(o.queues, &queue{volume: &volume{}, await: average{total: 1e8, sum: 1e6}})
-		o.until, o.out = s.now+50*ms, 3
-		if got := s.look(o); got != c.want {
+		o.served.thinkTime, o.served.await, o.served.round = gap(c.thinkt), gap(c.own), o.round
+		o.queues = append(o.queues, &volumeQueue{volume: &volume{}, await: decayedMean{total: 1e8, sum: 1e6}})
+		o.sliceEnd, o.outstanding = s.now+50*ms, 3
+		if got := s.nextSignal(o); got != c.want {
 			t.Errorf("thinkt %v, await %v and %v: saw %d, want %d", c.thinkt, c.own, c.other, got, c.want)
 		}
 	}
@@ -221,16 +221,16 @@
 	w.op("spare", 0, 8, 2, 0)
 	w.op("due", 0, 7, 3, 0)
 	s := w.hosts[0]
-	o := s.osds["osd0"]
-	s.volumes[9].reserve, s.volumes[8].reserve, o.until = 0, 0, 0
+	o := s.servers["osd0"]
+	s.volumes[9].reserve, s.volumes[8].reserve, o.sliceEnd = 0, 0, 0
 	s.believe(o, 0.025)
 	w.end(w.ops["full0"], honeyplank.Succeeded)
 	if len(w.ops["due0"].sends) != 1 || len(w.ops["spare0"].sends) != 0 {
 		t.Error("an op beyond its reserve left before one within")
 	}
-	s.volumes[8].reserve, o.out = 0, 1
+	s.volumes[8].reserve, o.outstanding = 0, 1
 	s.believe(o, 0.2)
-	if p := s.ops["spare0"]; p != nil && s.room(o, p) {
+	if p := s.ops["spare0"]; p != nil && s.hasCapacity(o, p) {
 		t.Error("a crowded node still has room for ops beyond the reserve")
 	}
 }
@@ -245,7 +245,7 @@
 	if len(w.ops["run0"].sends) != 1 || len(w.ops["other0"].sends) != 0 {
 		t.Error("the run under way does not go on first")
 	}
-	w.hosts[0].believe(w.hosts[0].osds["osd0"], 1)
+	w.hosts[0].believe(w.hosts[0].servers["osd0"], 1)
 	w.op("late", 0, 8, 2, 0)
 	if !w.ops["late0"].over {
 		t.Error("an op that is past use is held")
@@ -260,7 +260,7 @@
 	for _, id := range []honeyplank.OpID{"a", "b", "c"} {
 		w.give(0, honeyplank.Op{ID: id, Units: 1, Timeout: time.Second, Volume: 5, Cell: honeyplank.NewObject})
 		homes = append(homes, w.ops[id].sends[0].osd)
-		w.hosts[0].believe(w.hosts[0].osds[homes[0]], max(0.2*float64(len(homes)-1), 0.001))
+		w.hosts[0].believe(w.hosts[0].servers[homes[0]], max(0.2*float64(len(homes)-1), 0.001))
 	}
 	if homes[0] != homes[1] || homes[0] == homes[2] {
 		t.Errorf("%v, of which the first was crowded before the last", homes)
@@ -270,14 +270,14 @@
 // Silence takes a server down after two spells, a trial brings it back (incident i9adade: time-outs).
 func TestSilenceAndWayBack(t *testing.T) {
 	w := crowd(t)
-	o, seen := w.hosts[0].osds["osd0"], map[health]bool{}
+	o, seen := w.hosts[0].servers["osd0"], map[health]bool{}
 	for w.now < 4*time.Second {
 		w.now += 10 * ms
 		w.give(0, honeyplank.Timer{Name: "sweep"})
 		seen[o.health] = true
 	}
-	w.hosts[0].judge(o, inGood)
-	if !seen[doubted] || !seen[down] || !seen[trial] || o.health != up || o.window != floor {
+	w.hosts[0].applyHealthEvent(o, responded)
+	if !seen[suspect] || !seen[down] || !seen[halfOpen] || o.health != up || o.window != minWindow {
 		t.Errorf("states seen: %v; after an answer %v", seen, o.health)
 	}
 }
@@ -286,10 +286,10 @@
 func TestWatchIsRenewed(t *testing.T) {
 	w := newWorld(t, 1, figures())
 	w.set["list.ask"], w.set["list.ask_within"] = true, time.Second
-	w.hosts[0].set = read(w.set)
+	w.hosts[0].settings = readSettings(w.set)
 	asks, last, due := 0, time.Duration(0), time.Duration(0)
 	for ; w.now < 10*time.Second; w.now += 10 * ms {
-		e := honeyplank.Timer{Name: []string{"sweep", "watch"}[count(w.now >= due)]}
+		e := honeyplank.Timer{Name: []string{"sweep", "watch"}[boolToInt(w.now >= due)]}
 		for _, a := range w.give(0, e) {
 			if _, ok := a.(honeyplank.Watch); ok {
 				asks, last = asks+1, w.now
@@ -311,11 +311,11 @@
 	set["hosts"], set["units.mean"] = 100, 2.0
 	s := New(1, set)
 	s.now, s.running = time.Minute, 20
-	s.demand = [2]flow{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 nodes
-	o, sent := &osd{Member: member(0, s.now), heard: true}, [2]float64{}
+	s.demand = [2]decayedRate{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 nodes
+	o, sent := &server{Member: member(0, s.now), answeredSinceStart: true}, [2]float64{}
 	for lot := 0.0005; lot < 1; lot += 0.001 {
 		for i := range sent {
-			if s.coldRoom(o, 2, lot, i == 0) {
+			if s.slowStartAllows(o, 2, lot, i == 0) {
 				sent[i] += s.demand[i].units / 20 / 1000
 			}
 		}
@@ -323,20 +323,20 @@
 	if total := sent[0] + sent[1]; total < 0.17 || total > 0.18 || sent[1] > 0.01 {
 		t.Errorf("%v units a second on average, of seven eighths of a part of 0.2", sent)
 	}
-	o.heard = false // connections that come up late bring together what was sent until then
+	o.answeredSinceStart = false // connections that come up late bring together what was sent until then
 	lots := 0.0
 	for lot := 0.0005; lot < 1; lot += 0.001 {
-		lots += float64(count(s.coldRoom(o, 2, lot, true))) / 1000
+		lots += float64(boolToInt(s.slowStartAllows(o, 2, lot, true))) / 1000
 	}
 	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(lots-want) > 0.002 {
 		t.Errorf("%v of the ops may leave before an answer, want %v", lots, want)
 	}
-	o.heard = true
+	o.answeredSinceStart = true
 	for n := range 4 { // two mean ops a window, whatever their lots
-		if got := s.coldRoom(o, 2, 0, true); got != (n < 2) {
+		if got := s.slowStartAllows(o, 2, 0, true); got != (n < 2) {
 			t.Errorf("op %d of a window may leave: %v", n+1, got)
 		}
-		o.log = append(o.log, struct {
+		o.sentLog = append(o.sentLog, struct {
 			at    time.Duration
 			units float64
 		}{s.now, 2})
@@ -350,16 +350,16 @@
 		w := crowd(t)
 		w.set["hosts"], w.set["units.mean"] = hosts, 2.0
 		s := w.hosts[0]
-		s.set = read(w.set)
-		o := s.osds["osd0"]
-		o.out, o.best = 0, 0.02
+		s.settings = readSettings(w.set)
+		o := s.servers["osd0"]
+		o.outstanding, o.bestPerUnit = 0, 0.02
 		s.answeredIn(0.2)
 		s.believe(o, 0.2)
-		p := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{hosts: 1}, lot: 0.5}
-		got := []bool{s.room(o, p)}
+		p := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{schedulers: 1}, admissionDraw: 0.5}
+		got := []bool{s.hasCapacity(o, p)}
 		for _, asked := range []float64{1, 4000} {
-			p.lot, p.queue = 0.01, &queue{demand: flow{units: asked, time: 1}}
-			got = append(got, s.room(o, p))
+			p.admissionDraw, p.queue = 0.01, &volumeQueue{demand: decayedRate{units: asked, time: 1}}
+			got = append(got, s.hasCapacity(o, p))
 		}
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("%d hosts: room for the middle lot, a low one, a low one of a heavy volume: %v", hosts, got)
@@ -371,7 +371,7 @@
 // target latency and full queues past the longest (incident i65239e: nodes whose ops all ran out looked well).
 func TestLatencyBelief(t *testing.T) {
 	s := crowd(t).hosts[0]
-	o := s.osds["osd0"]
+	o := s.servers["osd0"]
 	s.answeredIn(0.05)
 	s.believe(o, 1)
 	s.now = 10 * time.Second
@@ -380,8 +380,8 @@
 		elapsed time.Duration
 		least   float64
 	}{{honeyplank.TimedOut, 10 * ms, 0.04}, {honeyplank.TimedOut, 5 * time.Second, 0.15}, {honeyplank.Rejected, 0, 0.3}} {
-		s.ranOut(o, &op{}, honeyplank.Outcome{Code: c.code, Elapsed: c.elapsed})
-		if l := s.latency(o, 0); l < c.least || l > 2*c.least {
+		s.recordTimeout(o, &op{}, honeyplank.Outcome{Code: c.code, Elapsed: c.elapsed})
+		if l := s.expectedLatency(o, 0); l < c.least || l > 2*c.least {
 			t.Errorf("%v s after %+v", l, c)
 		}
 	}
@@ -393,7 +393,7 @@
 	w.list(honeyplank.Cached, member(0, 0))
 	w.op("patient", 0, 8, 1, 0)
 	w.give(0, honeyplank.Op{ID: "hurry", Units: 1, Timeout: w.now + 60*ms, Schedulers: 1, Volume: 7})
-	if p := w.hosts[0].ops["hurry"]; p == nil || len(p.sends) != 1 || p.target != w.now+60*ms {
+	if p := w.hosts[0].ops["hurry"]; p == nil || len(p.dispatches) != 1 || p.target != w.now+60*ms {
 		t.Errorf("%+v", p)
 	}
 }
@@ -411,13 +411,13 @@
 			set["meter.period"] = time.Second
 		}
 		s := New(1, set)
-		v := &volume{hosts: 10, reserve: -1.5, total: c.total}
+		v := &volume{schedulers: 10, reserve: -1.5, servedEverywhere: c.total}
 		for range 10 {
 			s.now += 100 * ms
-			v.served.add(s.now, 1, 2*time.Second)
-			v.others.add(s.now, c.others, 2*time.Second)
+			v.servedHere.add(s.now, 1, 2*time.Second)
+			v.servedElsewhere.add(s.now, c.others, 2*time.Second)
 		}
-		if got := s.due(&op{volume: v, target: time.Hour}); got != c.want {
+		if got := s.withinReserve(&op{volume: v, target: time.Hour}); got != c.want {
 			t.Errorf("%+v: debt paid: %v", c, got)
 		}
 	}
@@ -484,7 +484,7 @@
 	}
 	w.now += 3 * time.Minute
 	w.give(0, honeyplank.Timer{Name: "sweep"})
-	w.hosts[0].volumes[0] = &volume{hosts: 1, limit: 8, filled: w.now}
+	w.hosts[0].volumes[0] = &volume{schedulers: 1, limit: 8, refilledAt: w.now}
 	if give(2, 7) != 1 {
 		t.Error("a full store does not let an op go")
 	}
@@ -497,7 +497,7 @@
 	for i, code := range []honeyplank.Code{honeyplank.Succeeded, honeyplank.Failed, honeyplank.Rejected} {
 		w.op("a", i, 1, int64(i), 0)
 		w.give(0, honeyplank.Outcome{Op: w.order[i].ID, Server: "osd0", Code: code, ServedElsewhere: 5, Answered: true})
-		if got := w.hosts[0].volumes[1].others.units; got != float64(5*(i+1)) {
+		if got := w.hosts[0].volumes[1].servedElsewhere.units; got != float64(5*(i+1)) {
 			t.Errorf("after %d answers: %v units of others", i+1, got)
 		}
 	}
@@ -508,7 +508,7 @@
 	for _, code := range []honeyplank.Code{honeyplank.Rejected, honeyplank.Reset} {
 		w := newWorld(t, 1, figures())
 		w.list(honeyplank.Cached, member(0, 0), member(1, 0))
-		s, o := w.hosts[0], w.hosts[0].osds["osd0"]
+		s, o := w.hosts[0], w.hosts[0].servers["osd0"]
 		s.answeredIn(0.02)
 		for i := range 8 {
 			w.op("a", i, 1, int64(i), 0)
@@ -518,14 +518,14 @@
 			w.now += 20 * ms
 			w.give(0, honeyplank.Timer{Name: "sweep"})
 		}
-		if s.sound(o) || !s.sound(s.osds["osd1"]) {
-			t.Errorf("%v: osd0 counts as sound: %v, the other: %v", code, s.sound(o), s.sound(s.osds["osd1"]))
+		if s.acceptsNewObjects(o) || !s.acceptsNewObjects(s.servers["osd1"]) {
+			t.Errorf("%v: osd0 counts as sound: %v, the other: %v", code, s.acceptsNewObjects(o), s.acceptsNewObjects(s.servers["osd1"]))
 		}
-		if other := s.latency(s.osds["osd1"], 0); other > 0.03 {
+		if other := s.expectedLatency(s.servers["osd1"], 0); other > 0.03 {
 			t.Errorf("%v: the other is believed to take %v s", code, other)
 		}
 		o.health = up
-		if s.now += time.Minute; !s.sound(o) {
+		if s.now += time.Minute; !s.acceptsNewObjects(o) {
 			t.Errorf("%v: not tried again", code)
 		}
 	}
@@ -534,7 +534,7 @@
 // Where a node is crowded, an op with less time left than answers take is thinned by the square of what it lacks.
 func TestTriesInAHurryAreThinned(t *testing.T) {
 	s := New(1, figures())
-	o := &osd{}
+	o := &server{}
 	s.now = time.Second
 	s.answeredIn(0.4)
 	s.believe(o, 0.4)
@@ -542,7 +542,7 @@
 		in, gone := &op{target: s.now + left}, &op{target: time.Hour}
 		in.Timeout, gone.Timeout = time.Hour, s.now+left
 		for _, p := range []*op{in, gone} {
-			if got := s.hope(o, p); math.Abs(got-want) > 1e-9 {
+			if got := s.successProbability(o, p); math.Abs(got-want) > 1e-9 {
 				t.Errorf("%v left: %v, want %v", left, got, want)
 			}
 		}
@@ -568,7 +568,7 @@
 			w.op("a", i, 1, int64(i), 0)
 			out += len(w.order[i].sends)
 		}
-		if l := w.hosts[0].Learnt(); out != c.out || len(l.Servers) != c.known || l.TypicalLatency != 0.02 {
+		if l := w.hosts[0].SavedEstimates(); out != c.out || len(l.Servers) != c.known || l.TypicalLatency != 0.02 {
 			t.Errorf("learnt at %v, started at %v: %d ops leave at once, want %d; handed on %+v", c.at, c.started, out, c.out, l)
 		}
 	}
@@ -643,7 +643,7 @@
 		for range 10 {
 			answer()
 		}
-		w.hosts[0].lost = lost
+		w.hosts[0].lostShare = lost
 		w.op("lost", 0, 9, 99, 0)
 		w.now += ms
 		for range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
@@ -700,12 +700,12 @@
 		s := New(1, set)
 		s.now = time.Minute
 		if x.taken > 0 {
-			s.taken = []time.Duration{s.now - x.taken}
+			s.admissions = []time.Duration{s.now - x.taken}
 		}
 		if x.extra > 0 {
-			s.extras = []time.Duration{s.now - x.extra}
+			s.retries = []time.Duration{s.now - x.extra}
 		}
-		if got := s.budget(); got != x.want {
+		if got := s.retryBudgetAllows(); got != x.want {
 			t.Errorf("%+v: may leave: %v", x, got)
 		}
 	}
@@ -758,7 +758,7 @@
 			w.give(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: w.now + left, Schedulers: 1})
 			sent += len(w.order[i].sends)
 		}
-		if got := s.osds["osd0"].health; sent < 4 || (got == up) != (want == up) {
+		if got := s.servers["osd0"].health; sent < 4 || (got == up) != (want == up) {
 			t.Errorf("%v left: %d sent, the server counts as %v", left, sent, got)
 		}
 	}
@@ -766,12 +766,12 @@
 
 // answeredIn has all types answered in a time as of late, in seconds.
 func (s *Scheduler) answeredIn(seconds float64) {
-	for i := range s.times {
-		s.times[i] = typeTime{mean: seconds, least: seconds, told: s.now}
+	for i := range s.latencyByType {
+		s.latencyByType[i] = typeLatency{mean: seconds, fastest: seconds, updatedAt: s.now}
 	}
 }
 
 // believe has a disk server take a time for an op of the first type, in seconds.
-func (s *Scheduler) believe(o *osd, seconds float64) {
-	o.slowness, o.told = seconds/s.usualOf(0), s.now
+func (s *Scheduler) believe(o *server, seconds float64) {
+	o.slowness, o.slownessAt = seconds/s.typicalLatency(0), s.now
 }
--- a/policy/quiet_test.go
+++ b/policy/quiet_test.go
@@ -85,7 +85,7 @@
 			cell := d.rng.Intn(quietServers+2) - 2
 			typ := d.rng.Intn(2)
 			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(d.number)), Units: float64(1 + d.rng.Intn(2)), Type: typ, Schedulers: 2,
-				Timeout: d.now + pick[time.Duration](d.set, "optypes.op_timeout", typ), Volume: d.rng.Int63n(9), Cell: max(cell, honeyplank.NewObject)}
+				Timeout: d.now + settingAt[time.Duration](d.set, "optypes.op_timeout", typ), Volume: d.rng.Int63n(9), Cell: max(cell, honeyplank.NewObject)}
 			d.give(d.rng.Intn(2), op)
 			taken = append(taken, d.order[len(d.order)-1])
 		}
@@ -96,7 +96,7 @@
 			if n > 0 {
 				d.used[t.sends[n-1].osd] = max(d.used[t.sends[n-1].osd], t.sends[n-1].at)
 			}
-			if !t.over || n > 0 && !t.sends[n-1].ended || t.at > d.now-2*get[time.Duration](d.set, "budget.window") {
+			if !t.over || n > 0 && !t.sends[n-1].ended || t.at > d.now-2*settingOf[time.Duration](d.set, "budget.window") {
 				open = append(open, t)
 			}
 		}
@@ -174,7 +174,7 @@
 				served := 0
 				for _, op := range last {
 					n := len(op.sends)
-					served += count(n > 0 && op.sends[n-1].ended && op.sends[n-1].maybe)
+					served += boolToInt(n > 0 && op.sends[n-1].ended && op.sends[n-1].maybe)
 				}
 				if float64(served) < 0.9*float64(len(last)) {
 					t.Errorf("%d of %d ops served once the trouble was over", served, len(last))
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -12,13 +12,13 @@
 // does not grow with the fleet. Nothing here decides.
 
 const (
-	shortList = 64            // most servers kept of a volume's ranking
-	fewest    = shortList / 2 // with fewer left of them the ranking is looked through anew
+	shortList    = 64            // most servers kept of a volume's ranking
+	minShortList = shortList / 2 // with fewer left of them the ranking is looked through anew
 )
 
-// ranked is a disk server and its rendezvous hash for a volume.
-type ranked struct {
-	osd  *osd
+// rankedServer is a disk server and its rendezvous hash for a volume.
+type rankedServer struct {
+	osd  *server
 	rank uint64
 }
 
@@ -38,8 +38,8 @@
 	return h
 }
 
-// rank is the rendezvous hash of a volume, by its hash, and a disk server.
-func rank(volume uint64, id honeyplank.ServerID) uint64 {
+// rendezvousHash is the rendezvous hash of a volume, by its hash, and a disk server.
+func rendezvousHash(volume uint64, id honeyplank.ServerID) uint64 {
 	x := volume
 	for i := range len(id) {
 		x = (x ^ uint64(id[i])) * hashPrime
@@ -50,85 +50,85 @@
 }
 
 // ahead is the order of a ranking: by hash, equal ones by id.
-func (r ranked) ahead(than ranked) bool {
+func (r rankedServer) ahead(than rankedServer) bool {
 	return r.rank > than.rank || r.rank == than.rank && r.osd.ID < than.osd.ID
 }
 
-// nearest returns the first disk servers of a volume's ranking that are on, in its order. They are always exactly the
+// topRanked returns the first disk servers of a volume's ranking that are on, in its order. They are always exactly the
 // first ones: servers that come are put in, ones that leave are taken out, and when few are left all are looked through.
-func (s *Scheduler) nearest(v *volume, id int64) []ranked {
-	v.best = slices.DeleteFunc(v.best, func(r ranked) bool { return !r.osd.placed })
+func (s *Scheduler) topRanked(v *volume, id int64) []rankedServer {
+	v.topServers = slices.DeleteFunc(v.topServers, func(r rankedServer) bool { return !r.osd.listedUp })
 	hash := volumeHash(id)
-	if v.epoch != s.epoch || !v.whole && len(v.best) < fewest {
-		v.best, v.whole = v.best[:0], true
-		for _, o := range s.order {
+	if v.rankingEpoch != s.rankingEpoch || !v.topComplete && len(v.topServers) < minShortList {
+		v.topServers, v.topComplete = v.topServers[:0], true
+		for _, o := range s.serversByID {
 			v.enter(o, hash)
 		}
-		s.visited += len(s.order)
+		s.serversVisited += len(s.serversByID)
 	} else {
-		for _, o := range s.joined[v.seen:] {
+		for _, o := range s.joinedServers[v.joinedSeen:] {
 			v.enter(o, hash)
 		}
-		s.visited += len(s.joined) - v.seen
+		s.serversVisited += len(s.joinedServers) - v.joinedSeen
 	}
-	v.epoch, v.seen = s.epoch, len(s.joined)
-	return v.best
+	v.rankingEpoch, v.joinedSeen = s.rankingEpoch, len(s.joinedServers)
+	return v.topServers
 }
 
 // enter puts a disk server into the list where it belongs there.
-func (v *volume) enter(o *osd, hash uint64) {
-	if !o.placed {
+func (v *volume) enter(o *server, hash uint64) {
+	if !o.listedUp {
 		return
 	}
-	r, n := ranked{o, rank(hash, o.ID)}, len(v.best)
-	if n > 0 && !v.whole && v.best[n-1].ahead(r) {
+	r, n := rankedServer{o, rendezvousHash(hash, o.ID)}, len(v.topServers)
+	if n > 0 && !v.topComplete && v.topServers[n-1].ahead(r) {
 		return
 	}
-	i := sort.Search(n, func(i int) bool { return !v.best[i].ahead(r) })
-	if i < n && v.best[i].osd == o {
+	i := sort.Search(n, func(i int) bool { return !v.topServers[i].ahead(r) })
+	if i < n && v.topServers[i].osd == o {
 		return
 	}
-	v.best = slices.Insert(v.best, i, r)
-	if len(v.best) > shortList {
-		v.best, v.whole = v.best[:shortList], false
+	v.topServers = slices.Insert(v.topServers, i, r)
+	if len(v.topServers) > shortList {
+		v.topServers, v.topComplete = v.topServers[:shortList], false
 	}
 }
 
-// join notes that a disk server has come, for lists made before.
-func (s *Scheduler) join(o *osd) {
-	if len(s.joined) > 2*len(s.order)+shortList { // long ago seen by most: start over
-		s.joined, s.epoch = nil, s.epoch+1
+// joinRankings notes that a disk server has come, for lists made before.
+func (s *Scheduler) joinRankings(o *server) {
+	if len(s.joinedServers) > 2*len(s.serversByID)+shortList { // long ago seen by most: start over
+		s.joinedServers, s.rankingEpoch = nil, s.rankingEpoch+1
 	}
-	s.joined = append(s.joined, o)
+	s.joinedServers = append(s.joinedServers, o)
 }
 
-// soundOnes are the disk servers that were sound at most a sweep ago.
-func (s *Scheduler) soundOnes() []*osd {
-	if s.now-s.soundAt >= s.sweepEvery() || s.soundAt == 0 {
-		s.soundAt, s.soundList = s.now, s.soundList[:0]
-		for _, o := range s.order {
-			if o.placed && s.sound(o) {
-				s.soundList = append(s.soundList, o)
+// acceptingServers are the disk servers that were sound at most a sweep ago.
+func (s *Scheduler) acceptingServers() []*server {
+	if s.now-s.acceptingAt >= s.sweepInterval() || s.acceptingAt == 0 {
+		s.acceptingAt, s.accepting = s.now, s.accepting[:0]
+		for _, o := range s.serversByID {
+			if o.listedUp && s.acceptsNewObjects(o) {
+				s.accepting = append(s.accepting, o)
 			}
 		}
-		s.visited += len(s.order)
+		s.serversVisited += len(s.serversByID)
 	}
-	return s.soundList
+	return s.accepting
 }
 
-// touch has the sweep look at a disk server from now on.
-func (s *Scheduler) touch(o *osd) {
+// markActive has the sweep look at a disk server from now on.
+func (s *Scheduler) markActive(o *server) {
 	if !o.active {
 		o.active = true
-		s.active = insert(s.active, o)
+		s.activeServers = insertByID(s.activeServers, o)
 	}
 }
 
 // settle takes those out of the sweep that have nothing out, nothing held and are not down.
 func (s *Scheduler) settle() {
-	s.active = slices.DeleteFunc(s.active, func(o *osd) bool {
-		o.active = o.out > 0 || o.holding > 0 || o.health == down
+	s.activeServers = slices.DeleteFunc(s.activeServers, func(o *server) bool {
+		o.active = o.outstanding > 0 || o.heldCount > 0 || o.health == down
 		return !o.active
 	})
-	s.visited += len(s.active)
+	s.serversVisited += len(s.activeServers)
 }
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -27,8 +27,8 @@
 }
 
 // wholeRanking is the slow model: all disk servers that are on, sorted.
-func wholeRanking(s *Scheduler, volume int64) (list []*osd) {
-	for _, o := range s.order {
+func wholeRanking(s *Scheduler, volume int64) (list []*server) {
+	for _, o := range s.serversByID {
 		if o.State == honeyplank.Up {
 			list = append(list, o)
 		}
@@ -38,13 +38,13 @@
 }
 
 // plainHome is the choice as made over a whole ranking: the first with room, or else the one with least against its room.
-func plainHome(s *Scheduler, p *op, list []*osd) (home *osd, room bool) {
+func plainHome(s *Scheduler, p *op, list []*server) (home *server, room bool) {
 	least := math.Inf(1)
 	for _, o := range list {
-		if !s.sound(o) || !s.mayDispatch(p, o) {
+		if !s.acceptsNewObjects(o) || !s.mayDispatch(p, o) {
 			continue
 		}
-		load := float64(1+o.out+o.holding) / s.places(o, p.Type, spareOfTarget)
+		load := float64(1+o.outstanding+o.heldCount) / s.concurrencyLimit(o, p.Type, spareLatencyShare)
 		if load < least {
 			home, least = o, load
 		}
@@ -102,43 +102,43 @@
 				gone.State = honeyplank.Draining
 				tell(honeyplank.Delta, gone)
 				if rng.Intn(2) == 0 {
-					s.nearest(&volume{}, 1)
+					s.topRanked(&volume{}, 1)
 				}
 				tell(honeyplank.Delta, all[i])
 			case 4:
-				for _, o := range s.order {
-					o.out = rng.Intn(2) * rng.Intn(40)
+				for _, o := range s.serversByID {
+					o.outstanding = rng.Intn(2) * rng.Intn(40)
 				}
 			case 5:
 				part := rng.Float64()
-				for _, o := range s.order {
+				for _, o := range s.serversByID {
 					if o.health = up; rng.Float64() < part {
 						o.health = down
 					}
 				}
 			}
 			s.now = now
-			s.soundAt = 0 // the list of sound ones may be a sweep old: made anew here
+			s.acceptingAt = 0 // the list of sound ones may be a sweep old: made anew here
 			id := int64(rng.Intn(4))
 			p := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Schedulers: 1, Cell: honeyplank.NewObject},
-				lot: rng.Float64(), target: now + 200*ms}
-			s.open(p)
+				admissionDraw: rng.Float64(), target: now + 200*ms}
+			s.openVolume(p)
 			list := wholeRanking(s, id)
 			want, room := plainHome(s, p, list)
-			got := s.newHome(p)
-			s.release(p)
-			s.nowhere = 0
-			near := s.nearest(p.volume, id)
+			got := s.chooseNewServer(p)
+			s.removeHeld(p)
+			s.unassigned = 0
+			near := s.topRanked(p.volume, id)
 			for k, r := range near {
 				if r.osd != list[k] {
 					t.Fatalf("seed %d, step %d: place %d of the ranking is %s, want %s", seed, step, k, r.osd.ID, list[k].ID)
 				}
 			}
-			if len(near) < min(len(list), fewest) {
+			if len(near) < min(len(list), minShortList) {
 				t.Fatalf("seed %d, step %d: %d of %d servers ranked", seed, step, len(near), len(list))
 			}
 			compared++
-			if inList := slices.Index(list, want) < len(near); want != got && (inList && room || len(list) <= fewest) {
+			if inList := slices.Index(list, want) < len(near); want != got && (inList && room || len(list) <= minShortList) {
 				t.Fatalf("seed %d, step %d: %v, want %v", seed, step, got, want)
 			}
 			if first, _ := plainHome(s, p, list[:len(near)]); first != nil {
@@ -147,7 +147,7 @@
 			if want != got {
 				t.Fatalf("seed %d, step %d: %v, want %v past the short list", seed, step, got, want)
 			}
-			beyond += count(got != nil && slices.Index(list, got) >= len(near))
+			beyond += boolToInt(got != nil && slices.Index(list, got) >= len(near))
 		}
 	}
 	if beyond == 0 {
@@ -172,7 +172,7 @@
 // newObjects plays so many new objects of 200 volumes, each answered after 5 ms, with a sweep every 10 ms, and servers
 // that are replaced one after another.
 func newObjects(s *Scheduler, from, n int, replace bool) {
-	servers := len(s.order)
+	servers := len(s.serversByID)
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
 		id := honeyplank.OpID(fmt.Sprint(i))
@@ -201,15 +201,15 @@
 		for _, servers := range []int{200, 3200} {
 			s := largeFleet(servers)
 			newObjects(s, 0, 200, false) // each volume has its list
-			s.visited = 0
+			s.serversVisited = 0
 			const objects = 4000
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			newObjects(s, 200, objects, replace)
 			runtime.ReadMemStats(&after)
-			work[servers], allocations[servers] = float64(s.visited)/objects, float64(after.Mallocs-before.Mallocs)/objects
+			work[servers], allocations[servers] = float64(s.serversVisited)/objects, float64(after.Mallocs-before.Mallocs)/objects
 			for _, v := range s.volumes {
-				held[servers] += cap(v.best)
+				held[servers] += cap(v.topServers)
 			}
 		}
 		t.Logf("replaced: %v: visited %v, allocations %v an object; places in lists %v", replace, work, allocations, held)
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -398,7 +398,7 @@
 	for _, r := range p.all {
 		if r.first >= from && r.first < to {
 			taken[r.class]++
-			served[r.class] += float64(count(p.served[r]))
+			served[r.class] += float64(boolToInt(p.served[r]))
 		}
 	}
 	return served, taken
