--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -36,8 +36,8 @@
 	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	file := reader[*scheduler.Papers]{func() (*scheduler.Papers, error) { return scheduler.Read(c.File) }, unread, log}
-	p, err := before(end, func() (*scheduler.Papers, error) { return file.load(ctx, anew) })
+	file := reader[*scheduler.Config]{func() (*scheduler.Config, error) { return scheduler.ReadConfig(c.File) }, unread, log}
+	p, err := before(end, func() (*scheduler.Config, error) { return file.load(ctx, anew) })
 	if err != nil && err != errEnded {
 		return invalid{err}
 	}
@@ -59,7 +59,7 @@
 	log.Info().Str("address", s.Address()).Str("discovery", p.Discovery).Int("sockets", p.Sockets).Int("memory_mb", p.MemoryMB).Msg("serving")
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
-	go file.follow(ctx, anew, func(p *scheduler.Papers) { limit(p); s.Reload(p) })
+	go file.follow(ctx, anew, func(p *scheduler.Config) { limit(p); s.Reload(p) })
 	for {
 		select {
 		case err := <-served:
@@ -71,7 +71,7 @@
 }
 
 // limit keeps the process within what the configuration allows it.
-func limit(p *scheduler.Papers) {
+func limit(p *scheduler.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMB) * (1 << 20)))
 }
--- a/cmd/honeyplank/read.go
+++ b/cmd/honeyplank/read.go
@@ -97,7 +97,7 @@
 
 // unread tells a file that could not be read, line 0, from one with a wrong content, which may be half written.
 func unread(err error) time.Duration {
-	var fault *scheduler.Fault
+	var fault *scheduler.ConfigError
 	if errors.As(err, &fault) && fault.Line > 0 {
 		return replaceWithin
 	}
--- a/cmd/honeyplank/read_test.go
+++ b/cmd/honeyplank/read_test.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	errContent = &scheduler.Fault{File: "config.json", Line: 3, Wrong: "unexpected end of JSON input", Want: "one JSON object"}
-	errUnread  = &scheduler.Fault{File: "config.json", Wrong: "open config.json: too many open files", Want: "the configuration that the platform writes"}
+	errContent = &scheduler.ConfigError{File: "config.json", Line: 3, Wrong: "unexpected end of JSON input", Want: "one JSON object"}
+	errUnread  = &scheduler.ConfigError{File: "config.json", Wrong: "open config.json: too many open files", Want: "the configuration that the platform writes"}
 )
 
 // fails is a reader that fails so many times, and then reads a 7.
--- a/fuzzcorpus/corpus.go
+++ b/fuzzcorpus/corpus.go
@@ -153,17 +153,17 @@
 	return kind + "(0)"
 }
 
-// errOlder tells that a file holds other values than its target takes now.
+// errOldList tells that a file holds other values than its target takes now.
 var errOlder = errors.New("written for an older version of its target")
 
-// Check tells whether the text of an input is one for the target: errOlder where its values are others.
+// Check tells whether the text of an input is one for the target: errOldList where its values are others.
 func (t Target) Check(text []byte) error {
 	_, err := t.Upgrade(text)
 	return err
 }
 
 // Upgrade rewrites an input of an older version: the values it has go, in their order, to the first values of their
-// types, the others become zero. It returns errOlder with the new text, and no text where the values don't fit.
+// types, the others become zero. It returns errOldList with the new text, and no text where the values don't fit.
 func (t Target) Upgrade(text []byte) ([]byte, error) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, 16<<20)
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -119,7 +119,7 @@
 	return true
 }
 
-// heldUp is for how long a process may stand still between a decision and the dispatch.
+// maxHoldUp is for how long a process may stand still between a decision and the dispatch.
 const heldUp = 150 * ms
 
 // inBudget is the sixth rule, for one more further dispatch, when this or earlier ones are held up.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -789,7 +789,7 @@
 	return soon >= p.target || s.now+s.sweepInterval() >= p.Timeout
 }
 
-// giveUp gives an op up at once.
+// cancel gives an op up at once.
 func (s *Scheduler) giveUp(p *op) {
 	if s.rejectIsSafe(p) {
 		s.emit(honeyplank.Reject{Op: p.ID, RetryAfter: min(valueAt(s.settings.targetLatency, p.Type), s.settings.maxRetryAfter)})
--- a/scheduler/classes_test.go
+++ b/scheduler/classes_test.go
@@ -49,7 +49,7 @@
 		}
 	})
 	c.ask("BLK.READ", piece, "unusual", terms("read", 1_000_000_000, 0))
-	if left := <-longest; left > unusualWait*400*time.Millisecond {
+	if left := <-longest; left > maxDeadlineFactor*400*time.Millisecond {
 		t.Errorf("an op of an unusual timeout may wait for %v", left)
 	}
 	if served := c.servedOf("read", "after", 10, 400); served < 8 {
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -12,38 +12,38 @@
 	"honeyplank"
 )
 
-// list is a message of discovery.
-type list struct {
-	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []member `json:"members"`
+// listMessage is a message of discovery.
+type listMessage struct {
+	Revision int64        `json:"revision"`
+	Complete bool         `json:"complete"`
+	Members  []listMember `json:"members"`
 
-	follows bool // with it all that was told holds
+	isCurrent bool // with it all that was told holds
 }
 
-type member struct {
-	ID       string  `json:"id"`
-	Address  string  `json:"host_port"`
-	Zone     string  `json:"locality"`
-	Model    string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	StartedM float64 `json:"up_since_ms"`
+type listMember struct {
+	ID        string  `json:"id"`
+	Address   string  `json:"host_port"`
+	Zone      string  `json:"locality"`
+	Model     string  `json:"flavor"`
+	Cell      int     `json:"cell"`
+	Phase     string  `json:"phase"`
+	Size      float64 `json:"size"`
+	UpSinceMS float64 `json:"up_since_ms"`
 }
 
 var phases = map[string]honeyplank.MemberState{"up": honeyplank.Up, "draining": honeyplank.Draining, "removed": honeyplank.Removed}
 
 // readList reads a message; entries that can't be used are left out, and told.
-func readList(text []byte) (l *list, skipped []string, err error) {
-	l = &list{}
+func readList(text []byte) (l *listMessage, skipped []string, err error) {
+	l = &listMessage{}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, nil, err
 	}
 	sound := l.Members[:0]
 	for _, m := range l.Members {
 		_, known := phases[m.Phase]
-		_, err := ipv4(m.Address)
+		_, err := parseIPv4(m.Address)
 		switch {
 		case m.ID == "":
 			skipped = append(skipped, "an entry has no id")
@@ -59,14 +59,14 @@
 	return l, skipped, nil
 }
 
-var errOlder = errors.New("discovery: the list is older than the one held")
+var errOldList = errors.New("discovery: the list is older than the one held")
 
-// watch follows the list at an address behind a revision, on a goroutine of its own, until the watch ends or its context
+// watchList follows the list at an address behind a revision, on a goroutine of its own, until the watch ends or its context
 // does; the answer has to begin within a time. begun is called when it stands, lists go to hear, why it ended to fail.
-func watch(ctx context.Context, address string, revision int64, within time.Duration, begun func(), hear func(*list, []string), fail func(error)) {
+func watchList(ctx context.Context, address string, revision int64, within time.Duration, begun func(), hear func(*listMessage, []string), fail func(error)) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	defer client.CloseIdleConnections()
-	fail(follow(ctx, client, fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision), within, begun, func(text []byte) error {
+	fail(readMessages(ctx, client, fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision), within, begun, func(text []byte) error {
 		l, skipped, err := readList(text)
 		if err == nil {
 			hear(l, skipped)
@@ -75,16 +75,16 @@
 	}))
 }
 
-// fetch asks for the whole list once.
-func fetch(ctx context.Context, address string, within time.Duration, hear func(*list, []string), fail func(error)) {
+// fetchList asks for the whole list once.
+func fetchList(ctx context.Context, address string, within time.Duration, hear func(*listMessage, []string), fail func(error)) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	var lists [][]byte
-	err := follow(ctx, client, "http://"+address+"/discovery/hosts", within, func() {}, func(text []byte) error {
+	err := readMessages(ctx, client, "http://"+address+"/discovery/hosts", within, func() {}, func(text []byte) error {
 		lists = append(lists, text)
 		return nil
 	})
 	if errors.Is(err, io.EOF) && len(lists) == 1 {
-		var l *list
+		var l *listMessage
 		var skipped []string
 		if l, skipped, err = readList(lists[0]); err == nil {
 			hear(l, skipped)
@@ -94,18 +94,18 @@
 	fail(err)
 }
 
-// follow reads an answer message by message; io.EOF is its end in order.
-func follow(ctx context.Context, client *http.Client, url string, within time.Duration, begun func(), hear func(text []byte) error) error {
+// readMessages reads an answer message by message; io.EOF is its end in order.
+func readMessages(ctx context.Context, client *http.Client, url string, within time.Duration, begun func(), hear func(text []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	start := time.Now()
-	var r stream
-	r.begin(0, within)
-	broken := time.AfterFunc(r.until, func() { cancel(errSilent) })
+	var r messageReader
+	r.callStarted(0, within)
+	broken := time.AfterFunc(r.deadline, func() { cancel(errWatchSilent) })
 	defer broken.Stop()
 	fault := func(err error) error {
-		if context.Cause(ctx) == errSilent {
-			return errSilent
+		if context.Cause(ctx) == errWatchSilent {
+			return errWatchSilent
 		}
 		return err
 	}
@@ -122,11 +122,11 @@
 		return fmt.Errorf("discovery answers %s", answer.Status)
 	}
 	begun()
-	r.head(time.Since(start))
+	r.headReceived(time.Since(start))
 	for b := make([]byte, 16<<10); ; {
-		broken.Reset(r.until - time.Since(start))
+		broken.Reset(r.deadline - time.Since(start))
 		n, err := answer.Body.Read(b)
-		messages, wrong := r.take(time.Since(start), b[:n])
+		messages, wrong := r.Feed(time.Since(start), b[:n])
 		for _, text := range messages {
 			if err := hear(text); err != nil {
 				return err
@@ -141,4 +141,4 @@
 	}
 }
 
-var errSilent = errors.New("discovery has fallen silent")
+var errWatchSilent = errors.New("discovery has fallen silent")
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -32,8 +32,8 @@
 			return
 		}
 		waits = len(sv.waiting)
-		for _, l := range sv.links {
-			if l.up {
+		for _, l := range sv.conns {
+			if l.connected {
 				ready++
 			}
 		}
@@ -61,7 +61,7 @@
 	leaves.send("BLK.READ", piece, "leaves", terms("read", 4000, 0))
 	w.eventually("the wait for a connection", func() bool { n, _ := w.waits(0); return n == 1 })
 	leaves.Close()
-	w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.ClientsGone == 1 }); return ok })
+	w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.tracker.Counts.ClientsGone == 1 }); return ok })
 	g.open()
 	g.pass()
 	w.eventually("a connection", func() bool { _, n := w.waits(0); return n > 0 })
@@ -72,7 +72,7 @@
 		t.Errorf("%v have reached the disk server", ids)
 	}
 	w.on(func() {
-		if n := w.s.book.Outstanding(); n != 0 {
+		if n := w.s.tracker.Outstanding(); n != 0 {
 			t.Errorf("%d dispatches are out", n)
 		}
 	})
@@ -94,21 +94,21 @@
 				return ok
 			})
 			g.open()
-			var link *link
+			var link *serverConn
 			w.on(func() {
 				w.module.Module = eager{"s-0"}
-				w.s.papers.Sockets = 1024
-				w.s.files = w.s.share(ofServers) - 1 // descriptors for one connection are left
+				w.s.config.Sockets = 1024
+				w.s.serverConnCount = w.s.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
 			})
-			body := strings.Repeat("x", mostBody)
+			body := strings.Repeat("x", maxBody)
 			callers := make([]*caller, n)
 			for i := range callers {
 				callers[i] = w.dial()
 				callers[i].send("BLK.WRITE", piece, fmt.Sprint("w", i), terms("write", 9000, 0), body)
 				w.eventually("the command", func() (ok bool) {
 					w.on(func() {
-						if sv := w.s.servers["s-0"]; len(sv.links) == 1 && sv.links[0].up && len(sv.links[0].out) == i+1 {
-							link, ok = sv.links[0], true
+						if sv := w.s.servers["s-0"]; len(sv.conns) == 1 && sv.conns[0].connected && len(sv.conns[0].inFlight) == i+1 {
+							link, ok = sv.conns[0], true
 							link.conn.BeforeWrite = nil // the one of which a part has left is not taken back for its age
 						}
 					})
@@ -117,11 +117,11 @@
 			}
 			written := 0
 			w.on(func() {
-				for i, e := range link.out {
-					if e.written() {
+				for i, e := range link.inFlight {
+					if e.fullyWritten() {
 						written++
 					}
-					if gone := link.put - uint64(link.conn.UnsentBytes()); leaver < 0 && e.head < gone && gone < e.tail {
+					if gone := link.appendedBytes - uint64(link.conn.UnsentBytes()); leaver < 0 && e.firstByte < gone && gone < e.endByte {
 						leaver = i
 					}
 				}
@@ -129,9 +129,9 @@
 			if leaver < 0 || written == 0 || written > n-2 {
 				t.Fatalf("%d of %d have left whole, %d in part", written, n, leaver)
 			}
-			w.on(func() { w.s.files = 1 })
+			w.on(func() { w.s.serverConnCount = 1 })
 			callers[leaver].Close()
-			w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.ClientsGone == 1 }); return ok })
+			w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.tracker.Counts.ClientsGone == 1 }); return ok })
 			g.pass()
 			served := 0
 			for i, c := range callers {
@@ -181,7 +181,7 @@
 	w.disks[0].Apply(standin.Faults{Silent: true})
 	c := w.dial()
 	var all []byte
-	for i := range 2 * mostPending {
+	for i := range 2 * maxPending {
 		all = append(all, command("BLK.READ", piece, fmt.Sprint("a", i), terms("read", 390000, 0))...)
 	}
 	c.Write(all)
@@ -195,12 +195,12 @@
 	})
 	sent := 0
 	w.eventually("what may leave", func() bool {
-		w.on(func() { sent = w.s.book.Counts.Dispatches })
+		w.on(func() { sent = w.s.tracker.Counts.Dispatches })
 		return sent > 0 && len(w.disks[0].Got()) == sent
 	})
 	c.Close()
 	w.eventually("the leave", func() (ok bool) {
-		w.on(func() { ok = len(w.s.clients) == 0 && w.s.book.Unanswered() == 0 })
+		w.on(func() { ok = len(w.s.clients) == 0 && w.s.tracker.Unanswered() == 0 })
 		return ok
 	})
 	if n := len(w.disks[0].Got()); n != sent {
@@ -213,10 +213,10 @@
 func TestUnreadAnswers(t *testing.T) {
 	w := start(t, 1)
 	w.on(func() { w.module.Module = eager{"s-0"} })
-	large := strings.Repeat("v", mostBody-8)
+	large := strings.Repeat("v", maxBody-8)
 	w.disks[0].Apply(standin.Faults{Large: large})
 	c := w.dial()
-	const n = 4 * mostPending // of 64 KB each: more than the system holds on its way
+	const n = 4 * maxPending // of 64 KB each: more than the system holds on its way
 	go func() {
 		for i := range n {
 			c.Write(command("BLK.READ", piece, fmt.Sprint("a", i), terms("read", 9000, 0)))
@@ -225,9 +225,9 @@
 	w.eventually("a full connection", func() (ok bool) {
 		w.on(func() {
 			for x := range w.s.clients {
-				ok = x.conn.UnsentBytes() > 0 && len(x.due) == 0 && x.paused
-				if x.owed() > mostOwed+2*mostBody {
-					t.Errorf("%d bytes are owed", x.owed())
+				ok = x.conn.UnsentBytes() > 0 && len(x.pending) == 0 && x.paused
+				if x.owedBytes() > maxOwedBytes+2*maxBody {
+					t.Errorf("%d bytes are owed", x.owedBytes())
 				}
 			}
 		})
@@ -253,13 +253,13 @@
 	}
 	w.on(func() { // the loop reads nothing before this ends
 		for x := range w.s.clients {
-			x.heard = w.s.loop.Now() - 2*longIdle
+			x.lastActivity = w.s.loop.Now() - 2*maxIdle
 		}
 		c.send("BLK.READ", piece, "second", terms("read", 390, 0))
 		for !w.arrived() {
 		}
-		w.s.attend()
-		for w.s.evict() {
+		w.s.checkClients()
+		for w.s.evictIdleClient() {
 		}
 	})
 	if got := c.answer(time.Second); got != string(standin.Value(piece, "second")) {
@@ -280,15 +280,15 @@
 	w.eventually("a half command", func() (ok bool) {
 		w.on(func() {
 			for x := range w.s.clients {
-				ok = x.began > 0
-				x.heard = w.s.loop.Now() - longIdle + time.Second // idle for longer than a crowd lets one be
+				ok = x.commandStarted > 0
+				x.lastActivity = w.s.loop.Now() - maxIdle + time.Second // idle for longer than a crowd lets one be
 			}
 			if ok {
-				w.s.spoken += w.s.papers.Sockets
-				w.s.attend()
-				for w.s.evict() {
+				w.s.activeClients += w.s.config.Sockets
+				w.s.checkClients()
+				for w.s.evictIdleClient() {
 				}
-				w.s.spoken -= w.s.papers.Sockets
+				w.s.activeClients -= w.s.config.Sockets
 			}
 		})
 		return ok
@@ -309,7 +309,7 @@
 	g, m := w.behind(0, "up")
 	w.on(func() {
 		w.module.Module = eager{"s-0"}
-		w.s.place(member{ID: m.ID, Address: m.Address, Phase: "up"})
+		w.s.applyMember(listMember{ID: m.ID, Address: m.Address, Phase: "up"})
 	})
 	return w, g
 }
@@ -318,7 +318,7 @@
 // them are told so then, not at their op timeouts.
 func TestWaitersOfOneDial(t *testing.T) {
 	w, _ := atGate(t, 300*time.Millisecond, time.Second)
-	w.on(func() { w.s.files = w.s.share(ofServers) - 1 })
+	w.on(func() { w.s.serverConnCount = w.s.descriptorQuota(serverDescriptorShare) - 1 })
 	var callers []*caller
 	begun := time.Now()
 	for i := range 3 {
@@ -356,7 +356,7 @@
 			m.Address = g.address
 			w.disco.Change(m)
 			if x.within {
-				w.eventually("the drain", func() (ok bool) { w.on(func() { ok = w.s.servers["s-0"].drains }); return ok })
+				w.eventually("the drain", func() (ok bool) { w.on(func() { ok = w.s.servers["s-0"].draining }); return ok })
 				g.open()
 				g.pass()
 			}
@@ -422,7 +422,7 @@
 	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
 	w.disks[0].Apply(standin.Faults{Late: second})
 	c := w.dial()
-	w.on(func() { w.s.files = w.s.share(ofServers) - 1 })
+	w.on(func() { w.s.serverConnCount = w.s.descriptorQuota(serverDescriptorShare) - 1 })
 	for i := range 30 {
 		id := fmt.Sprint("a", i)
 		if got := c.ask("BLK.READ", piece, id, terms("read", 390, 0)); got != string(standin.Value(piece, id)) {
@@ -452,8 +452,8 @@
 	w.s.Shutdown()
 	w.s.Shutdown() // a second time changes nothing
 	c.send("BLK.READ", piece, "a", terms("read", 9000, 0))
-	w.eventually("the last part", func() (ok bool) { w.on(func() { ok = w.s.shut }); return ok })
-	for i := range 3 * mostPending { // more than is read at a time, none of which is taken any more
+	w.eventually("the last part", func() (ok bool) { w.on(func() { ok = w.s.intakeClosed }); return ok })
+	for i := range 3 * maxPending { // more than is read at a time, none of which is taken any more
 		c.send("BLK.READ", piece, fmt.Sprint("b", i), terms("read", 9000, 0))
 	}
 	var last int64 // bytes read before the end of the loop
@@ -502,8 +502,8 @@
 	w.on(func() { // in one round of the loop
 		c = w.dial()
 		c.send("BLK.READ", piece, "a", terms("read", 390, 0))
-		w.s.sure = true
-		w.s.check()
+		w.s.graceElapsed = true
+		w.s.stopIfIdle()
 	})
 	if got := c.answer(time.Second); got != string(standin.Value(piece, "a")) {
 		t.Errorf("%q", got)
@@ -528,10 +528,12 @@
 	w.disks[0].Apply(standin.Faults{Delay: time.Second})
 	callers[7].send("BLK.READ", piece, "b", terms("read", 9000, 0))
 	w.eventually("the command", func() bool { return len(w.disks[0].Got()) == 41 })
-	w.conf["limits"].(map[string]any)["sockets"] = leastSockets
+	w.conf["limits"].(map[string]any)["sockets"] = minSockets
 	w.reload()
 	w.eventually("the lower limit", func() (ok bool) {
-		w.on(func() { ok = w.s.clientFiles <= w.s.share(ofClients) && w.s.files <= w.s.share(ofServers) })
+		w.on(func() {
+			ok = w.s.clientConnCount <= w.s.descriptorQuota(clientDescriptorShare) && w.s.serverConnCount <= w.s.descriptorQuota(serverDescriptorShare)
+		})
 		return ok
 	})
 	if got := callers[7].answer(2 * time.Second); got != string(standin.Value(piece, "b")) {
@@ -545,14 +547,14 @@
 	w := start(t, 1)
 	c := w.dial(4096)
 	c.ask("PING")
-	large := strings.Repeat("v", mostBody)
+	large := strings.Repeat("v", maxBody)
 	const n = 200
 	w.on(func() {
 		for x := range w.s.clients {
 			for range n {
 				x.conn.Out = resp.AppendBulk(x.conn.Out, []byte(large))
 			}
-			x.breach(&resp.Breach{What: "forced"})
+			x.protocolError(&resp.Breach{What: "forced"})
 			if x.conn.UnsentBytes() == 0 {
 				t.Error("the system holds all of it")
 			}
@@ -574,7 +576,7 @@
 // way to another at once, and the rest are closed in time.
 func TestUnreadCrowd(t *testing.T) {
 	w := start(t, 1)
-	large := strings.Repeat("v", mostBody)
+	large := strings.Repeat("v", maxBody)
 	for i := range 2 {
 		c := w.dial(4096)
 		go func() {
@@ -598,15 +600,15 @@
 	}
 	w.on(func() {
 		for x := range w.s.clients {
-			x.heard = w.s.loop.Now() - patience - time.Millisecond
+			x.lastActivity = w.s.loop.Now() - commandTimeout - time.Millisecond
 		}
-		if !w.s.evict() || len(w.s.clients) != 1 {
+		if !w.s.evictIdleClient() || len(w.s.clients) != 1 {
 			t.Errorf("none gives way: %d are left", len(w.s.clients))
 		}
 		for x := range w.s.clients {
-			x.heard = w.s.loop.Now() - patience - time.Millisecond
+			x.lastActivity = w.s.loop.Now() - commandTimeout - time.Millisecond
 		}
-		w.s.attend()
+		w.s.checkClients()
 		if len(w.s.clients) != 0 {
 			t.Errorf("%d are left", len(w.s.clients))
 		}
@@ -618,7 +620,7 @@
 	w := start(t, 1)
 	c := w.dial(4096)
 	c.ask("PING")
-	large := strings.Repeat("v", mostBody)
+	large := strings.Repeat("v", maxBody)
 	const n = 200
 	closing := make(chan bool)
 	w.on(func() {
@@ -664,8 +666,8 @@
 		t.Errorf("%q", got)
 	}
 	w.on(func() {
-		if w.s.clientFiles+w.s.files+kept > w.s.papers.Sockets {
-			t.Errorf("%d and %d connections", w.s.clientFiles, w.s.files)
+		if w.s.clientConnCount+w.s.serverConnCount+reservedDescriptors > w.s.config.Sockets {
+			t.Errorf("%d and %d connections", w.s.clientConnCount, w.s.serverConnCount)
 		}
 	})
 	d.call(t, time.Second) // was made before discovery came back, and is never answered
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -20,8 +20,8 @@
 }{
 	"PINGs, not read":    {strings.Repeat(string(command("PING")), 1000), false},
 	"PINGs, read":        {strings.Repeat(string(command("PING")), 1000), true},
-	"large PINGs":        {string(command("PING", strings.Repeat("v", mostBody))), true},
-	"what can't be read": {strings.Repeat("v", mostBody), false},
+	"large PINGs":        {string(command("PING", strings.Repeat("v", maxBody))), true},
+	"what can't be read": {strings.Repeat("v", maxBody), false},
 	"errors":             {strings.Repeat(string(command("BLK.READ", "x", "y", "z")), 1000), true},
 }
 
@@ -75,7 +75,7 @@
 		process.Wait()
 	})
 	w.eventually("the flood", func() (ok bool) {
-		w.on(func() { ok = len(w.s.clients) > flooders/4 || w.s.breaches > flooders })
+		w.on(func() { ok = len(w.s.clients) > flooders/4 || w.s.protocolErrors > flooders })
 		return ok
 	})
 }
@@ -83,7 +83,7 @@
 // TestFinalAnswers: whatever ails disk servers or other clients do, each request has one final answer, half a second after
 // its time at the latest.
 func TestFinalAnswers(t *testing.T) {
-	large := strings.Repeat("v", mostBody)
+	large := strings.Repeat("v", maxBody)
 	for name, x := range map[string]struct {
 		faults standin.Faults
 		gate   bool // connections to the disk servers come up, and nothing is read
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -105,12 +105,12 @@
 	}
 	w.file = filepath.Join(t.TempDir(), "config.json")
 	w.write()
-	p, err := Read(w.file)
+	p, err := ReadConfig(w.file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.module = &spy{Module: policy.New(p.Seed, p.Site.Values), heard: func(honeyplank.Event) {}}
-	if w.s, err = with(p, w.module, zerolog.Nop()); err != nil {
+	if w.s, err = newWithModule(p, w.module, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
 	go func() { w.done <- w.s.Serve() }()
@@ -132,7 +132,7 @@
 func (w *world) reload() {
 	w.t.Helper()
 	w.write()
-	p, err := Read(w.file)
+	p, err := ReadConfig(w.file)
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/scheduler/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -75,7 +75,7 @@
 				c.ask("PING")
 				if g == nil { // a connection that has rested is there
 					w.dial().ask("BLK.READ", piece, "warm", terms("read", 9000, 0))
-					time.Sleep(2 * restOfLink)
+					time.Sleep(2 * minConnRest)
 				}
 				w.on(func() { w.module.Module = &later{after: x.after} })
 				op := command("BLK.READ", piece, "a", terms("read", 9000, 0))
@@ -90,14 +90,14 @@
 					case "breach":
 						behind = append(behind, "no command\r\n"...)
 					case "many":
-						for i := range 2 * mostPending {
+						for i := range 2 * maxPending {
 							behind = append(behind, command("PING", fmt.Sprint(i))...)
 						}
 					}
 				}
 				if !x.fresh {
 					c.Write(append(op, behind...))
-					w.eventually("the command", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 1 }); return ok })
+					w.eventually("the command", func() (ok bool) { w.on(func() { ok = w.s.tracker.Unanswered() == 1 }); return ok })
 				}
 				w.on(func() {
 					if g != nil {
@@ -108,9 +108,9 @@
 						c.Write(op)
 					}
 					leave(c)
-					time.Sleep(heldUp)
+					time.Sleep(maxHoldUp)
 				})
-				w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 0 }); return ok })
+				w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.tracker.Unanswered() == 0 }); return ok })
 				if g != nil {
 					w.eventually("a connection", func() bool { _, n := w.waits(0); return n > 0 })
 				}
@@ -137,14 +137,14 @@
 	})
 	g.open()
 	w.on(func() { w.module.Module = &giveUp{} })
-	body := strings.Repeat("x", mostBody)
+	body := strings.Repeat("x", maxBody)
 	for i, ms := range []int{9000, 300} {
 		c := w.dial()
 		c.send("BLK.WRITE", piece, fmt.Sprint("w", i), terms("write", ms, 0), body)
 		w.eventually("all bytes to leave", func() (ok bool) {
 			w.on(func() {
-				for _, l := range w.s.servers["s-0"].links {
-					ok = ok || l.up && len(l.out) == 1 && l.conn.UnsentBytes() == 0 && l.conn.UnackedBytes() > 0
+				for _, l := range w.s.servers["s-0"].conns {
+					ok = ok || l.connected && len(l.inFlight) == 1 && l.conn.UnsentBytes() == 0 && l.conn.UnackedBytes() > 0
 				}
 			})
 			return ok
@@ -153,7 +153,7 @@
 			c.Close()
 		}
 		w.eventually("the end", func() (ok bool) {
-			w.on(func() { ok = w.s.book.Unanswered() == 0 && w.s.book.Outstanding() == 0 })
+			w.on(func() { ok = w.s.tracker.Unanswered() == 0 && w.s.tracker.Outstanding() == 0 })
 			return ok
 		})
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-// giveUp is a module that cancels what its client no longer waits for.
+// cancel is a module that cancels what its client no longer waits for.
 type giveUp struct{ eager }
 
 func (giveUp) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
@@ -186,14 +186,14 @@
 		"quit":   {behind: string(command("QUIT")), want: []string{value, "OK"}},
 		"breach": {behind: "no command\r\n", want: []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
 		"idle": {want: []string{value}, end: func(w *world, c *client) {
-			c.heard -= 2 * longIdle
-			w.s.attend()
+			c.lastActivity -= 2 * maxIdle
+			w.s.checkClients()
 		}},
 		"rests in a crowd": {want: []string{value}, end: func(w *world, c *client) {
-			c.heard -= 2 * longIdle
-			w.s.evict()
+			c.lastActivity -= 2 * maxIdle
+			w.s.evictIdleClient()
 		}},
-		"no more ops": {want: []string{value}, end: func(w *world, c *client) { c.part() }},
+		"no more ops": {want: []string{value}, end: func(w *world, c *client) { c.closeWhenAnswered() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1)
@@ -210,7 +210,7 @@
 				w.eventually("the end", func() (ok bool) {
 					w.on(func() {
 						for x := range w.s.clients {
-							ok = x.over
+							ok = x.closing
 						}
 					})
 					return ok
@@ -252,7 +252,7 @@
 // TestDrainHeldUp: what waits to be sent to a server that drains is taken back a hold-up before the grace ends, which is
 // counted from when the list came, not from when the loop heard of it.
 func TestDrainHeldUp(t *testing.T) {
-	for _, grace := range []time.Duration{100 * time.Millisecond, heldUp, 500 * time.Millisecond} {
+	for _, grace := range []time.Duration{100 * time.Millisecond, maxHoldUp, 500 * time.Millisecond} {
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
 			w, g := atGate(t, 5*time.Second, grace)
 			c := w.dial()
@@ -262,7 +262,7 @@
 			w.on(func() {
 				w.module.heard = func(e honeyplank.Event) {
 					if l, ok := e.(honeyplank.List); ok && len(l.Members) > 0 {
-						w.s.loop.Schedule(w.s.loop.Now()+max(grace-heldUp, 0), func() { waits <- len(w.s.servers["s-0"].waiting) })
+						w.s.loop.Schedule(w.s.loop.Now()+max(grace-maxHoldUp, 0), func() { waits <- len(w.s.servers["s-0"].waiting) })
 					}
 				}
 			})
--- a/scheduler/papers.go
+++ b/scheduler/papers.go
@@ -14,49 +14,49 @@
 	"honeyplank/internal/simwire"
 )
 
-// Papers are what the platform tells a scheduler: its configuration file.
-type Papers struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      int64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Peer      string           // where this scheduler hears its peers; none: it does not
-	Peers     []netip.AddrPort // one a scheduler, by ordinal
-	PeersAll  netip.AddrPort
-	Known     []byte // the list as last had, in discovery's form
-	Site      *simwire.Site
+// Config are what the platform tells a scheduler: its configuration file.
+type Config struct {
+	Name       string
+	Listen     string
+	Discovery  string
+	Seed       int64
+	Cores      float64
+	MemoryMB   int
+	Sockets    int
+	PeerListen string           // where this scheduler hears its peers; none: it does not
+	Peers      []netip.AddrPort // one a scheduler, by ordinal
+	PeersAll   netip.AddrPort
+	Known      []byte // the list as last had, in discovery's form
+	Site       *simwire.Site
 }
 
-// Fault is a file that can't be used: where, what is wrong, and what would be right.
-type Fault struct {
+// ConfigError is a file that can't be used: where, what is wrong, and what would be right.
+type ConfigError struct {
 	File        string
 	Line        int
 	Wrong, Want string
 }
 
-func (f *Fault) Error() string {
+func (f *ConfigError) Error() string {
 	return fmt.Sprintf("%s:%d: %s; expected %s", f.File, f.Line, f.Wrong, f.Want)
 }
 
-// toldAfter is when a change counts as told once discovery has it and could be reached, as the platform's rules say.
-const toldAfter = 6 * time.Second
+// notifiedWithin is when a change counts as told once discovery has it and could be reached, as the platform's rules say.
+const notifiedWithin = 6 * time.Second
 
-// leastSockets is what a scheduler needs beside its clients and disk servers, twice.
-const leastSockets = 2 * kept
+// minSockets is what a scheduler needs beside its clients and disk servers, twice.
+const minSockets = 2 * reservedDescriptors
 
-// Read reads a configuration file.
-func Read(file string) (*Papers, error) {
+// ReadConfig reads a configuration file.
+func ReadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &Fault{file, 0, err.Error(), "the configuration that the platform writes"}
+		return nil, &ConfigError{file, 0, err.Error(), "the configuration that the platform writes"}
 	}
-	return parse(file, text)
+	return parseConfig(file, text)
 }
 
-func parse(file string, text []byte) (*Papers, error) {
+func parseConfig(file string, text []byte) (*Config, error) {
 	var f struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
@@ -80,7 +80,7 @@
 		}
 		return 1 + bytes.Count(text[:min(offset, int64(len(text)))], []byte("\n"))
 	}
-	fault := func(name, wrong, want string) error { return &Fault{file, line(name, 0), wrong, want} }
+	fault := func(name, wrong, want string) error { return &ConfigError{file, line(name, 0), wrong, want} }
 	if err := json.Unmarshal(text, &f); err != nil {
 		var syntax *json.SyntaxError
 		var kind *json.UnmarshalTypeError
@@ -90,21 +90,21 @@
 		} else if errors.As(err, &kind) {
 			at, want = kind.Offset, kind.Field+" of type "+kind.Type.String()
 		}
-		return nil, &Fault{file, line("", at), err.Error(), want}
+		return nil, &ConfigError{file, line("", at), err.Error(), want}
 	}
-	p := &Papers{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Peer: f.Peer, Known: f.Known,
+	p := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, PeerListen: f.Peer, Known: f.Known,
 		Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
 	const address = "an IPv4 address and a port, as 127.0.0.1:6379"
 	for _, a := range []struct {
 		name, text string
 		must       bool
 	}{{"listen", f.Listen, true}, {"discovery", f.Discovery, true}, {"peer_listen", f.Peer, false}} {
-		if _, err := ipv4(a.text); err != nil && (a.must || a.text != "") {
+		if _, err := parseIPv4(a.text); err != nil && (a.must || a.text != "") {
 			return nil, fault(a.name, fmt.Sprintf("%s is %q", a.name, a.text), address)
 		}
 	}
 	for _, text := range f.Peers {
-		a, err := ipv4(text)
+		a, err := parseIPv4(text)
 		if err != nil {
 			return nil, fault("peers", fmt.Sprintf("an address of peers is %q", text), address)
 		}
@@ -112,7 +112,7 @@
 	}
 	if f.PeersAll != "" {
 		var err error
-		if p.PeersAll, err = ipv4(f.PeersAll); err != nil {
+		if p.PeersAll, err = parseIPv4(f.PeersAll); err != nil {
 			return nil, fault("peers_all", fmt.Sprintf("peers_all is %q", f.PeersAll), address)
 		}
 	}
@@ -123,8 +123,8 @@
 		h.Write([]byte(f.Seed))
 		p.Seed = int64(h.Sum64())
 	}
-	if p.Sockets < leastSockets {
-		return nil, fault("sockets", fmt.Sprintf("sockets is %d", p.Sockets), fmt.Sprintf("%d or more", leastSockets))
+	if p.Sockets < minSockets {
+		return nil, fault("sockets", fmt.Sprintf("sockets is %d", p.Sockets), fmt.Sprintf("%d or more", minSockets))
 	}
 	if p.MemoryMB < 1 {
 		return nil, fault("memory_mb", fmt.Sprintf("memory_mb is %g", f.Limits.MemoryMB), "1 or more")
@@ -139,10 +139,10 @@
 	if len(p.Site.OpTypes) == 0 || len(p.Site.Plans) == 0 {
 		return nil, fault("settings", "settings has no classes or no plans", "one of each at least")
 	}
-	// Whatever the settings allow between two calls, a change counts as told after toldAfter; the module calls again
+	// Whatever the settings allow between two calls, a change counts as told after notifiedWithin; the module calls again
 	// within a quarter of this.
 	if within, ok := p.Site.Values["list.ask_within"].(time.Duration); ok {
-		p.Site.Values["list.ask_within"] = min(within, toldAfter*4/3)
+		p.Site.Values["list.ask_within"] = min(within, notifiedWithin*4/3)
 	}
 	if len(f.Known) > 0 {
 		if _, _, err := readList(f.Known); err != nil {
@@ -152,7 +152,7 @@
 	return p, nil
 }
 
-func ipv4(text string) (netip.AddrPort, error) {
+func parseIPv4(text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err == nil && !a.Addr().Is4() {
 		err = errors.New("no IPv4 address")
--- a/scheduler/platform_test.go
+++ b/scheduler/platform_test.go
@@ -210,8 +210,8 @@
 		t.Fatal(got)
 	}
 	var open int
-	w.on(func() { open = w.s.clientFiles })
-	if open > w.s.share(ofClients) {
+	w.on(func() { open = w.s.clientConnCount })
+	if open > w.s.descriptorQuota(clientDescriptorShare) {
 		t.Errorf("%d connections of clients", open)
 	}
 	go func() {
@@ -297,11 +297,11 @@
 // TestReports: a load report is told by the module's names, and one that can't be read is none.
 func TestReports(t *testing.T) {
 	fields := []string{"util", "latency_ms"}
-	if got := load("util=0.61,latency_ms=12.5", fields); len(got) != 2 || got["util"] != 0.61 || got["latency"] != 12.5 {
+	if got := parseLoadReport("util=0.61,latency_ms=12.5", fields); len(got) != 2 || got["util"] != 0.61 || got["latency"] != 12.5 {
 		t.Error(got)
 	}
 	for _, text := range []string{"", "util=0.61", "util=x,latency_ms=1", "util=NaN,latency_ms=1", "util=-1,latency_ms=1", "\xff=,=,,="} {
-		if got := load(text, fields); got != nil {
+		if got := parseLoadReport(text, fields); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
@@ -356,7 +356,7 @@
 // TestOwnConnections: ops out together have a connection each, so that a short one does not wait for a long one's
 // answer; where descriptors are short they share, and all are still answered.
 func TestOwnConnections(t *testing.T) {
-	for sockets, most := range map[int]int{256: 24, leastSockets: 9} {
+	for sockets, most := range map[int]int{256: 24, minSockets: 9} {
 		w := start(t, 1, func(m map[string]any) { m["limits"].(map[string]any)["sockets"] = sockets })
 		w.disks[0].Apply(standin.Faults{Delay: 20 * time.Millisecond})
 		c := w.dial()
@@ -372,8 +372,8 @@
 			t.Errorf("%d descriptors: %d connections", sockets, ever)
 		}
 		w.on(func() {
-			if w.s.files > w.s.share(ofServers) {
-				t.Errorf("%d connections of %d", w.s.files, w.s.share(ofServers))
+			if w.s.serverConnCount > w.s.descriptorQuota(serverDescriptorShare) {
+				t.Errorf("%d connections of %d", w.s.serverConnCount, w.s.descriptorQuota(serverDescriptorShare))
 			}
 		})
 	}
@@ -457,7 +457,7 @@
 	defer other.Stop()
 	w.conf["discovery"] = other.Address()
 	w.write()
-	p, err := Read(w.file)
+	p, err := ReadConfig(w.file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -494,7 +494,7 @@
 	}
 	select {
 	case err := <-w.done:
-		if took := time.Since(begun); err != nil || took < notice || took > notice+600*time.Millisecond {
+		if took := time.Since(begun); err != nil || took < killGrace || took > killGrace+600*time.Millisecond {
 			t.Errorf("%v after %v", err, took)
 		}
 	case <-time.After(3 * time.Second):
@@ -508,7 +508,7 @@
 	begun := time.Now()
 	w.s.Shutdown()
 	<-w.done
-	if took := time.Since(begun); took > notice+200*time.Millisecond {
+	if took := time.Since(begun); took > killGrace+200*time.Millisecond {
 		t.Errorf("%v", took)
 	}
 }
@@ -530,7 +530,7 @@
 	w.eventually("the end of all", func() bool {
 		ok := false
 		w.on(func() {
-			ok = len(w.s.servers) == 1 && len(w.s.clients) == 0 && w.s.clientFiles == 0 && w.s.book.Outstanding() == 0
+			ok = len(w.s.servers) == 1 && len(w.s.clients) == 0 && w.s.clientConnCount == 0 && w.s.tracker.Outstanding() == 0
 		})
 		return ok
 	})
@@ -566,9 +566,9 @@
 		worlds = append(worlds, w)
 	}
 	worlds[0].on(func() {
-		worlds[0].s.act(honeyplank.Gossip{To: 1, Data: make([]byte, 257)})
-		worlds[0].s.act(honeyplank.Gossip{To: 9, Data: []byte("nobody")})
-		worlds[0].s.act(honeyplank.Gossip{To: 1, Data: []byte("one")})
+		worlds[0].s.execute(honeyplank.Gossip{To: 1, Data: make([]byte, 257)})
+		worlds[0].s.execute(honeyplank.Gossip{To: 9, Data: []byte("nobody")})
+		worlds[0].s.execute(honeyplank.Gossip{To: 1, Data: []byte("one")})
 	})
 	if got := <-heard; got != "1 from 0: one" {
 		t.Error(got)
@@ -577,7 +577,7 @@
 		c.Write([]byte("stranger"))
 		c.Close()
 	}
-	worlds[1].on(func() { worlds[1].s.act(honeyplank.Gossip{To: honeyplank.AllPeers, Data: []byte("all")}) })
+	worlds[1].on(func() { worlds[1].s.execute(honeyplank.Gossip{To: honeyplank.AllPeers, Data: []byte("all")}) })
 	if got := <-heard; got != "0 from 1: all" {
 		t.Error(got)
 	}
@@ -598,13 +598,13 @@
 		}
 	})
 	w.disks[0].Apply(standin.Faults{Report: "util=0.5,latency_ms=3"})
-	w.on(func() { w.s.act(honeyplank.Probe{Server: "s-0"}) })
+	w.on(func() { w.s.execute(honeyplank.Probe{Server: "s-0"}) })
 	if p := <-told; p.Code != honeyplank.Succeeded || p.Load["latency"] != 3 {
 		t.Errorf("%+v", p)
 	}
 	w.disks[0].Stop()
 	time.Sleep(20 * time.Millisecond)
-	w.on(func() { w.s.act(honeyplank.Probe{Server: "s-0"}) })
+	w.on(func() { w.s.execute(honeyplank.Probe{Server: "s-0"}) })
 	if p := <-told; p.Code != honeyplank.ConnectFailed {
 		t.Errorf("%+v", p)
 	}
@@ -613,7 +613,7 @@
 // TestFaults: a configuration that can't be used is told with file, line, what is wrong and what would be right.
 func TestFaults(t *testing.T) {
 	good := "{\"name\":\"n0\",\n\"listen\":\"127.0.0.1:0\",\n\"discovery\":\"127.0.0.1:1\",\n\"limits\":{\"memory_mb\":64,\n\"sockets\":256},\n\"peers\":[],\n\"settings\":" + settings + "}"
-	if _, err := parse("f", []byte(good)); err != nil {
+	if _, err := parseConfig("f", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range []struct {
@@ -631,13 +631,13 @@
 		{`"sockets":256`, `"sockets":"256"`, 5, "cannot unmarshal"},
 		{`"peers":[]`, `"known":{"members":5},"peers":[]`, 6, "known"},
 	} {
-		_, err := parse("f", []byte(strings.Replace(good, x.old, x.new, 1)))
-		var f *Fault
+		_, err := parseConfig("f", []byte(strings.Replace(good, x.old, x.new, 1)))
+		var f *ConfigError
 		if !errors.As(err, &f) || f.Line != x.line || !strings.Contains(f.Wrong, x.wrong) || f.Want == "" {
 			t.Errorf("%s: %v, expected line %d: %s", x.new, err, x.line, x.wrong)
 		}
 	}
-	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := ReadConfig(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("a file that is not there is read")
 	}
 	if err := os.WriteFile(filepath.Join(t.TempDir(), "x"), nil, 0o600); err != nil {
--- a/scheduler/quiet_test.go
+++ b/scheduler/quiet_test.go
@@ -66,7 +66,7 @@
 			})
 			c := w.dial()
 			c.ask("BLK.WRITE", piece, "first", terms("write", 9000, 0), "x")
-			time.Sleep(2 * restOfLink)
+			time.Sleep(2 * minConnRest)
 			act := func() {
 				x.idle(w.disks[0])
 				for deadline := time.Now().Add(2 * time.Second); !x.fails && time.Now().Before(deadline); {
@@ -78,7 +78,7 @@
 			}
 			if x.before {
 				act()
-				w.eventually("the end", func() (ok bool) { w.on(func() { ok = len(w.s.servers["s-0"].links) == 0 }); return ok })
+				w.eventually("the end", func() (ok bool) { w.on(func() { ok = len(w.s.servers["s-0"].conns) == 0 }); return ok })
 				c.send("BLK.WRITE", piece, "second", terms("write", 9000, 0), "x")
 			} else {
 				w.on(func() {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -22,89 +22,91 @@
 
 // Scheduler is one running scheduler. All but New, Serve, Shutdown and Reload runs on its loop.
 type Scheduler struct {
-	papers      *Papers
-	log         zerolog.Logger
-	loop        *eventloop.Loop
-	book        *inflight.Tracker
-	listener    *eventloop.Listener
-	peers       *eventloop.UDPConn
-	clients     map[*client]bool
-	servers     map[honeyplank.ServerID]*server
-	files       int // connections to disk servers
-	undialled   int // connections to disk servers that could not even be begun since one was
-	clientFiles int // connections of clients, those that are closing too
-	spoken      int // those of them that have brought an op
-	slowed      int // those that are not read for a while
-	held        held
-	began       starts
-	wall        func() time.Time   // the wall clock, which may step at any time
-	watching    context.CancelFunc // nil: no watch
-	ending      bool
-	sure        bool // no client will come any more
-	shut        bool // no connection is kept
-	ended       bool
-	last        last
+	config           *Config
+	log              zerolog.Logger
+	loop             *eventloop.Loop
+	tracker          *inflight.Tracker
+	listener         *eventloop.Listener
+	peers            *eventloop.UDPConn
+	clients          map[*client]bool
+	servers          map[honeyplank.ServerID]*diskServer
+	serverConnCount  int // connections to disk servers
+	failedDials      int // connections to disk servers that could not even be begun since one was
+	clientConnCount  int // connections of clients, those that are closing too
+	activeClients    int // those of them that have brought an op
+	throttledClients int // those that are not read for a while
+	revisionGuard    revisionGuard
+	starts           startTracker
+	wall             func() time.Time   // the wall clock, which may step at any time
+	stopWatch        context.CancelFunc // nil: no watch
+	shuttingDown     bool
+	graceElapsed     bool // no client will come any more
+	intakeClosed     bool // no connection is kept
+	stopping         bool
+	shutdown         shutdownPlan
 	// Commands answered with an error, connections that could not be read, and ones there was no room for.
-	errors, breaches, turnedAway int
-	told                         time.Duration
+	errorReplies, protocolErrors, rejectedConns int
+	countersLoggedAt                            time.Duration
 }
 
 // Descriptors: some are kept for the listener, the loop, discovery and files, the rest is shared.
 const (
-	kept      = 24
-	ofClients = 0.6
-	ofServers = 0.4
-	tending   = 250 * time.Millisecond
-	telling   = 5 * time.Second
+	reservedDescriptors   = 24
+	clientDescriptorShare = 0.6
+	serverDescriptorShare = 0.4
+	housekeepingInterval  = 250 * time.Millisecond
+	counterInterval       = 5 * time.Second
 	// The platform kills a process no sooner than this after SIGTERM, plus the longest op timeout, of which it
 	// counts so much at most.
-	notice     = 700 * time.Millisecond
-	mostNotice = 3 * time.Second
-	// heldUp is how long a scheduler may be held up between reading its clock and writing.
-	heldUp = 150 * time.Millisecond
-	// arriving is how long after SIGTERM new connections may come, with some time to take them up.
-	arriving = 420 * time.Millisecond
+	killGrace   = 700 * time.Millisecond
+	maxKillWait = 3 * time.Second
+	// maxHoldUp is how long a scheduler may be held up between reading its clock and writing.
+	maxHoldUp = 150 * time.Millisecond
+	// minIntakeTime is how long after SIGTERM new connections may come, with some time to take them up.
+	minIntakeTime = 420 * time.Millisecond
 	// So long before the kill no more ops are taken, and then what is left is aborted. A hold-up may come before SIGTERM
 	// is heard and another before the last answers are written; what is left is for their way.
-	lastOps     = 520 * time.Millisecond
-	lastAnswers = 2*heldUp + lastReads
-	// lastReads is how long clients have at least for their last answers before the sockets are closed over what they
-	// still send, and lastLook the time between two looks at whether they have them.
-	lastReads = 30 * time.Millisecond
-	lastLook  = 5 * time.Millisecond
-	// settling is how long nobody may have been there before the end: a connection may stand in the listener's queue.
-	settling = 5 * time.Millisecond
-	// A start that lacks descriptors or memory is tried again after reopen, for reopenFor.
-	reopen    = 50 * time.Millisecond
-	reopenFor = 5 * time.Second
+	intakeMargin = 520 * time.Millisecond
+	answerMargin = 2*maxHoldUp + flushMargin
+	// flushMargin is how long clients have at least for their last answers before the sockets are closed over what they
+	// still send, and flushPollInterval the time between two looks at whether they have them.
+	flushMargin       = 30 * time.Millisecond
+	flushPollInterval = 5 * time.Millisecond
+	// idleBeforeStop is how long nobody may have been there before the end: a connection may stand in the listener's queue.
+	idleBeforeStop = 5 * time.Millisecond
+	// A start that lacks descriptors or memory is tried again after reopen, for listenRetryFor.
+	listenRetryDelay = 50 * time.Millisecond
+	listenRetryFor   = 5 * time.Second
 )
 
-func (s *Scheduler) site() *simwire.Site { return s.papers.Site }
+func (s *Scheduler) settings() *simwire.Site { return s.config.Site }
 
-func (s *Scheduler) share(of float64) int { return int(of * float64(s.papers.Sockets-kept)) }
+func (s *Scheduler) descriptorQuota(of float64) int {
+	return int(of * float64(s.config.Sockets-reservedDescriptors))
+}
 
 // New makes a scheduler and listens. Nothing is served before Serve.
-func New(p *Papers, log zerolog.Logger) (*Scheduler, error) {
-	return with(p, policy.New(p.Seed, p.Site.Values), log)
+func New(p *Config, log zerolog.Logger) (*Scheduler, error) {
+	return newWithModule(p, policy.New(p.Seed, p.Site.Values), log)
 }
 
-// with makes a scheduler round a module.
-func with(p *Papers, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
+// newWithModule makes a scheduler round a module.
+func newWithModule(p *Config, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
 	v := p.Site.Values
 	span := func(name string) time.Duration { d, _ := v[name].(time.Duration); return d }
 	// The clock starts late enough for a disk server that started before to have a start.
 	origin := span("list.ask_within") + 2*(span("cold.time")+span("cold.window"))
-	for begun := time.Now(); ; time.Sleep(reopen) {
+	for begun := time.Now(); ; time.Sleep(listenRetryDelay) {
 		s, err := open(p, module, log, origin)
-		if err == nil || !short(err) || time.Since(begun) > reopenFor {
+		if err == nil || !isTransient(err) || time.Since(begun) > listenRetryFor {
 			return s, err
 		}
 		log.Warn().Err(err).Msg("it can't listen yet")
 	}
 }
 
-// short tells that an error is one of a machine that lacks something for a moment.
-func short(err error) bool {
+// isTransient tells that an error is one of a machine that lacks something for a moment.
+func isTransient(err error) bool {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
 		if errors.Is(err, errno) {
 			return true
@@ -114,17 +116,17 @@
 }
 
 // open opens what a scheduler listens on.
-func open(p *Papers, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
+func open(p *Config, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
 	l, err := eventloop.New(origin)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	s := &Scheduler{papers: p, log: log, loop: l, wall: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*server{}}
-	s.book = inflight.New(l, module, sender{s})
-	s.book.OnAction = s.act
-	s.book.OnIdle = s.check
-	if s.listener, err = l.Listen(p.Listen, s.accept); err == nil && p.Peer != "" && p.Site.Peers {
-		s.peers, err = l.ListenUDP(p.Peer, s.hearPeer)
+	s := &Scheduler{config: p, log: log, loop: l, wall: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*diskServer{}}
+	s.tracker = inflight.New(l, module, sender{s})
+	s.tracker.OnAction = s.execute
+	s.tracker.OnIdle = s.stopIfIdle
+	if s.listener, err = l.Listen(p.Listen, s.accept); err == nil && p.PeerListen != "" && p.Site.Peers {
+		s.peers, err = l.ListenUDP(p.PeerListen, s.receiveGossip)
 	}
 	if err != nil {
 		l.Stop()
@@ -140,36 +142,36 @@
 // Serve runs the scheduler until Shutdown has ended it.
 func (s *Scheduler) Serve() error {
 	s.loop.Post(func() {
-		known := &list{}
-		if len(s.papers.Known) > 0 {
-			known, _, _ = readList(s.papers.Known)
+		known := &listMessage{}
+		if len(s.config.Known) > 0 {
+			known, _, _ = readList(s.config.Known)
 		}
-		s.held.revision = known.Revision
-		s.hear(known, honeyplank.Cached, s.loop.Now())
-		if !s.site().Ask {
-			s.watch(true)
+		s.revisionGuard.revision = known.Revision
+		s.applyList(known, honeyplank.Cached, s.loop.Now())
+		if !s.settings().Ask {
+			s.setWatch(true)
 		}
-		s.tick()
+		s.housekeep()
 	})
 	return s.loop.Run()
 }
 
-func (s *Scheduler) tick() {
-	s.tend()
-	s.attend()
-	if now := s.loop.Now(); now-s.told >= telling {
-		s.told = now
-		s.tell()
+func (s *Scheduler) housekeep() {
+	s.closeIdleServerConns()
+	s.checkClients()
+	if now := s.loop.Now(); now-s.countersLoggedAt >= counterInterval {
+		s.countersLoggedAt = now
+		s.logCounters()
 	}
-	s.loop.Schedule(s.loop.Now()+tending, s.tick)
+	s.loop.Schedule(s.loop.Now()+housekeepingInterval, s.housekeep)
 }
 
-// tell logs what has been done so far and what is open.
-func (s *Scheduler) tell() {
-	n := &s.book.Counts
+// logCounters logs what has been done so far and what is open.
+func (s *Scheduler) logCounters() {
+	n := &s.tracker.Counts
 	s.log.Info().Int("taken", n.Admitted).Int("acked", n.Succeeded).Int("throttled", n.Rejected).Int("aborted", n.Failed).Int("lapsed", n.ClientsGone).
-		Int("dispatches", n.Dispatches).Int("owed", s.book.Unanswered()).Int("out", s.book.Outstanding()).Int("errors", s.errors).Int("breaches", s.breaches).
-		Int("turned_away", s.turnedAway).Int("clients", s.clientFiles).Int("spoken", s.spoken).Int("disk_servers", len(s.servers)).Int("connections", s.files).Msg("counts")
+		Int("dispatches", n.Dispatches).Int("owed", s.tracker.Unanswered()).Int("out", s.tracker.Outstanding()).Int("errors", s.errorReplies).Int("breaches", s.protocolErrors).
+		Int("turned_away", s.rejectedConns).Int("clients", s.clientConnCount).Int("spoken", s.activeClients).Int("disk_servers", len(s.servers)).Int("connections", s.serverConnCount).Msg("counts")
 }
 
 // Shutdown ends the scheduler in order. Clients go on with the connections that they have, so these are served
@@ -178,46 +180,46 @@
 func (s *Scheduler) Shutdown() {
 	told := s.loop.Now() // the loop may hear of it late
 	s.loop.Post(func() {
-		if s.ending {
+		if s.shuttingDown {
 			return
 		}
-		s.ending = true
-		s.log.Info().Int("open", s.book.Unanswered()).Msg("ending")
-		s.tell()
+		s.shuttingDown = true
+		s.log.Info().Int("open", s.tracker.Unanswered()).Msg("ending")
+		s.logCounters()
 		var longest time.Duration
-		for _, t := range s.site().Values["optypes.op_timeout"].([]time.Duration) {
+		for _, t := range s.settings().Values["optypes.op_timeout"].([]time.Duration) {
 			longest = max(longest, t)
 		}
-		s.last = lastTimes(told, longest)
-		s.loop.Schedule(told+notice, func() { s.sure = true; s.check() })
-		s.loop.Schedule(s.last.ops, func() { // in the next round: who waits at the listener comes in before
-			s.loop.Schedule(s.loop.Now(), s.takeNoMore)
+		s.shutdown = planShutdown(told, longest)
+		s.loop.Schedule(told+killGrace, func() { s.graceElapsed = true; s.stopIfIdle() })
+		s.loop.Schedule(s.shutdown.closeIntake, func() { // in the next round: who waits at the listener comes in before
+			s.loop.Schedule(s.loop.Now(), s.closeIntake)
 		})
 	})
 }
 
-// last is when what happens before the platform kills the process: no more ops are taken; what is left is aborted.
-type last struct{ ops, answers, killed time.Duration }
+// shutdownPlan is when what happens before the platform kills the process: no more ops are taken; what is left is aborted.
+type shutdownPlan struct{ closeIntake, failRemaining, killTime time.Duration }
 
-// lastTimes plans the end of a scheduler that was told of it at a time and whose ops have a longest time.
-func lastTimes(told, longest time.Duration) last {
-	killed := told + min(longest, mostNotice) + notice
-	return last{ops: max(killed-lastOps, told+arriving), answers: killed - lastAnswers, killed: killed}
+// planShutdown plans the end of a scheduler that was told of it at a time and whose ops have a longest time.
+func planShutdown(told, longest time.Duration) shutdownPlan {
+	killed := told + min(longest, maxKillWait) + killGrace
+	return shutdownPlan{closeIntake: max(killed-intakeMargin, told+minIntakeTime), failRemaining: killed - answerMargin, killTime: killed}
 }
 
-// takeNoMore has every client get an end in order once it has its answers. What has not been read stays unread: its
+// closeIntake has every client get an end in order once it has its answers. What has not been read stays unread: its
 // client sends it again elsewhere.
-func (s *Scheduler) takeNoMore() {
-	s.shut, s.sure = true, true
+func (s *Scheduler) closeIntake() {
+	s.intakeClosed, s.graceElapsed = true, true
 	s.listener.Close()
 	for c := range s.clients {
-		c.part()
+		c.closeWhenAnswered()
 	}
-	s.check()
-	s.loop.Schedule(s.last.answers, func() {
-		s.book.FailAll()
-		s.tell()
-		s.leave(s.loop.Now() + lastReads)
+	s.stopIfIdle()
+	s.loop.Schedule(s.shutdown.failRemaining, func() {
+		s.tracker.FailAll()
+		s.logCounters()
+		s.leave(s.loop.Now() + flushMargin)
 	})
 }
 
@@ -226,8 +228,8 @@
 func (s *Scheduler) leave(at time.Duration) {
 	s.loop.Schedule(at, func() {
 		for c := range s.clients {
-			if c.conn.UnackedBytes() > 0 && s.loop.Now() < s.last.killed-lastReads {
-				s.leave(s.loop.Now() + lastLook)
+			if c.conn.UnackedBytes() > 0 && s.loop.Now() < s.shutdown.killTime-flushMargin {
+				s.leave(s.loop.Now() + flushPollInterval)
 				return
 			}
 		}
@@ -235,40 +237,42 @@
 	})
 }
 
-// check ends the loop once the platform sends no clients any more, none is left, and no op is owed an answer.
-func (s *Scheduler) check() {
-	if !s.alone() || s.ended {
+// stopIfIdle ends the loop once the platform sends no clients any more, none is left, and no op is owed an answer.
+func (s *Scheduler) stopIfIdle() {
+	if !s.isIdle() || s.stopping {
 		return
 	}
-	s.ended = true
-	s.loop.Schedule(s.loop.Now()+settling, func() {
-		if s.ended = s.alone(); s.ended {
-			s.tell()
-			s.watch(false)
+	s.stopping = true
+	s.loop.Schedule(s.loop.Now()+idleBeforeStop, func() {
+		if s.stopping = s.isIdle(); s.stopping {
+			s.logCounters()
+			s.setWatch(false)
 			s.loop.Stop()
 		}
 	})
 }
 
-func (s *Scheduler) alone() bool { return s.sure && s.book.Unanswered() == 0 && len(s.clients) == 0 }
+func (s *Scheduler) isIdle() bool {
+	return s.graceElapsed && s.tracker.Unanswered() == 0 && len(s.clients) == 0
+}
 
 // Reload takes over a configuration that has been replaced: where discovery is, the peers, and the limits.
-func (s *Scheduler) Reload(p *Papers) {
+func (s *Scheduler) Reload(p *Config) {
 	s.loop.Post(func() {
-		moved := p.Discovery != s.papers.Discovery
-		site := s.papers.Site // the module knows these settings for good
-		s.papers = p
+		moved := p.Discovery != s.config.Discovery
+		site := s.config.Site // the module knows these settings for good
+		s.config = p
 		p.Site = site
 		if moved { // also where a call to the old one had failed and the next is still to come
-			s.watch(false)
-			s.watch(true)
+			s.setWatch(false)
+			s.setWatch(true)
 		}
 		s.log.Info().Str("discovery", p.Discovery).Bool("moved", moved).Msg("configuration read anew")
 	})
 }
 
-// act does what the module says beside ops and timers.
-func (s *Scheduler) act(action honeyplank.Action) {
+// execute does what the module says beside ops and timers.
+func (s *Scheduler) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.Probe:
 		s.probe(a.Server)
@@ -279,89 +283,89 @@
 			}
 		}
 	case honeyplank.Gossip:
-		s.tellPeer(a)
+		s.sendGossip(a)
 	case honeyplank.Log:
 		s.log.Info().Msg(a.Text)
 	case honeyplank.Watch:
-		s.watch(a.Enabled)
+		s.setWatch(a.Enabled)
 	case honeyplank.Fetch:
-		go fetch(context.Background(), s.papers.Discovery, s.within(), s.heard(context.Background(), once), s.failed(context.Background(), once))
+		go fetchList(context.Background(), s.config.Discovery, s.callTimeout(), s.listReceived(context.Background(), fetchCall), s.callFailed(context.Background(), fetchCall))
 	}
 }
 
 // probe asks a disk server for its load.
 func (s *Scheduler) probe(id honeyplank.ServerID) {
 	sv := s.servers[id]
-	if sv == nil || !s.site().Probes {
-		s.book.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.NotSent})
+	if sv == nil || !s.settings().Probes {
+		s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.NotSent})
 		return
 	}
-	e := &entry{server: sv, at: s.loop.Now()}
-	e.timer = s.loop.Schedule(e.at+s.site().ConnectWithin, func() {
-		if !e.left {
-			e.giveUp()
-			s.book.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - e.at})
+	e := &attempt{server: sv, started: s.loop.Now()}
+	e.timer = s.loop.Schedule(e.started+s.settings().ConnectWithin, func() {
+		if !e.finished {
+			e.cancel()
+			s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - e.started})
 		}
 	})
-	sv.carry(e)
+	sv.assignConn(e)
 }
 
 // ---- The list ----
 
-// watch starts or ends following discovery.
-func (s *Scheduler) watch(on bool) {
-	if !on && s.watching != nil {
-		s.watching()
-		s.watching = nil
+// setWatch starts or ends following discovery.
+func (s *Scheduler) setWatch(on bool) {
+	if !on && s.stopWatch != nil {
+		s.stopWatch()
+		s.stopWatch = nil
 	}
-	if !on || s.watching != nil {
+	if !on || s.stopWatch != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.watching = cancel
-	go watch(ctx, s.papers.Discovery, s.held.revision, s.within(), s.stands(ctx), s.heard(ctx, following), s.failed(ctx, following))
+	s.stopWatch = cancel
+	go watchList(ctx, s.config.Discovery, s.revisionGuard.revision, s.callTimeout(), s.watchEstablished(ctx), s.listReceived(ctx, watchCall), s.callFailed(ctx, watchCall))
 }
 
-// within is how long discovery may take to begin an answer. Where calls wait in turn, one that is given up before its turn
+// callTimeout is how long discovery may take to begin an answer. Where calls wait in turn, one that is given up before its turn
 // has been for nothing and comes again, which makes all turns longer.
-func (s *Scheduler) within() time.Duration {
-	if s.site().Ask {
-		return turnWithin
+func (s *Scheduler) callTimeout() time.Duration {
+	if s.settings().Ask {
+		return sharedHeadTimeout
 	}
-	return answerWithin
+	return headTimeout
 }
 
 // callKind tells a call for the whole list from a watch.
 type callKind int
 
 const (
-	once callKind = iota
-	following
+	fetchCall callKind = iota
+	watchCall
 )
 
-// stands tells a module that has asked for the watch that it has it, also where nothing has changed.
-func (s *Scheduler) stands(ctx context.Context) func() {
+// watchEstablished tells a module that has asked for the watch that it has it, also where nothing has changed.
+func (s *Scheduler) watchEstablished(ctx context.Context) func() {
 	return func() {
 		s.loop.Post(func() {
-			if ctx.Err() == nil && s.site().Ask {
-				s.book.Deliver(honeyplank.List{Kind: honeyplank.Delta, Version: s.held.revision})
+			if ctx.Err() == nil && s.settings().Ask {
+				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta, Version: s.revisionGuard.revision})
 			}
 		})
 	}
 }
 
-// heard hands a message over to the loop; one of a watch that has ended is dropped, and one that is older than the list
+// listReceived hands a message over to the loop; one of a watch that has ended is dropped, and one that is older than the list
 // held ends its watch.
-func (s *Scheduler) heard(ctx context.Context, call callKind) func(*list, []string) {
-	return func(l *list, skipped []string) {
+func (s *Scheduler) listReceived(ctx context.Context, call callKind) func(*listMessage, []string) {
+	return func(l *listMessage, skipped []string) {
 		told := s.loop.Now() // the loop may hear of it late
 		s.loop.Post(func() {
-			if ctx.Err() != nil || call == once && l.Revision < s.held.revision {
+			if ctx.Err() != nil || call == fetchCall && l.Revision < s.revisionGuard.revision {
 				return
 			}
-			l.follows = l.Complete || l.Revision >= s.held.revision
-			if !s.held.believe(s.loop.Now(), l) {
-				s.broken(errOlder)
+			l.isCurrent = l.Complete || l.Revision >= s.revisionGuard.revision
+			if !s.revisionGuard.accept(s.loop.Now(), l) {
+				s.watchBroken(errOldList)
 				return
 			}
 			for _, text := range skipped {
@@ -371,90 +375,90 @@
 			if l.Complete {
 				kind = honeyplank.Complete
 			}
-			s.hear(l, kind, told)
+			s.applyList(l, kind, told)
 		})
 	}
 }
 
-func (s *Scheduler) failed(ctx context.Context, call callKind) func(error) {
+func (s *Scheduler) callFailed(ctx context.Context, call callKind) func(error) {
 	return func(err error) {
 		s.loop.Post(func() {
 			switch {
-			case call == once && s.site().Ask: // a watch that stands goes on
-				s.book.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
-			case call == following && ctx.Err() == nil:
-				s.broken(err)
+			case call == fetchCall && s.settings().Ask: // a watch that stands goes on
+				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
+			case call == watchCall && ctx.Err() == nil:
+				s.watchBroken(err)
 			}
 		})
 	}
 }
 
-// broken is told that discovery could not be followed. Where it stands on this machine the next watch follows at once;
+// watchBroken is told that discovery could not be followed. Where it stands on this machine the next watch follows at once;
 // where all ask one discovery the module says when: calls that come again at once, from all, keep it from answering any.
-func (s *Scheduler) broken(err error) {
+func (s *Scheduler) watchBroken(err error) {
 	s.log.Info().Err(err).Msg("discovery can't be followed")
-	s.watch(false)
-	if s.site().Ask {
-		s.book.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
+	s.setWatch(false)
+	if s.settings().Ask {
+		s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 	} else {
-		s.loop.Schedule(s.loop.Now()+again, func() { s.watch(!s.ended) })
+		s.loop.Schedule(s.loop.Now()+watchRetryDelay, func() { s.setWatch(!s.stopping) })
 	}
 }
 
-// hear takes over what a list that came at a time says and tells the module.
-func (s *Scheduler) hear(l *list, kind honeyplank.ListKind, told time.Duration) {
+// applyList takes over what a list that came at a time says and tells the module.
+func (s *Scheduler) applyList(l *listMessage, kind honeyplank.ListKind, told time.Duration) {
 	e := honeyplank.List{Kind: kind, Version: l.Revision}
-	s.began.at(s.wall(), s.loop.Now()) // in this order: a halt between them makes starts later, not earlier
+	s.starts.observeClocks(s.wall(), s.loop.Now()) // in this order: a halt between them makes starts later, not earlier
 	listed := map[honeyplank.ServerID]bool{}
-	var named []*server
+	var named []*diskServer
 	for _, m := range l.Members {
 		listed[honeyplank.ServerID(m.ID)] = true
-		named = append(named, s.place(m))
-		e.Members = append(e.Members, s.member(m))
+		named = append(named, s.applyMember(m))
+		e.Members = append(e.Members, s.toMember(m))
 	}
-	s.began.heard(l, kind)
+	s.starts.listApplied(l, kind)
 	if kind != honeyplank.Delta {
 		for id, sv := range s.servers {
 			if !listed[id] {
-				named = append(named, s.place(member{ID: string(id), Address: sv.address, Phase: "removed"}))
+				named = append(named, s.applyMember(listMember{ID: string(id), Address: sv.address, Phase: "removed"}))
 			}
 		}
 	}
-	s.book.Deliver(e)
+	s.tracker.Deliver(e)
 	for _, sv := range named { // by now the module sends them nothing new
-		sv.ends(told)
+		sv.enforceDrainGrace(told)
 	}
 }
 
-// member is an entry as the module knows it.
-func (s *Scheduler) member(m member) honeyplank.Member {
+// toMember is an entry as the module knows it.
+func (s *Scheduler) toMember(m listMember) honeyplank.Member {
 	out := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: phases[m.Phase]}
-	out.Model, _ = index("model", s.site().Models, m.Model)
-	out.Zone, _ = index("zone", s.site().Zones, m.Zone)
-	out.Started = s.began.start(m)
+	out.Model, _ = indexOf("model", s.settings().Models, m.Model)
+	out.Zone, _ = indexOf("zone", s.settings().Zones, m.Zone)
+	out.Started = s.starts.startOf(m)
 	return out
 }
 
 // ---- Peers ----
 
-const mostDatagram = 256
+const maxDatagram = 256
 
-func (s *Scheduler) tellPeer(a honeyplank.Gossip) {
-	if s.peers == nil || len(a.Data) > mostDatagram {
+func (s *Scheduler) sendGossip(a honeyplank.Gossip) {
+	if s.peers == nil || len(a.Data) > maxDatagram {
 		return
 	}
 	switch {
-	case a.To >= 0 && a.To < len(s.papers.Peers):
-		s.peers.Send(s.papers.Peers[a.To], a.Data)
-	case a.To == honeyplank.AllPeers && s.papers.PeersAll.IsValid():
-		s.peers.Send(s.papers.PeersAll, a.Data)
+	case a.To >= 0 && a.To < len(s.config.Peers):
+		s.peers.Send(s.config.Peers[a.To], a.Data)
+	case a.To == honeyplank.AllPeers && s.config.PeersAll.IsValid():
+		s.peers.Send(s.config.PeersAll, a.Data)
 	}
 }
 
-func (s *Scheduler) hearPeer(from netip.AddrPort, b []byte) {
-	for i, p := range s.papers.Peers {
-		if p == from && len(b) <= mostDatagram {
-			s.book.Deliver(honeyplank.PeerMessage{From: i, Data: append([]byte(nil), b...)})
+func (s *Scheduler) receiveGossip(from netip.AddrPort, b []byte) {
+	for i, p := range s.config.Peers {
+		if p == from && len(b) <= maxDatagram {
+			s.tracker.Deliver(honeyplank.PeerMessage{From: i, Data: append([]byte(nil), b...)})
 		}
 	}
 }
--- a/scheduler/servers.go
+++ b/scheduler/servers.go
@@ -14,71 +14,71 @@
 	"honeyplank/resp"
 )
 
-// server is the connections to one disk server. An op has a connection of its own while descriptors last, since
+// diskServer is the connections to one disk server. An op has a connection of its own while descriptors last, since
 // answers come in the order of commands; past that, connections carry several.
-type server struct {
-	s       *Scheduler
-	id      honeyplank.ServerID
-	address string
-	gone    bool
-	drains  bool
-	rousing bool    // rouse will be called
-	links   []*link // all that are open or being opened, oldest first
-	idle    []*link // those that carry nothing, the one that has rested longest first
-	waiting []*entry
-	dialing int
-	dialAt  time.Duration // no dial before
-	redials int           // that could not even begin, in a row
-}
-
-// link is one connection to a disk server.
-type link struct {
-	server *server
-	conn   *eventloop.Conn
-	up     bool
-	shut   bool     // takes nothing new and closes after what is out
-	out    []*entry // in the order written
-	in     resp.Reader
-	put    uint64 // bytes ever appended
-	since  time.Duration
-	timer  *eventloop.Timer
-}
-
-// entry is a dispatch, or a probe, on its way.
-type entry struct {
-	d      *inflight.Dispatch // nil: a probe
-	server *server
-	link   *link // nil: it waits for a connection
-	at     time.Duration
-	made   time.Duration // when its bytes were made
-	head   uint64        // where its bytes on the link begin,
-	tail   uint64        // and end
-	left   bool          // given up: its answer is nobody's
-	timer  *eventloop.Timer
+type diskServer struct {
+	scheduler     *Scheduler
+	id            honeyplank.ServerID
+	address       string
+	removed       bool
+	draining      bool
+	wakeScheduled bool          // rouse will be called
+	conns         []*serverConn // all that are open or being opened, oldest first
+	idle          []*serverConn // those that carry nothing, the one that has rested longest first
+	waiting       []*attempt
+	dialing       int
+	redialAfter   time.Duration // no dial before
+	redials       int           // that could not even begin, in a row
+}
+
+// serverConn is one connection to a disk server.
+type serverConn struct {
+	server        *diskServer
+	conn          *eventloop.Conn
+	connected     bool
+	retiring      bool       // takes nothing new and closes after what is out
+	inFlight      []*attempt // in the order written
+	reader        resp.Reader
+	appendedBytes uint64 // bytes ever appended
+	idleSince     time.Duration
+	connectTimer  *eventloop.Timer
+}
+
+// attempt is a dispatch, or a probe, on its way.
+type attempt struct {
+	dispatch  *inflight.Dispatch // nil: a probe
+	server    *diskServer
+	conn      *serverConn // nil: it waits for a connection
+	started   time.Duration
+	encodedAt time.Duration // when its bytes were made
+	firstByte uint64        // where its bytes on the link begin,
+	endByte   uint64        // and end
+	finished  bool          // given up: its answer is nobody's
+	timer     *eventloop.Timer
 }
 
 const (
-	// restOfLink is how long a connection rests before it carries the next op: what comes in the meantime is no
+	// minConnRest is how long a connection rests before it carries the next op: what comes in the meantime is no
 	// answer to that. It guards against servers that answer a second time some milliseconds late (1.2 to 3.9 were met),
 	// and costs connections.
-	restOfLink = 8 * time.Millisecond
+	minConnRest = 8 * time.Millisecond
 	// After a dial that could not begin the next follows at first after, and later after twice that each time, up to a bound.
-	firstRedial = 10 * time.Millisecond
-	lastRedial  = 160 * time.Millisecond
-	mostRedials = 4
-	// mostDialWait is how long a dispatch waits for a dial that can begin.
-	mostDialWait = 200 * time.Millisecond
+	minRedialDelay = 10 * time.Millisecond
+	maxRedialDelay = 160 * time.Millisecond
+	maxRedialShift = 4
+	// maxDialWait is how long a dispatch waits for a dial that can begin.
+	maxDialWait = 200 * time.Millisecond
 	// A disk server may be told 0.15 s more than a client has left. Bytes that are older than fresh are made anew; those of
-	// a command of which a part has left can't be, and are kept back when they are older than mostStale: a hold-up may
+	// a command of which a part has left can't be, and are kept back when they are older than maxPartialAge: a hold-up may
 	// come on top.
-	fresh     = 5 * time.Millisecond
-	mostStale = 100 * time.Millisecond
+	maxEncodedAge = 5 * time.Millisecond
+	maxPartialAge = 100 * time.Millisecond
 	// What an answer may have: the longest value of the protocol, and lines.
-	mostLineBack = 4096
-	mostValue    = 64 << 10
+	maxReplyLine = 4096
+	maxValue     = 64 << 10
 )
 
-var answerBounds = resp.Bounds{Line: mostLineBack, Bulk: mostValue, Items: 8, Depth: 3, Total: mostValue + 2*mostLineBack}
+var replyBounds = resp.Bounds{Line: maxReplyLine, Bulk: maxValue, Items: 8, Depth: 3, Total: maxValue + 2*maxReplyLine}
 
 // sender carries the dispatches of the books, each with its entry for Link.
 type sender struct{ *Scheduler }
@@ -89,88 +89,88 @@
 		d.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		return
 	}
-	e := &entry{d: d, server: sv, at: s.loop.Now()}
+	e := &attempt{dispatch: d, server: sv, started: s.loop.Now()}
 	d.SenderState = e
-	sv.carry(e)
+	sv.assignConn(e)
 }
 
 func (s sender) Written(d *inflight.Dispatch) bool {
-	e, _ := d.SenderState.(*entry)
-	return e != nil && e.written()
+	e, _ := d.SenderState.(*attempt)
+	return e != nil && e.fullyWritten()
 }
 
 func (s sender) Cancel(d *inflight.Dispatch) {
-	if e, _ := d.SenderState.(*entry); e != nil {
-		e.giveUp()
+	if e, _ := d.SenderState.(*attempt); e != nil {
+		e.cancel()
 	}
 }
 
-func (e *entry) written() bool {
-	l := e.link
-	return l != nil && l.up && e.tail <= l.put-uint64(l.conn.UnsentBytes())
+func (e *attempt) fullyWritten() bool {
+	l := e.conn
+	return l != nil && l.connected && e.endByte <= l.appendedBytes-uint64(l.conn.UnsentBytes())
 }
 
-// giveUp ends the wait for an answer. What has not left is taken back; a connection that carries nothing else closes,
+// cancel ends the wait for an answer. What has not left is taken back; a connection that carries nothing else closes,
 // which tells the server.
-func (e *entry) giveUp() {
-	written := e.written()
-	e.left = true
-	l := e.link
+func (e *attempt) cancel() {
+	written := e.fullyWritten()
+	e.finished = true
+	l := e.conn
 	switch {
 	case l == nil:
-		e.server.unqueue(e)
+		e.server.removeWaiter(e)
 		return
 	case l.conn == nil:
 		return
 	case !written:
-		l.takeBack(e)
+		l.withdraw(e)
 		return
 	}
-	l.shut = true
-	l.closeLeft()
+	l.retiring = true
+	l.closeIfAbandoned()
 }
 
-// takeBack has an entry whose last byte has not left never arrive. It guards against commands that run although they
+// withdraw has an entry whose last byte has not left never arrive. It guards against commands that run although they
 // were told as never sent, once the other end reads on.
-func (l *link) takeBack(e *entry) {
-	i := slices.Index(l.out, e)
-	behind := slices.Clone(l.out[i+1:])
-	gone := l.put - uint64(l.conn.UnsentBytes())
-	if n := e.tail - e.head; e.head >= gone { // none of it has left
-		l.conn.DiscardUnsent(int(e.head-gone), int(e.tail-gone))
-		l.put -= n
+func (l *serverConn) withdraw(e *attempt) {
+	i := slices.Index(l.inFlight, e)
+	behind := slices.Clone(l.inFlight[i+1:])
+	gone := l.appendedBytes - uint64(l.conn.UnsentBytes())
+	if n := e.endByte - e.firstByte; e.firstByte >= gone { // none of it has left
+		l.conn.DiscardUnsent(int(e.firstByte-gone), int(e.endByte-gone))
+		l.appendedBytes -= n
 		for _, x := range behind {
-			x.head, x.tail = x.head-n, x.tail-n
+			x.firstByte, x.endByte = x.firstByte-n, x.endByte-n
 		}
-		if l.out = append(l.out[:i], behind...); len(l.out) > 0 {
-			l.closeLeft()
-		} else if l.shut {
+		if l.inFlight = append(l.inFlight[:i], behind...); len(l.inFlight) > 0 {
+			l.closeIfAbandoned()
+		} else if l.retiring {
 			l.close()
 		} else {
-			l.out = nil
-			l.rest()
+			l.inFlight = nil
+			l.markIdle()
 		}
 		return
 	}
 	// A part has: nothing more may follow, and what is behind goes elsewhere.
-	l.shut = true
+	l.retiring = true
 	l.conn.DiscardUnsent(0, l.conn.UnsentBytes())
-	l.put, l.out = gone, l.out[:i]
-	l.closeLeft()
+	l.appendedBytes, l.inFlight = gone, l.inFlight[:i]
+	l.closeIfAbandoned()
 	for _, x := range behind {
-		if x.link = nil; !x.left {
-			l.server.carry(x)
+		if x.conn = nil; !x.finished {
+			l.server.assignConn(x)
 		}
 	}
 }
 
-// closeLeft closes a connection that takes nothing new once nobody waits for what it carries.
-func (l *link) closeLeft() {
-	if !l.shut {
+// closeIfAbandoned closes a connection that takes nothing new once nobody waits for what it carries.
+func (l *serverConn) closeIfAbandoned() {
+	if !l.retiring {
 		return
 	}
-	for _, x := range l.out {
-		if !x.left {
+	for _, x := range l.inFlight {
+		if !x.finished {
 			return
 		}
 	}
@@ -178,57 +178,57 @@
 }
 
 // end tells how a dispatch or probe ended, once.
-func (e *entry) finish(code honeyplank.Code, data []byte, told inflight.Feedback) {
-	if e.left {
+func (e *attempt) finish(code honeyplank.Code, data []byte, told inflight.Feedback) {
+	if e.finished {
 		return
 	}
-	e.left = true
-	s := e.server.s
-	if e.d != nil {
-		e.d.Finish(code, data, told)
+	e.finished = true
+	s := e.server.scheduler
+	if e.dispatch != nil {
+		e.dispatch.Finish(code, data, told)
 		return
 	}
 	s.loop.Cancel(e.timer)
-	s.book.Deliver(honeyplank.ProbeResult{Server: e.server.id, Code: code, Elapsed: s.loop.Now() - e.at, Load: told.Load})
+	s.tracker.Deliver(honeyplank.ProbeResult{Server: e.server.id, Code: code, Elapsed: s.loop.Now() - e.started, Load: told.Load})
 }
 
 // ---- Which connection ----
 
-// carry writes to a connection that is idle, else opens one, else writes behind others, else waits for one.
-func (sv *server) carry(e *entry) {
-	if l := sv.rested(); l != nil {
-		l.write(e)
+// assignConn writes to a connection that is idle, else opens one, else writes behind others, else waits for one.
+func (sv *diskServer) assignConn(e *attempt) {
+	if l := sv.takeIdleConn(); l != nil {
+		l.send(e)
 		return
 	}
-	if sv.s.loop.Now() >= sv.dialAt && sv.s.room() && sv.dial() == nil {
+	if sv.scheduler.loop.Now() >= sv.redialAfter && sv.scheduler.reserveDescriptor() && sv.dial() == nil {
 		sv.waiting = append(sv.waiting, e)
 		return
 	}
-	var least *link
-	for _, l := range sv.links {
-		if l.up && !l.shut && len(l.out) > 0 && len(l.out) < max(sv.s.site().Streams, 1) && (least == nil || len(l.out) < len(least.out)) {
+	var least *serverConn
+	for _, l := range sv.conns {
+		if l.connected && !l.retiring && len(l.inFlight) > 0 && len(l.inFlight) < max(sv.scheduler.settings().Streams, 1) && (least == nil || len(l.inFlight) < len(least.inFlight)) {
 			least = l
 		}
 	}
 	switch {
 	case least != nil:
-		least.write(e)
+		least.send(e)
 	case sv.dialing > 0 || len(sv.idle) > 0:
 		sv.waiting = append(sv.waiting, e)
-		sv.wake()
-	case e.d != nil && sv.s.loop.Now() < sv.dialAt && sv.dialAt <= min(e.at+mostDialWait, e.d.Deadline):
+		sv.scheduleWaiters()
+	case e.dispatch != nil && sv.scheduler.loop.Now() < sv.redialAfter && sv.redialAfter <= min(e.started+maxDialWait, e.dispatch.Deadline):
 		sv.waiting = append(sv.waiting, e)
 	default: // no descriptor is to be had, which tells nothing of the server
 		e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 	}
 }
 
-// rested takes the idle connection that has rested longest, where it has for long enough and nothing has come
+// takeIdleConn takes the idle connection that has rested longest, where it has for long enough and nothing has come
 // on it since.
-func (sv *server) rested() *link {
+func (sv *diskServer) takeIdleConn() *serverConn {
 	for len(sv.idle) > 0 {
 		l := sv.idle[0]
-		if sv.s.loop.Now()-l.since < restOfLink {
+		if sv.scheduler.loop.Now()-l.idleSince < minConnRest {
 			return nil
 		}
 		sv.idle = sv.idle[1:]
@@ -240,50 +240,50 @@
 	return nil
 }
 
-// wake has those that wait for a connection looked at again: once the idle one that has rested longest has rested for
+// scheduleWaiters has those that wait for a connection looked at again: once the idle one that has rested longest has rested for
 // long enough, or where none is idle and none being opened at once.
-func (sv *server) wake() {
-	if sv.rousing || len(sv.waiting) == 0 || sv.dialing > 0 && len(sv.idle) == 0 {
+func (sv *diskServer) scheduleWaiters() {
+	if sv.wakeScheduled || len(sv.waiting) == 0 || sv.dialing > 0 && len(sv.idle) == 0 {
 		return
 	}
-	at := sv.s.loop.Now()
-	if len(sv.idle) == 0 && at < sv.dialAt { // redial comes
+	at := sv.scheduler.loop.Now()
+	if len(sv.idle) == 0 && at < sv.redialAfter { // redial comes
 		return
 	}
 	if len(sv.idle) > 0 {
-		at = sv.idle[0].since + restOfLink
+		at = sv.idle[0].idleSince + minConnRest
 	}
-	sv.rousing = true
-	sv.s.loop.Schedule(at, func() {
-		sv.rousing = false
+	sv.wakeScheduled = true
+	sv.scheduler.loop.Schedule(at, func() {
+		sv.wakeScheduled = false
 		for len(sv.waiting) > 0 { // one that has come free is as good as one that is still to come up
-			l := sv.rested()
+			l := sv.takeIdleConn()
 			if l == nil {
 				break
 			}
 			e := sv.waiting[0]
 			sv.waiting = sv.waiting[1:]
-			l.write(e)
+			l.send(e)
 		}
 		if sv.dialing == 0 && len(sv.idle) == 0 {
-			sv.anew()
+			sv.reassignWaiters()
 		}
-		sv.wake()
+		sv.scheduleWaiters()
 	})
 }
 
-// anew has those that wait choose again.
-func (sv *server) anew() {
+// reassignWaiters has those that wait choose again.
+func (sv *diskServer) reassignWaiters() {
 	waiting := sv.waiting
 	sv.waiting = nil
 	for _, e := range waiting {
-		if !e.left {
-			sv.carry(e)
+		if !e.finished {
+			sv.assignConn(e)
 		}
 	}
 }
 
-func (sv *server) unqueue(e *entry) {
+func (sv *diskServer) removeWaiter(e *attempt) {
 	for i, x := range sv.waiting {
 		if x == e {
 			sv.waiting = append(sv.waiting[:i], sv.waiting[i+1:]...)
@@ -293,52 +293,52 @@
 }
 
 // dial opens a connection for whoever waits.
-func (sv *server) dial() error {
-	s := sv.s
-	l := &link{server: sv, in: resp.Reader{Bounds: answerBounds}, since: s.loop.Now()}
+func (sv *diskServer) dial() error {
+	s := sv.scheduler
+	l := &serverConn{server: sv, reader: resp.Reader{Bounds: replyBounds}, idleSince: s.loop.Now()}
 	conn, err := s.loop.Dial(sv.address, l)
 	if err != nil {
-		sv.postpone(err)
+		sv.postponeDial(err)
 		return err
 	}
-	if sv.redials = 0; s.undialled > 0 {
-		s.log.Info().Str("osd", string(sv.id)).Int("tries", s.undialled).Msg("connections can be opened again")
-		s.undialled = 0
+	if sv.redials = 0; s.failedDials > 0 {
+		s.log.Info().Str("osd", string(sv.id)).Int("tries", s.failedDials).Msg("connections can be opened again")
+		s.failedDials = 0
 	}
 	l.conn = conn
-	conn.OnClosed = func() { s.files-- }
-	conn.BeforeWrite = l.renew
-	s.files++
-	sv.links = append(sv.links, l)
+	conn.OnClosed = func() { s.serverConnCount-- }
+	conn.BeforeWrite = l.refreshDeadlines
+	s.serverConnCount++
+	sv.conns = append(sv.conns, l)
 	sv.dialing++
-	l.timer = s.loop.Schedule(s.loop.Now()+s.site().ConnectWithin, func() { l.Closed(conn, errConnect) })
+	l.connectTimer = s.loop.Schedule(s.loop.Now()+s.settings().ConnectWithin, func() { l.Closed(conn, errConnectTimeout) })
 	return nil
 }
 
-// postpone puts off the next dial, where this machine could not even begin one: no descriptor, port, memory or way is to
+// postponeDial puts off the next dial, where this machine could not even begin one: no descriptor, port, memory or way is to
 // be had. It tells nothing of the disk server, and is logged once until one is opened again.
-func (sv *server) postpone(err error) {
-	s := sv.s
-	if s.undialled++; s.undialled == 1 {
+func (sv *diskServer) postponeDial(err error) {
+	s := sv.scheduler
+	if s.failedDials++; s.failedDials == 1 {
 		s.log.Warn().Str("osd", string(sv.id)).Err(err).Msg("no connection can be opened")
 	}
-	sv.dialAt = s.loop.Now() + min(firstRedial<<sv.redials, lastRedial)
-	sv.redials = min(sv.redials+1, mostRedials)
-	s.loop.Schedule(sv.dialAt, sv.redial)
+	sv.redialAfter = s.loop.Now() + min(minRedialDelay<<sv.redials, maxRedialDelay)
+	sv.redials = min(sv.redials+1, maxRedialShift)
+	s.loop.Schedule(sv.redialAfter, sv.redial)
 }
 
 // redial tries once more for those that wait. Where that fails too, those that have waited for long are told, which lets
 // the module choose again.
-func (sv *server) redial() {
-	if len(sv.waiting) == 0 || sv.dialing > 0 || len(sv.idle) > 0 || sv.s.loop.Now() < sv.dialAt {
-		sv.wake()
+func (sv *diskServer) redial() {
+	if len(sv.waiting) == 0 || sv.dialing > 0 || len(sv.idle) > 0 || sv.scheduler.loop.Now() < sv.redialAfter {
+		sv.scheduleWaiters()
 		return
 	}
-	if !sv.s.room() || sv.dial() != nil {
+	if !sv.scheduler.reserveDescriptor() || sv.dial() != nil {
 		waiting := sv.waiting
 		sv.waiting = nil
 		for _, e := range waiting {
-			if sv.dialAt <= min(e.at+mostDialWait, e.d.Deadline) {
+			if sv.redialAfter <= min(e.started+maxDialWait, e.dispatch.Deadline) {
 				sv.waiting = append(sv.waiting, e)
 			} else {
 				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
@@ -349,130 +349,130 @@
 	behind := sv.waiting[1:]
 	sv.waiting = sv.waiting[:1:1]
 	for _, e := range behind {
-		if !e.left {
-			sv.carry(e)
+		if !e.finished {
+			sv.assignConn(e)
 		}
 	}
 }
 
 var (
-	errConnect = errors.New("the connection does not come up")
-	errMore    = errors.New("more has come than was asked for")
+	errConnectTimeout = errors.New("the connection does not come up")
+	errUnexpectedData = errors.New("more has come than was asked for")
 )
 
-// rest puts a connection that carries nothing among the idle ones.
-func (l *link) rest() {
-	l.since = l.server.s.loop.Now()
+// markIdle puts a connection that carries nothing among the idle ones.
+func (l *serverConn) markIdle() {
+	l.idleSince = l.server.scheduler.loop.Now()
 	l.server.idle = append(l.server.idle, l)
-	l.server.wake()
+	l.server.scheduleWaiters()
 }
 
-func (l *link) write(e *entry) {
+func (l *serverConn) send(e *attempt) {
 	l.encode(e)
-	e.link = l
-	l.out = append(l.out, e)
+	e.conn = l
+	l.inFlight = append(l.inFlight, e)
 	l.conn.Send()
 }
 
 // encode appends the bytes of an entry, with the time that is left to it now.
-func (l *link) encode(e *entry) {
-	e.made = l.server.s.loop.Now()
+func (l *serverConn) encode(e *attempt) {
+	e.encodedAt = l.server.scheduler.loop.Now()
 	before := len(l.conn.Out)
-	e.head = l.put
-	if e.d == nil {
+	e.firstByte = l.appendedBytes
+	if e.dispatch == nil {
 		l.conn.Out = resp.AppendCommand(l.conn.Out, []byte("INFO"), []byte("load"))
 	} else {
-		l.conn.Out = e.d.Client().(*request).append(l.conn.Out, e.d.Deadline-e.made)
+		l.conn.Out = e.dispatch.Client().(*request).appendCommand(l.conn.Out, e.dispatch.Deadline-e.encodedAt)
 	}
-	l.put += uint64(len(l.conn.Out) - before)
-	e.tail = l.put
+	l.appendedBytes += uint64(len(l.conn.Out) - before)
+	e.endByte = l.appendedBytes
 }
 
-// renew tells anew the time that is left, before bytes are written that were made some time ago: a server that does not
+// refreshDeadlines tells anew the time that is left, before bytes are written that were made some time ago: a server that does not
 // read, or a hold-up, may have kept them. One of which a part has left already, and whose time is wrong by too much, never
 // arrives whole.
-func (l *link) renew() {
-	now := l.server.s.loop.Now()
-	gone := l.put - uint64(l.conn.UnsentBytes())
+func (l *serverConn) refreshDeadlines() {
+	now := l.server.scheduler.loop.Now()
+	gone := l.appendedBytes - uint64(l.conn.UnsentBytes())
 	i := 0
-	for i < len(l.out) && l.out[i].head < gone {
+	for i < len(l.inFlight) && l.inFlight[i].firstByte < gone {
 		i++
 	}
 	if i > 0 {
-		if e := l.out[i-1]; e.tail > gone && now-e.made > mostStale && !e.left {
-			l.takeBack(e)
+		if e := l.inFlight[i-1]; e.endByte > gone && now-e.encodedAt > maxPartialAge && !e.finished {
+			l.withdraw(e)
 			e.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 			return
 		}
 	}
-	if i == len(l.out) || now-l.out[i].made <= fresh {
+	if i == len(l.inFlight) || now-l.inFlight[i].encodedAt <= maxEncodedAge {
 		return
 	}
-	for _, e := range l.out[i:] {
-		if e.left || e.d != nil && e.d.Abandoned() { // it is about to be taken back, and its command is no longer held
+	for _, e := range l.inFlight[i:] {
+		if e.finished || e.dispatch != nil && e.dispatch.Abandoned() { // it is about to be taken back, and its command is no longer held
 			return
 		}
 	}
-	l.conn.DiscardUnsent(int(l.out[i].head-gone), l.conn.UnsentBytes())
-	l.put = l.out[i].head
-	for _, e := range l.out[i:] {
+	l.conn.DiscardUnsent(int(l.inFlight[i].firstByte-gone), l.conn.UnsentBytes())
+	l.appendedBytes = l.inFlight[i].firstByte
+	for _, e := range l.inFlight[i:] {
 		l.encode(e)
 	}
 }
 
 // ---- What comes back ----
 
-func (l *link) Opened(*eventloop.Conn) {
-	l.server.s.loop.Cancel(l.timer)
-	l.up = true
+func (l *serverConn) Opened(*eventloop.Conn) {
+	l.server.scheduler.loop.Cancel(l.connectTimer)
+	l.connected = true
 	sv := l.server
 	sv.dialing--
-	for len(sv.waiting) > 0 && (len(l.out) == 0 || len(sv.waiting) > sv.dialing && len(l.out) < sv.s.site().Streams) {
+	for len(sv.waiting) > 0 && (len(l.inFlight) == 0 || len(sv.waiting) > sv.dialing && len(l.inFlight) < sv.scheduler.settings().Streams) {
 		e := sv.waiting[0]
 		sv.waiting = sv.waiting[1:]
-		l.write(e)
+		l.send(e)
 	}
-	sv.wake()
-	if len(l.out) == 0 {
-		l.rest()
+	sv.scheduleWaiters()
+	if len(l.inFlight) == 0 {
+		l.markIdle()
 	}
 }
 
-func (l *link) Input(_ *eventloop.Conn, b []byte) (used int) {
+func (l *serverConn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
-		if len(l.out) == 0 { // nothing is asked: it is no answer
-			l.fail(errMore)
+		if len(l.inFlight) == 0 { // nothing is asked: it is no answer
+			l.failWith(errUnexpectedData)
 			return len(b)
 		}
-		n, v, whole, err := l.in.Next(b[used:])
+		n, v, whole, err := l.reader.Next(b[used:])
 		used += n
 		if err != nil {
-			l.spoilt(err)
+			l.failMalformed(err)
 			return len(b)
 		}
 		if !whole {
 			continue
 		}
-		e := l.out[0]
-		l.out = l.out[1:]
-		code, data, told, err := e.read(&v)
+		e := l.inFlight[0]
+		l.inFlight = l.inFlight[1:]
+		code, data, told, err := e.parseReply(&v)
 		if err != nil {
-			l.out = append([]*entry{e}, l.out...)
-			l.spoilt(err)
+			l.inFlight = append([]*attempt{e}, l.inFlight...)
+			l.failMalformed(err)
 			return len(b)
 		}
-		if len(l.out) == 0 && used < len(b) {
+		if len(l.inFlight) == 0 && used < len(b) {
 			// A good answer with more behind it: the connection is of no further use.
 			l.close()
 			e.finish(code, data, told)
 			return len(b)
 		}
-		if len(l.out) > 0 {
-			l.closeLeft()
-		} else if l.out = nil; l.shut {
+		if len(l.inFlight) > 0 {
+			l.closeIfAbandoned()
+		} else if l.inFlight = nil; l.retiring {
 			l.close()
 		} else {
-			l.rest()
+			l.markIdle()
 		}
 		e.finish(code, data, told)
 		if l.conn == nil {
@@ -482,43 +482,43 @@
 	return used
 }
 
-// read tells what an answer means.
-func (e *entry) read(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Feedback, err error) {
-	fields := e.server.s.site().Fields
+// parseReply tells what an answer means.
+func (e *attempt) parseReply(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Feedback, err error) {
+	fields := e.server.scheduler.settings().Fields
 	if v.Kind == resp.Error {
 		text := string(v.Text)
-		told.Load = load(text[strings.LastIndexByte(text, ' ')+1:], fields)
+		told.Load = parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], fields)
 		if text == "BUSY" || strings.HasPrefix(text, "BUSY ") {
 			return honeyplank.Rejected, nil, told, nil
 		}
 		if !strings.HasPrefix(text, "ERR") {
-			e.server.s.log.Warn().Str("osd", string(e.server.id)).Str("answer", text).Msg("turned down")
+			e.server.scheduler.log.Warn().Str("osd", string(e.server.id)).Str("answer", text).Msg("turned down")
 		}
 		return honeyplank.Failed, nil, told, nil
 	}
-	if e.d == nil {
+	if e.dispatch == nil {
 		if v.Kind != resp.Bulk || v.Null {
-			return 0, nil, told, errAnswer
+			return 0, nil, told, errMalformedReply
 		}
-		told.Load = load(string(v.Text), fields)
+		told.Load = parseLoadReport(string(v.Text), fields)
 		return honeyplank.Succeeded, nil, told, nil
 	}
 	if v.Kind != resp.Array || len(v.List) == 0 || v.List[0].Kind != resp.Bulk || v.List[0].Null {
-		return 0, nil, told, errAnswer
+		return 0, nil, told, errMalformedReply
 	}
 	if len(v.List) > 1 && v.List[1].Kind == resp.Bulk {
-		told.QuotaUsed, told.ServedElsewhere = use(string(v.List[1].Text))
+		told.QuotaUsed, told.ServedElsewhere = parseUsage(string(v.List[1].Text))
 	}
 	if len(v.List) > 2 && v.List[2].Kind == resp.Bulk {
-		told.Load = load(string(v.List[2].Text), fields)
+		told.Load = parseLoadReport(string(v.List[2].Text), fields)
 	}
 	return honeyplank.Succeeded, v.List[0].Text, told, nil
 }
 
-var errAnswer = errors.New("it is no answer to what was asked")
+var errMalformedReply = errors.New("it is no answer to what was asked")
 
-// pairs reads names and values, as util=0.61,latency_ms=12; what can't be read is left out.
-func pairs(text string) map[string]float64 {
+// parsePairs reads names and values, as util=0.61,latency_ms=12; what can't be read is left out.
+func parsePairs(text string) map[string]float64 {
 	found := map[string]float64{}
 	for _, p := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(p, "=")
@@ -529,9 +529,9 @@
 	return found
 }
 
-// load reads a load report; one that lacks what the settings name is none.
-func load(text string, fields []string) map[string]float64 {
-	found, named := pairs(text), map[string]float64{}
+// parseLoadReport reads a load report; one that lacks what the settings name is none.
+func parseLoadReport(text string, fields []string) map[string]float64 {
+	found, named := parsePairs(text), map[string]float64{}
 	for _, f := range fields {
 		x, ok := found[f]
 		if !ok {
@@ -542,17 +542,17 @@
 	return named
 }
 
-// use reads the figures on use.
-func use(text string) (used int, elsewhere float64) {
-	found := pairs(text)
+// parseUsage reads the figures on use.
+func parseUsage(text string) (used int, elsewhere float64) {
+	found := parsePairs(text)
 	return int(min(found["used"], 1e9)), found["cost"]
 }
 
-// spoilt ends a connection on which what came can't be read: the answer that was due may have run.
-func (l *link) spoilt(err error) {
-	e := l.out[0]
-	rest := l.out[1:]
-	l.note(err)
+// failMalformed ends a connection on which what came can't be read: the answer that was due may have run.
+func (l *serverConn) failMalformed(err error) {
+	e := l.inFlight[0]
+	rest := l.inFlight[1:]
+	l.logEnd(err)
 	l.close()
 	e.finish(honeyplank.Failed, nil, inflight.Feedback{})
 	for _, x := range rest {
@@ -560,32 +560,32 @@
 	}
 }
 
-// fail ends a connection and what it carries.
-func (l *link) fail(err error) {
-	l.note(err)
-	l.lose()
+// failWith ends a connection and what it carries.
+func (l *serverConn) failWith(err error) {
+	l.logEnd(err)
+	l.failInFlight()
 }
 
-func (l *link) note(err error) {
-	l.server.s.log.Debug().Str("osd", string(l.server.id)).Err(err).Int("out", len(l.out)).Msg("connection ended")
+func (l *serverConn) logEnd(err error) {
+	l.server.scheduler.log.Debug().Str("osd", string(l.server.id)).Err(err).Int("out", len(l.inFlight)).Msg("connection ended")
 }
 
 // Closed is told that the connection broke, ended or never came up.
-func (l *link) Closed(_ *eventloop.Conn, err error) {
+func (l *serverConn) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
 		err = errors.New("the disk server ended it")
 	}
-	if len(l.out) > 0 || !l.up {
-		l.note(err)
+	if len(l.inFlight) > 0 || !l.connected {
+		l.logEnd(err)
 	}
-	l.lose()
+	l.failInFlight()
 }
 
-func (l *link) lose() {
-	sv, out, up := l.server, l.out, l.up
+func (l *serverConn) failInFlight() {
+	sv, out, up := l.server, l.inFlight, l.connected
 	codes := make([]honeyplank.Code, len(out))
 	for i, e := range out {
-		if codes[i] = honeyplank.ConnectFailed; e.written() {
+		if codes[i] = honeyplank.ConnectFailed; e.fullyWritten() {
 			codes[i] = honeyplank.Reset
 		}
 	}
@@ -605,30 +605,30 @@
 // close ends the connection and takes it off the books; what it carries is not told. Bytes that the disk server's system
 // has not taken yet go with it: it guards against commands that arrive after they were given up, once a server that hangs
 // reads on, or a network that was cut is back.
-func (l *link) close() {
+func (l *serverConn) close() {
 	sv := l.server
 	if l.conn == nil {
 		return
 	}
-	sv.s.loop.Cancel(l.timer)
+	sv.scheduler.loop.Cancel(l.connectTimer)
 	if l.conn.UnackedBytes() > 0 {
 		l.conn.Abort()
 	} else {
 		l.conn.Close()
 	}
-	if !l.up {
+	if !l.connected {
 		sv.dialing--
 	}
-	l.conn, l.out = nil, nil
-	sv.links = without(sv.links, l)
+	l.conn, l.inFlight = nil, nil
+	sv.conns = without(sv.conns, l)
 	sv.idle = without(sv.idle, l)
-	sv.wake()
-	if sv.gone && len(sv.links) == 0 && sv.s.servers[sv.id] == sv {
-		delete(sv.s.servers, sv.id)
+	sv.scheduleWaiters()
+	if sv.removed && len(sv.conns) == 0 && sv.scheduler.servers[sv.id] == sv {
+		delete(sv.scheduler.servers, sv.id)
 	}
 }
 
-func without(list []*link, l *link) []*link {
+func without(list []*serverConn, l *serverConn) []*serverConn {
 	for i, x := range list {
 		if x == l {
 			return append(list[:i], list[i+1:]...)
@@ -639,96 +639,98 @@
 
 // ---- The list, idle connections and descriptors ----
 
-// place takes over what the list says of a disk server.
-func (s *Scheduler) place(m member) *server {
+// applyMember takes over what the list says of a disk server.
+func (s *Scheduler) applyMember(m listMember) *diskServer {
 	id := honeyplank.ServerID(m.ID)
 	sv := s.servers[id]
 	if sv == nil {
-		sv = &server{s: s, id: id, address: m.Address}
+		sv = &diskServer{scheduler: s, id: id, address: m.Address}
 		s.servers[id] = sv
 	}
-	sv.gone, sv.drains = phases[m.Phase] == honeyplank.Removed, phases[m.Phase] == honeyplank.Draining
+	sv.removed, sv.draining = phases[m.Phase] == honeyplank.Removed, phases[m.Phase] == honeyplank.Draining
 	if m.Address != "" && m.Address != sv.address {
-		sv.address, sv.dialAt, sv.redials = m.Address, 0, 0
-		sv.retire()
-		sv.anew()
+		sv.address, sv.redialAfter, sv.redials = m.Address, 0, 0
+		sv.retireConns()
+		sv.reassignWaiters()
 	}
-	if sv.gone {
-		sv.retire()
-		if len(sv.links) == 0 {
+	if sv.removed {
+		sv.retireConns()
+		if len(sv.conns) == 0 {
 			delete(s.servers, id)
 		}
 	}
 	return sv
 }
 
-// retire has connections close once they carry nothing; those that are not up yet at once.
-func (sv *server) retire() {
-	for _, l := range slices.Clone(sv.links) {
-		if l.shut = true; len(l.out) == 0 {
+// retireConns has connections close once they carry nothing; those that are not up yet at once.
+func (sv *diskServer) retireConns() {
+	for _, l := range slices.Clone(sv.conns) {
+		if l.retiring = true; len(l.inFlight) == 0 {
 			l.close()
 		}
 	}
 }
 
-// ends sees to it that nothing begins at a server that is gone, or past the grace at one that drains: what has been
+// enforceDrainGrace sees to it that nothing begins at a server that is gone, or past the grace at one that drains: what has been
 // decided before may still wait for a connection, or to be written. It guards against connections that come up for
 // longer than the grace, and could harm where a server's grace is longer than what the settings say. The grace counts from
 // when the list came; what begins may leave a hold-up later.
-func (sv *server) ends(told time.Duration) {
-	if sv.gone {
-		sv.halt()
-	} else if grace, ok := sv.s.site().Values["drain.grace"].(time.Duration); ok && sv.drains {
-		sv.s.loop.Schedule(told+max(grace-heldUp, 0), func() {
-			if sv.drains {
-				sv.halt()
+func (sv *diskServer) enforceDrainGrace(told time.Duration) {
+	if sv.removed {
+		sv.cancelUnsent()
+	} else if grace, ok := sv.scheduler.settings().Values["drain.grace"].(time.Duration); ok && sv.draining {
+		sv.scheduler.loop.Schedule(told+max(grace-maxHoldUp, 0), func() {
+			if sv.draining {
+				sv.cancelUnsent()
 			}
 		})
 	}
 }
 
-// halt takes back all of which nothing has left.
-func (sv *server) halt() {
+// cancelUnsent takes back all of which nothing has left.
+func (sv *diskServer) cancelUnsent() {
 	waiting := sv.waiting
 	sv.waiting = nil
 	for _, e := range waiting {
 		e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 	}
-	for _, l := range slices.Clone(sv.links) {
-		for _, e := range slices.Clone(l.out) {
-			if l.conn != nil && !e.left && e.head >= l.put-uint64(l.conn.UnsentBytes()) && !e.written() {
-				l.takeBack(e)
+	for _, l := range slices.Clone(sv.conns) {
+		for _, e := range slices.Clone(l.inFlight) {
+			if l.conn != nil && !e.finished && e.firstByte >= l.appendedBytes-uint64(l.conn.UnsentBytes()) && !e.fullyWritten() {
+				l.withdraw(e)
 				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 			}
 		}
 	}
 }
 
-// tend closes connections that have been idle for half of what the other end keeps them.
-func (s *Scheduler) tend() {
+// closeIdleServerConns closes connections that have been idle for half of what the other end keeps them.
+func (s *Scheduler) closeIdleServerConns() {
 	now := s.loop.Now()
-	for s.files > s.share(ofServers) && s.shed(0) { // a new configuration may leave less room
+	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may leave less room
 	}
 	for _, sv := range s.servers {
-		for len(sv.idle) > 0 && s.site().Idle > 0 && now-sv.idle[0].since > s.site().Idle/2 {
+		for len(sv.idle) > 0 && s.settings().Idle > 0 && now-sv.idle[0].idleSince > s.settings().Idle/2 {
 			sv.idle[0].close()
 		}
 	}
 }
 
-// room tells whether a descriptor is left for one more connection to a disk server; the one that has been idle
+// reserveDescriptor tells whether a descriptor is left for one more connection to a disk server; the one that has been idle
 // longest anywhere gives way.
-func (s *Scheduler) room() bool { return s.files < s.share(ofServers) || s.shed(time.Second) }
+func (s *Scheduler) reserveDescriptor() bool {
+	return s.serverConnCount < s.descriptorQuota(serverDescriptorShare) || s.closeLongestIdle(time.Second)
+}
 
-// shed closes the connection that has been idle longest anywhere, if for long enough.
-func (s *Scheduler) shed(least time.Duration) bool {
-	var oldest *link
+// closeLongestIdle closes the connection that has been idle longest anywhere, if for long enough.
+func (s *Scheduler) closeLongestIdle(least time.Duration) bool {
+	var oldest *serverConn
 	for _, sv := range s.servers {
-		if len(sv.idle) > 0 && (oldest == nil || sv.idle[0].since < oldest.since) {
+		if len(sv.idle) > 0 && (oldest == nil || sv.idle[0].idleSince < oldest.idleSince) {
 			oldest = sv.idle[0]
 		}
 	}
-	if oldest == nil || s.loop.Now()-oldest.since < least {
+	if oldest == nil || s.loop.Now()-oldest.idleSince < least {
 		return false
 	}
 	oldest.close()
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -57,7 +57,7 @@
 				}
 				w.module.Module = eager{"s-0"}
 				if !x.way {
-					w.s.place(member{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
+					w.s.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
 				}
 			})
 			var callers []*caller
@@ -91,8 +91,8 @@
 						t.Errorf("outcomes %v", codes)
 					}
 				}
-				if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || w.s.undialled > 20 {
-					t.Errorf("%d lines after %d tries: %s", n, w.s.undialled, log.Bytes())
+				if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || w.s.failedDials > 20 {
+					t.Errorf("%d lines after %d tries: %s", n, w.s.failedDials, log.Bytes())
 				}
 			})
 		})
@@ -102,7 +102,7 @@
 // TestListensLate: a scheduler that lacks a descriptor at its start listens once there is one.
 func TestListensLate(t *testing.T) {
 	w := start(t, 1)
-	p, err := Read(w.file)
+	p, err := ReadConfig(w.file)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -91,7 +91,7 @@
 					next := w.s.loop.Now()
 					look = func() {
 						w.tap(all)
-						if over := w.s.loop.Now() - next; w.s.ending && over > 10*time.Millisecond {
+						if over := w.s.loop.Now() - next; w.s.shuttingDown && over > 10*time.Millisecond {
 							late += over
 						}
 						next = w.s.loop.Now() + time.Millisecond
@@ -141,24 +141,24 @@
 				follow(rests)
 				told := time.Now()
 				w.s.Shutdown()
-				var plan last
+				var plan shutdownPlan
 				w.on(func() {
-					plan = w.s.last
-					at := map[string]time.Duration{"ops": plan.ops, "answers": plan.answers, "leave": plan.answers + lastReads}[step]
+					plan = w.s.shutdown
+					at := map[string]time.Duration{"ops": plan.closeIntake, "answers": plan.failRemaining, "leave": plan.failRemaining + flushMargin}[step]
 					if at > 0 {
-						w.s.loop.Schedule(at-1, func() { time.Sleep(heldUp); late -= heldUp })
+						w.s.loop.Schedule(at-1, func() { time.Sleep(maxHoldUp); late -= maxHoldUp })
 					}
 				})
 				for time.Since(told) < 390*time.Millisecond {
 					n, shut := 0, true
-					w.on(func() { n, shut = len(all), w.s.shut })
+					w.on(func() { n, shut = len(all), w.s.intakeClosed })
 					if shut { // the machine is too busy
 						break
 					}
 					c := w.dial()
 					w.eventually("the connection", func() bool {
 						ok := true // also where the loop has ended
-						w.on(func() { ok = w.s.shut || len(all) > n })
+						w.on(func() { ok = w.s.intakeClosed || len(all) > n })
 						return ok
 					})
 					flood(c, 20*time.Millisecond)
@@ -173,8 +173,8 @@
 				read := 0
 				for _, x := range all { // the loop has ended
 					read += x.read
-					if x.last > plan.killed-lastReads/2+late {
-						t.Errorf("something is sent %v before the kill, the machine was busy for %v", plan.killed-x.last, late)
+					if x.last > plan.killTime-flushMargin/2+late {
+						t.Errorf("something is sent %v before the kill, the machine was busy for %v", plan.killTime-x.last, late)
 					}
 				}
 				if read != total || read == 0 {
@@ -189,9 +189,9 @@
 func TestLastTimes(t *testing.T) {
 	const told = time.Minute
 	for longest := 50 * time.Millisecond; longest <= 4*time.Second; longest += 10 * time.Millisecond {
-		x := lastTimes(told, longest)
-		if x.killed != told+min(longest, mostNotice)+notice || x.ops < told+arriving || x.answers < x.ops || x.killed-x.answers < 2*heldUp+lastReads {
-			t.Fatalf("%v: no more ops after %v, the last answers after %v, the kill after %v", longest, x.ops-told, x.answers-told, x.killed-told)
+		x := planShutdown(told, longest)
+		if x.killTime != told+min(longest, maxKillWait)+killGrace || x.closeIntake < told+minIntakeTime || x.failRemaining < x.closeIntake || x.killTime-x.failRemaining < 2*maxHoldUp+flushMargin {
+			t.Fatalf("%v: no more ops after %v, the last answers after %v, the kill after %v", longest, x.closeIntake-told, x.failRemaining-told, x.killTime-told)
 		}
 	}
 }
--- a/scheduler/starts.go
+++ b/scheduler/starts.go
@@ -7,8 +7,8 @@
 	"honeyplank/incarnation"
 )
 
-// starts tells when disk servers have started, whatever the wall clock does.
-type starts struct {
+// startTracker tells when disk servers have started, whatever the wall clock does.
+type startTracker struct {
 	tracker incarnation.Tracker
 	wall    time.Time
 	now     time.Duration
@@ -17,28 +17,28 @@
 }
 
 const (
-	// stepLeast is how far the wall clock may drift between two lists without having been set.
-	stepLeast = 100 * time.Millisecond
+	// minClockStep is how far the wall clock may drift between two lists without having been set.
+	minClockStep = 100 * time.Millisecond
 	// latestStart bounds what an entry may name as its start, in milliseconds of Unix time.
 	latestStart = 1 << 53
 )
 
-// at notes the clocks for the list that is taken up.
-func (b *starts) at(wall time.Time, now time.Duration) {
+// observeClocks notes the clocks for the list that is taken up.
+func (b *startTracker) observeClocks(wall time.Time, now time.Duration) {
 	ahead := time.Duration(wall.UnixNano()) - now
-	b.stepped = (ahead - b.ahead).Abs() > stepLeast
+	b.stepped = (ahead - b.ahead).Abs() > minClockStep
 	b.wall, b.now, b.ahead = wall, now, ahead
 }
 
-// start is the start of the server of an entry. Where the wall clock has stepped since all that was told held last, it
+// startOf is the start of the server of an entry. Where the wall clock has stepped since all that was told held last, it
 // tells nothing of the age of a start that is new.
-func (b *starts) start(m member) time.Duration {
+func (b *startTracker) startOf(m listMember) time.Duration {
 	id := honeyplank.ServerID(m.ID)
 	if phases[m.Phase] == honeyplank.Removed {
 		b.tracker.Removed(b.now, id)
 		return 0
 	}
-	ms := int64(min(max(m.StartedM, 0), latestStart))
+	ms := int64(min(max(m.UpSinceMS, 0), latestStart))
 	wall := b.wall
 	if b.stepped {
 		wall = time.UnixMilli(ms)
@@ -46,9 +46,9 @@
 	return b.tracker.Start(b.now, wall, id, ms)
 }
 
-// heard tells that all entries of a list have been taken up.
-func (b *starts) heard(l *list, kind honeyplank.ListKind) {
-	if !l.follows {
+// listApplied tells that all entries of a list have been taken up.
+func (b *startTracker) listApplied(l *listMessage, kind honeyplank.ListKind) {
+	if !l.isCurrent {
 		return
 	}
 	if kind != honeyplank.Complete {
--- a/scheduler/starts_test.go
+++ b/scheduler/starts_test.go
@@ -82,7 +82,7 @@
 			w.eventually("the list", func() bool {
 				w.on(func() {
 					now = w.s.loop.Now()
-					first = w.s.began.start(member{ID: "s-0", Phase: "up", StartedM: float64(stamp)})
+					first = w.s.starts.startOf(listMember{ID: "s-0", Phase: "up", UpSinceMS: float64(stamp)})
 				})
 				return w.knows("s-0")
 			})
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -15,11 +15,11 @@
 	first, second := message(41, true, true), `{"revision":42,"members":[{"id":"a}]\"{\\"}]}`
 	text := "\n\n" + first + "\r\n" + second + second + "\n"
 	for size := 1; size <= len(text); size++ {
-		var r stream
+		var r messageReader
 		var got []string
 		for rest := text; rest != ""; {
 			n := min(size, len(rest))
-			list, err := r.take(0, []byte(rest[:n]))
+			list, err := r.Feed(0, []byte(rest[:n]))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -28,14 +28,14 @@
 			}
 			rest = rest[n:]
 		}
-		if want := []string{strings.TrimSpace(first), second, second}; fmt.Sprint(got) != fmt.Sprint(want) || r.open != 0 {
+		if want := []string{strings.TrimSpace(first), second, second}; fmt.Sprint(got) != fmt.Sprint(want) || r.depth != 0 {
 			t.Fatalf("in pieces of %d: %q", size, got)
 		}
 	}
-	for text, want := range map[string]error{"no list": errNoMessage, "{}]": errNoMessage, "[]": errNoMessage,
-		`{"` + strings.Repeat("x", mostMessage): errTooLong} {
-		var r stream
-		if _, err := r.take(0, []byte(text)); !errors.Is(err, want) {
+	for text, want := range map[string]error{"no list": errNotJSON, "{}]": errNotJSON, "[]": errNotJSON,
+		`{"` + strings.Repeat("x", maxMessage): errMessageTooLong} {
+		var r messageReader
+		if _, err := r.Feed(0, []byte(text)); !errors.Is(err, want) {
 			t.Errorf("%.20q: %v, expected %v", text, err, want)
 		}
 	}
@@ -48,56 +48,56 @@
 		pieces []string // one a second, the first at 1 s
 		want   time.Duration
 	}{
-		"nothing":              {nil, silence},
-		"empty lines":          {[]string{"\n", "\n", "\n"}, 3*s + silence},
-		"messages":             {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + silence},
-		"half a message":       {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + silence},
-		"lines inside one":     {[]string{"\n", "{\n", "\n", "\n"}, 2*s + silence},
-		"a message in pieces":  {[]string{`{"a`, `":1}`}, 2*s + silence},
-		"another half at once": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + silence},
-		"no bytes":             {[]string{"\n", "", ""}, s + silence},
+		"nothing":              {nil, watchSilence},
+		"empty lines":          {[]string{"\n", "\n", "\n"}, 3*s + watchSilence},
+		"messages":             {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + watchSilence},
+		"half a message":       {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + watchSilence},
+		"lines inside one":     {[]string{"\n", "{\n", "\n", "\n"}, 2*s + watchSilence},
+		"a message in pieces":  {[]string{`{"a`, `":1}`}, 2*s + watchSilence},
+		"another half at once": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + watchSilence},
+		"no bytes":             {[]string{"\n", "", ""}, s + watchSilence},
 	} {
-		var r stream
-		r.begin(0, answerWithin)
-		if r.until != answerWithin {
-			t.Errorf("%v for an answer", r.until)
+		var r messageReader
+		r.callStarted(0, headTimeout)
+		if r.deadline != headTimeout {
+			t.Errorf("%v for an answer", r.deadline)
 		}
-		r.head(0)
+		r.headReceived(0)
 		for i, p := range x.pieces {
-			r.take(time.Duration(i+1)*s, []byte(p))
+			r.Feed(time.Duration(i+1)*s, []byte(p))
 		}
-		if r.until != x.want {
-			t.Errorf("%s: until %v, expected %v", name, r.until, x.want)
+		if r.deadline != x.want {
+			t.Errorf("%s: until %v, expected %v", name, r.deadline, x.want)
 		}
 	}
 	// One silence, one call that hangs and one more that answers fit into the 6 s.
-	if silence+again+answerWithin+again > 5*time.Second {
+	if watchSilence+watchRetryDelay+headTimeout+watchRetryDelay > 5*time.Second {
 		t.Error("a change is heard too late after a silence")
 	}
 	// So do, where the module says when, a call that hangs, the longest it waits then, and the next call's turn.
 	text := "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":64,\"sockets\":256},\"settings\":" +
 		strings.Replace(settings, `"rules":{`, `"rules":{"ask_within_ms":60000,`, 1) + "}"
-	p, err := parse("f", []byte(text))
+	p, err := parseConfig("f", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if within := p.Site.Values["list.ask_within"].(time.Duration); turnWithin+within/4+turnWithin*3/4 > toldAfter {
+	if within := p.Site.Values["list.ask_within"].(time.Duration); sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
 		t.Errorf("lists are asked for within %v", within)
 	}
 }
 
 // TestHeld: an older list is not believed, unless nothing else comes for long.
 func TestHeld(t *testing.T) {
-	h := held{revision: 40}
+	h := revisionGuard{revision: 40}
 	for i, x := range []struct {
 		at       time.Duration
 		revision int64
 		want     bool
 	}{
-		{1, 40, true}, {2, 42, true}, {3, 41, false}, {3 + olderWithin - 1, 41, false}, {4 + olderWithin, 43, true},
-		{5 + olderWithin, 7, false}, {6 + 2*olderWithin, 8, true}, {7 + 2*olderWithin, 9, true},
+		{1, 40, true}, {2, 42, true}, {3, 41, false}, {3 + oldListTimeout - 1, 41, false}, {4 + oldListTimeout, 43, true},
+		{5 + oldListTimeout, 7, false}, {6 + 2*oldListTimeout, 8, true}, {7 + 2*oldListTimeout, 9, true},
 	} {
-		if got := h.believe(x.at, &list{Revision: x.revision}); got != x.want {
+		if got := h.accept(x.at, &listMessage{Revision: x.revision}); got != x.want {
 			t.Errorf("%d: revision %d is believed: %v", i, x.revision, got)
 		}
 	}
@@ -166,7 +166,7 @@
 			c := d.call(t, time.Second)
 			whole := message(7, true, false, w.member(0, "up"))
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", message(6, false, true, w.member(1, "draining")), whole[:len(whole)-3])
-			w.eventually("the first list", func() (ok bool) { w.on(func() { ok = w.s.held.revision == 6 }); return ok })
+			w.eventually("the first list", func() (ok bool) { w.on(func() { ok = w.s.revisionGuard.revision == 6 }); return ok })
 			end(c)
 			c = d.call(t, time.Second)
 			if c.path != "/discovery/hosts?stream=1&index=6" || !w.knows("s-1") {
@@ -187,7 +187,7 @@
 		want        bool
 	}{{3, -1, false}, {0, 0, false}, {0, -1, true}} {
 		heard := make(chan bool, 1)
-		go fetch(context.Background(), d.address, time.Second, func(*list, []string) { heard <- true }, func(error) { heard <- false })
+		go fetchList(context.Background(), d.address, time.Second, func(*listMessage, []string) { heard <- true }, func(error) { heard <- false })
 		c := d.call(t, time.Second)
 		text := message(7, true, true)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", text[:len(text)-x.cut])
@@ -229,26 +229,26 @@
 	one.call(t, time.Second).head()
 	w.on(func() { // a message has been read, and reaches the loop behind the switch
 		ctx, cancel := context.WithCancel(context.Background())
-		late := w.s.heard(ctx, following)
-		w.s.papers.Discovery = other.address
-		w.s.watch(false)
-		w.s.watch(true)
+		late := w.s.listReceived(ctx, watchCall)
+		w.s.config.Discovery = other.address
+		w.s.setWatch(false)
+		w.s.setWatch(true)
 		cancel()
-		late(&list{Revision: 5, Members: []member{{ID: "s-1", Phase: "removed"}}}, nil)
+		late(&listMessage{Revision: 5, Members: []listMember{{ID: "s-1", Phase: "removed"}}}, nil)
 	})
 	c := other.call(t, time.Second)
 	if c.path != "/discovery/hosts?stream=1&index=1" || !w.knows("s-1") {
 		t.Errorf("%s, s-1 is known: %v", c.path, w.knows("s-1"))
 	}
 	// Nor does a whole list that was asked for before something newer came.
-	w.on(func() { w.s.held.revision = 9 })
-	w.s.heard(context.Background(), once)(&list{Revision: 8, Complete: true}, nil)
+	w.on(func() { w.s.revisionGuard.revision = 9 })
+	w.s.listReceived(context.Background(), fetchCall)(&listMessage{Revision: 8, Complete: true}, nil)
 	if !w.knows("s-1") || !w.knows("s-0") {
 		t.Error("an older list is taken over")
 	}
 	w.on(func() {
-		if w.s.held.revision != 9 {
-			t.Errorf("revision %d", w.s.held.revision)
+		if w.s.revisionGuard.revision != 9 {
+			t.Errorf("revision %d", w.s.revisionGuard.revision)
 		}
 	})
 }
@@ -292,7 +292,7 @@
 		fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		c.Close()
 	}
-	w.eventually("the wait", func() (ok bool) { w.on(func() { ok = w.s.watching == nil }); return ok })
+	w.eventually("the wait", func() (ok bool) { w.on(func() { ok = w.s.stopWatch == nil }); return ok })
 	w.conf["discovery"] = other.address
 	w.reload()
 	c := other.call(t, 400*time.Millisecond)
--- a/scheduler/told_test.go
+++ b/scheduler/told_test.go
@@ -33,8 +33,8 @@
 	g.open()
 	w.on(func() {
 		w.module.Module = eager{"s-0"}
-		w.s.papers.Sockets = 1024
-		w.s.files = w.s.share(ofServers) - 1 // descriptors for one connection are left
+		w.s.config.Sockets = 1024
+		w.s.serverConnCount = w.s.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
 	})
 	stuck := map[string]bool{} // those that have stood with a part sent
 	w.on(func() {
@@ -43,14 +43,14 @@
 		var look func()
 		look = func() {
 			now := w.s.loop.Now()
-			for _, l := range w.s.servers["s-0"].links {
-				gone := l.put - uint64(l.conn.UnsentBytes())
+			for _, l := range w.s.servers["s-0"].conns {
+				gone := l.appendedBytes - uint64(l.conn.UnsentBytes())
 				if gone != was {
 					was, since = gone, now
 				}
-				for _, e := range l.out {
-					if e.head < gone && e.tail > gone && now-since > mostStale/2 {
-						stuck[string(e.d.Op())] = true
+				for _, e := range l.inFlight {
+					if e.firstByte < gone && e.endByte > gone && now-since > maxPartialAge/2 {
+						stuck[string(e.dispatch.Op())] = true
 					}
 				}
 			}
@@ -58,24 +58,24 @@
 		}
 		look()
 	})
-	body := strings.Repeat("x", mostBody)
+	body := strings.Repeat("x", maxBody)
 	sent := map[string]time.Time{}
 	var c *caller
 	for i := range n {
-		if i%(mostPending-1) == 0 {
+		if i%(maxPending-1) == 0 {
 			c = w.dial()
 		}
 		id := fmt.Sprint("w", i)
 		sent[id] = time.Now()
 		c.send("BLK.WRITE", piece, id, terms("write", 9000, 0), body)
 	}
-	w.eventually("the commands", func() (ok bool) { w.on(func() { ok = w.s.book.Counts.Admitted == n }); return ok })
+	w.eventually("the commands", func() (ok bool) { w.on(func() { ok = w.s.tracker.Counts.Admitted == n }); return ok })
 	time.Sleep(waits)
 	unsent := map[string]bool{}
 	w.on(func() {
-		for _, l := range w.s.servers["s-0"].links {
-			for _, e := range l.out {
-				unsent[string(e.d.Op())] = e.head >= l.put-uint64(l.conn.UnsentBytes())
+		for _, l := range w.s.servers["s-0"].conns {
+			for _, e := range l.inFlight {
+				unsent[string(e.dispatch.Op())] = e.firstByte >= l.appendedBytes-uint64(l.conn.UnsentBytes())
 			}
 		}
 		g.pass()
@@ -83,7 +83,7 @@
 	if len(stuck) == 0 {
 		t.Fatal("none has left in part")
 	}
-	w.eventually("the end", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 0 }); return ok })
+	w.eventually("the end", func() (ok bool) { w.on(func() { ok = w.s.tracker.Unanswered() == 0 }); return ok })
 	for _, c := range w.disks[0].Got() {
 		if stuck[c.ID] {
 			t.Errorf("%s, of which a part had left, has arrived", c.ID)
@@ -108,9 +108,9 @@
 		"held up": {late: held, send: func(w *world, send func()) {
 			w.on(func() { send(); time.Sleep(held) })
 		}},
-		"behind others": {first: mostPending, delay: held, late: held, send: func(_ *world, send func()) { send() }},
-		"long after others": {first: mostPending, delay: held, send: func(w *world, send func()) {
-			w.eventually("their answers", func() (ok bool) { w.on(func() { ok = w.s.book.Unanswered() == 0 }); return ok })
+		"behind others": {first: maxPending, delay: held, late: held, send: func(_ *world, send func()) { send() }},
+		"long after others": {first: maxPending, delay: held, send: func(w *world, send func()) {
+			w.eventually("their answers", func() (ok bool) { w.on(func() { ok = w.s.tracker.Unanswered() == 0 }); return ok })
 			time.Sleep(2 * held)
 			send()
 		}},
@@ -158,19 +158,19 @@
 				g.open()
 				g.pass()
 				w.dial().ask("BLK.READ", piece, "warm", terms("read", 9000, 0))
-				time.Sleep(2 * restOfLink)
+				time.Sleep(2 * minConnRest)
 				w.on(func() { w.module.Module = &later{after: 40 * time.Millisecond} })
 			}
 			c := w.dial()
 			c.send("BLK.READ", piece, "a", terms("read", 60, 0))
 			w.eventually("the command", func() (ok bool) {
-				w.on(func() { ok = w.s.book.Unanswered() > 0 || w.s.book.Counts.Failed > 0 })
+				w.on(func() { ok = w.s.tracker.Unanswered() > 0 || w.s.tracker.Counts.Failed > 0 })
 				return ok
 			})
 			w.on(func() {
 				g.open()
 				g.pass()
-				time.Sleep(heldUp)
+				time.Sleep(maxHoldUp)
 			})
 			if got := c.answer(time.Second); got != "-ERR failed" {
 				t.Errorf("%q", got)
--- a/target/session.go
+++ b/target/session.go
@@ -519,7 +519,7 @@
 	}
 }
 
-// giveUp answers a Write whose data is still awaited; what still comes is read and dropped.
+// cancel answers a Write whose data is still awaited; what still comes is read and dropped.
 func (s *Session) giveUp(c *Command, status nvme.Status) {
 	s.answer(c.CID(), status, 0, 0, nil)
 	c.state = dropped
