--- a/bench/bench.go
+++ b/bench/bench.go
@@ -200,8 +200,8 @@
 	d := &driver{r: r, own: through, ready: make(chan error, len(addresses)+1), waits: len(addresses), hist: hdrhistogram.New(1, 10_000_000, 3)}
 	r.clients.Post(func() {
 		for _, a := range addresses {
-			d.links = append(d.links, initiator.Dial(r.clients, initiator.Terms{Address: a, Subsystem: subsystem, Host: "nqn.2026-12.org.honeyplank:bench",
-				Depth: 120, MaxData: int(r.script.Limits.Transfer), Within: 2 * time.Second}, d))
+			d.links = append(d.links, initiator.Dial(r.clients, initiator.Settings{Address: a, Subsystem: subsystem, Host: "nqn.2026-12.org.honeyplank:bench",
+				Depth: 120, MaxData: int(r.script.Limits.Transfer), ConnectTimeout: 2 * time.Second}, d))
 		}
 	})
 	for range addresses {
--- a/cmd/honeyplank/corpus.go
+++ b/cmd/honeyplank/corpus.go
@@ -114,8 +114,8 @@
 	for _, t := range targets {
 		wanted[t.String()] = true
 	}
-	var list []fuzzcorpus.Sabotage
-	for _, x := range fuzzcorpus.Sabotages {
+	var list []fuzzcorpus.Mutation
+	for _, x := range fuzzcorpus.Mutations {
 		if wanted[x.Package+" "+x.Target] {
 			list = append(list, x)
 		}
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -241,7 +241,7 @@
 	ready := make(connected, 2)
 	var a *initiator.Association
 	l.Post(func() {
-		a = initiator.Dial(l, initiator.Terms{Address: address, Subsystem: subsystem, Host: "nqn.2026-12.org.honeyplank:script", Depth: 8, MaxData: 128 << 10, Within: 2 * time.Second}, ready)
+		a = initiator.Dial(l, initiator.Settings{Address: address, Subsystem: subsystem, Host: "nqn.2026-12.org.honeyplank:script", Depth: 8, MaxData: 128 << 10, ConnectTimeout: 2 * time.Second}, ready)
 	})
 	if err := <-ready; err != nil {
 		t.Fatal(err)
@@ -290,7 +290,7 @@
 func TestLearntFile(t *testing.T) {
 	s := example(t)
 	file := filepath.Join(t.TempDir(), "learnt")
-	known := &estimates.Record{Unit: 16 << 10, Usual: 0.01, Servers: []estimates.Server{{OSD: "127.0.0.1:9", At: time.Now().UTC(), Best: 0.001, Latency: 0.01}}}
+	known := &estimates.Record{Unit: 16 << 10, TypicalLatency: 0.01, Servers: []estimates.Server{{Server: "127.0.0.1:9", At: time.Now().UTC(), BestPerUnit: 0.001, Latency: 0.01}}}
 	sound, err := known.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/discovery/dns.go
+++ b/discovery/dns.go
@@ -17,8 +17,8 @@
 	"honeyplank/discovery/resolver"
 )
 
-// DNSTerms say whom to ask for what. docs/dns.md gives the convention of the records.
-type DNSTerms struct {
+// DNSSettings say whom to ask for what. docs/dns.md gives the convention of the records.
+type DNSSettings struct {
 	Servers []string // name servers, asked in turn
 	Name    string   // owner of the SRV records
 	Floor   time.Duration
@@ -30,9 +30,9 @@
 // DNS is the list in DNS. News comes on its own goroutine, in order, and none after Close: Whole for an answer,
 // also a negative one, Refused for a failure. What was known then still holds; that is for its hearer to keep.
 type DNS struct {
-	t       DNSTerms
-	tell    func(News)
-	asker   *resolver.Asker
+	t       DNSSettings
+	tell    func(Update)
+	asker   *resolver.Resolver
 	ask     func(server, name string, kind uint16) (*dns.Msg, error)
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -40,11 +40,11 @@
 }
 
 // NewDNS starts asking.
-func NewDNS(t DNSTerms, tell func(News)) *DNS {
+func NewDNS(t DNSSettings, tell func(Update)) *DNS {
 	t.Name = dns.Fqdn(t.Name)
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &DNS{t: t, tell: tell, cancel: cancel}
-	d.asker = resolver.New(resolver.Terms{Servers: len(t.Servers), Floor: t.Floor, Ceiling: t.Ceiling, Seed: t.Seed})
+	d.asker = resolver.New(resolver.Settings{Servers: len(t.Servers), Floor: t.Floor, Ceiling: t.Ceiling, Seed: t.Seed})
 	d.ask = func(server, name string, kind uint16) (*dns.Msg, error) { return d.exchange(ctx, server, name, kind) }
 	d.running.Add(1)
 	go func() {
@@ -83,7 +83,7 @@
 			if !d.asker.Failed(time.Since(start)) {
 				continue
 			}
-			news = News{Kind: honeyplank.WatchFailed, Err: failures}
+			news = Update{Kind: honeyplank.WatchFailed, Err: failures}
 		} else {
 			d.asker.Answered(time.Since(start), time.Duration(life)*time.Second)
 		}
@@ -98,8 +98,8 @@
 func (errNegative) Error() string { return "there are no such records" }
 
 // list gets the SRV records and the addresses of their targets from one server, with the shortest lifetime.
-func (d *DNS) list(server string) (News, uint32, error) {
-	news := News{Kind: honeyplank.Complete}
+func (d *DNS) list(server string) (Update, uint32, error) {
+	news := Update{Kind: honeyplank.Complete}
 	m, err := d.ask(server, d.t.Name, dns.TypeSRV)
 	var negative errNegative
 	if errors.As(err, &negative) { // an answer: there is none
@@ -155,7 +155,7 @@
 	}
 	records := make([]resolver.Record, len(found))
 	for i, s := range found {
-		records[i] = resolver.Record{Server: s.node.Address, Cell: s.node.Cell, Priority: s.priority, Drains: s.node.State != "on"}
+		records[i] = resolver.Record{Server: s.node.Address, Cell: s.node.Cell, Priority: s.priority, Draining: s.node.State != "on"}
 	}
 	for _, i := range resolver.Choose(records) {
 		news.Nodes = append(news.Nodes, found[i].node)
@@ -200,7 +200,7 @@
 			break
 		}
 	}
-	answers, err := sound(m, name, kind)
+	answers, err := validRecord(m, name, kind)
 	if err != nil {
 		return nil, err
 	}
@@ -208,8 +208,8 @@
 	return m, nil
 }
 
-// sound is what a message answers to a question, or why it is no answer.
-func sound(m *dns.Msg, name string, kind uint16) ([]dns.RR, error) {
+// validRecord is what a message answers to a question, or why it is no answer.
+func validRecord(m *dns.Msg, name string, kind uint16) ([]dns.RR, error) {
 	switch {
 	case m.Truncated:
 		return nil, errors.New("truncated over TCP too")
--- a/discovery/dns_test.go
+++ b/discovery/dns_test.go
@@ -22,9 +22,9 @@
 }
 
 // resolve starts name servers and a source that asks them in turn.
-func resolve(t *testing.T, n int, change func(*DNSTerms)) ([]*dns.Server, chan News) {
+func resolve(t *testing.T, n int, change func(*DNSSettings)) ([]*dns.Server, chan Update) {
 	t.Helper()
-	terms := DNSTerms{Name: zone, Floor: 50 * time.Millisecond, Ceiling: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
+	terms := DNSSettings{Name: zone, Floor: 50 * time.Millisecond, Ceiling: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
 	var servers []*dns.Server
 	for range n {
 		s, err := dns.New(zone)
@@ -38,8 +38,8 @@
 	if change != nil {
 		change(&terms)
 	}
-	out := make(chan News, 1000)
-	d := NewDNS(terms, func(n News) { out <- n })
+	out := make(chan Update, 1000)
+	d := NewDNS(terms, func(n Update) { out <- n })
 	t.Cleanup(d.Close)
 	return servers, out
 }
@@ -102,7 +102,7 @@
 		{Target: "f--c7.x.", IP: "::1", Port: 7, Weight: 1},
 	})
 	servers[0].Fault(dns.Faults{Bare: true}) // A, then AAAA are asked for
-	var n News
+	var n Update
 	for range 4 {
 		n = <-news
 	}
--- a/discovery/etcd.go
+++ b/discovery/etcd.go
@@ -34,11 +34,11 @@
 type Node struct {
 	Record
 	Address string
-	Gone    bool
+	Removed bool
 }
 
-// News is what the source heard. Err tells why a watch or fetch failed; then there are no nodes.
-type News struct {
+// Update is what the source heard. Err tells why a watch or fetch failed; then there are no nodes.
+type Update struct {
 	Kind     honeyplank.ListKind
 	Revision int64
 	Nodes    []Node
@@ -54,7 +54,7 @@
 type Etcd struct {
 	endpoints []string
 	agent     string
-	tell      func(News)
+	tell      func(Update)
 	mu        sync.Mutex
 	cancel    context.CancelFunc
 	next      int
@@ -68,7 +68,7 @@
 // New makes a source that asks the endpoints in turn, under the name agent. A watch that has said nothing for
 // quiet, not even that it has nothing to say, counts as broken, and so does a call that takes as long. At most most
 // nodes are kept.
-func New(endpoints []string, prefix, agent string, quiet time.Duration, most int, tell func(News)) *Etcd {
+func New(endpoints []string, prefix, agent string, quiet time.Duration, most int, tell func(Update)) *Etcd {
 	return &Etcd{endpoints: endpoints, agent: agent, quiet: quiet, tell: tell, list: list{prefix: prefix, most: most, known: map[string]Node{}}}
 }
 
@@ -108,7 +108,7 @@
 		defer e.running.Done()
 		defer cancel()
 		if err := e.run(ctx, endpoint, watch, serial); err != nil {
-			e.locked(serial, func() (*News, error) { return &News{Kind: honeyplank.WatchFailed, Err: err}, nil })
+			e.locked(serial, func() (*Update, error) { return &Update{Kind: honeyplank.WatchFailed, Err: err}, nil })
 		}
 	}()
 }
@@ -117,7 +117,7 @@
 var errReplaced = errors.New("members: replaced")
 
 // locked changes the list and tells what comes of it, unless the watch it is of has been replaced.
-func (e *Etcd) locked(serial int, change func() (*News, error)) error {
+func (e *Etcd) locked(serial int, change func() (*Update, error)) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if serial != e.serial || e.closed {
@@ -179,7 +179,7 @@
 			return fmt.Errorf("members: range at %s: %w", endpoint, err)
 		}
 	}
-	return e.locked(serial, func() (*News, error) { return e.list.whole(r), nil })
+	return e.locked(serial, func() (*Update, error) { return e.list.whole(r), nil })
 }
 
 // follow watches from after the revision told until the watch breaks.
@@ -193,7 +193,7 @@
 		return fmt.Errorf("members: watch at %s: %w", endpoint, err)
 	}
 	from, created := int64(0), func() {}
-	if err := e.locked(serial, func() (*News, error) { e.list.watch(); from = e.list.revision; return nil, nil }); err != nil {
+	if err := e.locked(serial, func() (*Update, error) { e.list.watch(); from = e.list.revision; return nil, nil }); err != nil {
 		return err
 	}
 	if e.quiet > 0 {
@@ -219,7 +219,7 @@
 			return wrap(err)
 		}
 		awaiting := false // progress keeps up a watch that stands, not one of which more is awaited
-		err = e.locked(serial, func() (*News, error) {
+		err = e.locked(serial, func() (*Update, error) {
 			news, err := e.list.hear(r)
 			awaiting = e.list.state != stands && len(r.Events) == 0
 			return news, err
--- a/discovery/etcd_test.go
+++ b/discovery/etcd_test.go
@@ -13,19 +13,19 @@
 const prefix = "/honeyplank/nodes/"
 
 // watch starts a source on a stand-in; what it tells comes on the channel.
-func watch(t *testing.T) (*etcd.Server, *Etcd, chan News) {
+func watch(t *testing.T) (*etcd.Server, *Etcd, chan Update) {
 	t.Helper()
 	s, err := etcd.New("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := make(chan News, 100)
-	e := New([]string{s.Address()}, prefix, "test", 400*time.Millisecond, 20000, func(n News) { out <- n })
+	out := make(chan Update, 100)
+	e := New([]string{s.Address()}, prefix, "test", 400*time.Millisecond, 20000, func(n Update) { out <- n })
 	t.Cleanup(func() { e.Close(); s.Close() })
 	return s, e, out
 }
 
-func next(t *testing.T, c chan News, kind honeyplank.ListKind) News {
+func next(t *testing.T, c chan Update, kind honeyplank.ListKind) Update {
 	t.Helper()
 	for late := time.After(5 * time.Second); ; {
 		select {
@@ -60,7 +60,7 @@
 		t.Errorf("%+v", n)
 	}
 	s.Delete(prefix + a)
-	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 1 || !n[0].Gone || n[0].Cell != 3 {
+	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 1 || !n[0].Removed || n[0].Cell != 3 {
 		t.Errorf("%+v", n)
 	}
 	s.Break()
@@ -70,7 +70,7 @@
 	s.Set(prefix+a, []byte(`{"state":"on","cell":9}`)) // nobody watches
 	s.Delete(prefix + "127.0.0.1:1001")
 	e.Watch(true)
-	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Gone {
+	if n := next(t, news, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Removed {
 		t.Errorf("after the break, from the revision told last: %+v", n)
 	}
 	s.Break()
--- a/discovery/fuzz_test.go
+++ b/discovery/fuzz_test.go
@@ -64,7 +64,7 @@
 		var err error
 		if n := heap.Bytes(func() {
 			if err = m.Unpack(b); err == nil {
-				found, err = sound(m, zone, dns.TypeSRV)
+				found, err = validRecord(m, zone, dns.TypeSRV)
 			}
 		}); n > uint64(1<<20+1000*len(b)) {
 			t.Fatalf("%d bytes are allocated for a message of %d", n, len(b))
@@ -97,7 +97,7 @@
 	f.Add([]byte{9, 0x11, 8, 0x22, 10, 3, 11, 4, 2, 5})
 	f.Fuzz(func(t *testing.T, script []byte) {
 		given, asked := map[string]bool{}, 0
-		d := &DNS{t: DNSTerms{Name: zone}}
+		d := &DNS{t: DNSSettings{Name: zone}}
 		d.ask = func(_, name string, kind uint16) (*dns.Msg, error) {
 			if asked++; len(script) < 2 {
 				return nil, errNegative{5}
@@ -156,7 +156,7 @@
 					m.Answer = append(m.Answer, &dns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
 				}
 			}
-			answers, err := sound(m, name, kind)
+			answers, err := validRecord(m, name, kind)
 			if err != nil {
 				return nil, err
 			}
--- a/discovery/resolver/names.go
+++ b/discovery/resolver/names.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Terms bound the asking.
-type Terms struct {
+// Settings bound the asking.
+type Settings struct {
 	Servers int           // name servers, asked in turn
 	Floor   time.Duration // the least pause, whatever a record's lifetime
 	Ceiling time.Duration // the longest
@@ -19,8 +19,8 @@
 // lifetime to all of it.
 const spread = 1.0 / 4
 
-// Ask is the next question: which server, and when, as a span since start.
-type Ask struct {
+// Query is the next question: which server, and when, as a span since start.
+type Query struct {
 	Server int
 	At     time.Duration
 }
@@ -44,7 +44,7 @@
 // step tells the state after an outcome, what is to be done, and whether the round's outcome is to be told.
 type step struct {
 	next state
-	do   func(*Asker, time.Duration, time.Duration)
+	do   func(*Resolver, time.Duration, time.Duration)
 	tell bool
 }
 
@@ -52,34 +52,34 @@
 // ceiling: it guards against a crowd asking a name server that is barely there; it could harm where all servers were
 // out only for a moment, by up to a ceiling.
 var steps = map[state]map[input]step{
-	settled: {inAnswer: {settled, (*Asker).rest, true}, inFailure: {trying, (*Asker).turn, false}, inLastFailure: {failing, (*Asker).back, true}},
-	trying:  {inAnswer: {settled, (*Asker).rest, true}, inFailure: {trying, (*Asker).turn, false}, inLastFailure: {failing, (*Asker).back, true}},
-	failing: {inAnswer: {settled, (*Asker).rest, true}, inFailure: {failing, (*Asker).turn, false}, inLastFailure: {failing, (*Asker).back, true}},
+	settled: {inAnswer: {settled, (*Resolver).rest, true}, inFailure: {trying, (*Resolver).turn, false}, inLastFailure: {failing, (*Resolver).back, true}},
+	trying:  {inAnswer: {settled, (*Resolver).rest, true}, inFailure: {trying, (*Resolver).turn, false}, inLastFailure: {failing, (*Resolver).back, true}},
+	failing: {inAnswer: {settled, (*Resolver).rest, true}, inFailure: {failing, (*Resolver).turn, false}, inLastFailure: {failing, (*Resolver).back, true}},
 }
 
-// Asker decides the next question from the outcome of the last.
-type Asker struct {
-	t      Terms
+// Resolver decides the next question from the outcome of the last.
+type Resolver struct {
+	t      Settings
 	rng    *rand.Rand
 	state  state
 	first  int // the server asked first: the one that answered last
 	failed int // servers of this round
 	pause  time.Duration
-	next   Ask
+	next   Query
 }
 
 // New makes one; its first question is due at once.
-func New(t Terms) *Asker { return &Asker{t: t, rng: rand.New(rand.NewSource(t.Seed))} }
+func New(t Settings) *Resolver { return &Resolver{t: t, rng: rand.New(rand.NewSource(t.Seed))} }
 
 // Next is the question that is due next.
-func (a *Asker) Next() Ask { return a.next }
+func (a *Resolver) Next() Query { return a.next }
 
 // Answered tells that the question was answered, also that there is nothing; life is how long that holds. Failed tells
 // that it was not; it returns whether all servers have failed now, which is the round's outcome.
-func (a *Asker) Answered(now, life time.Duration) { a.step(inAnswer, now, life) }
+func (a *Resolver) Answered(now, life time.Duration) { a.step(inAnswer, now, life) }
 
 // Failed: see Answered.
-func (a *Asker) Failed(now time.Duration) (all bool) {
+func (a *Resolver) Failed(now time.Duration) (all bool) {
 	in := inFailure
 	if a.failed++; a.failed >= a.t.Servers {
 		in = inLastFailure
@@ -87,7 +87,7 @@
 	return a.step(in, now, 0)
 }
 
-func (a *Asker) step(in input, now, life time.Duration) bool {
+func (a *Resolver) step(in input, now, life time.Duration) bool {
 	s := steps[a.state][in]
 	a.state = s.next
 	s.do(a, now, life)
@@ -95,23 +95,23 @@
 }
 
 // rest waits until the answer's lifetime is over and asks the same server first.
-func (a *Asker) rest(now, life time.Duration) {
+func (a *Resolver) rest(now, life time.Duration) {
 	a.first, a.failed, a.pause = a.next.Server, 0, 0
 	a.next.At = now + a.draw(life)
 }
 
 // turn asks the next server at once.
-func (a *Asker) turn(now, _ time.Duration) {
-	a.next = Ask{(a.next.Server + 1) % a.t.Servers, now}
+func (a *Resolver) turn(now, _ time.Duration) {
+	a.next = Query{(a.next.Server + 1) % a.t.Servers, now}
 }
 
 // back waits, each time twice as long, and begins with the server that answered last.
-func (a *Asker) back(now, _ time.Duration) {
+func (a *Resolver) back(now, _ time.Duration) {
 	a.failed, a.pause = 0, min(max(2*a.pause, a.t.Floor), a.t.Ceiling)
-	a.next = Ask{a.first, now + a.draw(a.pause)}
+	a.next = Query{a.first, now + a.draw(a.pause)}
 }
 
-func (a *Asker) draw(span time.Duration) time.Duration {
+func (a *Resolver) draw(span time.Duration) time.Duration {
 	span = min(max(span, a.t.Floor), a.t.Ceiling)
 	return span - time.Duration(a.rng.Float64()*spread*float64(span))
 }
@@ -121,7 +121,7 @@
 	Server   string
 	Cell     int
 	Priority uint16
-	Drains   bool
+	Draining bool
 }
 
 // Choose returns the places of the records that count: of each cell those of the lowest priority that do not drain,
@@ -129,7 +129,7 @@
 func Choose(all []Record) (chosen []int) {
 	least, drains, seen := map[int]uint16{}, map[string]bool{}, map[string]bool{}
 	for _, r := range all {
-		drains[r.Server] = drains[r.Server] || r.Drains
+		drains[r.Server] = drains[r.Server] || r.Draining
 	}
 	for _, r := range all {
 		if p, ok := least[r.Cell]; !drains[r.Server] && (!ok || r.Priority < p) {
@@ -137,7 +137,7 @@
 		}
 	}
 	for i, r := range all {
-		if !seen[r.Server] && (r.Drains || !drains[r.Server] && r.Priority == least[r.Cell]) {
+		if !seen[r.Server] && (r.Draining || !drains[r.Server] && r.Priority == least[r.Cell]) {
 			seen[r.Server] = true
 			chosen = append(chosen, i)
 		}
--- a/discovery/resolver/names_test.go
+++ b/discovery/resolver/names_test.go
@@ -25,7 +25,7 @@
 	f.Add(byte(2), []byte{1, 200, 0, 0, 0, 0, 0, 0, 1, 5})
 	f.Add(byte(3), []byte{0, 0, 0, 0, 1, 255, 1, 0, 0, 1, 0, 2, 0, 3, 0, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, servers byte, script []byte) {
-		terms := Terms{Servers: 1 + int(servers%4), Floor: 100 * time.Millisecond, Ceiling: 5 * time.Second, Seed: int64(servers)}
+		terms := Settings{Servers: 1 + int(servers%4), Floor: 100 * time.Millisecond, Ceiling: 5 * time.Second, Seed: int64(servers)}
 		a := New(terms)
 		type outcome struct {
 			server   int
@@ -92,12 +92,12 @@
 		for i, r := range all {
 			drained, better, earlier := false, false, false
 			for j, o := range all {
-				drained = drained || o.Server == r.Server && o.Drains
-				sound := !slices.ContainsFunc(all, func(x Record) bool { return x.Server == o.Server && x.Drains })
+				drained = drained || o.Server == r.Server && o.Draining
+				sound := !slices.ContainsFunc(all, func(x Record) bool { return x.Server == o.Server && x.Draining })
 				better = better || o.Cell == r.Cell && sound && o.Priority < r.Priority
 				earlier = earlier || j < i && o.Server == r.Server && slices.Contains(chosen, j)
 			}
-			want := !earlier && (r.Drains || !drained && !better)
+			want := !earlier && (r.Draining || !drained && !better)
 			if want != slices.Contains(chosen, i) {
 				t.Fatalf("%+v: record %d chosen: %v", all, i, !want)
 			}
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -21,17 +21,17 @@
 type state int
 
 const (
-	asked   state = iota // created is awaited
+	request state = iota // created is awaited
 	stands               // events come
 	pieces               // part of a response is held, the rest is awaited
 	stopped              // nothing more is taken
 )
 
-// heard is what a response says, by kind.
-type heard int
+// watchInput is what a response says, by kind.
+type watchInput int
 
 const (
-	saysCreated heard = iota
+	saysCreated watchInput = iota
 	saysCompacted
 	saysCancelled
 	saysPart // events, and more of the same response to come
@@ -43,16 +43,16 @@
 // step is what a watch does about a response.
 type step struct {
 	next state
-	do   func(*list, *etcdserverpb.WatchResponse) (*News, error)
+	do   func(*list, *etcdserverpb.WatchResponse) (*Update, error)
 }
 
 // steps is read by hear; a pair that is missing is out of order, and the watch is begun anew from the whole list.
-var steps = map[state]map[heard]step{
-	asked: {
+var steps = map[state]map[watchInput]step{
+	request: {
 		saysCreated:   {stands, (*list).begin},
 		saysCompacted: {stopped, (*list).anew},
 		saysCancelled: {stopped, (*list).cancelled},
-		saysProgress:  {asked, nothing}, // of another watch on the stream
+		saysProgress:  {request, nothing}, // of another watch on the stream
 	},
 	stands: {
 		saysPart:      {pieces, (*list).hold},
@@ -89,7 +89,7 @@
 
 // watch forgets what a watch before held and awaits a new one, from after the revision told.
 func (l *list) watch() {
-	l.state, l.last = asked, l.revision
+	l.state, l.last = request, l.revision
 	l.drop()
 }
 
@@ -97,7 +97,7 @@
 
 // hear takes in a response. News is nil where there is none; after an error the watch is over, and errHistory asks
 // for the whole list.
-func (l *list) hear(r *etcdserverpb.WatchResponse) (*News, error) {
+func (l *list) hear(r *etcdserverpb.WatchResponse) (*Update, error) {
 	s, ok := steps[l.state][l.sort(r)]
 	if !ok {
 		l.state = stopped
@@ -113,7 +113,7 @@
 	return news, err
 }
 
-func (l *list) sort(r *etcdserverpb.WatchResponse) heard {
+func (l *list) sort(r *etcdserverpb.WatchResponse) watchInput {
 	switch {
 	case r.GetHeader() == nil:
 		return saysNonsense
@@ -142,34 +142,34 @@
 	return saysAll
 }
 
-func nothing(*list, *etcdserverpb.WatchResponse) (*News, error) { return nil, nil }
+func nothing(*list, *etcdserverpb.WatchResponse) (*Update, error) { return nil, nil }
 
 // begin has the watch stand, unless etcd is behind what was told: then it has another history.
-func (l *list) begin(r *etcdserverpb.WatchResponse) (*News, error) {
+func (l *list) begin(r *etcdserverpb.WatchResponse) (*Update, error) {
 	if r.Header.Revision < l.revision {
 		return nil, errHistory
 	}
 	// Nothing may come for long: the watch stands.
-	return &News{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
+	return &Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
 // anew gives up the history told: the whole list is needed.
-func (l *list) anew(*etcdserverpb.WatchResponse) (*News, error) { return nil, errHistory }
+func (l *list) anew(*etcdserverpb.WatchResponse) (*Update, error) { return nil, errHistory }
 
-func (l *list) cancelled(r *etcdserverpb.WatchResponse) (*News, error) {
+func (l *list) cancelled(r *etcdserverpb.WatchResponse) (*Update, error) {
 	return nil, fmt.Errorf("cancelled: %.200s", r.CancelReason)
 }
 
 // progress tells that nothing up to a revision is missing. A response with events tells no such thing: etcd sends
 // a long history in several, each with the present revision in its header.
-func (l *list) progress(r *etcdserverpb.WatchResponse) (*News, error) {
+func (l *list) progress(r *etcdserverpb.WatchResponse) (*Update, error) {
 	l.revision = max(l.revision, r.Header.Revision)
 	l.last = max(l.last, l.revision)
-	return &News{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
+	return &Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
 // hold takes the events of a response, or of a piece of one. What was told already is passed over.
-func (l *list) hold(r *etcdserverpb.WatchResponse) (*News, error) {
+func (l *list) hold(r *etcdserverpb.WatchResponse) (*Update, error) {
 	for _, e := range r.Events {
 		if e.Kv.ModRevision <= l.revision {
 			continue
@@ -184,11 +184,11 @@
 }
 
 // tell takes the last events of a response and tells all: the changes of one revision are told together.
-func (l *list) tell(r *etcdserverpb.WatchResponse) (*News, error) {
+func (l *list) tell(r *etcdserverpb.WatchResponse) (*Update, error) {
 	if _, err := l.hold(r); err != nil {
 		return nil, err
 	}
-	news := &News{Kind: honeyplank.Delta, Nodes: l.held, Skipped: l.skipped}
+	news := &Update{Kind: honeyplank.Delta, Nodes: l.held, Skipped: l.skipped}
 	l.drop()
 	l.revision = max(l.revision, l.last)
 	if len(news.Nodes)+len(news.Skipped) == 0 {
@@ -196,7 +196,7 @@
 	}
 	news.Revision, news.Current = l.revision, l.revision >= r.Header.Revision
 	for _, n := range news.Nodes {
-		if l.known[n.Address] = n; n.Gone {
+		if l.known[n.Address] = n; n.Removed {
 			delete(l.known, n.Address)
 		}
 	}
@@ -215,7 +215,7 @@
 	}
 	n, there := l.known[address]
 	if i, ok := l.at[address]; ok {
-		n, there = l.held[i], !l.held[i].Gone
+		n, there = l.held[i], !l.held[i].Removed
 	}
 	if !there && deleted {
 		return
@@ -237,7 +237,7 @@
 	case !there:
 		l.growth++
 	}
-	n.Address, n.Gone = address, deleted
+	n.Address, n.Removed = address, deleted
 	l.at[address] = len(l.held)
 	l.held = append(l.held, n)
 }
@@ -279,13 +279,13 @@
 }
 
 // whole puts what was read in the place of what was told, unless a watch that stands has told of later revisions.
-func (l *list) whole(r *reading) *News {
+func (l *list) whole(r *reading) *Update {
 	if r.revision < l.revision && (l.state == stands || l.state == pieces) {
-		return &News{Kind: honeyplank.Delta}
+		return &Update{Kind: honeyplank.Delta}
 	}
 	l.known, l.revision = make(map[string]Node, len(r.held)), r.revision
 	for _, n := range r.held {
 		l.known[n.Address] = n
 	}
-	return &News{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
+	return &Update{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
 }
--- a/discovery/watch_test.go
+++ b/discovery/watch_test.go
@@ -189,7 +189,7 @@
 			}
 			if news != nil {
 				for _, n := range news.Nodes {
-					if heard[n.Address] = n; n.Gone {
+					if heard[n.Address] = n; n.Removed {
 						delete(heard, n.Address)
 					}
 				}
--- a/estimates/learnt.go
+++ b/estimates/learnt.go
@@ -18,22 +18,22 @@
 
 // Record is what one instance knew when it was asked.
 type Record struct {
-	Unit    int64    `json:"unit"`  // bytes of a unit, by which best is counted
-	Usual   float64  `json:"usual"` // recent answer time of all servers, in seconds
-	Servers []Server `json:"servers"`
+	Unit           int64    `json:"unit"`  // bytes of a unit, by which best is counted
+	TypicalLatency float64  `json:"usual"` // recent answer time of all servers, in seconds
+	Servers        []Server `json:"servers"`
 }
 
 // Server is what it knew of one disk server.
 type Server struct {
-	OSD     string    `json:"osd"`
-	At      time.Time `json:"at"`      // when it last learnt something there
-	Best    float64   `json:"best"`    // best answer time for each unit, in seconds
-	Latency float64   `json:"latency"` // recent answer time, in seconds
+	Server      string    `json:"osd"`
+	At          time.Time `json:"at"`      // when it last learnt something there
+	BestPerUnit float64   `json:"best"`    // best answer time for each unit, in seconds
+	Latency     float64   `json:"latency"` // recent answer time, in seconds
 }
 
 const (
-	magic    = "honeyplank-learnt 1 "
-	sizeMost = 16 << 20
+	magic   = "honeyplank-learnt 1 "
+	maxSize = 16 << 20
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
@@ -50,7 +50,7 @@
 // Decode reads a record; a damaged one is an error as a whole.
 func Decode(b []byte) (*Record, error) {
 	head, body, ok := bytes.Cut(b, []byte("\n"))
-	if !ok || len(b) > sizeMost || !bytes.HasPrefix(head, []byte(magic)) {
+	if !ok || len(b) > maxSize || !bytes.HasPrefix(head, []byte(magic)) {
 		return nil, errors.New("not a file of what was learnt, version 1")
 	}
 	if sum := fmt.Sprintf("%08x", crc32.Checksum(body, table)); sum != string(head[len(magic):]) {
@@ -60,9 +60,9 @@
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, err
 	}
-	for _, s := range append(r.Servers, Server{Latency: r.Usual}) {
-		if s.Best < 0 || s.Latency < 0 || math.IsInf(s.Best+s.Latency, 0) {
-			return nil, fmt.Errorf("%q: a time below 0 or without end", s.OSD)
+	for _, s := range append(r.Servers, Server{Latency: r.TypicalLatency}) {
+		if s.BestPerUnit < 0 || s.Latency < 0 || math.IsInf(s.BestPerUnit+s.Latency, 0) {
+			return nil, fmt.Errorf("%q: a time below 0 or without end", s.Server)
 		}
 	}
 	return r, nil
@@ -90,21 +90,21 @@
 	return replace(disk{}, file, content)
 }
 
-// Of puts what a module knows into a record; at turns its clock into the wall's.
-func Of(l honeyplank.SavedEstimates, unit int64, at func(time.Duration) time.Time) *Record {
-	r := &Record{Unit: unit, Usual: l.TypicalLatency}
+// FromEvent puts what a module knows into a record; at turns its clock into the wall's.
+func FromEvent(l honeyplank.SavedEstimates, unit int64, at func(time.Duration) time.Time) *Record {
+	r := &Record{Unit: unit, TypicalLatency: l.TypicalLatency}
 	for _, k := range l.Servers {
 		r.Servers = append(r.Servers, Server{string(k.Server), at(k.At), k.BestPerUnit, k.Latency})
 	}
 	return r
 }
 
-// For is what a record tells an instance whose units are so large. Where they differ, a time for each unit means
+// ToEvent is what a record tells an instance whose units are so large. Where they differ, a time for each unit means
 // something else and is left out.
-func (r *Record) For(unit int64, span func(time.Time) time.Duration) honeyplank.SavedEstimates {
-	l := honeyplank.SavedEstimates{TypicalLatency: r.Usual}
+func (r *Record) ToEvent(unit int64, span func(time.Time) time.Duration) honeyplank.SavedEstimates {
+	l := honeyplank.SavedEstimates{TypicalLatency: r.TypicalLatency}
 	for _, s := range r.Servers {
-		k := honeyplank.ServerEstimate{Server: honeyplank.ServerID(s.OSD), At: span(s.At), BestPerUnit: s.Best, Latency: s.Latency}
+		k := honeyplank.ServerEstimate{Server: honeyplank.ServerID(s.Server), At: span(s.At), BestPerUnit: s.BestPerUnit, Latency: s.Latency}
 		if r.Unit != unit {
 			k.BestPerUnit = 0
 		}
--- a/estimates/learnt_test.go
+++ b/estimates/learnt_test.go
@@ -13,7 +13,7 @@
 )
 
 func record() *Record {
-	return &Record{Unit: 16 << 10, Usual: 0.03, Servers: []Server{
+	return &Record{Unit: 16 << 10, TypicalLatency: 0.03, Servers: []Server{
 		{"127.0.0.1:5001", time.UnixMilli(1_000_000).UTC(), 0.002, 0.01}, {"127.0.0.1:5002", time.UnixMilli(2_000_000).UTC(), 0.02, 0.3}}}
 }
 
@@ -45,7 +45,7 @@
 		}
 	}
 	bad := record()
-	bad.Servers[0].Best = -1
+	bad.Servers[0].BestPerUnit = -1
 	if b, _ := bad.Encode(); b != nil {
 		if _, err := Decode(b); err == nil {
 			t.Error("a time below 0 is read as sound")
@@ -56,14 +56,14 @@
 // What a unit means is told with it.
 func TestOtherUnits(t *testing.T) {
 	span := func(at time.Time) time.Duration { return at.Sub(time.UnixMilli(0)) }
-	same, other := record().For(16<<10, span), record().For(4<<10, span)
+	same, other := record().ToEvent(16<<10, span), record().ToEvent(4<<10, span)
 	if k := same.Servers[1]; k != (honeyplank.ServerEstimate{Server: "127.0.0.1:5002", At: 2000 * time.Second, BestPerUnit: 0.02, Latency: 0.3}) {
 		t.Errorf("same units: %+v", k)
 	}
 	if k := other.Servers[1]; k.BestPerUnit != 0 || k.Latency != 0.3 {
 		t.Errorf("other units: %+v", k)
 	}
-	if back := Of(same, 16<<10, func(d time.Duration) time.Time { return time.UnixMilli(0).Add(d).UTC() }); !reflect.DeepEqual(back, record()) {
+	if back := FromEvent(same, 16<<10, func(d time.Duration) time.Time { return time.UnixMilli(0).Add(d).UTC() }); !reflect.DeepEqual(back, record()) {
 		t.Errorf("there and back: %+v", back)
 	}
 }
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -40,7 +40,7 @@
 func versions() [2]*Record {
 	var list [2]*Record
 	for i := range list {
-		list[i] = &Record{Unit: 16 << 10, Usual: float64(i + 1)}
+		list[i] = &Record{Unit: 16 << 10, TypicalLatency: float64(i + 1)}
 		for n := range 100 {
 			list[i].Servers = append(list[i].Servers, Server{fmt.Sprintf("127.0.0.1:%d", 5000+n), time.UnixMilli(1_000_000).UTC(), 0.002, float64(i+1) / 64})
 		}
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -26,7 +26,7 @@
 	Window   time.Duration // it falls over when sent Multiple of its capacity for so long
 	Multiple float64
 	Meter    *Meter
-	Offer    target.Offer
+	Offer    target.Settings
 	Tap      func() func(sent bool, b []byte)
 	Wire     func(*eventloop.Conn)
 }
@@ -170,8 +170,8 @@
 	return float64(max((c.Bytes+s.m.Unit-1)/s.m.Unit, 1))
 }
 
-// Take receives an op. All of it counts for a cold server, also what is turned away.
-func (s *Server) Take(c *target.Command) {
+// Admit receives an op. All of it counts for a cold server, also what is turned away.
+func (s *Server) Admit(c *target.Command) {
 	now := s.loop.Now()
 	if s.cold(now, s.units(c)) {
 		s.Fell = true
@@ -207,8 +207,8 @@
 	return sum > s.m.Multiple*s.CapacityAt(now-s.Started)*s.m.Window.Seconds()
 }
 
-// Lapse drops an op whose connection has gone, if it still waits.
-func (s *Server) Lapse(c *target.Command) {
+// ClientGone drops an op whose connection has gone, if it still waits.
+func (s *Server) ClientGone(c *target.Command) {
 	if i := slices.Index(s.queue, c); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
 		s.server.Release(c.Data)
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -364,7 +364,7 @@
 			}
 			return 0
 		}},
-		Offer: target.Offer{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), Capsule: 8 << 10, Piece: 32 << 10,
+		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), Capsule: 8 << 10, Piece: 32 << 10,
 			Depth: 1024, Queues: 8, Handshake: time.Second, Connections: 1024, Unsent: 64 << 20, Held: 256 << 20}}
 	if c := s.Rules.Cold; c != nil {
 		m.ColdFrom, m.ColdTime, m.Window, m.Multiple = c.From, c.Time.D(), c.Window.D(), c.Multiple
@@ -676,7 +676,7 @@
 		var due, earned float64
 		for i, name := range st.load.Names() {
 			t := &st.load.ByType[i]
-			r := TypeReport{Name: name, Ops: t.Ops, Tries: t.Tries, Acked: t.Acked, InTime: t.InTime, Throttled: t.Throttled, Aborted: t.Aborted,
+			r := TypeReport{Name: name, Ops: t.Ops, Tries: t.Tries, Acked: t.Succeeded, InTime: t.InTime, Throttled: t.Rejected, Aborted: t.Failed,
 				Lost: t.Lost, Wrong: t.Wrong, Target: millis(st.script.OpTypes[i].TargetLatency.D()), P50: millis(t.Quantile(0.5)), P99: millis(t.Quantile(0.99))}
 			if t.Due > 0 {
 				r.Service = t.Earned / t.Due
--- a/fuzzcorpus/corpus_test.go
+++ b/fuzzcorpus/corpus_test.go
@@ -144,14 +144,14 @@
 
 // TestSabotage has every seeded fault still fit the text, and the corpora find one of each side of the protocol.
 func TestSabotage(t *testing.T) {
-	for _, s := range Sabotages {
+	for _, s := range Mutations {
 		text, err := os.ReadFile(filepath.Join("..", filepath.FromSlash(s.File)))
 		if err != nil || strings.Count(string(text), s.Old) != 1 {
 			t.Errorf("%s: %q stands %d times, %v", s.File, s.Old, strings.Count(string(text), s.Old), err)
 		}
 	}
-	var few []Sabotage
-	for _, s := range Sabotages {
+	var few []Mutation
+	for _, s := range Mutations {
 		if s.Kind == "a PDU one byte short is read" || s.Kind == "an id that is in use is taken again" || s.Kind == "success before the data" {
 			few = append(few, s)
 		}
--- a/fuzzcorpus/sabotage.go
+++ b/fuzzcorpus/sabotage.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Sabotage is a fault put into a parser or state machine, as a change of its text, that its target must find.
-type Sabotage struct {
+// Mutation is a fault put into a parser or state machine, as a change of its text, that its target must find.
+type Mutation struct {
 	Package, Target string
 	File            string
 	Old, New        string // Old stands in the file once
 	Kind            string
 }
 
-// Sabotages are the seeded faults: lengths off by one, checks of state that are missing, bounds that are gone.
-var Sabotages = []Sabotage{
+// Mutations are the seeded faults: lengths off by one, checks of state that are missing, bounds that are gone.
+var Mutations = []Mutation{
 	{"nvme", "FuzzDecode", "nvme/pdu.go", "if len(b) < headLen {", "if len(b) < headLen-1 {", "a header one byte short is read"},
 	{"nvme", "FuzzDecode", "nvme/pdu.go", "if len(b) < size {", "if len(b) < size-1 {", "a PDU one byte short is read"},
 	{"nvme", "FuzzFrame", "nvme/pdu.go", "if hlen != way.hlen {", "if hlen < way.hlen {", "a longer header is let pass"},
@@ -68,7 +68,7 @@
 
 // Found is what a target made of a fault.
 type Found struct {
-	Sabotage
+	Mutation
 	Replayed int           // inputs of the corpus that ran, the one that failed last
 	Corpus   bool          // the corpus found it
 	Fuzzed   int64         // else: inputs that were made after, as counted every three seconds
@@ -91,7 +91,7 @@
 
 // Try puts each fault into the text as the compiler sees it, never into the file, and runs its target: the corpus
 // first and, where that finds nothing, up to runs new inputs.
-func Try(ctx context.Context, root string, sabotages []Sabotage, runs int, done func(Found)) error {
+func Try(ctx context.Context, root string, sabotages []Mutation, runs int, done func(Found)) error {
 	into, err := os.MkdirTemp("", "sabotage")
 	if err != nil {
 		return err
@@ -101,7 +101,7 @@
 		return err
 	}
 	for _, s := range sabotages {
-		f := Found{Sabotage: s}
+		f := Found{Mutation: s}
 		began := time.Now()
 		path := filepath.Join(root, filepath.FromSlash(s.File))
 		text, err := os.ReadFile(path)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -56,7 +56,7 @@
 	etcd   *discovery.Etcd // nil: not a source
 	dns    *discovery.DNS
 	ask    func() // starts asking DNS; nil: not a source
-	book   *membership.Book
+	book   *membership.Ledger
 	starts [2]incarnation.Tracker // by belief.Source
 	ticker *eventloop.Timer       // for what time alone changes in the book
 	log    zerolog.Logger
@@ -112,7 +112,7 @@
 		disks: map[honeyplank.ServerID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
 	g.ops = inflight.New(l, g.module, sender{g})
 	g.ops.OnAction, g.ops.OnIdle = g.act, g.check
-	offer := target.Offer{Subsystem: s.Listen.Subsystem, Serial: "HP" + strconv.Itoa(s.Scheduler.Ordinal),
+	offer := target.Settings{Subsystem: s.Listen.Subsystem, Serial: "HP" + strconv.Itoa(s.Scheduler.Ordinal),
 		MaxTransfer: int(s.Limits.Transfer), Capsule: int(s.Limits.Capsule), Piece: int(s.Limits.Piece),
 		Depth: s.Limits.Depth, Queues: 64, Handshake: s.Limits.Handshake.D(), Connections: s.Limits.Connections,
 		Unsent: int(s.Limits.Unsent), Held: int(s.Limits.Held)}
@@ -137,23 +137,23 @@
 		return nil, fmt.Errorf("gateway: %s: %w", s.Listen.Address, err)
 	}
 	if p := s.Limits.Peer; p != nil {
-		g.server.Guard = peerlimit.New(peerlimit.Terms{Connections: p.Connections, Handshakes: p.Handshakes, Commands: p.Commands, Bytes: int(p.Bytes), PDU: p.PDU.D(),
-			Breaches: p.Breaches, Window: p.Window.D(), Shut: p.Shut.D(), Most: p.Most.D()})
+		g.server.Guard = peerlimit.New(peerlimit.Settings{Connections: p.Connections, Handshakes: p.Handshakes, Commands: p.Commands, Bytes: int(p.Bytes), PDU: p.PDU.D(),
+			Breaches: p.Breaches, Window: p.Window.D(), BanTime: p.Shut.D(), MaxPeers: p.Most.D()})
 	}
 	g.server.Judged = func(peer, what string, span time.Duration) {
 		g.log.Warn().Str("peer", peer).Str("why", what).Dur("for_ms", span).Msg("a peer is turned away")
 	}
 	g.server.Patience = func(c *target.Command) time.Duration { return g.patience(c) }
-	terms := membership.Terms{Vanish: 1} // one source alone is believed
+	terms := membership.Settings{Vanish: 1} // one source alone is believed
 	if t := s.List.Believe; t != nil {
-		terms = membership.Terms{Vanish: t.Vanish, Confirm: t.Confirm.D(), Calm: t.Calm.D(), Flaps: t.Flaps, Hold: t.Hold.D()}
+		terms = membership.Settings{Vanish: t.Vanish, Confirm: t.Confirm.D(), Calm: t.Calm.D(), Flaps: t.Flaps, Hold: t.Hold.D()}
 	}
 	g.book = membership.New(terms)
 	for i := range g.starts {
 		g.starts[i].Most = s.List.Most
 	}
-	hear := func(from membership.Source) func(discovery.News) {
-		return func(n discovery.News) { l.Post(func() { g.news(from, n) }) }
+	hear := func(from membership.Source) func(discovery.Update) {
+		return func(n discovery.Update) { l.Post(func() { g.news(from, n) }) }
 	}
 	if len(s.List.Etcd) > 0 {
 		var endpoints []string
@@ -163,7 +163,7 @@
 		g.etcd = discovery.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(membership.Etcd))
 	}
 	if d := s.List.DNS; d != nil {
-		terms := discovery.DNSTerms{Name: d.Name, Floor: d.Floor.D(), Ceiling: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
+		terms := discovery.DNSSettings{Name: d.Name, Floor: d.Floor.D(), Ceiling: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
 		for _, x := range d.Servers {
 			terms.Servers = append(terms.Servers, x.Address)
 		}
@@ -277,14 +277,14 @@
 	wall, now := g.o.Wall(), g.loop.Now()
 	for _, s := range r.Servers {
 		if s.At.After(wall) {
-			g.log.Warn().Str("osd", s.OSD).Time("at", s.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
+			g.log.Warn().Str("osd", s.Server).Time("at", s.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
 			return
 		}
 	}
 	if unit := int64(g.s.Volumes.Unit); r.Unit != unit {
 		g.log.Warn().Int64("bytes", r.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
 	}
-	g.ops.Deliver(r.For(int64(g.s.Volumes.Unit), func(at time.Time) time.Duration { return now - wall.Sub(at) }))
+	g.ops.Deliver(r.ToEvent(int64(g.s.Volumes.Unit), func(at time.Time) time.Duration { return now - wall.Sub(at) }))
 }
 
 // Learnt asks the loop what the module knows of the disk servers; a module that doesn't tell, and an instance that has
@@ -296,7 +296,7 @@
 	answer := make(chan *estimates.Record, 1)
 	if !tells || !g.loop.Post(func() {
 		start := g.o.Wall().Add(-g.loop.Now())
-		answer <- estimates.Of(module.Learnt(), int64(g.s.Volumes.Unit), start.Add)
+		answer <- estimates.FromEvent(module.Learnt(), int64(g.s.Volumes.Unit), start.Add)
 	}) {
 		return nil, false
 	}
@@ -377,7 +377,7 @@
 // ---- The list ----
 
 // news carries what a source heard to the book, and what the book makes of it to the module.
-func (g *Instance) news(from membership.Source, n discovery.News) {
+func (g *Instance) news(from membership.Source, n discovery.Update) {
 	for _, text := range n.Skipped {
 		g.log.Warn().Stringer("source", from).Str("why", text).Msg("a list entry is passed over")
 	}
@@ -397,7 +397,7 @@
 		}
 		return
 	case honeyplank.Complete:
-		lists = g.book.Whole(now, from, all)
+		lists = g.book.Complete(now, from, all)
 	default:
 		lists = g.book.Changes(now, from, all)
 	}
@@ -409,10 +409,10 @@
 
 // statement is what a node's entry says.
 func (g *Instance) statement(now time.Duration, wall time.Time, from membership.Source, node discovery.Node) membership.Statement {
-	s := membership.Statement{State: membership.On, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
+	s := membership.Statement{State: membership.Up, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
 	switch {
-	case node.Gone:
-		s.State = membership.Gone
+	case node.Removed:
+		s.State = membership.Removed
 		g.starts[from].Removed(now, s.Member.ID)
 		return s
 	case node.State == "draining":
@@ -435,7 +435,7 @@
 }
 
 // date tells what news says of the nodes that it doesn't name: starts that are named later came after it.
-func (g *Instance) date(now time.Duration, from membership.Source, n discovery.News) {
+func (g *Instance) date(now time.Duration, from membership.Source, n discovery.Update) {
 	switch {
 	case n.Kind == honeyplank.Complete:
 		ids := make([]honeyplank.ServerID, len(n.Nodes))
@@ -490,10 +490,10 @@
 		for _, id := range ids {
 			v, _ := g.book.View(id)
 			says := func(s membership.Source) string {
-				if v.Says[s] == membership.Never {
+				if v.Says[s] == membership.NeverListed {
 					return v.Says[s].String()
 				}
-				text := fmt.Sprintf("%v for %v", v.Says[s], (now - v.Told[s]).Round(time.Second))
+				text := fmt.Sprintf("%v for %v", v.Says[s], (now - v.NotifiedState[s]).Round(time.Second))
 				if v.Doubted[s] {
 					text += ", vanished"
 				}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -168,8 +168,8 @@
 	h := waiter{make(chan error, 2)}
 	var a *initiator.Association
 	w.on(func() {
-		a = initiator.Dial(w.loop, initiator.Terms{Address: w.g.Address(), Subsystem: w.s.Listen.Subsystem, Host: "nqn.2026-12.org.honeyplank:" + name,
-			Depth: 60, MaxData: 128 << 10, Within: time.Second, Digests: name == "digests"}, h)
+		a = initiator.Dial(w.loop, initiator.Settings{Address: w.g.Address(), Subsystem: w.s.Listen.Subsystem, Host: "nqn.2026-12.org.honeyplank:" + name,
+			Depth: 60, MaxData: 128 << 10, ConnectTimeout: time.Second, Digests: name == "digests"}, h)
 	})
 	if err := <-h.ready; err != nil {
 		w.t.Fatal(err)
@@ -837,7 +837,7 @@
 		}
 	}
 	before, ok := w.g.Learnt()
-	if !ok || len(before.Servers) != 2 || before.Usual <= 0 || before.Servers[0].Best <= 0 || before.Servers[1].Latency <= 0 {
+	if !ok || len(before.Servers) != 2 || before.TypicalLatency <= 0 || before.Servers[0].BestPerUnit <= 0 || before.Servers[1].Latency <= 0 {
 		t.Fatalf("learnt: %+v, %v", before, ok)
 	}
 	file := filepath.Join(t.TempDir(), "learnt")
@@ -862,11 +862,11 @@
 			return false
 		}
 		was := before.Servers[0]
-		if was.OSD != w.disks[0].Address() {
+		if was.Server != w.disks[0].Address() {
 			was = before.Servers[1]
 		}
 		is := now.Servers[0]
-		return w.counts().Admitted == 0 && is.OSD == was.OSD && is.Best == was.Best && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
+		return w.counts().Admitted == 0 && is.Server == was.Server && is.BestPerUnit == was.BestPerUnit && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
 	})
 	a = w.dial("client")
 	began := time.Now()
--- a/gateway/ops.go
+++ b/gateway/ops.go
@@ -40,8 +40,8 @@
 	return wait - g.s.Rules.AnswerMargin.D()
 }
 
-// Take tells the module of a client's command.
-func (g *Instance) Take(c *target.Command) {
+// Admit tells the module of a client's command.
+func (g *Instance) Admit(c *target.Command) {
 	if g.ending {
 		c.Complete(nvme.NotReady, 0, 0, nil)
 		g.server.Release(c.Data)
@@ -60,8 +60,8 @@
 	}, p)
 }
 
-// Lapse tells the books that a client has gone.
-func (g *Instance) Lapse(c *target.Command) {
+// ClientGone tells the books that a client has gone.
+func (g *Instance) ClientGone(c *target.Command) {
 	if p, ok := c.User.(*op); ok {
 		p.release()
 		g.ops.ClientGone(p.id)
@@ -145,9 +145,9 @@
 	d.waiting = append(d.waiting, f)
 	if d.link == nil || d.link.Over() {
 		t := &d.g.s.DiskServers
-		d.link = initiator.Dial(d.g.loop, initiator.Terms{Address: string(d.id), Subsystem: t.Subsystem, Host: d.g.s.Listen.Host,
+		d.link = initiator.Dial(d.g.loop, initiator.Settings{Address: string(d.id), Subsystem: t.Subsystem, Host: d.g.s.Listen.Host,
 			HostID: [16]byte{byte(d.g.s.Scheduler.Ordinal), byte(d.g.s.Scheduler.Ordinal >> 8)}, Depth: t.Depth, MaxData: int(d.g.s.Limits.Transfer),
-			Digests: t.Digests, Within: t.ConnectWithin.D(), KeepAlive: t.KeepAlive.D()}, d)
+			Digests: t.Digests, ConnectTimeout: t.ConnectWithin.D(), KeepAlive: t.KeepAlive.D()}, d)
 	}
 }
 
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -9,18 +9,18 @@
 	"honeyplank/nvme"
 )
 
-// Terms say how to associate with a controller.
-type Terms struct {
-	Address   string // IPv4 address and port
-	Subsystem string
-	Host      string // NQN of this host
-	HostID    [16]byte
-	Depth     int           // commands out at a time on the I/O queue, at most MostDepth
-	MaxData   int           // bytes of one Read
-	Digests   bool          // ask for header and data digests
-	Within    time.Duration // for all of the handshake
-	KeepAlive time.Duration // 0: none. Silence of this long on the admin queue ends the association
-	Tap       func() func(sent bool, b []byte)
+// Settings say how to associate with a controller.
+type Settings struct {
+	Address        string // IPv4 address and port
+	Subsystem      string
+	Host           string // NQN of this host
+	HostID         [16]byte
+	Depth          int           // commands out at a time on the I/O queue, at most MaxDepth
+	MaxData        int           // bytes of one Read
+	Digests        bool          // ask for header and data digests
+	ConnectTimeout time.Duration // for all of the handshake
+	KeepAlive      time.Duration // 0: none. Silence of this long on the admin queue ends the association
+	Tap            func() func(sent bool, b []byte)
 	// Wire, where set, is handed each new connection, and sets its tap: the faults of a stand-in's wire.
 	Wire func(*eventloop.Conn)
 }
@@ -41,7 +41,7 @@
 	// Delays are CRDT1 to CRDT3 of the controller, in units of 100 ms.
 	Delays [3]uint16
 
-	terms      Terms
+	terms      Settings
 	loop       *eventloop.Loop
 	handler    Handler
 	conns      [2]*eventloop.Conn
@@ -65,10 +65,10 @@
 var errKeepAlive = errors.New("initiator: Keep Alive was not answered in time")
 
 // Dial begins an association; the handler hears of it later, never during the call.
-func Dial(l *eventloop.Loop, terms Terms, h Handler) *Association {
+func Dial(l *eventloop.Loop, terms Settings, h Handler) *Association {
 	a := &Association{terms: terms, loop: l, handler: h}
 	a.Buffers.Keep, a.Buffers.Stats = 64*terms.MaxData, &l.Stats
-	a.timer = l.Schedule(l.Now()+terms.Within, func() { a.end(errHandshake) })
+	a.timer = l.Schedule(l.Now()+terms.ConnectTimeout, func() { a.end(errHandshake) })
 	if err := a.connect(0); err != nil {
 		l.Schedule(0, func() { a.end(err) })
 	}
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -46,8 +46,8 @@
 // slotBits are the bits of a command id that are the slot's index.
 const slotBits = 10
 
-// MostDepth is the most commands that one session keeps out.
-const MostDepth = 1 << slotBits
+// MaxDepth is the most commands that one session keeps out.
+const MaxDepth = 1 << slotBits
 
 // Session is one queue's state machine. Commands may be submitted once Ready.
 type Session struct {
@@ -127,7 +127,7 @@
 }
 
 func (s *Session) find(cid uint16) *slot {
-	if i := int(cid & (MostDepth - 1)); i < len(s.slots) {
+	if i := int(cid & (MaxDepth - 1)); i < len(s.slots) {
 		if v := &s.slots[i]; v.busy && v.used<<slotBits|uint16(i) == cid {
 			return v
 		}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func breach(status uint16, p *nvme.PDU, format string, a ...any) error {
+func protocolError(status uint16, p *nvme.PDU, format string, a ...any) error {
 	return &nvme.FatalError{Status: status, Text: fmt.Sprintf(format, a...), Header: append([]byte(nil), p.Header...)}
 }
 
@@ -172,13 +172,13 @@
 		c := p.Completion()
 		v := s.find(c.CID())
 		if v == nil {
-			return breach(nvme.FatalSequence, p, "an answer to command id %d, which is not out", c.CID())
+			return protocolError(nvme.FatalSequence, p, "an answer to command id %d, which is not out", c.CID())
 		}
 		if c.Status().Code() == nvme.Success && v.read != v.got {
-			return breach(nvme.FatalSequence, p, "success after %d of %d bytes", v.got, v.read)
+			return protocolError(nvme.FatalSequence, p, "success after %d of %d bytes", v.got, v.read)
 		}
 		if c.Status().Code() == nvme.Success && v.asked != len(v.data) && v.write { // it can't have been written
-			return breach(nvme.FatalSequence, p, "success of a write after %d of %d bytes", v.asked, len(v.data))
+			return protocolError(nvme.FatalSequence, p, "success of a write after %d of %d bytes", v.asked, len(v.data))
 		}
 		s.done(c, v)
 		return nil
@@ -187,16 +187,16 @@
 	case nvme.TypeR2T:
 		return s.transfer(p)
 	}
-	return breach(nvme.FatalSequence, p, "a PDU that does not belong here")
+	return protocolError(nvme.FatalSequence, p, "a PDU that does not belong here")
 }
 
 func (s *Session) initialize(p *nvme.PDU) error {
 	if p.Type != nvme.TypeICResp {
-		return breach(nvme.FatalSequence, p, "a PDU before ICResp")
+		return protocolError(nvme.FatalSequence, p, "a PDU before ICResp")
 	}
 	i := p.Init()
 	if i.Version != 0 || i.Align > 31 || i.Limit < 4096 {
-		return breach(nvme.FatalUnsupportedPar, p, "ICResp with PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
+		return protocolError(nvme.FatalUnsupportedPar, p, "ICResp with PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
 	}
 	s.in.HeaderDigest, s.in.DataDigest = i.HeaderDigest, i.DataDigest
 	s.outF = nvme.Framing{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, Align: i.Align, MaxData: int(i.Limit), FromHost: true}
@@ -208,11 +208,11 @@
 func (s *Session) data(p *nvme.PDU) error {
 	v := s.find(p.CCCID())
 	if v == nil || v.write {
-		return breach(nvme.FatalSequence, p, "data for command id %d, which reads nothing", p.CCCID())
+		return protocolError(nvme.FatalSequence, p, "data for command id %d, which reads nothing", p.CCCID())
 	}
 	from, n := int64(p.Offset()), len(p.Data)
 	if from != int64(v.got) || from+int64(n) > int64(v.read) || n == 0 {
-		return breach(nvme.FatalDataRange, p, "data from %d to %d of %d, %d have come", from, from+int64(n), v.read, v.got)
+		return protocolError(nvme.FatalDataRange, p, "data from %d to %d of %d, %d have come", from, from+int64(n), v.read, v.got)
 	}
 	if v.call != nil {
 		if v.data == nil {
@@ -225,7 +225,7 @@
 	v.bad = v.bad || p.BadData
 	if p.Flags&nvme.FlagSuccess != 0 {
 		if p.Flags&nvme.FlagLast == 0 || v.got != v.read {
-			return breach(nvme.FatalHeaderField, p, "success before the last byte")
+			return protocolError(nvme.FatalHeaderField, p, "success before the last byte")
 		}
 		s.done(nvme.NewCompletion(p.CCCID(), nvme.Success, 0, 0), v)
 	}
@@ -236,11 +236,11 @@
 func (s *Session) transfer(p *nvme.PDU) error {
 	v := s.find(p.CCCID())
 	if v == nil || !v.write || v.data == nil {
-		return breach(nvme.FatalSequence, p, "R2T for command id %d, which has nothing to send", p.CCCID())
+		return protocolError(nvme.FatalSequence, p, "R2T for command id %d, which has nothing to send", p.CCCID())
 	}
 	from, n := int64(p.Offset()), int64(p.Length())
 	if from != int64(v.asked) || n == 0 || from+n > int64(len(v.data)) {
-		return breach(nvme.FatalDataRange, p, "R2T from %d to %d of %d", from, from+n, len(v.data))
+		return protocolError(nvme.FatalDataRange, p, "R2T from %d to %d of %d", from, from+n, len(v.data))
 	}
 	v.asked += int(n)
 	for at := int(from); at < int(from+n); at += s.outF.MaxData {
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -87,7 +87,7 @@
 	for range 10 {
 		for p.s.Free() > 0 {
 			next := p.read(&rest)
-			if next&(MostDepth-1) == id&(MostDepth-1) {
+			if next&(MaxDepth-1) == id&(MaxDepth-1) {
 				t.Fatal("an id that is still out was used again")
 			}
 			if _, err := p.s.Input(append(p.data(next, 0, 4096), p.done(next)...)); err != nil {
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -43,13 +43,13 @@
 
 // Tally is what became of the ops of one type. A client's retries belong to its first try.
 type Tally struct {
-	Tries, Ops                      int
-	Acked, Throttled, Aborted, Lost int // by the last try
-	InTime                          int // acked within the target latency
-	Due, Earned                     float64
-	Wrong                           int // reads that brought other bytes than were there
-	Late                            int // tries without an answer at the op timeout
-	latency                         *hdrhistogram.Histogram
+	Tries, Ops                        int
+	Succeeded, Rejected, Failed, Lost int // by the last try
+	InTime                            int // acked within the target latency
+	Due, Earned                       float64
+	Wrong                             int // reads that brought other bytes than were there
+	Late                              int // tries without an answer at the op timeout
+	latency                           *hdrhistogram.Histogram
 }
 
 // Quantile is a latency of acked ops, counted from when they were due.
@@ -193,8 +193,8 @@
 		return
 	}
 	host := fmt.Sprintf("nqn.2026-12.org.honeyplank:client-%d", c.n)
-	c.link = initiator.Dial(c.g.loop, initiator.Terms{Address: c.at.Address, Subsystem: c.at.Subsystem, Host: host, HostID: [16]byte{byte(c.n), 1},
-		Depth: depth, MaxData: int(c.g.o.Settings.Limits.Transfer), Within: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
+	c.link = initiator.Dial(c.g.loop, initiator.Settings{Address: c.at.Address, Subsystem: c.at.Subsystem, Host: host, HostID: [16]byte{byte(c.n), 1},
+		Depth: depth, MaxData: int(c.g.o.Settings.Limits.Transfer), ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
 		Wire: func(conn *eventloop.Conn) {
 			if c.at.Wire != nil {
 				c.at.Wire(c.n, conn)
@@ -404,7 +404,7 @@
 	case lost:
 		tally.Lost++
 	case status == nvme.Success:
-		tally.Acked++
+		tally.Succeeded++
 		tally.latency.RecordValue(max(int64(took/time.Microsecond), 1))
 		worth := o.worth(o.g.o.Settings.Plans.List[o.g.o.Settings.Plan(o.volume.Plan)])
 		if took <= t.TargetLatency.D() {
@@ -420,9 +420,9 @@
 			o.g.written = append(o.g.written, region{o.volume.NSID, o.lba, o.data})
 		}
 	case status.Code() == nvme.CommandInterrupted:
-		tally.Throttled++
+		tally.Rejected++
 	default:
-		tally.Aborted++
+		tally.Failed++
 	}
 	o.g.settle(-1)
 }
--- a/membership/belief.go
+++ b/membership/belief.go
@@ -24,10 +24,10 @@
 type State int
 
 const (
-	Never    State = iota // it has not spoken of the node
-	On                    // it takes work
-	Draining              // no new work
-	Gone                  // it is not there any more
+	NeverListed State = iota // it has not spoken of the node
+	Up                       // it takes work
+	Draining                 // no new work
+	Removed                  // it is not there any more
 )
 
 func (s State) String() string { return [...]string{"never", "on", "draining", "gone"}[s] }
@@ -41,8 +41,8 @@
 	After time.Duration
 }
 
-// Terms are the figures that the rule goes by; all are settings.
-type Terms struct {
+// Settings are the figures that the rule goes by; all are settings.
+type Settings struct {
 	// Vanish is the part of what a source holds on or draining that may vanish at once and be believed. More
 	// than that at once is doubted: it may be the source that is ill.
 	Vanish float64
@@ -56,8 +56,8 @@
 	Hold  time.Duration
 }
 
-// word is what a source last said of a node.
-type word struct {
+// sourceReport is what a source last said of a node.
+type sourceReport struct {
 	state  State
 	at     time.Duration
 	member honeyplank.Member
@@ -70,7 +70,7 @@
 // node is the one record of a disk server.
 type node struct {
 	id       honeyplank.ServerID
-	words    [sources]word
+	reports  [sources]sourceReport
 	believed State
 	cause    Cause
 	since    time.Duration
@@ -78,7 +78,7 @@
 	hold     time.Duration   // how long the last coming back was held
 	until    time.Duration   // held back until
 	listed   honeyplank.Member
-	told     bool // the module has been told of it
+	notified bool // the module has been told of it
 	waiting  bool // in the book's list of nodes that time alone may change
 }
 
@@ -86,65 +86,65 @@
 type Cause int
 
 const (
-	Unheard   Cause = iota
-	Agreed          // no source says otherwise
-	Said            // a source says draining or gone
-	Newer           // a start newer than the word that took it out
-	Doubted         // it vanished with too many others; believed as before
-	Confirmed       // such a vanishing lasted
-	Held            // it came back too often; held out for a while
+	SourceSilent Cause = iota
+	Agreed             // no source says otherwise
+	Listed             // a source says draining or gone
+	Newer              // a start newer than the word that took it out
+	Unconfirmed        // it vanished with too many others; believed as before
+	Confirmed          // such a vanishing lasted
+	Held               // it came back too often; held out for a while
 )
 
 func (c Cause) String() string {
 	return [...]string{"unheard", "agreed", "said", "newer start", "vanishing doubted", "vanishing confirmed", "held back"}[c]
 }
 
-// Book holds what is believed. The zero value is of no use: call New.
-type Book struct {
-	terms   Terms
-	now     time.Duration
-	nodes   map[honeyplank.ServerID]*node
-	held    [sources]int             // nodes that a source holds on or draining, doubted ones included
-	recent  [sources][]time.Duration // vanishings believed within Confirm
-	heard   [sources]time.Duration   // when it last spoke; 0: never
-	failing [sources]time.Duration   // since when it fails; 0: it does not
-	waits   []*node                  // those that time alone may change
-	next    time.Duration
-	version int64
-	first   bool
+// Ledger holds what is believed. The zero value is of no use: call New.
+type Ledger struct {
+	settings Settings
+	now      time.Duration
+	nodes    map[honeyplank.ServerID]*node
+	held     [sources]int             // nodes that a source holds on or draining, doubted ones included
+	recent   [sources][]time.Duration // vanishings believed within Confirm
+	heard    [sources]time.Duration   // when it last spoke; 0: never
+	failing  [sources]time.Duration   // since when it fails; 0: it does not
+	waits    []*node                  // those that time alone may change
+	next     time.Duration
+	version  int64
+	first    bool
 }
 
 // New makes a book that has heard nothing.
-func New(t Terms) *Book {
-	return &Book{terms: t, nodes: map[honeyplank.ServerID]*node{}}
+func New(t Settings) *Ledger {
+	return &Ledger{settings: t, nodes: map[honeyplank.ServerID]*node{}}
 }
 
 // ---- Inputs ----
 
-// Whole tells all that a source holds: what it leaves out of what it held has vanished. It returns what is to
+// Complete tells all that a source holds: what it leaves out of what it held has vanished. It returns what is to
 // be told to the module, as Changes, or as the Whole list the first time.
-func (b *Book) Whole(now time.Duration, from Source, all []Statement) (out []honeyplank.List) {
-	b.hear(now, from)
+func (b *Ledger) Complete(now time.Duration, from Source, all []Statement) (out []honeyplank.List) {
+	b.sourceHeard(now, from)
 	before := b.held[from]
 	stated := make(map[honeyplank.ServerID]bool, len(all))
 	var touched []*node
 	for _, s := range all {
 		stated[s.Member.ID] = true
-		touched = append(touched, b.say(from, s))
+		touched = append(touched, b.record(from, s))
 	}
 	var vanished []*node
 	for id, n := range b.nodes {
-		if w := &n.words[from]; (w.state == On || w.state == Draining) && !stated[id] {
+		if w := &n.reports[from]; (w.state == Up || w.state == Draining) && !stated[id] {
 			vanished = append(vanished, n)
 		}
 	}
-	return b.tell(append(touched, b.vanish(from, vanished, before)...))
+	return b.changed(append(touched, b.vanish(from, vanished, before)...))
 }
 
 // Changes tells what of a source has changed, in order. A watch that was held up tells several revisions of etcd at
 // once: a node that is removed and put back within them has not vanished.
-func (b *Book) Changes(now time.Duration, from Source, some []Statement) []honeyplank.List {
-	b.hear(now, from)
+func (b *Ledger) Changes(now time.Duration, from Source, some []Statement) []honeyplank.List {
+	b.sourceHeard(now, from)
 	var touched, vanished []*node
 	before := b.held[from]
 	last := make(map[honeyplank.ServerID]int, len(some))
@@ -152,22 +152,22 @@
 		last[s.Member.ID] = i
 	}
 	for i, s := range some {
-		if s.State == Gone {
+		if s.State == Removed {
 			if last[s.Member.ID] != i {
 				continue
 			}
-			if n := b.nodes[s.Member.ID]; n != nil && (n.words[from].state == On || n.words[from].state == Draining) {
+			if n := b.nodes[s.Member.ID]; n != nil && (n.reports[from].state == Up || n.reports[from].state == Draining) {
 				vanished = append(vanished, n)
 			}
 			continue
 		}
-		touched = append(touched, b.say(from, s))
+		touched = append(touched, b.record(from, s))
 	}
-	return b.tell(append(touched, b.vanish(from, vanished, before)...))
+	return b.changed(append(touched, b.vanish(from, vanished, before)...))
 }
 
 // Failed tells that a source could not be asked, or broke off. What it said before stays.
-func (b *Book) Failed(now time.Duration, from Source) {
+func (b *Ledger) Failed(now time.Duration, from Source) {
 	b.now = now
 	if b.failing[from] == 0 {
 		b.failing[from] = now
@@ -175,22 +175,22 @@
 }
 
 // Tick tells that time has passed.
-func (b *Book) Tick(now time.Duration) []honeyplank.List {
+func (b *Ledger) Tick(now time.Duration) []honeyplank.List {
 	b.now = now
 	due := b.waits
 	b.waits, b.next = nil, 0
 	for _, n := range due {
 		n.waiting = false
 	}
-	return b.tell(due)
+	return b.changed(due)
 }
 
 // Next is when a Tick may change something; 0: nothing waits. A Tick too early does no harm.
-func (b *Book) Next() time.Duration { return b.next }
+func (b *Ledger) Next() time.Duration { return b.next }
 
 // due is when time alone may next change what is believed of a node; 0: never.
-func (b *Book) due(n *node) (at time.Duration) {
-	for _, t := range [...]time.Duration{n.words[Etcd].confirm(b.terms), n.words[DNS].confirm(b.terms), n.until} {
+func (b *Ledger) due(n *node) (at time.Duration) {
+	for _, t := range [...]time.Duration{n.reports[Etcd].confirm(b.settings), n.reports[DNS].confirm(b.settings), n.until} {
 		if t > b.now && (at == 0 || t < at) {
 			at = t
 		}
@@ -199,27 +199,27 @@
 }
 
 // confirm is when a doubted vanishing has lasted; 0: it is not doubted.
-func (w *word) confirm(t Terms) time.Duration {
+func (w *sourceReport) confirm(t Settings) time.Duration {
 	if !w.doubted {
 		return 0
 	}
 	return w.since + t.Confirm
 }
 
-func (b *Book) hear(now time.Duration, from Source) {
+func (b *Ledger) sourceHeard(now time.Duration, from Source) {
 	b.now = now
 	b.heard[from], b.failing[from] = max(now, 1), 0
 }
 
-// say takes in that a source holds a node on or draining.
-func (b *Book) say(from Source, s Statement) *node {
+// record takes in that a source holds a node on or draining.
+func (b *Ledger) record(from Source, s Statement) *node {
 	n := b.nodes[s.Member.ID]
 	if n == nil {
 		n = &node{id: s.Member.ID}
 		b.nodes[n.id] = n
 	}
-	w := &n.words[from]
-	if w.state != On && w.state != Draining {
+	w := &n.reports[from]
+	if w.state != Up && w.state != Draining {
 		b.held[from]++
 	}
 	if w.state != s.State || w.member.Started != s.Member.Started || w.doubted {
@@ -233,23 +233,23 @@
 // part within Confirm is doubted. It guards against a source that empties by mistake, at once or key by key as
 // leases run out; it delays the news where a large part of a fleet really goes, which outcomes then tell. A node
 // that was draining is no loss and is always believed to be gone.
-func (b *Book) vanish(from Source, nodes []*node, before int) []*node {
+func (b *Ledger) vanish(from Source, nodes []*node, before int) []*node {
 	old := 0
-	for old < len(b.recent[from]) && b.recent[from][old] <= b.now-b.terms.Confirm {
+	for old < len(b.recent[from]) && b.recent[from][old] <= b.now-b.settings.Confirm {
 		old++
 	}
 	b.recent[from] = b.recent[from][old:]
 	lost := len(b.recent[from])
 	for _, n := range nodes {
-		if n.words[from].state == On {
+		if n.reports[from].state == Up {
 			lost++
 		}
 	}
 	all := before + len(b.recent[from])
-	doubt := all > 1 && float64(lost) > b.terms.Vanish*float64(all)
+	doubt := all > 1 && float64(lost) > b.settings.Vanish*float64(all)
 	for _, n := range nodes {
-		if w := &n.words[from]; !doubt || w.state == Draining {
-			b.let(from, n)
+		if w := &n.reports[from]; !doubt || w.state == Draining {
+			b.release(from, n)
 		} else if !w.doubted {
 			w.doubted, w.since = true, b.now
 		}
@@ -257,60 +257,60 @@
 	return nodes
 }
 
-// let has a source say that a node is gone.
-func (b *Book) let(from Source, n *node) {
-	w := &n.words[from]
-	if w.state == On || w.state == Draining {
+// release has a source say that a node is gone.
+func (b *Ledger) release(from Source, n *node) {
+	w := &n.reports[from]
+	if w.state == Up || w.state == Draining {
 		b.held[from]--
 	}
-	if w.state == On && !w.doubted {
+	if w.state == Up && !w.doubted {
 		b.recent[from] = append(b.recent[from], b.now)
 	}
-	w.state, w.at, w.doubted = Gone, b.now, false
+	w.state, w.at, w.doubted = Removed, b.now, false
 }
 
 // ---- The rule ----
 
-// rule is what is believed by what etcd and DNS say; a doubted word counts as what it was. The worse word holds,
+// mergeRule is what is believed by what etcd and DNS say; a doubted word counts as what it was. The worse word holds,
 // whoever says it: no source can put a node back that the other has taken out, except by showing a start that is
 // surely newer than the word that took it out.
-var rule = [4][4]State{
+var mergeRule = [4][4]State{
 	//            DNS: never     on        draining  gone
-	Never:    {Never, On, Draining, Gone},
-	On:       {On, On, Draining, Gone},
-	Draining: {Draining, Draining, Draining, Gone},
-	Gone:     {Gone, Gone, Gone, Gone},
+	NeverListed: {NeverListed, Up, Draining, Removed},
+	Up:          {Up, Up, Draining, Removed},
+	Draining:    {Draining, Draining, Draining, Removed},
+	Removed:     {Removed, Removed, Removed, Removed},
 }
 
-// judge is what is believed of a node now, and why.
-func (b *Book) judge(n *node) (State, Cause) {
-	for from := range n.words {
-		w, other := &n.words[from], &n.words[1-from]
-		if w.doubted && b.now >= w.confirm(b.terms) && !(other.state == On && !other.doubted) {
-			b.let(Source(from), n)
+// decide is what is believed of a node now, and why.
+func (b *Ledger) decide(n *node) (State, Cause) {
+	for from := range n.reports {
+		w, other := &n.reports[from], &n.reports[1-from]
+		if w.doubted && b.now >= w.confirm(b.settings) && !(other.state == Up && !other.doubted) {
+			b.release(Source(from), n)
 			n.cause = Confirmed
 		}
 	}
-	e, d := n.words[Etcd], n.words[DNS]
-	state, cause := rule[e.state][d.state], Agreed
-	if state == Draining || state == Gone {
-		cause = Said
-		for from := range n.words {
-			out, other := &n.words[from], &n.words[1-from]
-			if (out.state == Draining || out.state == Gone) && other.state == On && !other.doubted && other.after > out.at {
-				state, cause = On, Newer
+	e, d := n.reports[Etcd], n.reports[DNS]
+	state, cause := mergeRule[e.state][d.state], Agreed
+	if state == Draining || state == Removed {
+		cause = Listed
+		for from := range n.reports {
+			out, other := &n.reports[from], &n.reports[1-from]
+			if (out.state == Draining || out.state == Removed) && other.state == Up && !other.doubted && other.after > out.at {
+				state, cause = Up, Newer
 			}
 		}
 	}
-	if state == On && (e.doubted || d.doubted) {
-		cause = Doubted
+	if state == Up && (e.doubted || d.doubted) {
+		cause = Unconfirmed
 	}
 	return state, cause
 }
 
-// back counts a node's coming back and tells whether it is held out for now. It guards against nodes that sources
+// cameBack counts a node's coming back and tells whether it is held out for now. It guards against nodes that sources
 // put in and out again and again, each time moving ops; it could harm where one restarts often and soundly.
-func (b *Book) back(n *node) bool {
+func (b *Ledger) cameBack(n *node) bool {
 	if n.until > b.now {
 		return true
 	}
@@ -318,32 +318,32 @@
 		n.until = 0
 		return false
 	}
-	for len(n.backs) > 0 && n.backs[0] <= b.now-b.terms.Calm-n.hold { // calm counts from the end of a hold
+	for len(n.backs) > 0 && n.backs[0] <= b.now-b.settings.Calm-n.hold { // calm counts from the end of a hold
 		n.backs = n.backs[1:]
 	}
 	if len(n.backs) == 0 {
 		n.hold = 0
 	}
 	n.backs = append(n.backs, b.now)
-	if b.terms.Flaps <= 0 || len(n.backs) < b.terms.Flaps {
+	if b.settings.Flaps <= 0 || len(n.backs) < b.settings.Flaps {
 		return false
 	}
-	n.hold = min(max(2*n.hold, b.terms.Hold), b.terms.Calm)
+	n.hold = min(max(2*n.hold, b.settings.Hold), b.settings.Calm)
 	n.until = b.now + n.hold
 	return n.until > b.now
 }
 
-// tell judges the nodes touched and makes the list of what has changed.
-func (b *Book) tell(touched []*node) []honeyplank.List {
+// changed judges the nodes touched and makes the list of what has changed.
+func (b *Ledger) changed(touched []*node) []honeyplank.List {
 	var members []honeyplank.Member
 	for _, n := range touched {
 		was := n.believed
-		n.cause = Unheard
-		state, cause := b.judge(n)
+		n.cause = SourceSilent
+		state, cause := b.decide(n)
 		if n.cause == Confirmed {
 			cause = Confirmed
 		}
-		if state == On && (was == Draining || was == Gone) && b.back(n) {
+		if state == Up && (was == Draining || was == Removed) && b.cameBack(n) {
 			state, cause = was, Held
 		}
 		if state != was {
@@ -360,10 +360,10 @@
 			}
 		}
 		m := b.member(n)
-		if n.told && m == n.listed || !n.told && state != On && state != Draining {
+		if n.notified && m == n.listed || !n.notified && state != Up && state != Draining {
 			continue
 		}
-		n.told, n.listed = true, m
+		n.notified, n.listed = true, m
 		members = append(members, m)
 	}
 	if len(members) == 0 && b.first {
@@ -379,15 +379,15 @@
 
 // member is a node as the module is told of it: the figures of the fresher source, the latest start that either
 // knows, since a server taken for older than it is could be pushed over.
-func (b *Book) member(n *node) honeyplank.Member {
-	e, d := &n.words[Etcd], &n.words[DNS]
+func (b *Ledger) member(n *node) honeyplank.Member {
+	e, d := &n.reports[Etcd], &n.reports[DNS]
 	m := e.member
-	if e.state == Never || e.state == Gone && (d.state == On || d.state == Draining) {
+	if e.state == NeverListed || e.state == Removed && (d.state == Up || d.state == Draining) {
 		m = d.member
 	}
 	m.ID, m.Started = n.id, max(e.member.Started, d.member.Started)
 	switch n.believed {
-	case On:
+	case Up:
 		m.State = honeyplank.Up
 	case Draining:
 		m.State = honeyplank.Draining
@@ -399,31 +399,31 @@
 
 // View is what is believed of a node, for people.
 type View struct {
-	Member   honeyplank.Member
-	Believed State
-	Cause    Cause
-	Since    time.Duration
-	Says     [sources]State
-	Told     [sources]time.Duration // when each source came to say so
-	Doubted  [sources]bool
-	Until    time.Duration // held back until; 0: not
+	Member        honeyplank.Member
+	Believed      State
+	Cause         Cause
+	Since         time.Duration
+	Says          [sources]State
+	NotifiedState [sources]time.Duration // when each source came to say so
+	Doubted       [sources]bool
+	Until         time.Duration // held back until; 0: not
 }
 
 // View tells of a node; ok is false for one that nobody spoke of.
-func (b *Book) View(id honeyplank.ServerID) (v View, ok bool) {
+func (b *Ledger) View(id honeyplank.ServerID) (v View, ok bool) {
 	n := b.nodes[id]
 	if n == nil {
 		return v, false
 	}
 	v = View{Member: b.member(n), Believed: n.believed, Cause: n.cause, Since: n.since, Until: n.until}
-	for from, w := range n.words {
-		v.Says[from], v.Told[from], v.Doubted[from] = w.state, w.at, w.doubted
+	for from, w := range n.reports {
+		v.Says[from], v.NotifiedState[from], v.Doubted[from] = w.state, w.at, w.doubted
 	}
 	return v, true
 }
 
 // Nodes lists the ids of all nodes that were spoken of, in no order.
-func (b *Book) Nodes() (ids []honeyplank.ServerID) {
+func (b *Ledger) Nodes() (ids []honeyplank.ServerID) {
 	for id := range b.nodes {
 		ids = append(ids, id)
 	}
@@ -431,4 +431,4 @@
 }
 
 // Source tells when a source last spoke (0: never) and since when it fails (0: it does not).
-func (b *Book) Source(s Source) (heard, failing time.Duration) { return b.heard[s], b.failing[s] }
+func (b *Ledger) Source(s Source) (heard, failing time.Duration) { return b.heard[s], b.failing[s] }
--- a/membership/belief_test.go
+++ b/membership/belief_test.go
@@ -11,7 +11,7 @@
 
 const s = time.Second
 
-var terms = Terms{Vanish: 0.5, Confirm: 10 * s, Calm: 60 * s, Flaps: 3, Hold: 5 * s}
+var terms = Settings{Vanish: 0.5, Confirm: 10 * s, Calm: 60 * s, Flaps: 3, Hold: 5 * s}
 
 // input is one thing that can happen; start is in seconds of the clock.
 type input struct {
@@ -28,10 +28,10 @@
 func inputs() (list []input) {
 	for from := range sources {
 		for _, x := range []input{
-			{name: "a on", says: map[string]State{"a": On}}, {name: "a draining", says: map[string]State{"a": Draining}},
-			{name: "a gone", says: map[string]State{"a": Gone}}, {name: "a on, started", says: map[string]State{"a": On}, fresh: true},
-			{name: "b on", says: map[string]State{"b": On}}, {name: "all", whole: true, says: map[string]State{"a": On, "b": On}},
-			{name: "none", whole: true}, {name: "b alone", whole: true, says: map[string]State{"b": On}}, {name: "fails", fail: true},
+			{name: "a on", says: map[string]State{"a": Up}}, {name: "a draining", says: map[string]State{"a": Draining}},
+			{name: "a gone", says: map[string]State{"a": Removed}}, {name: "a on, started", says: map[string]State{"a": Up}, fresh: true},
+			{name: "b on", says: map[string]State{"b": Up}}, {name: "all", whole: true, says: map[string]State{"a": Up, "b": Up}},
+			{name: "none", whole: true}, {name: "b alone", whole: true, says: map[string]State{"b": Up}}, {name: "fails", fail: true},
 		} {
 			x.from = from
 			x.name = from.String() + ": " + x.name
@@ -80,13 +80,13 @@
 		held := 0
 		for _, n := range p.nodes {
 			w := &p.words[n][x.from]
-			has := w.state == On || w.state == Draining
+			has := w.state == Up || w.state == Draining
 			if has {
 				held++
 			}
 			st, said := x.says[n]
 			switch {
-			case said && st != Gone:
+			case said && st != Removed:
 				started := w.started
 				if x.fresh {
 					started = p.now
@@ -109,23 +109,23 @@
 		}
 		on := 0
 		for _, n := range vanish {
-			if p.words[n][x.from].state == On {
+			if p.words[n][x.from].state == Up {
 				on++
 			}
 		}
 		doubt := held+recent > 1 && float64(on+recent) > terms.Vanish*float64(held+recent)
 		for _, n := range vanish {
 			w := &p.words[n][x.from]
-			if doubt && w.state == On {
+			if doubt && w.state == Up {
 				if w.doubt == 0 {
 					w.doubt = p.now
 				}
 				continue
 			}
-			if w.state == On && w.doubt == 0 {
+			if w.state == Up && w.doubt == 0 {
 				p.lost[x.from] = append(p.lost[x.from], p.now)
 			}
-			w.state, w.at, w.doubt = Gone, p.now, 0
+			w.state, w.at, w.doubt = Removed, p.now, 0
 		}
 	}
 	for _, n := range p.nodes {
@@ -138,23 +138,23 @@
 func (p *plain) judge(n string) {
 	for i := range 2 {
 		w, o := &p.words[n][i], &p.words[n][1-i]
-		if w.doubt > 0 && p.now >= w.doubt+terms.Confirm && (o.state != On || o.doubt > 0) {
-			w.state, w.at, w.doubt = Gone, p.now, 0
+		if w.doubt > 0 && p.now >= w.doubt+terms.Confirm && (o.state != Up || o.doubt > 0) {
+			w.state, w.at, w.doubt = Removed, p.now, 0
 		}
 	}
-	worst := Never
+	worst := NeverListed
 	for i := range 2 {
 		worst = max(worst, p.words[n][i].state)
 	}
 	if worst >= Draining {
 		for i := range 2 {
 			w, o := &p.words[n][i], &p.words[n][1-i]
-			if w.state >= Draining && o.state == On && o.doubt == 0 && o.started > w.at {
-				worst = On
+			if w.state >= Draining && o.state == Up && o.doubt == 0 && o.started > w.at {
+				worst = Up
 			}
 		}
 	}
-	if was := p.is[n]; worst == On && was >= Draining {
+	if was := p.is[n]; worst == Up && was >= Draining {
 		switch {
 		case p.held[n] > p.now:
 			return
@@ -183,7 +183,7 @@
 
 // pair runs the book and the plain model side by side and keeps the list as the module would.
 type pair struct {
-	b    *Book
+	b    *Ledger
 	p    *plain
 	list map[honeyplank.ServerID]honeyplank.MemberState
 }
@@ -213,7 +213,7 @@
 			}
 		}
 		if x.whole {
-			out = c.b.Whole(now, x.from, all)
+			out = c.b.Complete(now, x.from, all)
 		} else {
 			out = c.b.Changes(now, x.from, all)
 		}
@@ -230,7 +230,7 @@
 			return fmt.Errorf("%s is believed %v, the plain model says %v: book %+v, plain %+v now %v held %v", n, v.Believed, c.p.is[n], v, c.p.words[n], c.p.now, c.p.held[n])
 		}
 		told, known := c.list[id]
-		if known != (v.Believed != Never) && v.Believed == On || known && (told == honeyplank.Up) != (v.Believed == On) {
+		if known != (v.Believed != NeverListed) && v.Believed == Up || known && (told == honeyplank.Up) != (v.Believed == Up) {
 			return fmt.Errorf("%s is believed %v, the module was told %v", n, v.Believed, told)
 		}
 		if err := c.invariants(n, v, was[n], x); err != nil {
@@ -243,21 +243,21 @@
 // invariants are what the rule promises, in words that are not the rule's.
 func (c *pair) invariants(n string, v View, was State, x input) error {
 	e, d := c.p.words[n][0], c.p.words[n][1]
-	out := func(w plainWord) bool { return w.state == Draining || w.state == Gone }
+	out := func(w plainWord) bool { return w.state == Draining || w.state == Removed }
 	for i, w := range []plainWord{e, d} {
 		other := []plainWord{d, e}[i]
-		if out(w) && v.Believed == On && !(other.state == On && other.started > w.at) {
+		if out(w) && v.Believed == Up && !(other.state == Up && other.started > w.at) {
 			return fmt.Errorf("%s gets work though %v says %v", n, Source(i), w.state)
 		}
 	}
-	if e.state == On && d.state == On && e.doubt == 0 && d.doubt == 0 && v.Believed != On && c.p.held[n] <= c.p.now {
+	if e.state == Up && d.state == Up && e.doubt == 0 && d.doubt == 0 && v.Believed != Up && c.p.held[n] <= c.p.now {
 		return fmt.Errorf("%s is believed %v though both sources hold it on", n, v.Believed)
 	}
 	if x.fail && v.Believed != was {
 		return fmt.Errorf("a failing source changed %s from %v to %v", n, was, v.Believed)
 	}
 	from, other := c.p.words[n][x.from], c.p.words[n][1-x.from]
-	if x.whole && len(x.says) == 0 && from.doubt > 0 && was == On && v.Believed != On && other.state == On && other.doubt == 0 {
+	if x.whole && len(x.says) == 0 && from.doubt > 0 && was == Up && v.Believed != Up && other.state == Up && other.doubt == 0 {
 		return fmt.Errorf("%s was lost to a source that emptied at once", n)
 	}
 	return nil
@@ -328,7 +328,7 @@
 				for _, n := range c.p.nodes {
 					if rng.Intn(3) > 0 {
 						x.says[n] = State(1 + rng.Intn(3))
-						if x.whole && x.says[n] == Gone {
+						if x.whole && x.says[n] == Removed {
 							delete(x.says, n)
 						}
 					}
@@ -348,7 +348,7 @@
 	c.p.now = s
 	ups := 0
 	for range 300 {
-		for _, x := range []input{{says: map[string]State{"a": On}}, {tick: s}, {says: map[string]State{"a": Draining}}, {tick: s}} {
+		for _, x := range []input{{says: map[string]State{"a": Up}}, {tick: s}, {says: map[string]State{"a": Draining}}, {tick: s}} {
 			was := c.list["a"]
 			if err := c.play(x); err != nil {
 				t.Fatal(err)
@@ -369,18 +369,18 @@
 		before, says []State
 		want         State
 	}{
-		"new, removed and back":  {nil, []State{On, Gone, On}, On},
-		"removed and back":       {[]State{On}, []State{Gone, On}, On},
-		"removed and draining":   {[]State{On}, []State{Gone, Draining}, Draining},
-		"back and removed":       {[]State{On, Gone}, []State{On, Gone}, Gone},
-		"new and removed":        {nil, []State{On, Gone}, Gone},
-		"draining and on":        {[]State{On}, []State{Draining, On}, On},
-		"on and draining":        {[]State{On}, []State{On, Draining}, Draining},
-		"draining and removed":   {[]State{On}, []State{Draining, Gone}, Gone},
-		"out and in three times": {[]State{On}, []State{Gone, On, Gone, On, Gone, On}, On},
+		"new, removed and back":  {nil, []State{Up, Removed, Up}, Up},
+		"removed and back":       {[]State{Up}, []State{Removed, Up}, Up},
+		"removed and draining":   {[]State{Up}, []State{Removed, Draining}, Draining},
+		"back and removed":       {[]State{Up, Removed}, []State{Up, Removed}, Removed},
+		"new and removed":        {nil, []State{Up, Removed}, Removed},
+		"draining and on":        {[]State{Up}, []State{Draining, Up}, Up},
+		"on and draining":        {[]State{Up}, []State{Up, Draining}, Draining},
+		"draining and removed":   {[]State{Up}, []State{Draining, Removed}, Removed},
+		"out and in three times": {[]State{Up}, []State{Removed, Up, Removed, Up, Removed, Up}, Up},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := New(Terms{Vanish: 1})
+			b := New(Settings{Vanish: 1})
 			now := s
 			for _, state := range c.before {
 				now += s
@@ -392,7 +392,7 @@
 			}
 			b.Changes(now+s, Etcd, all)
 			v, _ := b.View("a")
-			if v.Believed != c.want || c.want != Gone && v.Member.Started != time.Duration(len(all)) {
+			if v.Believed != c.want || c.want != Removed && v.Member.Started != time.Duration(len(all)) {
 				t.Errorf("%v after %v: believed %v, started %d", c.says, c.before, v.Believed, v.Member.Started)
 			}
 		})
@@ -409,15 +409,15 @@
 		"named again":              {Draining, 5 * s, 5 * s, Draining},
 		"first sight, after it":    {Draining, 30 * s, 0, Draining},
 		"perhaps before it":        {Draining, 30 * s, 15 * s, Draining},
-		"surely after it":          {Draining, 30 * s, 21 * s, On},
-		"gone, first sight":        {Gone, 30 * s, 0, Gone},
-		"gone, surely after it":    {Gone, 30 * s, 21 * s, On},
-		"gone, in the same moment": {Gone, 30 * s, 20 * s, Gone},
+		"surely after it":          {Draining, 30 * s, 21 * s, Up},
+		"gone, first sight":        {Removed, 30 * s, 0, Removed},
+		"gone, surely after it":    {Removed, 30 * s, 21 * s, Up},
+		"gone, in the same moment": {Removed, 30 * s, 20 * s, Removed},
 	} {
-		b := New(Terms{Vanish: 1})
-		b.Changes(10*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: On}})
+		b := New(Settings{Vanish: 1})
+		b.Changes(10*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: Up}})
 		b.Changes(20*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
-		b.Whole(30*s, DNS, []Statement{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: On, After: c.after}})
+		b.Complete(30*s, DNS, []Statement{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, After: c.after}})
 		if v, _ := b.View("a"); v.Believed != c.want {
 			t.Errorf("%s: believed %v, want %v", name, v.Believed, c.want)
 		}
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -15,15 +15,15 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
-			terms := membership.Terms{Vanish: 0.5, Confirm: 10 * time.Second, Calm: time.Minute}
+			terms := membership.Settings{Vanish: 0.5, Confirm: 10 * time.Second, Calm: time.Minute}
 			book, now := membership.New(terms), time.Minute
 			module := policy.New(1, map[string]any{"optypes.target_latency": []time.Duration{200 * time.Millisecond}, "optypes.op_timeout": []time.Duration{time.Second}})
 			var all []membership.Statement
 			for i := range n {
-				all = append(all, membership.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.On})
+				all = append(all, membership.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.Up})
 			}
 			for from := range 2 {
-				for _, l := range book.Whole(now, membership.Source(from), all) {
+				for _, l := range book.Complete(now, membership.Source(from), all) {
 					module.Handle(now, l)
 				}
 			}
--- a/peerlimit/peers.go
+++ b/peerlimit/peers.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Terms are the figures that it goes by; all are settings. 0 leaves a bound out.
-type Terms struct {
+// Settings are the figures that it goes by; all are settings. 0 leaves a bound out.
+type Settings struct {
 	Connections int           // of one peer
 	Handshakes  int           // of one peer that are not complete
 	Commands    int           // Reads and Writes of one peer that are not answered
@@ -14,8 +14,8 @@
 	PDU         time.Duration // from the first byte of a PDU to its last
 	Breaches    int           // within Window that shut a peer out
 	Window      time.Duration // without a breach that clears a peer
-	Shut        time.Duration // how long it is shut out first; twice as long each time after
-	Most        time.Duration // and at most
+	BanTime     time.Duration // how long it is shut out first; twice as long each time after
+	MaxPeers    time.Duration // and at most
 }
 
 // Verdict is what becomes of a connection that a peer opens.
@@ -23,9 +23,9 @@
 
 const (
 	Admit Verdict = iota
-	ShutOut
-	TooMany       // connections
-	TooManyHalves // handshakes under way
+	Banned
+	TooManyConnections // connections
+	TooManyHandshakes  // handshakes under way
 )
 
 func (v Verdict) String() string {
@@ -35,10 +35,10 @@
 type standing int
 
 const (
-	welcome standing = iota
-	watched          // it has breached the protocol, not often enough
-	shut             // nothing is taken from it
-	trial            // its time is over: one association at a time, and no breach is let pass
+	trusted   standing = iota
+	observed           // it has breached the protocol, not often enough
+	banned             // nothing is taken from it
+	probation          // its time is over: one association at a time, and no breach is let pass
 )
 
 func (s standing) String() string {
@@ -48,10 +48,10 @@
 type input int
 
 const (
-	inBreach input = iota // one more
-	inMany                // one more, and that is Breaches within Window
-	inQuiet               // Window has passed without one
-	inOver                // the time of being shut out is over
+	protocolViolation  input = iota // one more
+	repeatedViolations              // one more, and that is Breaches within Window
+	quietPeriod                     // Window has passed without one
+	banExpired                      // the time of being shut out is over
 )
 
 // standings is read by judge; a pair that is missing changes nothing. It guards against peers that cost work and
@@ -61,10 +61,10 @@
 	next   standing
 	effect func(*Guard, *peer)
 }{
-	welcome: {inBreach: {watched, nil}, inMany: {shut, (*Guard).lay}},
-	watched: {inBreach: {watched, nil}, inMany: {shut, (*Guard).lay}, inQuiet: {welcome, (*Guard).clear}},
-	shut:    {inOver: {trial, nil}},
-	trial:   {inBreach: {shut, (*Guard).lay}, inMany: {shut, (*Guard).lay}, inQuiet: {welcome, (*Guard).clear}},
+	trusted:   {protocolViolation: {observed, nil}, repeatedViolations: {banned, (*Guard).extendBan}},
+	observed:  {protocolViolation: {observed, nil}, repeatedViolations: {banned, (*Guard).extendBan}, quietPeriod: {trusted, (*Guard).clear}},
+	banned:    {banExpired: {probation, nil}},
+	probation: {protocolViolation: {banned, (*Guard).extendBan}, repeatedViolations: {banned, (*Guard).extendBan}, quietPeriod: {trusted, (*Guard).clear}},
 }
 
 // association is how many connections a host needs at least: an admin and an I/O queue.
@@ -85,14 +85,14 @@
 
 // Guard holds what is known of the peers. The zero value is of no use: call New.
 type Guard struct {
-	terms Terms
-	now   time.Duration
-	peers map[string]*peer
-	tidy  time.Duration
+	settings  Settings
+	now       time.Duration
+	peers     map[string]*peer
+	evictedAt time.Duration
 }
 
 // New makes a guard that knows nobody.
-func New(t Terms) *Guard { return &Guard{terms: t, peers: map[string]*peer{}} }
+func New(t Settings) *Guard { return &Guard{settings: t, peers: map[string]*peer{}} }
 
 // get brings a peer's standing up to now.
 func (g *Guard) get(now time.Duration, id string) *peer {
@@ -102,17 +102,17 @@
 		p = &peer{}
 		g.peers[id] = p
 	}
-	if p.standing == shut && now >= p.until {
-		g.judge(p, inOver)
+	if p.standing == banned && now >= p.until {
+		g.applyInput(p, banExpired)
 		p.last = p.until // it has been quiet since it was shut out, which proves nothing
 	}
-	if p.standing != shut && now >= p.last+g.terms.Window {
-		g.judge(p, inQuiet)
+	if p.standing != banned && now >= p.last+g.settings.Window {
+		g.applyInput(p, quietPeriod)
 	}
 	return p
 }
 
-func (g *Guard) judge(p *peer, in input) {
+func (g *Guard) applyInput(p *peer, in input) {
 	rule, ok := standings[p.standing][in]
 	if !ok {
 		return
@@ -123,9 +123,9 @@
 	}
 }
 
-// lay shuts a peer out, longer each time.
-func (g *Guard) lay(p *peer) {
-	p.span = min(max(2*p.span, g.terms.Shut), max(g.terms.Most, g.terms.Shut))
+// extendBan shuts a peer out, longer each time.
+func (g *Guard) extendBan(p *peer) {
+	p.span = min(max(2*p.span, g.settings.BanTime), max(g.settings.MaxPeers, g.settings.BanTime))
 	p.until, p.breaches = g.now+p.span, nil
 }
 
@@ -138,12 +138,12 @@
 	g.forget(now)
 	p := g.get(now, id)
 	switch {
-	case p.standing == shut:
-		return ShutOut
-	case over(p.connections, g.terms.Connections) || p.standing == trial && p.connections >= association:
-		return TooMany
-	case over(p.halves, g.terms.Handshakes):
-		return TooManyHalves
+	case p.standing == banned:
+		return Banned
+	case over(p.connections, g.settings.Connections) || p.standing == probation && p.connections >= association:
+		return TooManyConnections
+	case over(p.halves, g.settings.Handshakes):
+		return TooManyHandshakes
 	}
 	p.connections++
 	p.halves++
@@ -166,20 +166,20 @@
 // by that; 0: it is not.
 func (g *Guard) Breach(now time.Duration, id string) time.Duration {
 	p := g.get(now, id)
-	if p.standing == shut {
+	if p.standing == banned {
 		return 0
 	}
 	p.last = now
-	for len(p.breaches) > 0 && p.breaches[0] <= now-g.terms.Window {
+	for len(p.breaches) > 0 && p.breaches[0] <= now-g.settings.Window {
 		p.breaches = p.breaches[1:]
 	}
 	p.breaches = append(p.breaches, now)
-	if g.terms.Breaches > 0 && len(p.breaches) >= g.terms.Breaches {
-		g.judge(p, inMany)
-	} else if g.terms.Breaches > 0 {
-		g.judge(p, inBreach)
+	if g.settings.Breaches > 0 && len(p.breaches) >= g.settings.Breaches {
+		g.applyInput(p, repeatedViolations)
+	} else if g.settings.Breaches > 0 {
+		g.applyInput(p, protocolViolation)
 	}
-	if p.standing == shut {
+	if p.standing == banned {
 		return p.span
 	}
 	return 0
@@ -189,7 +189,7 @@
 // way may always be asked, so nobody waits for ever.
 func (g *Guard) Ask(now time.Duration, id string, n int) bool {
 	p := g.get(now, id)
-	if g.terms.Bytes > 0 && p.bytes > 0 && p.bytes+n > g.terms.Bytes {
+	if g.settings.Bytes > 0 && p.bytes > 0 && p.bytes+n > g.settings.Bytes {
 		return false
 	}
 	p.bytes += n
@@ -203,7 +203,7 @@
 // once: held, it would cost what the bound is there to save.
 func (g *Guard) Begin(now time.Duration, id string) bool {
 	p := g.get(now, id)
-	if over(p.commands, g.terms.Commands) {
+	if over(p.commands, g.settings.Commands) {
 		return false
 	}
 	p.commands++
@@ -215,18 +215,18 @@
 
 // Late tells whether a PDU that began at a time should be complete.
 func (g *Guard) Late(now, began time.Duration) bool {
-	return g.terms.PDU > 0 && now-began >= g.terms.PDU
+	return g.settings.PDU > 0 && now-began >= g.settings.PDU
 }
 
 // forget drops, once a Window, peers that have nothing open and nothing held against them: what is remembered is
 // bound by the connections that stand and the breaches of late.
 func (g *Guard) forget(now time.Duration) {
-	if now < g.tidy {
+	if now < g.evictedAt {
 		return
 	}
-	g.tidy = now + max(g.terms.Window, g.terms.Shut)
+	g.evictedAt = now + max(g.settings.Window, g.settings.BanTime)
 	for id := range g.peers {
-		if p := g.get(now, id); p.standing == welcome && p.connections == 0 && p.bytes == 0 && p.commands == 0 {
+		if p := g.get(now, id); p.standing == trusted && p.connections == 0 && p.bytes == 0 && p.commands == 0 {
 			delete(g.peers, id)
 		}
 	}
@@ -237,7 +237,7 @@
 
 func (g *Guard) Standing(now time.Duration, id string) (text string, until time.Duration) {
 	p := g.get(now, id)
-	if p.standing == shut {
+	if p.standing == banned {
 		until = p.until
 	}
 	return p.standing.String(), until
--- a/peerlimit/peers_test.go
+++ b/peerlimit/peers_test.go
@@ -8,7 +8,7 @@
 
 const s = time.Second
 
-var terms = Terms{Connections: 4, Handshakes: 2, Commands: 5, Bytes: 1000, PDU: s, Breaches: 3, Window: 10 * s, Shut: 5 * s, Most: 60 * s}
+var terms = Settings{Connections: 4, Handshakes: 2, Commands: 5, Bytes: 1000, PDU: s, Breaches: 3, Window: 10 * s, BanTime: 5 * s, MaxPeers: 60 * s}
 
 // TestShutOut follows one peer through every standing.
 func TestShutOut(t *testing.T) {
@@ -32,7 +32,7 @@
 	breach(0)
 	breach(5 * s)
 	is("shut out")
-	if v := g.Open(at, "p"); v != ShutOut {
+	if v := g.Open(at, "p"); v != Banned {
 		t.Errorf("a peer that is shut out: %v", v)
 	}
 	if v := g.Open(at, "q"); v != Admit {
@@ -40,7 +40,7 @@
 	}
 	at += 5 * s
 	is("on trial")
-	for i, want := range []Verdict{Admit, Admit, TooMany} {
+	for i, want := range []Verdict{Admit, Admit, TooManyConnections} {
 		if v := g.Open(at, "p"); v != want {
 			t.Errorf("connection %d on trial: %v, want %v", i, v, want)
 		}
@@ -70,7 +70,7 @@
 
 // TestNoBounds leaves every bound out.
 func TestNoBounds(t *testing.T) {
-	g := New(Terms{})
+	g := New(Settings{})
 	for range 1000 {
 		if g.Open(0, "p") != Admit || g.Breach(0, "p") != 0 || !g.Ask(0, "p", 1<<30) || !g.Begin(0, "p") || g.Late(time.Hour, 0) {
 			t.Fatal("a bound that was left out holds")
@@ -117,11 +117,11 @@
 				want := Admit
 				switch {
 				case p.until[id] > 0:
-					want = ShutOut
+					want = Banned
 				case len(p.open[id]) >= terms.Connections || p.trial[id] && len(p.open[id]) >= 2:
-					want = TooMany
+					want = TooManyConnections
 				case halves >= terms.Handshakes:
-					want = TooManyHalves
+					want = TooManyHandshakes
 				}
 				if v := g.Open(now, id); v != want {
 					t.Fatalf("seed %d at %v: %s opens: %v, want %v", seed, now, id, v, want)
@@ -156,7 +156,7 @@
 					}
 					p.breach[id] = kept
 					if p.trial[id] || len(kept) >= terms.Breaches {
-						p.span[id] = min(max(2*p.span[id], terms.Shut), terms.Most)
+						p.span[id] = min(max(2*p.span[id], terms.BanTime), terms.MaxPeers)
 						want, p.until[id], p.breach[id], p.trial[id] = p.span[id], now+p.span[id], nil, false
 					}
 				}
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -40,12 +40,12 @@
 	Command bool
 }
 
-// Breach tells what could not be read; nothing behind it can be either.
-type Breach struct{ What string }
+// ProtocolError tells what could not be read; nothing behind it can be either.
+type ProtocolError struct{ Reason string }
 
-func (b *Breach) Error() string { return "resp: " + b.What }
+func (b *ProtocolError) Error() string { return "resp: " + b.Reason }
 
-func breach(format string, a ...any) error { return &Breach{fmt.Sprintf(format, a...)} }
+func protocolError(format string, a ...any) error { return &ProtocolError{fmt.Sprintf(format, a...)} }
 
 // Reader reads values one by one. After an error it must not be used again.
 type Reader struct {
@@ -81,7 +81,7 @@
 			}
 			text := r.bulk[:r.want-2]
 			if !bytes.Equal(r.bulk[r.want-2:], crlf) {
-				return used, v, false, breach("a bulk string of %d bytes does not end there", len(text))
+				return used, v, false, protocolError("a bulk string of %d bytes does not end there", len(text))
 			}
 			item = Value{Kind: Bulk, Text: text}
 			r.bulk, r.want = nil, 0
@@ -135,11 +135,11 @@
 	}
 	switch kind := Kind(first); {
 	case r.Bounds.Command && kind != Array && len(r.open) == 0:
-		return nil, 0, breach("expected '*', got %q", first)
+		return nil, 0, protocolError("expected '*', got %q", first)
 	case r.Bounds.Command && kind != Bulk && len(r.open) > 0:
-		return nil, 0, breach("expected '$', got %q", first)
+		return nil, 0, protocolError("expected '$', got %q", first)
 	case kind != Simple && kind != Error && kind != Integer && kind != Bulk && kind != Array:
-		return nil, 0, breach("%q begins no value", first)
+		return nil, 0, protocolError("%q begins no value", first)
 	}
 	end := bytes.IndexByte(b, '\n')
 	n := end + 1
@@ -151,14 +151,14 @@
 		most = min(most, 32)
 	}
 	if len(r.line)+n > most {
-		return nil, n, breach("a line is longer than %d bytes", most)
+		return nil, n, protocolError("a line is longer than %d bytes", most)
 	}
 	r.line = append(r.line, b[:n]...)
 	if end < 0 {
 		return nil, n, nil
 	}
 	if !bytes.HasSuffix(r.line, crlf) {
-		return nil, n, breach("a line does not end in CR LF")
+		return nil, n, protocolError("a line does not end in CR LF")
 	}
 	return r.line[:len(r.line)-2], n, nil
 }
@@ -167,11 +167,11 @@
 func (r *Reader) begin(line []byte, item *Value) (ready bool, err error) {
 	kind, text := Kind(line[0]), line[1:]
 	if r.total += len(line); r.total > r.Bounds.Total {
-		return false, breach("a value is longer than %d bytes", r.Bounds.Total)
+		return false, protocolError("a value is longer than %d bytes", r.Bounds.Total)
 	}
 	if kind == Simple || kind == Error {
 		if bytes.IndexByte(text, '\r') >= 0 {
-			return false, breach("a line has a CR inside")
+			return false, protocolError("a line has a CR inside")
 		}
 		*item = Value{Kind: kind, Text: bytes.Clone(text)}
 		return true, nil
@@ -190,10 +190,10 @@
 			return true, nil
 		}
 		if n < 0 || n > int64(r.Bounds.Bulk) {
-			return false, breach("invalid bulk length %d, expected 0 to %d", n, r.Bounds.Bulk)
+			return false, protocolError("invalid bulk length %d, expected 0 to %d", n, r.Bounds.Bulk)
 		}
 		if r.total += int(n); r.total > r.Bounds.Total {
-			return false, breach("a value is longer than %d bytes", r.Bounds.Total)
+			return false, protocolError("a value is longer than %d bytes", r.Bounds.Total)
 		}
 		r.want = int(n) + 2
 		return false, nil
@@ -207,10 +207,10 @@
 		least = 1
 	}
 	if n < least || n > int64(r.Bounds.Items) {
-		return false, breach("invalid multibulk length %d, expected %d to %d", n, least, r.Bounds.Items)
+		return false, protocolError("invalid multibulk length %d, expected %d to %d", n, least, r.Bounds.Items)
 	}
 	if len(r.open) >= r.Bounds.Depth {
-		return false, breach("arrays are more than %d deep", r.Bounds.Depth)
+		return false, protocolError("arrays are more than %d deep", r.Bounds.Depth)
 	}
 	if n == 0 {
 		*item = Value{Kind: Array}
@@ -227,7 +227,7 @@
 	}
 	n, err := strconv.ParseInt(string(text), 10, 64)
 	if len(digits) == 0 || digits[0] == '+' || err != nil {
-		return 0, breach("%q is no number", text)
+		return 0, protocolError("%q is no number", text)
 	}
 	return n, nil
 }
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -224,9 +224,9 @@
 func (c *client) protocolError(err error) {
 	c.scheduler.protocolErrors++
 	text := "ERR Protocol error"
-	var b *resp.Breach
+	var b *resp.ProtocolError
 	if errors.As(err, &b) {
-		text += ": " + b.What
+		text += ": " + b.Reason
 	}
 	if len(c.pending) > 0 { // what was asked before is still answered, in order
 		c.closing = true
@@ -493,7 +493,7 @@
 		switch idle := now - c.lastActivity; {
 		case c.closing:
 		case c.commandStarted > 0 && now-c.commandStarted > commandTimeout:
-			c.protocolError(&resp.Breach{What: "the rest of a command does not come"})
+			c.protocolError(&resp.ProtocolError{Reason: "the rest of a command does not come"})
 		case c.isBusy() && idle <= maxIdle:
 			c.resumeReading()
 		case len(c.pending) > 0:
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -554,7 +554,7 @@
 			for range n {
 				x.conn.Out = resp.AppendBulk(x.conn.Out, []byte(large))
 			}
-			x.protocolError(&resp.Breach{What: "forced"})
+			x.protocolError(&resp.ProtocolError{Reason: "forced"})
 			if x.conn.UnsentBytes() == 0 {
 				t.Error("the system holds all of it")
 			}
--- a/target/server.go
+++ b/target/server.go
@@ -27,7 +27,7 @@
 	// Refused counts connections turned away, Fatal those ended for a breach of the protocol.
 	Refused, Fatal int
 
-	offer    Offer
+	offer    Settings
 	handler  Handler
 	loop     *eventloop.Loop
 	listener *eventloop.Listener
@@ -48,8 +48,8 @@
 }
 
 // Listen starts a server at an address.
-func Listen(l *eventloop.Loop, address string, offer Offer, handler Handler) (*Server, error) {
-	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peerlimit.New(peerlimit.Terms{}), Judged: func(string, string, time.Duration) {}}
+func Listen(l *eventloop.Loop, address string, offer Settings, handler Handler) (*Server, error) {
+	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peerlimit.New(peerlimit.Settings{}), Judged: func(string, string, time.Duration) {}}
 	s.Buffers.Keep, s.Buffers.Stats = offer.Held, &l.Stats
 	s.subs.byID = map[uint16]*controller{}
 	var err error
--- a/target/session.go
+++ b/target/session.go
@@ -20,8 +20,8 @@
 	UUID   [16]byte
 }
 
-// Offer is what the controllers of a subsystem offer, and what one client may cost. All of it is given.
-type Offer struct {
+// Settings is what the controllers of a subsystem offer, and what one client may cost. All of it is given.
+type Settings struct {
 	Subsystem   string
 	Serial      string
 	Namespaces  []Namespace // by id
@@ -39,10 +39,10 @@
 
 // Handler acts on what a client wants. It is called on the loop.
 type Handler interface {
-	// Take hands over a Read or Write with its data. The handler owns c.Data and answers once by c.Complete.
-	Take(c *Command)
-	// Lapse tells that the client of a taken command has gone or has aborted it; it is owed nothing more.
-	Lapse(c *Command)
+	// Admit hands over a Read or Write with its data. The handler owns c.Data and answers once by c.Complete.
+	Admit(c *Command)
+	// ClientGone tells that the client of a taken command has gone or has aborted it; it is owed nothing more.
+	ClientGone(c *Command)
 	// Log returns a log page of the vendor's own, or false.
 	Log(id uint8) ([]byte, bool)
 }
@@ -103,7 +103,7 @@
 
 // Session is one connection's state machine.
 type Session struct {
-	offer   *Offer
+	offer   *Settings
 	subs    *associations
 	handler Handler
 	buffers *eventloop.Buffers
@@ -408,12 +408,12 @@
 		s.buffers.Copied(size)
 	}
 	c.state = taken
-	s.handler.Take(c)
+	s.handler.Admit(c)
 }
 
 // grant sends R2Ts while there is room for the data, past those whose peer has its part already. One always
 // fits, so nobody waits for ever.
-func (a *associations) grant(o *Offer, buffers *eventloop.Buffers) {
+func (a *associations) grant(o *Settings, buffers *eventloop.Buffers) {
 	if a.again = a.granting; a.granting { // sending an R2T ended a connection, which gave room
 		return
 	}
@@ -426,7 +426,7 @@
 }
 
 // round goes once through what waits.
-func (a *associations) round(o *Offer, buffers *eventloop.Buffers) {
+func (a *associations) round(o *Settings, buffers *eventloop.Buffers) {
 	waiting := a.waiting
 	a.waiting = nil
 	for i, c := range waiting {
@@ -497,7 +497,7 @@
 		return nil
 	}
 	c.state = taken
-	s.handler.Take(c)
+	s.handler.Admit(c)
 	return nil
 }
 
@@ -539,7 +539,7 @@
 		s.giveUp(c, nvme.AbortRequested)
 	case c.state == taken:
 		c.Complete(nvme.AbortRequested, 0, 0, nil)
-		s.handler.Lapse(c)
+		s.handler.ClientGone(c)
 	default:
 		return false
 	}
@@ -561,7 +561,7 @@
 		if c.state == taken {
 			c.state = over
 			s.ended(c)
-			s.handler.Lapse(c)
+			s.handler.ClientGone(c)
 		} else {
 			s.forget(c)
 		}
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -22,16 +22,16 @@
 	in     nvme.Framing
 }
 
-func (b *bench) Take(c *Command)             { b.taken = append(b.taken, c) }
-func (b *bench) Lapse(c *Command)            { b.lapsed = append(b.lapsed, c) }
+func (b *bench) Admit(c *Command)            { b.taken = append(b.taken, c) }
+func (b *bench) ClientGone(c *Command)       { b.lapsed = append(b.lapsed, c) }
 func (b *bench) Log(id uint8) ([]byte, bool) { return []byte{1, 2, 3, 4}, id == nvme.LogLoad }
 
-func offer() *Offer {
-	return &Offer{Subsystem: "nqn.2026-12.org.honeyplank:t", Namespaces: []Namespace{{ID: 1, Blocks: 1000, Shift: 12}, {ID: 5, Blocks: 10, Shift: 9}},
+func offer() *Settings {
+	return &Settings{Subsystem: "nqn.2026-12.org.honeyplank:t", Namespaces: []Namespace{{ID: 1, Blocks: 1000, Shift: 12}, {ID: 5, Blocks: 10, Shift: 9}},
 		MaxTransfer: 128 << 10, Capsule: 8 << 10, Piece: 16 << 10, Depth: 32, Queues: 4, Handshake: time.Second, Held: 1 << 20, Unsent: 1 << 20}
 }
 
-func newBench(t *testing.T, o *Offer, subs *associations) *bench {
+func newBench(t *testing.T, o *Settings, subs *associations) *bench {
 	b := &bench{t: t, host: nvme.Framing{FromHost: true}, in: nvme.Framing{MaxData: 1 << 20}}
 	b.s = &Session{offer: o, subs: subs, handler: b, buffers: &eventloop.Buffers{}, out: &b.out, flush: func() {}, await: func(*Command) {}, ask: func(int) bool { return true }, gotten: func(int) {},
 		begin: func() bool {
