--- a/bench/sources.go
+++ b/bench/sources.go
@@ -110,7 +110,7 @@
 	s.List.AskWithin = settings.Span(2 * time.Second)
 	e := &ear{heard: map[honeyplank.ServerID]honeyplank.MemberState{}, wait: map[honeyplank.ServerID]waited{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
 	before := heap()
-	g, err := gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop(), Module: func(seed int64, v map[string]any) gateway.Module {
+	g, err := gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop(), Module: func(seed int64, v *honeyplank.Settings) gateway.Module {
 		e.Scheduler = policy.New(seed, v)
 		return e
 	}})
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,6 +5,7 @@
 
 import (
 	"fmt"
+	"honeyplank"
 	"os"
 
 	"honeyplank/internal/simwire"
@@ -12,7 +13,7 @@
 )
 
 func main() {
-	start := func(seed int64, settings map[string]any) simwire.Handler {
+	start := func(seed int64, settings *honeyplank.Settings) simwire.Handler {
 		return policy.New(seed, settings)
 	}
 	if err := simwire.Serve(os.Stdin, os.Stdout, start); err != nil {
--- a/faulttest/baseline.go
+++ b/faulttest/baseline.go
@@ -13,7 +13,7 @@
 
 // Arrival makes a baseline to measure against: every op is passed on at once in order of arrival, whatever
 // the node's state, and tried no second time. It keeps no rule but the first.
-func Arrival(_ int64, _ map[string]any) gateway.Module {
+func Arrival(_ int64, _ *honeyplank.Settings) gateway.Module {
 	return &arrival{holders: map[int]honeyplank.ServerID{}}
 }
 
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -8,6 +8,7 @@
 	_ "embed"
 	"encoding/json"
 	"fmt"
+	"honeyplank"
 	"math/rand"
 	"net/netip"
 	"slices"
@@ -51,7 +52,7 @@
 	Script *settings.Gateway
 	Seed   int64
 	// Module replaces the decision module of every gateway; nil: the product's own.
-	Module func(seed int64, settings map[string]any) gateway.Module
+	Module func(seed int64, settings *honeyplank.Settings) gateway.Module
 	Log    zerolog.Logger
 }
 
--- a/faulttest/sabotage_test.go
+++ b/faulttest/sabotage_test.go
@@ -133,7 +133,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			o := Options{Script: short(t, 4*time.Second, x.troubles...), Seed: 3}
-			o.Module = func(seed int64, v map[string]any) gateway.Module {
+			o.Module = func(seed int64, v *honeyplank.Settings) gateway.Module {
 				if x.make == nil { // the baseline keeps none of these
 					return Arrival(seed, v)
 				}
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -68,7 +68,7 @@
 	c.step.Store(int64(step))
 	var err error
 	if c.g, err = gateway.New(gateway.Options{Settings: c.s, Seed: 2, Learnt: known, Log: zerolog.Nop(), Wall: c.wall,
-		Module: func(seed int64, v map[string]any) gateway.Module {
+		Module: func(seed int64, v *honeyplank.Settings) gateway.Module {
 			return tap{policy.New(seed, v), &c.mu, &c.told, &c.learnt}
 		}}); err != nil {
 		w.t.Fatal(err)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,7 +38,7 @@
 	Settings *settings.Gateway
 	Seed     int64
 	// Module makes the decision module; nil: policy.New.
-	Module func(seed int64, settings map[string]any) Module
+	Module func(seed int64, settings *honeyplank.Settings) Module
 	// Learnt is what an instance before this one knew of the disk servers; nil: nothing.
 	Learnt *estimates.Record
 	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline goes by it.
@@ -98,7 +98,7 @@
 		return nil, errors.New("gateway: no settings")
 	}
 	if o.Module == nil {
-		o.Module = func(seed int64, v map[string]any) Module { return policy.New(seed, v) }
+		o.Module = func(seed int64, v *honeyplank.Settings) Module { return policy.New(seed, v) }
 	}
 	s := o.Settings
 	if o.Wall == nil {
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	g := &Instance{o: o, s: s, loop: l, log: o.Log, module: o.Module(o.Seed, s.Values()),
+	g := &Instance{o: o, s: s, loop: l, log: o.Log, module: o.Module(o.Seed, s.Module()),
 		disks: map[honeyplank.ServerID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
 	g.ops = inflight.New(l, g.module, sender{g})
 	g.ops.OnAction, g.ops.OnIdle = g.act, g.check
@@ -291,12 +291,12 @@
 // ended, answer nothing.
 func (g *Instance) Learnt() (r *estimates.Record, ok bool) {
 	module, tells := g.module.(interface {
-		Learnt() honeyplank.SavedEstimates
+		SavedEstimates() honeyplank.SavedEstimates
 	})
 	answer := make(chan *estimates.Record, 1)
 	if !tells || !g.loop.Post(func() {
 		start := g.o.Wall().Add(-g.loop.Now())
-		answer <- estimates.FromEvent(module.Learnt(), int64(g.s.Volumes.Unit), start.Add)
+		answer <- estimates.FromEvent(module.SavedEstimates(), int64(g.s.Volumes.Unit), start.Add)
 	}) {
 		return nil, false
 	}
--- a/internal/simwire/provision.go
+++ b/internal/simwire/provision.go
@@ -96,9 +96,9 @@
 
 // Site is what the settings say, for whoever meets the site elsewhere than on the simulator's wire.
 type Site struct {
-	Values         map[string]any // the module's
-	Fields         []string       // names of the values of a load report
-	OpTypes, Plans []string       // names, in the order of the lists in Values
+	Settings       *honeyplank.Settings
+	Fields         []string // names of the values of a load report
+	OpTypes, Plans []string // names, in the order of the lists in Values
 	Models, Zones  []string
 	Idle           time.Duration // idle connections are closed after this long
 	ConnectWithin  time.Duration
@@ -113,11 +113,11 @@
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
-	values, err := f.values()
+	values, err := f.settings()
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{Values: values, Fields: f.Report.Fields, Models: f.Models, Zones: f.Zones, Idle: span(f.Caps.Keepalive),
+	s := &Site{Settings: values, Fields: f.Report.Fields, Models: f.Models, Zones: f.Zones, Idle: span(f.Caps.Keepalive),
 		ConnectWithin: span(f.Caps.Connect), Streams: f.Caps.Streams, Ask: f.Membership == "subscribe",
 		Probes: f.Caps.Probes, Peers: f.Caps.Peers}
 	for _, c := range f.Classes {
@@ -129,11 +129,10 @@
 	return s, nil
 }
 
-// values hands the settings over under our names. Lists run by op type or
-// by plan; budget.* is there only where the site states a budget.
-func (f *siteFigures) values() (map[string]any, error) {
+// settings turns the wire's settings into the module's. A retry budget is there only where the site states one.
+func (f *siteFigures) settings() (*honeyplank.Settings, error) {
 	var target, timeout, remember []time.Duration
-	var utility, late []float64
+	var utility []float64
 	var kind []honeyplank.Semantics
 	var scope []honeyplank.DedupScope
 	var ordered []bool
@@ -148,7 +147,7 @@
 		}
 		target, timeout = append(target, span(c.Target)), append(timeout, span(c.GiveUp))
 		remember = append(remember, span(c.Window))
-		utility, late = append(utility, c.Worth), append(late, c.LateWorth)
+		utility = append(utility, c.Worth)
 		kind, scope, ordered = append(kind, k), append(scope, s), append(ordered, c.InOrder)
 	}
 	var rate, reserve, weight, value, limit, burst, slack []float64
@@ -158,35 +157,34 @@
 		limit, burst = append(limit, p.Ceiling), append(burst, p.Most)
 		slack = append(slack, p.Slack)
 	}
-	v := map[string]any{
-		"optypes.target_latency": target, "optypes.op_timeout": timeout,
-		"optypes.utility": utility, "optypes.late_utility": late,
-		"optypes.kind": kind, "optypes.scope": scope, "optypes.remember": remember,
-		"optypes.ordered": ordered, "optypes.writes": f.Family.Writes,
-		"plans.rate": rate, "plans.reserve": reserve, "plans.weight": weight,
-		"plans.value": value, "plans.limit": limit, "plans.burst": burst, "plans.slack": slack,
-		"hosts": f.Peers, "ordinal": f.Ordinal, "zone": f.Zone, "step": span(f.Step),
-		"dispatches.max": f.Caps.MaxAttempts, "dispatches.parallel": f.Caps.MayDuplicate,
-		"cancel": f.Caps.Cancel, "probes": f.Caps.Probes, "peers": f.Caps.Peers,
-		"throttle.advice": f.Caps.RetryAfter, "throttle.advice.max": span(f.Caps.MaxRetryAfter),
-		"list.ask": f.Membership == "subscribe", "list.ask_within": span(f.Rules.AskWithin),
-		"drain.grace": span(f.Rules.Stop), "answer.grace": span(f.Rules.Grace),
-		"cold.from": f.Rules.ColdFrom, "cold.time": span(f.Rules.Cold),
-		"cold.window": span(f.Rules.Fall), "cold.units": f.Family.YoungLimit,
-		"cold.multiple": f.Rules.Multiple, "order.settle": span(f.Rules.Settle),
-		"connect.within": span(f.Caps.Connect),
-		"units.mean":     f.Family.UnitMean, "units.largest": f.Family.Largest,
-		"utility.share": f.Family.WithinShare, "utility.spare": f.Family.IdleWorth,
-		"meter.period": span(f.Family.UsePeriod), "meter.elsewhere": f.Family.CountsOthers,
+	v := &honeyplank.Settings{
+		Step:       span(f.Step),
+		Schedulers: f.Peers,
+		Ordinal:    f.Ordinal,
+		OpTypes: honeyplank.OpTypeSettings{TargetLatency: target, OpTimeout: timeout, Utility: utility, Semantics: kind,
+			DedupScope: scope, DedupWindow: remember, Ordered: ordered},
+		Plans: honeyplank.PlanSettings{Rate: rate, Reserve: reserve, Weight: weight, Value: value, Limit: limit, Burst: burst,
+			Slack: slack},
+		MeanUnits:    f.Family.UnitMean,
+		LargestUnits: f.Family.Largest,
+		Watch:        honeyplank.WatchSettings{OnRequest: f.Membership == "subscribe", Within: span(f.Rules.AskWithin)},
+		Dispatches: honeyplank.DispatchSettings{Max: f.Caps.MaxAttempts, Parallel: f.Caps.MayDuplicate, Cancel: f.Caps.Cancel,
+			ConnectTimeout: span(f.Caps.Connect)},
+		RetryAfter: honeyplank.RetryAfterSettings{Allowed: f.Caps.RetryAfter, Max: span(f.Caps.MaxRetryAfter)},
+		SlowStart: honeyplank.SlowStartSettings{Window: span(f.Rules.Fall), Time: span(f.Rules.Cold), From: f.Rules.ColdFrom,
+			Units: f.Family.YoungLimit},
+		Usage:       honeyplank.UsageSettings{Period: span(f.Family.UsePeriod), Elsewhere: f.Family.CountsOthers},
+		DrainGrace:  span(f.Rules.Stop),
+		AnswerGrace: span(f.Rules.Grace),
+		OrderSettle: span(f.Rules.Settle),
 	}
 	if f.Rules.Span != nil || f.Rules.Extra != nil {
-		v["budget.free"] = f.Rules.MinExtra
-		v["budget.share"], v["budget.window"] = 0.0, time.Duration(0)
+		v.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: f.Rules.MinExtra}
 		if f.Rules.Extra != nil {
-			v["budget.share"] = *f.Rules.Extra
+			v.RetryBudget.Share = *f.Rules.Extra
 		}
 		if f.Rules.Span != nil {
-			v["budget.window"] = span(*f.Rules.Span)
+			v.RetryBudget.Window = span(*f.Rules.Span)
 		}
 	}
 	return v, nil
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -20,7 +20,7 @@
 }
 
 // Start makes an instance from its seed and settings.
-type Start func(seed int64, settings map[string]any) Handler
+type Start func(seed int64, settings *honeyplank.Settings) Handler
 
 type batch struct {
 	WallMS *float64          `json:"wall_ms"`
@@ -118,7 +118,7 @@
 		if err := json.Unmarshal(raw, &p); err != nil {
 			return nil, fmt.Errorf("provision: %w", err)
 		}
-		values, err := p.Config.values()
+		values, err := p.Config.settings()
 		if err != nil {
 			return nil, fmt.Errorf("provision: %w", err)
 		}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -24,7 +24,7 @@
 
 func serve(lines ...string) (string, error) {
 	var out strings.Builder
-	start := func(int64, map[string]any) Handler { return echo{} }
+	start := func(int64, *honeyplank.Settings) Handler { return echo{} }
 	err := Serve(strings.NewReader(strings.Join(lines, "\n")), &out, start)
 	return out.String(), err
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
 			terms := membership.Settings{Vanish: 0.5, Confirm: 10 * time.Second, Calm: time.Minute}
 			book, now := membership.New(terms), time.Minute
-			module := policy.New(1, map[string]any{"optypes.target_latency": []time.Duration{200 * time.Millisecond}, "optypes.op_timeout": []time.Duration{time.Second}})
+			module := policy.New(1, &honeyplank.Settings{OpTypes: honeyplank.OpTypeSettings{TargetLatency: []time.Duration{200 * time.Millisecond}, OpTimeout: []time.Duration{time.Second}}})
 			var all []membership.Statement
 			for i := range n {
 				all = append(all, membership.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.Up})
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -67,27 +67,27 @@
 func (f coldFleet) play(seed int64) (worst float64, sent int) {
 	const units, window, warm, from, servers = 2.0, time.Second, 5 * time.Second, 0.21, 20
 	set := figures()
-	set["optypes.target_latency"] = []time.Duration{200 * ms, 200 * ms}
-	set["optypes.op_timeout"] = []time.Duration{1200 * ms, 1200 * ms}
-	set["hosts"], set["units.mean"], set["units.largest"] = f.hosts, units, 6.0
+	set.OpTypes.TargetLatency = []time.Duration{200 * ms, 200 * ms}
+	set.OpTypes.OpTimeout = []time.Duration{1200 * ms, 1200 * ms}
+	set.Schedulers, set.MeanUnits, set.LargestUnits = f.hosts, units, 6.0
 	if f.stated > 0 {
-		set["hosts"] = f.stated
+		set.Schedulers = f.stated
 	}
-	set["connect.within"] = f.connect
+	set.Dispatches.ConnectTimeout = f.connect
 	patience := 1200 * ms
 	if f.late > 0 { // what waits for a connection may wait for it to the end
 		patience = 5 * time.Second
-		set["optypes.op_timeout"] = []time.Duration{patience, patience}
-		set["optypes.target_latency"] = []time.Duration{200 * ms, 3 * time.Second}
+		set.OpTypes.OpTimeout = []time.Duration{patience, patience}
+		set.OpTypes.TargetLatency = []time.Duration{200 * ms, 3 * time.Second}
 	}
 	if f.late > 0 && f.hosts >= 300 { // fewer sweeps, to keep the test short
-		set["step"] = 50 * ms
+		set.Step = 50 * ms
 	}
-	set["cold.units"], set["cold.window"] = f.always*units, window
-	set["cold.time"], set["cold.from"] = warm, from
-	set["plans.rate"], set["plans.reserve"] = []float64{1000}, []float64{0}
+	set.SlowStart.Units, set.SlowStart.Window = f.always*units, window
+	set.SlowStart.Time, set.SlowStart.From = warm, from
+	set.Plans.Rate, set.Plans.Reserve = []float64{1000}, []float64{0}
 	if f.due {
-		set["plans.reserve"] = []float64{1e6}
+		set.Plans.Reserve = []float64{1e6}
 	}
 	rng := rand.New(rand.NewSource(seed))
 	var a agenda
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -13,22 +13,26 @@
 const ms = time.Millisecond
 
 // figures are settings with two op types and one plan; tests change what they are about.
-func figures() map[string]any {
-	return map[string]any{
-		"optypes.target_latency": []time.Duration{200 * ms, 1500 * ms},
-		"optypes.op_timeout":     []time.Duration{1200 * ms, 5000 * ms},
-		"optypes.utility":        []float64{2, 1}, "optypes.kind": []honeyplank.Semantics{0, 0},
-		"optypes.scope": []honeyplank.DedupScope{0, 0}, "optypes.remember": []time.Duration{time.Second, time.Second},
-		"plans.rate": []float64{20}, "plans.reserve": []float64{10}, "plans.weight": []float64{1},
-		"plans.limit": []float64{0}, "plans.burst": []float64{0}, "plans.slack": []float64{0},
-		"hosts": 1, "step": 2 * ms, "dispatches.max": 4, "dispatches.parallel": false, "units.largest": 6.0,
-		"answer.grace": 8 * ms, "drain.grace": 250 * ms,
+func figures() *honeyplank.Settings {
+	return &honeyplank.Settings{
+		OpTypes: honeyplank.OpTypeSettings{
+			TargetLatency: []time.Duration{200 * ms, 1500 * ms},
+			OpTimeout:     []time.Duration{1200 * ms, 5000 * ms},
+			Utility:       []float64{2, 1},
+			Semantics:     []honeyplank.Semantics{0, 0},
+			DedupScope:    []honeyplank.DedupScope{0, 0},
+			DedupWindow:   []time.Duration{time.Second, time.Second},
+		},
+		Plans: honeyplank.PlanSettings{Rate: []float64{20}, Reserve: []float64{10}, Weight: []float64{1},
+			Limit: []float64{0}, Burst: []float64{0}, Slack: []float64{0}},
+		Schedulers: 1, Step: 2 * ms, Dispatches: honeyplank.DispatchSettings{Max: 4}, LargestUnits: 6,
+		AnswerGrace: 8 * ms, DrainGrace: 250 * ms,
 	}
 }
 
 // model is a slow, plain reading of the rules. It sees what every host is told and does.
 type model struct {
-	set    map[string]any
+	set    *honeyplank.Settings
 	now    time.Duration
 	ops    map[honeyplank.OpID]*told
 	order  []*told // as taken
@@ -86,9 +90,9 @@
 	for _, d := range t.sends {
 		a, b := m.osds[d.osd], m.osds[osd]
 		drops := []bool{true, a.Zone == b.Zone, a.Cell == b.Cell}[scope] &&
-			m.now+after-d.at < settingAt[time.Duration](m.set, "optypes.remember", t.Type)
+			m.now+after-d.at < valueAt(m.set.OpTypes.DedupWindow, t.Type)
 		allowed := kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && drops
-		if !d.ended && !settingOf[bool](m.set, "dispatches.parallel") || (!d.ended || d.maybe) && !allowed {
+		if !d.ended && !m.set.Dispatches.Parallel || (!d.ended || d.maybe) && !allowed {
 			return false
 		}
 	}
@@ -96,7 +100,7 @@
 }
 
 func (m *model) kind(t *told) (honeyplank.Semantics, honeyplank.DedupScope) {
-	return settingAt[honeyplank.Semantics](m.set, "optypes.kind", t.Type), settingAt[honeyplank.DedupScope](m.set, "optypes.scope", t.Type)
+	return valueAt(m.set.OpTypes.Semantics, t.Type), valueAt(m.set.OpTypes.DedupScope, t.Type)
 }
 
 // mayThrottle is the second rule for an answer.
@@ -107,11 +111,11 @@
 
 // inTurn is the fifth rule.
 func (m *model) inTurn(t *told) bool {
-	if !t.HasKey || !settingAt[bool](m.set, "optypes.ordered", t.Type) {
+	if !t.HasKey || !valueAt(m.set.OpTypes.Ordered, t.Type) {
 		return true
 	}
 	for _, e := range m.order[:slices.Index(m.order, t)] {
-		same := e.host == t.host && e.HasKey && e.Key == t.Key && settingAt[bool](m.set, "optypes.ordered", e.Type)
+		same := e.host == t.host && e.HasKey && e.Key == t.Key && valueAt(m.set.OpTypes.Ordered, e.Type)
 		if n := len(e.sends); same && (!e.over || m.now < e.rested || n > 0 && !e.sends[n-1].ended) {
 			return false
 		}
@@ -119,20 +123,19 @@
 	return true
 }
 
-// maxHoldUp is for how long a process may stand still between a decision and the dispatch.
+// heldUp is for how long a process may stand still between a decision and the dispatch.
 const heldUp = 150 * ms
 
 // inBudget is the sixth rule, for one more further dispatch, when this or earlier ones are held up.
 func (m *model) inBudget(host int) bool {
-	free, stated := m.set["budget.free"].(float64)
-	if !stated {
+	if !m.set.RetryBudget.Limited {
 		return true
 	}
-	from, taken := m.now-settingOf[time.Duration](m.set, "budget.window"), 0.0
+	from, taken := m.now-m.set.RetryBudget.Window, 0.0
 	for _, t := range m.order {
 		taken += float64(boolToInt(t.host == host && t.at >= from+heldUp))
 	}
-	return float64(1+len(dropBefore(m.extras[host], from-heldUp))) <= free+settingOf[float64](m.set, "budget.share")*taken
+	return float64(1+len(dropBefore(m.extras[host], from-heldUp))) <= m.set.RetryBudget.Free+m.set.RetryBudget.Share*taken
 }
 
 func (m *model) dispatch(host int, a honeyplank.Dispatch) {
@@ -141,13 +144,13 @@
 		m.broken(1, "%s dispatched after its answer", a.Op)
 	}
 	o := m.osds[a.Server]
-	if since, told := m.stop[a.Server]; told && m.now > since+settingOf[time.Duration](m.set, "drain.grace") {
+	if since, told := m.stop[a.Server]; told && m.now > since+m.set.DrainGrace {
 		m.broken(3, "%s goes to %s", a.Op, a.Server)
 	}
 	if t.Cell != honeyplank.NewObject && t.Cell != o.Cell {
 		m.broken(2, "%s goes to a server without its data", a.Op)
 	}
-	if !m.mayRepeat(t, a.Server, settingOf[time.Duration](m.set, "connect.within")+heldUp) || len(t.sends) >= max(settingOf[int](m.set, "dispatches.max"), 1) {
+	if !m.mayRepeat(t, a.Server, m.set.Dispatches.ConnectTimeout+heldUp) || len(t.sends) >= max(m.set.Dispatches.Max, 1) {
 		m.broken(2, "%s repeated", a.Op)
 	}
 	if !m.inTurn(t) {
@@ -158,10 +161,10 @@
 			m.broken(6, "%s past the budget", a.Op)
 		}
 		m.extras[host] = append(m.extras[host], m.now)
-	} else if limit := settingAt[float64](m.set, "plans.limit", t.Plan); limit > 0 {
+	} else if limit := valueAt(m.set.Plans.Limit, t.Plan); limit > 0 {
 		gone := max(0, m.gone[t.Volume]-limit*(m.now-m.filled[t.Volume]).Seconds()) + t.Units
 		m.gone[t.Volume], m.filled[t.Volume] = gone, m.now
-		if left := settingAt[float64](m.set, "plans.burst", t.Plan) - gone; left < -settingAt[float64](m.set, "plans.slack", t.Plan) {
+		if left := valueAt(m.set.Plans.Burst, t.Plan) - gone; left < -valueAt(m.set.Plans.Slack, t.Plan) {
 			m.broken(7, "volume %d at %.1f", t.Volume, left)
 		}
 	}
@@ -172,16 +175,16 @@
 
 // heat is the fourth rule: all hosts' units that may reach a cold server within one window.
 func (m *model) heat(o honeyplank.Member) {
-	window, warm := settingOf[time.Duration](m.set, "cold.window"), settingOf[time.Duration](m.set, "cold.time")
+	window, warm := m.set.SlowStart.Window, m.set.SlowStart.Time
 	age := m.now - o.Started
 	if window <= 0 || o.Started == 0 || age >= warm {
 		return
 	}
-	sum, from := 0.0, settingOf[float64](m.set, "cold.from")
+	sum, from := 0.0, m.set.SlowStart.From
 	for _, x := range m.cold[o.ID] {
 		sum += x.op.Units * float64(boolToInt(x.mayArrive(o.Started, m.now-window)))
 	}
-	sure := (from + (1-from)*float64(age)/float64(warm)) / from * settingOf[float64](m.set, "cold.units")
+	sure := (from + (1-from)*float64(age)/float64(warm)) / from * m.set.SlowStart.Units
 	if sum > sure+1e-9 {
 		m.broken(4, "%s gets %.1f of %.1f", o.ID, sum, sure)
 	}
@@ -189,7 +192,7 @@
 
 func (m *model) answer(id honeyplank.OpID, throttle bool) {
 	t := m.ops[id]
-	if t.over || t.begun || m.now > t.Timeout+settingOf[time.Duration](m.set, "answer.grace") {
+	if t.over || t.begun || m.now > t.Timeout+m.set.AnswerGrace {
 		m.broken(1, "%s answered twice or late", id)
 	}
 	if throttle && !m.mayThrottle(t) {
@@ -211,12 +214,12 @@
 	asked  func(host int) // a host asks for the list
 }
 
-func newWorld(t *testing.T, seed int64, set map[string]any) *world {
+func newWorld(t *testing.T, seed int64, set *honeyplank.Settings) *world {
 	w := &world{t: t, took: 400 * ms, asked: func(int) {}, rng: rand.New(rand.NewSource(seed)), due: map[honeyplank.OpID]time.Duration{}, model: &model{
 		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.ServerID]honeyplank.Member{},
 		stop: map[honeyplank.ServerID]time.Duration{}, cold: map[honeyplank.ServerID][]heating{},
 		gone: map[int64]float64{}, filled: map[int64]time.Duration{}, extras: map[int][]time.Duration{}}}
-	for i := range max(settingOf[int](set, "hosts"), 1) {
+	for i := range max(set.Schedulers, 1) {
 		w.hosts = append(w.hosts, New(seed+int64(i), set))
 		w.timers = append(w.timers, map[string]time.Duration{})
 	}
@@ -255,7 +258,7 @@
 			w.answer(a.Op, false)
 		case honeyplank.Cancel:
 			t := w.ops[a.Op]
-			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.sends) || !settingOf[bool](w.set, "cancel") {
+			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.sends) || !w.set.Dispatches.Cancel {
 				w.broken(0, "%s: dispatch %d is withdrawn, which was never made or may not be", a.Op, a.Dispatch)
 			} else if a.Dispatch == len(t.sends)-1 {
 				t.sends[a.Dispatch].withdrawn, w.due[a.Op] = true, w.now
@@ -276,7 +279,7 @@
 	d.never, d.end = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, w.now
 	d.ended, d.maybe = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
 	if code == honeyplank.TimedOut || code == honeyplank.Reset || code == honeyplank.Cancelled {
-		t.rested = w.now + settingOf[time.Duration](w.set, "order.settle")
+		t.rested = w.now + w.set.OrderSettle
 	}
 	if code == honeyplank.Succeeded || t.begun {
 		w.acked, t.over = w.acked+boolToInt(!t.over), true
@@ -287,7 +290,7 @@
 
 // step moves the clock, fires timers, ends dispatches and looks for ops past their time.
 func (w *world) step(codes []honeyplank.Code) {
-	w.now += settingOf[time.Duration](w.set, "step")
+	w.now += w.set.Step
 	for i := range w.hosts {
 		for _, name := range []string{"sweep", "watch"} {
 			if at, set := w.timers[i][name]; set && at <= w.now {
@@ -309,7 +312,7 @@
 				w.end(t, honeyplank.TimedOut)
 			}
 		}
-		if !t.over && !t.begun && w.now > t.Timeout+settingOf[time.Duration](w.set, "answer.grace") {
+		if !t.over && !t.begun && w.now > t.Timeout+w.set.AnswerGrace {
 			w.broken(1, "%s has no answer", t.ID)
 			t.over = true
 		}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -42,13 +42,13 @@
 }
 
 // overload settings: one op type, one plan.
-func (f flood) settings() map[string]any {
+func (f flood) settings() *honeyplank.Settings {
 	set := figures()
-	set["optypes.target_latency"], set["optypes.op_timeout"] = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
-	set["optypes.kind"], set["optypes.scope"], set["optypes.remember"] = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
+	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
+	set.OpTypes.Semantics, set.OpTypes.DedupScope, set.OpTypes.DedupWindow = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
 	rate := 1000 * float64(f.servers) / float64(f.volumes)
-	set["plans.rate"], set["plans.reserve"], set["units.mean"], set["units.largest"] = []float64{rate}, []float64{rate / 2}, 1.0, 4.0
-	set["meter.period"] = time.Second
+	set.Plans.Rate, set.Plans.Reserve, set.MeanUnits, set.LargestUnits = []float64{rate}, []float64{rate / 2}, 1.0, 4.0
+	set.Usage.Period = time.Second
 	return set
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,32 +16,35 @@
 }
 
 // generate draws settings, also such as no site has today.
-func generate(r *rand.Rand) map[string]any {
+func generate(r *rand.Rand) *honeyplank.Settings {
 	set := figures()
-	set["optypes.kind"] = []honeyplank.Semantics{honeyplank.Semantics(r.Intn(3)), honeyplank.Semantics(r.Intn(3))}
-	set["optypes.scope"] = []honeyplank.DedupScope{honeyplank.DedupScope(r.Intn(3)), honeyplank.DedupScope(r.Intn(3))}
-	set["optypes.ordered"] = []bool{r.Intn(2) == 0, r.Intn(2) == 0}
-	set["optypes.remember"] = []time.Duration{time.Duration(r.Intn(600)) * ms, time.Second}
-	set["dispatches.parallel"], set["dispatches.max"] = r.Intn(2) == 0, r.Intn(5)
-	set["cancel"] = r.Intn(4) > 0
-	set["hosts"], set["order.settle"] = 1+r.Intn(3), time.Duration(r.Intn(150))*ms
+	set.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Semantics(r.Intn(3)), honeyplank.Semantics(r.Intn(3))}
+	set.OpTypes.DedupScope = []honeyplank.DedupScope{honeyplank.DedupScope(r.Intn(3)), honeyplank.DedupScope(r.Intn(3))}
+	set.OpTypes.Ordered = []bool{r.Intn(2) == 0, r.Intn(2) == 0}
+	set.OpTypes.DedupWindow = []time.Duration{time.Duration(r.Intn(600)) * ms, time.Second}
+	set.Dispatches.Parallel, set.Dispatches.Max = r.Intn(2) == 0, r.Intn(5)
+	set.Dispatches.Cancel = r.Intn(4) > 0
+	set.Schedulers, set.OrderSettle = 1+r.Intn(3), time.Duration(r.Intn(150))*ms
 	if r.Intn(2) == 0 {
-		set["budget.free"], set["budget.share"], set["budget.window"] = float64(r.Intn(3)), 0.1, 500*ms
-	}
-	set["plans.limit"], set["plans.burst"] = []float64{float64(30 * r.Intn(2))}, []float64{36}
-	set["connect.within"] = time.Duration(r.Intn(2)*r.Intn(300)) * ms
-	set["cold.from"], set["cold.units"], set["cold.time"], set["cold.window"] = 0.2, 20.0, 2*time.Second, 300*ms
-	set["list.ask"], set["list.ask_within"] = r.Intn(2) == 0, time.Second
-	set["throttle.advice"], set["throttle.advice.max"] = r.Intn(2) == 0, 500*ms
-	set["meter.period"] = time.Duration(r.Intn(2)) * time.Second
-	set["meter.elsewhere"] = set["throttle.advice"]
-	odd := []string{"optypes.target_latency", "optypes.utility", "plans.weight", "plans.reserve", "plans.rate",
-		"units.largest", "optypes.kind", "hosts"}
+		set.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: float64(r.Intn(3)), Share: 0.1, Window: 500 * ms}
+	}
+	set.Plans.Limit, set.Plans.Burst = []float64{float64(30 * r.Intn(2))}, []float64{36}
+	set.Dispatches.ConnectTimeout = time.Duration(r.Intn(2)*r.Intn(300)) * ms
+	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.2, 20.0, 2*time.Second, 300*ms
+	set.Watch.OnRequest, set.Watch.Within = r.Intn(2) == 0, time.Second
+	set.RetryAfter.Allowed, set.RetryAfter.Max = r.Intn(2) == 0, 500*ms
+	set.Usage.Period = time.Duration(r.Intn(2)) * time.Second
+	set.Usage.Elsewhere = set.RetryAfter.Allowed
+	odd := []func(){
+		func() { set.OpTypes.TargetLatency = nil }, func() { set.OpTypes.Utility = nil }, func() { set.Plans.Weight = nil },
+		func() { set.Plans.Reserve = nil }, func() { set.Plans.Rate = nil }, func() { set.LargestUnits = 0 },
+		func() { set.OpTypes.Semantics = nil }, func() { set.Schedulers = 0 },
+	}
 	for i := range r.Intn(2) * r.Intn(4) { // odd but legal: absent
-		delete(set, odd[(i+r.Intn(8))%8])
+		odd[(i+r.Intn(8))%8]()
 	}
 	if r.Intn(4) == 0 {
-		set["plans.weight"], set["optypes.target_latency"] = []float64{0}, []time.Duration{0, 0}
+		set.Plans.Weight, set.OpTypes.TargetLatency = []float64{0}, []time.Duration{0, 0}
 	}
 	return set
 }
@@ -66,7 +69,7 @@
 		for n := 0; n < 1500; n++ {
 			for range r.Intn(3) {
 				typ := r.Intn(2)
-				left := settingAt[time.Duration](w.set, "optypes.op_timeout", typ) / time.Duration(1+r.Intn(20))
+				left := valueAt(w.set.OpTypes.OpTimeout, typ) / time.Duration(1+r.Intn(20))
 				w.give(r.Intn(len(w.hosts)), honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n, w.rng.Int63())),
 					Units: float64(1 + r.Intn(6)), Timeout: w.now + left, Type: typ, HasKey: true,
 					Key: int64(r.Intn(6)), Schedulers: len(w.hosts), Volume: int64(r.Intn(5)), Cell: r.Intn(5) - 1})
@@ -119,7 +122,7 @@
 		s.now = w.now
 		module, model := []bool{s.rejectIsSafe(p), s.hasKeyTurn(p), s.retryBudgetAllows()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
 		for _, o := range s.serversByID {
-			after := settingOf[time.Duration](w.set, "connect.within") + heldUp + time.Duration(s.expectedLatency(o, p.Type)*float64(time.Second))
+			after := w.set.Dispatches.ConnectTimeout + heldUp + time.Duration(s.expectedLatency(o, p.Type)*float64(time.Second))
 			module, model = append(module, s.retryAllowed(p, o)), append(model, w.mayRepeat(e, o.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
@@ -176,7 +179,7 @@
 	if w.end(w.ops["full1"], honeyplank.Succeeded); len(w.ops["other0"].sends) != 1 {
 		t.Error("the slice did not end")
 	}
-	w.set["plans.weight"] = []float64{1, 3}
+	w.set.Plans.Weight = []float64{1, 3}
 	s.settings = readSettings(w.set)
 	s.startSlice(o, &volumeQueue{volume: &volume{plan: 0}})
 	light := o.sliceEnd - s.now
@@ -285,7 +288,7 @@
 // The list must be asked for, and again after a failure, within the ask time.
 func TestWatchIsRenewed(t *testing.T) {
 	w := newWorld(t, 1, figures())
-	w.set["list.ask"], w.set["list.ask_within"] = true, time.Second
+	w.set.Watch.OnRequest, w.set.Watch.Within = true, time.Second
 	w.hosts[0].settings = readSettings(w.set)
 	asks, last, due := 0, time.Duration(0), time.Duration(0)
 	for ; w.now < 10*time.Second; w.now += 10 * ms {
@@ -307,8 +310,8 @@
 // where a hundred hosts' parts are smaller than one op; those inside their reserves come first.
 func TestColdPartByLot(t *testing.T) {
 	set := figures()
-	set["cold.from"], set["cold.units"], set["cold.time"], set["cold.window"] = 0.2, 20.0, time.Minute, time.Second
-	set["hosts"], set["units.mean"] = 100, 2.0
+	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
+	set.Schedulers, set.MeanUnits = 100, 2.0
 	s := New(1, set)
 	s.now, s.running = time.Minute, 20
 	s.demand = [2]decayedRate{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 nodes
@@ -348,7 +351,7 @@
 func TestRoomBelowOneOp(t *testing.T) {
 	for hosts, want := range map[int][]bool{3: {true, true, true}, 200: {false, true, false}} {
 		w := crowd(t)
-		w.set["hosts"], w.set["units.mean"] = hosts, 2.0
+		w.set.Schedulers, w.set.MeanUnits = hosts, 2.0
 		s := w.hosts[0]
 		s.settings = readSettings(w.set)
 		o := s.servers["osd0"]
@@ -406,9 +409,9 @@
 		want          bool
 	}{{0, 0, false, false}, {10, 0, false, true}, {0, 0, true, true}, {0, 9, true, false}} {
 		set := figures()
-		set["meter.elsewhere"] = c.elsewhere
+		set.Usage.Elsewhere = c.elsewhere
 		if c.total > 0 {
-			set["meter.period"] = time.Second
+			set.Usage.Period = time.Second
 		}
 		s := New(1, set)
 		v := &volume{schedulers: 10, reserve: -1.5, servedEverywhere: c.total}
@@ -428,7 +431,7 @@
 func TestLimitOfVolumesMetLate(t *testing.T) {
 	for up, want := range map[time.Duration]int{0: 0, 2 * time.Second: 4, time.Minute: 6} {
 		set := figures()
-		set["plans.limit"], set["plans.burst"] = []float64{2}, []float64{6}
+		set.Plans.Limit, set.Plans.Burst = []float64{2}, []float64{6}
 		w := newWorld(t, 1, set)
 		w.list(honeyplank.Cached, member(0, 0), member(1, 0))
 		w.now += up
@@ -446,8 +449,8 @@
 // Ops of less utility leave a part of a limit's store to those of more.
 func TestLimitIsKeptForDearerOps(t *testing.T) {
 	set := figures()
-	set["plans.limit"], set["plans.burst"], set["plans.reserve"] = []float64{1}, []float64{12}, []float64{20}
-	set["plans.slack"] = []float64{1}     // what a hold-up adds
+	set.Plans.Limit, set.Plans.Burst, set.Plans.Reserve = []float64{1}, []float64{12}, []float64{20}
+	set.Plans.Slack = []float64{1}        // what a hold-up adds
 	for typ, want := range []int{12, 9} { // utilities 2 and 1: half of half is left by the second
 		w := newWorld(t, 1, set)
 		w.list(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
@@ -467,7 +470,7 @@
 // store lets an op go whose type should leave more than the store can hold.
 func TestLimitAfterIdleness(t *testing.T) {
 	set := figures()
-	set["plans.limit"], set["plans.burst"] = []float64{0.1}, []float64{8}
+	set.Plans.Limit, set.Plans.Burst = []float64{0.1}, []float64{8}
 	w := newWorld(t, 1, set)
 	w.list(honeyplank.Cached, member(0, 0))
 	give := func(n int, units float64) int {
@@ -558,7 +561,7 @@
 	}{{10 * time.Second, 0, 1, 2}, {10 * time.Second, 5 * time.Second, 1, 2}, {10 * time.Second, 10*time.Second + 1, 4, 1},
 		{-20 * time.Second, 0, 4, 2}, {11 * time.Second, 0, 4, 1}, {-24 * time.Hour, 0, 4, 1}} { // osd1 is never seen, and is handed on
 		set := figures()
-		set["units.mean"] = 1.0
+		set.MeanUnits = 1.0
 		w := newWorld(t, 1, set)
 		w.now = 10 * time.Second
 		w.give(0, honeyplank.SavedEstimates{TypicalLatency: 0.02, Servers: []honeyplank.ServerEstimate{{Server: "osd0", At: c.at, BestPerUnit: 0.02, Latency: 0.4}, {Server: "osd1", At: time.Second, Latency: 0.1}}})
@@ -580,21 +583,21 @@
 func TestLostAnswer(t *testing.T) {
 	for _, x := range []struct {
 		name       string
-		change     func(map[string]any)
+		change     func(*honeyplank.Settings)
 		passed     bool
 		dispatches int
 	}{
-		{"overtaken", func(map[string]any) {}, true, 2},
-		{"alone", func(map[string]any) {}, false, 1},
-		{"once-only", func(set map[string]any) {
-			set["optypes.kind"] = []honeyplank.Semantics{honeyplank.AtMostOnce, honeyplank.AtMostOnce}
+		{"overtaken", func(*honeyplank.Settings) {}, true, 2},
+		{"alone", func(*honeyplank.Settings) {}, false, 1},
+		{"once-only", func(set *honeyplank.Settings) {
+			set.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.AtMostOnce, honeyplank.AtMostOnce}
 		}, true, 1},
-		{"not allowed", func(set map[string]any) { set["cancel"] = false }, true, 1},
-		{"one at a time", func(set map[string]any) { set["dispatches.parallel"] = false }, true, 1},
+		{"not allowed", func(set *honeyplank.Settings) { set.Dispatches.Cancel = false }, true, 1},
+		{"one at a time", func(set *honeyplank.Settings) { set.Dispatches.Parallel = false }, true, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			set := figures()
-			set["cancel"], set["dispatches.parallel"] = true, true
+			set.Dispatches.Cancel, set.Dispatches.Parallel = true, true
 			x.change(set)
 			w := newWorld(t, 1, set)
 			w.list(honeyplank.Cached, member(0, 0))
@@ -630,7 +633,7 @@
 func TestLostOften(t *testing.T) {
 	for lost, want := range map[float64]int{0: 1, 0.05: 2} {
 		set := figures()
-		set["cancel"], set["dispatches.parallel"] = true, true
+		set.Dispatches.Cancel, set.Dispatches.Parallel = true, true
 		w := newWorld(t, 1, set)
 		w.list(honeyplank.Cached, member(0, 0))
 		quick := 0
@@ -671,8 +674,8 @@
 		{100 * ms, 0, 5 * ms, 1}, {0, 0, 5 * ms, 1},
 	} {
 		set := figures()
-		set["optypes.kind"] = []honeyplank.Semantics{honeyplank.Deduplicated, honeyplank.Deduplicated}
-		set["optypes.remember"], set["connect.within"] = []time.Duration{x.remember, x.remember}, x.connect
+		set.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Deduplicated, honeyplank.Deduplicated}
+		set.OpTypes.DedupWindow, set.Dispatches.ConnectTimeout = []time.Duration{x.remember, x.remember}, x.connect
 		w := newWorld(t, 1, set)
 		w.list(honeyplank.Cached, member(0, 0))
 		w.hosts[0].answeredIn(0.001)
@@ -696,7 +699,7 @@
 		{0, 1, 840 * ms, 0, true}, {0, 1, 900 * ms, 0, false},
 	} {
 		set := figures()
-		set["budget.free"], set["budget.share"], set["budget.window"] = x.free, x.share, time.Second
+		set.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: x.free, Share: x.share, Window: time.Second}
 		s := New(1, set)
 		s.now = time.Minute
 		if x.taken > 0 {
@@ -718,7 +721,7 @@
 		{20, 40, 0, 1, 36, 40}, {20, 40, 3, 1, 40, 43}, {200, 6, 0, 6, 6, 6 + 200*0.15}, {20, 40, 0, 5, 30, 40},
 	} {
 		set := figures()
-		set["plans.limit"], set["plans.burst"], set["plans.slack"] = []float64{x.limit}, []float64{x.burst}, []float64{x.slack}
+		set.Plans.Limit, set.Plans.Burst, set.Plans.Slack = []float64{x.limit}, []float64{x.burst}, []float64{x.slack}
 		w := newWorld(t, 1, set)
 		var members []honeyplank.Member
 		for i := range 50 {
@@ -742,7 +745,7 @@
 func TestDroppedForLackOfTime(t *testing.T) {
 	for left, want := range map[time.Duration]health{30 * ms: up, 400 * ms: down} {
 		set := figures()
-		set["plans.reserve"] = []float64{1e6}
+		set.Plans.Reserve = []float64{1e6}
 		w := newWorld(t, 1, set)
 		w.list(honeyplank.Cached, member(0, 0))
 		s, sent := w.hosts[0], 0
--- a/policy/quiet_test.go
+++ b/policy/quiet_test.go
@@ -25,11 +25,11 @@
 
 func newQuietDay(t *testing.T) *quietDay {
 	set := figures()
-	set["hosts"], set["step"], set["list.ask"], set["list.ask_within"] = 2, 5*ms, true, 2*time.Second
-	set["cold.from"], set["cold.units"], set["cold.time"], set["cold.window"] = 0.3, 40.0, 2*time.Second, 500*ms
-	set["units.mean"], set["plans.reserve"], set["connect.within"] = 1.5, []float64{1e3}, 200*ms
-	set["budget.free"], set["budget.share"], set["budget.window"] = 3.0, 0.2, 5*time.Second
-	set["plans.limit"], set["plans.burst"] = []float64{1000}, []float64{2000}
+	set.Schedulers, set.Step, set.Watch.OnRequest, set.Watch.Within = 2, 5*ms, true, 2*time.Second
+	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.3, 40.0, 2*time.Second, 500*ms
+	set.MeanUnits, set.Plans.Reserve, set.Dispatches.ConnectTimeout = 1.5, []float64{1e3}, 200*ms
+	set.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: 3.0, Share: 0.2, Window: 5 * time.Second}
+	set.Plans.Limit, set.Plans.Burst = []float64{1000}, []float64{2000}
 	d := &quietDay{world: newWorld(t, 3, set), used: map[honeyplank.ServerID]time.Duration{}}
 	d.took, d.now = 30*ms, time.Second
 	d.asked = func(host int) {
@@ -85,7 +85,7 @@
 			cell := d.rng.Intn(quietServers+2) - 2
 			typ := d.rng.Intn(2)
 			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(d.number)), Units: float64(1 + d.rng.Intn(2)), Type: typ, Schedulers: 2,
-				Timeout: d.now + settingAt[time.Duration](d.set, "optypes.op_timeout", typ), Volume: d.rng.Int63n(9), Cell: max(cell, honeyplank.NewObject)}
+				Timeout: d.now + valueAt(d.set.OpTypes.OpTimeout, typ), Volume: d.rng.Int63n(9), Cell: max(cell, honeyplank.NewObject)}
 			d.give(d.rng.Intn(2), op)
 			taken = append(taken, d.order[len(d.order)-1])
 		}
@@ -96,7 +96,7 @@
 			if n > 0 {
 				d.used[t.sends[n-1].osd] = max(d.used[t.sends[n-1].osd], t.sends[n-1].at)
 			}
-			if !t.over || n > 0 && !t.sends[n-1].ended || t.at > d.now-2*settingOf[time.Duration](d.set, "budget.window") {
+			if !t.over || n > 0 && !t.sends[n-1].ended || t.at > d.now-2*d.set.RetryBudget.Window {
 				open = append(open, t)
 			}
 		}
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -63,8 +63,8 @@
 	for seed := range int64(60) {
 		rng := rand.New(rand.NewSource(seed))
 		set := figures()
-		set["cold.from"], set["cold.units"], set["cold.time"], set["cold.window"] = 0.2, 20.0, time.Minute, time.Second
-		set["plans.limit"], set["plans.burst"] = []float64{float64(rng.Intn(2)) * 50}, []float64{100}
+		set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
+		set.Plans.Limit, set.Plans.Burst = []float64{float64(rng.Intn(2)) * 50}, []float64{100}
 		s := New(seed, set)
 		size := []int{1, 5, 40, shortList, shortList + 1, 200, 700}[seed%7]
 		now, next := time.Minute, 0
@@ -159,7 +159,7 @@
 // largeFleet is one process with so many disk servers, of whose volumes new objects come.
 func largeFleet(servers int) *Scheduler {
 	set := figures()
-	set["plans.reserve"] = []float64{1e6}
+	set.Plans.Reserve = []float64{1e6}
 	s := New(1, set)
 	var members []honeyplank.Member
 	for i := range servers {
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -27,7 +27,7 @@
 type deployment struct {
 	name    string
 	classes []requestClass
-	change  func(set map[string]any)
+	change  func(set *honeyplank.Settings)
 	limited bool // plans have a limit
 }
 
@@ -66,16 +66,16 @@
 		{0.55, 2, 8 * ms, 90 * ms, 350 * ms, 3, honeyplank.Idempotent, 0},
 		{0.23, 2, 12 * ms, 250 * ms, 1500 * ms, 5, honeyplank.AtMostOnce, 0},
 		{0.22, 3, 20 * ms, 800 * ms, 2500 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell}},
-		change: func(set map[string]any) {
-			set["dispatches.parallel"], set["dispatches.max"] = false, 2
-			set["throttle.advice"], set["throttle.advice.max"] = true, 300*ms
+		change: func(set *honeyplank.Settings) {
+			set.Dispatches.Parallel, set.Dispatches.Max = false, 2
+			set.RetryAfter.Allowed, set.RetryAfter.Max = true, 300*ms
 		}},
 	{name: "nothing withdrawn", classes: []requestClass{
 		{0.35, 8, 12 * ms, 3000 * ms, 9000 * ms, 0.5, honeyplank.Idempotent, 0},
 		{0.27, 2, 10 * ms, 150 * ms, 600 * ms, 6, honeyplank.Deduplicated, honeyplank.ScopeAll},
 		{0.3, 3, 12 * ms, 400 * ms, 900 * ms, 2, honeyplank.Idempotent, 0},
 		{0.08, 3, 12 * ms, 500 * ms, 2000 * ms, 3, honeyplank.AtMostOnce, 0}},
-		change: func(set map[string]any) { set["cancel"], set["dispatches.max"] = false, 6 }},
+		change: func(set *honeyplank.Settings) { set.Dispatches.Cancel, set.Dispatches.Max = false, 6 }},
 	{name: "far apart", classes: []requestClass{
 		{0.6, 1, 10 * ms, 80 * ms, 300 * ms, 2, honeyplank.Idempotent, 0},
 		{0.4, 6, 60 * ms, 5000 * ms, 15000 * ms, 1, honeyplank.Idempotent, 0}}},
@@ -86,13 +86,13 @@
 	{name: "limit and budget", limited: true, classes: []requestClass{
 		{0.6, 2, 15 * ms, 200 * ms, 1200 * ms, 4, honeyplank.Idempotent, 0},
 		{0.4, 6, 15 * ms, 1000 * ms, 4000 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell}},
-		change: func(set map[string]any) {
-			set["plans.limit"], set["plans.burst"] = []float64{20}, []float64{60}
-			set["budget.free"], set["budget.share"], set["budget.window"] = 3.0, 0.1, 5*time.Second
+		change: func(set *honeyplank.Settings) {
+			set.Plans.Limit, set.Plans.Burst = []float64{20}, []float64{60}
+			set.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: 3.0, Share: 0.1, Window: 5 * time.Second}
 		}},
 }
 
-func (d deployment) settings() map[string]any {
+func (d deployment) settings() *honeyplank.Settings {
 	set := figures()
 	var target, timeout, remember []time.Duration
 	var utility []float64
@@ -104,13 +104,13 @@
 		utility, kind, scope = append(utility, c.utility), append(kind, c.kind), append(scope, c.scope)
 		largest, mean = max(largest, c.units), mean+c.share*float64(1+c.units)/2
 	}
-	set["optypes.target_latency"], set["optypes.op_timeout"], set["optypes.remember"] = target, timeout, remember
-	set["optypes.utility"], set["optypes.kind"], set["optypes.scope"] = utility, kind, scope
-	set["units.mean"], set["units.largest"], set["hosts"] = mean, float64(largest), fleetHosts
+	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout, set.OpTypes.DedupWindow = target, timeout, remember
+	set.OpTypes.Utility, set.OpTypes.Semantics, set.OpTypes.DedupScope = utility, kind, scope
+	set.MeanUnits, set.LargestUnits, set.Schedulers = mean, float64(largest), fleetHosts
 	rate := volumeHosts * requestRate * mean / fleetVolumes
-	set["plans.rate"], set["plans.reserve"] = []float64{rate}, []float64{rate}
-	set["dispatches.parallel"], set["cancel"] = true, true
-	set["cold.from"], set["cold.units"], set["cold.time"], set["cold.window"] = 0.21, 21.0, 8*time.Second, 2*time.Second
+	set.Plans.Rate, set.Plans.Reserve = []float64{rate}, []float64{rate}
+	set.Dispatches.Parallel, set.Dispatches.Cancel = true, true
+	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
 	if d.change != nil {
 		d.change(set)
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -16,20 +16,6 @@
 	return m
 }
 
-// settingOf returns a setting by its name, or the type's zero value.
-func settingOf[T any](settings map[string]any, name string) T {
-	v, _ := settings[name].(T)
-	return v
-}
-
-// settingAt returns the i-th value of a setting that is a list.
-func settingAt[T any](settings map[string]any, name string, i int) (v T) {
-	if list := settingOf[[]T](settings, name); i >= 0 && i < len(list) {
-		v = list[i]
-	}
-	return v
-}
-
 // schedulerSettings are the settings by their names, looked up once, with what follows from them alone.
 type schedulerSettings struct {
 	step                          time.Duration
@@ -69,46 +55,46 @@
 	utilityDeficit                []float64     // by op type: what its utility lacks to the greatest, as a part
 }
 
-func readSettings(settings map[string]any) *schedulerSettings {
+func readSettings(settings *honeyplank.Settings) *schedulerSettings {
 	t := &schedulerSettings{
-		step:                   settingOf[time.Duration](settings, "step"),
-		watchOnRequest:         settingOf[bool](settings, "list.ask"),
-		watchDeadline:          settingOf[time.Duration](settings, "list.ask_within"),
-		targetLatency:          settingOf[[]time.Duration](settings, "optypes.target_latency"),
-		opTimeout:              settingOf[[]time.Duration](settings, "optypes.op_timeout"),
-		semantics:              settingOf[[]honeyplank.Semantics](settings, "optypes.kind"),
-		dedupScope:             settingOf[[]honeyplank.DedupScope](settings, "optypes.scope"),
-		dedupWindow:            settingOf[[]time.Duration](settings, "optypes.remember"),
-		ordered:                settingOf[[]bool](settings, "optypes.ordered"),
-		rate:                   settingOf[[]float64](settings, "plans.rate"),
-		weight:                 settingOf[[]float64](settings, "plans.weight"),
-		reserve:                settingOf[[]float64](settings, "plans.reserve"),
-		limit:                  settingOf[[]float64](settings, "plans.limit"),
-		burst:                  settingOf[[]float64](settings, "plans.burst"),
-		slack:                  settingOf[[]float64](settings, "plans.slack"),
-		schedulers:             settingOf[int](settings, "hosts"),
-		meanUnits:              settingOf[float64](settings, "units.mean"),
-		largestUnits:           settingOf[float64](settings, "units.largest"),
-		meterPeriod:            settingOf[time.Duration](settings, "meter.period"),
-		reportsServedElsewhere: settingOf[bool](settings, "meter.elsewhere"),
-		hedgingAllowed:         settingOf[bool](settings, "dispatches.parallel"),
-		cancelAllowed:          settingOf[bool](settings, "cancel"),
-		maxDispatches:          settingOf[int](settings, "dispatches.max"),
-		budgetWindow:           settingOf[time.Duration](settings, "budget.window"),
-		budgetShare:            settingOf[float64](settings, "budget.share"),
-		slowStartWindow:        settingOf[time.Duration](settings, "cold.window"),
-		slowStartTime:          settingOf[time.Duration](settings, "cold.time"),
-		slowStartFrom:          settingOf[float64](settings, "cold.from"),
-		slowStartUnits:         settingOf[float64](settings, "cold.units"),
-		orderSettle:            settingOf[time.Duration](settings, "order.settle"),
-		maxArrivalDelay:        settingOf[time.Duration](settings, "connect.within") + holdUp,
+		step:                   settings.Step,
+		watchOnRequest:         settings.Watch.OnRequest,
+		watchDeadline:          settings.Watch.Within,
+		targetLatency:          settings.OpTypes.TargetLatency,
+		opTimeout:              settings.OpTypes.OpTimeout,
+		semantics:              settings.OpTypes.Semantics,
+		dedupScope:             settings.OpTypes.DedupScope,
+		dedupWindow:            settings.OpTypes.DedupWindow,
+		ordered:                settings.OpTypes.Ordered,
+		rate:                   settings.Plans.Rate,
+		weight:                 settings.Plans.Weight,
+		reserve:                settings.Plans.Reserve,
+		limit:                  settings.Plans.Limit,
+		burst:                  settings.Plans.Burst,
+		slack:                  settings.Plans.Slack,
+		schedulers:             settings.Schedulers,
+		meanUnits:              settings.MeanUnits,
+		largestUnits:           settings.LargestUnits,
+		meterPeriod:            settings.Usage.Period,
+		reportsServedElsewhere: settings.Usage.Elsewhere,
+		hedgingAllowed:         settings.Dispatches.Parallel,
+		cancelAllowed:          settings.Dispatches.Cancel,
+		maxDispatches:          settings.Dispatches.Max,
+		budgetWindow:           settings.RetryBudget.Window,
+		budgetShare:            settings.RetryBudget.Share,
+		slowStartWindow:        settings.SlowStart.Window,
+		slowStartTime:          settings.SlowStart.Time,
+		slowStartFrom:          settings.SlowStart.From,
+		slowStartUnits:         settings.SlowStart.Units,
+		orderSettle:            settings.OrderSettle,
+		maxArrivalDelay:        settings.Dispatches.ConnectTimeout + holdUp,
 	}
-	if settingOf[bool](settings, "throttle.advice") {
-		t.maxRetryAfter = settingOf[time.Duration](settings, "throttle.advice.max")
+	if settings.RetryAfter.Allowed {
+		t.maxRetryAfter = settings.RetryAfter.Max
 	}
-	t.budgetFree, t.budgeted = settings["budget.free"].(float64)
+	t.budgetFree, t.budgeted = settings.RetryBudget.Free, settings.RetryBudget.Limited
 	t.meanRate, t.meanWeight = mean(t.rate), mean(t.weight)
-	utility := settingOf[[]float64](settings, "optypes.utility")
+	utility := settings.OpTypes.Utility
 	for _, x := range utility {
 		t.utilityDeficit = append(t.utilityDeficit, 1-x/max(slices.Max(utility), 1e-9))
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -15,14 +15,14 @@
 // This file holds the records of an instance: disk servers, volumes, ops, keys. Nothing here decides.
 
 // New makes an instance that knows nothing yet.
-func New(seed int64, settings map[string]any) *Scheduler {
+func New(seed int64, settings *honeyplank.Settings) *Scheduler {
 	return &Scheduler{
 		settings: readSettings(settings), rng: rand.New(rand.NewSource(seed)),
 		servers: map[honeyplank.ServerID]*server{}, ops: map[honeyplank.OpID]*op{},
 		savedEstimates: map[honeyplank.ServerID]honeyplank.ServerEstimate{}, volumes: map[int64]*volume{},
 		keyQueues: map[int64]*keyQueue{}, serversByCell: map[int][]*server{}, demandByCell: map[int]*cellDemand{},
 		earlierTries: map[requestIdentity]*earlierTry{}, rankingEpoch: 1,
-		latencyByType: make([]typeLatency, len(settingOf[[]time.Duration](settings, "optypes.target_latency"))),
+		latencyByType: make([]typeLatency, len(settings.OpTypes.TargetLatency)),
 	}
 }
 
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -429,7 +429,7 @@
 // maxDeadline is how long an op of a class may take at most, whatever its client says: some times what the settings give
 // all of its tries. It guards against dispatches without an answer that would hold a connection and a place for ever.
 func maxDeadline(site *simwire.Site, class int) time.Duration {
-	if timeouts, _ := site.Values["optypes.op_timeout"].([]time.Duration); timeouts[class] > 0 {
+	if timeouts := site.Settings.OpTypes.OpTimeout; timeouts[class] > 0 {
 		return maxDeadlineFactor * timeouts[class]
 	}
 	return math.MaxInt64 / 2
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.module = &spy{Module: policy.New(p.Seed, p.Site.Values), heard: func(honeyplank.Event) {}}
+	w.module = &spy{Module: policy.New(p.Seed, p.Site.Settings), heard: func(honeyplank.Event) {}}
 	if w.s, err = newWithModule(p, w.module, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
--- a/scheduler/papers.go
+++ b/scheduler/papers.go
@@ -141,9 +141,8 @@
 	}
 	// Whatever the settings allow between two calls, a change counts as told after notifiedWithin; the module calls again
 	// within a quarter of this.
-	if within, ok := p.Site.Values["list.ask_within"].(time.Duration); ok {
-		p.Site.Values["list.ask_within"] = min(within, notifiedWithin*4/3)
-	}
+	watch := &p.Site.Settings.Watch
+	watch.Within = min(watch.Within, notifiedWithin*4/3)
 	if len(f.Known) > 0 {
 		if _, _, err := readList(f.Known); err != nil {
 			return nil, fault("known", "known: "+err.Error(), "a list in discovery's form")
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -87,15 +87,14 @@
 
 // New makes a scheduler and listens. Nothing is served before Serve.
 func New(p *Config, log zerolog.Logger) (*Scheduler, error) {
-	return newWithModule(p, policy.New(p.Seed, p.Site.Values), log)
+	return newWithModule(p, policy.New(p.Seed, p.Site.Settings), log)
 }
 
 // newWithModule makes a scheduler round a module.
 func newWithModule(p *Config, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
-	v := p.Site.Values
-	span := func(name string) time.Duration { d, _ := v[name].(time.Duration); return d }
+	v := p.Site.Settings
 	// The clock starts late enough for a disk server that started before to have a start.
-	origin := span("list.ask_within") + 2*(span("cold.time")+span("cold.window"))
+	origin := v.Watch.Within + 2*(v.SlowStart.Time+v.SlowStart.Window)
 	for begun := time.Now(); ; time.Sleep(listenRetryDelay) {
 		s, err := open(p, module, log, origin)
 		if err == nil || !isTransient(err) || time.Since(begun) > listenRetryFor {
@@ -187,7 +186,7 @@
 		s.log.Info().Int("open", s.tracker.Unanswered()).Msg("ending")
 		s.logCounters()
 		var longest time.Duration
-		for _, t := range s.settings().Values["optypes.op_timeout"].([]time.Duration) {
+		for _, t := range s.settings().Settings.OpTypes.OpTimeout {
 			longest = max(longest, t)
 		}
 		s.shutdown = planShutdown(told, longest)
--- a/scheduler/servers.go
+++ b/scheduler/servers.go
@@ -678,7 +678,7 @@
 func (sv *diskServer) enforceDrainGrace(told time.Duration) {
 	if sv.removed {
 		sv.cancelUnsent()
-	} else if grace, ok := sv.scheduler.settings().Values["drain.grace"].(time.Duration); ok && sv.draining {
+	} else if grace := sv.scheduler.settings().Settings.DrainGrace; sv.draining {
 		sv.scheduler.loop.Schedule(told+max(grace-maxHoldUp, 0), func() {
 			if sv.draining {
 				sv.cancelUnsent()
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if within := p.Site.Values["list.ask_within"].(time.Duration); sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
+	if within := p.Site.Settings.Watch.Within; sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
 		t.Errorf("lists are asked for within %v", within)
 	}
 }
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -15,7 +15,7 @@
 
 // FuzzParse reads any text: no panic; what is taken can be shown, and what is shown reads back as the same.
 func FuzzParse(f *testing.F) {
-	for _, file := range []string{"examples/gateway.xml", "../faulttest/badday.xml", "../rehearse/sources.xml"} {
+	for _, file := range []string{"examples/gateway.xml", "../faulttest/badday.xml", "../faulttest/sources.xml"} {
 		b, err := os.ReadFile(file)
 		if err != nil {
 			f.Fatal(err)
@@ -31,7 +31,7 @@
 		if err != nil {
 			return
 		}
-		g.Values()
+		g.Module()
 		shown, err := g.XML()
 		if err != nil {
 			t.Fatal(err)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -4,6 +4,7 @@
 package settings
 
 import (
+	"cmp"
 	"encoding/xml"
 	"fmt"
 	"math/bits"
@@ -411,56 +412,48 @@
 
 var scopes = map[string]honeyplank.DedupScope{"": honeyplank.ScopeAll, "all": honeyplank.ScopeAll, "zone": honeyplank.ScopeZone, "cell": honeyplank.ScopeCell}
 
-// Values are the settings under the module's names.
-func (g *Gateway) Values() map[string]any {
-	v := map[string]any{
-		"hosts": g.Scheduler.Hosts, "ordinal": g.Scheduler.Ordinal, "zone": g.Scheduler.Zone, "step": g.Scheduler.Step.D(),
-		"dispatches.max": g.Dispatches.Most, "dispatches.parallel": g.Dispatches.Parallel,
-		"cancel": true, "probes": true, "peers": false,
-		"throttle.advice": g.Dispatches.AdviceMost > 0, "throttle.advice.max": g.Dispatches.AdviceMost.D(),
-		"list.ask": true, "list.ask_within": g.List.AskWithin.D(),
-		"drain.grace": g.Rules.DrainGrace.D(), "answer.grace": time.Duration(0), "order.settle": g.Rules.OrderSettle.D(),
-		"units.largest": float64(g.Units(int64(g.Limits.Transfer))), "units.mean": g.Volumes.Mean,
-		"utility.share": g.Plans.WithinShare, "utility.spare": g.Plans.Spare,
-		"meter.period": g.Rules.MeterPeriod.D(), "meter.elsewhere": g.Rules.Elsewhere,
+// Module returns the settings of the decision module.
+func (g *Gateway) Module() *honeyplank.Settings {
+	m := &honeyplank.Settings{
+		Step:         g.Scheduler.Step.D(),
+		Schedulers:   g.Scheduler.Hosts,
+		Ordinal:      g.Scheduler.Ordinal,
+		MeanUnits:    g.Volumes.Mean,
+		LargestUnits: float64(g.Units(int64(g.Limits.Transfer))),
+		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.List.AskWithin.D()},
+		Dispatches:   honeyplank.DispatchSettings{Max: g.Dispatches.Most, Parallel: g.Dispatches.Parallel, Cancel: true},
+		RetryAfter:   honeyplank.RetryAfterSettings{Allowed: g.Dispatches.AdviceMost > 0, Max: g.Dispatches.AdviceMost.D()},
+		Usage:        honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.D(), Elsewhere: g.Rules.Elsewhere},
+		DrainGrace:   g.Rules.DrainGrace.D(),
+		OrderSettle:  g.Rules.OrderSettle.D(),
 	}
 	if c := g.Rules.Cold; c != nil {
-		v["cold.from"], v["cold.time"], v["cold.window"] = c.From, c.Time.D(), c.Window.D()
-		v["cold.units"], v["cold.multiple"] = c.Units, c.Multiple
+		m.SlowStart = honeyplank.SlowStartSettings{Window: c.Window.D(), Time: c.Time.D(), From: c.From, Units: c.Units}
 	}
 	if b := g.Rules.Budget; b != nil {
-		v["budget.free"], v["budget.share"], v["budget.window"] = b.Free, b.Share, b.Window.D()
+		m.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: b.Free, Share: b.Share, Window: b.Window.D()}
 	}
-	list(v, "optypes.target_latency", g.OpTypes, func(t OpType) time.Duration { return t.TargetLatency.D() })
-	list(v, "optypes.op_timeout", g.OpTypes, func(t OpType) time.Duration { return t.OpTimeout.D() })
-	list(v, "optypes.remember", g.OpTypes, func(t OpType) time.Duration { return t.Remember.D() })
-	list(v, "optypes.utility", g.OpTypes, func(t OpType) float64 { return t.Utility })
-	list(v, "optypes.late_utility", g.OpTypes, func(t OpType) float64 { return t.LateUtility })
-	list(v, "optypes.kind", g.OpTypes, func(t OpType) honeyplank.Semantics { return kinds[t.Kind] })
-	list(v, "optypes.scope", g.OpTypes, func(t OpType) honeyplank.DedupScope { return scopes[t.Scope] })
-	list(v, "optypes.ordered", g.OpTypes, func(t OpType) bool { return t.Ordered })
-	list(v, "optypes.writes", g.OpTypes, func(t OpType) bool { return t.Opcode == "write" })
-	list(v, "plans.rate", g.Plans.List, func(p Plan) float64 { return p.Rate })
-	list(v, "plans.reserve", g.Plans.List, func(p Plan) float64 { return p.Reserve })
-	list(v, "plans.weight", g.Plans.List, func(p Plan) float64 { return p.Weight })
-	list(v, "plans.value", g.Plans.List, func(p Plan) float64 {
-		if p.Value == 0 {
-			return 1
-		}
-		return p.Value
-	})
-	list(v, "plans.limit", g.Plans.List, func(p Plan) float64 { return p.Limit })
-	list(v, "plans.burst", g.Plans.List, func(p Plan) float64 { return p.Burst })
-	list(v, "plans.slack", g.Plans.List, func(p Plan) float64 { return p.Slack })
-	return v
-}
-
-func list[E, T any](v map[string]any, name string, from []E, pick func(E) T) {
-	var out []T
-	for _, x := range from {
-		out = append(out, pick(x))
+	for _, t := range g.OpTypes {
+		types := &m.OpTypes
+		types.TargetLatency = append(types.TargetLatency, t.TargetLatency.D())
+		types.OpTimeout = append(types.OpTimeout, t.OpTimeout.D())
+		types.Utility = append(types.Utility, t.Utility)
+		types.Semantics = append(types.Semantics, kinds[t.Kind])
+		types.DedupScope = append(types.DedupScope, scopes[t.Scope])
+		types.DedupWindow = append(types.DedupWindow, t.Remember.D())
+		types.Ordered = append(types.Ordered, t.Ordered)
+	}
+	for _, p := range g.Plans.List {
+		plans := &m.Plans
+		plans.Rate = append(plans.Rate, p.Rate)
+		plans.Reserve = append(plans.Reserve, p.Reserve)
+		plans.Weight = append(plans.Weight, p.Weight)
+		plans.Value = append(plans.Value, cmp.Or(p.Value, 1))
+		plans.Limit = append(plans.Limit, p.Limit)
+		plans.Burst = append(plans.Burst, p.Burst)
+		plans.Slack = append(plans.Slack, p.Slack)
 	}
-	v[name] = out
+	return m
 }
 
 // Units is the size of an op in units: whole ones, at least one.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -149,20 +149,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := g.Values()
-	if k := v["optypes.kind"].([]honeyplank.Semantics); k[3] != honeyplank.AtMostOnce || k[0] != honeyplank.Idempotent {
+	v := g.Module()
+	if k := v.OpTypes.Semantics; k[3] != honeyplank.AtMostOnce || k[0] != honeyplank.Idempotent {
 		t.Error("optypes.kind", k)
 	}
-	if d := v["optypes.target_latency"].([]time.Duration); d[1] != 900*time.Millisecond {
+	if d := v.OpTypes.TargetLatency; d[1] != 900*time.Millisecond {
 		t.Error("optypes.target_latency", d)
 	}
-	if v["units.largest"] != 8.0 || v["budget.share"] != 0.25 || v["cold.window"] != time.Second || v["plans.value"].([]float64)[1] != 1 {
+	if v.LargestUnits != 8.0 || v.RetryBudget.Share != 0.25 || v.SlowStart.Window != time.Second || v.Plans.Value[1] != 1 {
 		t.Error("figures", v)
 	}
 	// Disk servers count for other hosts only where the settings say so.
 	told, err := Parse("x.xml", []byte(change(t, example(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)))
-	if err != nil || v["meter.elsewhere"] != false || told.Values()["meter.elsewhere"] != true {
-		t.Error("meter.elsewhere", v["meter.elsewhere"], err)
+	if err != nil || v.Usage.Elsewhere != false || told.Module().Usage.Elsewhere != true {
+		t.Error("meter.elsewhere", v.Usage.Elsewhere, err)
 	}
 	for bytes, want := range map[int64]int{4096: 0, 32 << 10: 0, 36 << 10: 1, 128 << 10: 1} {
 		if n := g.Type(false, bytes); n != want {
