--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -77,3 +77,16 @@
 func event(fields string) string {
 	return `{"wall_ms":2,"round":2,"news":[{"scheduler_id":"s",` + fields + `}]}`
 }
+
+// TestConnectTimeIsHanded: how long a connection may take reaches both the module and whoever connects.
+func TestConnectTimeIsHanded(t *testing.T) {
+	for raw, want := range map[string]time.Duration{`{"caps":{"connect_timeout_ms":250}}`: 250 * time.Millisecond, `{}`: 0} {
+		site, err := ReadSite([]byte(raw))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := site.Values["connect.within"]; got != want || site.ConnectWithin != want {
+			t.Errorf("%s: %v to the module, %v to the network, want %v", raw, got, site.ConnectWithin, want)
+		}
+	}
+}
