--- a/settings/settings.go
+++ b/settings/settings.go
@@ -421,11 +421,12 @@
 		MeanUnits:    g.Volumes.Mean,
 		LargestUnits: float64(g.Units(int64(g.Limits.Transfer))),
 		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.List.AskWithin.D()},
-		Dispatches:   honeyplank.DispatchSettings{Max: g.Dispatches.Most, Parallel: g.Dispatches.Parallel, Cancel: true},
-		RetryAfter:   honeyplank.RetryAfterSettings{Allowed: g.Dispatches.AdviceMost > 0, Max: g.Dispatches.AdviceMost.D()},
-		Usage:        honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.D(), Elsewhere: g.Rules.Elsewhere},
-		DrainGrace:   g.Rules.DrainGrace.D(),
-		OrderSettle:  g.Rules.OrderSettle.D(),
+		Dispatches: honeyplank.DispatchSettings{Max: g.Dispatches.Most, Parallel: g.Dispatches.Parallel, Cancel: true,
+			ConnectTimeout: g.DiskServers.ConnectWithin.D()},
+		RetryAfter:  honeyplank.RetryAfterSettings{Allowed: g.Dispatches.AdviceMost > 0, Max: g.Dispatches.AdviceMost.D()},
+		Usage:       honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.D(), Elsewhere: g.Rules.Elsewhere},
+		DrainGrace:  g.Rules.DrainGrace.D(),
+		OrderSettle: g.Rules.OrderSettle.D(),
 	}
 	if c := g.Rules.Cold; c != nil {
 		m.SlowStart = honeyplank.SlowStartSettings{Window: c.Window.D(), Time: c.Time.D(), From: c.From, Units: c.Units}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -159,6 +159,9 @@
 	if v.LargestUnits != 8.0 || v.RetryBudget.Share != 0.25 || v.SlowStart.Window != time.Second || v.Plans.Value[1] != 1 {
 		t.Error("figures", v)
 	}
+	if got, want := v.Dispatches.ConnectTimeout, g.DiskServers.ConnectWithin.D(); got != want || got <= 0 {
+		t.Errorf("connect timeout %v, want %v", got, want)
+	}
 	// Disk servers count for other hosts only where the settings say so.
 	told, err := Parse("x.xml", []byte(change(t, example(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)))
 	if err != nil || v.Usage.Elsewhere != false || told.Module().Usage.Elsewhere != true {
