--- a/policy/quiet_test.go
+++ b/policy/quiet_test.go
@@ -13,7 +13,6 @@
 type quietDay struct {
 	*world
 	number  int
-	served  map[*told]bool
 	refused bool // discovery refuses every watch
 	used    map[honeyplank.ServerID]time.Duration
 }
--- a/scheduler/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// cancel is a module that cancels what its client no longer waits for.
-type giveUp struct{ eager }
+// giveUp is a module that cancels what its client no longer waits for.
+type giveUp struct{}
 
 func (giveUp) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 	if e, ok := e.(honeyplank.ClientGone); ok {
