--- a/audit/record.go
+++ b/audit/record.go
@@ -110,13 +110,14 @@
 	l.leaves[gateway] = append(l.leaves[gateway], l.now())
 }
 
-// Server notes where a server stands, Started that it starts cold now with a capacity by its age.
+// Server notes where a disk server stands.
 func (l *Log) Server(server string, p Place) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.servers[server] = p
 }
 
+// Started notes that a disk server has just started, and what it bears at an age, in units a second.
 func (l *Log) Started(server string, capacity func(age time.Duration) float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/fake/dns/dns.go
+++ b/fake/dns/dns.go
@@ -85,6 +85,7 @@
 	s.ttl, s.records = ttl, slices.Clone(records) // the caller may change its own
 }
 
+// Fault sets what goes wrong with answers from now on.
 func (s *Server) Fault(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fake/etcd/etcd.go
+++ b/fake/etcd/etcd.go
@@ -280,6 +280,7 @@
 	return &etcdserverpb.PutResponse{Header: s.header()}, nil
 }
 
+// DeleteRange is the call of etcd's API.
 func (s *Server) DeleteRange(_ context.Context, r *etcdserverpb.DeleteRangeRequest) (*etcdserverpb.DeleteRangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/ops.go
+++ b/gateway/ops.go
@@ -151,9 +151,10 @@
 	}
 }
 
-// Ready and Ended are told by the association.
+// Ready is called when the association can take commands.
 func (d *disk) Ready(*initiator.Association) { d.release(true) }
 
+// Ended is called when the association has ended or could not be made.
 func (d *disk) Ended(link *initiator.Association, err error) {
 	if d.link != link { // an op that was out there has been sent anew already
 		return
@@ -179,20 +180,20 @@
 }
 
 // submit sends a dispatch on a connection that stands.
-func (k *disk) submit(d *inflight.Dispatch) {
-	c := d.Client().(*op).command
+func (d *disk) submit(dispatch *inflight.Dispatch) {
+	c := dispatch.Client().(*op).command
 	read, data := c.Bytes, c.Data
 	if len(data) > 0 {
 		read = 0
 	}
 	sqe := nvme.NewRW(c.Opcode(), c.NSID(), c.SLBA(), c.Blocks())
-	cid, ok := k.link.IO.Submit(sqe, data, read, (*call)(d))
+	cid, ok := d.link.IO.Submit(sqe, data, read, (*call)(dispatch))
 	if !ok { // every command id is out there
-		d.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+		dispatch.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 		return
 	}
-	d.SenderState, d.SenderTag = k, uint64(cid)
-	k.out++
+	dispatch.SenderState, dispatch.SenderTag = d, uint64(cid)
+	d.out++
 }
 
 // call is a dispatch that has been submitted.
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -25,6 +25,7 @@
 // CallFunc is a function as a Call.
 type CallFunc func(Result)
 
+// Done calls the function.
 func (f CallFunc) Done(r Result) { f(r) }
 
 // slot holds a command that is out. Its command id is its index with a count of its uses above, so that an
--- a/nvme/command.go
+++ b/nvme/command.go
@@ -105,24 +105,47 @@
 // Delay is the retry delay index.
 func (s Status) Delay() int { return int(s >> 11 & 3) }
 
-func (c *Command) Opcode() uint8      { return c[0] }
-func (c *Command) CID() uint16        { return binary.LittleEndian.Uint16(c[2:]) }
-func (c *Command) SetCID(id uint16)   { binary.LittleEndian.PutUint16(c[2:], id) }
+// Opcode is the command's opcode.
+func (c *Command) Opcode() uint8 { return c[0] }
+
+// CID is the command identifier.
+func (c *Command) CID() uint16 { return binary.LittleEndian.Uint16(c[2:]) }
+
+// SetCID sets the command identifier.
+func (c *Command) SetCID(id uint16) { binary.LittleEndian.PutUint16(c[2:], id) }
+
+// FabricsType is the type of a Fabrics command.
 func (c *Command) FabricsType() uint8 { return c[4] }
-func (c *Command) NSID() uint32       { return binary.LittleEndian.Uint32(c[4:]) }
+
+// NSID is the namespace identifier.
+func (c *Command) NSID() uint32 { return binary.LittleEndian.Uint32(c[4:]) }
 
 // DW is command dword n, 10 to 15.
-func (c *Command) DW(n int) uint32        { return binary.LittleEndian.Uint32(c[4*n:]) }
-func (c *Command) SetDW(n int, v uint32)  { binary.LittleEndian.PutUint32(c[4*n:], v) }
-func (c *Command) SetNSID(n uint32)       { binary.LittleEndian.PutUint32(c[4:], n) }
-func (c *Command) SLBA() uint64           { return binary.LittleEndian.Uint64(c[40:]) }
-func (c *Command) Blocks() int            { return int(binary.LittleEndian.Uint16(c[48:])) + 1 }
+func (c *Command) DW(n int) uint32 { return binary.LittleEndian.Uint32(c[4*n:]) }
+
+// SetDW sets command dword n, 10 to 15.
+func (c *Command) SetDW(n int, v uint32) { binary.LittleEndian.PutUint32(c[4*n:], v) }
+
+// SetNSID sets the namespace identifier.
+func (c *Command) SetNSID(n uint32) { binary.LittleEndian.PutUint32(c[4:], n) }
+
+// SLBA is the first logical block of a Read or Write.
+func (c *Command) SLBA() uint64 { return binary.LittleEndian.Uint64(c[40:]) }
+
+// Blocks is the number of logical blocks of a Read or Write, 1 or more; the wire counts from 0.
+func (c *Command) Blocks() int { return int(binary.LittleEndian.Uint16(c[48:])) + 1 }
+
+// PropertyOffset is the offset of a Property Get or Set.
 func (c *Command) PropertyOffset() uint32 { return c.DW(11) }
-func (c *Command) PropertyValue() uint64  { return binary.LittleEndian.Uint64(c[48:]) }
+
+// PropertyValue is the value of a Property Set.
+func (c *Command) PropertyValue() uint64 { return binary.LittleEndian.Uint64(c[48:]) }
 
 // Patience is how long a client of ours waits for a Read or Write, in milliseconds; 0: as long as the op type
 // says. It travels in command dword 3, which is reserved there: docs/protocol.md.
-func (c *Command) Patience() uint32     { return c.DW(3) }
+func (c *Command) Patience() uint32 { return c.DW(3) }
+
+// SetPatience sets what Patience tells, in milliseconds.
 func (c *Command) SetPatience(n uint32) { c.SetDW(3, n) }
 
 // SGL descriptor types a host sends over TCP (TCP 3.3.2; Base 4.1.2): data in the capsule, or moved by the
@@ -217,12 +240,23 @@
 	return c
 }
 
-func (c *Completion) CID() uint16         { return binary.LittleEndian.Uint16(c[12:]) }
-func (c *Completion) Status() Status      { return Status(binary.LittleEndian.Uint16(c[14:]) >> 1) }
-func (c *Completion) DW0() uint32         { return binary.LittleEndian.Uint32(c[0:]) }
-func (c *Completion) DW1() uint32         { return binary.LittleEndian.Uint32(c[4:]) }
+// CID is the identifier of the command that completed.
+func (c *Completion) CID() uint16 { return binary.LittleEndian.Uint16(c[12:]) }
+
+// Status is the status field without the phase tag.
+func (c *Completion) Status() Status { return Status(binary.LittleEndian.Uint16(c[14:]) >> 1) }
+
+// DW0 is the first result dword.
+func (c *Completion) DW0() uint32 { return binary.LittleEndian.Uint32(c[0:]) }
+
+// DW1 is the second result dword.
+func (c *Completion) DW1() uint32 { return binary.LittleEndian.Uint32(c[4:]) }
+
+// SetHead sets the submission queue head.
 func (c *Completion) SetHead(sqhd uint16) { binary.LittleEndian.PutUint16(c[8:], sqhd) }
-func (c *Completion) SetQueue(id uint16)  { binary.LittleEndian.PutUint16(c[10:], id) }
+
+// SetQueue sets the submission queue identifier.
+func (c *Completion) SetQueue(id uint16) { binary.LittleEndian.PutUint16(c[10:], id) }
 
 // Load is what a disk server tells of itself. It travels in the result dwords of Read and Write, which the
 // NVM command set leaves reserved, and in the vendor specific log page C0h: docs/protocol.md.
--- a/nvme/pdu.go
+++ b/nvme/pdu.go
@@ -88,10 +88,16 @@
 	BadData bool
 }
 
-// Fields of the data and R2T PDUs (TCP 3.6.2.8 to 3.6.2.10).
-func (p *PDU) CCCID() uint16  { return binary.LittleEndian.Uint16(p.Header[8:]) }
-func (p *PDU) TTAG() uint16   { return binary.LittleEndian.Uint16(p.Header[10:]) }
+// CCCID is the command identifier of a data or R2T PDU (TCP 3.6.2.8 to 3.6.2.10).
+func (p *PDU) CCCID() uint16 { return binary.LittleEndian.Uint16(p.Header[8:]) }
+
+// TTAG is the transfer tag of an H2CData or R2T PDU.
+func (p *PDU) TTAG() uint16 { return binary.LittleEndian.Uint16(p.Header[10:]) }
+
+// Offset is the data offset of a data or R2T PDU, in bytes.
 func (p *PDU) Offset() uint32 { return binary.LittleEndian.Uint32(p.Header[12:]) }
+
+// Length is the data length of a data or R2T PDU, in bytes.
 func (p *PDU) Length() uint32 { return binary.LittleEndian.Uint32(p.Header[16:]) }
 
 // Command is the submission queue entry of a CapsuleCmd (TCP 3.6.2.6).
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -18,18 +18,20 @@
 	"honeyplank"
 )
 
-// Span is a time such as "250ms", Bytes a size such as "64KiB".
-type (
-	Span  time.Duration
-	Bytes int64
-)
+// Span is a time such as "250ms".
+type Span time.Duration
+
+// Bytes is a size such as "64KiB".
+type Bytes int64
 
+// UnmarshalText reads a time in the form of time.ParseDuration.
 func (s *Span) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	*s = Span(d)
 	return err
 }
 
+// MarshalText writes the time in that form.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // D is the span as the standard library has it.
@@ -40,6 +42,7 @@
 	shift uint
 }{{"KiB", 10}, {"MiB", 20}, {"GiB", 30}, {"TiB", 40}, {"B", 0}}
 
+// UnmarshalText reads a whole number with one of the units B, KiB, MiB, GiB and TiB.
 func (s *Bytes) UnmarshalText(b []byte) error {
 	for _, u := range unitShifts {
 		if digits, ok := strings.CutSuffix(string(b), u.name); ok {
@@ -54,6 +57,7 @@
 	return fmt.Errorf("size %q has no unit", b)
 }
 
+// MarshalText writes the size in the largest unit of which it is a whole number.
 func (s Bytes) MarshalText() ([]byte, error) {
 	for i := len(unitShifts) - 2; i >= 0; i-- {
 		if u := unitShifts[i]; s != 0 && int64(s)%(1<<u.shift) == 0 {
