--- /dev/null
+++ b/cmd/honeyplank/bench.go
@@ -0,0 +1,84 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"honeyplank/bench"
+	"os"
+)
+
+type benchCommand struct {
+	Ops     opsCommand     `cmd:"" default:"withargs" help:"What an op costs, through the gateway and straight at stand-ins."`
+	Hostile hostileCommand `cmd:"" help:"What honest clients have beside hostile peers."`
+	Sources sourcesCommand `cmd:"" help:"What following the list costs, by fleet and rate of change."`
+}
+
+type hostileCommand struct {
+	Connections int     `help:"Hostile connections." default:"1000"`
+	Seconds     float64 `help:"Length of each phase." default:"3"`
+	JSON        bool    `help:"Print the figures as JSON."`
+}
+
+func (c *hostileCommand) Run() error {
+	h, err := bench.Hostile(c.Connections, c.Seconds)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(h)
+	}
+	fmt.Print(h)
+	return nil
+}
+
+type sourcesCommand struct {
+	Nodes   []int   `help:"Sizes of the fleet." default:"10,100,1000,10000"`
+	Rates   []int   `help:"Changes a second." default:"1,100,1000"`
+	Seconds float64 `help:"Length at each size and rate." default:"3"`
+	JSON    bool    `help:"Print the figures as JSON."`
+}
+
+func (c *sourcesCommand) Run() error {
+	list, err := bench.Sources(c.Nodes, c.Rates, c.Seconds)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(list)
+	}
+	fmt.Print(bench.SourcesTable(list))
+	for _, schedulers := range []int{1, 100} {
+		mean, peak, err := bench.Crowd(schedulers, 2, 2*c.Seconds)
+		if err != nil {
+			return err
+		}
+		fmt.Printf("\n%d schedulers, records of 2 s: %.1f queries a second at the name server, at most %.0f in a tenth of a second times ten", schedulers, mean, peak)
+	}
+	fmt.Println()
+	return nil
+}
+
+type opsCommand struct {
+	Seconds float64 `help:"Length of each phase." default:"3"`
+	Depth   int     `help:"Ops out at a time at saturation." default:"128"`
+	Rate    float64 `help:"Ops a second where latency is measured." default:"1000"`
+	JSON    bool    `help:"Print the report as JSON."`
+	Check   bool    `help:"Fail when allocations, system calls or bytes copied an op have grown by over a tenth."`
+}
+
+func (c *opsCommand) Run() error {
+	r, err := bench.Run(bench.Options{Seconds: c.Seconds, Depth: c.Depth, Rate: c.Rate})
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		b, _ := json.MarshalIndent(r, "", "  ")
+		fmt.Println(string(b))
+	} else {
+		fmt.Print(r)
+	}
+	if c.Check {
+		return r.Compare(bench.Baseline)
+	}
+	return nil
+}
--- a/cmd/honeyplank/standin.go
+++ b/cmd/honeyplank/fake.go
@@ -17,7 +17,7 @@
 	"honeyplank/faulttest"
 )
 
-type standinCommand struct {
+type fakeCommand struct {
 	Disk diskCommand `cmd:"" help:"Run the disk servers of a script, until interrupted."`
 	DNS  dnsCommand  `cmd:"" help:"Run a name server with the disk servers named, until interrupted."`
 	Etcd etcdCommand `cmd:"" help:"Run an etcd with the disk servers named, until interrupted."`
@@ -38,7 +38,7 @@
 		return err
 	}
 	if s.Rehearsal == nil {
-		return invalid{fmt.Errorf("%s has no <rehearsal>", c.Script)}
+		return usageError{fmt.Errorf("%s has no <rehearsal>", c.Script)}
 	}
 	l, err := eventloop.New(time.Minute)
 	if err != nil {
@@ -105,7 +105,7 @@
 		address, drains := strings.CutSuffix(text, "/0")
 		at, err := netip.ParseAddrPort(address)
 		if err != nil {
-			return invalid{err}
+			return usageError{err}
 		}
 		r := dns.Record{Target: fmt.Sprintf("n%d--c%d.storage.example.", cell, cell), IP: at.Addr().String(), Port: at.Port(), Weight: 1}
 		if drains {
--- /dev/null
+++ b/cmd/honeyplank/faulttest.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"honeyplank/faulttest"
+	"honeyplank/settings"
+	"os"
+	"sync"
+
+	"github.com/rs/zerolog"
+)
+
+type faultTestCommand struct {
+	Script   string `help:"Script to play: badday, sources and wires are built in, else a file." default:"badday"`
+	Seed     int64  `help:"Seed of all chance." default:"1"`
+	Trouble  string `help:"Play one kind of trouble on its own, or all of them one by one."`
+	Baseline bool   `help:"Have the gateways pass ops on in order of arrival, to measure against."`
+	JSON     bool   `help:"Print the report as JSON."`
+	Verbose  bool   `help:"Show the gateways' log lines."`
+}
+
+func (c *faultTestCommand) Run(log zerolog.Logger) error {
+	var script *settings.Gateway
+	var err error
+	switch c.Script {
+	case "badday":
+		script, err = settings.Parse("built-in script", faulttest.BadDay)
+	case "wires":
+		script, err = settings.Parse("built-in script", faulttest.Wires)
+	case "sources":
+		script, err = settings.Parse("built-in script", faulttest.Sources)
+	default:
+		script, err = read(c.Script)
+	}
+	if err != nil {
+		return err
+	}
+	if script.Rehearsal == nil {
+		return usageError{fmt.Errorf("%s has no <rehearsal>", c.Script)}
+	}
+	ctx, stop := signals()
+	defer stop()
+	scripts := map[string]*settings.Gateway{"": script}
+	names := []string{""}
+	if c.Trouble != "" {
+		if scripts, names, err = faulttest.Troubles(script, c.Trouble); err != nil {
+			return usageError{err}
+		}
+	}
+	reports := make([]*faulttest.Report, len(names))
+	errs := make([]error, len(names))
+	var group sync.WaitGroup
+	slots := make(chan struct{}, 3) // so many play at a time
+	for i, name := range names {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			o := faulttest.Options{Script: scripts[name], Seed: c.Seed, Log: zerolog.Nop()}
+			if c.Verbose {
+				o.Log = log
+			}
+			if c.Baseline {
+				o.Module = faulttest.Arrival
+			}
+			reports[i], errs[i] = faulttest.Run(ctx, o)
+		}()
+	}
+	group.Wait()
+	kept := true
+	for i, name := range names {
+		if errs[i] != nil {
+			return fmt.Errorf("%s: %w", name, errs[i])
+		}
+		kept = kept && reports[i].Kept
+		if c.JSON {
+			if err := json.NewEncoder(os.Stdout).Encode(struct {
+				Trouble string `json:"trouble,omitempty"`
+				*faulttest.Report
+			}{name, reports[i]}); err != nil {
+				return err
+			}
+			continue
+		}
+		if name != "" {
+			fmt.Printf("---- trouble: %s ----\n", name)
+		}
+		fmt.Println(reports[i])
+	}
+	if !kept {
+		return errors.New("a rule is broken; the same command with the same seed plays it again")
+	}
+	return nil
+}
--- a/cmd/honeyplank/corpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -9,7 +9,7 @@
 	"honeyplank/fuzzcorpus"
 )
 
-type corpusCommand struct {
+type fuzzCorpusCommand struct {
 	Root   string `help:"The source tree." default:"." type:"existingdir"`
 	Target string `help:"Only targets whose name or package matches this pattern."`
 
@@ -17,21 +17,21 @@
 	Grow     growCommand     `cmd:"" help:"Fuzz each target for a time and keep what reached something new."`
 	Minimise minimiseCommand `cmd:"" help:"Drop the inputs that reach nothing that others don't, and rewrite those of older targets."`
 	Stats    statsCommand    `cmd:"" help:"Tell what each target has and reaches."`
-	Sabotage sabotageCommand `cmd:"" help:"Put seeded faults into parsers and state machines, and see whether their targets find them."`
+	Mutate   mutateCommand   `cmd:"" aliases:"sabotage" help:"Put seeded faults into parsers and state machines, and see whether their targets find them."`
 }
 
-func (c *corpusCommand) targets() ([]fuzzcorpus.Target, error) {
+func (c *fuzzCorpusCommand) targets() ([]fuzzcorpus.Target, error) {
 	targets, err := fuzzcorpus.Find(c.Root, c.Target)
 	if err != nil {
-		err = invalid{err}
+		err = usageError{err}
 	}
 	return targets, err
 }
 
-var errCorpus = errors.New("an input fails or is not one for its target")
+var errFuzzCorpus = errors.New("an input fails or is not one for its target")
 
 // play runs one of the corpus' works over the targets; show prints each result, faults decide how it ends.
-func (c *corpusCommand) play(work func(context.Context, []fuzzcorpus.Target, func(fuzzcorpus.Result)) error, show func(fuzzcorpus.Result)) error {
+func (c *fuzzCorpusCommand) play(work func(context.Context, []fuzzcorpus.Target, func(fuzzcorpus.Result)) error, show func(fuzzcorpus.Result)) error {
 	targets, err := c.targets()
 	if err != nil {
 		return err
@@ -47,14 +47,14 @@
 		}
 	})
 	if failed {
-		err = errors.Join(err, errCorpus)
+		err = errors.Join(err, errFuzzCorpus)
 	}
 	return err
 }
 
 type replayCommand struct{}
 
-func (*replayCommand) Run(c *corpusCommand) error {
+func (*replayCommand) Run(c *fuzzCorpusCommand) error {
 	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
 		return fuzzcorpus.Replay(ctx, c.Root, targets, done)
 	}, func(r fuzzcorpus.Result) {
@@ -68,7 +68,7 @@
 	Most    int64         `help:"Longest input that is kept, in bytes." default:"2048"`
 }
 
-func (g *growCommand) Run(c *corpusCommand) error {
+func (g *growCommand) Run(c *fuzzCorpusCommand) error {
 	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
 		return fuzzcorpus.Grow(ctx, c.Root, targets, g.Time, g.Workers, g.Most, done)
 	}, func(r fuzzcorpus.Result) {
@@ -81,7 +81,7 @@
 
 type minimiseCommand struct{}
 
-func (*minimiseCommand) Run(c *corpusCommand) error {
+func (*minimiseCommand) Run(c *fuzzCorpusCommand) error {
 	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
 		return fuzzcorpus.Minimise(ctx, c.Root, targets, done)
 	}, func(r fuzzcorpus.Result) {
@@ -92,7 +92,7 @@
 
 type statsCommand struct{}
 
-func (*statsCommand) Run(c *corpusCommand) error {
+func (*statsCommand) Run(c *fuzzCorpusCommand) error {
 	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
 		fmt.Printf("%-28s %8s %9s   share of the package's statements: %5s %11s\n", "target", "inputs", "bytes", "seeds", "with corpus")
 		return fuzzcorpus.Stats(ctx, c.Root, targets, done)
@@ -101,11 +101,11 @@
 	})
 }
 
-type sabotageCommand struct {
+type mutateCommand struct {
 	Runs int `help:"Inputs that a target may make after its corpus has found nothing." default:"200000"`
 }
 
-func (s *sabotageCommand) Run(c *corpusCommand) error {
+func (s *mutateCommand) Run(c *fuzzCorpusCommand) error {
 	targets, err := c.targets()
 	if err != nil {
 		return err
--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -28,7 +28,7 @@
 // Run plays one scheduler in the foreground: SIGHUP reads the configuration anew, SIGTERM ends it in order.
 func (c *platformCommand) Run(log zerolog.Logger) error {
 	if c.File == "" {
-		return invalid{errors.New("no configuration file is named, nor PROXY_CONFIG set")}
+		return usageError{errors.New("no configuration file is named, nor PROXY_CONFIG set")}
 	}
 	// A signal is dropped where its channel is full: one that waits there is as good as two, of its own kind only.
 	anew, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -39,7 +39,7 @@
 	file := reader[*scheduler.Config]{func() (*scheduler.Config, error) { return scheduler.ReadConfig(c.File) }, unread, log}
 	p, err := before(end, func() (*scheduler.Config, error) { return file.load(ctx, anew) })
 	if err != nil && err != errEnded {
-		return invalid{err}
+		return usageError{err}
 	}
 	var s *scheduler.Scheduler
 	if err == nil {
