--- a/cmd/honeyplank/bench.go
+++ b/cmd/honeyplank/bench.go
@@ -8,9 +8,10 @@
 )
 
 type benchCommand struct {
-	Ops     opsCommand     `cmd:"" default:"withargs" help:"What an op costs, through the gateway and straight at stand-ins."`
+	Ops     opsCommand     `cmd:"" default:"withargs" help:"What an op costs, through the gateway and straight at fakes."`
 	Hostile hostileCommand `cmd:"" help:"What honest clients have beside hostile peers."`
 	Sources sourcesCommand `cmd:"" help:"What following the list costs, by fleet and rate of change."`
+	Fleet   fleetCommand   `cmd:"" help:"What one scheduler of the platform costs, by the size of the fleet."`
 }
 
 type hostileCommand struct {
@@ -82,3 +83,28 @@
 	}
 	return nil
 }
+
+type fleetCommand struct {
+	Servers []int   `help:"Sizes of the fleet." default:"200,3200"`
+	Seconds float64 `help:"Length of the load at each size." default:"10"`
+	JSON    bool    `help:"Print the figures as JSON."`
+}
+
+// Run starts this program as a scheduler, once for each size.
+func (c *fleetCommand) Run() error {
+	program, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	ctx, stop := signals()
+	defer stop()
+	costs, err := bench.Fleet(ctx, program, c.Servers, c.Seconds)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(costs)
+	}
+	fmt.Print(bench.FleetTable(costs))
+	return nil
+}
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -19,6 +19,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
+	"honeyplank/bench"
 	"honeyplank/discovery"
 	"honeyplank/estimates"
 	"honeyplank/eventloop"
@@ -371,3 +372,21 @@
 		})
 	}
 }
+
+// TestBenchFleet: the benchmark of fleets starts this program as a scheduler, serves its load and measures the process.
+func TestBenchFleet(t *testing.T) {
+	out, code := run(t, "bench", "fleet", "--servers", "4,64", "--seconds", "1", "--json")
+	if code != 0 {
+		t.Fatalf("exit %d: %s", code, out)
+	}
+	var costs []bench.FleetCost
+	if err := json.Unmarshal([]byte(out), &costs); err != nil || len(costs) != 2 {
+		t.Fatalf("%v in %s", err, out)
+	}
+	for i, servers := range []int{4, 64} {
+		c := costs[i]
+		if c.Servers != servers || c.Served == 0 || c.Served > c.Asked || c.Memory <= 0 || c.Descriptors == 0 || c.Connections == 0 {
+			t.Errorf("%+v", c)
+		}
+	}
+}
