--- a/eventloop/alloc_test.go
+++ b/eventloop/alloc_test.go
@@ -32,7 +32,7 @@
 	}
 	ended, came := make(chan error, 1), make(chan bool, 1)
 	quiet := false
-	client, err := l.Dial(n.Address(), &echo{back: func(c *Conn) { came <- quiet && c.Quiet() }})
+	client, err := l.Dial(n.Address(), &echo{back: func(c *Conn) { came <- quiet && c.NoInputPending() }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/eventloop/buffers.go
+++ b/eventloop/buffers.go
@@ -5,10 +5,10 @@
 // Buffers is a pool of byte slices in powers of two, of one loop. What it keeps for later use is bounded;
 // what is out is counted, so that its owner can hold back.
 type Buffers struct {
-	// Keep bounds the bytes kept for later use.
-	Keep int
-	// Held is how many bytes are out now.
-	Held int
+	// MaxKept bounds the bytes kept for later use.
+	MaxKept int
+	// InUse is how many bytes are out now.
+	InUse int
 	// Stats, where set, counts the bytes that its users copy.
 	Stats *Stats
 	kept  int
@@ -22,7 +22,7 @@
 	}
 	class := bits.Len(uint(n - 1))
 	size := 1 << class
-	p.Held += size
+	p.InUse += size
 	if list := p.free[class]; len(list) > 0 {
 		b := list[len(list)-1]
 		list[len(list)-1] = nil
@@ -39,8 +39,8 @@
 	if size == 0 {
 		return
 	}
-	p.Held -= size
-	if class := bits.Len(uint(size - 1)); p.kept+size <= p.Keep {
+	p.InUse -= size
+	if class := bits.Len(uint(size - 1)); p.kept+size <= p.MaxKept {
 		p.kept += size
 		p.free[class] = append(p.free[class], b)
 	}
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -35,8 +35,8 @@
 	Tap func(sent bool, b []byte)
 	// FaultFilter, where set, stands between socket and handler and changes what crosses: the faults of a stand-in's wire.
 	FaultFilter FaultFilter
-	// Peer is who connected; not set for a connection that was dialled.
-	Peer netip.Addr
+	// RemoteIP is who connected; not set for a connection that was dialled.
+	RemoteIP netip.Addr
 	// MaxRead, where set, is how much one read takes at most.
 	MaxRead int
 	// BeforeWrite, where set, is called before bytes of Out are written, and may change what is unsent.
@@ -197,7 +197,7 @@
 
 // peerHasEnded tells that the other end has ended its sending and all of it has been read.
 func (c *Conn) peerHasEnded() bool {
-	c.loop.Stats.Others.Add(1)
+	c.loop.Stats.OtherCalls.Add(1)
 	n, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n == 0 && err == nil
 }
@@ -208,7 +208,7 @@
 	if c.closed || c.dialing {
 		return 0
 	}
-	c.loop.Stats.Others.Add(1)
+	c.loop.Stats.OtherCalls.Add(1)
 	n, err := c.loop.sys.UnackedBytes(c.fd)
 	if err != nil {
 		n = 0
@@ -216,14 +216,14 @@
 	return n + c.UnsentBytes()
 }
 
-// Quiet tells that nothing has come that was not read, the end of the connection included: what is sent now has
+// NoInputPending tells that nothing has come that was not read, the end of the connection included: what is sent now has
 // the next byte that comes for an answer.
-func (c *Conn) Quiet() bool {
+func (c *Conn) NoInputPending() bool {
 	if c.closed || c.dialing || len(c.buffered) > 0 {
 		return false
 	}
 	for range maxInterruptions {
-		c.loop.Stats.Others.Add(1)
+		c.loop.Stats.OtherCalls.Add(1)
 		_, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if !errors.Is(err, unix.EINTR) {
 			return errors.Is(err, unix.EAGAIN)
@@ -237,7 +237,7 @@
 
 func (c *Conn) closeWrite() {
 	c.writeClosed = true
-	c.loop.Stats.Others.Add(1)
+	c.loop.Stats.OtherCalls.Add(1)
 	c.loop.sys.Shutdown(c.fd, unix.SHUT_WR)
 }
 
@@ -281,7 +281,7 @@
 
 // socketError is what the socket has failed with; nil: nothing that is known.
 func (c *Conn) socketError() error {
-	c.loop.Stats.Others.Add(1)
+	c.loop.Stats.OtherCalls.Add(1)
 	n, err := c.loop.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && n != 0 {
 		err = unix.Errno(n)
@@ -446,7 +446,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.Stats.Others.Add(2)
+	l.Stats.OtherCalls.Add(2)
 	err = l.sys.Connect(fd, sockaddr(to))
 	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // both: it goes on, see connect(2)
 		l.sys.Close(fd)
--- a/eventloop/ending_test.go
+++ b/eventloop/ending_test.go
@@ -61,7 +61,7 @@
 						if closes == "half" {
 							x.(*net.TCPConn).CloseWrite()
 						}
-						for c.Quiet() {
+						for c.NoInputPending() {
 						}
 						end(c)
 						close(crossed)
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -272,7 +272,7 @@
 		return
 	}
 	s.k.faults["recvfrom"] = []unix.Errno{errno, errno, errno}[:min(3, 3*int(errno))]
-	if got := c.Quiet(); got != want {
+	if got := c.NoInputPending(); got != want {
 		s.Errorf("Quiet is %v at %v", got, errno)
 	}
 	s.k.faults["recvfrom"] = nil
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -186,7 +186,7 @@
 		if i == 0 {
 			x.input = func(c *Conn) {
 				x.input = nil
-				c.Quiet()
+				c.NoInputPending()
 				c.Pause()
 				p.l.Schedule(p.l.Now()+time.Millisecond, c.Resume)
 			}
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -81,7 +81,7 @@
 		return
 	}
 	for accepted, failed := 0, 0; accepted < maxAccepts && !n.closed; {
-		n.l.Stats.Others.Add(1)
+		n.l.Stats.OtherCalls.Add(1)
 		fd, from, err := n.l.sys.Accept(n.fd)
 		switch {
 		case err == nil:
@@ -111,9 +111,9 @@
 	c := &Conn{loop: n.l, fd: fd, events: unix.EPOLLIN}
 	switch a := from.(type) {
 	case *unix.SockaddrInet4:
-		c.Peer = netip.AddrFrom4(a.Addr)
+		c.RemoteIP = netip.AddrFrom4(a.Addr)
 	case *unix.SockaddrInet6:
-		c.Peer = netip.AddrFrom16(a.Addr)
+		c.RemoteIP = netip.AddrFrom16(a.Addr)
 	}
 	n.l.register(fd, c)
 	c.handler = n.accept(c)
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -17,14 +17,14 @@
 
 // Stats counts what a loop has done since it was made. It is safe to read from any goroutine.
 type Stats struct {
-	Waits, Reads, Writes, Others atomic.Int64 // system calls
-	BytesIn, BytesOut            atomic.Int64
-	Copied                       atomic.Int64 // bytes that protocol code copied between buffers
+	EpollWaits, Reads, Writes, OtherCalls atomic.Int64 // system calls
+	BytesIn, BytesOut                     atomic.Int64
+	Copied                                atomic.Int64 // bytes that protocol code copied between buffers
 }
 
 // Calls is the number of system calls.
 func (s *Stats) Calls() int64 {
-	return s.Waits.Load() + s.Reads.Load() + s.Writes.Load() + s.Others.Load()
+	return s.EpollWaits.Load() + s.Reads.Load() + s.Writes.Load() + s.OtherCalls.Load()
 }
 
 // Loop is one event loop. Only Post, Stop and Stats may be used from other goroutines.
@@ -179,7 +179,7 @@
 // and what was posted have their turn, and the next round waits again. Without that, a signal that comes all the time
 // would keep timers from running.
 func (l *Loop) poll(events []unix.EpollEvent, wait int) error {
-	l.Stats.Waits.Add(1)
+	l.Stats.EpollWaits.Add(1)
 	begun, before := l.Now(), l.lastPoll
 	n, err := l.sys.EpollWait(l.epoll, events, wait)
 	l.lastPoll, l.polls = l.Now(), l.polls+1
@@ -229,7 +229,7 @@
 type wakeHandler struct{ l *Loop }
 
 func (w wakeHandler) ready(uint32) {
-	w.l.Stats.Others.Add(1)
+	w.l.Stats.OtherCalls.Add(1)
 	if _, err := w.l.sys.Read(w.l.wakeFD, w.l.small[:]); err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
 		w.l.pauseRound = true // it stays readable
 	}
@@ -268,7 +268,7 @@
 }
 
 func (l *Loop) control(how, fd int, events uint32) error {
-	l.Stats.Others.Add(1)
+	l.Stats.OtherCalls.Add(1)
 	return l.sys.EpollCtl(l.epoll, how, fd, unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation})
 }
 
@@ -278,7 +278,7 @@
 		return
 	}
 	delete(l.files, int32(fd))
-	l.Stats.Others.Add(1)
+	l.Stats.OtherCalls.Add(1)
 	l.sys.Close(fd)
 }
 
--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -128,7 +128,7 @@
 func (d *Disk) accept(raw *eventloop.Conn) eventloop.Handler {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := &conn{d: d, n: d.opened, c: raw, in: resp.Reader{Bounds: resp.Bounds{Line: 64, Bulk: 64 << 10, Items: 8, Depth: 1, Total: 80 << 10, Command: true}}}
+	c := &conn{d: d, n: d.opened, c: raw, in: resp.Reader{Limits: resp.Limits{Line: 64, Bulk: 64 << 10, Items: 8, Depth: 1, Total: 80 << 10, CommandsOnly: true}}}
 	d.opened++
 	d.conns[c] = true
 	raw.OnClosed = func() {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,7 @@
 )
 
 // Module makes the decisions: policy.Scheduler, or a baseline to measure against.
-type Module = inflight.Module
+type Module = inflight.DecisionModule
 
 // Tap sees the bytes of one connection, in order; sent tells which way.
 type Tap = func(sent bool, b []byte)
@@ -255,7 +255,7 @@
 	answer := make(chan Counts, 1)
 	if !g.loop.Post(func() {
 		c := Counts{Counts: g.ops.Counts, Open: g.ops.Unanswered(), Out: g.ops.Outstanding()}
-		c.Held, c.Connections = g.server.Buffers.Held, g.server.Connections()
+		c.Held, c.Connections = g.server.Buffers.InUse, g.server.Connections()
 		c.CPU = g.loop.CPU()
 		answer <- c
 	}) {
--- a/inflight/ops.go
+++ b/inflight/ops.go
@@ -12,8 +12,8 @@
 	"honeyplank/eventloop"
 )
 
-// Module makes the decisions: policy.Scheduler, or a baseline to measure against.
-type Module interface {
+// DecisionModule makes the decisions: policy.Scheduler, or a baseline to measure against.
+type DecisionModule interface {
 	Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action
 }
 
@@ -50,7 +50,7 @@
 	OnIdle func()
 
 	loop            *eventloop.Loop
-	module          Module
+	module          DecisionModule
 	sender          Sender
 	queue           []honeyplank.Event
 	delivering      bool
@@ -96,7 +96,7 @@
 }
 
 // New makes empty books.
-func New(l *eventloop.Loop, module Module, to Sender) *Tracker {
+func New(l *eventloop.Loop, module DecisionModule, to Sender) *Tracker {
 	return &Tracker{loop: l, module: module, sender: to, OnAction: func(honeyplank.Action) {}, ops: map[honeyplank.OpID]*op{}}
 }
 
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -67,7 +67,7 @@
 // Dial begins an association; the handler hears of it later, never during the call.
 func Dial(l *eventloop.Loop, terms Settings, h Handler) *Association {
 	a := &Association{terms: terms, loop: l, handler: h}
-	a.Buffers.Keep, a.Buffers.Stats = 64*terms.MaxData, &l.Stats
+	a.Buffers.MaxKept, a.Buffers.Stats = 64*terms.MaxData, &l.Stats
 	a.timer = l.Schedule(l.Now()+terms.ConnectTimeout, func() { a.end(errHandshake) })
 	if err := a.connect(0); err != nil {
 		l.Schedule(0, func() { a.end(err) })
--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -75,8 +75,8 @@
 			if busy+len(s.free) != len(s.slots) {
 				t.Fatalf("%d slots busy, %d free of %d", busy, len(s.free), len(s.slots))
 			}
-			if buffers.Held > 4*16384 {
-				t.Fatalf("%d bytes held by four commands", buffers.Held)
+			if buffers.InUse > 4*16384 {
+				t.Fatalf("%d bytes held by four commands", buffers.InUse)
 			}
 		}
 		s.lost()
@@ -85,8 +85,8 @@
 				t.Fatalf("command %d ended %d times", k, n)
 			}
 		}
-		if buffers.Held != 0 {
-			t.Fatalf("%d bytes are still held", buffers.Held)
+		if buffers.InUse != 0 {
+			t.Fatalf("%d bytes are still held", buffers.InUse)
 		}
 	})
 }
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -184,8 +184,8 @@
 				t.Fatalf("command %d: %+v", k, m)
 			}
 		}
-		if buffers.Held != 0 {
-			t.Fatalf("%d bytes are still held", buffers.Held)
+		if buffers.InUse != 0 {
+			t.Fatalf("%d bytes are still held", buffers.InUse)
 		}
 	})
 }
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -29,15 +29,15 @@
 	List []Value
 }
 
-// Bounds are what a Reader believes.
-type Bounds struct {
+// Limits are what a Reader believes.
+type Limits struct {
 	Line  int // bytes of a line
 	Bulk  int // bytes of a bulk string
 	Items int // values of an array
 	Depth int // arrays inside one another
 	Total int // bytes of a value in all
-	// Command takes nothing but arrays of bulk strings that are not null, of at least one.
-	Command bool
+	// CommandsOnly takes nothing but arrays of bulk strings that are not null, of at least one.
+	CommandsOnly bool
 }
 
 // ProtocolError tells what could not be read; nothing behind it can be either.
@@ -49,7 +49,7 @@
 
 // Reader reads values one by one. After an error it must not be used again.
 type Reader struct {
-	Bounds Bounds
+	Limits Limits
 	line   []byte // of a line that has not ended
 	bulk   []byte // of a bulk string that has not ended
 	want   int    // bytes of it, with its end of line; 0: none is under way
@@ -65,8 +65,8 @@
 // Idle tells that nothing is under way: the next byte begins a value.
 func (r *Reader) Idle() bool { return len(r.open) == 0 && r.want == 0 && len(r.line) == 0 }
 
-// Held is how many bytes the value under way takes up so far.
-func (r *Reader) Held() int { return r.total + len(r.line) + len(r.bulk) }
+// BufferedBytes is how many bytes the value under way takes up so far.
+func (r *Reader) BufferedBytes() int { return r.total + len(r.line) + len(r.bulk) }
 
 // Next reads from b and returns how many bytes it used, and a value once one is whole.
 func (r *Reader) Next(b []byte) (used int, v Value, whole bool, err error) {
@@ -134,9 +134,9 @@
 		first = r.line[0]
 	}
 	switch kind := Kind(first); {
-	case r.Bounds.Command && kind != Array && len(r.open) == 0:
+	case r.Limits.CommandsOnly && kind != Array && len(r.open) == 0:
 		return nil, 0, protocolError("expected '*', got %q", first)
-	case r.Bounds.Command && kind != Bulk && len(r.open) > 0:
+	case r.Limits.CommandsOnly && kind != Bulk && len(r.open) > 0:
 		return nil, 0, protocolError("expected '$', got %q", first)
 	case kind != Simple && kind != Error && kind != Integer && kind != Bulk && kind != Array:
 		return nil, 0, protocolError("%q begins no value", first)
@@ -146,7 +146,7 @@
 	if end < 0 {
 		n = len(b)
 	}
-	most := r.Bounds.Line
+	most := r.Limits.Line
 	if k := Kind(first); k == Bulk || k == Array || k == Integer {
 		most = min(most, 32)
 	}
@@ -166,8 +166,8 @@
 // begin reads a line; ready tells that item is whole, else its rest is to come.
 func (r *Reader) begin(line []byte, item *Value) (ready bool, err error) {
 	kind, text := Kind(line[0]), line[1:]
-	if r.total += len(line); r.total > r.Bounds.Total {
-		return false, protocolError("a value is longer than %d bytes", r.Bounds.Total)
+	if r.total += len(line); r.total > r.Limits.Total {
+		return false, protocolError("a value is longer than %d bytes", r.Limits.Total)
 	}
 	if kind == Simple || kind == Error {
 		if bytes.IndexByte(text, '\r') >= 0 {
@@ -185,32 +185,32 @@
 		*item = Value{Kind: Integer, Int: n}
 		return true, nil
 	case Bulk:
-		if n == -1 && !r.Bounds.Command {
+		if n == -1 && !r.Limits.CommandsOnly {
 			*item = Value{Kind: Bulk, Null: true}
 			return true, nil
 		}
-		if n < 0 || n > int64(r.Bounds.Bulk) {
-			return false, protocolError("invalid bulk length %d, expected 0 to %d", n, r.Bounds.Bulk)
+		if n < 0 || n > int64(r.Limits.Bulk) {
+			return false, protocolError("invalid bulk length %d, expected 0 to %d", n, r.Limits.Bulk)
 		}
-		if r.total += int(n); r.total > r.Bounds.Total {
-			return false, protocolError("a value is longer than %d bytes", r.Bounds.Total)
+		if r.total += int(n); r.total > r.Limits.Total {
+			return false, protocolError("a value is longer than %d bytes", r.Limits.Total)
 		}
 		r.want = int(n) + 2
 		return false, nil
 	}
-	if n == -1 && !r.Bounds.Command {
+	if n == -1 && !r.Limits.CommandsOnly {
 		*item = Value{Kind: Array, Null: true}
 		return true, nil
 	}
 	least := int64(0)
-	if r.Bounds.Command {
+	if r.Limits.CommandsOnly {
 		least = 1
 	}
-	if n < least || n > int64(r.Bounds.Items) {
-		return false, protocolError("invalid multibulk length %d, expected %d to %d", n, least, r.Bounds.Items)
+	if n < least || n > int64(r.Limits.Items) {
+		return false, protocolError("invalid multibulk length %d, expected %d to %d", n, least, r.Limits.Items)
 	}
-	if len(r.open) >= r.Bounds.Depth {
-		return false, protocolError("arrays are more than %d deep", r.Bounds.Depth)
+	if len(r.open) >= r.Limits.Depth {
+		return false, protocolError("arrays are more than %d deep", r.Limits.Depth)
 	}
 	if n == 0 {
 		*item = Value{Kind: Array}
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -12,13 +12,13 @@
 )
 
 var (
-	commands = Bounds{Line: 64, Bulk: 100, Items: 6, Depth: 1, Total: 200, Command: true}
-	answers  = Bounds{Line: 64, Bulk: 100, Items: 4, Depth: 3, Total: 200}
+	commands = Limits{Line: 64, Bulk: 100, Items: 6, Depth: 1, Total: 200, CommandsOnly: true}
+	answers  = Limits{Line: 64, Bulk: 100, Items: 4, Depth: 3, Total: 200}
 )
 
 // all reads what is in text, in pieces of n bytes.
-func all(b Bounds, text []byte, n int) (list []Value, err error) {
-	r := Reader{Bounds: b}
+func all(b Limits, text []byte, n int) (list []Value, err error) {
+	r := Reader{Limits: b}
 	for len(text) > 0 {
 		piece := text[:min(n, len(text))]
 		text = text[len(piece):]
@@ -142,14 +142,14 @@
 // ---- The model: it has the whole text, and takes values off its front ----
 
 type model struct {
-	b     Bounds
+	b     Limits
 	text  []byte
 	total int
 }
 
 var errShort, errBad = errors.New("not whole"), errors.New("bad")
 
-func plain(b Bounds, text []byte) (list []Value, bad bool) {
+func plain(b Limits, text []byte) (list []Value, bad bool) {
 	m := &model{b: b, text: text}
 	for len(m.text) > 0 {
 		m.total = 0
@@ -167,7 +167,7 @@
 		return v, errShort
 	}
 	kind := m.text[0]
-	if !strings.ContainsRune("+-:$*", rune(kind)) || m.b.Command && (depth == 0 && kind != '*' || depth > 0 && kind != '$') {
+	if !strings.ContainsRune("+-:$*", rune(kind)) || m.b.CommandsOnly && (depth == 0 && kind != '*' || depth > 0 && kind != '$') {
 		return v, errBad
 	}
 	most := m.b.Line
@@ -201,7 +201,7 @@
 	case kind == ':':
 		v.Int = n
 		return v, nil
-	case n == -1 && !m.b.Command:
+	case n == -1 && !m.b.CommandsOnly:
 		v.Null = true
 		return v, nil
 	case kind == '$':
@@ -221,7 +221,7 @@
 		m.text = m.text[n+2:]
 		return v, nil
 	}
-	if n < 0 || n > int64(m.b.Items) || n == 0 && m.b.Command || depth >= m.b.Depth {
+	if n < 0 || n > int64(m.b.Items) || n == 0 && m.b.CommandsOnly || depth >= m.b.Depth {
 		return v, errBad
 	}
 	for range n {
--- a/scheduler/clients.go
+++ b/scheduler/clients.go
@@ -35,7 +35,7 @@
 	maxEvictionChecks = 8 // connections looked at for one that may be closed
 )
 
-var commandBounds = resp.Bounds{Line: 64, Bulk: maxBody, Items: 16, Depth: 1, Total: maxBody + 4096, Command: true}
+var commandBounds = resp.Limits{Line: 64, Bulk: maxBody, Items: 16, Depth: 1, Total: maxBody + 4096, CommandsOnly: true}
 
 // client is one connection from clients.
 type client struct {
@@ -72,7 +72,7 @@
 	}
 	s.clientConnCount++
 	now := s.loop.Now()
-	c := &client{scheduler: s, conn: conn, reader: resp.Reader{Bounds: commandBounds}, lastActivity: now}
+	c := &client{scheduler: s, conn: conn, reader: resp.Reader{Limits: commandBounds}, lastActivity: now}
 	conn.NotifyHalfClose, conn.MaxRead = true, initialReadSize
 	conn.OnClosed = func() {
 		s.clientConnCount--
@@ -117,7 +117,7 @@
 		switch {
 		case worst == nil:
 			return false
-		case worst.conn.Quiet():
+		case worst.conn.NoInputPending():
 			worst.conn.Close()
 			return true
 		case unread == nil && !worst.hasSentRequest:
@@ -500,12 +500,12 @@
 		case c.conn.UnsentBytes() > 0 && idle > maxIdle: // it does not read
 			c.conn.Close()
 		case !c.hasSentRequest && idle > commandTimeout: // at once: a crowd that lingers would keep others out
-			if c.paused || c.conn.Quiet() { // else what has come is read first
+			if c.paused || c.conn.NoInputPending() { // else what has come is read first
 				c.conn.Close()
 			}
 		case s.shuttingDown: // a connection that closes now is not replaced
 		case c.hasSentRequest && idle > most:
-			if c.conn.Quiet() {
+			if c.conn.NoInputPending() {
 				c.closing = true
 				c.conn.CloseGracefully()
 			}
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -96,7 +96,7 @@
 			g.open()
 			var link *serverConn
 			w.on(func() {
-				w.module.Module = eager{"s-0"}
+				w.module.DecisionModule = eager{"s-0"}
 				w.s.config.Sockets = 1024
 				w.s.serverConnCount = w.s.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
 			})
@@ -212,7 +212,7 @@
 // order, once it reads; while it does not, no more is taken from it than stands in the bounds.
 func TestUnreadAnswers(t *testing.T) {
 	w := start(t, 1)
-	w.on(func() { w.module.Module = eager{"s-0"} })
+	w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 	large := strings.Repeat("v", maxBody-8)
 	w.disks[0].Apply(standin.Faults{Large: large})
 	c := w.dial()
@@ -308,7 +308,7 @@
 	})
 	g, m := w.behind(0, "up")
 	w.on(func() {
-		w.module.Module = eager{"s-0"}
+		w.module.DecisionModule = eager{"s-0"}
 		w.s.applyMember(listMember{ID: m.ID, Address: m.Address, Phase: "up"})
 	})
 	return w, g
@@ -399,7 +399,7 @@
 func TestTakesWhatComesFree(t *testing.T) {
 	w := start(t, 1, slowConnect)
 	g := shut(t, w.disks[0].Address())
-	w.on(func() { w.module.Module = eager{"s-0"} })
+	w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 	w.disks[0].Apply(standin.Faults{Delay: 100 * time.Millisecond})
 	one, other := w.dial(), w.dial()
 	one.send("BLK.READ", piece, "a", terms("read", 9000, 0))
@@ -418,7 +418,7 @@
 // rests before it carries the next op: a second answer, a moment late, is nobody's.
 func TestRestsWithoutRoom(t *testing.T) {
 	w := start(t, 1)
-	w.on(func() { w.module.Module = eager{"s-0"} })
+	w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
 	w.disks[0].Apply(standin.Faults{Late: second})
 	c := w.dial()
@@ -445,7 +445,7 @@
 // in order although its client goes on sending.
 func TestLastAnswers(t *testing.T) {
 	w := start(t, 1)
-	w.on(func() { w.module.Module = eager{"s-0"} })
+	w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 	w.disks[0].Apply(standin.Faults{Silent: true})
 	c, rests := w.dial(), w.dial()
 	rests.ask("PING")
@@ -514,7 +514,7 @@
 // and leaves those that are owed something.
 func TestReloadShrinks(t *testing.T) {
 	w := start(t, 1)
-	w.on(func() { w.module.Module = eager{"s-0"} })
+	w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 	w.disks[0].Apply(standin.Faults{Delay: 100 * time.Millisecond})
 	var callers []*caller
 	for i := range 40 {
@@ -590,7 +590,7 @@
 			n := 0
 			w.on(func() {
 				for x := range w.s.clients {
-					if x.paused && x.conn.UnsentBytes() > 0 && !x.conn.Quiet() {
+					if x.paused && x.conn.UnsentBytes() > 0 && !x.conn.NoInputPending() {
 						n++
 					}
 				}
@@ -682,7 +682,7 @@
 	w := start(t, 1)
 	var codes []honeyplank.Code
 	w.on(func() {
-		w.module.Module = eager{"s-0"}
+		w.module.DecisionModule = eager{"s-0"}
 		w.module.heard = func(e honeyplank.Event) {
 			if o, ok := e.(honeyplank.Outcome); ok {
 				codes = append(codes, o.Code)
@@ -727,8 +727,8 @@
 		}
 		err = unix.Connect(fd, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()})
 	})
-	rounds := w.s.loop.Stats.Waits.Load()
-	w.eventually("another round", func() bool { return w.s.loop.Stats.Waits.Load() > rounds+1 })
+	rounds := w.s.loop.Stats.EpollWaits.Load()
+	w.eventually("another round", func() bool { return w.s.loop.Stats.EpollWaits.Load() > rounds+1 })
 	w.on(func() {
 		if len(w.s.clients) > 0 {
 			t.Error("it has been accepted")
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -39,13 +39,13 @@
 
 // spy lets a test hear what the module is told. It is touched on the loop.
 type spy struct {
-	inflight.Module
+	inflight.DecisionModule
 	heard func(honeyplank.Event)
 }
 
 func (m *spy) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 	m.heard(e)
-	return m.Module.Handle(now, e)
+	return m.DecisionModule.Handle(now, e)
 }
 
 // eager is a module that sends every op to one disk server at once, and aborts what brings no ack.
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.module = &spy{Module: policy.New(p.Seed, p.Site.Settings), heard: func(honeyplank.Event) {}}
+	w.module = &spy{DecisionModule: policy.New(p.Seed, p.Site.Settings), heard: func(honeyplank.Event) {}}
 	if w.s, err = newWithModule(p, w.module, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { c.Close() })
-	return &caller{t: w.t, Conn: c, in: resp.Reader{Bounds: resp.Bounds{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}}}
+	return &caller{t: w.t, Conn: c, in: resp.Reader{Limits: resp.Limits{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}}}
 }
 
 // read waits for one value; false: the connection has ended, or nothing came in time.
@@ -226,7 +226,7 @@
 // arrived tells, on the loop, whether something that a client sent waits to be read by the scheduler.
 func (w *world) arrived() bool {
 	for x := range w.s.clients {
-		if !x.conn.Quiet() {
+		if !x.conn.NoInputPending() {
 			return true
 		}
 	}
--- a/scheduler/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -70,14 +70,14 @@
 						return ok
 					})
 				}
-				w.on(func() { w.module.Module = eager{"s-0"} })
+				w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 				c := w.dial()
 				c.ask("PING")
 				if g == nil { // a connection that has rested is there
 					w.dial().ask("BLK.READ", piece, "warm", terms("read", 9000, 0))
 					time.Sleep(2 * minConnRest)
 				}
-				w.on(func() { w.module.Module = &later{after: x.after} })
+				w.on(func() { w.module.DecisionModule = &later{after: x.after} })
 				op := command("BLK.READ", piece, "a", terms("read", 9000, 0))
 				var behind []byte
 				for _, b := range x.before {
@@ -136,7 +136,7 @@
 		return ok
 	})
 	g.open()
-	w.on(func() { w.module.Module = &giveUp{} })
+	w.on(func() { w.module.DecisionModule = &giveUp{} })
 	body := strings.Repeat("x", maxBody)
 	for i, ms := range []int{9000, 300} {
 		c := w.dial()
@@ -197,7 +197,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := start(t, 1)
-			w.on(func() { w.module.Module = eager{"s-0"} })
+			w.on(func() { w.module.DecisionModule = eager{"s-0"} })
 			w.disks[0].Apply(standin.Faults{Delay: 50 * time.Millisecond})
 			c := w.dial()
 			c.Write(append(command("BLK.READ", piece, "a", terms("read", 9000, 0)), x.behind...))
--- a/scheduler/quiet_test.go
+++ b/scheduler/quiet_test.go
@@ -57,7 +57,7 @@
 			w := start(t, 1)
 			var codes []honeyplank.Code
 			w.on(func() {
-				w.module.Module = eager{"s-0"}
+				w.module.DecisionModule = eager{"s-0"}
 				w.module.heard = func(e honeyplank.Event) {
 					if o, ok := e.(honeyplank.Outcome); ok {
 						codes = append(codes, o.Code)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -91,7 +91,7 @@
 }
 
 // newWithModule makes a scheduler round a module.
-func newWithModule(p *Config, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
+func newWithModule(p *Config, module inflight.DecisionModule, log zerolog.Logger) (*Scheduler, error) {
 	v := p.Site.Settings
 	// The clock starts late enough for a disk server that started before to have a start.
 	origin := v.Watch.Within + 2*(v.SlowStart.Time+v.SlowStart.Window)
@@ -115,7 +115,7 @@
 }
 
 // open opens what a scheduler listens on.
-func open(p *Config, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
+func open(p *Config, module inflight.DecisionModule, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
 	l, err := eventloop.New(origin)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
--- a/scheduler/servers.go
+++ b/scheduler/servers.go
@@ -78,7 +78,7 @@
 	maxValue     = 64 << 10
 )
 
-var replyBounds = resp.Bounds{Line: maxReplyLine, Bulk: maxValue, Items: 8, Depth: 3, Total: maxValue + 2*maxReplyLine}
+var replyBounds = resp.Limits{Line: maxReplyLine, Bulk: maxValue, Items: 8, Depth: 3, Total: maxValue + 2*maxReplyLine}
 
 // sender carries the dispatches of the books, each with its entry for Link.
 type sender struct{ *Scheduler }
@@ -232,7 +232,7 @@
 			return nil
 		}
 		sv.idle = sv.idle[1:]
-		if l.conn.Quiet() {
+		if l.conn.NoInputPending() {
 			return l
 		}
 		l.close()
@@ -295,7 +295,7 @@
 // dial opens a connection for whoever waits.
 func (sv *diskServer) dial() error {
 	s := sv.scheduler
-	l := &serverConn{server: sv, reader: resp.Reader{Bounds: replyBounds}, idleSince: s.loop.Now()}
+	l := &serverConn{server: sv, reader: resp.Reader{Limits: replyBounds}, idleSince: s.loop.Now()}
 	conn, err := s.loop.Dial(sv.address, l)
 	if err != nil {
 		sv.postponeDial(err)
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -55,7 +55,7 @@
 						codes = append(codes, o.Code)
 					}
 				}
-				w.module.Module = eager{"s-0"}
+				w.module.DecisionModule = eager{"s-0"}
 				if !x.way {
 					w.s.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
 				}
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -34,7 +34,7 @@
 		if all[c] != nil {
 			continue
 		}
-		x := &crossing{in: resp.Reader{Bounds: commandBounds}}
+		x := &crossing{in: resp.Reader{Limits: commandBounds}}
 		all[c] = x
 		c.conn.Tap = func(sent bool, b []byte) {
 			if sent {
@@ -86,7 +86,7 @@
 				all := map[*client]*crossing{}
 				var late time.Duration // how much the machine has held the loop up on its own
 				w.on(func() {
-					w.module.Module = eager{"s-0"}
+					w.module.DecisionModule = eager{"s-0"}
 					var look func()
 					next := w.s.loop.Now()
 					look = func() {
--- a/scheduler/told_test.go
+++ b/scheduler/told_test.go
@@ -32,7 +32,7 @@
 	})
 	g.open()
 	w.on(func() {
-		w.module.Module = eager{"s-0"}
+		w.module.DecisionModule = eager{"s-0"}
 		w.s.config.Sockets = 1024
 		w.s.serverConnCount = w.s.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
 	})
@@ -120,7 +120,7 @@
 			var ops []honeyplank.Op
 			var at []time.Duration
 			w.on(func() {
-				w.module.Module = eager{"s-0"}
+				w.module.DecisionModule = eager{"s-0"}
 				w.module.heard = func(e honeyplank.Event) {
 					if o, ok := e.(honeyplank.Op); ok {
 						ops, at = append(ops, o), append(at, w.s.loop.Now())
@@ -159,7 +159,7 @@
 				g.pass()
 				w.dial().ask("BLK.READ", piece, "warm", terms("read", 9000, 0))
 				time.Sleep(2 * minConnRest)
-				w.on(func() { w.module.Module = &later{after: 40 * time.Millisecond} })
+				w.on(func() { w.module.DecisionModule = &later{after: 40 * time.Millisecond} })
 			}
 			c := w.dial()
 			c.send("BLK.READ", piece, "a", terms("read", 60, 0))
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -113,7 +113,7 @@
 					t.Fatalf("command id %d was sent %d times and answered %d times", cid, sent[cid], n)
 				}
 			}
-			if held := io.s.buffers.Held; held > io.s.offer.Held+io.s.offer.MaxTransfer+16*8192 {
+			if held := io.s.buffers.InUse; held > io.s.offer.Held+io.s.offer.MaxTransfer+16*8192 {
 				t.Fatalf("%d bytes held", held)
 			}
 		}
@@ -135,8 +135,8 @@
 		if io.begun != 0 {
 			t.Fatalf("%d commands count for their peer after the end", io.begun)
 		}
-		if open > 0 || io.s.buffers.Held != 0 || len(io.s.subs.byID) != 0 {
-			t.Fatalf("%d commands open, %d bytes held, %d associations after the end", open, io.s.buffers.Held, len(io.s.subs.byID))
+		if open > 0 || io.s.buffers.InUse != 0 || len(io.s.subs.byID) != 0 {
+			t.Fatalf("%d commands open, %d bytes held, %d associations after the end", open, io.s.buffers.InUse, len(io.s.subs.byID))
 		}
 	})
 }
--- a/target/model_test.go
+++ b/target/model_test.go
@@ -332,7 +332,7 @@
 			io.s.buffers.Put(c.Data)
 		}
 		io.s.Ended()
-		if held := io.s.buffers.Held; held != 0 {
+		if held := io.s.buffers.InUse; held != 0 {
 			t.Fatalf("%d bytes held after the end", held)
 		}
 	})
--- a/target/server.go
+++ b/target/server.go
@@ -50,7 +50,7 @@
 // Listen starts a server at an address.
 func Listen(l *eventloop.Loop, address string, offer Settings, handler Handler) (*Server, error) {
 	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peerlimit.New(peerlimit.Settings{}), Judged: func(string, string, time.Duration) {}}
-	s.Buffers.Keep, s.Buffers.Stats = offer.Held, &l.Stats
+	s.Buffers.MaxKept, s.Buffers.Stats = offer.Held, &l.Stats
 	s.subs.byID = map[uint16]*controller{}
 	var err error
 	if s.listener, err = l.Listen(address, s.accept); err != nil {
@@ -115,7 +115,7 @@
 		return nil
 	}
 	now := s.loop.Now()
-	c := &conn{Conn: raw, server: s, deaf: s.Deaf, peer: raw.Peer.String()}
+	c := &conn{Conn: raw, server: s, deaf: s.Deaf, peer: raw.RemoteIP.String()}
 	if v := s.Guard.Open(now, c.peer); v != peerlimit.Admit {
 		s.Refused++
 		s.Judged(c.peer, v.String(), 0)
--- a/target/session.go
+++ b/target/session.go
@@ -434,7 +434,7 @@
 		switch {
 		case c.state != receiving || s.phase == phaseEnded:
 			continue
-		case buffers.Held > 0 && buffers.Held+c.Bytes > o.Held:
+		case buffers.InUse > 0 && buffers.InUse+c.Bytes > o.Held:
 			a.waiting = append(a.waiting, waiting[i:]...)
 			return
 		case !s.ask(c.Bytes):
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -212,7 +212,7 @@
 		if len(io.taken) == 0 || len(io.lapsed) != len(io.taken) {
 			t.Errorf("%s: %d taken, %d lapsed", name, len(io.taken), len(io.lapsed))
 		}
-		if held := io.s.buffers.Held; held != 0 {
+		if held := io.s.buffers.InUse; held != 0 {
 			t.Errorf("%s: %d bytes are still held", name, held)
 		}
 	}
@@ -246,7 +246,7 @@
 		t.Error("a receiving command was not aborted")
 	}
 	io.say(io.host.AppendData(nil, nvme.TypeH2CData, nvme.FlagLast, 8, p[0].TTAG(), 0, make([]byte, 8192)))
-	if io.ended || len(io.taken) != 1 || io.s.buffers.Held != 0 {
+	if io.ended || len(io.taken) != 1 || io.s.buffers.InUse != 0 {
 		t.Error("data of an aborted Write was not dropped")
 	}
 }
