--- /dev/null
+++ b/inflight/tracker.go
@@ -0,0 +1,236 @@
+// Package inflight tracks the ops and dispatches in flight of one instance, between a decision module and the code
+// that talks to clients and disk servers. It hands what happens to the module as events and executes the module's
+// actions. It knows no protocol and makes no decisions.
+//
+// A Tracker guarantees that
+//   - each op that was admitted has one final answer, unless its client has gone before,
+//   - each dispatch has one timer and one outcome, and
+//   - the module handles one event at a time, in the order in which they happened.
+//
+// A Tracker and all that it calls run on the goroutine of its event loop.
+package inflight
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"honeyplank"
+	"honeyplank/eventloop"
+)
+
+// DecisionModule makes the decisions: policy.Scheduler, or a baseline to measure against.
+type DecisionModule interface {
+	// Handle returns the actions that follow from an event. The time is on the clock of the event loop.
+	Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action
+}
+
+// Client receives the final answer of an op. One of its methods is called for each op admitted, once, and none after
+// Tracker.ClientGone.
+type Client interface {
+	// Succeeded brings the data of the first dispatch that succeeded.
+	Succeeded(data []byte)
+	// Rejected tells that the op did not run and may be tried again after a time; 0 gives no advice.
+	Rejected(retryAfter time.Duration)
+	// Failed makes no promise: the op may have run.
+	Failed()
+}
+
+// Sender sends dispatches to disk servers.
+type Sender interface {
+	// Send sends a dispatch to its disk server. It must lead to a call of Dispatch.Finish or to Cancel.
+	Send(dispatch *Dispatch)
+	// Written tells whether the last byte has left, so that the op may run.
+	Written(dispatch *Dispatch) bool
+	// Cancel gives a dispatch up; the sender discards an answer that still comes.
+	Cancel(dispatch *Dispatch)
+}
+
+// Counts are totals since the Tracker was made.
+type Counts struct {
+	// Admitted counts ops, the other four how they ended.
+	Admitted, Succeeded, Rejected, Failed, ClientsGone int
+	// Dispatches counts the dispatches that the module ordered, also those that were not sent.
+	Dispatches int
+	// Events counts the events that the module has handled.
+	Events int
+}
+
+// Tracker holds the ops and dispatches in flight of one instance. Its methods must be called on the event loop.
+type Tracker struct {
+	Counts Counts
+	// OnAction executes the module's actions that concern neither ops nor timers.
+	OnAction func(honeyplank.Action)
+	// OnIdle, where set, is called after each event that leaves no op without an answer.
+	OnIdle func()
+
+	loop            *eventloop.Loop
+	module          DecisionModule
+	sender          Sender
+	events          []honeyplank.Event // not handled yet
+	delivering      bool               // Deliver runs
+	ops             map[honeyplank.OpID]*op
+	unansweredCount int
+	lastSequence    uint64
+}
+
+// op is an op that the module knows. It is kept until it is answered and each of its dispatches has an outcome.
+type op struct {
+	id               honeyplank.OpID
+	sequence         uint64 // in the order of admission
+	client           Client
+	deadline         time.Duration // clock time by which it must have its answer
+	dispatches       []*Dispatch
+	firstDispatch    Dispatch // in place, since most ops need no other
+	inlineDispatches [1]*Dispatch
+	outstanding      int  // dispatches without an outcome
+	answered         bool // answered, or its client has gone
+}
+
+// New returns a Tracker without ops.
+func New(loop *eventloop.Loop, module DecisionModule, sender Sender) *Tracker {
+	return &Tracker{
+		loop:     loop,
+		module:   module,
+		sender:   sender,
+		OnAction: func(honeyplank.Action) {},
+		ops:      map[honeyplank.OpID]*op{},
+	}
+}
+
+// Admit takes an op and tells the module of it. It reports false, and does nothing, where an op with the same id is
+// still in flight.
+func (t *Tracker) Admit(event honeyplank.Op, client Client) bool {
+	if t.ops[event.ID] != nil {
+		return false
+	}
+	t.lastSequence++
+	t.ops[event.ID] = &op{id: event.ID, sequence: t.lastSequence, client: client, deadline: event.Timeout}
+	t.unansweredCount++
+	t.Counts.Admitted++
+	t.Deliver(event)
+	return true
+}
+
+// ClientGone ends an op whose client has closed or cancelled, and tells the module so.
+func (t *Tracker) ClientGone(id honeyplank.OpID) {
+	if o := t.unansweredOp(id); o != nil {
+		t.Counts.ClientsGone++
+		t.markAnswered(o)
+		t.Deliver(honeyplank.ClientGone{Op: id})
+		t.cancelUnsent(o)
+	}
+}
+
+// FailAll answers each op that has no answer yet with Failed, in the order of admission.
+func (t *Tracker) FailAll() {
+	var unanswered []*op
+	for _, o := range t.ops {
+		if !o.answered {
+			unanswered = append(unanswered, o)
+		}
+	}
+	slices.SortFunc(unanswered, func(a, b *op) int { return cmp.Compare(a.sequence, b.sequence) })
+	for _, o := range unanswered {
+		if o.answered { // the module has answered it meanwhile
+			continue
+		}
+		t.Counts.Failed++
+		t.markAnswered(o)
+		o.client.Failed()
+		t.Deliver(honeyplank.ClientGone{Op: o.id})
+		t.cancelUnsent(o)
+	}
+}
+
+// Unanswered is the number of ops without a final answer.
+func (t *Tracker) Unanswered() int { return t.unansweredCount }
+
+// Outstanding is the number of dispatches without an outcome.
+func (t *Tracker) Outstanding() int {
+	count := 0
+	for _, o := range t.ops {
+		count += o.outstanding
+	}
+	return count
+}
+
+// Deliver has the module handle an event and executes its actions. Events that these cause are handled afterwards, in
+// the order in which they come.
+func (t *Tracker) Deliver(event honeyplank.Event) {
+	t.events = append(t.events, event)
+	if t.delivering {
+		return
+	}
+	t.delivering = true
+	for i := 0; i < len(t.events); i++ { // it may grow meanwhile
+		t.Counts.Events++
+		for _, action := range t.module.Handle(t.loop.Now(), t.events[i]) {
+			t.execute(action)
+		}
+		t.events[i] = nil
+	}
+	t.events, t.delivering = t.events[:0], false
+	if t.unansweredCount == 0 && t.OnIdle != nil {
+		t.OnIdle()
+	}
+}
+
+// execute does what an action says. Actions on ops that are no longer in flight do nothing.
+func (t *Tracker) execute(action honeyplank.Action) {
+	switch a := action.(type) {
+	case honeyplank.Dispatch:
+		t.dispatch(a)
+	case honeyplank.Reject:
+		t.reject(a)
+	case honeyplank.Fail:
+		t.fail(a)
+	case honeyplank.Cancel:
+		if o := t.ops[a.Op]; o != nil && a.Dispatch >= 0 && a.Dispatch < len(o.dispatches) {
+			o.dispatches[a.Dispatch].cancel(honeyplank.Cancelled)
+		}
+	case honeyplank.SetTimer:
+		t.loop.Schedule(a.At, func() { t.Deliver(honeyplank.Timer{Name: a.Name}) })
+	default:
+		t.OnAction(action)
+	}
+}
+
+func (t *Tracker) reject(action honeyplank.Reject) {
+	if o := t.unansweredOp(action.Op); o != nil {
+		t.Counts.Rejected++
+		t.markAnswered(o)
+		o.client.Rejected(action.RetryAfter)
+		t.cancelUnsent(o)
+	}
+}
+
+func (t *Tracker) fail(action honeyplank.Fail) {
+	if o := t.unansweredOp(action.Op); o != nil {
+		t.Counts.Failed++
+		t.markAnswered(o)
+		o.client.Failed()
+		t.cancelUnsent(o)
+	}
+}
+
+// unansweredOp is the op with an id if it has no answer yet, else nil.
+func (t *Tracker) unansweredOp(id honeyplank.OpID) *op {
+	if o := t.ops[id]; o != nil && !o.answered {
+		return o
+	}
+	return nil
+}
+
+// markAnswered notes that an op gets no further answer.
+func (t *Tracker) markAnswered(o *op) {
+	o.answered = true
+	t.unansweredCount--
+	t.removeIfDone(o)
+}
+
+func (t *Tracker) removeIfDone(o *op) {
+	if o.answered && o.outstanding == 0 {
+		delete(t.ops, o.id)
+	}
+}
--- /dev/null
+++ b/inflight/tracker_test.go
@@ -0,0 +1,351 @@
+package inflight
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"honeyplank"
+	"honeyplank/eventloop"
+)
+
+// harness is a Tracker whose decision module and Sender are played by a test.
+type harness struct {
+	t         *testing.T
+	loop      *eventloop.Loop
+	tracker   *Tracker
+	decide    func(honeyplank.Event) []honeyplank.Action
+	onSend    func(*Dispatch) // where set, is called by Send
+	events    []honeyplank.Event
+	sent      []*Dispatch
+	cancelled []*Dispatch
+	written   map[*Dispatch]bool
+}
+
+// recordingClient lists the answers that it gets.
+type recordingClient struct{ answers []string }
+
+func (c *recordingClient) Succeeded(data []byte) {
+	c.answers = append(c.answers, "succeeded "+string(data))
+}
+func (c *recordingClient) Rejected(after time.Duration) {
+	c.answers = append(c.answers, "rejected "+after.String())
+}
+func (c *recordingClient) Failed() { c.answers = append(c.answers, "failed") }
+
+func (h *harness) Handle(_ time.Duration, e honeyplank.Event) []honeyplank.Action {
+	h.events = append(h.events, e)
+	return h.decide(e)
+}
+
+func (h *harness) Send(d *Dispatch) {
+	h.sent = append(h.sent, d)
+	if h.onSend != nil {
+		h.onSend(d)
+	}
+}
+func (h *harness) Written(d *Dispatch) bool { return h.written[d] }
+func (h *harness) Cancel(d *Dispatch)       { h.cancelled = append(h.cancelled, d) }
+
+// newHarness has a module that dispatches each op once and fails it unless that succeeds.
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	loop, err := eventloop.New(time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := &harness{t: t, loop: loop, written: map[*Dispatch]bool{}}
+	h.tracker = New(loop, h, h)
+	h.decide = func(e honeyplank.Event) []honeyplank.Action {
+		switch e := e.(type) {
+		case honeyplank.Op:
+			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x"}}
+		case honeyplank.Outcome:
+			if !e.Answered {
+				return []honeyplank.Action{honeyplank.Fail{Op: e.Op}}
+			}
+		}
+		return nil
+	}
+	return h
+}
+
+// run runs the loop for a time.
+func (h *harness) run(d time.Duration) {
+	h.t.Helper()
+	h.loop.Schedule(h.loop.Now()+d, h.loop.Stop)
+	if err := h.loop.Run(); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// admit admits an op that must have its answer within a time from now.
+func (h *harness) admit(id string, within time.Duration) *recordingClient {
+	h.t.Helper()
+	client := &recordingClient{}
+	if !h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: h.loop.Now() + within}, client) {
+		h.t.Fatalf("op %s is not admitted", id)
+	}
+	return client
+}
+
+func (h *harness) outcomes() (list []honeyplank.Outcome) {
+	for _, e := range h.events {
+		if o, ok := e.(honeyplank.Outcome); ok {
+			list = append(list, o)
+		}
+	}
+	return list
+}
+
+func expectAnswers(t *testing.T, c *recordingClient, want ...string) {
+	t.Helper()
+	if fmt.Sprint(c.answers) != fmt.Sprint(want) {
+		t.Errorf("answers %v, want %v", c.answers, want)
+	}
+}
+
+// TestFirstSuccessAnswers: the first success answers the op; a second outcome of the same dispatch, and a success of another, do not.
+func TestFirstSuccessAnswers(t *testing.T) {
+	h := newHarness(t)
+	h.decide = func(e honeyplank.Event) []honeyplank.Action {
+		if e, ok := e.(honeyplank.Op); ok {
+			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x"}, honeyplank.Dispatch{Op: e.ID, Server: "y"}}
+		}
+		return nil
+	}
+	client := h.admit("a", time.Second)
+	h.written[h.sent[0]], h.written[h.sent[1]] = true, true
+	h.sent[1].Finish(honeyplank.Succeeded, []byte("1"), Feedback{QuotaUsed: 3})
+	h.sent[1].Finish(honeyplank.Reset, nil, Feedback{})
+	if h.tracker.Unanswered() != 0 || h.tracker.Outstanding() != 1 {
+		t.Errorf("%d unanswered, %d outstanding", h.tracker.Unanswered(), h.tracker.Outstanding())
+	}
+	h.sent[0].Finish(honeyplank.Succeeded, []byte("2"), Feedback{})
+	expectAnswers(t, client, "succeeded 1")
+	got := h.outcomes()
+	if len(got) != 2 || got[0].Dispatch != 1 || got[0].QuotaUsed != 3 || !got[0].Answered || got[1].Dispatch != 0 || !got[1].Answered {
+		t.Errorf("%+v", got)
+	}
+	if len(h.tracker.ops) != 0 {
+		t.Error("an op that is over is kept")
+	}
+}
+
+// TestOpDeadline: at the deadline a dispatch that was written has timed out and one that was not counts as a failed
+// connect; the sender cancels both.
+func TestOpDeadline(t *testing.T) {
+	h := newHarness(t)
+	written, unwritten := h.admit("a", 20*time.Millisecond), h.admit("b", 20*time.Millisecond)
+	h.written[h.sent[0]] = true
+	h.run(60 * time.Millisecond)
+	expectAnswers(t, written, "failed")
+	expectAnswers(t, unwritten, "failed")
+	got := h.outcomes()
+	if len(got) != 2 || got[0].Code != honeyplank.TimedOut || got[1].Code != honeyplank.ConnectFailed || len(h.cancelled) != 2 {
+		t.Errorf("%+v, %d cancelled", got, len(h.cancelled))
+	}
+}
+
+// TestDispatchTimeout: a dispatch's own timeout ends it before the op's deadline.
+func TestDispatchTimeout(t *testing.T) {
+	h := newHarness(t)
+	h.decide = func(e honeyplank.Event) []honeyplank.Action {
+		switch e := e.(type) {
+		case honeyplank.Op:
+			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x", Timeout: 10 * time.Millisecond}}
+		case honeyplank.Outcome:
+			return []honeyplank.Action{honeyplank.Reject{Op: e.Op, RetryAfter: time.Second}}
+		}
+		return nil
+	}
+	client := h.admit("a", time.Hour)
+	h.run(40 * time.Millisecond)
+	expectAnswers(t, client, "rejected 1s")
+}
+
+// TestDuplicateID: an id is refused while its op has no answer, or a dispatch of it has no outcome.
+func TestDuplicateID(t *testing.T) {
+	h := newHarness(t)
+	first, again := h.admit("a", time.Second), &recordingClient{}
+	if h.tracker.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+		t.Error("an id without an answer is admitted twice")
+	}
+	h.written[h.sent[0]] = true
+	h.tracker.ClientGone("a")
+	if h.tracker.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+		t.Error("an id with a dispatch outstanding is admitted twice")
+	}
+	h.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
+	expectAnswers(t, first)
+	expectAnswers(t, again)
+	if !h.tracker.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+		t.Error("an id that is over is not admitted")
+	}
+}
+
+// TestCancelUnsent: once an op is over, because its client has gone, it was answered or all ops fail, its dispatches that
+// are not written are cancelled and reported as not sent; those that are written are waited for.
+func TestCancelUnsent(t *testing.T) {
+	for name, end := range map[string]func(*harness){
+		"client gone": func(h *harness) { h.tracker.ClientGone("a") },
+		"succeeded":   func(h *harness) { h.sent[1].Finish(honeyplank.Succeeded, nil, Feedback{}) },
+		"rejected":    func(h *harness) { h.tracker.execute(honeyplank.Reject{Op: "a"}) },
+		"failed":      func(h *harness) { h.tracker.execute(honeyplank.Fail{Op: "a"}) },
+		"fail all":    func(h *harness) { h.tracker.FailAll() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			h.decide = func(e honeyplank.Event) []honeyplank.Action {
+				if e, ok := e.(honeyplank.Op); ok {
+					d := honeyplank.Dispatch{Op: e.ID, Server: "x"}
+					return []honeyplank.Action{d, d, d}
+				}
+				return nil
+			}
+			h.admit("a", time.Second)
+			h.written[h.sent[0]], h.written[h.sent[1]] = true, true
+			end(h)
+			if len(h.cancelled) != 1 || h.cancelled[0] != h.sent[2] || !h.sent[2].Ended() {
+				t.Errorf("%d dispatches are cancelled", len(h.cancelled))
+			}
+			var notSent []int
+			for _, o := range h.outcomes() {
+				if o.Code == honeyplank.NotSent && o.Answered {
+					notSent = append(notSent, o.Dispatch)
+				}
+			}
+			if fmt.Sprint(notSent) != "[2]" {
+				t.Errorf("dispatches %v are reported as not sent, want [2]", notSent)
+			}
+			h.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
+			h.sent[1].Finish(honeyplank.Succeeded, nil, Feedback{})
+			if h.tracker.Outstanding() != 0 || len(h.tracker.ops) != 0 {
+				t.Errorf("%d outstanding, %d ops kept", h.tracker.Outstanding(), len(h.tracker.ops))
+			}
+		})
+	}
+}
+
+// TestEventsAreHandledInOrder: an event that comes while the module handles another waits.
+func TestEventsAreHandledInOrder(t *testing.T) {
+	h := newHarness(t)
+	h.onSend = func(d *Dispatch) { d.Finish(honeyplank.Rejected, nil, Feedback{}) }
+	depth, maxDepth := 0, 0
+	decide := h.decide
+	h.decide = func(e honeyplank.Event) []honeyplank.Action {
+		depth++
+		maxDepth = max(maxDepth, depth)
+		defer func() { depth-- }()
+		return decide(e)
+	}
+	client := h.admit("a", time.Second)
+	expectAnswers(t, client, "failed")
+	if maxDepth != 1 || len(h.events) != 2 {
+		t.Errorf("%d events, %d at a time", len(h.events), maxDepth)
+	}
+}
+
+// TestNotSentPastDeadline: an op whose deadline has passed is not sent.
+func TestNotSentPastDeadline(t *testing.T) {
+	h := newHarness(t)
+	client := h.admit("a", 0)
+	expectAnswers(t, client, "failed")
+	if got := h.outcomes(); len(got) != 1 || got[0].Code != honeyplank.NotSent || len(h.sent) != 0 {
+		t.Errorf("%+v, %d sent", got, len(h.sent))
+	}
+}
+
+// TestFailAll: all ops fail in the order of admission.
+func TestFailAll(t *testing.T) {
+	h := newHarness(t)
+	var order []string
+	for i := range 20 {
+		id := fmt.Sprint(i)
+		h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: time.Hour}, &funcClient{func(string) { order = append(order, id) }})
+	}
+	h.tracker.FailAll()
+	if fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19]" || h.tracker.Unanswered() != 0 {
+		t.Errorf("%v, %d unanswered", order, h.tracker.Unanswered())
+	}
+}
+
+// funcClient calls a function for each answer.
+type funcClient struct{ onAnswer func(string) }
+
+func (c *funcClient) Succeeded([]byte)       { c.onAnswer("succeeded") }
+func (c *funcClient) Rejected(time.Duration) { c.onAnswer("rejected") }
+func (c *funcClient) Failed()                { c.onAnswer("failed") }
+
+// FuzzTracker plays any module and any sender: each op has at most one answer, and one in the end unless its client has
+// gone; each dispatch has one outcome.
+func FuzzTracker(f *testing.F) {
+	for seed := range int64(8) {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, seed int64) {
+		rng := rand.New(rand.NewSource(seed))
+		h := newHarness(t)
+		defer h.loop.Run()
+		defer h.loop.Stop()
+		outcomes := map[string]int{}
+		h.decide = func(e honeyplank.Event) (out []honeyplank.Action) {
+			if o, ok := e.(honeyplank.Outcome); ok {
+				outcomes[fmt.Sprintf("%s/%d", o.Op, o.Dispatch)]++
+			}
+			for range rng.Intn(3) {
+				id := honeyplank.OpID(fmt.Sprint(rng.Intn(30)))
+				switch rng.Intn(5) {
+				case 0, 1:
+					if h.tracker.ops[id] != nil {
+						out = append(out, honeyplank.Dispatch{Op: id, Server: "x"})
+					}
+				case 2:
+					out = append(out, honeyplank.Reject{Op: id})
+				case 3:
+					out = append(out, honeyplank.Fail{Op: id})
+				case 4:
+					out = append(out, honeyplank.Cancel{Op: id, Dispatch: rng.Intn(3)})
+				}
+			}
+			return out
+		}
+		answers, gone, admitted := map[int]int{}, map[int]bool{}, 0
+		for i := range 30 {
+			h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Timeout: time.Hour}, &funcClient{func(string) { answers[i]++ }})
+			admitted++
+			if len(h.sent) > 0 && rng.Intn(2) == 0 {
+				h.sent[rng.Intn(len(h.sent))].Finish(honeyplank.Code(1+rng.Intn(8)), nil, Feedback{})
+			}
+			if n := rng.Intn(30); n <= i && rng.Intn(4) == 0 {
+				gone[n] = gone[n] || answers[n] == 0
+				h.tracker.ClientGone(honeyplank.OpID(fmt.Sprint(n)))
+			}
+		}
+		h.tracker.FailAll()
+		for len(h.sent) > 0 {
+			d := h.sent[0]
+			h.sent = h.sent[1:]
+			d.Finish(honeyplank.TimedOut, nil, Feedback{})
+		}
+		for i := range admitted {
+			if want := 1; gone[i] {
+				want = 0
+				if answers[i] != want {
+					t.Fatalf("the client of op %d has gone, and it has %d answers", i, answers[i])
+				}
+			} else if answers[i] != want {
+				t.Fatalf("op %d has %d answers", i, answers[i])
+			}
+		}
+		for name, n := range outcomes {
+			if n != 1 {
+				t.Fatalf("dispatch %s has %d outcomes", name, n)
+			}
+		}
+		if h.tracker.Unanswered() != 0 || len(outcomes) != h.tracker.Counts.Dispatches {
+			t.Fatalf("%d unanswered, %d outcomes of %d dispatches", h.tracker.Unanswered(), len(outcomes), h.tracker.Counts.Dispatches)
+		}
+	})
+}
