--- a/eventloop/buffers.go
+++ b/eventloop/buffers.go
@@ -2,53 +2,57 @@
 
 import "math/bits"
 
-// Buffers is a pool of byte slices in powers of two, of one loop. What it keeps for later use is bounded;
-// what is out is counted, so that its owner can hold back.
+// Buffers is a pool of byte slices whose capacities are powers of two. It bounds what it keeps for later use and counts what is
+// in use, so that its owner can limit that. It must be used on one loop only.
 type Buffers struct {
-	// MaxKept bounds the bytes kept for later use.
+	// MaxKept is the most that is kept for later use, in bytes.
 	MaxKept int
-	// InUse is how many bytes are out now.
+	// InUse is the capacity of the slices that Get has returned and Put has not taken back, in bytes.
 	InUse int
-	// Stats, where set, counts the bytes that its users copy.
+	// Stats, where set, counts the bytes that users of the pool copy.
 	Stats *Stats
-	kept  int
-	free  [32][][]byte
+
+	kept int                   // bytes
+	free [sizeClasses][][]byte // by the power of two
 }
 
-// Get returns a slice of n bytes with any content.
-func (p *Buffers) Get(n int) []byte {
+// sizeClasses is the number of powers of two that the pool distinguishes: the largest slice has 2 GiB.
+const sizeClasses = 32
+
+// Get returns a slice of n bytes, whose content is undefined.
+func (pool *Buffers) Get(n int) []byte {
 	if n == 0 {
 		return nil
 	}
 	class := bits.Len(uint(n - 1))
 	size := 1 << class
-	p.InUse += size
-	if list := p.free[class]; len(list) > 0 {
+	pool.InUse += size
+	if list := pool.free[class]; len(list) > 0 {
 		b := list[len(list)-1]
 		list[len(list)-1] = nil
-		p.free[class] = list[:len(list)-1]
-		p.kept -= size
+		pool.free[class] = list[:len(list)-1]
+		pool.kept -= size
 		return b[:n]
 	}
 	return make([]byte, size)[:n]
 }
 
-// Put takes a slice back that came from Get and is used no more.
-func (p *Buffers) Put(b []byte) {
+// Put takes back a slice that came from Get. The caller must not use it any more.
+func (pool *Buffers) Put(b []byte) {
 	size := cap(b)
 	if size == 0 {
 		return
 	}
-	p.InUse -= size
-	if class := bits.Len(uint(size - 1)); p.kept+size <= p.MaxKept {
-		p.kept += size
-		p.free[class] = append(p.free[class], b)
+	pool.InUse -= size
+	if class := bits.Len(uint(size - 1)); pool.kept+size <= pool.MaxKept {
+		pool.kept += size
+		pool.free[class] = append(pool.free[class], b)
 	}
 }
 
-// Copied notes that bytes were copied into or out of a buffer.
-func (p *Buffers) Copied(n int) {
-	if p.Stats != nil {
-		p.Stats.Copied.Add(int64(n))
+// Copied counts n bytes that were copied into or out of a buffer.
+func (pool *Buffers) Copied(n int) {
+	if pool.Stats != nil {
+		pool.Stats.Copied.Add(int64(n))
 	}
 }
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -10,200 +10,173 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is told what becomes of a connection.
+// Handler is what a connection calls. All calls are made on the loop.
 type Handler interface {
-	// Opened tells that a dialled connection stands.
-	Opened(*Conn)
-	// Input hands over bytes and returns how many were used; the rest comes again with more behind it.
+	// Opened tells that a dialled connection is established.
+	Opened(c *Conn)
+	// Input brings bytes that were received and returns how many of them it has used. The rest is offered again, with what
+	// follows it. The handler must not keep b.
 	Input(c *Conn, b []byte) int
-	// Closed tells, once, that the connection is gone; err is nil if the other end closed it in order. It is
-	// not called for Close.
+	// Closed tells, once, that the connection has ended; err is nil if the other end closed it in order. It is not called
+	// after Close, Abort, CloseGracefully and CloseAfterFlush.
 	Closed(c *Conn, err error)
 }
 
-// FaultFilter changes bytes on their way; what it keeps back it gives at a later call, see Conn.Stir.
+// FaultFilter changes bytes on their way, for fault injection. What it holds back it returns from a later call, see
+// Conn.FlushFilter.
 type FaultFilter interface {
+	// In returns what the handler gets in place of received bytes.
 	In(b []byte) []byte
+	// Out returns what is written in place of bytes of Conn.Out.
 	Out(b []byte) []byte
 }
 
-// Conn is a TCP connection on a loop.
+// Conn is a TCP connection on a loop. Its fields and methods must be used on the loop only.
 type Conn struct {
-	// Out is what is to be sent; append to it and call Send.
+	// Out is the output: append to it and call Send.
 	Out []byte
-	// Tap, where set, sees the bytes that cross the socket, in order; sent tells which way. No bytes: the end.
+	// Tap, where set, sees the bytes that cross the socket, in order; sent tells their direction. It is called without
+	// bytes when the socket is closed.
 	Tap func(sent bool, b []byte)
-	// FaultFilter, where set, stands between socket and handler and changes what crosses: the faults of a stand-in's wire.
+	// FaultFilter, where set, changes the bytes between socket and handler.
 	FaultFilter FaultFilter
-	// RemoteIP is who connected; not set for a connection that was dialled.
+	// RemoteIP is the address of the client of an accepted connection; it is not set on a dialled one.
 	RemoteIP netip.Addr
-	// MaxRead, where set, is how much one read takes at most.
+	// MaxRead, where positive, is the most that one read takes, in bytes.
 	MaxRead int
 	// BeforeWrite, where set, is called before bytes of Out are written, and may change what is unsent.
 	BeforeWrite func()
 	// OnClosed, where set, is called once the socket is closed, by whichever end.
 	OnClosed func()
-	// NotifyHalfClose has Closed told at once when the other end has ended its sending, also while the connection is paused;
-	// what came before that and was not read is lost. It must be set before the connection is on the loop.
+	// NotifyHalfClose has Closed called at once when the other end has ended its sending, also while the connection is
+	// paused; what came before that and was not read is lost. It must be set before the connection is on the loop.
 	NotifyHalfClose bool
 
-	loop          *Loop
-	fd            int
-	handler       Handler
-	buffered      []byte // read and not yet used
-	sent          int    // bytes of Out that are gone already
-	filtered      int    // bytes of Out that Bend has passed
-	events        uint32 // what epoll watches
-	watched       bool   // epoll does
-	dialing       bool
-	paused        bool
-	queued        bool
-	closed        bool
-	closing       bool          // close once Out is sent
-	writeClosed   bool          // it is, and the other end has been told so
-	closeDelay    time.Duration // from then until the close, after Drop
-	receivedAfter time.Duration // what was read last has come after this,
-	looked        time.Duration // and before this
-	held          bool          // it was not all, or reading has stopped since
-	resumed       uint64        // the look before reading went on
+	loop    *Loop
+	fd      int
+	handler Handler
+
+	input    []byte // read, and not used by the handler yet
+	written  int    // bytes of Out that are written already
+	filtered int    // bytes of Out that FaultFilter has passed
+	arrival  arrival
+
+	interest    uint32 // events that epoll watches
+	registered  bool   // the descriptor is in epoll's interest list
+	dialing     bool   // not established yet
+	paused      bool   // nothing is read
+	writeQueued bool   // it is in loop.pendingWrites
+
+	closed      bool          // the socket is closed
+	closing     bool          // the socket is closed once Out is written
+	writeClosed bool          // Out is written, and the other end has been told that nothing follows
+	closeDelay  time.Duration // from then until the close, after CloseAfterFlush and CloseGracefully
 }
 
-func (c *Conn) Loop() *Loop { return c.loop }
-
-// UnsentBytes is how many bytes of Out wait for the other end to read.
-func (c *Conn) UnsentBytes() int { return len(c.Out) - c.sent }
-
-// DiscardUnsent takes back bytes of what is unsent: those from one place in it up to another. It must not be used with Bend.
-func (c *Conn) DiscardUnsent(from, to int) { c.Out = slices.Delete(c.Out, c.sent+from, c.sent+to) }
-
-// Send has Out written at the end of the round.
-func (c *Conn) Send() {
-	if !c.queued && !c.closed && !c.dialing && len(c.Out) > c.sent {
-		c.queued = true
-		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
-	}
+// arrival bounds when the input of a connection has arrived. What waits in the socket while the loop is held up, or the
+// connection paused, has arrived earlier than it is read.
+type arrival struct {
+	after    time.Duration // what was read last has arrived after this
+	lastPoll time.Duration // the poll that the last read followed
+	backlog  bool          // that read did not take all there was, or reading was paused since
+	resumed  uint64        // number of the poll at which reading went on
 }
 
-// BufferedBytes is how many bytes have come and were not used: a part of what the handler waits for.
-func (c *Conn) BufferedBytes() int { return len(c.buffered) }
-
-// ReceivedAfter is a time after which what was read last has come: what waits to be read while the loop is held up, or the
-// connection paused, has come earlier than it is read.
-func (c *Conn) ReceivedAfter() time.Duration { return c.receivedAfter }
-
-// noteArrival notes when what is being read may have come at the earliest.
-func (c *Conn) noteArrival(full bool) {
-	c.receivedAfter = c.loop.eventsAfter
-	if c.held && c.loop.polls <= c.resumed+1 { // it waited already when reading went on
-		c.receivedAfter = min(c.receivedAfter, c.looked)
+// note takes down a read. full tells that the read filled its buffer, so that more may wait.
+func (a *arrival) note(l *Loop, full bool) {
+	a.after = l.eventsAfter
+	if a.backlog && l.polls <= a.resumed+1 { // it waited already when reading went on
+		a.after = min(a.after, a.lastPoll)
 	}
-	c.looked, c.held, c.resumed = c.loop.lastPoll, full, c.loop.polls
+	a.lastPoll, a.backlog, a.resumed = l.lastPoll, full, l.polls
 }
 
-// Pause stops reading until Resume.
-func (c *Conn) Pause() { c.paused, c.held = true, true; c.updateInterest() }
-
-// Resume reads again. What came before and was not used is offered once more.
-func (c *Conn) Resume() {
-	if !c.paused || c.closed {
-		return
+// Dial starts a connection to an IP address and port; Opened or Closed of the handler tells how that ends.
+func (l *Loop) Dial(address string, handler Handler) (*Conn, error) {
+	to, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return nil, err
 	}
-	c.paused = false
-	c.resumed = c.loop.polls
-	c.updateInterest()
-	if len(c.buffered) > 0 {
-		c.loop.Schedule(0, func() { c.input(nil) })
+	fd, err := l.newSocket(to.Addr())
+	if err != nil {
+		return nil, err
 	}
-}
-
-// Close ends the connection at once, with a reset if data was left unread; Closed is not called, Ended is.
-func (c *Conn) Close() {
-	if !c.closed {
-		c.closed = true
-		c.loop.closeFile(c.fd)
-		if c.Tap != nil {
-			c.Tap(false, nil)
-		}
-		if c.OnClosed != nil {
-			c.OnClosed()
-		}
+	l.Stats.OtherCalls.Add(2)
+	err = l.sys.Connect(fd, sockaddr(to))
+	if err != nil && !connectGoesOn(err) {
+		l.sys.Close(fd)
+		return nil, err
+	}
+	c := &Conn{loop: l, fd: fd, handler: handler, dialing: true, interest: unix.EPOLLOUT, registered: true}
+	if err := l.add(fd, c.interest, c); err != nil {
+		return nil, err
 	}
+	return c, nil
 }
 
-// Abort ends the connection at once with a reset: what the other end's system has not taken yet never arrives.
-func (c *Conn) Abort() {
-	if !c.closed {
-		c.loop.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1})
-	}
-	c.Close()
+// connectGoesOn tells that the attempt to connect goes on in the background: connect(2) returns EINPROGRESS on a socket that
+// does not block, and EINTR does not end the attempt either.
+func connectGoesOn(err error) bool {
+	return errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR)
 }
 
-// gracefulCloseTimeout is how long Finish waits for an end that does not close once all is sent, unread for one that does not read.
-const (
-	gracefulCloseTimeout = time.Second
-	unreadCloseTimeout   = 10 * time.Second
-)
+// Loop is the loop that serves the connection.
+func (c *Conn) Loop() *Loop { return c.loop }
 
-// CloseGracefully ends the connection in order: what is in Out is sent, then no more, and the socket is closed once the
-// other end has closed too, or a second has passed. Closing at once would have the kernel answer what still
-// comes with a reset, which can take from the other end what it has not read yet. Nothing more is read: a request
-// that crosses the end stays unread, so that its sender may send it again.
-func (c *Conn) CloseGracefully() {
-	if c.closing || c.closed {
-		return
-	}
-	if c.dialing {
-		c.Close()
-		return
-	}
-	c.closing, c.buffered, c.closeDelay = true, nil, gracefulCloseTimeout
-	c.Pause()
-	c.write()
-	c.loop.Schedule(c.loop.Now()+unreadCloseTimeout, c.Close)
+// UnsentBytes is the number of bytes of Out that are not written to the socket yet.
+func (c *Conn) UnsentBytes() int { return len(c.Out) - c.written }
+
+// DiscardUnsent removes a range of the unsent bytes; from and to count from the first unsent byte. It must not be used
+// together with FaultFilter.
+func (c *Conn) DiscardUnsent(from, to int) {
+	c.Out = slices.Delete(c.Out, c.written+from, c.written+to)
 }
 
-// CloseAfterFlush ends a connection whose bytes are of no use: what is in Out is sent, nothing more is read, and the socket is
-// closed after a time in which the other end can read that, or a second later where it does not. Closed is not called.
-func (c *Conn) CloseAfterFlush(after time.Duration) {
-	if c.closing || c.closed {
-		return
+// Send has Out written at the end of the round.
+func (c *Conn) Send() {
+	if !c.writeQueued && !c.closed && !c.dialing && c.written < len(c.Out) {
+		c.writeQueued = true
+		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
 	}
-	c.closing, c.buffered, c.closeDelay = true, nil, after
-	c.Pause()
-	c.write()
-	c.loop.Schedule(c.loop.Now()+gracefulCloseTimeout+after, c.Close)
 }
 
-// ackPollInterval is how long after one look at what the other end has acknowledged the next follows.
-const ackPollInterval = 10 * time.Millisecond
+// BufferedBytes is the number of bytes that were received and not used: the start of what the handler waits for.
+func (c *Conn) BufferedBytes() int { return len(c.input) }
 
-// closeWhenAcked closes a connection that has ended its sending, once that takes nothing from the other end: a close over unread
-// bytes resets the connection, and what the other end has not acknowledged yet is lost with it.
-func (c *Conn) closeWhenAcked() {
-	if c.closed {
-		return
-	}
-	if c.UnackedBytes() == 0 || c.peerHasEnded() {
-		c.Close()
+// ReceivedAfter is a clock time after which the input read last has arrived. Input that waits while the loop is held up, or
+// the connection paused, is read later than it has arrived.
+func (c *Conn) ReceivedAfter() time.Duration { return c.arrival.after }
+
+// Pause stops reading until Resume.
+func (c *Conn) Pause() {
+	c.paused = true
+	c.arrival.backlog = true
+	c.updateInterest()
+}
+
+// Resume reads again. Input that was received before and not used is offered once more.
+func (c *Conn) Resume() {
+	if !c.paused || c.closed {
 		return
 	}
-	// The end of both directions would be told in every round.
-	if c.watched {
-		c.watched = false
-		c.loop.control(unix.EPOLL_CTL_DEL, c.fd, 0)
+	c.paused = false
+	c.arrival.resumed = c.loop.polls
+	c.updateInterest()
+	if len(c.input) > 0 {
+		c.loop.Schedule(0, func() { c.offerInput(nil) })
 	}
-	c.loop.Schedule(c.loop.Now()+ackPollInterval, c.closeWhenAcked)
 }
 
-// peerHasEnded tells that the other end has ended its sending and all of it has been read.
-func (c *Conn) peerHasEnded() bool {
-	c.loop.Stats.OtherCalls.Add(1)
-	n, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return n == 0 && err == nil
+// FlushFilter has FaultFilter return what it holds back.
+func (c *Conn) FlushFilter() {
+	if c.FaultFilter != nil && !c.closed && !c.dialing {
+		c.offerInput(c.FaultFilter.In(nil))
+		c.write()
+	}
 }
 
-// UnackedBytes is how many bytes the other end's system has not acknowledged, unsent ones included; 0 where the system does
-// not tell.
+// UnackedBytes is the number of bytes that the other end's system has not acknowledged (SIOCOUTQ, see tcp(7)), unsent ones
+// included. Where the system does not tell, it is the number of unsent bytes.
 func (c *Conn) UnackedBytes() int {
 	if c.closed || c.dialing {
 		return 0
@@ -216,157 +189,164 @@
 	return n + c.UnsentBytes()
 }
 
-// NoInputPending tells that nothing has come that was not read, the end of the connection included: what is sent now has
-// the next byte that comes for an answer.
+// maxInterruptions is how often in one round a call that does not wait is repeated after EINTR.
+const maxInterruptions = 16
+
+// NoInputPending tells that everything received so far has been used, and that the other end has not closed: bytes that come
+// from now on can answer what is sent now. It is false where that is not known.
 func (c *Conn) NoInputPending() bool {
-	if c.closed || c.dialing || len(c.buffered) > 0 {
+	if c.closed || c.dialing || len(c.input) > 0 {
 		return false
 	}
 	for range maxInterruptions {
-		c.loop.Stats.OtherCalls.Add(1)
-		_, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.small[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		if !errors.Is(err, unix.EINTR) {
+		if _, err := c.peek(); !errors.Is(err, unix.EINTR) {
 			return errors.Is(err, unix.EAGAIN)
 		}
 	}
 	return false
 }
 
-// maxInterruptions is how often a call that does not wait is made anew in one round after a signal has interrupted it.
-const maxInterruptions = 16
-
-func (c *Conn) closeWrite() {
-	c.writeClosed = true
-	c.loop.Stats.OtherCalls.Add(1)
-	c.loop.sys.Shutdown(c.fd, unix.SHUT_WR)
+// peerHasEnded tells that the other end has ended its sending and all of it has been read.
+func (c *Conn) peerHasEnded() bool {
+	n, err := c.peek()
+	return n == 0 && err == nil
 }
 
-func (c *Conn) fail(err error) {
-	if c.closed {
-		return
-	}
-	c.Close()
-	if !c.closing {
-		c.handler.Closed(c, err)
-	}
+// peek looks for one byte of input without taking it, see MSG_PEEK in recv(2). No byte and no error is the end of the stream.
+func (c *Conn) peek() (int, error) {
+	c.loop.Stats.OtherCalls.Add(1)
+	n, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.smallBuffer[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	return n, err
 }
 
+// updateInterest has epoll watch the events that the state of the connection asks for.
 func (c *Conn) updateInterest() {
-	var want uint32
-	if !c.paused && !c.dialing {
-		want |= unix.EPOLLIN
-	}
-	if c.NotifyHalfClose && !c.closing || c.writeClosed {
-		want |= unix.EPOLLRDHUP
-	}
-	if c.dialing || c.sent < len(c.Out) && !c.queued {
-		want |= unix.EPOLLOUT
-	}
-	if want == c.events || c.closed {
+	interest := c.wantedEvents()
+	if interest == c.interest || c.closed {
 		return
 	}
-	if c.watched {
-		if err := c.loop.control(unix.EPOLL_CTL_MOD, c.fd, want); err != nil {
+	if c.registered {
+		if err := c.loop.control(unix.EPOLL_CTL_MOD, c.fd, interest); err != nil {
 			c.failLater(err)
 			return
 		}
 	}
-	c.events = want
+	c.interest = interest
 }
 
-// failLater fails the connection once the call that runs now, which may be one of its handler, has returned.
-func (c *Conn) failLater(err error) {
-	c.loop.Schedule(0, func() { c.fail(err) })
-}
-
-// socketError is what the socket has failed with; nil: nothing that is known.
-func (c *Conn) socketError() error {
-	c.loop.Stats.OtherCalls.Add(1)
-	n, err := c.loop.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-	if err == nil && n != 0 {
-		err = unix.Errno(n)
+func (c *Conn) wantedEvents() uint32 {
+	var events uint32
+	if !c.paused && !c.dialing {
+		events |= unix.EPOLLIN
 	}
-	return err
+	if c.NotifyHalfClose && !c.closing || c.writeClosed {
+		events |= unix.EPOLLRDHUP
+	}
+	if c.dialing || c.written < len(c.Out) && !c.writeQueued {
+		events |= unix.EPOLLOUT
+	}
+	return events
 }
 
+// ready serves the events that epoll_wait(2) reports.
 func (c *Conn) ready(events uint32) {
 	if c.dialing {
-		c.dialing = false
-		if err := c.socketError(); err != nil {
-			c.fail(err)
-			return
-		}
-		c.handler.Opened(c)
-		c.updateInterest()
-		c.Send()
+		c.finishDial()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
 		c.write()
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR|unix.EPOLLRDHUP) != 0 && !c.closed {
-		switch {
-		case c.NotifyHalfClose && !c.closing && events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
-			c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
-		case c.NotifyHalfClose && !c.closing && events&unix.EPOLLRDHUP != 0:
-			c.fail(nil)
-		case !c.paused:
-			c.read()
-		case c.writeClosed && events&unix.EPOLLERR == 0:
-			c.closeWhenAcked()
-		case events&(unix.EPOLLHUP|unix.EPOLLERR) != 0:
-			c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
-		}
+		c.inputReady(events)
+	}
+}
+
+// finishDial takes up the result of the attempt to connect, which is SO_ERROR, see EINPROGRESS in connect(2).
+func (c *Conn) finishDial() {
+	c.dialing = false
+	if err := c.socketError(); err != nil {
+		c.fail(err)
+		return
+	}
+	c.handler.Opened(c)
+	c.updateInterest()
+	c.Send()
+}
+
+// inputReady serves input, the end of the stream and errors.
+func (c *Conn) inputReady(events uint32) {
+	broken := events&(unix.EPOLLHUP|unix.EPOLLERR) != 0
+	notifyHalfClose := c.NotifyHalfClose && !c.closing
+	switch {
+	case notifyHalfClose && broken:
+		c.failBroken()
+	case notifyHalfClose && events&unix.EPOLLRDHUP != 0:
+		c.fail(nil)
+	case !c.paused:
+		c.read()
+	case c.writeClosed && events&unix.EPOLLERR == 0:
+		c.closeWhenAcked()
+	case broken:
+		c.failBroken()
 	}
 }
 
+// failBroken fails a connection on which epoll reports EPOLLHUP or EPOLLERR.
+func (c *Conn) failBroken() {
+	c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
+}
+
+// socketError is the pending error of the socket (SO_ERROR, see socket(7)), or that of asking for it; nil: there is none.
+func (c *Conn) socketError() error {
+	c.loop.Stats.OtherCalls.Add(1)
+	errno, err := c.loop.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	if err == nil && errno != 0 {
+		err = unix.Errno(errno)
+	}
+	return err
+}
+
 func (c *Conn) read() {
 	c.loop.Stats.Reads.Add(1)
-	room := c.loop.readBuffer
+	buffer := c.loop.readBuffer
 	if c.MaxRead > 0 {
-		room = room[:min(c.MaxRead, len(room))]
+		buffer = buffer[:min(c.MaxRead, len(buffer))]
 	}
-	n, err := c.loop.sys.Read(c.fd, room)
+	n, err := c.loop.sys.Read(c.fd, buffer)
 	switch {
-	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
+	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR): // epoll reports the descriptor again
 	case err != nil:
 		c.fail(err)
 	case n == 0:
 		c.fail(nil)
 	default:
-		c.loop.Stats.BytesIn.Add(int64(n))
-		c.noteArrival(n == len(room))
-		if c.Tap != nil {
-			c.Tap(false, c.loop.readBuffer[:n])
-		}
-		b := c.loop.readBuffer[:n]
-		if c.FaultFilter != nil {
-			b = c.FaultFilter.In(b)
-		}
-		c.input(b)
+		c.received(buffer[:n], n == len(buffer))
 	}
 }
 
-// FlushFilter has Bend give what it kept back.
-func (c *Conn) FlushFilter() {
-	if c.FaultFilter != nil && !c.closed && !c.dialing {
-		c.input(c.FaultFilter.In(nil))
-		c.write()
+// received passes on what a read has returned; full tells that it filled its buffer.
+func (c *Conn) received(b []byte, full bool) {
+	c.loop.Stats.BytesIn.Add(int64(len(b)))
+	c.arrival.note(c.loop, full)
+	if c.Tap != nil {
+		c.Tap(false, b)
+	}
+	if c.FaultFilter != nil {
+		b = c.FaultFilter.In(b)
 	}
+	c.offerInput(b)
 }
 
-// Reset ends the connection as a reset by the other end does.
-func (c *Conn) Reset() { c.fail(unix.ECONNRESET) }
-
-// input offers b behind what was left.
-func (c *Conn) input(b []byte) {
+// offerInput offers the handler what it has not used, followed by b.
+func (c *Conn) offerInput(b []byte) {
 	if c.closed || c.closing {
 		return
 	}
-	if len(c.buffered) > 0 {
-		c.buffered = append(c.buffered, b...)
+	if len(c.input) > 0 {
+		c.input = append(c.input, b...)
 		c.loop.Stats.Copied.Add(int64(len(b)))
-		b = c.buffered
+		b = c.input
 	}
 	used := 0
 	if !c.paused {
@@ -377,84 +357,71 @@
 	}
 	rest := b[used:]
 	c.loop.Stats.Copied.Add(int64(len(rest)))
-	c.buffered = append(c.buffered[:0], rest...)
-	if len(c.buffered) == 0 && cap(c.buffered) > readSize {
-		c.buffered = nil
+	c.input = append(c.input[:0], rest...)
+	if len(c.input) == 0 && cap(c.input) > readSize {
+		c.input = nil
 	}
 	c.Send()
 }
 
+// write writes as much of Out as the socket takes.
 func (c *Conn) write() {
 	if c.closed { // its descriptor may be another's
 		return
 	}
 	if c.FaultFilter != nil {
-		c.filtered = min(c.filtered, len(c.Out))
-		fresh := append([]byte(nil), c.Out[c.filtered:]...)
-		c.Out = append(c.Out[:c.filtered], c.FaultFilter.Out(fresh)...)
-		c.filtered = len(c.Out)
+		c.filterOutput()
 	}
-	if c.BeforeWrite != nil && !c.closed && c.sent < len(c.Out) {
+	if c.BeforeWrite != nil && !c.closed && c.written < len(c.Out) {
 		c.BeforeWrite()
 	}
-	for !c.closed && c.sent < len(c.Out) {
+	c.writeUnsent()
+	if c.closed { // by an error or by Tap
+		return
+	}
+	c.releaseWritten()
+	c.updateInterest()
+}
+
+// filterOutput passes what is new in Out through FaultFilter.
+func (c *Conn) filterOutput() {
+	c.filtered = min(c.filtered, len(c.Out))
+	unfiltered := append([]byte(nil), c.Out[c.filtered:]...)
+	c.Out = append(c.Out[:c.filtered], c.FaultFilter.Out(unfiltered)...)
+	c.filtered = len(c.Out)
+}
+
+// writeUnsent writes until all is written, the socket takes no more or the connection fails.
+func (c *Conn) writeUnsent() {
+	for !c.closed && c.written < len(c.Out) {
 		c.loop.Stats.Writes.Add(1)
-		n, err := c.loop.sys.Write(c.fd, c.Out[c.sent:])
-		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll tells when to go on
-			break
+		n, err := c.loop.sys.Write(c.fd, c.Out[c.written:])
+		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll reports when to go on
+			return
 		}
 		if err != nil {
 			c.fail(err)
 			return
 		}
 		if c.Tap != nil {
-			c.Tap(true, c.Out[c.sent:c.sent+n])
+			c.Tap(true, c.Out[c.written:c.written+n])
 		}
 		c.loop.Stats.BytesOut.Add(int64(n))
-		c.sent += n
-	}
-	if c.closed { // by Tap
-		return
+		c.written += n
 	}
+}
+
+// releaseWritten frees the room of what is written, and goes on with a close that waits for it.
+func (c *Conn) releaseWritten() {
 	switch {
-	case c.sent == len(c.Out):
-		c.Out, c.sent, c.filtered = c.Out[:0], 0, 0
+	case c.written == len(c.Out):
+		c.Out, c.written, c.filtered = c.Out[:0], 0, 0
 		if cap(c.Out) > readSize {
 			c.Out = nil
 		}
-		if c.closing {
-			c.closeWrite()
-		}
-		if c.closeDelay > 0 {
-			c.loop.Schedule(c.loop.Now()+c.closeDelay, c.closeWhenAcked)
-			c.closeDelay = 0
-		}
-	case c.sent > readSize:
-		c.Out = append(c.Out[:0], c.Out[c.sent:]...)
-		c.filtered, c.sent = max(0, c.filtered-c.sent), 0
-	}
-	c.updateInterest()
-}
-
-// Dial starts a connection to an address and port; the handler hears Opened or Closed later.
-func (l *Loop) Dial(address string, h Handler) (*Conn, error) {
-	to, err := netip.ParseAddrPort(address)
-	if err != nil {
-		return nil, err
+		c.outputWritten()
+	case c.written > readSize:
+		c.Out = append(c.Out[:0], c.Out[c.written:]...)
+		c.filtered, c.written = max(0, c.filtered-c.written), 0
 	}
-	fd, err := l.socket(to.Addr())
-	if err != nil {
-		return nil, err
-	}
-	l.Stats.OtherCalls.Add(2)
-	err = l.sys.Connect(fd, sockaddr(to))
-	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // both: it goes on, see connect(2)
-		l.sys.Close(fd)
-		return nil, err
-	}
-	c := &Conn{loop: l, fd: fd, handler: h, dialing: true, events: unix.EPOLLOUT, watched: true}
-	if err := l.add(fd, c.events, c); err != nil {
-		return nil, err
-	}
-	return c, nil
 }
--- a/eventloop/datagram.go
+++ b/eventloop/datagram.go
@@ -8,15 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// UDPConn is a UDP socket.
+// maxDatagrams is how many datagrams a socket reads in one round; then others have their turn.
+const maxDatagrams = 64
+
+// UDPConn is a UDP socket on a loop.
 type UDPConn struct {
-	l   *Loop
-	fd  int
-	got func(from netip.AddrPort, b []byte)
+	loop    *Loop
+	fd      int
+	receive func(from netip.AddrPort, b []byte)
 }
 
-// ListenUDP listens for datagrams on an IPv4 address and port; got must not keep b.
-func (l *Loop) ListenUDP(address string, got func(from netip.AddrPort, b []byte)) (*UDPConn, error) {
+// ListenUDP receives datagrams on an IPv4 address and port. receive must not keep b. An error of the system is a
+// *net.OpError, or that of socket(2); see Transient.
+func (l *Loop) ListenUDP(address string, receive func(from netip.AddrPort, b []byte)) (*UDPConn, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -29,47 +33,47 @@
 		l.sys.Close(fd)
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
 	}
-	p := &UDPConn{l, fd, got}
-	if err := l.add(fd, unix.EPOLLIN, p); err != nil {
+	u := &UDPConn{loop: l, fd: fd, receive: receive}
+	if err := l.add(fd, unix.EPOLLIN, u); err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
 	}
-	return p, nil
+	return u, nil
 }
 
-// Send sends one datagram; one that finds no room is lost, as on the way.
-func (p *UDPConn) Send(to netip.AddrPort, b []byte) {
+// Send sends one datagram. It does not wait and reports no error: a datagram that finds no room in the socket's buffer is
+// lost, as it may be in the network.
+func (u *UDPConn) Send(to netip.AddrPort, b []byte) {
 	at := sockaddr(to)
 	for range maxInterruptions {
-		p.l.Stats.Writes.Add(1)
-		if err := p.l.sys.Sendto(p.fd, b, unix.MSG_DONTWAIT, at); !errors.Is(err, unix.EINTR) {
+		u.loop.Stats.Writes.Add(1)
+		if err := u.loop.sys.Sendto(u.fd, b, unix.MSG_DONTWAIT, at); !errors.Is(err, unix.EINTR) {
 			return
 		}
 	}
 }
 
-// datagrams is how many are read in one round, then others have their turn.
-const datagrams = 64
-
-func (p *UDPConn) ready(uint32) {
+// ready reads the datagrams that wait. It guards against errors that leave the socket readable, see recv(2): the loop, which
+// epoll would wake at once, sleeps for roundPause; other sockets of the loop are served that much later.
+func (u *UDPConn) ready(uint32) {
 	failed := 0
-	for range datagrams {
-		p.l.Stats.Reads.Add(1)
-		n, from, err := p.l.sys.Recvfrom(p.fd, p.l.readBuffer, unix.MSG_DONTWAIT)
+	for range maxDatagrams {
+		u.loop.Stats.Reads.Add(1)
+		n, from, err := u.loop.sys.Recvfrom(u.fd, u.loop.readBuffer, unix.MSG_DONTWAIT)
 		switch {
 		case err == nil:
 		case errors.Is(err, unix.EAGAIN):
 			return
-		case anyOf(err, unix.ENOMEM, unix.ENOBUFS): // the datagram stays and would wake the loop at once
-			p.l.pauseRound = true
+		case anyOf(err, unix.ENOMEM, unix.ENOBUFS): // the datagram stays
+			u.loop.pauseRound = true
 			return
-		default: // a signal, or what became of a datagram that was sent
-			if failed++; failed == datagrams {
-				p.l.pauseRound = true
+		default: // a signal, or the error of a datagram that was sent
+			if failed++; failed == maxDatagrams {
+				u.loop.pauseRound = true
 			}
 			continue
 		}
-		if a, ok := from.(*unix.SockaddrInet4); ok {
-			p.got(netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)), p.l.readBuffer[:n])
+		if sender, ok := from.(*unix.SockaddrInet4); ok {
+			u.receive(netip.AddrPortFrom(netip.AddrFrom4(sender.Addr), uint16(sender.Port)), u.loop.readBuffer[:n])
 		}
 	}
 }
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -429,7 +429,7 @@
 		perRound int
 	}{
 		{"recvfrom", []unix.Errno{unix.ENOMEM, unix.ENOBUFS}, 1},
-		{"recvfrom", []unix.Errno{unix.EINTR, unix.ECONNREFUSED, unix.EIO}, datagrams},
+		{"recvfrom", []unix.Errno{unix.EINTR, unix.ECONNREFUSED, unix.EIO}, maxDatagrams},
 		{"read eventfd", []unix.Errno{unix.ENOMEM, unix.EIO}, 1},
 	} {
 		call := c.call
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -9,148 +9,157 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts connections.
+const (
+	// listenBacklog is how many connections may wait to be accepted, see listen(2).
+	listenBacklog = 1024
+	// maxAccepts is how many connections a listener accepts in one round; then others have their turn.
+	maxAccepts = 32
+	// maxAcceptErrors is how many errors of single connections a listener passes over in one round.
+	maxAcceptErrors = 64
+	// acceptBackoff is how long a listener waits for descriptors or memory to come free.
+	acceptBackoff = 50 * time.Millisecond
+)
+
+// Listener accepts TCP connections on a loop.
 type Listener struct {
-	l          *Loop
+	loop       *Loop
 	fd         int
 	accept     func(*Conn) Handler
 	closed     bool
-	backingOff bool // until a timer runs
+	backingOff bool // until the timer of resume
 }
 
-// Listen accepts on an address and port, 0 for any; accept gives each connection its handler, or nil to
-// turn it away.
+// Listen accepts connections on an IP address and port; port 0 takes any that is free. accept returns the handler of each
+// connection, or nil to close it. An error of the system is a *net.OpError; see Transient.
 func (l *Loop) Listen(address string, accept func(*Conn) Handler) (*Listener, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
-	fd, err := l.socket(at.Addr())
+	fd, err := l.newSocket(at.Addr())
 	if err != nil {
 		return nil, err
 	}
-	l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = l.sys.Bind(fd, sockaddr(at)); err == nil {
-		err = l.sys.Listen(fd, 1024)
-	}
-	if err != nil {
+	if err := l.bindAndListen(fd, at); err != nil {
 		l.sys.Close(fd)
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
-	n := &Listener{l: l, fd: fd, accept: accept}
-	if err := l.add(fd, unix.EPOLLIN, n); err != nil {
+	ln := &Listener{loop: l, fd: fd, accept: accept}
+	if err := l.add(fd, unix.EPOLLIN, ln); err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
-	return n, nil
+	return ln, nil
 }
 
-// Address is where the listener listens.
-func (n *Listener) Address() string {
-	if sa, err := n.l.sys.Getsockname(n.fd); err == nil {
-		switch in := sa.(type) {
-		case *unix.SockaddrInet4:
-			return netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String()
-		case *unix.SockaddrInet6:
-			return netip.AddrPortFrom(netip.AddrFrom16(in.Addr), uint16(in.Port)).String()
-		}
+// bindAndListen sets SO_REUSEADDR, see socket(7): a port can be bound again while connections of a process before linger.
+func (l *Loop) bindAndListen(fd int, at netip.AddrPort) error {
+	l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	if err := l.sys.Bind(fd, sockaddr(at)); err != nil {
+		return err
 	}
-	return ""
+	return l.sys.Listen(fd, listenBacklog)
 }
 
-const (
-	// acceptBackoff is how long a listener, or a socket of datagrams, waits for descriptors or memory to come free.
-	acceptBackoff = 50 * time.Millisecond
-	// maxAcceptErrors is how many errors of single connections a listener passes over in one round.
-	maxAcceptErrors = 64
-)
-
-// Close stops accepting.
-func (n *Listener) Close() {
-	if !n.closed {
-		n.closed = true
-		n.l.closeFile(n.fd)
+// Address is the IP address and port on which the listener accepts; empty where the system does not tell.
+func (ln *Listener) Address() string {
+	name, err := ln.loop.sys.Getsockname(ln.fd)
+	if err != nil {
+		return ""
 	}
+	switch address := name.(type) {
+	case *unix.SockaddrInet4:
+		return netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port)).String()
+	case *unix.SockaddrInet6:
+		return netip.AddrPortFrom(netip.AddrFrom16(address.Addr), uint16(address.Port)).String()
+	}
+	return ""
 }
 
-// maxAccepts is how many connections are accepted at a time; then others have their turn.
-const maxAccepts = 32
+// Close stops accepting and closes the socket. Connections that were accepted stay.
+func (ln *Listener) Close() {
+	if !ln.closed {
+		ln.closed = true
+		ln.loop.closeFile(ln.fd)
+	}
+}
 
-func (n *Listener) ready(uint32) {
-	if n.backingOff { // epoll was not told
-		n.backOff()
+func (ln *Listener) ready(uint32) {
+	if ln.backingOff { // epoll could not be changed
+		ln.backOff()
 		return
 	}
-	for accepted, failed := 0, 0; accepted < maxAccepts && !n.closed; {
-		n.l.Stats.OtherCalls.Add(1)
-		fd, from, err := n.l.sys.Accept(n.fd)
+	for accepted, failed := 0, 0; accepted < maxAccepts && !ln.closed; {
+		ln.loop.Stats.OtherCalls.Add(1)
+		fd, from, err := ln.loop.sys.Accept(ln.fd)
 		switch {
 		case err == nil:
 			accepted++
-			n.serve(fd, from)
+			ln.serve(fd, from)
 		case errors.Is(err, unix.EAGAIN):
 			return
 		case failed < maxAcceptErrors && isConnectionError(err):
 			failed++
 		default:
-			n.backOff()
+			ln.backOff()
 			return
 		}
 	}
 }
 
-// isConnectionError tells of an error of accept that the next call need not meet: a signal, or an error that waited on the
-// new socket, see accept(2).
+// isConnectionError tells of an error that the next call of accept need not meet: a signal, or an error that is pending on the
+// new socket, which accept passes on (see "Error handling" in accept(2)).
 func isConnectionError(err error) bool {
 	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
-// serve serves a new connection, or turns it away.
-func (n *Listener) serve(fd int, from unix.Sockaddr) {
-	n.l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{loop: n.l, fd: fd, events: unix.EPOLLIN}
-	switch a := from.(type) {
+// serve gives a new connection to its handler, or closes it where there is none.
+func (ln *Listener) serve(fd int, from unix.Sockaddr) {
+	ln.loop.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	c := &Conn{loop: ln.loop, fd: fd, interest: unix.EPOLLIN}
+	switch address := from.(type) {
 	case *unix.SockaddrInet4:
-		c.RemoteIP = netip.AddrFrom4(a.Addr)
+		c.RemoteIP = netip.AddrFrom4(address.Addr)
 	case *unix.SockaddrInet6:
-		c.RemoteIP = netip.AddrFrom16(a.Addr)
+		c.RemoteIP = netip.AddrFrom16(address.Addr)
 	}
-	n.l.register(fd, c)
-	c.handler = n.accept(c)
+	ln.loop.register(fd, c)
+	c.handler = ln.accept(c)
 	switch {
 	case c.closed:
 	case c.handler == nil:
 		c.closed = true
-		n.l.closeFile(fd)
+		ln.loop.closeFile(fd)
 	default:
 		if c.NotifyHalfClose {
-			c.events |= unix.EPOLLRDHUP
+			c.interest |= unix.EPOLLRDHUP
 		}
-		c.watched = true
-		if err := n.l.control(unix.EPOLL_CTL_ADD, fd, c.events); err != nil {
+		c.registered = true
+		if err := ln.loop.control(unix.EPOLL_CTL_ADD, fd, c.interest); err != nil {
 			c.fail(err)
 		}
 	}
 }
 
-// backOff stops accepting for a time: connections that wait and cannot be accepted would wake the loop all the time.
-func (n *Listener) backOff() {
-	if n.l.control(unix.EPOLL_CTL_MOD, n.fd, 0) != nil {
-		n.l.pauseRound = true
+// backOff stops accepting for a time. It guards against connections that wait and cannot be accepted: epoll is
+// level-triggered, see epoll(7), and would report them in every round. It delays new connections by acceptBackoff.
+func (ln *Listener) backOff() {
+	if ln.loop.control(unix.EPOLL_CTL_MOD, ln.fd, 0) != nil {
+		ln.loop.pauseRound = true
 	}
-	if !n.backingOff {
-		n.backingOff = true
-		n.l.Schedule(n.l.Now()+acceptBackoff, n.resume)
+	if !ln.backingOff {
+		ln.backingOff = true
+		ln.loop.Schedule(ln.loop.Now()+acceptBackoff, ln.resume)
 	}
 }
 
-func (n *Listener) resume() {
-	if n.closed {
+func (ln *Listener) resume() {
+	if ln.closed {
 		return
 	}
-	if n.l.control(unix.EPOLL_CTL_MOD, n.fd, unix.EPOLLIN) != nil {
-		n.l.Schedule(n.l.Now()+acceptBackoff, n.resume)
+	if ln.loop.control(unix.EPOLL_CTL_MOD, ln.fd, unix.EPOLLIN) != nil {
+		ln.loop.Schedule(ln.loop.Now()+acceptBackoff, ln.resume)
 		return
 	}
-	n.backingOff = false
+	ln.backingOff = false
 }
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -1,6 +1,11 @@
-// Package eventloop is the event loop that one instance runs on: epoll over non-blocking sockets, timers, and an
-// eventfd by which other goroutines hand it work. Everything it calls runs on the goroutine of Run, so what
-// hangs on one loop needs no locks. It knows bytes and connections, no protocol, and decides nothing.
+// Package eventloop is the event loop of one instance: epoll over sockets that do not block, timers, and an eventfd by which
+// other goroutines hand it work. All handlers, timers and posted functions run on the goroutine of Loop.Run, so what one
+// loop serves needs no locks. The package knows bytes and connections, no protocol, and makes no decisions.
+//
+// A round of the loop takes up events, runs what was posted, runs the timers that are due, and then writes the output of
+// all connections. Where a round takes long, it looks for events again before it runs timers and before it writes.
+//
+// The package rests on epoll(7), eventfd(2), socket(7) and tcp(7) of Linux.
 package eventloop
 
 import (
@@ -15,11 +20,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stats counts what a loop has done since it was made. It is safe to read from any goroutine.
+// Stats are totals since a loop was made. They may be read from any goroutine.
 type Stats struct {
-	EpollWaits, Reads, Writes, OtherCalls atomic.Int64 // system calls
-	BytesIn, BytesOut                     atomic.Int64
-	Copied                                atomic.Int64 // bytes that protocol code copied between buffers
+	// EpollWaits, Reads, Writes and OtherCalls count system calls.
+	EpollWaits, Reads, Writes, OtherCalls atomic.Int64
+	// BytesIn and BytesOut count the bytes of TCP connections.
+	BytesIn, BytesOut atomic.Int64
+	// Copied counts the bytes that were copied between buffers, by the loop and by protocol code.
+	Copied atomic.Int64
 }
 
 // Calls is the number of system calls.
@@ -27,76 +35,106 @@
 	return s.EpollWaits.Load() + s.Reads.Load() + s.Writes.Load() + s.OtherCalls.Load()
 }
 
-// Loop is one event loop. Only Post, Stop and Stats may be used from other goroutines.
+// Loop is an event loop. Only Post, Stats, and the methods that convert times may be used from other goroutines.
 type Loop struct {
-	Stats         Stats
-	sys           Syscalls
-	epoll         int
-	wakeFD        int
-	start         time.Time
-	files         map[int32]registration
-	generation    int32 // numbers the uses of descriptors
-	timers        timers
-	pendingWrites []*Conn
-	readBuffer    []byte  // where reads go first
-	small         [8]byte // what is read of the eventfd, and the byte that Quiet peeks at
-	mu            sync.Mutex
-	posted        []func()
-	open          bool // Post is still heard
-	wakePending   bool // the eventfd is readable, or will be
-	stopping      bool
-	lastPoll      time.Duration // when events were last waited for
-	eventsAfter   time.Duration // what was not heard of before has come after this
-	polls         uint64
-	// pauseRound tells that something which cannot be silenced would wake the loop at once.
-	pauseRound bool
+	Stats Stats
+
+	sys            Syscalls
+	epollFD        int
+	wakeFD         int       // the eventfd
+	start          time.Time // of the clock
+	files          map[int32]registration
+	lastGeneration int32
+	timers         timers
+	pendingWrites  []*Conn // connections to write at the end of the round
+	readBuffer     []byte  // of all reads of sockets
+	smallBuffer    [8]byte // of reads of the eventfd, and of Conn.peek
+	stopping       bool
+	pauseRound     bool // something that cannot be silenced would wake the loop at once
+
+	lastPoll    time.Duration // when epoll_wait returned last
+	eventsAfter time.Duration // events that were not reported before the last poll have happened after this
+	polls       uint64        // number of calls of epoll_wait
+
+	mu           sync.Mutex // guards what follows
+	posted       []func()
+	acceptsPosts bool // Run has not ended
+	wakePending  bool // the eventfd is readable, or will be
 }
 
-// file is what hangs on a descriptor. Each use of a descriptor has a number of its own, since an event of a
-// closed one may still wait in the round in which the kernel gives the same descriptor out again.
-type file interface{ ready(events uint32) }
+const (
+	// readSize is the size of the buffer of reads, in bytes.
+	readSize = 256 << 10
+	// eventsPerPoll is how many events one poll takes at most.
+	eventsPerPoll = 256
+	// wakeRetryDelay is the time between a write to the eventfd that failed and the next.
+	wakeRetryDelay = time.Millisecond
+	// roundPause is how long a loop sleeps in a round in which something that cannot be served would wake it at once.
+	roundPause = time.Millisecond
+	// maxPollAge is how long ago the last poll may be when timers run and when output is written.
+	maxPollAge = 20 * time.Millisecond
+)
+
+// eventfdIncrement is what a wake-up adds to the eventfd's counter, see eventfd(2).
+var eventfdIncrement = binary.NativeEndian.AppendUint64(nil, 1)
+
+// file serves the events of a descriptor.
+type file interface {
+	ready(events uint32)
+}
 
+// registration is a use of a descriptor. Each has a generation of its own: it guards against events of a descriptor that was
+// closed, and given out again by the kernel, in the round in which they are served.
 type registration struct {
 	file
 	generation int32
 }
 
-// readSize is how much one read takes at most.
-const readSize = 256 << 10
-
-// New makes a loop. Its clock starts at origin: Now is origin plus the time since New.
+// New makes a loop. Now is origin plus the time since New. The loop holds descriptors until Run has ended.
 func New(origin time.Duration) (*Loop, error) { return NewWithSyscalls(origin, Linux{}) }
 
 // NewWithSyscalls makes a loop that makes its system calls through sys.
 func NewWithSyscalls(origin time.Duration, sys Syscalls) (*Loop, error) {
-	ep, err := sys.EpollCreate()
+	epollFD, err := sys.EpollCreate()
 	if err != nil {
 		return nil, err
 	}
-	ev, err := sys.Eventfd()
+	wakeFD, err := sys.Eventfd()
 	if err != nil {
-		sys.Close(ep)
+		sys.Close(epollFD)
 		return nil, err
 	}
-	l := &Loop{sys: sys, epoll: ep, wakeFD: ev, start: time.Now().Add(-origin), files: map[int32]registration{}, readBuffer: make([]byte, readSize), open: true}
-	if err := l.add(ev, unix.EPOLLIN, wakeHandler{l}); err != nil {
-		sys.Close(ep)
+	l := &Loop{
+		sys:          sys,
+		epollFD:      epollFD,
+		wakeFD:       wakeFD,
+		start:        time.Now().Add(-origin),
+		files:        map[int32]registration{},
+		readBuffer:   make([]byte, readSize),
+		acceptsPosts: true,
+	}
+	if err := l.add(wakeFD, unix.EPOLLIN, wakeHandler{l}); err != nil {
+		sys.Close(epollFD)
 		return nil, err
 	}
 	return l, nil
 }
 
-// Now is the span since the start of the loop's clock; At turns it into a wall clock time.
-func (l *Loop) Now() time.Duration                    { return time.Since(l.start) }
-func (l *Loop) WallTime(span time.Duration) time.Time { return l.start.Add(span) }
+// Now is the time of the loop's clock: the time since its start.
+func (l *Loop) Now() time.Duration { return time.Since(l.start) }
+
+// WallTime converts a time of the loop's clock.
+func (l *Loop) WallTime(at time.Duration) time.Time { return l.start.Add(at) }
+
+// SinceStart converts a time to one of the loop's clock.
 func (l *Loop) SinceStart(at time.Time) time.Duration { return at.Sub(l.start) }
 
-// Post has f run on the loop, in the order of the calls. It tells whether f will run: after the loop has
-// ended nothing does.
+// Post has f run on the loop, in the order of the calls. It may be called from any goroutine. It reports false, and f does not
+// run, once Run has ended; f does not run either where Run ends before its turn.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.open {
+	if !l.acceptsPosts {
 		return false
 	}
 	l.posted = append(l.posted, f)
@@ -104,16 +142,14 @@
 	return true
 }
 
-// wakeRetryDelay is how long a write to the eventfd that failed waits for the next.
-const wakeRetryDelay = time.Millisecond
-
-// signalWake makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable. After another error
-// it is tried again: a loop that waits without a timer would never run what was posted. It is called with mu held.
+// signalWake makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable already, see
+// eventfd(2). After another error it is tried again: a loop that waits without a timer would never run what was posted. The
+// caller holds mu.
 func (l *Loop) signalWake() {
-	if l.wakePending || !l.open || len(l.posted) == 0 {
+	if l.wakePending || !l.acceptsPosts || len(l.posted) == 0 {
 		return
 	}
-	if _, err := l.sys.Write(l.wakeFD, one); err == nil || errors.Is(err, unix.EAGAIN) {
+	if _, err := l.sys.Write(l.wakeFD, eventfdIncrement); err == nil || errors.Is(err, unix.EAGAIN) {
 		l.wakePending = true
 		return
 	}
@@ -124,67 +160,78 @@
 	})
 }
 
-// one is what is added to the eventfd's counter.
-var one = binary.NativeEndian.AppendUint64(nil, 1)
-
-// Stop ends Run after the present round. It must be called on the loop.
+// Stop has Run return after the present round. It must be called on the loop, or before Run.
 func (l *Loop) Stop() { l.stopping = true }
 
-// CPU is the processor time that the loop has used. It must be called on the loop.
+// CPU is the processor time, of user and system, that the thread of the loop has used, see getrusage(2); 0 where the system
+// does not tell. It must be called on the loop.
 func (l *Loop) CPU() time.Duration {
-	var u unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_THREAD, &u) != nil {
+	var usage unix.Rusage
+	if unix.Getrusage(unix.RUSAGE_THREAD, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// roundPause is how long a loop sleeps in a round in which something would wake it at once that cannot be served.
-const roundPause = time.Millisecond
-
-// Run serves until Stop, then closes all that is open, without telling its owners. It ends earlier, with the error, if
-// epoll_wait fails with one that does not pass.
+// Run serves until Stop, then closes all descriptors without telling their owners. It must be called once. It ends earlier,
+// and returns the error, if epoll_wait fails in a way that is not Transient.
 func (l *Loop) Run() error {
 	runtime.LockOSThread() // so that CPU counts the loop alone
 	defer runtime.UnlockOSThread()
-	events := make([]unix.EpollEvent, 256)
-	var err error
+	events := make([]unix.EpollEvent, eventsPerPoll)
 	l.lastPoll = l.Now()
-	for !l.stopping {
-		if err = l.poll(events, l.timers.wait(l.Now())); err != nil {
-			break
-		}
-		l.pollAgain(events)
-		l.runPosted(false)
-		l.timers.fire(l.Now)
-		l.pollAgain(events)
-		l.flush()
-		if l.pauseRound {
-			l.pauseRound = false
-			time.Sleep(roundPause)
-		}
+	var err error
+	for err == nil && !l.stopping {
+		err = l.round(events)
 	}
+	l.closeAll()
+	return err
+}
+
+// round waits for events and serves them, and all that is due.
+func (l *Loop) round(events []unix.EpollEvent) error {
+	if err := l.poll(events, l.timers.timeout(l.Now())); err != nil {
+		return err
+	}
+	l.pollAgain(events)
+	l.runPosted(false)
+	l.timers.fire(l.Now)
+	l.pollAgain(events)
+	l.flush()
+	if l.pauseRound {
+		l.pauseRound = false
+		time.Sleep(roundPause)
+	}
+	return nil
+}
+
+// closeAll closes all descriptors. Nothing that was posted and has not run will run.
+func (l *Loop) closeAll() {
 	l.mu.Lock()
-	l.open, l.posted = false, nil
+	l.acceptsPosts, l.posted = false, nil
 	l.mu.Unlock()
 	for fd := range l.files {
 		l.sys.Close(int(fd))
 	}
 	clear(l.files) // so that a Close after this leaves the descriptor to who has it then
-	l.sys.Close(l.epoll)
-	return err
+	l.sys.Close(l.epollFD)
 }
 
-// poll waits for events, for so many milliseconds at most, and hands them out. An error that may pass is no event: timers
-// and what was posted have their turn, and the next round waits again. Without that, a signal that comes all the time
-// would keep timers from running.
-func (l *Loop) poll(events []unix.EpollEvent, wait int) error {
+// minBlocked is how long epoll_wait takes at least if it has waited: then there was no event when it was called.
+const minBlocked = time.Millisecond
+
+// poll waits for events, up to a timeout in milliseconds (-1: none), and serves them. After a transient error it returns
+// nil, so that timers and posted functions have their turn before the next round waits again: a signal that comes all the
+// time would keep them from running otherwise.
+func (l *Loop) poll(events []unix.EpollEvent, timeout int) error {
 	l.Stats.EpollWaits.Add(1)
-	begun, before := l.Now(), l.lastPoll
-	n, err := l.sys.EpollWait(l.epoll, events, wait)
-	l.lastPoll, l.polls = l.Now(), l.polls+1
-	if l.eventsAfter = l.lastPoll; l.lastPoll-begun < time.Millisecond { // it may have come before the wait began
-		l.eventsAfter = before
+	called, previousPoll := l.Now(), l.lastPoll
+	n, err := l.sys.EpollWait(l.epollFD, events, timeout)
+	l.lastPoll = l.Now()
+	l.polls++
+	l.eventsAfter = l.lastPoll
+	if l.lastPoll-called < minBlocked { // they may have happened before the call
+		l.eventsAfter = previousPoll
 	}
 	switch {
 	case err == nil:
@@ -204,42 +251,43 @@
 	return nil
 }
 
-// maxPollAge is how old the last look at what has come may be before timers fire and before bytes are written.
-const maxPollAge = 20 * time.Millisecond
-
-// pollAgain looks once more where the round has taken long. It guards a loop that was held up against acting on what is
-// no longer so, as for a client that has gone meanwhile; it would harm one that is always late, which then takes up new
-// work before it has written what is done, by one round at most. An error comes again with the round's own wait.
+// pollAgain polls once more where the round has taken long. It guards a loop that was held up against acting on a state that
+// has changed meanwhile, as for a client that has gone. It harms a loop that is always late: that takes up new work before
+// it has written its output, one round at most. An error is left to the next round, which meets it too.
 func (l *Loop) pollAgain(events []unix.EpollEvent) {
 	if l.Now()-l.lastPoll > maxPollAge && !l.stopping {
 		l.poll(events, 0)
 	}
 }
 
-// flush writes what the round has produced, once for each connection.
+// flush writes the output of the round, once for each connection.
 func (l *Loop) flush() {
 	for i := 0; i < len(l.pendingWrites); i++ { // it may grow meanwhile
-		l.pendingWrites[i].queued = false
+		l.pendingWrites[i].writeQueued = false
 		l.pendingWrites[i].write()
 		l.pendingWrites[i] = nil
 	}
 	l.pendingWrites = l.pendingWrites[:0]
 }
 
-type wakeHandler struct{ l *Loop }
+// wakeHandler serves the eventfd.
+type wakeHandler struct{ loop *Loop }
 
 func (w wakeHandler) ready(uint32) {
-	w.l.Stats.OtherCalls.Add(1)
-	if _, err := w.l.sys.Read(w.l.wakeFD, w.l.small[:]); err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
-		w.l.pauseRound = true // it stays readable
+	l := w.loop
+	l.Stats.OtherCalls.Add(1)
+	_, err := l.sys.Read(l.wakeFD, l.smallBuffer[:])
+	if err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
+		l.pauseRound = true // it stays readable
 	}
-	w.l.runPosted(true)
+	l.runPosted(true)
 }
 
-// runPosted runs what was posted, at the end of a round only what the eventfd does not tell of.
-func (l *Loop) runPosted(told bool) {
+// runPosted runs what was posted. woken tells that epoll has reported the eventfd; otherwise only what was posted while the
+// eventfd could not be written is run, and the rest is left to the event that epoll will report.
+func (l *Loop) runPosted(woken bool) {
 	l.mu.Lock()
-	if l.wakePending && !told {
+	if l.wakePending && !woken {
 		l.mu.Unlock()
 		return
 	}
@@ -251,13 +299,13 @@
 	}
 }
 
-// register notes what hangs on a descriptor.
+// register notes who serves the events of a descriptor.
 func (l *Loop) register(fd int, f file) {
-	l.generation++
-	l.files[int32(fd)] = registration{f, l.generation}
+	l.lastGeneration++
+	l.files[int32(fd)] = registration{f, l.lastGeneration}
 }
 
-// add enters a descriptor and has epoll watch it; if that fails, the descriptor is closed.
+// add registers a descriptor and has epoll watch it; if that fails, the descriptor is closed.
 func (l *Loop) add(fd int, events uint32, f file) error {
 	l.register(fd, f)
 	err := l.control(unix.EPOLL_CTL_ADD, fd, events)
@@ -267,12 +315,15 @@
 	return err
 }
 
-func (l *Loop) control(how, fd int, events uint32) error {
+// control changes what epoll watches of a descriptor, see epoll_ctl(2). The 64 bits that epoll returns with an event are the
+// descriptor and its generation.
+func (l *Loop) control(operation, fd int, events uint32) error {
 	l.Stats.OtherCalls.Add(1)
-	return l.sys.EpollCtl(l.epoll, how, fd, unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation})
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation}
+	return l.sys.EpollCtl(l.epollFD, operation, fd, event)
 }
 
-// closeFile closes a descriptor. It is released whatever close returns, so that is not tried again, see close(2).
+// closeFile closes a descriptor. Linux releases it whatever close returns, so the call is not repeated, see close(2).
 func (l *Loop) closeFile(fd int) {
 	if _, ok := l.files[int32(fd)]; !ok { // Run has ended
 		return
@@ -282,9 +333,11 @@
 	l.sys.Close(fd)
 }
 
-func (l *Loop) socket(to netip.Addr) (int, error) {
+// newSocket makes a TCP socket for an address. It sets TCP_NODELAY, see tcp(7): output is written once a round, so Nagle's
+// algorithm would only delay it.
+func (l *Loop) newSocket(address netip.Addr) (int, error) {
 	family := unix.AF_INET
-	if to.Unmap().Is6() {
+	if address.Unmap().Is6() {
 		family = unix.AF_INET6
 	}
 	fd, err := l.sys.Socket(family, unix.SOCK_STREAM)
@@ -294,9 +347,9 @@
 	return fd, err
 }
 
-func sockaddr(a netip.AddrPort) unix.Sockaddr {
-	if ip := a.Addr().Unmap(); ip.Is4() {
-		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: ip.As4()}
+func sockaddr(address netip.AddrPort) unix.Sockaddr {
+	if ip := address.Addr().Unmap(); ip.Is4() {
+		return &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
 	}
-	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
+	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
 }
--- a/eventloop/syscalls.go
+++ b/eventloop/syscalls.go
@@ -7,17 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Syscalls is the system calls that a loop makes. Linux is the real one; tests put one round it that fails as Linux
-// documents. Write must be safe for concurrent use, since Post calls it; the others are called on the loop alone.
+// Syscalls are the system calls that a loop makes. Linux makes them; tests wrap it to have calls fail in the ways that the
+// manual pages document. Write must be safe for concurrent use, since Loop.Post calls it; the others are called on the loop
+// alone, or before it runs. The methods are named after the calls, see section 2 of the manual.
 type Syscalls interface {
-	// EpollCreate and Eventfd make descriptors that do not block and are closed on exec.
+	// EpollCreate makes an epoll descriptor that is closed on exec.
 	EpollCreate() (int, error)
+	// Eventfd makes an eventfd that does not block and is closed on exec; its counter is 0.
 	Eventfd() (int, error)
 	EpollCtl(epoll, op, fd int, event unix.EpollEvent) error
 	EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error)
 
-	// Socket and Accept make descriptors that do not block and are closed on exec.
+	// Socket makes a socket that does not block and is closed on exec.
 	Socket(family, kind int) (int, error)
+	// Accept returns a socket that does not block and is closed on exec, and the address of the other end.
 	Accept(fd int) (int, unix.Sockaddr, error)
 	Connect(fd int, to unix.Sockaddr) error
 	Bind(fd int, at unix.Sockaddr) error
@@ -25,8 +28,10 @@
 	Getsockname(fd int) (unix.Sockaddr, error)
 	GetsockoptInt(fd, level, option int) (int, error)
 	SetsockoptInt(fd, level, option, value int) error
+	// SetsockoptLinger sets SO_LINGER, see socket(7).
 	SetsockoptLinger(fd int, linger unix.Linger) error
-	// UnackedBytes is how many bytes of a TCP socket's send buffer the other end has not acknowledged (SIOCOUTQ).
+	// UnackedBytes is the number of bytes in a TCP socket's send buffer that the other end has not acknowledged
+	// (SIOCOUTQ, see tcp(7)).
 	UnackedBytes(fd int) (int, error)
 
 	Read(fd int, b []byte) (int, error)
@@ -40,62 +45,86 @@
 // Linux makes the calls of Syscalls to the kernel.
 type Linux struct{}
 
+// EpollCreate calls epoll_create1(2).
 func (Linux) EpollCreate() (int, error) { return unix.EpollCreate1(unix.EPOLL_CLOEXEC) }
-func (Linux) Eventfd() (int, error)     { return unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC) }
 
+// Eventfd calls eventfd(2).
+func (Linux) Eventfd() (int, error) { return unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC) }
+
+// EpollCtl calls epoll_ctl(2).
 func (Linux) EpollCtl(epoll, op, fd int, event unix.EpollEvent) error {
 	return unix.EpollCtl(epoll, op, fd, &event)
 }
 
+// EpollWait calls epoll_wait(2).
 func (Linux) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
 	return unix.EpollWait(epoll, events, milliseconds)
 }
 
+// Socket calls socket(2) with SOCK_NONBLOCK and SOCK_CLOEXEC.
 func (Linux) Socket(family, kind int) (int, error) {
 	return unix.Socket(family, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 }
 
+// Accept calls accept4(2) with SOCK_NONBLOCK and SOCK_CLOEXEC.
 func (Linux) Accept(fd int) (int, unix.Sockaddr, error) {
 	return unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 }
 
-func (Linux) Connect(fd int, to unix.Sockaddr) error    { return unix.Connect(fd, to) }
-func (Linux) Bind(fd int, at unix.Sockaddr) error       { return unix.Bind(fd, at) }
-func (Linux) Listen(fd, backlog int) error              { return unix.Listen(fd, backlog) }
+// Connect calls connect(2).
+func (Linux) Connect(fd int, to unix.Sockaddr) error { return unix.Connect(fd, to) }
+
+// Bind calls bind(2).
+func (Linux) Bind(fd int, at unix.Sockaddr) error { return unix.Bind(fd, at) }
+
+// Listen calls listen(2).
+func (Linux) Listen(fd, backlog int) error { return unix.Listen(fd, backlog) }
+
+// Getsockname calls getsockname(2).
 func (Linux) Getsockname(fd int) (unix.Sockaddr, error) { return unix.Getsockname(fd) }
 
+// GetsockoptInt calls getsockopt(2).
 func (Linux) GetsockoptInt(fd, level, option int) (int, error) {
 	return unix.GetsockoptInt(fd, level, option)
 }
 
+// SetsockoptInt calls setsockopt(2).
 func (Linux) SetsockoptInt(fd, level, option, value int) error {
 	return unix.SetsockoptInt(fd, level, option, value)
 }
 
-// SetsockoptLinger sets SO_LINGER.
+// SetsockoptLinger calls setsockopt(2) with SO_LINGER.
 func (Linux) SetsockoptLinger(fd int, linger unix.Linger) error {
 	return unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &linger)
 }
 
-// UnackedBytes reads SIOCOUTQ.
+// UnackedBytes calls ioctl(2) with SIOCOUTQ, see tcp(7).
 func (Linux) UnackedBytes(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.SIOCOUTQ) }
 
-func (Linux) Read(fd int, b []byte) (int, error)  { return unix.Read(fd, b) }
+// Read calls read(2).
+func (Linux) Read(fd int, b []byte) (int, error) { return unix.Read(fd, b) }
+
+// Write calls write(2).
 func (Linux) Write(fd int, b []byte) (int, error) { return unix.Write(fd, b) }
 
+// Recvfrom calls recvfrom(2).
 func (Linux) Recvfrom(fd int, b []byte, flags int) (int, unix.Sockaddr, error) {
 	return unix.Recvfrom(fd, b, flags)
 }
 
+// Sendto calls sendto(2).
 func (Linux) Sendto(fd int, b []byte, flags int, to unix.Sockaddr) error {
 	return unix.Sendto(fd, b, flags, to)
 }
 
+// Shutdown calls shutdown(2).
 func (Linux) Shutdown(fd, how int) error { return unix.Shutdown(fd, how) }
-func (Linux) Close(fd int) error         { return unix.Close(fd) }
 
-// Transient tells of an error of New, Dial, Listen or Packets that says nothing of the other end, nor of what was asked
-// for, and may pass in a moment, so that the call is worth making again after a pause:
+// Close calls close(2).
+func (Linux) Close(fd int) error { return unix.Close(fd) }
+
+// Transient tells whether an error of New, Loop.Dial, Loop.Listen or Loop.ListenUDP may pass in a moment, and says nothing of
+// the other end nor of what was asked for, so that the call is worth repeating after a pause. It is true of
 //
 //	EMFILE, ENFILE          no descriptors, of the process or of the system
 //	ENOBUFS, ENOMEM         no memory
@@ -105,14 +134,14 @@
 //	ENETUNREACH, ENETDOWN   no route, or no interface, at this host
 //	EINTR                   a signal
 //
-// EADDRINUSE is none: another listens there. Nor are ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which tell of
-// the other end or the way to it.
+// and of errors that wrap one of these. It is false of EADDRINUSE, since another socket listens there, and of ECONNREFUSED,
+// ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which are about the other end or the way to it.
 func Transient(err error) bool {
 	return anyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EADDRNOTAVAIL, unix.ENETUNREACH,
 		unix.ENETDOWN, unix.EINTR)
 }
 
-// anyOf tells whether err is, or wraps, one of some errors of system calls.
+// anyOf tells whether err is, or wraps, one of the errnos.
 func anyOf(err error, errnos ...unix.Errno) bool {
 	var errno unix.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
--- a/eventloop/timers.go
+++ b/eventloop/timers.go
@@ -5,38 +5,43 @@
 	"time"
 )
 
-// Timer is a call due at a time of the loop's clock. The zero value may be armed.
+// Timer is a call at a time of the loop's clock. The zero value is not armed; it is ready for Loop.Arm.
 type Timer struct {
-	at      time.Duration
-	run     func()
-	expirer Expirer
-	index   int // in the heap, from 1; 0: not armed
+	at       time.Duration
+	run      func()  // of Schedule
+	expirer  Expirer // of Arm
+	position int     // in the heap, from 1; 0: not armed
 }
 
-// Expirer is what a Timer inside a record of its owner's calls, so that arming it allocates nothing.
-type Expirer interface{ Expire() }
+// Expirer is called by a Timer that was armed with it. A struct that has a Timer as a field can be its Expirer, so that arming
+// allocates nothing.
+type Expirer interface {
+	// Expire is called on the loop at the time that Loop.Arm was given, or later.
+	Expire()
+}
 
-// Arm has d.Due called at a time of the loop's clock; an armed timer is armed anew.
-func (l *Loop) Arm(t *Timer, at time.Duration, d Expirer) {
+// Arm has expirer.Expire called at a time of the loop's clock; a timer that is armed already is set anew.
+func (l *Loop) Arm(t *Timer, at time.Duration, expirer Expirer) {
 	l.Cancel(t)
-	t.at, t.expirer = at, d
+	t.at, t.expirer = at, expirer
 	heap.Push(&l.timers, t)
 }
 
-// Schedule has run called at a time of the loop's clock, or in the next round if that has passed.
+// Schedule has run called at a time of the loop's clock, or as soon as timers run if that has passed.
 func (l *Loop) Schedule(at time.Duration, run func()) *Timer {
 	t := &Timer{at: at, run: run}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Cancel takes a timer back; one that is nil or has run is left alone.
+// Cancel keeps a timer from running. It does nothing where t is nil, not armed, or has run.
 func (l *Loop) Cancel(t *Timer) {
-	if t != nil && t.index > 0 {
-		heap.Remove(&l.timers, t.index-1)
+	if t != nil && t.position > 0 {
+		heap.Remove(&l.timers, t.position-1)
 	}
 }
 
+// timers is a heap by time, see container/heap.
 type timers []*Timer
 
 func (h timers) Len() int { return len(h) }
@@ -45,33 +50,38 @@
 
 func (h timers) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i+1, j+1
+	h[i].position, h[j].position = i+1, j+1
 }
 
 func (h *timers) Push(x any) {
 	t := x.(*Timer)
 	*h = append(*h, t)
-	t.index = len(*h)
+	t.position = len(*h)
 }
 
 func (h *timers) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
 	(*h)[last], *h = nil, (*h)[:last]
-	t.index = 0
+	t.position = 0
 	return t
 }
 
-// wait is how long epoll may wait, in milliseconds, rounded up.
-func (h timers) wait(now time.Duration) int {
+// maxPoll bounds how long epoll_wait is asked to wait, so that the time fits its int.
+const maxPoll = time.Hour
+
+// timeout is how long epoll_wait(2) may wait for the next timer, in milliseconds, rounded up; -1: there is none.
+func (h timers) timeout(now time.Duration) int {
 	if len(h) == 0 {
 		return -1
 	}
-	return int(max(0, min(h[0].at-now+time.Millisecond-1, time.Hour)) / time.Millisecond)
+	left := h[0].at - now + time.Millisecond - 1
+	return int(max(0, min(left, maxPoll)) / time.Millisecond)
 }
 
+// fire runs the timers that are due at the time of the call, also those that are set meanwhile.
 func (h *timers) fire(now func() time.Duration) {
-	for at := now(); len(*h) > 0 && (*h)[0].at <= at; {
+	for due := now(); len(*h) > 0 && (*h)[0].at <= due; {
 		t := heap.Pop(h).(*Timer)
 		if t.expirer != nil {
 			t.expirer.Expire()
