--- a/eventloop/alloc_test.go
+++ b/eventloop/alloc_test.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// echo sends back what comes; back is told of what comes to the end that dialled.
-type echo struct{ back func(*Conn) }
+// echo sends its input back; where onInput is set, it calls that instead.
+type echo struct{ onInput func(*Conn) }
 
 func (e *echo) Opened(*Conn)        {}
 func (e *echo) Closed(*Conn, error) {}
 func (e *echo) Input(c *Conn, b []byte) int {
-	if e.back != nil {
-		e.back(c)
+	if e.onInput != nil {
+		e.onInput(c)
 	} else {
 		c.Out = append(c.Out, b...)
 	}
 	return len(b)
 }
 
-// TestHotPathAllocations holds the calls behind Syscalls to what they allocated when the loop made them itself.
+// TestHotPathAllocations: a round trip allocates no more through Syscalls than with direct system calls.
 func TestHotPathAllocations(t *testing.T) {
-	l, err := New(0)
+	loop, err := New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &echo{}
-	n, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return server })
+	listener, err := loop.Listen("127.0.0.1:0", func(*Conn) Handler { return server })
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended, came := make(chan error, 1), make(chan bool, 1)
-	quiet := false
-	client, err := l.Dial(n.Address(), &echo{back: func(c *Conn) { came <- quiet && c.NoInputPending() }})
+	ended, echoed := make(chan error, 1), make(chan bool, 1)
+	peek := false
+	client, err := loop.Dial(listener.Address(), &echo{onInput: func(c *Conn) { echoed <- peek && c.NoInputPending() }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { ended <- l.Run() }()
+	go func() { ended <- loop.Run() }()
 	send := func() {
 		client.Out = append(client.Out, "ping"...)
 		client.Send()
 	}
-	trip := func() {
-		l.Post(send)
+	roundTrip := func() {
+		loop.Post(send)
 		select {
-		case <-came:
+		case <-echoed:
 		case <-time.After(10 * time.Second):
 			t.Fatal("no echo")
 		}
 	}
 	for range 10 {
-		trip()
+		roundTrip()
 	}
 	timer := testing.AllocsPerRun(100, func() { <-time.After(time.Nanosecond) })
-	if got := testing.AllocsPerRun(40, trip) - timer; got > 1 { // the list of what is posted
+	if got := testing.AllocsPerRun(40, roundTrip) - timer; got > 1 { // the list of posted functions
 		t.Errorf("a round trip allocates %v times", got)
 	}
-	quiet = true
-	if got := testing.AllocsPerRun(40, trip) - timer; got > 2 { // and where the byte came from
-		t.Errorf("a round trip with Quiet allocates %v times", got)
+	peek = true
+	if got := testing.AllocsPerRun(40, roundTrip) - timer; got > 2 { // and the address that recvfrom returns
+		t.Errorf("a round trip with NoInputPending allocates %v times", got)
 	}
-	l.Post(l.Stop)
+	loop.Post(loop.Stop)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- /dev/null
+++ b/eventloop/close_test.go
@@ -0,0 +1,90 @@
+package eventloop
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// countingHandler uses all input and counts it.
+type countingHandler struct{ received int }
+
+func (h *countingHandler) Opened(*Conn)        {}
+func (h *countingHandler) Closed(*Conn, error) {}
+func (h *countingHandler) Input(_ *Conn, b []byte) int {
+	h.received += len(b)
+	return len(b)
+}
+
+// TestCloseWithUnreadInput: input that crosses the close of a connection is not read, and the close takes nothing of the output
+// from the other end, whatever that does meanwhile.
+func TestCloseWithUnreadInput(t *testing.T) {
+	closings := map[string]func(*Conn){
+		"CloseGracefully": (*Conn).CloseGracefully,
+		"CloseAfterFlush": func(c *Conn) { c.CloseAfterFlush(200 * time.Millisecond) },
+	}
+	for name, closeConn := range closings {
+		for _, size := range []int{1, 4 << 20} { // 4 MB: more than the socket buffers hold
+			for _, peerCloses := range []string{"", "half", "after"} {
+				t.Run(name+" "+peerCloses, func(t *testing.T) {
+					loop, err := New(time.Second)
+					if err != nil {
+						t.Fatal(err)
+					}
+					conns := make(chan *Conn, 1)
+					h := &countingHandler{}
+					listener, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler { conns <- c; return h })
+					if err != nil {
+						t.Fatal(err)
+					}
+					done := make(chan error, 1)
+					go func() { done <- loop.Run() }()
+					defer func() { loop.Post(loop.Stop); <-done }()
+					peer, err := net.Dial("tcp", listener.Address())
+					if err != nil {
+						t.Fatal(err)
+					}
+					defer peer.Close()
+					c := <-conns
+					sent := bytes.Repeat([]byte("v"), size)
+					closed, crossed := make(chan bool), make(chan bool)
+					var reads int64
+					loop.Post(func() { // nothing is read before this ends
+						c.OnClosed = func() {
+							reads = loop.Stats.BytesIn.Load()
+							close(closed)
+						}
+						c.Out = append(c.Out, sent...)
+						peer.Write([]byte("crosses"))
+						if peerCloses == "half" {
+							peer.(*net.TCPConn).CloseWrite()
+						}
+						for c.NoInputPending() {
+						}
+						closeConn(c)
+						close(crossed)
+					})
+					<-crossed
+					time.Sleep(50 * time.Millisecond) // the end of the sending has arrived; the output follows as it is read
+					got, err := io.ReadAll(peer)
+					if !bytes.Equal(got, sent) || err != nil {
+						t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
+					}
+					if peerCloses == "after" {
+						peer.Close()
+					}
+					select {
+					case <-closed:
+					case <-time.After(5 * time.Second):
+						t.Fatal("the connection does not close")
+					}
+					if reads > 0 || h.received > 0 {
+						t.Errorf("%d bytes have been read", reads)
+					}
+				})
+			}
+		}
+	}
+}
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -10,65 +10,65 @@
 	"golang.org/x/sys/unix"
 )
 
-// stage is a loop with a listener, for a test of one call.
-type stage struct {
+// fixture is a loop with a listener, for a test of one call.
+type fixture struct {
 	*testing.T
-	k        *kernel
-	l        *Loop
+	kernel   *faultyKernel
+	loop     *Loop
 	listener *Listener
-	address  string
+	address  string // of listener
 	accepted []*Conn
-	servers  []*party
+	servers  []*endpoint // the handlers of accepted, where onAccept is not set
 	onAccept func(*Conn) Handler
 }
 
-// onStage has set called before the loop runs. The loop ends when until is true, which is asked each millisecond.
-func onStage(t *testing.T, set func(*stage), until func() bool) *stage {
+// runFixture calls prepare, then runs the loop until a condition holds, which it evaluates each millisecond.
+func runFixture(t *testing.T, prepare func(*fixture), until func() bool) *fixture {
 	t.Helper()
-	s := &stage{T: t, k: newKernel()}
+	f := &fixture{T: t, kernel: newFaultyKernel()}
 	var err error
-	if s.l, err = NewWithSyscalls(0, s.k); err != nil {
+	if f.loop, err = NewWithSyscalls(0, f.kernel); err != nil {
 		t.Fatal(err)
 	}
-	if s.listener, err = s.l.Listen("127.0.0.1:0", s.accept); err != nil {
+	if f.listener, err = f.loop.Listen("127.0.0.1:0", f.accept); err != nil {
 		t.Fatal(err)
 	}
-	s.address = s.listener.Address()
-	set(s)
-	s.l.Schedule(s.l.Now()+patience, func() {
-		t.Error("what is waited for did not come")
-		s.l.Stop()
+	f.address = f.listener.Address()
+	prepare(f)
+	f.loop.Schedule(f.loop.Now()+testTimeout, func() {
+		t.Error("the condition has not become true")
+		f.loop.Stop()
 	})
-	var ask func()
-	ask = func() {
+	var evaluate func()
+	evaluate = func() {
 		if until() {
-			s.l.Stop()
+			f.loop.Stop()
 		}
-		s.l.Schedule(s.l.Now()+time.Millisecond, ask)
+		f.loop.Schedule(f.loop.Now()+time.Millisecond, evaluate)
 	}
-	ask()
-	if err := s.l.Run(); err != nil {
+	evaluate()
+	if err := f.loop.Run(); err != nil {
 		t.Error(err)
 	}
-	s.k.check(t)
-	return s
+	f.kernel.check(t)
+	return f
 }
 
-func (s *stage) accept(c *Conn) Handler {
-	s.accepted = append(s.accepted, c)
-	if s.onAccept != nil {
-		return s.onAccept(c)
+func (f *fixture) accept(c *Conn) Handler {
+	f.accepted = append(f.accepted, c)
+	if f.onAccept != nil {
+		return f.onAccept(c)
 	}
-	x := &party{}
-	s.servers = append(s.servers, x)
-	return x
+	server := &endpoint{}
+	f.servers = append(f.servers, server)
+	return server
 }
 
-func (s *stage) dial(x *party) *Conn {
-	s.Helper()
-	c, err := s.l.Dial(s.address, x)
+func (f *fixture) dial(client *endpoint) *Conn {
+	f.Helper()
+	c, err := f.loop.Dial(f.address, client)
 	if err != nil {
-		s.Fatal(err)
+		f.Fatal(err)
 	}
 	return c
 }
@@ -79,31 +79,32 @@
 	return func() bool { return time.Since(start) >= span }
 }
 
-// TestAcceptGoesOn has accept fail in ways that concern one connection: the next is accepted in the same round.
-func TestAcceptGoesOn(t *testing.T) {
+// TestAcceptContinuesAfterConnectionErrors has accept fail in ways that concern one connection: the next is accepted in the
+// same round.
+func TestAcceptContinuesAfterConnectionErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EPROTO, unix.EINTR, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			x := &party{}
-			s := onStage(t, func(s *stage) {
-				s.dial(x)
-				s.k.faults["accept"] = slices.Repeat([]unix.Errno{errno}, 3)
-				s.listener.ready(unix.EPOLLIN)
-				if len(s.accepted) != 1 {
-					t.Errorf("%d connections accepted in the round", len(s.accepted))
+			client := &endpoint{}
+			f := runFixture(t, func(f *fixture) {
+				f.dial(client)
+				f.kernel.faults["accept"] = slices.Repeat([]unix.Errno{errno}, 3)
+				f.listener.ready(unix.EPOLLIN)
+				if len(f.accepted) != 1 {
+					t.Errorf("%d connections accepted in the round", len(f.accepted))
 				}
-			}, func() bool { return x.opened })
-			if len(s.servers) != 1 {
-				t.Errorf("%d connections accepted", len(s.servers))
+			}, func() bool { return client.opened })
+			if len(f.servers) != 1 {
+				t.Errorf("%d connections accepted", len(f.servers))
 			}
 		})
 	}
 }
 
 // TestAcceptDoesNotSpin has accept fail for good while a connection waits: few calls are made, and once it works again
-// the connection is accepted. Where the listener cannot be silenced, the loop slows down.
+// the connection is accepted. Where epoll cannot be told to ignore the listener, the loop pauses in each round.
 func TestAcceptDoesNotSpin(t *testing.T) {
-	for _, d := range documented {
+	for _, d := range documentedErrors {
 		if d.call != "accept" {
 			continue
 		}
@@ -111,24 +112,24 @@
 			if errno == unix.EAGAIN {
 				continue
 			}
-			for _, silenced := range []bool{true, false} {
+			for _, ignored := range []bool{true, false} {
 				t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 					t.Parallel()
-					var s *stage
+					var f *fixture
 					calls, span := 0, 100*time.Millisecond
-					onStage(t, func(on *stage) {
-						s = on
-						s.dial(&party{})
-						s.k.will("accept", errno)
-						if !silenced {
-							s.k.will("epoll_ctl mod", unix.ENOMEM)
+					runFixture(t, func(fixture *fixture) {
+						f = fixture
+						f.dial(&endpoint{})
+						f.kernel.failAll("accept", errno)
+						if !ignored {
+							f.kernel.failAll("epoll_ctl mod", unix.ENOMEM)
 						}
-						s.l.Schedule(s.l.Now()+span, func() {
-							calls = s.k.count("accept")
-							s.k.will("accept", 0)
-							s.k.will("epoll_ctl mod", 0)
+						f.loop.Schedule(f.loop.Now()+span, func() {
+							calls = f.kernel.count("accept")
+							f.kernel.failAll("accept", 0)
+							f.kernel.failAll("epoll_ctl mod", 0)
 						})
-					}, func() bool { return len(s.accepted) > 0 })
+					}, func() bool { return len(f.accepted) > 0 })
 					atMost := 10 * maxAcceptErrors
 					if calls > atMost {
 						t.Errorf("accept was called %d times in %v, want %d at most", calls, span, atMost)
@@ -141,83 +142,84 @@
 
 // TestDialInterrupted has connect interrupted by a signal: the attempt goes on.
 func TestDialInterrupted(t *testing.T) {
-	x := &party{}
-	onStage(t, func(s *stage) {
-		s.k.faults["connect"] = []unix.Errno{unix.EINTR}
-		if _, err := s.l.Dial(s.address, x); err != nil {
+	client := &endpoint{}
+	runFixture(t, func(f *fixture) {
+		f.kernel.faults["connect"] = []unix.Errno{unix.EINTR}
+		if _, err := f.loop.Dial(f.address, client); err != nil {
 			t.Error(err)
 		}
-	}, func() bool { return x.opened || t.Failed() })
+	}, func() bool { return client.opened || t.Failed() })
 }
 
-// TestAddFails has a descriptor not be taken up by epoll: it is closed, and the loop does not know it any more.
-func TestAddFails(t *testing.T) {
-	makes := map[string]func(*stage) (any, error){
-		"Dial":   func(s *stage) (any, error) { c, err := s.l.Dial(s.address, &party{}); return c, err },
-		"Listen": func(s *stage) (any, error) { n, err := s.l.Listen("127.0.0.1:0", s.accept); return n, err },
-		"Packets": func(s *stage) (any, error) {
-			p, err := s.l.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) {})
-			return p, err
+// TestEpollAddFails has epoll refuse a new descriptor: it is closed, and the loop does not know it any more.
+func TestEpollAddFails(t *testing.T) {
+	constructors := map[string]func(*fixture) (any, error){
+		"Dial":   func(f *fixture) (any, error) { c, err := f.loop.Dial(f.address, &endpoint{}); return c, err },
+		"Listen": func(f *fixture) (any, error) { ln, err := f.loop.Listen("127.0.0.1:0", f.accept); return ln, err },
+		"ListenUDP": func(f *fixture) (any, error) {
+			u, err := f.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) {})
+			return u, err
 		},
 	}
-	for name, makeOne := range makes {
+	for name, construct := range constructors {
 		t.Run(name, func(t *testing.T) {
-			onStage(t, func(s *stage) {
-				open, known := len(s.k.open), len(s.l.files)
-				s.k.faults["epoll_ctl add"] = []unix.Errno{unix.ENOSPC}
-				if _, err := makeOne(s); !errors.Is(err, unix.ENOSPC) {
+			runFixture(t, func(f *fixture) {
+				open, known := len(f.kernel.open), len(f.loop.files)
+				f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOSPC}
+				if _, err := construct(f); !errors.Is(err, unix.ENOSPC) {
 					t.Errorf("error %v", err)
 				}
-				if len(s.k.open) != open || len(s.l.files) != known {
-					t.Errorf("%d descriptors and %d entries more than before", len(s.k.open)-open, len(s.l.files)-known)
+				if len(f.kernel.open) != open || len(f.loop.files) != known {
+					t.Errorf("%d descriptors and %d entries more than before", len(f.kernel.open)-open, len(f.loop.files)-known)
 				}
 			}, elapsed(0))
 		})
 	}
 	t.Run("accept", func(t *testing.T) {
-		server, client := &party{}, &party{}
-		s := onStage(t, func(s *stage) {
-			s.onAccept = func(*Conn) Handler { return server }
-			s.dial(client)
-			s.k.faults["epoll_ctl add"] = []unix.Errno{unix.ENOMEM}
+		server, client := &endpoint{}, &endpoint{}
+		f := runFixture(t, func(f *fixture) {
+			f.onAccept = func(*Conn) Handler { return server }
+			f.dial(client)
+			f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOMEM}
 		}, func() bool { return client.closed > 0 })
-		if server.closed != 1 || !errors.Is(server.err, unix.ENOMEM) || len(s.accepted) != 1 {
-			t.Errorf("the handler heard of the end %d times, %v", server.closed, server.err)
+		if server.closed != 1 || !errors.Is(server.err, unix.ENOMEM) || len(f.accepted) != 1 {
+			t.Errorf("the handler was told of the end %d times, %v", server.closed, server.err)
 		}
 	})
 }
 
-// TestWatchFails has epoll not take what a connection waits for: its handler is told once, and not inside its own call.
-func TestWatchFails(t *testing.T) {
+// TestEpollModFails has epoll refuse a change of the events of a connection: its handler is told once, and not inside a call
+// of its own.
+func TestEpollModFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOENT} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			client := &party{send: []byte("hello")}
-			server := &party{}
-			s := onStage(t, func(s *stage) {
+			client := &endpoint{send: []byte("hello")}
+			server := &endpoint{}
+			f := runFixture(t, func(f *fixture) {
 				server.input = func(c *Conn) {
 					server.input = nil
-					s.k.will("epoll_ctl mod", errno)
+					f.kernel.failAll("epoll_ctl mod", errno)
 					c.Pause()
-					s.k.will("epoll_ctl mod", 0)
+					f.kernel.failAll("epoll_ctl mod", 0)
 				}
-				s.onAccept = func(*Conn) Handler { return server }
-				s.dial(client)
+				f.onAccept = func(*Conn) Handler { return server }
+				f.dial(client)
 			}, func() bool { return server.closed > 0 && (client.closed > 0 || client.served) })
 			if server.closed != 1 || server.nested || !errors.Is(server.err, errno) {
 				t.Errorf("told of the end %d times, inside a call of its own: %v, with %v", server.closed, server.nested, server.err)
 			}
-			if !s.accepted[0].closed {
+			if !f.accepted[0].closed {
 				t.Error("the connection is open")
 			}
 		})
 	}
 }
 
-// TestPostWithoutWake has the write to the eventfd fail while the loop sleeps without a timer.
-func TestPostWithoutWake(t *testing.T) {
+// TestPostRetriesWake has the write to the eventfd fail while the loop sleeps without a timer.
+func TestPostRetriesWake(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.EIO} {
 		for _, length := range []int{1, 5, 40} {
-			k := newKernel()
+			k := newFaultyKernel()
 			l, err := NewWithSyscalls(0, k)
 			if err != nil {
 				t.Fatal(err)
@@ -231,7 +233,7 @@
 			l.Post(func() { close(ran) })
 			select {
 			case <-ran:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Errorf("%v, %d times: what was posted did not run", errno, length)
 				k.mu.Lock()
 				k.faults["write eventfd"] = nil
@@ -249,92 +251,92 @@
 	}
 }
 
-// TestQuiet has the look at what has come fail: an interrupted one says nothing of data.
-func TestQuiet(t *testing.T) {
+// TestNoInputPending has recvfrom fail: an interrupted call tells nothing of input.
+func TestNoInputPending(t *testing.T) {
 	for _, c := range []struct {
 		errno unix.Errno
-		quiet bool
+		want  bool
 	}{{0, true}, {unix.EINTR, true}, {unix.EAGAIN, true}, {unix.ECONNRESET, false}, {unix.ETIMEDOUT, false}, {unix.ENOMEM, false}} {
-		x := &party{}
-		onStage(t, func(s *stage) {
-			conn := s.dial(x)
-			s.l.Schedule(0, func() {})
-			x.input = nil
-			s.l.Schedule(s.l.Now()+2*time.Millisecond, func() { s.quiet(conn, x, c.errno, c.quiet) })
-		}, func() bool { return x.gone })
+		client := &endpoint{}
+		runFixture(t, func(f *fixture) {
+			conn := f.dial(client)
+			f.loop.Schedule(0, func() {})
+			client.input = nil
+			f.loop.Schedule(f.loop.Now()+2*time.Millisecond, func() { f.expectNoInputPending(conn, client, c.errno, c.want) })
+		}, func() bool { return client.gone })
 	}
 }
 
-// quiet asks once the connection stands.
-func (s *stage) quiet(c *Conn, x *party, errno unix.Errno, want bool) {
-	if !x.opened {
-		s.l.Schedule(s.l.Now()+time.Millisecond, func() { s.quiet(c, x, errno, want) })
+// expectNoInputPending compares NoInputPending while recvfrom fails, once the connection is established.
+func (f *fixture) expectNoInputPending(c *Conn, client *endpoint, errno unix.Errno, want bool) {
+	if !client.opened {
+		f.loop.Schedule(f.loop.Now()+time.Millisecond, func() { f.expectNoInputPending(c, client, errno, want) })
 		return
 	}
-	s.k.faults["recvfrom"] = []unix.Errno{errno, errno, errno}[:min(3, 3*int(errno))]
+	f.kernel.faults["recvfrom"] = []unix.Errno{errno, errno, errno}[:min(3, 3*int(errno))]
 	if got := c.NoInputPending(); got != want {
-		s.Errorf("Quiet is %v at %v", got, errno)
+		f.Errorf("NoInputPending is %v after %v, want %v", got, errno, want)
 	}
-	s.k.faults["recvfrom"] = nil
-	x.gone = true
+	f.kernel.faults["recvfrom"] = nil
+	client.gone = true
 }
 
-// TestWaitFails has epoll_wait fail: short of memory it goes on, slowly; timers are served meanwhile.
-func TestWaitFails(t *testing.T) {
+// TestEpollWaitFails has epoll_wait fail: without memory the loop goes on, with a pause in each round; timers run meanwhile.
+func TestEpollWaitFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			x := &party{}
+			client := &endpoint{}
 			fired, calls := false, 0
-			onStage(t, func(s *stage) {
-				s.dial(x)
-				s.k.will("epoll_wait", errno)
-				s.l.Schedule(s.l.Now()+30*time.Millisecond, func() {
-					fired, calls = true, s.k.count("epoll_wait")
-					s.k.will("epoll_wait", 0)
+			runFixture(t, func(f *fixture) {
+				f.dial(client)
+				f.kernel.failAll("epoll_wait", errno)
+				f.loop.Schedule(f.loop.Now()+30*time.Millisecond, func() {
+					fired, calls = true, f.kernel.count("epoll_wait")
+					f.kernel.failAll("epoll_wait", 0)
 				})
-			}, func() bool { return fired && x.opened })
+			}, func() bool { return fired && client.opened })
 			if errno != unix.EINTR && calls > 100 {
 				t.Errorf("epoll_wait was called %d times in 30 ms", calls)
 			}
 		})
 	}
 	t.Run("EINVAL", func(t *testing.T) {
-		k := newKernel()
+		k := newFaultyKernel()
 		l, err := NewWithSyscalls(0, k)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.will("epoll_wait", unix.EINVAL)
+		k.failAll("epoll_wait", unix.EINVAL)
 		if err := l.Run(); !errors.Is(err, unix.EINVAL) {
-			t.Errorf("Run gives %v", err)
+			t.Errorf("Run returns %v", err)
 		}
 		k.check(t)
 	})
 }
 
-// TestEstablishedFails has an established connection end by an error of the network: the handler is told which, also
+// TestEstablishedConnectionFails has an established connection end by an error of the network: the handler is told which, also
 // while the connection is paused.
-func TestEstablishedFails(t *testing.T) {
+func TestEstablishedConnectionFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
 		for _, paused := range []bool{false, true} {
-			x := &party{}
-			onStage(t, func(s *stage) {
-				s.onAccept = func(c *Conn) Handler {
-					s.l.Schedule(0, func() {
+			server := &endpoint{}
+			runFixture(t, func(f *fixture) {
+				f.onAccept = func(c *Conn) Handler {
+					f.loop.Schedule(0, func() {
 						if c.paused = paused; paused {
-							s.k.faults["SO_ERROR"] = []unix.Errno{errno}
+							f.kernel.faults["SO_ERROR"] = []unix.Errno{errno}
 							c.ready(unix.EPOLLERR | unix.EPOLLHUP)
 						} else {
-							s.k.faults["read"] = []unix.Errno{errno}
+							f.kernel.faults["read"] = []unix.Errno{errno}
 							c.ready(unix.EPOLLERR | unix.EPOLLIN)
 						}
 					})
-					return x
+					return server
 				}
-				s.dial(&party{})
-			}, func() bool { return x.closed > 0 })
-			if !errors.Is(x.err, errno) || x.closed != 1 {
-				t.Errorf("%v, paused %v: told %v, %d times", errno, paused, x.err, x.closed)
+				f.dial(&endpoint{})
+			}, func() bool { return server.closed > 0 })
+			if !errors.Is(server.err, errno) || server.closed != 1 {
+				t.Errorf("%v, paused %v: told %v, %d times", errno, paused, server.err, server.closed)
 			}
 		}
 	}
@@ -342,70 +344,70 @@
 
 // TestClosedDescriptorIsLeftAlone uses connections after their end: the kernel may have given their descriptor to another.
 func TestClosedDescriptorIsLeftAlone(t *testing.T) {
-	cases := map[string]func(*stage, *Conn) Handler{
-		"turned away with bytes to send": func(s *stage, c *Conn) Handler {
+	cases := map[string]func(*fixture, *Conn) Handler{
+		"refused with output": func(f *fixture, c *Conn) Handler {
 			c.Out = append(c.Out, "busy"...)
 			c.Send()
 			return nil
 		},
-		"closed, then turned away": func(s *stage, c *Conn) Handler {
+		"closed, then refused": func(f *fixture, c *Conn) Handler {
 			c.Close()
 			return nil
 		},
-		"closed, then taken": func(s *stage, c *Conn) Handler {
+		"closed, then accepted": func(f *fixture, c *Conn) Handler {
 			c.Close()
-			return &party{}
+			return &endpoint{}
 		},
-		"paused, then taken": func(s *stage, c *Conn) Handler {
+		"paused, then accepted": func(f *fixture, c *Conn) Handler {
 			c.Pause()
-			s.l.Schedule(s.l.Now()+time.Millisecond, c.Close)
-			return &party{}
+			f.loop.Schedule(f.loop.Now()+time.Millisecond, c.Close)
+			return &endpoint{}
 		},
-		"closed between Finish and the end of the round": func(s *stage, c *Conn) Handler {
-			s.l.Schedule(0, func() {
+		"closed between CloseGracefully and the end of the round": func(f *fixture, c *Conn) Handler {
+			f.loop.Schedule(0, func() {
 				c.Out = append(c.Out, "bye"...)
 				c.Send()
 				c.CloseGracefully()
 				c.Close()
 			})
-			return &party{}
+			return &endpoint{}
 		},
 	}
 	for name, onAccept := range cases {
 		t.Run(name, func(t *testing.T) {
-			x := &party{}
+			client := &endpoint{}
 			known := 0
-			var s *stage
-			onStage(t, func(on *stage) {
-				s = on
-				s.onAccept = func(c *Conn) Handler { return onAccept(s, c) }
-				known = len(s.l.files)
-				s.dial(x)
-			}, func() bool { return x.closed > 0 && len(s.l.files) <= known })
+			var f *fixture
+			runFixture(t, func(fixture *fixture) {
+				f = fixture
+				f.onAccept = func(c *Conn) Handler { return onAccept(f, c) }
+				known = len(f.loop.files)
+				f.dial(client)
+			}, func() bool { return client.closed > 0 && len(f.loop.files) <= known })
 		})
 	}
 	t.Run("closed after Run", func(t *testing.T) {
-		x := &party{}
+		client := &endpoint{}
 		var c *Conn
-		s := onStage(t, func(s *stage) { c = s.dial(x) }, func() bool { return x.opened })
+		f := runFixture(t, func(f *fixture) { c = f.dial(client) }, func() bool { return client.opened })
 		c.Close()
-		s.listener.Close()
-		s.k.check(t)
+		f.listener.Close()
+		f.kernel.check(t)
 	})
 }
 
-// TestTransient sorts errors with and without what is round them.
+// TestTransient checks Transient with errors as the system returns them and as Listen wraps them.
 func TestTransient(t *testing.T) {
-	onStage(t, func(s *stage) {
+	runFixture(t, func(f *fixture) {
 		for _, errno := range []unix.Errno{unix.EMFILE, unix.EADDRINUSE} {
-			s.k.faults["socket"] = []unix.Errno{errno}
-			_, err := s.l.Listen("127.0.0.1:0", s.accept)
+			f.kernel.faults["socket"] = []unix.Errno{errno}
+			_, err := f.loop.Listen("127.0.0.1:0", f.accept)
 			if !errors.Is(err, errno) || Transient(err) != (errno == unix.EMFILE) {
 				t.Errorf("%v: transient %v", err, Transient(err))
 			}
 		}
-		s.k.faults["bind"] = []unix.Errno{unix.ENOMEM}
-		if _, err := s.l.Listen("127.0.0.1:0", s.accept); !Transient(err) {
+		f.kernel.faults["bind"] = []unix.Errno{unix.ENOMEM}
+		if _, err := f.loop.Listen("127.0.0.1:0", f.accept); !Transient(err) {
 			t.Errorf("%v is not transient", err)
 		}
 	}, elapsed(0))
@@ -421,7 +423,7 @@
 	}
 }
 
-// TestReadsDoNotSpin has what epoll tells of be unreadable for a time: few calls are made, then it is read.
+// TestReadsDoNotSpin has a descriptor that epoll reports be unreadable for a time: few calls are made, then it is read.
 func TestReadsDoNotSpin(t *testing.T) {
 	for _, c := range []struct {
 		call     string
@@ -436,20 +438,20 @@
 		for _, errno := range c.errnos {
 			t.Run(call+"/"+unix.ErrnoName(errno), func(t *testing.T) {
 				t.Parallel()
-				heard, posted, calls, span := false, false, 0, 100*time.Millisecond
-				onStage(t, func(s *stage) {
-					p, err := s.l.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { heard = true })
+				received, posted, calls, span := false, false, 0, 100*time.Millisecond
+				runFixture(t, func(f *fixture) {
+					u, err := f.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { received = true })
 					if err != nil {
 						t.Fatal(err)
 					}
-					p.Send(bound(t, p.fd), []byte("hello"))
-					s.l.Post(func() { posted = true })
-					s.k.will(call, errno)
-					s.l.Schedule(s.l.Now()+span, func() {
-						calls = s.k.count(call)
-						s.k.will(call, 0)
+					u.Send(localAddress(t, u.fd), []byte("hello"))
+					f.loop.Post(func() { posted = true })
+					f.kernel.failAll(call, errno)
+					f.loop.Schedule(f.loop.Now()+span, func() {
+						calls = f.kernel.count(call)
+						f.kernel.failAll(call, 0)
 					})
-				}, func() bool { return heard && posted && calls > 0 })
+				}, func() bool { return received && posted && calls > 0 })
 				if atMost := (int(span/roundPause) + 10) * c.perRound; calls > atMost {
 					t.Errorf("%s was made %d times in %v, want %d at most", call, calls, span, atMost)
 				}
--- a/eventloop/fuzz_test.go
+++ b/eventloop/fuzz_test.go
@@ -7,14 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// mostFaults bounds the faults of one sequence, so that a run is short.
-const mostFaults = 24
+// maxFaults bounds the faults of one sequence, so that a run is short.
+const maxFaults = 24
 
-// faultsOf reads a sequence of faults: three bytes each, which call, how it fails, and after how many that do not.
-func faultsOf(b []byte) map[string][]unix.Errno {
+// decodeFaults reads a sequence of faults, of three bytes each: which call, its error, and after how many that do not fail.
+func decodeFaults(b []byte) map[string][]unix.Errno {
 	faults := map[string][]unix.Errno{}
-	for b = b[:min(len(b), 3*mostFaults)]; len(b) >= 3; b = b[3:] {
-		d := documented[int(b[0])%len(documented)]
+	for b = b[:min(len(b), 3*maxFaults)]; len(b) >= 3; b = b[3:] {
+		d := documentedErrors[int(b[0])%len(documentedErrors)]
 		errno := d.errnos[int(b[1])%len(d.errnos)]
 		faults[d.call] = append(append(faults[d.call], make([]unix.Errno, b[2]%8)...), errno)
 	}
@@ -25,12 +25,7 @@
 // calls is bounded, and every handler, posted function and connection comes to its end.
 func FuzzFaults(f *testing.F) {
 	call := func(name string) byte {
-		return byte(slices.IndexFunc(documented, func(d struct {
-			call   string
-			errnos []unix.Errno
-		}) bool {
-			return d.call == name
-		}))
+		return byte(slices.IndexFunc(documentedErrors, func(d documentedError) bool { return d.call == name }))
 	}
 	f.Add([]byte{})
 	f.Add([]byte{call("accept"), 2, 0, call("epoll_ctl mod"), 0, 0, call("epoll_ctl mod"), 0, 0})
@@ -39,8 +34,8 @@
 	f.Add([]byte{call("short write"), 0, 0, call("short read"), 0, 0, call("write"), 1, 1, call("read"), 1, 1, call("epoll_ctl mod"), 0, 0})
 	f.Add([]byte{call("epoll_wait"), 1, 2, call("read eventfd"), 2, 0, call("recvfrom"), 2, 0, call("sendto"), 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		k := newKernel()
-		k.faults = faultsOf(b)
-		perform(t, k)
+		k := newFaultyKernel()
+		k.faults = decodeFaults(b)
+		runScenario(t, k)
 	})
 }
--- a/eventloop/kernel_test.go
+++ b/eventloop/kernel_test.go
@@ -8,28 +8,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// kernel stands between a loop and Linux: calls fail as told, descriptors are counted.
-type kernel struct {
+// faultyKernel makes the calls of Linux, has some of them fail, and tracks descriptors.
+type faultyKernel struct {
 	Linux
 	mu     sync.Mutex
-	faults map[string][]unix.Errno // what the next calls of a name fail with, in turn; 0: nothing
-	always map[string]unix.Errno   // what all calls of a name fail with after that
+	faults map[string][]unix.Errno // the errors of the next calls by name, in turn; 0: none
+	always map[string]unix.Errno   // the errors of all calls after these; 0: none
 	calls  map[string]int
-	total  int
-	open   map[int]string // the call that made a descriptor
+	total  int            // of calls
+	open   map[int]string // the name of the call that made each open descriptor
 	misuse []string       // calls on descriptors that are not open
 }
 
-func newKernel() *kernel {
-	return &kernel{faults: map[string][]unix.Errno{}, always: map[string]unix.Errno{}, calls: map[string]int{}, open: map[int]string{}}
+func newFaultyKernel() *faultyKernel {
+	return &faultyKernel{faults: map[string][]unix.Errno{}, always: map[string]unix.Errno{}, calls: map[string]int{}, open: map[int]string{}}
 }
 
-// documented is how the calls of a loop can fail, by the manual pages of Linux. "SO_ERROR" is what an attempt to
-// connect ends with, "short read" and "short write" are calls that carry one byte.
-var documented = []struct {
+// documentedError is how a call can fail.
+type documentedError struct {
 	call   string
 	errnos []unix.Errno
-}{
+}
+
+// documentedErrors is how the calls of a loop can fail, by the manual pages of Linux. "SO_ERROR" is the result of an attempt
+// to connect; "short read" and "short write" are calls that transfer one byte.
+var documentedErrors = []documentedError{
 	{"epoll_create", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM}},
 	{"eventfd", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENODEV, unix.ENOMEM}},
 	{"epoll_ctl add", []unix.Errno{unix.ENOMEM, unix.ENOSPC}},
@@ -59,8 +62,8 @@
 	{"close", []unix.Errno{unix.EINTR, unix.EIO}},
 }
 
-// due is what a call on a descriptor, none if negative, fails with.
-func (k *kernel) due(call string, fd int) unix.Errno {
+// nextFault counts a call on a descriptor, none if negative, and returns its error; 0: it does not fail.
+func (k *faultyKernel) nextFault(call string, fd int) unix.Errno {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls[call]++
@@ -75,15 +78,16 @@
 	return k.always[call]
 }
 
-// fail is due as an error.
-func (k *kernel) fail(call string, fd int) error {
-	if e := k.due(call, fd); e != 0 {
-		return e
+// nextError is nextFault as an error.
+func (k *faultyKernel) nextError(call string, fd int) error {
+	if errno := k.nextFault(call, fd); errno != 0 {
+		return errno
 	}
 	return nil
 }
 
-func (k *kernel) made(call string, fd int, err error) (int, error) {
+// opened notes a descriptor that a call has made.
+func (k *faultyKernel) opened(call string, fd int, err error) (int, error) {
 	if err == nil {
 		k.mu.Lock()
 		k.open[fd] = call
@@ -92,7 +96,8 @@
 	return fd, err
 }
 
-func (k *kernel) count(call string) int {
+// count is the number of calls of a name, or of all where it is empty.
+func (k *faultyKernel) count(call string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if call == "" {
@@ -101,15 +106,15 @@
 	return k.calls[call]
 }
 
-// will has all calls of a name fail from now on, or none more.
-func (k *kernel) will(call string, e unix.Errno) {
+// failAll has all calls of a name fail from now on; with 0 none fails any more.
+func (k *faultyKernel) failAll(call string, errno unix.Errno) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.always[call] = e
+	k.always[call] = errno
 }
 
-// check tells of descriptors that are still open or were used when they were not.
-func (k *kernel) check(t testing.TB) {
+// check fails the test if descriptors are still open, or were used when they were not.
+func (k *faultyKernel) check(t testing.TB) {
 	t.Helper()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -117,109 +122,109 @@
 		t.Errorf("descriptor %d of %s is left open", fd, call)
 		unix.Close(fd)
 	}
-	for _, m := range k.misuse {
-		t.Errorf("used although not open: %s", m)
+	for _, call := range k.misuse {
+		t.Errorf("used although not open: %s", call)
 	}
 }
 
-func (k *kernel) EpollCreate() (int, error) {
-	if err := k.fail("epoll_create", -1); err != nil {
+func (k *faultyKernel) EpollCreate() (int, error) {
+	if err := k.nextError("epoll_create", -1); err != nil {
 		return -1, err
 	}
 	fd, err := k.Linux.EpollCreate()
-	return k.made("epoll_create", fd, err)
+	return k.opened("epoll_create", fd, err)
 }
 
-func (k *kernel) Eventfd() (int, error) {
-	if err := k.fail("eventfd", -1); err != nil {
+func (k *faultyKernel) Eventfd() (int, error) {
+	if err := k.nextError("eventfd", -1); err != nil {
 		return -1, err
 	}
 	fd, err := k.Linux.Eventfd()
-	return k.made("eventfd", fd, err)
+	return k.opened("eventfd", fd, err)
 }
 
-func (k *kernel) EpollCtl(epoll, op, fd int, event unix.EpollEvent) error {
+func (k *faultyKernel) EpollCtl(epoll, op, fd int, event unix.EpollEvent) error {
 	name := map[int]string{unix.EPOLL_CTL_ADD: "epoll_ctl add", unix.EPOLL_CTL_MOD: "epoll_ctl mod"}[op]
-	if err := k.fail(name, fd); err != nil {
+	if err := k.nextError(name, fd); err != nil {
 		return err
 	}
 	return k.Linux.EpollCtl(epoll, op, fd, event)
 }
 
-func (k *kernel) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
-	if err := k.fail("epoll_wait", epoll); err != nil {
+func (k *faultyKernel) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
+	if err := k.nextError("epoll_wait", epoll); err != nil {
 		return -1, err
 	}
 	return k.Linux.EpollWait(epoll, events, milliseconds)
 }
 
-func (k *kernel) Socket(family, kind int) (int, error) {
-	if err := k.fail("socket", -1); err != nil {
+func (k *faultyKernel) Socket(family, kind int) (int, error) {
+	if err := k.nextError("socket", -1); err != nil {
 		return -1, err
 	}
 	fd, err := k.Linux.Socket(family, kind)
-	return k.made("socket", fd, err)
+	return k.opened("socket", fd, err)
 }
 
-func (k *kernel) Accept(fd int) (int, unix.Sockaddr, error) {
-	if err := k.fail("accept", fd); err != nil {
+func (k *faultyKernel) Accept(fd int) (int, unix.Sockaddr, error) {
+	if err := k.nextError("accept", fd); err != nil {
 		return -1, nil, err
 	}
 	fd, from, err := k.Linux.Accept(fd)
-	fd, err = k.made("accept", fd, err)
+	fd, err = k.opened("accept", fd, err)
 	return fd, from, err
 }
 
-func (k *kernel) Connect(fd int, to unix.Sockaddr) error {
-	err := k.fail("connect", fd)
+func (k *faultyKernel) Connect(fd int, to unix.Sockaddr) error {
+	err := k.nextError("connect", fd)
 	if err == nil || err == unix.EINTR { // the attempt goes on, see connect(2)
-		if real := k.Linux.Connect(fd, to); err == nil {
-			return real
+		if result := k.Linux.Connect(fd, to); err == nil {
+			return result
 		}
 	}
 	return err
 }
 
-func (k *kernel) Bind(fd int, at unix.Sockaddr) error {
-	if err := k.fail("bind", fd); err != nil {
+func (k *faultyKernel) Bind(fd int, at unix.Sockaddr) error {
+	if err := k.nextError("bind", fd); err != nil {
 		return err
 	}
 	return k.Linux.Bind(fd, at)
 }
 
-func (k *kernel) Listen(fd, backlog int) error {
-	if err := k.fail("listen", fd); err != nil {
+func (k *faultyKernel) Listen(fd, backlog int) error {
+	if err := k.nextError("listen", fd); err != nil {
 		return err
 	}
 	return k.Linux.Listen(fd, backlog)
 }
 
-func (k *kernel) Getsockname(fd int) (unix.Sockaddr, error) {
-	if err := k.fail("getsockname", fd); err != nil {
+func (k *faultyKernel) Getsockname(fd int) (unix.Sockaddr, error) {
+	if err := k.nextError("getsockname", fd); err != nil {
 		return nil, err
 	}
 	return k.Linux.Getsockname(fd)
 }
 
-func (k *kernel) GetsockoptInt(fd, level, option int) (int, error) {
-	if err := k.fail("getsockopt", fd); err != nil {
+func (k *faultyKernel) GetsockoptInt(fd, level, option int) (int, error) {
+	if err := k.nextError("getsockopt", fd); err != nil {
 		return 0, err
 	}
-	if e := k.due("SO_ERROR", fd); e != 0 {
-		return int(e), nil
+	if errno := k.nextFault("SO_ERROR", fd); errno != 0 {
+		return int(errno), nil
 	}
 	return k.Linux.GetsockoptInt(fd, level, option)
 }
 
-func (k *kernel) SetsockoptInt(fd, level, option, value int) error {
-	if err := k.fail("setsockopt", fd); err != nil {
+func (k *faultyKernel) SetsockoptInt(fd, level, option, value int) error {
+	if err := k.nextError("setsockopt", fd); err != nil {
 		return err
 	}
 	return k.Linux.SetsockoptInt(fd, level, option, value)
 }
 
-// of is the name of a read or write of a descriptor.
-func (k *kernel) of(call string, fd int) string {
+// nameFor is the name of a read or write of a descriptor.
+func (k *faultyKernel) nameFor(call string, fd int) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.open[fd] == "eventfd" {
@@ -228,64 +233,64 @@
 	return call
 }
 
-func (k *kernel) Read(fd int, b []byte) (int, error) {
-	name := k.of("read", fd)
-	if err := k.fail(name, fd); err != nil {
+func (k *faultyKernel) Read(fd int, b []byte) (int, error) {
+	name := k.nameFor("read", fd)
+	if err := k.nextError(name, fd); err != nil {
 		return -1, err
 	}
-	if name == "read" && k.due("short read", fd) != 0 {
+	if name == "read" && k.nextFault("short read", fd) != 0 {
 		b = b[:1]
 	}
 	return k.Linux.Read(fd, b)
 }
 
-func (k *kernel) Write(fd int, b []byte) (int, error) {
-	name := k.of("write", fd)
-	if err := k.fail(name, fd); err != nil {
+func (k *faultyKernel) Write(fd int, b []byte) (int, error) {
+	name := k.nameFor("write", fd)
+	if err := k.nextError(name, fd); err != nil {
 		if name == "write eventfd" && err == unix.EAGAIN { // the counter is full, so the loop wakes
 			k.Linux.Write(fd, b)
 		}
 		return -1, err
 	}
-	if name == "write" && k.due("short write", fd) != 0 {
+	if name == "write" && k.nextFault("short write", fd) != 0 {
 		b = b[:1]
 	}
 	return k.Linux.Write(fd, b)
 }
 
-func (k *kernel) Recvfrom(fd int, b []byte, flags int) (int, unix.Sockaddr, error) {
-	if err := k.fail("recvfrom", fd); err != nil {
+func (k *faultyKernel) Recvfrom(fd int, b []byte, flags int) (int, unix.Sockaddr, error) {
+	if err := k.nextError("recvfrom", fd); err != nil {
 		return -1, nil, err
 	}
 	return k.Linux.Recvfrom(fd, b, flags)
 }
 
-func (k *kernel) Sendto(fd int, b []byte, flags int, to unix.Sockaddr) error {
-	if err := k.fail("sendto", fd); err != nil {
+func (k *faultyKernel) Sendto(fd int, b []byte, flags int, to unix.Sockaddr) error {
+	if err := k.nextError("sendto", fd); err != nil {
 		return err
 	}
 	return k.Linux.Sendto(fd, b, flags, to)
 }
 
-func (k *kernel) Shutdown(fd, how int) error {
-	if err := k.fail("shutdown", fd); err != nil {
+func (k *faultyKernel) Shutdown(fd, how int) error {
+	if err := k.nextError("shutdown", fd); err != nil {
 		return err
 	}
 	return k.Linux.Shutdown(fd, how)
 }
 
 // Close releases the descriptor whatever it returns, see close(2).
-func (k *kernel) Close(fd int) error {
-	err := k.fail("close", fd)
+func (k *faultyKernel) Close(fd int) error {
+	err := k.nextError("close", fd)
 	k.mu.Lock()
-	was := k.open[fd]
+	madeBy := k.open[fd]
 	delete(k.open, fd)
 	k.mu.Unlock()
-	if was == "" {
+	if madeBy == "" {
 		return unix.EBADF
 	}
-	if real := k.Linux.Close(fd); real != nil {
-		return real
+	if closeErr := k.Linux.Close(fd); closeErr != nil {
+		return closeErr
 	}
 	return err
 }
