--- a/bench/sources.go
+++ b/bench/sources.go
@@ -217,7 +217,7 @@
 	var group []*discovery.DNS
 	for i := range schedulers {
 		group = append(group, discovery.NewDNS(discovery.DNSSettings{Servers: []string{s.Address()}, Name: "_honeyplank._tcp.storage.example.",
-			Floor: 100 * time.Millisecond, Ceiling: time.Minute, Timeout: time.Second, Seed: int64(i)}, func(discovery.Update) {}))
+			MinInterval: 100 * time.Millisecond, MaxInterval: time.Minute, Timeout: time.Second, Seed: int64(i)}, func(discovery.Update) {}))
 	}
 	time.Sleep(time.Duration(2*life) * time.Second) // all began at once; two lifetimes spread them
 	from, last := s.Queries(), s.Queries()
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -122,7 +122,7 @@
 		defer close(kept)
 		ctx, cancel := context.WithTimeout(ctx, lastWrite)
 		defer cancel()
-		err := r.Keep(ctx, c.Learnt, func(err error) { log.Warn().Err(err).Msg("what was learnt is not kept yet") })
+		err := r.WriteWithRetry(ctx, c.Learnt, func(err error) { log.Warn().Err(err).Msg("what was learnt is not kept yet") })
 		if err != nil {
 			log.Warn().Err(err).Msg("what was learnt is not kept")
 			return
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -290,7 +290,7 @@
 func TestLearntFile(t *testing.T) {
 	s := example(t)
 	file := filepath.Join(t.TempDir(), "learnt")
-	known := &estimates.Record{Unit: 16 << 10, TypicalLatency: 0.01, Servers: []estimates.Server{{Server: "127.0.0.1:9", At: time.Now().UTC(), BestPerUnit: 0.001, Latency: 0.01}}}
+	known := &estimates.Record{Unit: 16 << 10, TypicalLatency: 0.01, Servers: []estimates.Server{{ID: "127.0.0.1:9", At: time.Now().UTC(), BestPerUnit: 0.001, Latency: 0.01}}}
 	sound, err := known.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/honeyplank/read.go
+++ b/cmd/honeyplank/read.go
@@ -20,7 +20,7 @@
 	leastReads    = 5                      // also where the process was held up in between
 )
 
-var reading = estimates.Backoff{First: 20 * time.Millisecond, Most: 500 * time.Millisecond}
+var reading = estimates.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond}
 
 // reader reads a file, again where that fails for a moment.
 type reader[T any] struct {
--- a/cmd/honeyplank/read_test.go
+++ b/cmd/honeyplank/read_test.go
@@ -45,7 +45,7 @@
 		{nil, 0, 0, true},
 		{errUnread, 1, 20 * time.Millisecond, true},
 		{errUnread, 6, 1100 * time.Millisecond, true},
-		{errUnread, lasting, readWithin - reading.Most, false},
+		{errUnread, lasting, readWithin - reading.Max, false},
 		{syscall.EIO, 3, 140 * time.Millisecond, true},
 		{errContent, 4, 300 * time.Millisecond, true},
 		{errContent, lasting, 300 * time.Millisecond, false},
@@ -54,7 +54,7 @@
 			began := time.Now()
 			got, err := fails(c.err, c.times).load(t.Context(), nil)
 			took := time.Since(began)
-			if took < c.least || took > c.least+reading.Most || c.succeeds != (got == 7) || !c.succeeds && err != c.err || c.succeeds && err != nil {
+			if took < c.least || took > c.least+reading.Max || c.succeeds != (got == 7) || !c.succeeds && err != c.err || c.succeeds && err != nil {
 				t.Errorf("%v, %d times: %d, %v after %v", c.err, c.times, got, err, took)
 			}
 		})
--- a/discovery/dns.go
+++ b/discovery/dns.go
@@ -19,12 +19,12 @@
 
 // DNSSettings say whom to ask for what. docs/dns.md gives the convention of the records.
 type DNSSettings struct {
-	Servers []string // name servers, asked in turn
-	Name    string   // owner of the SRV records
-	Floor   time.Duration
-	Ceiling time.Duration // bounds of a record's lifetime, whatever it says
-	Timeout time.Duration // for one exchange
-	Seed    int64         // of the jitter
+	Servers     []string // name servers, asked in turn
+	Name        string   // owner of the SRV records
+	MinInterval time.Duration
+	MaxInterval time.Duration // bounds of a record's lifetime, whatever it says
+	Timeout     time.Duration // for one exchange
+	Seed        int64         // of the jitter
 }
 
 // DNS is the list in DNS. News comes on its own goroutine, in order, and none after Close: Whole for an answer,
@@ -44,7 +44,7 @@
 	t.Name = dns.Fqdn(t.Name)
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &DNS{t: t, tell: tell, cancel: cancel}
-	d.asker = resolver.New(resolver.Settings{Servers: len(t.Servers), Floor: t.Floor, Ceiling: t.Ceiling, Seed: t.Seed})
+	d.asker = resolver.New(resolver.Settings{Servers: len(t.Servers), MinInterval: t.MinInterval, MaxInterval: t.MaxInterval, Seed: t.Seed})
 	d.ask = func(server, name string, kind uint16) (*dns.Msg, error) { return d.exchange(ctx, server, name, kind) }
 	d.running.Add(1)
 	go func() {
--- a/discovery/dns_test.go
+++ b/discovery/dns_test.go
@@ -24,7 +24,7 @@
 // resolve starts name servers and a source that asks them in turn.
 func resolve(t *testing.T, n int, change func(*DNSSettings)) ([]*dns.Server, chan Update) {
 	t.Helper()
-	terms := DNSSettings{Name: zone, Floor: 50 * time.Millisecond, Ceiling: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
+	terms := DNSSettings{Name: zone, MinInterval: 50 * time.Millisecond, MaxInterval: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
 	var servers []*dns.Server
 	for range n {
 		s, err := dns.New(zone)
--- a/discovery/resolver/names.go
+++ b/discovery/resolver/names.go
@@ -9,10 +9,10 @@
 
 // Settings bound the asking.
 type Settings struct {
-	Servers int           // name servers, asked in turn
-	Floor   time.Duration // the least pause, whatever a record's lifetime
-	Ceiling time.Duration // the longest
-	Seed    int64
+	Servers     int           // name servers, asked in turn
+	MinInterval time.Duration // the least pause, whatever a record's lifetime
+	MaxInterval time.Duration // the longest
+	Seed        int64
 }
 
 // spread is the share of a pause that is drawn, so that many schedulers do not ask at once: from three quarters of a
@@ -107,12 +107,12 @@
 
 // back waits, each time twice as long, and begins with the server that answered last.
 func (a *Resolver) back(now, _ time.Duration) {
-	a.failed, a.pause = 0, min(max(2*a.pause, a.t.Floor), a.t.Ceiling)
+	a.failed, a.pause = 0, min(max(2*a.pause, a.t.MinInterval), a.t.MaxInterval)
 	a.next = Query{a.first, now + a.draw(a.pause)}
 }
 
 func (a *Resolver) draw(span time.Duration) time.Duration {
-	span = min(max(span, a.t.Floor), a.t.Ceiling)
+	span = min(max(span, a.t.MinInterval), a.t.MaxInterval)
 	return span - time.Duration(a.rng.Float64()*spread*float64(span))
 }
 
--- a/discovery/resolver/names_test.go
+++ b/discovery/resolver/names_test.go
@@ -25,7 +25,7 @@
 	f.Add(byte(2), []byte{1, 200, 0, 0, 0, 0, 0, 0, 1, 5})
 	f.Add(byte(3), []byte{0, 0, 0, 0, 1, 255, 1, 0, 0, 1, 0, 2, 0, 3, 0, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, servers byte, script []byte) {
-		terms := Settings{Servers: 1 + int(servers%4), Floor: 100 * time.Millisecond, Ceiling: 5 * time.Second, Seed: int64(servers)}
+		terms := Settings{Servers: 1 + int(servers%4), MinInterval: 100 * time.Millisecond, MaxInterval: 5 * time.Second, Seed: int64(servers)}
 		a := New(terms)
 		type outcome struct {
 			server   int
@@ -64,13 +64,13 @@
 			case fails%terms.Servers != 0:
 				server, span = (first+fails)%terms.Servers, 0
 			default:
-				span = terms.Floor
+				span = terms.MinInterval
 				for range fails/terms.Servers - 1 {
-					span = min(2*span, terms.Ceiling)
+					span = min(2*span, terms.MaxInterval)
 				}
 			}
 			if span > 0 || fails%terms.Servers == 0 {
-				span = min(max(span, terms.Floor), terms.Ceiling)
+				span = min(max(span, terms.MinInterval), terms.MaxInterval)
 			}
 			wait := a.Next().At - now
 			if a.Next().Server != server || wait > span || wait < span-span/4 || told != (fails%terms.Servers == 0) {
--- a/estimates/learnt.go
+++ b/estimates/learnt.go
@@ -25,7 +25,7 @@
 
 // Server is what it knew of one disk server.
 type Server struct {
-	Server      string    `json:"osd"`
+	ID          string    `json:"osd"`
 	At          time.Time `json:"at"`      // when it last learnt something there
 	BestPerUnit float64   `json:"best"`    // best answer time for each unit, in seconds
 	Latency     float64   `json:"latency"` // recent answer time, in seconds
@@ -62,7 +62,7 @@
 	}
 	for _, s := range append(r.Servers, Server{Latency: r.TypicalLatency}) {
 		if s.BestPerUnit < 0 || s.Latency < 0 || math.IsInf(s.BestPerUnit+s.Latency, 0) {
-			return nil, fmt.Errorf("%q: a time below 0 or without end", s.Server)
+			return nil, fmt.Errorf("%q: a time below 0 or without end", s.ID)
 		}
 	}
 	return r, nil
@@ -104,7 +104,7 @@
 func (r *Record) ToEvent(unit int64, span func(time.Time) time.Duration) honeyplank.SavedEstimates {
 	l := honeyplank.SavedEstimates{TypicalLatency: r.TypicalLatency}
 	for _, s := range r.Servers {
-		k := honeyplank.ServerEstimate{Server: honeyplank.ServerID(s.Server), At: span(s.At), BestPerUnit: s.BestPerUnit, Latency: s.Latency}
+		k := honeyplank.ServerEstimate{Server: honeyplank.ServerID(s.ID), At: span(s.At), BestPerUnit: s.BestPerUnit, Latency: s.Latency}
 		if r.Unit != unit {
 			k.BestPerUnit = 0
 		}
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -120,24 +120,24 @@
 }
 
 // Backoff is how long to wait between attempts: First after the first that failed, then twice as long each, up to Most.
-type Backoff struct{ First, Most time.Duration }
+type Backoff struct{ Initial, Max time.Duration }
 
 // Wait is how long to wait after so many attempts have failed.
 func (b Backoff) Wait(failed int) time.Duration {
-	wait := b.First
-	for ; failed > 1 && wait < b.Most; failed-- {
+	wait := b.Initial
+	for ; failed > 1 && wait < b.Max; failed-- {
 		wait *= 2
 	}
-	return min(wait, b.Most)
+	return min(wait, b.Max)
 }
 
 // writing is how soon a write that failed is tried again.
-var writing = Backoff{First: 50 * time.Millisecond, Most: time.Second}
+var writing = Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 
 // Keep writes a record as Write does, and again with growing waits until it has worked, the context is over, or the
 // error is one that lasts. failed hears of the first failure only. It may stay longer than its context where the system
 // does: who can't wait for that runs it on a goroutine.
-func (r *Record) Keep(ctx context.Context, file string, failed func(error)) error {
+func (r *Record) WriteWithRetry(ctx context.Context, file string, failed func(error)) error {
 	return r.keep(ctx, disk{}, file, failed)
 }
 
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -176,7 +176,7 @@
 func quick(t *testing.T) {
 	t.Helper()
 	usual := writing
-	writing = Backoff{First: time.Microsecond, Most: time.Microsecond}
+	writing = Backoff{Initial: time.Microsecond, Max: time.Microsecond}
 	t.Cleanup(func() { writing = usual })
 }
 
@@ -279,7 +279,7 @@
 	}
 	for _, bad := range []string{filepath.Join(name, "learnt"), filepath.Join(taken, "missing", "learnt"), taken} {
 		heard := 0
-		if err := record().Keep(context.Background(), bad, func(error) { heard++ }); err == nil || heard > 0 {
+		if err := record().WriteWithRetry(context.Background(), bad, func(error) { heard++ }); err == nil || heard > 0 {
 			t.Errorf("%s: %v, told %d times", bad, err, heard)
 		}
 	}
@@ -313,7 +313,7 @@
 		t.Errorf("beside a living writer: %v, %v", err, beside(t, name))
 	}
 	quick(t)
-	if err := versions()[1].Keep(t.Context(), name, func(error) {}); err != nil || whole(t, name) != 1 || !slices.Equal(beside(t, name), all) {
+	if err := versions()[1].WriteWithRetry(t.Context(), name, func(error) {}); err != nil || whole(t, name) != 1 || !slices.Equal(beside(t, name), all) {
 		t.Errorf("beside one that never ends: %v, %v", err, beside(t, name))
 	}
 	unlock()
@@ -342,7 +342,7 @@
 }
 
 func TestBackoff(t *testing.T) {
-	b := Backoff{First: 50 * time.Millisecond, Most: time.Second}
+	b := Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 	for failed, want := range map[int]time.Duration{1: 50, 2: 100, 3: 200, 5: 800, 6: 1000, 1 << 40: 1000} {
 		if got := b.Wait(failed); got != want*time.Millisecond {
 			t.Errorf("after %d: %v, want %v ms", failed, got, int(want))
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -205,7 +205,7 @@
 			t.Parallel()
 			r := &estimates.Record{Unit: 16 << 10, TypicalLatency: 0.01}
 			for i, age := range x.ages { // as read from a file: without a monotonic reading
-				r.Servers = append(r.Servers, estimates.Server{Server: []string{"a:1", "b:1"}[i], At: time.Now().Add(-age).Round(0), BestPerUnit: 0.01, Latency: 0.01})
+				r.Servers = append(r.Servers, estimates.Server{ID: []string{"a:1", "b:1"}[i], At: time.Now().Add(-age).Round(0), BestPerUnit: 0.01, Latency: 0.01})
 			}
 			c := clock(start(t), x.step, r)
 			c.mu.Lock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -137,20 +137,20 @@
 		return nil, fmt.Errorf("gateway: %s: %w", s.Listen.Address, err)
 	}
 	if p := s.Limits.Peer; p != nil {
-		g.server.Guard = peerlimit.New(peerlimit.Settings{Connections: p.Connections, Handshakes: p.Handshakes, Commands: p.Commands, Bytes: int(p.Bytes), PDU: p.PDU.D(),
-			Breaches: p.Breaches, Window: p.Window.D(), BanTime: p.Shut.D(), MaxPeers: p.Most.D()})
+		g.server.Guard = peerlimit.New(peerlimit.Settings{MaxConnections: p.Connections, MaxHandshakes: p.Handshakes, MaxCommands: p.Commands, MaxBytes: int(p.Bytes), PDUTimeout: p.PDU.D(),
+			BanThreshold: p.Breaches, ViolationWindow: p.Window.D(), InitialBan: p.Shut.D(), MaxBan: p.Most.D()})
 	}
 	g.server.Judged = func(peer, what string, span time.Duration) {
 		g.log.Warn().Str("peer", peer).Str("why", what).Dur("for_ms", span).Msg("a peer is turned away")
 	}
 	g.server.Patience = func(c *target.Command) time.Duration { return g.patience(c) }
-	terms := membership.Settings{Vanish: 1} // one source alone is believed
+	terms := membership.Settings{MaxRemovedShare: 1} // one source alone is believed
 	if t := s.List.Believe; t != nil {
-		terms = membership.Settings{Vanish: t.Vanish, Confirm: t.Confirm.D(), Calm: t.Calm.D(), Flaps: t.Flaps, Hold: t.Hold.D()}
+		terms = membership.Settings{MaxRemovedShare: t.Vanish, ConfirmAfter: t.Confirm.D(), FlapWindow: t.Calm.D(), FlapThreshold: t.Flaps, FlapHold: t.Hold.D()}
 	}
 	g.book = membership.New(terms)
 	for i := range g.starts {
-		g.starts[i].Most = s.List.Most
+		g.starts[i].MaxRemoved = s.List.Most
 	}
 	hear := func(from membership.Source) func(discovery.Update) {
 		return func(n discovery.Update) { l.Post(func() { g.news(from, n) }) }
@@ -163,7 +163,7 @@
 		g.etcd = discovery.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(membership.Etcd))
 	}
 	if d := s.List.DNS; d != nil {
-		terms := discovery.DNSSettings{Name: d.Name, Floor: d.Floor.D(), Ceiling: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
+		terms := discovery.DNSSettings{Name: d.Name, MinInterval: d.Floor.D(), MaxInterval: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
 		for _, x := range d.Servers {
 			terms.Servers = append(terms.Servers, x.Address)
 		}
@@ -277,7 +277,7 @@
 	wall, now := g.o.Wall(), g.loop.Now()
 	for _, s := range r.Servers {
 		if s.At.After(wall) {
-			g.log.Warn().Str("osd", s.Server).Time("at", s.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
+			g.log.Warn().Str("osd", s.ID).Time("at", s.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
 			return
 		}
 	}
@@ -391,7 +391,7 @@
 	switch n.Kind {
 	case honeyplank.WatchFailed:
 		g.log.Warn().Stringer("source", from).Err(n.Err).Msg("the list can't be followed")
-		g.book.Failed(now, from)
+		g.book.SourceFailed(now, from)
 		if from == membership.Etcd {
 			g.ops.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 		}
@@ -399,7 +399,7 @@
 	case honeyplank.Complete:
 		lists = g.book.Complete(now, from, all)
 	default:
-		lists = g.book.Changes(now, from, all)
+		lists = g.book.Delta(now, from, all)
 	}
 	if from == membership.Etcd && len(lists) == 0 { // nothing new, but the watch stands
 		lists = []honeyplank.List{{Kind: honeyplank.Delta}}
@@ -418,7 +418,7 @@
 	case node.State == "draining":
 		s.State = membership.Draining
 	}
-	s.Member.Started, s.After = g.started(now, wall, from, s.Member.ID, node.StartedMS)
+	s.Member.Started, s.StartedAfter = g.started(now, wall, from, s.Member.ID, node.StartedMS)
 	return s
 }
 
@@ -457,13 +457,13 @@
 		for _, m := range l.Members {
 			if v, _ := g.book.View(m.ID); m.State != honeyplank.Up || v.Cause != membership.Agreed {
 				g.log.Info().Str("osd", string(m.ID)).Stringer("believed", v.Believed).Stringer("cause", v.Cause).
-					Stringer("etcd", v.Says[membership.Etcd]).Stringer("dns", v.Says[membership.DNS]).Msg("the list of disk servers")
+					Stringer("etcd", v.ReportedState[membership.Etcd]).Stringer("dns", v.ReportedState[membership.DNS]).Msg("the list of disk servers")
 			}
 		}
 		g.ops.Deliver(l)
 	}
 	g.loop.Cancel(g.ticker)
-	if at := g.book.Next(); at > 0 {
+	if at := g.book.NextTick(); at > 0 {
 		g.ticker = g.loop.Schedule(at, func() { g.believe(g.book.Tick(g.loop.Now()), false) })
 	}
 }
@@ -490,11 +490,11 @@
 		for _, id := range ids {
 			v, _ := g.book.View(id)
 			says := func(s membership.Source) string {
-				if v.Says[s] == membership.NeverListed {
-					return v.Says[s].String()
+				if v.ReportedState[s] == membership.NeverListed {
+					return v.ReportedState[s].String()
 				}
-				text := fmt.Sprintf("%v for %v", v.Says[s], (now - v.NotifiedState[s]).Round(time.Second))
-				if v.Doubted[s] {
+				text := fmt.Sprintf("%v for %v", v.ReportedState[s], (now - v.ReportedAt[s]).Round(time.Second))
+				if v.Unconfirmed[s] {
 					text += ", vanished"
 				}
 				return text
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -862,11 +862,11 @@
 			return false
 		}
 		was := before.Servers[0]
-		if was.Server != w.disks[0].Address() {
+		if was.ID != w.disks[0].Address() {
 			was = before.Servers[1]
 		}
 		is := now.Servers[0]
-		return w.counts().Admitted == 0 && is.Server == was.Server && is.BestPerUnit == was.BestPerUnit && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
+		return w.counts().Admitted == 0 && is.ID == was.ID && is.BestPerUnit == was.BestPerUnit && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
 	})
 	a = w.dial("client")
 	began := time.Now()
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -25,11 +25,11 @@
 type Tracker struct {
 	// Most bounds the removed servers that are remembered; 0: 4,096. A fleet that is larger and is left out of one list
 	// by mistake would count as started anew where it exceeds this.
-	Most    int
-	servers map[honeyplank.ServerID]*server
-	removed []removal
-	current time.Duration // when all that was told held last
-	bounded bool          // current is set
+	MaxRemoved int
+	servers    map[honeyplank.ServerID]*server
+	removed    []removal
+	current    time.Duration // when all that was told held last
+	bounded    bool          // current is set
 }
 
 type server struct {
@@ -136,7 +136,7 @@
 
 // forget drops what was removed too long ago, and the oldest of too many.
 func (t *Tracker) forget(now time.Duration) {
-	most := t.Most
+	most := t.MaxRemoved
 	if most == 0 {
 		most = removedMost
 	}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -147,7 +147,7 @@
 		remembered = removedMost
 	}
 	for _, way := range []string{"list", "partial", "flapping"} {
-		k := Tracker{Most: most}
+		k := Tracker{MaxRemoved: most}
 		now := s
 		name := func(round, i int) honeyplank.ServerID {
 			if way == "flapping" {
--- a/membership/belief.go
+++ b/membership/belief.go
@@ -36,24 +36,24 @@
 type Statement struct {
 	Member honeyplank.Member // its State is not read
 	State  State             // On, Draining or Gone
-	// After is a time that the member's start surely came after; 0: that can't be told. Started may be later than the
+	// StartedAfter is a time that the member's start surely came after; 0: that can't be told. Started may be later than the
 	// true start, so that alone shows nothing.
-	After time.Duration
+	StartedAfter time.Duration
 }
 
 // Settings are the figures that the rule goes by; all are settings.
 type Settings struct {
-	// Vanish is the part of what a source holds on or draining that may vanish at once and be believed. More
+	// MaxRemovedShare is the part of what a source holds on or draining that may vanish at once and be believed. More
 	// than that at once is doubted: it may be the source that is ill.
-	Vanish float64
-	// Confirm is how long a vanishing that is doubted must last to be believed where the other source does not
+	MaxRemovedShare float64
+	// ConfirmAfter is how long a vanishing that is doubted must last to be believed where the other source does not
 	// hold the node on.
-	Confirm time.Duration
-	// Calm is within how long a node's coming back is counted; the Flaps-th within it and each after is held
+	ConfirmAfter time.Duration
+	// FlapWindow is within how long a node's coming back is counted; the Flaps-th within it and each after is held
 	// back for Hold, twice as long each time, up to Calm. Losing work is never held back.
-	Calm  time.Duration
-	Flaps int
-	Hold  time.Duration
+	FlapWindow    time.Duration
+	FlapThreshold int
+	FlapHold      time.Duration
 }
 
 // sourceReport is what a source last said of a node.
@@ -86,13 +86,13 @@
 type Cause int
 
 const (
-	SourceSilent Cause = iota
-	Agreed             // no source says otherwise
-	Listed             // a source says draining or gone
-	Newer              // a start newer than the word that took it out
-	Unconfirmed        // it vanished with too many others; believed as before
-	Confirmed          // such a vanishing lasted
-	Held               // it came back too often; held out for a while
+	SourceSilent   Cause = iota
+	Agreed               // no source says otherwise
+	SourceReported       // a source says draining or gone
+	NewerStart           // a start newer than the word that took it out
+	Unconfirmed          // it vanished with too many others; believed as before
+	Confirmed            // such a vanishing lasted
+	FlapHeld             // it came back too often; held out for a while
 )
 
 func (c Cause) String() string {
@@ -141,9 +141,9 @@
 	return b.changed(append(touched, b.vanish(from, vanished, before)...))
 }
 
-// Changes tells what of a source has changed, in order. A watch that was held up tells several revisions of etcd at
+// Delta tells what of a source has changed, in order. A watch that was held up tells several revisions of etcd at
 // once: a node that is removed and put back within them has not vanished.
-func (b *Ledger) Changes(now time.Duration, from Source, some []Statement) []honeyplank.List {
+func (b *Ledger) Delta(now time.Duration, from Source, some []Statement) []honeyplank.List {
 	b.sourceHeard(now, from)
 	var touched, vanished []*node
 	before := b.held[from]
@@ -166,8 +166,8 @@
 	return b.changed(append(touched, b.vanish(from, vanished, before)...))
 }
 
-// Failed tells that a source could not be asked, or broke off. What it said before stays.
-func (b *Ledger) Failed(now time.Duration, from Source) {
+// SourceFailed tells that a source could not be asked, or broke off. What it said before stays.
+func (b *Ledger) SourceFailed(now time.Duration, from Source) {
 	b.now = now
 	if b.failing[from] == 0 {
 		b.failing[from] = now
@@ -185,8 +185,8 @@
 	return b.changed(due)
 }
 
-// Next is when a Tick may change something; 0: nothing waits. A Tick too early does no harm.
-func (b *Ledger) Next() time.Duration { return b.next }
+// NextTick is when a Tick may change something; 0: nothing waits. A Tick too early does no harm.
+func (b *Ledger) NextTick() time.Duration { return b.next }
 
 // due is when time alone may next change what is believed of a node; 0: never.
 func (b *Ledger) due(n *node) (at time.Duration) {
@@ -203,7 +203,7 @@
 	if !w.doubted {
 		return 0
 	}
-	return w.since + t.Confirm
+	return w.since + t.ConfirmAfter
 }
 
 func (b *Ledger) sourceHeard(now time.Duration, from Source) {
@@ -225,7 +225,7 @@
 	if w.state != s.State || w.member.Started != s.Member.Started || w.doubted {
 		w.at = b.now // a repeated word keeps its time: it is no fresher than when it was first said
 	}
-	w.state, w.member, w.after, w.doubted = s.State, s.Member, s.After, false
+	w.state, w.member, w.after, w.doubted = s.State, s.Member, s.StartedAfter, false
 	return n
 }
 
@@ -235,7 +235,7 @@
 // that was draining is no loss and is always believed to be gone.
 func (b *Ledger) vanish(from Source, nodes []*node, before int) []*node {
 	old := 0
-	for old < len(b.recent[from]) && b.recent[from][old] <= b.now-b.settings.Confirm {
+	for old < len(b.recent[from]) && b.recent[from][old] <= b.now-b.settings.ConfirmAfter {
 		old++
 	}
 	b.recent[from] = b.recent[from][old:]
@@ -246,7 +246,7 @@
 		}
 	}
 	all := before + len(b.recent[from])
-	doubt := all > 1 && float64(lost) > b.settings.Vanish*float64(all)
+	doubt := all > 1 && float64(lost) > b.settings.MaxRemovedShare*float64(all)
 	for _, n := range nodes {
 		if w := &n.reports[from]; !doubt || w.state == Draining {
 			b.release(from, n)
@@ -294,11 +294,11 @@
 	e, d := n.reports[Etcd], n.reports[DNS]
 	state, cause := mergeRule[e.state][d.state], Agreed
 	if state == Draining || state == Removed {
-		cause = Listed
+		cause = SourceReported
 		for from := range n.reports {
 			out, other := &n.reports[from], &n.reports[1-from]
 			if (out.state == Draining || out.state == Removed) && other.state == Up && !other.doubted && other.after > out.at {
-				state, cause = Up, Newer
+				state, cause = Up, NewerStart
 			}
 		}
 	}
@@ -318,17 +318,17 @@
 		n.until = 0
 		return false
 	}
-	for len(n.backs) > 0 && n.backs[0] <= b.now-b.settings.Calm-n.hold { // calm counts from the end of a hold
+	for len(n.backs) > 0 && n.backs[0] <= b.now-b.settings.FlapWindow-n.hold { // calm counts from the end of a hold
 		n.backs = n.backs[1:]
 	}
 	if len(n.backs) == 0 {
 		n.hold = 0
 	}
 	n.backs = append(n.backs, b.now)
-	if b.settings.Flaps <= 0 || len(n.backs) < b.settings.Flaps {
+	if b.settings.FlapThreshold <= 0 || len(n.backs) < b.settings.FlapThreshold {
 		return false
 	}
-	n.hold = min(max(2*n.hold, b.settings.Hold), b.settings.Calm)
+	n.hold = min(max(2*n.hold, b.settings.FlapHold), b.settings.FlapWindow)
 	n.until = b.now + n.hold
 	return n.until > b.now
 }
@@ -344,7 +344,7 @@
 			cause = Confirmed
 		}
 		if state == Up && (was == Draining || was == Removed) && b.cameBack(n) {
-			state, cause = was, Held
+			state, cause = was, FlapHeld
 		}
 		if state != was {
 			n.since = b.now
@@ -403,10 +403,10 @@
 	Believed      State
 	Cause         Cause
 	Since         time.Duration
-	Says          [sources]State
-	NotifiedState [sources]time.Duration // when each source came to say so
-	Doubted       [sources]bool
-	Until         time.Duration // held back until; 0: not
+	ReportedState [sources]State
+	ReportedAt    [sources]time.Duration // when each source came to say so
+	Unconfirmed   [sources]bool
+	HeldUntil     time.Duration // held back until; 0: not
 }
 
 // View tells of a node; ok is false for one that nobody spoke of.
@@ -415,9 +415,9 @@
 	if n == nil {
 		return v, false
 	}
-	v = View{Member: b.member(n), Believed: n.believed, Cause: n.cause, Since: n.since, Until: n.until}
+	v = View{Member: b.member(n), Believed: n.believed, Cause: n.cause, Since: n.since, HeldUntil: n.until}
 	for from, w := range n.reports {
-		v.Says[from], v.NotifiedState[from], v.Doubted[from] = w.state, w.at, w.doubted
+		v.ReportedState[from], v.ReportedAt[from], v.Unconfirmed[from] = w.state, w.at, w.doubted
 	}
 	return v, true
 }
@@ -430,5 +430,7 @@
 	return ids
 }
 
-// Source tells when a source last spoke (0: never) and since when it fails (0: it does not).
-func (b *Ledger) Source(s Source) (heard, failing time.Duration) { return b.heard[s], b.failing[s] }
+// SourceStatus tells when a source last spoke (0: never) and since when it fails (0: it does not).
+func (b *Ledger) SourceStatus(s Source) (heard, failing time.Duration) {
+	return b.heard[s], b.failing[s]
+}
--- a/membership/belief_test.go
+++ b/membership/belief_test.go
@@ -11,7 +11,7 @@
 
 const s = time.Second
 
-var terms = Settings{Vanish: 0.5, Confirm: 10 * s, Calm: 60 * s, Flaps: 3, Hold: 5 * s}
+var terms = Settings{MaxRemovedShare: 0.5, ConfirmAfter: 10 * s, FlapWindow: 60 * s, FlapThreshold: 3, FlapHold: 5 * s}
 
 // input is one thing that can happen; start is in seconds of the clock.
 type input struct {
@@ -103,7 +103,7 @@
 		}
 		recent := 0
 		for _, at := range p.lost[x.from] {
-			if at > p.now-terms.Confirm {
+			if at > p.now-terms.ConfirmAfter {
 				recent++
 			}
 		}
@@ -113,7 +113,7 @@
 				on++
 			}
 		}
-		doubt := held+recent > 1 && float64(on+recent) > terms.Vanish*float64(held+recent)
+		doubt := held+recent > 1 && float64(on+recent) > terms.MaxRemovedShare*float64(held+recent)
 		for _, n := range vanish {
 			w := &p.words[n][x.from]
 			if doubt && w.state == Up {
@@ -138,7 +138,7 @@
 func (p *plain) judge(n string) {
 	for i := range 2 {
 		w, o := &p.words[n][i], &p.words[n][1-i]
-		if w.doubt > 0 && p.now >= w.doubt+terms.Confirm && (o.state != Up || o.doubt > 0) {
+		if w.doubt > 0 && p.now >= w.doubt+terms.ConfirmAfter && (o.state != Up || o.doubt > 0) {
 			w.state, w.at, w.doubt = Removed, p.now, 0
 		}
 	}
@@ -163,7 +163,7 @@
 		default:
 			kept := p.backs[n][:0]
 			for _, at := range p.backs[n] {
-				if at > p.now-terms.Calm-p.hold[n] {
+				if at > p.now-terms.FlapWindow-p.hold[n] {
 					kept = append(kept, at)
 				}
 			}
@@ -171,8 +171,8 @@
 				p.hold[n] = 0
 			}
 			p.backs[n] = append(kept, p.now)
-			if len(p.backs[n]) >= terms.Flaps {
-				p.hold[n] = min(max(2*p.hold[n], terms.Hold), terms.Calm)
+			if len(p.backs[n]) >= terms.FlapThreshold {
+				p.hold[n] = min(max(2*p.hold[n], terms.FlapHold), terms.FlapWindow)
 				p.held[n] = p.now + p.hold[n]
 				return
 			}
@@ -202,7 +202,7 @@
 	var out []honeyplank.List
 	switch now := c.p.now; {
 	case x.fail:
-		c.b.Failed(now, x.from)
+		c.b.SourceFailed(now, x.from)
 	case x.tick > 0:
 		out = c.b.Tick(now)
 	default:
@@ -215,7 +215,7 @@
 		if x.whole {
 			out = c.b.Complete(now, x.from, all)
 		} else {
-			out = c.b.Changes(now, x.from, all)
+			out = c.b.Delta(now, x.from, all)
 		}
 	}
 	for _, l := range out {
@@ -380,17 +380,17 @@
 		"out and in three times": {[]State{Up}, []State{Removed, Up, Removed, Up, Removed, Up}, Up},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := New(Settings{Vanish: 1})
+			b := New(Settings{MaxRemovedShare: 1})
 			now := s
 			for _, state := range c.before {
 				now += s
-				b.Changes(now, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: state}})
+				b.Delta(now, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: state}})
 			}
 			var all []Statement
 			for i, state := range c.says { // the start tells which of them the book took
 				all = append(all, Statement{Member: honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}, State: state})
 			}
-			b.Changes(now+s, Etcd, all)
+			b.Delta(now+s, Etcd, all)
 			v, _ := b.View("a")
 			if v.Believed != c.want || c.want != Removed && v.Member.Started != time.Duration(len(all)) {
 				t.Errorf("%v after %v: believed %v, started %d", c.says, c.before, v.Believed, v.Member.Started)
@@ -414,10 +414,10 @@
 		"gone, surely after it":    {Removed, 30 * s, 21 * s, Up},
 		"gone, in the same moment": {Removed, 30 * s, 20 * s, Removed},
 	} {
-		b := New(Settings{Vanish: 1})
-		b.Changes(10*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: Up}})
-		b.Changes(20*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
-		b.Complete(30*s, DNS, []Statement{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, After: c.after}})
+		b := New(Settings{MaxRemovedShare: 1})
+		b.Delta(10*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: Up}})
+		b.Delta(20*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
+		b.Complete(30*s, DNS, []Statement{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, StartedAfter: c.after}})
 		if v, _ := b.View("a"); v.Believed != c.want {
 			t.Errorf("%s: believed %v, want %v", name, v.Believed, c.want)
 		}
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
-			terms := membership.Settings{Vanish: 0.5, Confirm: 10 * time.Second, Calm: time.Minute}
+			terms := membership.Settings{MaxRemovedShare: 0.5, ConfirmAfter: 10 * time.Second, FlapWindow: time.Minute}
 			book, now := membership.New(terms), time.Minute
 			module := policy.New(1, &honeyplank.Settings{OpTypes: honeyplank.OpTypeSettings{TargetLatency: []time.Duration{200 * time.Millisecond}, OpTimeout: []time.Duration{time.Second}}})
 			var all []membership.Statement
@@ -35,7 +35,7 @@
 				if i%2 == 1 {
 					x = all[(i-1)*7919%n]
 				}
-				for _, l := range book.Changes(now, membership.Etcd, []membership.Statement{x}) {
+				for _, l := range book.Delta(now, membership.Etcd, []membership.Statement{x}) {
 					module.Handle(now, l)
 				}
 			}
--- a/peerlimit/peers.go
+++ b/peerlimit/peers.go
@@ -7,15 +7,15 @@
 
 // Settings are the figures that it goes by; all are settings. 0 leaves a bound out.
 type Settings struct {
-	Connections int           // of one peer
-	Handshakes  int           // of one peer that are not complete
-	Commands    int           // Reads and Writes of one peer that are not answered
-	Bytes       int           // of write data that one peer has been asked for and not yet sent
-	PDU         time.Duration // from the first byte of a PDU to its last
-	Breaches    int           // within Window that shut a peer out
-	Window      time.Duration // without a breach that clears a peer
-	BanTime     time.Duration // how long it is shut out first; twice as long each time after
-	MaxPeers    time.Duration // and at most
+	MaxConnections  int           // of one peer
+	MaxHandshakes   int           // of one peer that are not complete
+	MaxCommands     int           // Reads and Writes of one peer that are not answered
+	MaxBytes        int           // of write data that one peer has been asked for and not yet sent
+	PDUTimeout      time.Duration // from the first byte of a PDU to its last
+	BanThreshold    int           // within Window that shut a peer out
+	ViolationWindow time.Duration // without a breach that clears a peer
+	InitialBan      time.Duration // how long it is shut out first; twice as long each time after
+	MaxBan          time.Duration // and at most
 }
 
 // Verdict is what becomes of a connection that a peer opens.
@@ -106,7 +106,7 @@
 		g.applyInput(p, banExpired)
 		p.last = p.until // it has been quiet since it was shut out, which proves nothing
 	}
-	if p.standing != banned && now >= p.last+g.settings.Window {
+	if p.standing != banned && now >= p.last+g.settings.ViolationWindow {
 		g.applyInput(p, quietPeriod)
 	}
 	return p
@@ -125,7 +125,7 @@
 
 // extendBan shuts a peer out, longer each time.
 func (g *Guard) extendBan(p *peer) {
-	p.span = min(max(2*p.span, g.settings.BanTime), max(g.settings.MaxPeers, g.settings.BanTime))
+	p.span = min(max(2*p.span, g.settings.InitialBan), max(g.settings.MaxBan, g.settings.InitialBan))
 	p.until, p.breaches = g.now+p.span, nil
 }
 
@@ -140,9 +140,9 @@
 	switch {
 	case p.standing == banned:
 		return Banned
-	case over(p.connections, g.settings.Connections) || p.standing == probation && p.connections >= association:
+	case over(p.connections, g.settings.MaxConnections) || p.standing == probation && p.connections >= association:
 		return TooManyConnections
-	case over(p.halves, g.settings.Handshakes):
+	case over(p.halves, g.settings.MaxHandshakes):
 		return TooManyHandshakes
 	}
 	p.connections++
@@ -151,7 +151,7 @@
 }
 
 // Joined tells that a connection's handshake is complete.
-func (g *Guard) Joined(now time.Duration, id string) { g.get(now, id).halves-- }
+func (g *Guard) HandshakeComplete(now time.Duration, id string) { g.get(now, id).halves-- }
 
 // Close tells that an admitted connection is gone, and whether its handshake was complete.
 func (g *Guard) Close(now time.Duration, id string, joined bool) {
@@ -164,19 +164,19 @@
 
 // Breach tells that a peer broke the protocol or let a time run out. It returns for how long the peer is shut out
 // by that; 0: it is not.
-func (g *Guard) Breach(now time.Duration, id string) time.Duration {
+func (g *Guard) Violation(now time.Duration, id string) time.Duration {
 	p := g.get(now, id)
 	if p.standing == banned {
 		return 0
 	}
 	p.last = now
-	for len(p.breaches) > 0 && p.breaches[0] <= now-g.settings.Window {
+	for len(p.breaches) > 0 && p.breaches[0] <= now-g.settings.ViolationWindow {
 		p.breaches = p.breaches[1:]
 	}
 	p.breaches = append(p.breaches, now)
-	if g.settings.Breaches > 0 && len(p.breaches) >= g.settings.Breaches {
+	if g.settings.BanThreshold > 0 && len(p.breaches) >= g.settings.BanThreshold {
 		g.applyInput(p, repeatedViolations)
-	} else if g.settings.Breaches > 0 {
+	} else if g.settings.BanThreshold > 0 {
 		g.applyInput(p, protocolViolation)
 	}
 	if p.standing == banned {
@@ -187,9 +187,9 @@
 
 // Ask tells whether a peer may be asked for more bytes of data; if so they count until Got. One that has none under
 // way may always be asked, so nobody waits for ever.
-func (g *Guard) Ask(now time.Duration, id string, n int) bool {
+func (g *Guard) ReserveBytes(now time.Duration, id string, n int) bool {
 	p := g.get(now, id)
-	if g.settings.Bytes > 0 && p.bytes > 0 && p.bytes+n > g.settings.Bytes {
+	if g.settings.MaxBytes > 0 && p.bytes > 0 && p.bytes+n > g.settings.MaxBytes {
 		return false
 	}
 	p.bytes += n
@@ -197,13 +197,13 @@
 }
 
 // Got tells that bytes asked for have come, or will not.
-func (g *Guard) Got(now time.Duration, id string, n int) { g.get(now, id).bytes -= n }
+func (g *Guard) ReleaseBytes(now time.Duration, id string, n int) { g.get(now, id).bytes -= n }
 
 // Begin tells whether a peer's command may begin; if so it counts until Done. Past the bound it is to be answered at
 // once: held, it would cost what the bound is there to save.
-func (g *Guard) Begin(now time.Duration, id string) bool {
+func (g *Guard) BeginCommand(now time.Duration, id string) bool {
 	p := g.get(now, id)
-	if over(p.commands, g.settings.Commands) {
+	if over(p.commands, g.settings.MaxCommands) {
 		return false
 	}
 	p.commands++
@@ -211,11 +211,11 @@
 }
 
 // Done tells that a command that began is over.
-func (g *Guard) Done(now time.Duration, id string) { g.get(now, id).commands-- }
+func (g *Guard) EndCommand(now time.Duration, id string) { g.get(now, id).commands-- }
 
 // Late tells whether a PDU that began at a time should be complete.
-func (g *Guard) Late(now, began time.Duration) bool {
-	return g.settings.PDU > 0 && now-began >= g.settings.PDU
+func (g *Guard) PDUOverdue(now, began time.Duration) bool {
+	return g.settings.PDUTimeout > 0 && now-began >= g.settings.PDUTimeout
 }
 
 // forget drops, once a Window, peers that have nothing open and nothing held against them: what is remembered is
@@ -224,7 +224,7 @@
 	if now < g.evictedAt {
 		return
 	}
-	g.evictedAt = now + max(g.settings.Window, g.settings.BanTime)
+	g.evictedAt = now + max(g.settings.ViolationWindow, g.settings.InitialBan)
 	for id := range g.peers {
 		if p := g.get(now, id); p.standing == trusted && p.connections == 0 && p.bytes == 0 && p.commands == 0 {
 			delete(g.peers, id)
--- a/peerlimit/peers_test.go
+++ b/peerlimit/peers_test.go
@@ -8,7 +8,7 @@
 
 const s = time.Second
 
-var terms = Settings{Connections: 4, Handshakes: 2, Commands: 5, Bytes: 1000, PDU: s, Breaches: 3, Window: 10 * s, BanTime: 5 * s, MaxPeers: 60 * s}
+var terms = Settings{MaxConnections: 4, MaxHandshakes: 2, MaxCommands: 5, MaxBytes: 1000, PDUTimeout: s, BanThreshold: 3, ViolationWindow: 10 * s, InitialBan: 5 * s, MaxBan: 60 * s}
 
 // TestShutOut follows one peer through every standing.
 func TestShutOut(t *testing.T) {
@@ -22,7 +22,7 @@
 	}
 	breach := func(want time.Duration) {
 		t.Helper()
-		if got := g.Breach(at, "p"); got != want {
+		if got := g.Violation(at, "p"); got != want {
 			t.Fatalf("%v: shut out for %v, want %v", at, got, want)
 		}
 	}
@@ -45,7 +45,7 @@
 			t.Errorf("connection %d on trial: %v, want %v", i, v, want)
 		}
 		if i < 2 {
-			g.Joined(at, "p")
+			g.HandshakeComplete(at, "p")
 		}
 	}
 	breach(10 * s)
@@ -72,7 +72,7 @@
 func TestNoBounds(t *testing.T) {
 	g := New(Settings{})
 	for range 1000 {
-		if g.Open(0, "p") != Admit || g.Breach(0, "p") != 0 || !g.Ask(0, "p", 1<<30) || !g.Begin(0, "p") || g.Late(time.Hour, 0) {
+		if g.Open(0, "p") != Admit || g.Violation(0, "p") != 0 || !g.ReserveBytes(0, "p", 1<<30) || !g.BeginCommand(0, "p") || g.PDUOverdue(time.Hour, 0) {
 			t.Fatal("a bound that was left out holds")
 		}
 	}
@@ -103,7 +103,7 @@
 			if u := p.until[id]; u > 0 && now >= u {
 				p.until[id], p.trial[id], p.last[id] = 0, true, u
 			}
-			if p.until[id] == 0 && now >= p.last[id]+terms.Window {
+			if p.until[id] == 0 && now >= p.last[id]+terms.ViolationWindow {
 				p.trial[id], p.span[id], p.breach[id] = false, 0, nil
 			}
 			switch rng.Intn(7) {
@@ -118,9 +118,9 @@
 				switch {
 				case p.until[id] > 0:
 					want = Banned
-				case len(p.open[id]) >= terms.Connections || p.trial[id] && len(p.open[id]) >= 2:
+				case len(p.open[id]) >= terms.MaxConnections || p.trial[id] && len(p.open[id]) >= 2:
 					want = TooManyConnections
-				case halves >= terms.Handshakes:
+				case halves >= terms.MaxHandshakes:
 					want = TooManyHandshakes
 				}
 				if v := g.Open(now, id); v != want {
@@ -131,7 +131,7 @@
 			case 2:
 				for i, joined := range p.open[id] {
 					if !joined {
-						g.Joined(now, id)
+						g.HandshakeComplete(now, id)
 						p.open[id][i] = true
 						break
 					}
@@ -150,30 +150,30 @@
 					p.last[id] = now
 					kept := []time.Duration{now}
 					for _, at := range p.breach[id] {
-						if at > now-terms.Window {
+						if at > now-terms.ViolationWindow {
 							kept = append(kept, at)
 						}
 					}
 					p.breach[id] = kept
-					if p.trial[id] || len(kept) >= terms.Breaches {
-						p.span[id] = min(max(2*p.span[id], terms.BanTime), terms.MaxPeers)
+					if p.trial[id] || len(kept) >= terms.BanThreshold {
+						p.span[id] = min(max(2*p.span[id], terms.InitialBan), terms.MaxBan)
 						want, p.until[id], p.breach[id], p.trial[id] = p.span[id], now+p.span[id], nil, false
 					}
 				}
-				if got := g.Breach(now, id); got != want {
+				if got := g.Violation(now, id); got != want {
 					t.Fatalf("seed %d at %v: %s breaches: %v, want %v", seed, now, id, got, want)
 				}
 			case 6:
 				if rng.Intn(3) > 0 {
-					want := p.runs[id] < terms.Commands
-					if got := g.Begin(now, id); got != want {
+					want := p.runs[id] < terms.MaxCommands
+					if got := g.BeginCommand(now, id); got != want {
 						t.Fatalf("seed %d: %s with %d commands begins one: %v", seed, id, p.runs[id], got)
 					}
 					if want {
 						p.runs[id]++
 					}
 				} else if p.runs[id] > 0 {
-					g.Done(now, id)
+					g.EndCommand(now, id)
 					p.runs[id]--
 				}
 			case 5:
@@ -182,15 +182,15 @@
 					sum += n
 				}
 				if n := 1 + rng.Intn(1500); rng.Intn(2) == 0 {
-					want := sum == 0 || sum+n <= terms.Bytes
-					if got := g.Ask(now, id, n); got != want {
+					want := sum == 0 || sum+n <= terms.MaxBytes
+					if got := g.ReserveBytes(now, id, n); got != want {
 						t.Fatalf("seed %d: %s with %d bytes asked for %d: %v", seed, id, sum, n, got)
 					}
 					if want {
 						p.asked[id] = append(p.asked[id], n)
 					}
 				} else if k := len(p.asked[id]); k > 0 {
-					g.Got(now, id, p.asked[id][k-1])
+					g.ReleaseBytes(now, id, p.asked[id][k-1])
 					p.asked[id] = p.asked[id][:k-1]
 				}
 			}
--- a/target/server.go
+++ b/target/server.go
@@ -123,10 +123,10 @@
 	}
 	c.session = &Session{tear: c.tear, offer: &s.offer, subs: &s.subs, handler: s.handler, buffers: &s.Buffers, out: &raw.Out,
 		flush: c.flush, end: func() { c.stop(true) }, await: c.await,
-		ask:    func(n int) bool { return s.Guard.Ask(s.loop.Now(), c.peer, n) },
-		begin:  func() bool { return s.Guard.Begin(s.loop.Now(), c.peer) },
-		done:   func() { s.Guard.Done(s.loop.Now(), c.peer) },
-		gotten: func(n int) { s.Guard.Got(s.loop.Now(), c.peer, n) }, born: now, heard: now,
+		ask:    func(n int) bool { return s.Guard.ReserveBytes(s.loop.Now(), c.peer, n) },
+		begin:  func() bool { return s.Guard.BeginCommand(s.loop.Now(), c.peer) },
+		done:   func() { s.Guard.EndCommand(s.loop.Now(), c.peer) },
+		gotten: func(n int) { s.Guard.ReleaseBytes(s.loop.Now(), c.peer, n) }, born: now, heard: now,
 		commands: map[uint16]*Command{}, tags: map[uint16]*Command{}}
 	c.session.in.FromHost = true
 	if s.Wire != nil {
@@ -150,7 +150,7 @@
 	used := c.session.Input(now, b)
 	if !c.joined && c.session.phase == phaseLive {
 		c.joined = true
-		c.server.Guard.Joined(now, c.peer)
+		c.server.Guard.HandshakeComplete(now, c.peer)
 	}
 	if used == len(b) {
 		c.began = 0
@@ -212,7 +212,7 @@
 	c.server.Guard.Close(now, c.peer, c.joined)
 	if c.session.breached {
 		c.server.Fatal++
-		if span := c.server.Guard.Breach(now, c.peer); span > 0 {
+		if span := c.server.Guard.Violation(now, c.peer); span > 0 {
 			c.server.Judged(c.peer, "shut out", span)
 		}
 	}
@@ -222,7 +222,7 @@
 func (c *conn) watch() {
 	now := c.server.loop.Now()
 	next := now + c.server.offer.Handshake/4
-	if d := c.session.Deadline(); d > 0 && now >= d || c.began > 0 && c.server.Guard.Late(now, c.began) {
+	if d := c.session.Deadline(); d > 0 && now >= d || c.began > 0 && c.server.Guard.PDUOverdue(now, c.began) {
 		c.session.breached = !c.joined || c.began > 0 // a keep alive that stayed out is no breach
 		c.stop(false)
 		return
