--- a/bench/sources.go
+++ b/bench/sources.go
@@ -15,6 +15,7 @@
 
 	"honeyplank"
 	"honeyplank/discovery"
+	discoverydns "honeyplank/discovery/dns"
 	"honeyplank/fake/dns"
 	"honeyplank/fake/etcd"
 	"honeyplank/gateway"
@@ -214,9 +215,9 @@
 	}
 	defer s.Close()
 	s.Set(life, []dns.Record{{Target: "a--c0.storage.example.", IP: "127.0.0.1", Port: 7000, Weight: 1}})
-	var group []*discovery.DNS
+	var group []*discoverydns.Client
 	for i := range schedulers {
-		group = append(group, discovery.NewDNS(discovery.DNSSettings{Servers: []string{s.Address()}, Name: "_honeyplank._tcp.storage.example.",
+		group = append(group, discoverydns.New(discoverydns.Settings{Servers: []string{s.Address()}, Name: "_honeyplank._tcp.storage.example.",
 			MinInterval: 100 * time.Millisecond, MaxInterval: time.Minute, Timeout: time.Second, Seed: int64(i)}, func(discovery.Update) {}))
 	}
 	time.Sleep(time.Duration(2*life) * time.Second) // all began at once; two lifetimes spread them
--- a/discovery/dns.go
+++ b/discovery/dns/client.go
@@ -1,4 +1,5 @@
-package discovery
+// Package dns follows the list of disk servers in DNS SRV records. docs/dns.md has the convention of the records.
+package dns
 
 import (
 	"context"
@@ -11,14 +12,14 @@
 	"sync"
 	"time"
 
-	"github.com/miekg/dns"
+	mdns "github.com/miekg/dns"
 
 	"honeyplank"
-	"honeyplank/discovery/resolver"
+	"honeyplank/discovery"
 )
 
-// DNSSettings say whom to ask for what. docs/dns.md gives the convention of the records.
-type DNSSettings struct {
+// Settings say whom to ask for what. docs/dns.md gives the convention of the records.
+type Settings struct {
 	Servers     []string // name servers, asked in turn
 	Name        string   // owner of the SRV records
 	MinInterval time.Duration
@@ -27,25 +28,25 @@
 	Seed        int64         // of the jitter
 }
 
-// DNS is the list in DNS. News comes on its own goroutine, in order, and none after Close: Whole for an answer,
+// Client is the list in DNS. News comes on its own goroutine, in order, and none after Close: Whole for an answer,
 // also a negative one, Refused for a failure. What was known then still holds; that is for its hearer to keep.
-type DNS struct {
-	t       DNSSettings
-	tell    func(Update)
-	asker   *resolver.Resolver
-	ask     func(server, name string, kind uint16) (*dns.Msg, error)
+type Client struct {
+	t       Settings
+	tell    func(discovery.Update)
+	asker   *resolver
+	ask     func(server, name string, kind uint16) (*mdns.Msg, error)
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 	Queries int // sent so far; read after Close
 }
 
-// NewDNS starts asking.
-func NewDNS(t DNSSettings, tell func(Update)) *DNS {
-	t.Name = dns.Fqdn(t.Name)
+// New starts asking.
+func New(t Settings, tell func(discovery.Update)) *Client {
+	t.Name = mdns.Fqdn(t.Name)
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &DNS{t: t, tell: tell, cancel: cancel}
-	d.asker = resolver.New(resolver.Settings{Servers: len(t.Servers), MinInterval: t.MinInterval, MaxInterval: t.MaxInterval, Seed: t.Seed})
-	d.ask = func(server, name string, kind uint16) (*dns.Msg, error) { return d.exchange(ctx, server, name, kind) }
+	d := &Client{t: t, tell: tell, cancel: cancel}
+	d.asker = newResolver(resolverSettings{Servers: len(t.Servers), MinInterval: t.MinInterval, MaxInterval: t.MaxInterval, Seed: t.Seed})
+	d.ask = func(server, name string, kind uint16) (*mdns.Msg, error) { return d.exchange(ctx, server, name, kind) }
 	d.running.Add(1)
 	go func() {
 		defer d.running.Done()
@@ -55,13 +56,13 @@
 }
 
 // Close ends it and waits for the exchange under way.
-func (d *DNS) Close() {
+func (d *Client) Close() {
 	d.cancel()
 	d.running.Wait()
 }
 
-// run asks as package names says, and tells the outcome of each round.
-func (d *DNS) run(ctx context.Context) {
+// run asks as the resolver says, and tells the outcome of each round.
+func (d *Client) run(ctx context.Context) {
 	start := time.Now()
 	var failures error
 	for {
@@ -83,7 +84,7 @@
 			if !d.asker.Failed(time.Since(start)) {
 				continue
 			}
-			news = Update{Kind: honeyplank.WatchFailed, Err: failures}
+			news = discovery.Update{Kind: honeyplank.WatchFailed, Err: failures}
 		} else {
 			d.asker.Answered(time.Since(start), time.Duration(life)*time.Second)
 		}
@@ -98,9 +99,9 @@
 func (errNegative) Error() string { return "there are no such records" }
 
 // list gets the SRV records and the addresses of their targets from one server, with the shortest lifetime.
-func (d *DNS) list(server string) (Update, uint32, error) {
-	news := Update{Kind: honeyplank.Complete}
-	m, err := d.ask(server, d.t.Name, dns.TypeSRV)
+func (d *Client) list(server string) (discovery.Update, uint32, error) {
+	news := discovery.Update{Kind: honeyplank.Complete}
+	m, err := d.ask(server, d.t.Name, mdns.TypeSRV)
 	var negative errNegative
 	if errors.As(err, &negative) { // an answer: there is none
 		return news, negative.life, nil
@@ -115,7 +116,7 @@
 	}
 	var found []srv
 	for _, rr := range m.Answer {
-		r, ok := rr.(*dns.SRV)
+		r, ok := rr.(*mdns.SRV)
 		if !ok {
 			continue
 		}
@@ -126,7 +127,7 @@
 			news.Skipped = append(news.Skipped, err.Error())
 			continue
 		}
-		for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
+		for _, kind := range []uint16{mdns.TypeA, mdns.TypeAAAA} {
 			if len(addresses[target]) > 0 {
 				break
 			}
@@ -153,23 +154,23 @@
 			break // one target is one server
 		}
 	}
-	records := make([]resolver.Record, len(found))
+	records := make([]candidate, len(found))
 	for i, s := range found {
-		records[i] = resolver.Record{Server: s.node.Address, Cell: s.node.Cell, Priority: s.priority, Draining: s.node.State != "on"}
+		records[i] = candidate{Server: s.node.Address, Cell: s.node.Cell, Priority: s.priority, Draining: s.node.State != "on"}
 	}
-	for _, i := range resolver.Choose(records) {
+	for _, i := range choose(records) {
 		news.Nodes = append(news.Nodes, found[i].node)
 	}
 	return news, life, nil
 }
 
 // address notes an A or AAAA record by its owner.
-func (d *DNS) address(rr dns.RR, into map[string][]netip.Addr, life *uint32) {
+func (d *Client) address(rr mdns.RR, into map[string][]netip.Addr, life *uint32) {
 	var raw []byte
 	switch r := rr.(type) {
-	case *dns.A:
+	case *mdns.A:
 		raw = r.A.To4()
-	case *dns.AAAA:
+	case *mdns.AAAA:
 		raw = r.AAAA.To16()
 	}
 	if ip, ok := netip.AddrFromSlice(raw); ok {
@@ -181,14 +182,14 @@
 
 // exchange asks one server one question: over UDP, and over TCP when the answer is truncated. An answer that
 // is to another question, or makes no sense, is a failure; one that says there is nothing is errNegative.
-func (d *DNS) exchange(ctx context.Context, server, name string, kind uint16) (*dns.Msg, error) {
-	q := new(dns.Msg)
+func (d *Client) exchange(ctx context.Context, server, name string, kind uint16) (*mdns.Msg, error) {
+	q := new(mdns.Msg)
 	q.SetQuestion(name, kind)
 	q.SetEdns0(1232, false)
-	var m *dns.Msg
+	var m *mdns.Msg
 	for _, network := range []string{"udp", "tcp"} {
 		call, cancel := context.WithTimeout(ctx, d.t.Timeout)
-		c := &dns.Client{Net: network, Timeout: d.t.Timeout, UDPSize: 1232}
+		c := &mdns.Client{Net: network, Timeout: d.t.Timeout, UDPSize: 1232}
 		var err error
 		d.Queries++
 		m, _, err = c.ExchangeContext(call, q, server) // ids are compared there
@@ -209,28 +210,28 @@
 }
 
 // validRecord is what a message answers to a question, or why it is no answer.
-func validRecord(m *dns.Msg, name string, kind uint16) ([]dns.RR, error) {
+func validRecord(m *mdns.Msg, name string, kind uint16) ([]mdns.RR, error) {
 	switch {
 	case m.Truncated:
 		return nil, errors.New("truncated over TCP too")
-	case !m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) != 1:
+	case !m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) != 1:
 		return nil, errors.New("no answer to a question")
-	case !strings.EqualFold(m.Question[0].Name, name) || m.Question[0].Qtype != kind || m.Question[0].Qclass != dns.ClassINET:
+	case !strings.EqualFold(m.Question[0].Name, name) || m.Question[0].Qtype != kind || m.Question[0].Qclass != mdns.ClassINET:
 		return nil, fmt.Errorf("an answer to another question, %s", m.Question[0].String())
-	case m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError:
-		return nil, errors.New("it says " + dns.RcodeToString[m.Rcode])
+	case m.Rcode != mdns.RcodeSuccess && m.Rcode != mdns.RcodeNameError:
+		return nil, errors.New("it says " + mdns.RcodeToString[m.Rcode])
 	}
 	owner, answers := strings.ToLower(name), m.Answer[:0:0]
 	for range 8 { // aliases, in whatever order they stand
 		alias := ""
 		for _, rr := range m.Answer {
 			h := rr.Header()
-			if h.Class != dns.ClassINET || !strings.EqualFold(h.Name, owner) {
+			if h.Class != mdns.ClassINET || !strings.EqualFold(h.Name, owner) {
 				continue
 			}
 			if h.Rrtype == kind {
 				answers = append(answers, rr)
-			} else if c, ok := rr.(*dns.CNAME); ok {
+			} else if c, ok := rr.(*mdns.CNAME); ok {
 				alias = strings.ToLower(c.Target)
 			}
 		}
@@ -239,11 +240,11 @@
 		}
 		owner = alias
 	}
-	if m.Rcode == dns.RcodeSuccess && len(answers) > 0 {
+	if m.Rcode == mdns.RcodeSuccess && len(answers) > 0 {
 		return answers, nil
 	}
 	for _, rr := range m.Ns { // RFC 2308: a negative answer carries the SOA, which tells its lifetime
-		if soa, ok := rr.(*dns.SOA); ok {
+		if soa, ok := rr.(*mdns.SOA); ok {
 			return nil, errNegative{min(soa.Hdr.Ttl, soa.Minttl)}
 		}
 	}
@@ -252,14 +253,14 @@
 
 // srv is a record of the list with its priority.
 type srv struct {
-	node     Node
+	node     discovery.Node
 	priority uint16
 }
 
 var targetLabel = regexp.MustCompile(`^[a-z0-9-]*--c([0-9]{1,6})(?:-z([0-9]{1,4}))?(?:-t([0-9]{1,12}))?$`)
 
 // parseTarget reads what a record and the first label of its target tell of a node.
-func parseTarget(target string, r *dns.SRV) (s srv, err error) {
+func parseTarget(target string, r *mdns.SRV) (s srv, err error) {
 	label, _, _ := strings.Cut(target, ".")
 	part := targetLabel.FindStringSubmatch(label)
 	if part == nil || r.Port == 0 {
--- a/discovery/dns_test.go
+++ b/discovery/dns/client_test.go
@@ -1,4 +1,4 @@
-package discovery
+package dns
 
 import (
 	"fmt"
@@ -9,25 +9,26 @@
 	mdns "github.com/miekg/dns"
 
 	"honeyplank"
-	"honeyplank/fake/dns"
+	"honeyplank/discovery"
+	fakedns "honeyplank/fake/dns"
 )
 
 const zone = "_honeyplank._tcp.storage.example."
 
-func nodes(n int) (list []dns.Record) {
+func nodes(n int) (list []fakedns.Record) {
 	for i := range n {
-		list = append(list, dns.Record{Target: fmt.Sprintf("n%d--c%d-z%d-t%d.storage.example.", i, i, i%3, 1000+i), IP: "127.0.0.1", Port: uint16(7000 + i), Weight: 2})
+		list = append(list, fakedns.Record{Target: fmt.Sprintf("n%d--c%d-z%d-t%d.storage.example.", i, i, i%3, 1000+i), IP: "127.0.0.1", Port: uint16(7000 + i), Weight: 2})
 	}
 	return list
 }
 
 // resolve starts name servers and a source that asks them in turn.
-func resolve(t *testing.T, n int, change func(*DNSSettings)) ([]*dns.Server, chan Update) {
+func resolve(t *testing.T, n int, change func(*Settings)) ([]*fakedns.Server, chan discovery.Update) {
 	t.Helper()
-	terms := DNSSettings{Name: zone, MinInterval: 50 * time.Millisecond, MaxInterval: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
-	var servers []*dns.Server
+	terms := Settings{Name: zone, MinInterval: 50 * time.Millisecond, MaxInterval: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
+	var servers []*fakedns.Server
 	for range n {
-		s, err := dns.New(zone)
+		s, err := fakedns.New(zone)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,8 +39,8 @@
 	if change != nil {
 		change(&terms)
 	}
-	out := make(chan Update, 1000)
-	d := NewDNS(terms, func(n Update) { out <- n })
+	out := make(chan discovery.Update, 1000)
+	d := New(terms, func(n discovery.Update) { out <- n })
 	t.Cleanup(d.Close)
 	return servers, out
 }
@@ -51,22 +52,22 @@
 	s := servers[0]
 	for _, c := range []struct {
 		name   string
-		faults dns.Faults
+		faults fakedns.Faults
 		count  int    // nodes
 		says   string // of a failure
 	}{
-		{"as it should be", dns.Faults{}, 3, ""},
-		{"truncated over UDP", dns.Faults{Truncate: true}, 3, ""},
-		{"without addresses", dns.Faults{Bare: true}, 3, ""},
-		{"truncated over UDP, no TCP", dns.Faults{Truncate: true, NoTCP: true}, 0, "over tcp"},
-		{"SERVFAIL", dns.Faults{Rcode: mdns.RcodeServerFailure}, 0, "SERVFAIL"},
-		{"REFUSED", dns.Faults{Rcode: mdns.RcodeRefused}, 0, "REFUSED"},
-		{"silent", dns.Faults{Silent: true}, 0, "over udp"},
-		{"malformed", dns.Faults{Malformed: true}, 0, "another question"}, // what could be read of it
-		{"another id", dns.Faults{WrongID: true}, 0, "over udp"},
-		{"another question", dns.Faults{Other: true}, 0, "another question"},
-		{"empty by mistake", dns.Faults{Empty: true}, 0, "without an SOA"},
-		{"truly nothing", dns.Faults{None: true}, 0, ""},
+		{"as it should be", fakedns.Faults{}, 3, ""},
+		{"truncated over UDP", fakedns.Faults{Truncate: true}, 3, ""},
+		{"without addresses", fakedns.Faults{Bare: true}, 3, ""},
+		{"truncated over UDP, no TCP", fakedns.Faults{Truncate: true, NoTCP: true}, 0, "over tcp"},
+		{"SERVFAIL", fakedns.Faults{Rcode: mdns.RcodeServerFailure}, 0, "SERVFAIL"},
+		{"REFUSED", fakedns.Faults{Rcode: mdns.RcodeRefused}, 0, "REFUSED"},
+		{"silent", fakedns.Faults{Silent: true}, 0, "over udp"},
+		{"malformed", fakedns.Faults{Malformed: true}, 0, "another question"}, // what could be read of it
+		{"another id", fakedns.Faults{WrongID: true}, 0, "over udp"},
+		{"another question", fakedns.Faults{Other: true}, 0, "another question"},
+		{"empty by mistake", fakedns.Faults{Empty: true}, 0, "without an SOA"},
+		{"truly nothing", fakedns.Faults{None: true}, 0, ""},
 	} {
 		s.Fault(c.faults)
 		for range 2 { // what was under way when the fault came
@@ -90,7 +91,7 @@
 func TestConvention(t *testing.T) {
 	servers, news := resolve(t, 1, nil)
 	<-news
-	servers[0].Set(1, []dns.Record{
+	servers[0].Set(1, []fakedns.Record{
 		{Target: "a--c4-z2-t1700000000.x.", IP: "127.0.0.1", Port: 1, Weight: 3},
 		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // stands by for a
 		{Target: "c--c5.x.", IP: "127.0.0.1", Port: 3, Weight: 0},              // drains
@@ -101,8 +102,8 @@
 		{Target: "e--c6.x.", Port: 6, Weight: 1}, // has no address
 		{Target: "f--c7.x.", IP: "::1", Port: 7, Weight: 1},
 	})
-	servers[0].Fault(dns.Faults{Bare: true}) // A, then AAAA are asked for
-	var n Update
+	servers[0].Fault(fakedns.Faults{Bare: true}) // A, then AAAA are asked for
+	var n discovery.Update
 	for range 4 {
 		n = <-news
 	}
@@ -120,7 +121,7 @@
 func TestTurns(t *testing.T) {
 	servers, news := resolve(t, 2, nil)
 	<-news
-	servers[0].Fault(dns.Faults{Rcode: mdns.RcodeServerFailure})
+	servers[0].Fault(fakedns.Faults{Rcode: mdns.RcodeServerFailure})
 	for range 5 {
 		if n := <-news; n.Err != nil {
 			t.Fatal(n.Err)
--- /dev/null
+++ b/discovery/dns/fuzz_test.go
@@ -0,0 +1,152 @@
+package dns
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"testing"
+
+	mdns "github.com/miekg/dns"
+
+	"honeyplank/internal/heap"
+)
+
+// FuzzAnswer holds any message against a question, as it comes from the wire: no panic, and only records of the
+// question's kind, under its name or an alias of it, are taken.
+func FuzzAnswer(f *testing.F) {
+	q := new(mdns.Msg)
+	q.SetQuestion(zone, mdns.TypeSRV)
+	m := new(mdns.Msg)
+	m.SetReply(q)
+	m.Answer = append(m.Answer, &mdns.SRV{Hdr: mdns.RR_Header{Name: zone, Rrtype: mdns.TypeSRV, Class: mdns.ClassINET, Ttl: 5}, Port: 7, Weight: 1, Target: "a--c1-z2-t3.x."},
+		&mdns.CNAME{Hdr: mdns.RR_Header{Name: zone, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: "b."})
+	m.Extra = append(m.Extra, &mdns.A{Hdr: mdns.RR_Header{Name: "a--c1-z2-t3.x.", Rrtype: mdns.TypeA, Class: mdns.ClassINET}, A: []byte{127, 0, 0, 1}})
+	b, err := m.Pack()
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(b)
+	f.Add(b[:20])
+	f.Fuzz(func(t *testing.T, b []byte) {
+		m := new(mdns.Msg)
+		var found []mdns.RR
+		var err error
+		if n := heap.Bytes(func() {
+			if err = m.Unpack(b); err == nil {
+				found, err = validRecord(m, zone, mdns.TypeSRV)
+			}
+		}); n > uint64(1<<20+1000*len(b)) {
+			t.Fatalf("%d bytes are allocated for a message of %d", n, len(b))
+		}
+		if err != nil {
+			return
+		}
+		for _, rr := range found {
+			r, ok := rr.(*mdns.SRV)
+			if !ok {
+				t.Fatalf("%v is taken for an SRV record", rr)
+			}
+			if s, err := parseTarget(r.Target, r); err == nil {
+				s.node.Address = r.Target
+				if s.node.Cell < 0 || s.node.StartedMS < 0 || s.node.Zone < 0 {
+					t.Fatalf("%+v", s)
+				}
+			}
+		}
+	})
+}
+
+// FuzzNames plays a name server that answers each question with some message, in any order and of any kind: answers
+// to other questions, chains of aliases, targets without addresses, negative answers, failures. Whatever comes, the
+// list is whole or fails as one: every node has an address that its target was given in this very conversation, no
+// server comes twice, and only so many questions are asked.
+func FuzzNames(f *testing.F) {
+	f.Add([]byte{0, 0x11, 0, 0x22, 1, 0x10, 2, 0})
+	f.Add([]byte{7, 0x31, 3, 1, 4, 2, 5, 3, 6, 4, 1, 1})
+	f.Add([]byte{9, 0x11, 8, 0x22, 10, 3, 11, 4, 2, 5})
+	f.Fuzz(func(t *testing.T, script []byte) {
+		given, asked := map[string]bool{}, 0
+		d := &Client{t: Settings{Name: zone}}
+		d.ask = func(_, name string, kind uint16) (*mdns.Msg, error) {
+			if asked++; len(script) < 2 {
+				return nil, errNegative{5}
+			}
+			q, m := new(mdns.Msg), new(mdns.Msg)
+			q.SetQuestion(name, kind)
+			m.SetReply(q)
+			count := 1 + int(script[0]>>6)
+			for range count {
+				if len(script) < 2 {
+					break
+				}
+				what, n := script[0]&15, script[1]
+				script = script[2:]
+				target := fmt.Sprintf("n%d--c%d-z1.%s", n&3, n>>4, zone)
+				head := mdns.RR_Header{Name: name, Rrtype: kind, Class: mdns.ClassINET, Ttl: uint32(n)}
+				address := &mdns.A{Hdr: head, A: net.IPv4(127, 0, 0, n)}
+				address.Hdr.Rrtype = mdns.TypeA
+				note := func() { given[address.A.String()] = true }
+				switch what {
+				case 0, 1:
+					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n >> 2 & 3), Weight: uint16(n & 1), Priority: uint16(n >> 1 & 1), Target: target})
+				case 2:
+					m.Answer = append(m.Answer, address)
+					note()
+				case 3: // an address nobody asked for, along with the answer
+					address.Hdr.Name = target
+					m.Extra = append(m.Extra, address)
+					note()
+				case 4: // an alias, perhaps of itself
+					m.Answer = append(m.Answer, &mdns.CNAME{Hdr: mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: target})
+				case 5:
+					m.Rcode = int(n & 7)
+				case 6:
+					m.Ns = append(m.Ns, &mdns.SOA{Hdr: head, Minttl: uint32(n)})
+				case 7:
+					m.Question = []mdns.Question{{Name: target, Qtype: kind, Qclass: mdns.ClassINET}}
+				case 8:
+					m.Truncated = true
+				case 9:
+					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n & 1), Weight: 1, Target: "no-cell." + zone})
+				case 10:
+					return nil, errors.New("no answer")
+				case 11:
+					m.Response = n&1 == 0
+				case 12:
+					head.Name = target
+					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
+				case 13:
+					m.Question = nil
+				case 14: // an address of no length that there is
+					address.A = address.A[:n&15]
+					m.Extra = append(m.Extra, address)
+				case 15:
+					head.Class = mdns.ClassCHAOS
+					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
+				}
+			}
+			answers, err := validRecord(m, name, kind)
+			if err != nil {
+				return nil, err
+			}
+			m.Answer = answers
+			return m, nil
+		}
+		news, _, err := d.list("any")
+		if err != nil && len(news.Nodes) > 0 {
+			t.Fatalf("%d nodes with %v", len(news.Nodes), err)
+		}
+		seen := map[string]bool{}
+		for _, n := range news.Nodes {
+			at, err := netip.ParseAddrPort(n.Address)
+			if err != nil || at.Port() == 0 || !given[at.Addr().String()] || seen[n.Address] || n.State != "on" && n.State != "draining" {
+				t.Fatalf("%+v, given were %v, %v", n, given, err)
+			}
+			seen[n.Address] = true
+		}
+		if asked > 1+2*4 {
+			t.Fatalf("%d questions for one answer of at most four records", asked)
+		}
+	})
+}
--- a/discovery/resolver/names.go
+++ b/discovery/dns/resolver.go
@@ -1,6 +1,4 @@
-// Package resolver decides whom to ask for the list in DNS and when, and which records of an answer count. It does no
-// I/O, has no clock and no goroutine: outcomes go in, the next question comes out. Package members asks.
-package resolver
+package dns
 
 import (
 	"math/rand"
@@ -8,7 +6,7 @@
 )
 
 // Settings bound the asking.
-type Settings struct {
+type resolverSettings struct {
 	Servers     int           // name servers, asked in turn
 	MinInterval time.Duration // the least pause, whatever a record's lifetime
 	MaxInterval time.Duration // the longest
@@ -20,7 +18,7 @@
 const spread = 1.0 / 4
 
 // Query is the next question: which server, and when, as a span since start.
-type Query struct {
+type query struct {
 	Server int
 	At     time.Duration
 }
@@ -44,7 +42,7 @@
 // step tells the state after an outcome, what is to be done, and whether the round's outcome is to be told.
 type step struct {
 	next state
-	do   func(*Resolver, time.Duration, time.Duration)
+	do   func(*resolver, time.Duration, time.Duration)
 	tell bool
 }
 
@@ -52,34 +50,36 @@
 // ceiling: it guards against a crowd asking a name server that is barely there; it could harm where all servers were
 // out only for a moment, by up to a ceiling.
 var steps = map[state]map[input]step{
-	settled: {inAnswer: {settled, (*Resolver).rest, true}, inFailure: {trying, (*Resolver).turn, false}, inLastFailure: {failing, (*Resolver).back, true}},
-	trying:  {inAnswer: {settled, (*Resolver).rest, true}, inFailure: {trying, (*Resolver).turn, false}, inLastFailure: {failing, (*Resolver).back, true}},
-	failing: {inAnswer: {settled, (*Resolver).rest, true}, inFailure: {failing, (*Resolver).turn, false}, inLastFailure: {failing, (*Resolver).back, true}},
+	settled: {inAnswer: {settled, (*resolver).rest, true}, inFailure: {trying, (*resolver).turn, false}, inLastFailure: {failing, (*resolver).back, true}},
+	trying:  {inAnswer: {settled, (*resolver).rest, true}, inFailure: {trying, (*resolver).turn, false}, inLastFailure: {failing, (*resolver).back, true}},
+	failing: {inAnswer: {settled, (*resolver).rest, true}, inFailure: {failing, (*resolver).turn, false}, inLastFailure: {failing, (*resolver).back, true}},
 }
 
 // Resolver decides the next question from the outcome of the last.
-type Resolver struct {
-	t      Settings
+type resolver struct {
+	t      resolverSettings
 	rng    *rand.Rand
 	state  state
 	first  int // the server asked first: the one that answered last
 	failed int // servers of this round
 	pause  time.Duration
-	next   Query
+	next   query
 }
 
 // New makes one; its first question is due at once.
-func New(t Settings) *Resolver { return &Resolver{t: t, rng: rand.New(rand.NewSource(t.Seed))} }
+func newResolver(t resolverSettings) *resolver {
+	return &resolver{t: t, rng: rand.New(rand.NewSource(t.Seed))}
+}
 
 // Next is the question that is due next.
-func (a *Resolver) Next() Query { return a.next }
+func (a *resolver) Next() query { return a.next }
 
 // Answered tells that the question was answered, also that there is nothing; life is how long that holds. Failed tells
 // that it was not; it returns whether all servers have failed now, which is the round's outcome.
-func (a *Resolver) Answered(now, life time.Duration) { a.step(inAnswer, now, life) }
+func (a *resolver) Answered(now, life time.Duration) { a.step(inAnswer, now, life) }
 
 // Failed: see Answered.
-func (a *Resolver) Failed(now time.Duration) (all bool) {
+func (a *resolver) Failed(now time.Duration) (all bool) {
 	in := inFailure
 	if a.failed++; a.failed >= a.t.Servers {
 		in = inLastFailure
@@ -87,7 +87,7 @@
 	return a.step(in, now, 0)
 }
 
-func (a *Resolver) step(in input, now, life time.Duration) bool {
+func (a *resolver) step(in input, now, life time.Duration) bool {
 	s := steps[a.state][in]
 	a.state = s.next
 	s.do(a, now, life)
@@ -95,29 +95,29 @@
 }
 
 // rest waits until the answer's lifetime is over and asks the same server first.
-func (a *Resolver) rest(now, life time.Duration) {
+func (a *resolver) rest(now, life time.Duration) {
 	a.first, a.failed, a.pause = a.next.Server, 0, 0
 	a.next.At = now + a.draw(life)
 }
 
 // turn asks the next server at once.
-func (a *Resolver) turn(now, _ time.Duration) {
-	a.next = Query{(a.next.Server + 1) % a.t.Servers, now}
+func (a *resolver) turn(now, _ time.Duration) {
+	a.next = query{(a.next.Server + 1) % a.t.Servers, now}
 }
 
 // back waits, each time twice as long, and begins with the server that answered last.
-func (a *Resolver) back(now, _ time.Duration) {
+func (a *resolver) back(now, _ time.Duration) {
 	a.failed, a.pause = 0, min(max(2*a.pause, a.t.MinInterval), a.t.MaxInterval)
-	a.next = Query{a.first, now + a.draw(a.pause)}
+	a.next = query{a.first, now + a.draw(a.pause)}
 }
 
-func (a *Resolver) draw(span time.Duration) time.Duration {
+func (a *resolver) draw(span time.Duration) time.Duration {
 	span = min(max(span, a.t.MinInterval), a.t.MaxInterval)
 	return span - time.Duration(a.rng.Float64()*spread*float64(span))
 }
 
 // Record is an SRV record as far as its choice goes.
-type Record struct {
+type candidate struct {
 	Server   string
 	Cell     int
 	Priority uint16
@@ -126,7 +126,7 @@
 
 // Choose returns the places of the records that count: of each cell those of the lowest priority that do not drain,
 // and all that drain, each server once. Of two records of one server the one that drains counts.
-func Choose(all []Record) (chosen []int) {
+func choose(all []candidate) (chosen []int) {
 	least, drains, seen := map[int]uint16{}, map[string]bool{}, map[string]bool{}
 	for _, r := range all {
 		drains[r.Server] = drains[r.Server] || r.Draining
--- a/discovery/resolver/names_test.go
+++ b/discovery/dns/resolver_test.go
@@ -1,4 +1,4 @@
-package resolver
+package dns
 
 import (
 	"fmt"
@@ -25,8 +25,8 @@
 	f.Add(byte(2), []byte{1, 200, 0, 0, 0, 0, 0, 0, 1, 5})
 	f.Add(byte(3), []byte{0, 0, 0, 0, 1, 255, 1, 0, 0, 1, 0, 2, 0, 3, 0, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, servers byte, script []byte) {
-		terms := Settings{Servers: 1 + int(servers%4), MinInterval: 100 * time.Millisecond, MaxInterval: 5 * time.Second, Seed: int64(servers)}
-		a := New(terms)
+		terms := resolverSettings{Servers: 1 + int(servers%4), MinInterval: 100 * time.Millisecond, MaxInterval: 5 * time.Second, Seed: int64(servers)}
+		a := newResolver(terms)
 		type outcome struct {
 			server   int
 			answered bool
@@ -84,16 +84,16 @@
 func TestChoose(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 20000 {
-		var all []Record
+		var all []candidate
 		for range rng.Intn(7) {
-			all = append(all, Record{fmt.Sprint(rng.Intn(4)), rng.Intn(2), uint16(rng.Intn(3)), rng.Intn(4) == 0})
+			all = append(all, candidate{fmt.Sprint(rng.Intn(4)), rng.Intn(2), uint16(rng.Intn(3)), rng.Intn(4) == 0})
 		}
-		chosen := Choose(all)
+		chosen := choose(all)
 		for i, r := range all {
 			drained, better, earlier := false, false, false
 			for j, o := range all {
 				drained = drained || o.Server == r.Server && o.Draining
-				sound := !slices.ContainsFunc(all, func(x Record) bool { return x.Server == o.Server && x.Draining })
+				sound := !slices.ContainsFunc(all, func(x candidate) bool { return x.Server == o.Server && x.Draining })
 				better = better || o.Cell == r.Cell && sound && o.Priority < r.Priority
 				earlier = earlier || j < i && o.Server == r.Server && slices.Contains(chosen, j)
 			}
--- a/discovery/etcd.go
+++ b/discovery/etcd/client.go
@@ -1,14 +1,10 @@
-// Package discovery learns of the disk servers: from etcd over its published gRPC API (docs/etcd.md) and from DNS
-// SRV records (docs/dns.md). The sources ask, tell what they heard and report what failed. Whom to believe is
-// decided in package belief, when to ask etcd again by the module.
-package discovery
+// Package etcd follows the list of disk servers in etcd, over its published gRPC API. docs/etcd.md has the keys and values.
+package etcd
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"net/netip"
 	"sync"
 	"time"
 
@@ -18,43 +14,15 @@
 	"google.golang.org/grpc/keepalive"
 
 	"honeyplank"
+	"honeyplank/discovery"
 )
 
-// Record is the value of a node's key; the key is the prefix and the node's address.
-type Record struct {
-	State     string  `json:"state"`                // "on" or "draining"
-	StartedMS int64   `json:"started_ms,omitempty"` // unix time of its last start; 0: long ago
-	Size      float64 `json:"size,omitempty"`
-	Model     int     `json:"model,omitempty"`
-	Zone      int     `json:"zone,omitempty"`
-	Cell      int     `json:"cell"`
-}
-
-// Node is a record with its address.
-type Node struct {
-	Record
-	Address string
-	Removed bool
-}
-
-// Update is what the source heard. Err tells why a watch or fetch failed; then there are no nodes.
-type Update struct {
-	Kind     honeyplank.ListKind
-	Revision int64
-	Nodes    []Node
-	Skipped  []string // keys whose values made no sense, with the reason
-	Err      error
-	// Current tells that nothing that has happened up to now is left to be told. Only changes set it; news without nodes
-	// may tell nothing else.
-	Current bool
-}
-
-// Etcd is the list in etcd. Watch and Fetch may be called from one goroutine; news comes on another, in
+// Client is the list in etcd. Watch and Fetch may be called from one goroutine; news comes on another, in
 // order, and none after Close.
-type Etcd struct {
+type Client struct {
 	endpoints []string
 	agent     string
-	tell      func(Update)
+	tell      func(discovery.Update)
 	mu        sync.Mutex
 	cancel    context.CancelFunc
 	next      int
@@ -68,13 +36,13 @@
 // New makes a source that asks the endpoints in turn, under the name agent. A watch that has said nothing for
 // quiet, not even that it has nothing to say, counts as broken, and so does a call that takes as long. At most most
 // nodes are kept.
-func New(endpoints []string, prefix, agent string, quiet time.Duration, most int, tell func(Update)) *Etcd {
-	return &Etcd{endpoints: endpoints, agent: agent, quiet: quiet, tell: tell, list: list{prefix: prefix, most: most, known: map[string]Node{}}}
+func New(endpoints []string, prefix, agent string, quiet time.Duration, most int, tell func(discovery.Update)) *Client {
+	return &Client{endpoints: endpoints, agent: agent, quiet: quiet, tell: tell, list: list{prefix: prefix, most: most, known: map[string]discovery.Node{}}}
 }
 
 // Watch follows the list, or stops: from the revision last told where there is one and its history is still
 // kept, else from the whole list.
-func (e *Etcd) Watch(on bool) {
+func (e *Client) Watch(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cancel != nil {
@@ -88,7 +56,7 @@
 }
 
 // Fetch reads the whole list once.
-func (e *Etcd) Fetch() {
+func (e *Client) Fetch() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.closed {
@@ -96,7 +64,7 @@
 	}
 }
 
-func (e *Etcd) start(watch bool) {
+func (e *Client) start(watch bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if watch {
 		e.cancel = cancel
@@ -108,7 +76,9 @@
 		defer e.running.Done()
 		defer cancel()
 		if err := e.run(ctx, endpoint, watch, serial); err != nil {
-			e.locked(serial, func() (*Update, error) { return &Update{Kind: honeyplank.WatchFailed, Err: err}, nil })
+			e.locked(serial, func() (*discovery.Update, error) {
+				return &discovery.Update{Kind: honeyplank.WatchFailed, Err: err}, nil
+			})
 		}
 	}()
 }
@@ -117,7 +87,7 @@
 var errReplaced = errors.New("members: replaced")
 
 // locked changes the list and tells what comes of it, unless the watch it is of has been replaced.
-func (e *Etcd) locked(serial int, change func() (*Update, error)) error {
+func (e *Client) locked(serial int, change func() (*discovery.Update, error)) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if serial != e.serial || e.closed {
@@ -131,7 +101,7 @@
 }
 
 // Close ends the watch and waits for what runs.
-func (e *Etcd) Close() {
+func (e *Client) Close() {
 	e.mu.Lock()
 	e.closed = true
 	if e.cancel != nil {
@@ -141,7 +111,7 @@
 	e.running.Wait()
 }
 
-func (e *Etcd) run(ctx context.Context, endpoint string, watch bool, serial int) error {
+func (e *Client) run(ctx context.Context, endpoint string, watch bool, serial int) error {
 	c, err := grpc.NewClient("passthrough:///"+endpoint, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithUserAgent(e.agent),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 2 * e.quiet, Timeout: e.quiet}))
 	if err != nil {
@@ -166,7 +136,7 @@
 const pages = 20
 
 // whole reads the list, in pages.
-func (e *Etcd) whole(ctx context.Context, c *grpc.ClientConn, endpoint string, serial int) error {
+func (e *Client) whole(ctx context.Context, c *grpc.ClientConn, endpoint string, serial int) error {
 	kv, end, r := etcdserverpb.NewKVClient(c), prefixEnd(e.list.prefix), e.list.read()
 	for more := true; more; {
 		call, cancel := context.WithTimeout(ctx, e.quiet)
@@ -179,11 +149,11 @@
 			return fmt.Errorf("members: range at %s: %w", endpoint, err)
 		}
 	}
-	return e.locked(serial, func() (*Update, error) { return e.list.whole(r), nil })
+	return e.locked(serial, func() (*discovery.Update, error) { return e.list.whole(r), nil })
 }
 
 // follow watches from after the revision told until the watch breaks.
-func (e *Etcd) follow(ctx context.Context, c *grpc.ClientConn, endpoint string, serial int) error {
+func (e *Client) follow(ctx context.Context, c *grpc.ClientConn, endpoint string, serial int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	wrap := func(err error) error {
@@ -193,7 +163,7 @@
 		return fmt.Errorf("members: watch at %s: %w", endpoint, err)
 	}
 	from, created := int64(0), func() {}
-	if err := e.locked(serial, func() (*Update, error) { e.list.watch(); from = e.list.revision; return nil, nil }); err != nil {
+	if err := e.locked(serial, func() (*discovery.Update, error) { e.list.watch(); from = e.list.revision; return nil, nil }); err != nil {
 		return err
 	}
 	if e.quiet > 0 {
@@ -219,7 +189,7 @@
 			return wrap(err)
 		}
 		awaiting := false // progress keeps up a watch that stands, not one of which more is awaited
-		err = e.locked(serial, func() (*Update, error) {
+		err = e.locked(serial, func() (*discovery.Update, error) {
 			news, err := e.list.hear(r)
 			awaiting = e.list.state != stands && len(r.Events) == 0
 			return news, err
@@ -243,7 +213,7 @@
 
 // nudge asks a quiet watch for its progress, and ends one that does not answer. It guards against a watch that
 // stays open and delivers nothing; it could harm where quiet is shorter than a slow etcd takes.
-func (e *Etcd) nudge(ctx context.Context, cancel context.CancelCauseFunc, stream etcdserverpb.Watch_WatchClient, heard chan struct{}) {
+func (e *Client) nudge(ctx context.Context, cancel context.CancelCauseFunc, stream etcdserverpb.Watch_WatchClient, heard chan struct{}) {
 	if e.quiet <= 0 {
 		return
 	}
@@ -267,23 +237,6 @@
 	}
 }
 
-// ParseRecord reads the value of a node's key.
-func ParseRecord(address string, value []byte) (r Record, err error) {
-	if _, err := netip.ParseAddrPort(address); err != nil {
-		return r, fmt.Errorf("members: %.80q is no address", address)
-	}
-	if err := json.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("members: %s: %w", address, err)
-	}
-	if r.State != "on" && r.State != "draining" {
-		return r, fmt.Errorf("members: %s: state %.20q is neither on nor draining", address, r.State)
-	}
-	if r.Size < 0 || r.StartedMS < 0 || r.Cell < 0 || r.Zone < 0 {
-		return r, errors.New("members: " + address + ": a negative figure")
-	}
-	return r, nil
-}
-
 // prefixEnd is the key after all that begin with the prefix (etcd's range convention).
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
--- a/discovery/etcd_test.go
+++ b/discovery/etcd/client_test.go
@@ -1,4 +1,4 @@
-package discovery
+package etcd
 
 import (
 	"fmt"
@@ -7,25 +7,26 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/fake/etcd"
+	"honeyplank/discovery"
+	fakeetcd "honeyplank/fake/etcd"
 )
 
 const prefix = "/honeyplank/nodes/"
 
 // watch starts a source on a stand-in; what it tells comes on the channel.
-func watch(t *testing.T) (*etcd.Server, *Etcd, chan Update) {
+func watch(t *testing.T) (*fakeetcd.Server, *Client, chan discovery.Update) {
 	t.Helper()
-	s, err := etcd.New("127.0.0.1:0")
+	s, err := fakeetcd.New("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := make(chan Update, 100)
-	e := New([]string{s.Address()}, prefix, "test", 400*time.Millisecond, 20000, func(n Update) { out <- n })
+	out := make(chan discovery.Update, 100)
+	e := New([]string{s.Address()}, prefix, "test", 400*time.Millisecond, 20000, func(n discovery.Update) { out <- n })
 	t.Cleanup(func() { e.Close(); s.Close() })
 	return s, e, out
 }
 
-func next(t *testing.T, c chan Update, kind honeyplank.ListKind) Update {
+func next(t *testing.T, c chan discovery.Update, kind honeyplank.ListKind) discovery.Update {
 	t.Helper()
 	for late := time.After(5 * time.Second); ; {
 		select {
@@ -151,8 +152,8 @@
 // TestHalfOpen has the next endpoint take a call and not go through with it: that counts as broken after about as long
 // as a watch may be quiet, and the endpoint after it is asked.
 func TestHalfOpen(t *testing.T) {
-	for name, half := range map[string]func(t *testing.T, s *etcd.Server) string{
-		"no handshake": func(t *testing.T, _ *etcd.Server) string {
+	for name, half := range map[string]func(t *testing.T, s *fakeetcd.Server) string{
+		"no handshake": func(t *testing.T, _ *fakeetcd.Server) string {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -160,7 +161,7 @@
 			t.Cleanup(func() { l.Close() })
 			return l.Addr().String()
 		},
-		"never created": func(t *testing.T, s *etcd.Server) string {
+		"never created": func(t *testing.T, s *fakeetcd.Server) string {
 			s.Withhold(true)
 			return s.Address()
 		},
--- a/discovery/watch.go
+++ b/discovery/etcd/watch.go
@@ -1,4 +1,4 @@
-package discovery
+package etcd
 
 import (
 	"errors"
@@ -9,6 +9,7 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 
 	"honeyplank"
+	"honeyplank/discovery"
 )
 
 // errHistory tells that a watch can't go on from where it was: the whole list is needed.
@@ -43,7 +44,7 @@
 // step is what a watch does about a response.
 type step struct {
 	next state
-	do   func(*list, *etcdserverpb.WatchResponse) (*Update, error)
+	do   func(*list, *etcdserverpb.WatchResponse) (*discovery.Update, error)
 }
 
 // steps is read by hear; a pair that is missing is out of order, and the watch is begun anew from the whole list.
@@ -75,15 +76,15 @@
 type list struct {
 	prefix   string
 	most     int
-	revision int64           // up to which all has been told
-	known    map[string]Node // what was told last, without those that are gone
+	revision int64                     // up to which all has been told
+	known    map[string]discovery.Node // what was told last, without those that are gone
 
 	state   state
-	last    int64          // revision of the event taken last
-	held    []Node         // of the pieces of one response
-	at      map[string]int // the last place of an address in held
-	growth  int            // by which known changes with what is held
-	events  int            // that a response in pieces has brought
+	last    int64            // revision of the event taken last
+	held    []discovery.Node // of the pieces of one response
+	at      map[string]int   // the last place of an address in held
+	growth  int              // by which known changes with what is held
+	events  int              // that a response in pieces has brought
 	skipped []string
 }
 
@@ -97,7 +98,7 @@
 
 // hear takes in a response. News is nil where there is none; after an error the watch is over, and errHistory asks
 // for the whole list.
-func (l *list) hear(r *etcdserverpb.WatchResponse) (*Update, error) {
+func (l *list) hear(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	s, ok := steps[l.state][l.sort(r)]
 	if !ok {
 		l.state = stopped
@@ -142,34 +143,34 @@
 	return saysAll
 }
 
-func nothing(*list, *etcdserverpb.WatchResponse) (*Update, error) { return nil, nil }
+func nothing(*list, *etcdserverpb.WatchResponse) (*discovery.Update, error) { return nil, nil }
 
 // begin has the watch stand, unless etcd is behind what was told: then it has another history.
-func (l *list) begin(r *etcdserverpb.WatchResponse) (*Update, error) {
+func (l *list) begin(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	if r.Header.Revision < l.revision {
 		return nil, errHistory
 	}
 	// Nothing may come for long: the watch stands.
-	return &Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
+	return &discovery.Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
 // anew gives up the history told: the whole list is needed.
-func (l *list) anew(*etcdserverpb.WatchResponse) (*Update, error) { return nil, errHistory }
+func (l *list) anew(*etcdserverpb.WatchResponse) (*discovery.Update, error) { return nil, errHistory }
 
-func (l *list) cancelled(r *etcdserverpb.WatchResponse) (*Update, error) {
+func (l *list) cancelled(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	return nil, fmt.Errorf("cancelled: %.200s", r.CancelReason)
 }
 
 // progress tells that nothing up to a revision is missing. A response with events tells no such thing: etcd sends
 // a long history in several, each with the present revision in its header.
-func (l *list) progress(r *etcdserverpb.WatchResponse) (*Update, error) {
+func (l *list) progress(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	l.revision = max(l.revision, r.Header.Revision)
 	l.last = max(l.last, l.revision)
-	return &Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
+	return &discovery.Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
 // hold takes the events of a response, or of a piece of one. What was told already is passed over.
-func (l *list) hold(r *etcdserverpb.WatchResponse) (*Update, error) {
+func (l *list) hold(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	for _, e := range r.Events {
 		if e.Kv.ModRevision <= l.revision {
 			continue
@@ -184,11 +185,11 @@
 }
 
 // tell takes the last events of a response and tells all: the changes of one revision are told together.
-func (l *list) tell(r *etcdserverpb.WatchResponse) (*Update, error) {
+func (l *list) tell(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	if _, err := l.hold(r); err != nil {
 		return nil, err
 	}
-	news := &Update{Kind: honeyplank.Delta, Nodes: l.held, Skipped: l.skipped}
+	news := &discovery.Update{Kind: honeyplank.Delta, Nodes: l.held, Skipped: l.skipped}
 	l.drop()
 	l.revision = max(l.revision, l.last)
 	if len(news.Nodes)+len(news.Skipped) == 0 {
@@ -221,7 +222,7 @@
 		return
 	}
 	if !deleted {
-		r, err := ParseRecord(address, pair.Value)
+		r, err := discovery.ParseRecord(address, pair.Value)
 		if err != nil {
 			l.skipped = append(l.skipped, err.Error())
 			return
@@ -279,13 +280,13 @@
 }
 
 // whole puts what was read in the place of what was told, unless a watch that stands has told of later revisions.
-func (l *list) whole(r *reading) *Update {
+func (l *list) whole(r *reading) *discovery.Update {
 	if r.revision < l.revision && (l.state == stands || l.state == pieces) {
-		return &Update{Kind: honeyplank.Delta}
+		return &discovery.Update{Kind: honeyplank.Delta}
 	}
-	l.known, l.revision = make(map[string]Node, len(r.held)), r.revision
+	l.known, l.revision = make(map[string]discovery.Node, len(r.held)), r.revision
 	for _, n := range r.held {
 		l.known[n.Address] = n
 	}
-	return &Update{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
+	return &discovery.Update{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
 }
--- a/discovery/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -1,4 +1,4 @@
-package discovery
+package etcd
 
 import (
 	"errors"
@@ -9,6 +9,8 @@
 
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 	"go.etcd.io/etcd/api/v3/mvccpb"
+
+	"honeyplank/discovery"
 )
 
 const fewest = 5 // nodes that the fuzzed list may hold
@@ -17,13 +19,13 @@
 type change struct {
 	revision int64
 	key      string
-	node     *Node // nil: deleted
+	node     *discovery.Node // nil: deleted
 }
 
 // model is the slow plain rule of a watch: it keeps all that was ever taken and works out each time, from the
 // beginning, what must be known by now. It knows no pieces, tables or bounds but the rule itself.
 type model struct {
-	base    map[string]Node
+	base    map[string]discovery.Node
 	baseAt  int64
 	taken   []change // of responses that are complete
 	pending []change // of pieces
@@ -41,7 +43,7 @@
 	return r
 }
 
-func (m *model) known() map[string]Node {
+func (m *model) known() map[string]discovery.Node {
 	out := maps.Clone(m.base)
 	for _, c := range m.taken {
 		if _, there := out[c.key]; c.node == nil {
@@ -89,8 +91,8 @@
 		if len(c.key) <= len(prefix) || c.key[:len(prefix)] != prefix {
 			c.key = ""
 		} else if c.key = c.key[len(prefix):]; e.Type == mvccpb.PUT {
-			v, err := ParseRecord(c.key, e.Kv.Value)
-			if c.node = (&Node{Record: v, Address: c.key}); err != nil {
+			v, err := discovery.ParseRecord(c.key, e.Kv.Value)
+			if c.node = (&discovery.Node{Record: v, Address: c.key}); err != nil {
 				c.key = ""
 			}
 		}
@@ -123,8 +125,8 @@
 	f.Add([]byte{0, 2, 8, 0x61, 8, 0x71, 1, 0x81, 5, 0x91, 6, 0xA1, 9, 0})
 	f.Add([]byte{0, 9, 1, 0xA1, 1, 0xA2, 1, 0xB3, 1, 0xB4, 1, 0xB5, 1, 0xC6, 2, 0xD1, 1, 0xE6})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		base := map[string]Node{}
-		l := list{prefix: prefix, most: fewest, known: map[string]Node{}}
+		base := map[string]discovery.Node{}
+		l := list{prefix: prefix, most: fewest, known: map[string]discovery.Node{}}
 		r := l.read()
 		page := &etcdserverpb.RangeResponse{Header: &etcdserverpb.ResponseHeader{Revision: 5}}
 		for i := range 3 {
@@ -133,7 +135,7 @@
 		if _, err := r.page(page); err != nil {
 			t.Fatal(err)
 		}
-		heard := map[string]Node{}
+		heard := map[string]discovery.Node{}
 		for _, n := range l.whole(r).Nodes {
 			heard[n.Address], base[n.Address] = n, n
 		}
@@ -215,7 +217,7 @@
 	pair := func(i int) *mvccpb.KeyValue {
 		return &mvccpb.KeyValue{Key: fmt.Appendf(nil, "%s127.0.0.1:%05d", prefix, i), Value: []byte(`{"state":"on"}`)}
 	}
-	l := list{prefix: prefix, most: fewest, known: map[string]Node{}}
+	l := list{prefix: prefix, most: fewest, known: map[string]discovery.Node{}}
 	head := &etcdserverpb.ResponseHeader{Revision: 7}
 	for name, p := range map[string]*etcdserverpb.RangeResponse{
 		"without a revision":       {Kvs: []*mvccpb.KeyValue{pair(1)}},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,6 +16,8 @@
 
 	"honeyplank"
 	"honeyplank/discovery"
+	"honeyplank/discovery/dns"
+	"honeyplank/discovery/etcd"
 	"honeyplank/estimates"
 	"honeyplank/eventloop"
 	"honeyplank/incarnation"
@@ -53,8 +55,8 @@
 	loop   *eventloop.Loop
 	module Module
 	server *target.Server
-	etcd   *discovery.Etcd // nil: not a source
-	dns    *discovery.DNS
+	etcd   *etcd.Client // nil: not a source
+	dns    *dns.Client
 	ask    func() // starts asking DNS; nil: not a source
 	book   *membership.Ledger
 	starts [2]incarnation.Tracker // by belief.Source
@@ -160,14 +162,14 @@
 		for _, e := range s.List.Etcd {
 			endpoints = append(endpoints, e.Endpoint)
 		}
-		g.etcd = discovery.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(membership.Etcd))
+		g.etcd = etcd.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(membership.Etcd))
 	}
 	if d := s.List.DNS; d != nil {
-		terms := discovery.DNSSettings{Name: d.Name, MinInterval: d.Floor.D(), MaxInterval: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
+		terms := dns.Settings{Name: d.Name, MinInterval: d.Floor.D(), MaxInterval: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
 		for _, x := range d.Servers {
 			terms.Servers = append(terms.Servers, x.Address)
 		}
-		g.ask = func() { g.dns = discovery.NewDNS(terms, hear(membership.DNS)) }
+		g.ask = func() { g.dns = dns.New(terms, hear(membership.DNS)) }
 	}
 	return g, nil
 }
