--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -384,7 +384,7 @@
 		g.log.Warn().Stringer("source", from).Str("why", text).Msg("a list entry is passed over")
 	}
 	wall, now := g.o.Wall(), g.loop.Now() // in this order: a halt between them makes starts later, not earlier
-	var all []membership.Statement
+	var all []membership.Report
 	for _, node := range n.Nodes {
 		all = append(all, g.statement(now, wall, from, node))
 	}
@@ -410,8 +410,8 @@
 }
 
 // statement is what a node's entry says.
-func (g *Instance) statement(now time.Duration, wall time.Time, from membership.Source, node discovery.Node) membership.Statement {
-	s := membership.Statement{State: membership.Up, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
+func (g *Instance) statement(now time.Duration, wall time.Time, from membership.Source, node discovery.Node) membership.Report {
+	s := membership.Report{State: membership.Up, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
 	switch {
 	case node.Removed:
 		s.State = membership.Removed
@@ -458,7 +458,7 @@
 		}
 		for _, m := range l.Members {
 			if v, _ := g.book.View(m.ID); m.State != honeyplank.Up || v.Cause != membership.Agreed {
-				g.log.Info().Str("osd", string(m.ID)).Stringer("believed", v.Believed).Stringer("cause", v.Cause).
+				g.log.Info().Str("osd", string(m.ID)).Stringer("believed", v.State).Stringer("cause", v.Cause).
 					Stringer("etcd", v.ReportedState[membership.Etcd]).Stringer("dns", v.ReportedState[membership.DNS]).Msg("the list of disk servers")
 			}
 		}
@@ -501,7 +501,7 @@
 				}
 				return text
 			}
-			list = append(list, Node{string(id), v.Member.Cell, v.Believed.String(), v.Cause.String(), (now - v.Since).Round(time.Second).String(), says(membership.Etcd), says(membership.DNS)})
+			list = append(list, Node{string(id), v.Member.Cell, v.State.String(), v.Cause.String(), (now - v.Since).Round(time.Second).String(), says(membership.Etcd), says(membership.DNS)})
 		}
 		answer <- list
 	}) {
--- a/membership/belief.go
+++ b/membership/belief.go
@@ -33,7 +33,7 @@
 func (s State) String() string { return [...]string{"never", "on", "draining", "gone"}[s] }
 
 // Statement is what a source says of one node.
-type Statement struct {
+type Report struct {
 	Member honeyplank.Member // its State is not read
 	State  State             // On, Draining or Gone
 	// StartedAfter is a time that the member's start surely came after; 0: that can't be told. Started may be later than the
@@ -123,7 +123,7 @@
 
 // Complete tells all that a source holds: what it leaves out of what it held has vanished. It returns what is to
 // be told to the module, as Changes, or as the Whole list the first time.
-func (b *Ledger) Complete(now time.Duration, from Source, all []Statement) (out []honeyplank.List) {
+func (b *Ledger) Complete(now time.Duration, from Source, all []Report) (out []honeyplank.List) {
 	b.sourceHeard(now, from)
 	before := b.held[from]
 	stated := make(map[honeyplank.ServerID]bool, len(all))
@@ -143,7 +143,7 @@
 
 // Delta tells what of a source has changed, in order. A watch that was held up tells several revisions of etcd at
 // once: a node that is removed and put back within them has not vanished.
-func (b *Ledger) Delta(now time.Duration, from Source, some []Statement) []honeyplank.List {
+func (b *Ledger) Delta(now time.Duration, from Source, some []Report) []honeyplank.List {
 	b.sourceHeard(now, from)
 	var touched, vanished []*node
 	before := b.held[from]
@@ -212,7 +212,7 @@
 }
 
 // record takes in that a source holds a node on or draining.
-func (b *Ledger) record(from Source, s Statement) *node {
+func (b *Ledger) record(from Source, s Report) *node {
 	n := b.nodes[s.Member.ID]
 	if n == nil {
 		n = &node{id: s.Member.ID}
@@ -400,7 +400,7 @@
 // View is what is believed of a node, for people.
 type View struct {
 	Member        honeyplank.Member
-	Believed      State
+	State         State
 	Cause         Cause
 	Since         time.Duration
 	ReportedState [sources]State
@@ -415,7 +415,7 @@
 	if n == nil {
 		return v, false
 	}
-	v = View{Member: b.member(n), Believed: n.believed, Cause: n.cause, Since: n.since, HeldUntil: n.until}
+	v = View{Member: b.member(n), State: n.believed, Cause: n.cause, Since: n.since, HeldUntil: n.until}
 	for from, w := range n.reports {
 		v.ReportedState[from], v.ReportedAt[from], v.Unconfirmed[from] = w.state, w.at, w.doubted
 	}
--- a/membership/belief_test.go
+++ b/membership/belief_test.go
@@ -206,10 +206,10 @@
 	case x.tick > 0:
 		out = c.b.Tick(now)
 	default:
-		var all []Statement
+		var all []Report
 		for _, n := range c.p.nodes {
 			if st, ok := x.says[n]; ok {
-				all = append(all, Statement{honeyplank.Member{ID: honeyplank.ServerID(n), Started: c.p.words[n][x.from].started}, st, c.p.words[n][x.from].started})
+				all = append(all, Report{honeyplank.Member{ID: honeyplank.ServerID(n), Started: c.p.words[n][x.from].started}, st, c.p.words[n][x.from].started})
 			}
 		}
 		if x.whole {
@@ -226,12 +226,12 @@
 	for _, n := range c.p.nodes {
 		id := honeyplank.ServerID(n)
 		v, _ := c.b.View(id)
-		if v.Believed != c.p.is[n] {
-			return fmt.Errorf("%s is believed %v, the plain model says %v: book %+v, plain %+v now %v held %v", n, v.Believed, c.p.is[n], v, c.p.words[n], c.p.now, c.p.held[n])
+		if v.State != c.p.is[n] {
+			return fmt.Errorf("%s is believed %v, the plain model says %v: book %+v, plain %+v now %v held %v", n, v.State, c.p.is[n], v, c.p.words[n], c.p.now, c.p.held[n])
 		}
 		told, known := c.list[id]
-		if known != (v.Believed != NeverListed) && v.Believed == Up || known && (told == honeyplank.Up) != (v.Believed == Up) {
-			return fmt.Errorf("%s is believed %v, the module was told %v", n, v.Believed, told)
+		if known != (v.State != NeverListed) && v.State == Up || known && (told == honeyplank.Up) != (v.State == Up) {
+			return fmt.Errorf("%s is believed %v, the module was told %v", n, v.State, told)
 		}
 		if err := c.invariants(n, v, was[n], x); err != nil {
 			return err
@@ -246,18 +246,18 @@
 	out := func(w plainWord) bool { return w.state == Draining || w.state == Removed }
 	for i, w := range []plainWord{e, d} {
 		other := []plainWord{d, e}[i]
-		if out(w) && v.Believed == Up && !(other.state == Up && other.started > w.at) {
+		if out(w) && v.State == Up && !(other.state == Up && other.started > w.at) {
 			return fmt.Errorf("%s gets work though %v says %v", n, Source(i), w.state)
 		}
 	}
-	if e.state == Up && d.state == Up && e.doubt == 0 && d.doubt == 0 && v.Believed != Up && c.p.held[n] <= c.p.now {
-		return fmt.Errorf("%s is believed %v though both sources hold it on", n, v.Believed)
+	if e.state == Up && d.state == Up && e.doubt == 0 && d.doubt == 0 && v.State != Up && c.p.held[n] <= c.p.now {
+		return fmt.Errorf("%s is believed %v though both sources hold it on", n, v.State)
 	}
-	if x.fail && v.Believed != was {
-		return fmt.Errorf("a failing source changed %s from %v to %v", n, was, v.Believed)
+	if x.fail && v.State != was {
+		return fmt.Errorf("a failing source changed %s from %v to %v", n, was, v.State)
 	}
 	from, other := c.p.words[n][x.from], c.p.words[n][1-x.from]
-	if x.whole && len(x.says) == 0 && from.doubt > 0 && was == Up && v.Believed != Up && other.state == Up && other.doubt == 0 {
+	if x.whole && len(x.says) == 0 && from.doubt > 0 && was == Up && v.State != Up && other.state == Up && other.doubt == 0 {
 		return fmt.Errorf("%s was lost to a source that emptied at once", n)
 	}
 	return nil
@@ -384,16 +384,16 @@
 			now := s
 			for _, state := range c.before {
 				now += s
-				b.Delta(now, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: state}})
+				b.Delta(now, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: state}})
 			}
-			var all []Statement
+			var all []Report
 			for i, state := range c.says { // the start tells which of them the book took
-				all = append(all, Statement{Member: honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}, State: state})
+				all = append(all, Report{Member: honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}, State: state})
 			}
 			b.Delta(now+s, Etcd, all)
 			v, _ := b.View("a")
-			if v.Believed != c.want || c.want != Removed && v.Member.Started != time.Duration(len(all)) {
-				t.Errorf("%v after %v: believed %v, started %d", c.says, c.before, v.Believed, v.Member.Started)
+			if v.State != c.want || c.want != Removed && v.Member.Started != time.Duration(len(all)) {
+				t.Errorf("%v after %v: believed %v, started %d", c.says, c.before, v.State, v.Member.Started)
 			}
 		})
 	}
@@ -415,11 +415,11 @@
 		"gone, in the same moment": {Removed, 30 * s, 20 * s, Removed},
 	} {
 		b := New(Settings{MaxRemovedShare: 1})
-		b.Delta(10*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: Up}})
-		b.Delta(20*s, Etcd, []Statement{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
-		b.Complete(30*s, DNS, []Statement{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, StartedAfter: c.after}})
-		if v, _ := b.View("a"); v.Believed != c.want {
-			t.Errorf("%s: believed %v, want %v", name, v.Believed, c.want)
+		b.Delta(10*s, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: Up}})
+		b.Delta(20*s, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
+		b.Complete(30*s, DNS, []Report{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, StartedAfter: c.after}})
+		if v, _ := b.View("a"); v.State != c.want {
+			t.Errorf("%s: believed %v, want %v", name, v.State, c.want)
 		}
 	}
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -18,9 +18,9 @@
 			terms := membership.Settings{MaxRemovedShare: 0.5, ConfirmAfter: 10 * time.Second, FlapWindow: time.Minute}
 			book, now := membership.New(terms), time.Minute
 			module := policy.New(1, &honeyplank.Settings{OpTypes: honeyplank.OpTypeSettings{TargetLatency: []time.Duration{200 * time.Millisecond}, OpTimeout: []time.Duration{time.Second}}})
-			var all []membership.Statement
+			var all []membership.Report
 			for i := range n {
-				all = append(all, membership.Statement{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.Up})
+				all = append(all, membership.Report{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.Up})
 			}
 			for from := range 2 {
 				for _, l := range book.Complete(now, membership.Source(from), all) {
@@ -35,7 +35,7 @@
 				if i%2 == 1 {
 					x = all[(i-1)*7919%n]
 				}
-				for _, l := range book.Delta(now, membership.Etcd, []membership.Statement{x}) {
+				for _, l := range book.Delta(now, membership.Etcd, []membership.Report{x}) {
 					module.Handle(now, l)
 				}
 			}
