--- a/policy/demand.go
+++ b/policy/demand.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"time"
 
 	"honeyplank"
@@ -15,22 +14,6 @@
 	fleet decayedRate    // units that all hosts are asked for the volumes known here
 }
 
-// requestIdentity tells which ops may be tries of one client's request.
-type requestIdentity struct {
-	volume, key int64
-	typ         int
-	units       float64
-}
-
-// earlierTry is the last op of an identity, and how long its client's first try had.
-type earlierTry struct {
-	op       *op
-	timeLeft time.Duration
-	expires  time.Duration
-}
-
-func identityOf(p *op) requestIdentity { return requestIdentity{p.Volume, p.Key, p.Type, p.Units} }
-
 // recordDemand notes the units of an op whose data lies somewhere. What is asked of all is remembered for no longer than a
 // window of the cold rule, where there is one, so that a burst is seen within it.
 func (s *Scheduler) recordDemand(p *op, due bool) {
@@ -95,35 +78,3 @@
 	}
 	return units[0], units[1]
 }
-
-// inSlowStart tells whether the rule of cold starts binds at a disk server.
-func (s *Scheduler) inSlowStart(o *server) bool {
-	window := s.settings.slowStartWindow
-	return o.Started > 0 && window > 0 && s.now < o.Started+s.settings.slowStartTime+window
-}
-
-// slowStartBudget is what a disk server that has just started surely bears by now within a window, in units.
-func (s *Scheduler) slowStartBudget(o *server) float64 {
-	from, grown, warm := s.settings.slowStartFrom, 1.0, s.settings.slowStartTime
-	if age := s.now - o.Started; from > 0 && from < 1 && age > 0 && warm > 0 {
-		grown = (from + (1-from)*min(1, float64(age)/float64(warm))) / from
-	}
-	return grown * s.settings.slowStartUnits
-}
-
-// slowStartShare is which part of what a server bears may come by lots in the mean, m. A server falls at N + 2 x root of N + 2
-// mean ops, under 30 at N + 3 x root of N + 3; m and some standard deviations stay below. What comes by many lots is
-// spread as a Poisson count of ops of unlike sizes: its variance is m times the mean size by units over the mean one.
-func (s *Scheduler) slowStartShare(units float64) float64 {
-	if s.settings.meanUnits <= 0 || s.unitsAdmitted <= 0 || units <= 0 {
-		return slowStartTarget
-	}
-	bears := units / s.settings.meanUnits
-	falls := bears + 2*math.Sqrt(bears) + 2
-	if bears < 30 {
-		falls = bears + 3*math.Sqrt(bears) + 3
-	}
-	deviation := slowStartDeviations * math.Sqrt(s.unitsSquared/s.unitsAdmitted/s.settings.meanUnits)
-	root := (math.Sqrt(deviation*deviation+4*falls) - deviation) / 2
-	return min(slowStartTarget, root*root/bears)
-}
--- a/policy/averages.go
+++ b/policy/means.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// This file holds decayed means and rates. Nothing here decides.
+// Decay, scale and offset of a decayed mean: the paper's a, b and c (its footnote on equations 2 and 3).
+const (
+	meanDecay  = 7.0 / 8
+	meanScale  = 32
+	meanOffset = 1024 // in milliseconds
+)
 
-// typeLatency is the answer time of an op type at all nodes, in seconds.
-type typeLatency struct {
-	mean, fastest float64 // recent, and the least, slowly forgotten; 0: not known
-	updatedAt     time.Duration
-}
+// ewmaWeight is the weight of the newest value in an exponentially weighted moving average.
+const ewmaWeight = 1.0 / 8
 
 // decayedMean is the paper's decayed mean: (total+c)/sum.
 type decayedMean struct {
@@ -84,13 +86,9 @@
 	return log[i:]
 }
 
-// meanLatency is the mean answer time of the types that were answered, 0 where none was.
-func (s *Scheduler) meanLatency() float64 {
-	sum, known := 0.0, 0
-	for _, t := range s.latencyByType {
-		if t.mean > 0 {
-			sum, known = sum+t.mean, known+1
-		}
+func mean(list []float64) (m float64) {
+	for _, x := range list {
+		m += x / float64(len(list))
 	}
-	return sum / float64(max(known, 1))
+	return m
 }
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -170,25 +170,10 @@
 	}
 }
 
-// nothingCanLeave tells, without a look at each, that none of a volume's held ops can leave a node: it is left alone,
-// their clients would be gone, or room and limit are used up for all. choose would find the same.
-func (s *Scheduler) nothingCanLeave(o *server, q *volumeQueue) bool {
-	trying := o.health == halfOpen && o.outstanding > 0 && s.now-o.unansweredSince <= o.backoff
-	if len(q.held) == 0 || o.health == down || trying {
-		return true
-	}
-	soon, last := s.now+s.earliestAnswerOfAnyType(o), len(q.held)-1
-	for last >= 0 && soon >= q.held[last].Timeout {
-		last--
-	}
-	if last < 0 {
-		return true
-	}
-	s.refillBuckets(q.volume)
-	if o.outstanding > 0 {
-		if float64(o.outstanding) >= s.largestConcurrencyLimit(o, q.volume.reserve >= q.smallestUnits) {
-			return true
-		}
+// orderedBefore is the order that a queue is kept in: that of before but for the run, then as they came to be held.
+func orderedBefore(p, than *op) bool {
+	if p.isRetry != than.isRetry {
+		return p.isRetry
 	}
-	return valueAt(s.settings.limit, q.volume.plan) > 0 && q.retryCount == 0 && q.volume.limit < q.smallestUnits
+	return p.target < than.target || p.target == than.target && p.heldSerial < than.heldSerial
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,13 +9,6 @@
 
 // This file holds the settings that the module reads, looked up once. Nothing here decides.
 
-func mean(list []float64) (m float64) {
-	for _, x := range list {
-		m += x / float64(len(list))
-	}
-	return m
-}
-
 // schedulerSettings are the settings by their names, looked up once, with what follows from them alone.
 type schedulerSettings struct {
 	step                          time.Duration
