--- a/policy/admission.go
+++ b/policy/admission.go
@@ -20,8 +20,8 @@
 	units       float64
 }
 
-// earlierTry is the last op of an identity, and how long its client's first try had.
-type earlierTry struct {
+// earlierAttempt is the last op of an identity, and how long its client's first try had.
+type earlierAttempt struct {
 	op       *op
 	timeLeft time.Duration
 	expires  time.Duration
@@ -33,9 +33,9 @@
 	if s.ops[e.ID] != nil {
 		return
 	}
-	s.admissions = append(dropBefore(s.admissions, s.now-s.settings.budgetWindow), s.now)
-	p := &op{Op: e, admissionDraw: s.rng.Float64(), drawnAt: s.now}
-	s.unitsAdmitted, s.unitsSquared = s.unitsAdmitted+e.Units, s.unitsSquared+e.Units*e.Units
+	s.admissions = append(dropBefore(s.admissions, s.now-s.settings.retryBudgetWindow), s.now)
+	p := &op{Op: e, admissionDraw: s.rng.Float64(), sampledAt: s.now}
+	s.unitsAdmitted, s.unitsSquaredAdmitted = s.unitsAdmitted+e.Units, s.unitsSquaredAdmitted+e.Units*e.Units
 	// A retry's target latency runs from its client's first try. An op with less time than its target latency
 	// is wanted within the time it brings.
 	p.target = min(s.now+valueAt(s.settings.targetLatency, e.Type)-s.alreadyWaited(p), e.Timeout)
@@ -63,10 +63,10 @@
 		return 0
 	}
 	left := p.Timeout - s.now
-	a := s.earlierTries[identityOf(p)]
+	a := s.earlierAttempts[identityOf(p)]
 	if a == nil || !a.op.answered || s.now >= a.expires {
-		a = &earlierTry{timeLeft: left, expires: s.now + total}
-		s.earlierTries[identityOf(p)] = a
+		a = &earlierAttempt{timeLeft: left, expires: s.now + total}
+		s.earlierAttempts[identityOf(p)] = a
 	}
 	a.op = p
 	return max(a.timeLeft-left, 0)
@@ -100,9 +100,9 @@
 	due, least := s.withinReserve(p), math.Inf(1)
 	for _, r := range s.topRanked(p.volume, p.Volume) {
 		s.serversVisited++
-		load := s.relativeLoad(p, r.osd, due)
+		load := s.relativeLoad(p, r.server, due)
 		if load < least {
-			home, least = r.osd, load
+			home, least = r.server, load
 		}
 		if load < 1 {
 			break
@@ -208,7 +208,7 @@
 	if valueAt(s.settings.limit, p.volume.plan) > 0 && len(p.dispatches) == 0 && p.volume.limit < s.limitHeadroom(p) {
 		return false
 	}
-	return s.hasKeyTurn(p)
+	return s.isNextOfKey(p)
 }
 
 // mayDispatchTo holds an op to the rules of a disk server.
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -10,8 +10,8 @@
 
 // cellDemand is what is asked of the holders of a cell.
 type cellDemand struct {
-	asked [2]decayedRate // units: due, and beyond
-	fleet decayedRate    // units that all hosts are asked for the volumes known here
+	requested [2]decayedRate // units: due, and beyond
+	fleet     decayedRate    // units that all hosts are asked for the volumes known here
 }
 
 // recordDemand notes the units of an op whose data lies somewhere. What is asked of all is remembered for no longer than a
@@ -36,28 +36,28 @@
 	}
 	for i := range s.demand {
 		s.demand[i].add(s.now, units[i], recent)
-		here.asked[i].add(s.now, units[i], 8*memory)
+		here.requested[i].add(s.now, units[i], 8*memory)
 	}
 	everywhere := p.Units * float64(p.volume.schedulers)
-	s.boundDemand.add(s.now, p.Units, 8*memory)
+	s.cellBoundDemand.add(s.now, p.Units, 8*memory)
 	s.fleetDemand.add(s.now, everywhere, 8*memory)
 	here.fleet.add(s.now, everywhere, 8*memory)
 }
 
-// recordRedraw notes that a held op has drawn a new lot where it is held: for the lots it is asked there once more.
-func (s *Scheduler) recordRedraw(p *op) {
+// recordResample notes that a held op has drawn a new lot where it is held: for the lots it is asked there once more.
+func (s *Scheduler) recordResample(p *op) {
 	if p.queue != nil {
-		p.server.redrawn[boolToInt(!s.withinReserve(p))].add(s.now, p.Units, s.settings.shortestTarget)
+		p.server.resampledDemand[boolToInt(!s.withinReserve(p))].add(s.now, p.Units, s.settings.shortestTarget)
 	}
 }
 
-// redrawRate is how many units a second draw anew at a disk server of late, due or beyond.
-func (s *Scheduler) redrawRate(o *server, i int) float64 {
-	if o.redrawn[i].time == 0 {
+// resampleRate is how many units a second draw anew at a disk server of late, due or beyond.
+func (s *Scheduler) resampleRate(o *server, i int) float64 {
+	if o.resampledDemand[i].time == 0 {
 		return 0
 	}
-	o.redrawn[i].add(s.now, 0, s.settings.shortestTarget)
-	return o.redrawn[i].rate()
+	o.resampledDemand[i].add(s.now, 0, s.settings.shortestTarget)
+	return o.resampledDemand[i].rate()
 }
 
 // demandSplit is how many units this host is asked of a node within a window, due and beyond: of a mean one, or of what this
@@ -65,16 +65,16 @@
 func (s *Scheduler) demandSplit(o *server, window time.Duration) (first, others float64) {
 	var units [2]float64
 	surge := 1.0
-	if s.boundDemand.time > 0 {
-		surge = max(1, (s.demand[0].rate()+s.demand[1].rate())/s.boundDemand.rate())
+	if s.cellBoundDemand.time > 0 {
+		surge = max(1, (s.demand[0].rate()+s.demand[1].rate())/s.cellBoundDemand.rate())
 	}
 	for i := range units {
-		usual := s.demand[i].rate() / float64(max(s.running, 1))
+		usual := s.demand[i].rate() / float64(max(s.serversUp, 1))
 		units[i] = usual
-		if here := s.demandByCell[o.Cell]; here != nil && here.asked[i].time > 0 {
-			units[i] = max(usual, here.asked[i].rate()*surge)
+		if here := s.demandByCell[o.Cell]; here != nil && here.requested[i].time > 0 {
+			units[i] = max(usual, here.requested[i].rate()*surge)
 		}
-		units[i] = (units[i] + s.redrawRate(o, i)) * window.Seconds()
+		units[i] = (units[i] + s.resampleRate(o, i)) * window.Seconds()
 	}
 	return units[0], units[1]
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -31,7 +31,7 @@
 			o = s.addServer(&server{Member: m, window: minWindow, retryCredit: maxRetryCredit, sentLog: []sentUnits{{s.startedAt, math.Inf(1)}}})
 		}
 		if m.Started > o.Started {
-			o.answeredSinceStart = false
+			o.respondedSinceStart = false
 			s.applyHealthEvent(o, restarted)
 		}
 		s.updateMember(o, m)
@@ -50,41 +50,41 @@
 // server is the one record of a disk server.
 type server struct {
 	honeyplank.Member
-	listedUp           bool // counted among those that run
-	wasListedUp        bool // so before the whole list that is being read
-	active             bool // the sweep looks at it
-	health             health
-	healthSince        time.Duration         // start of the present health state
-	backoff            time.Duration         // how long it is left alone once down
-	window             float64               // ops of this host that may be out here
-	outstanding        int                   // ops of this host that are out here
-	dispatches         []outstandingDispatch // those, in the order sent
-	patientDispatches  int                   // those that had time for a usual answer
-	unansweredSince    time.Duration         // since when one of these has been out without any answer
-	slowness           float64               // recent answer times, against the usual ones of the types answered; 0: not known
-	slownessAt         time.Duration         // when slowness last took something in
-	perUnit            float64               // recent answer time for each unit of size, in seconds
-	bestPerUnit        float64               // the best of perUnit, slowly forgotten
-	answersSinceGrowth float64               // answers since the window last grew
-	latencyElevated    bool                  // latency stays past twice its best
-	retryCredit        float64               // further dispatches earned by answers
-	failureShare       float64               // recent share of dispatches that brought nothing, when last blamed
-	failedAt           time.Duration
-	sentLog            []sentUnits    // units of dispatches that ended within the window of the cold rule and may have arrived
-	unitsOutstanding   float64        // units of those that are out, which may arrive at any time
-	answeredSinceStart bool           // an answer came since its last start
-	redrawn            [2]decayedRate // units of held ops that drew their lots anew: due, and beyond
-	heldCount          int            // ops held here
-	queues             []*volumeQueue // in ring order
-	nonEmpty           []*volumeQueue // those with held ops, in ring order
-	queueByVolume      map[*volume]*volumeQueue
-	queueSerial        int // of the queue made last
-	served             *volumeQueue
-	sliceState         sliceState
-	sliceEnd           time.Duration // end of the served volume's slice
-	waitEnd            time.Duration // end of the wait for its next op
-	round              int
-	lastKey            int64 // key of the last op sent, to keep runs together
+	listedUp               bool // counted among those that run
+	wasListedUp            bool // so before the whole list that is being read
+	active                 bool // the sweep looks at it
+	health                 health
+	healthSince            time.Duration         // start of the present health state
+	backoff                time.Duration         // how long it is left alone once down
+	window                 float64               // ops of this host that may be out here
+	outstanding            int                   // ops of this host that are out here
+	dispatches             []outstandingDispatch // those, in the order sent
+	fullDeadlineDispatches int                   // those that had time for a usual answer
+	unansweredSince        time.Duration         // since when one of these has been out without any answer
+	slowness               float64               // recent answer times, against the usual ones of the types answered; 0: not known
+	slownessAt             time.Duration         // when slowness last took something in
+	perUnit                float64               // recent answer time for each unit of size, in seconds
+	bestPerUnit            float64               // the best of perUnit, slowly forgotten
+	answersSinceGrowth     float64               // answers since the window last grew
+	latencyElevated        bool                  // latency stays past twice its best
+	retryCredit            float64               // further dispatches earned by answers
+	failureShare           float64               // recent share of dispatches that brought nothing, when last blamed
+	failedAt               time.Duration
+	sentLog                []sentUnits    // units of dispatches that ended within the window of the cold rule and may have arrived
+	unitsOutstanding       float64        // units of those that are out, which may arrive at any time
+	respondedSinceStart    bool           // an answer came since its last start
+	resampledDemand        [2]decayedRate // units of held ops that drew their lots anew: due, and beyond
+	heldCount              int            // ops held here
+	queues                 []*volumeQueue // in ring order
+	nonEmpty               []*volumeQueue // those with held ops, in ring order
+	queueByVolume          map[*volume]*volumeQueue
+	queueSerial            int // of the queue made last
+	servedQueue            *volumeQueue
+	sliceState             sliceState
+	sliceEnd               time.Duration // end of the served volume's slice
+	waitEnd                time.Duration // end of the wait for its next op
+	round                  int
+	lastKey                int64 // key of the last op sent, to keep runs together
 }
 
 func without[T comparable](list []T, x T) []T {
@@ -120,12 +120,12 @@
 func (s *Scheduler) updateMember(o *server, m honeyplank.Member) {
 	stayed := o.listedUp || o.wasListedUp
 	if o.listedUp {
-		s.running--
+		s.serversUp--
 		s.serversByCell[o.Cell] = without(s.serversByCell[o.Cell], o)
 	}
 	o.Member, o.listedUp = m, m.State == honeyplank.Up
 	if o.listedUp {
-		s.running++
+		s.serversUp++
 		s.serversByCell[o.Cell] = insertByID(s.serversByCell[o.Cell], o)
 		if !stayed {
 			s.joinRankings(o)
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -12,7 +12,7 @@
 	for _, o := range s.serversByID {
 		kept := o.queues[:0]
 		for _, q := range o.queues {
-			if len(q.held) > 0 || q == o.served || s.now-q.lastSeen < idle {
+			if len(q.held) > 0 || q == o.servedQueue || s.now-q.lastSeen < idle {
 				kept = append(kept, q)
 			} else {
 				delete(o.queueByVolume, q.volume)
@@ -26,13 +26,13 @@
 		}
 	}
 	for cell, f := range s.demandByCell {
-		if s.now-f.asked[0].last >= idle {
+		if s.now-f.requested[0].last >= idle {
 			delete(s.demandByCell, cell)
 		}
 	}
-	for id, a := range s.earlierTries {
+	for id, a := range s.earlierAttempts {
 		if s.now >= a.expires {
-			delete(s.earlierTries, id)
+			delete(s.earlierAttempts, id)
 		}
 	}
 	for id, k := range s.keyQueues {
--- a/policy/health.go
+++ b/policy/health.go
@@ -77,7 +77,7 @@
 type healthEvent int
 
 const (
-	noHealthEvent  healthEvent = iota
+	noEvidence     healthEvent = iota
 	responded                  // an answer, whatever it was
 	unresponsive               // no connection, a reset, or silence
 	restarted                  // the list tells of a new start
--- a/policy/ops.go
+++ b/policy/ops.go
@@ -6,8 +6,8 @@
 	"honeyplank"
 )
 
-// hasKeyTurn tells whether an op of an ordered type has its key's turn.
-func (s *Scheduler) hasKeyTurn(p *op) bool {
+// isNextOfKey tells whether an op of an ordered type has its key's turn.
+func (s *Scheduler) isNextOfKey(p *op) bool {
 	k := p.keyQueue
 	return k == nil || k.ops[0] == p && (s.now >= k.settledAt || k.settlingOp == p.ID)
 }
@@ -16,7 +16,7 @@
 type op struct {
 	honeyplank.Op
 	target          time.Duration // clock time at which its target latency is over
-	drawnAt         time.Duration // when its lot was drawn
+	sampledAt       time.Duration // when its lot was drawn
 	admissionDraw   float64       // its own draw from [0, 1), for shares smaller than an op
 	dispatches      []opDispatch
 	inlineDispatch  [1]opDispatch // room for the first, which is mostly the only one
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -26,7 +26,7 @@
 	}
 	// A server may drop an op with little time left, and say nothing: its silence tells nothing.
 	hurried := p.Timeout-s.now < 2*s.earliestAnswer(o, p.Type)
-	if !hurried && o.patientDispatches == 0 || o.health == halfOpen {
+	if !hurried && o.fullDeadlineDispatches == 0 || o.health == halfOpen {
 		o.unansweredSince = s.now
 	}
 	s.recordDispatch(p, o, hurried)
@@ -59,10 +59,10 @@
 		return
 	}
 	o.outstanding--
-	o.patientDispatches -= boolToInt(!p.dispatches[e.Dispatch].shortDeadline)
+	o.fullDeadlineDispatches -= boolToInt(!p.dispatches[e.Dispatch].shortDeadline)
 	if way.evidence == responded {
 		o.unansweredSince = s.now
-		o.answeredSinceStart = o.answeredSinceStart || p.dispatches[e.Dispatch].sentAt >= o.Started
+		o.respondedSinceStart = o.respondedSinceStart || p.dispatches[e.Dispatch].sentAt >= o.Started
 		o.markOvertaken(p.dispatches[e.Dispatch].sentAt, s.now)
 	}
 	s.applyHealthEvent(o, way.evidence)
@@ -74,7 +74,7 @@
 		k.settledAt, k.settlingOp = s.now+s.settings.orderSettle, p.ID
 	}
 	if e.Code == honeyplank.Succeeded {
-		delete(s.earlierTries, identityOf(p))
+		delete(s.earlierAttempts, identityOf(p))
 	}
 	if p.answered || e.Answered {
 		s.finishOp(p)
@@ -147,7 +147,7 @@
 	o.dispatches = append(o.dispatches, outstandingDispatch{op: p, index: len(p.dispatches), sentAt: s.now})
 	p.dispatches = append(p.dispatches, opDispatch{server: o, sentAt: s.now, shortDeadline: hurried})
 	o.outstanding++
-	o.patientDispatches += boolToInt(!hurried)
+	o.fullDeadlineDispatches += boolToInt(!hurried)
 	s.markActive(o)
 	o.unitsOutstanding += p.Units
 	if p.HasKey {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		s.now = w.now
-		module, model := []bool{s.rejectIsSafe(p), s.hasKeyTurn(p), s.retryBudgetAllows()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
+		module, model := []bool{s.rejectIsSafe(p), s.isNextOfKey(p), s.retryBudgetAllows()}, []bool{w.mayThrottle(e), w.inTurn(e), w.inBudget(e.host)}
 		for _, o := range s.serversByID {
 			after := w.set.Dispatches.ConnectTimeout + heldUp + time.Duration(s.expectedLatency(o, p.Type)*float64(time.Second))
 			module, model = append(module, s.retryAllowed(p, o)), append(model, w.mayRepeat(e, o.ID, after))
@@ -208,7 +208,7 @@
 		for _, q := range o.queues {
 			q.await, q.round = gap(c.other), o.round-1
 		}
-		o.served.thinkTime, o.served.await, o.served.round = gap(c.thinkt), gap(c.own), o.round
+		o.servedQueue.thinkTime, o.servedQueue.await, o.servedQueue.round = gap(c.thinkt), gap(c.own), o.round
 		o.queues = append(o.queues, &volumeQueue{volume: &volume{}, await: decayedMean{total: 1e8, sum: 1e6}})
 		o.sliceEnd, o.outstanding = s.now+50*ms, 3
 		if got := s.nextSignal(o); got != c.want {
@@ -313,9 +313,9 @@
 	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
 	set.Schedulers, set.MeanUnits = 100, 2.0
 	s := New(1, set)
-	s.now, s.running = time.Minute, 20
+	s.now, s.serversUp = time.Minute, 20
 	s.demand = [2]decayedRate{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 nodes
-	o, sent := &server{Member: member(0, s.now), answeredSinceStart: true}, [2]float64{}
+	o, sent := &server{Member: member(0, s.now), respondedSinceStart: true}, [2]float64{}
 	for lot := 0.0005; lot < 1; lot += 0.001 {
 		for i := range sent {
 			if s.slowStartAllows(o, 2, lot, i == 0) {
@@ -326,7 +326,7 @@
 	if total := sent[0] + sent[1]; total < 0.17 || total > 0.18 || sent[1] > 0.01 {
 		t.Errorf("%v units a second on average, of seven eighths of a part of 0.2", sent)
 	}
-	o.answeredSinceStart = false // connections that come up late bring together what was sent until then
+	o.respondedSinceStart = false // connections that come up late bring together what was sent until then
 	lots := 0.0
 	for lot := 0.0005; lot < 1; lot += 0.001 {
 		lots += float64(boolToInt(s.slowStartAllows(o, 2, lot, true))) / 1000
@@ -334,7 +334,7 @@
 	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(lots-want) > 0.002 {
 		t.Errorf("%v of the ops may leave before an answer, want %v", lots, want)
 	}
-	o.answeredSinceStart = true
+	o.respondedSinceStart = true
 	for n := range 4 { // two mean ops a window, whatever their lots
 		if got := s.slowStartAllows(o, 2, 0, true); got != (n < 2) {
 			t.Errorf("op %d of a window may leave: %v", n+1, got)
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -120,7 +120,7 @@
 		q.held, q.retryCount = nil, 0
 		clear(q.opsByKey)
 	}
-	o.served, o.sliceState, o.heldCount, o.nonEmpty = nil, sliceIdle, 0, nil
+	o.servedQueue, o.sliceState, o.heldCount, o.nonEmpty = nil, sliceIdle, 0, nil
 }
 
 // indexAfterSerial is where in live the queues made later than one begin.
@@ -130,10 +130,10 @@
 
 // ringStart is where in live the ring goes on after the served queue.
 func (o *server) ringStart() int {
-	if o.served == nil {
+	if o.servedQueue == nil {
 		return 0
 	}
-	return o.indexAfterSerial(o.served.serial)
+	return o.indexAfterSerial(o.servedQueue.serial)
 }
 
 // busyVolumes counts the volumes with held ops.
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -18,8 +18,8 @@
 
 // rankedServer is a disk server and its rendezvous hash for a volume.
 type rankedServer struct {
-	osd  *server
-	rank uint64
+	server *server
+	rank   uint64
 }
 
 // FNV-1a, 64 bits.
@@ -49,25 +49,25 @@
 	return x ^ x>>33
 }
 
-// ahead is the order of a ranking: by hash, equal ones by id.
-func (r rankedServer) ahead(than rankedServer) bool {
-	return r.rank > than.rank || r.rank == than.rank && r.osd.ID < than.osd.ID
+// ranksBefore is the order of a ranking: by hash, equal ones by id.
+func (r rankedServer) ranksBefore(than rankedServer) bool {
+	return r.rank > than.rank || r.rank == than.rank && r.server.ID < than.server.ID
 }
 
 // topRanked returns the first disk servers of a volume's ranking that are on, in its order. They are always exactly the
 // first ones: servers that come are put in, ones that leave are taken out, and when few are left all are looked through.
 func (s *Scheduler) topRanked(v *volume, id int64) []rankedServer {
-	v.topServers = slices.DeleteFunc(v.topServers, func(r rankedServer) bool { return !r.osd.listedUp })
+	v.topServers = slices.DeleteFunc(v.topServers, func(r rankedServer) bool { return !r.server.listedUp })
 	hash := volumeHash(id)
 	if v.rankingEpoch != s.rankingEpoch || !v.topComplete && len(v.topServers) < minShortList {
 		v.topServers, v.topComplete = v.topServers[:0], true
 		for _, o := range s.serversByID {
-			v.enter(o, hash)
+			v.insertRanked(o, hash)
 		}
 		s.serversVisited += len(s.serversByID)
 	} else {
 		for _, o := range s.joinedServers[v.joinedSeen:] {
-			v.enter(o, hash)
+			v.insertRanked(o, hash)
 		}
 		s.serversVisited += len(s.joinedServers) - v.joinedSeen
 	}
@@ -75,17 +75,17 @@
 	return v.topServers
 }
 
-// enter puts a disk server into the list where it belongs there.
-func (v *volume) enter(o *server, hash uint64) {
+// insertRanked puts a disk server into the list where it belongs there.
+func (v *volume) insertRanked(o *server, hash uint64) {
 	if !o.listedUp {
 		return
 	}
 	r, n := rankedServer{o, rendezvousHash(hash, o.ID)}, len(v.topServers)
-	if n > 0 && !v.topComplete && v.topServers[n-1].ahead(r) {
+	if n > 0 && !v.topComplete && v.topServers[n-1].ranksBefore(r) {
 		return
 	}
-	i := sort.Search(n, func(i int) bool { return !v.topServers[i].ahead(r) })
-	if i < n && v.topServers[i].osd == o {
+	i := sort.Search(n, func(i int) bool { return !v.topServers[i].ranksBefore(r) })
+	if i < n && v.topServers[i].server == o {
 		return
 	}
 	v.topServers = slices.Insert(v.topServers, i, r)
@@ -105,15 +105,15 @@
 // acceptingServers are the disk servers that were sound at most a sweep ago.
 func (s *Scheduler) acceptingServers() []*server {
 	if s.now-s.acceptingAt >= s.sweepInterval() || s.acceptingAt == 0 {
-		s.acceptingAt, s.accepting = s.now, s.accepting[:0]
+		s.acceptingAt, s.acceptingCache = s.now, s.acceptingCache[:0]
 		for _, o := range s.serversByID {
 			if o.listedUp && s.acceptsNewObjects(o) {
-				s.accepting = append(s.accepting, o)
+				s.acceptingCache = append(s.acceptingCache, o)
 			}
 		}
 		s.serversVisited += len(s.serversByID)
 	}
-	return s.accepting
+	return s.acceptingCache
 }
 
 // markActive has the sweep look at a disk server from now on.
@@ -124,8 +124,8 @@
 	}
 }
 
-// settle takes those out of the sweep that have nothing out, nothing held and are not down.
-func (s *Scheduler) settle() {
+// deactivateIdle takes those out of the sweep that have nothing out, nothing held and are not down.
+func (s *Scheduler) deactivateIdle() {
 	s.activeServers = slices.DeleteFunc(s.activeServers, func(o *server) bool {
 		o.active = o.outstanding > 0 || o.heldCount > 0 || o.health == down
 		return !o.active
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -130,8 +130,8 @@
 			s.unassigned = 0
 			near := s.topRanked(p.volume, id)
 			for k, r := range near {
-				if r.osd != list[k] {
-					t.Fatalf("seed %d, step %d: place %d of the ranking is %s, want %s", seed, step, k, r.osd.ID, list[k].ID)
+				if r.server != list[k] {
+					t.Fatalf("seed %d, step %d: place %d of the ranking is %s, want %s", seed, step, k, r.server.ID, list[k].ID)
 				}
 			}
 			if len(near) < min(len(list), minShortList) {
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -41,12 +41,12 @@
 // retryBudgetAllows tells whether one more further dispatch fits into the sliding window, also where it or those before it leave
 // held up: an earlier one may be seen later than it was counted, and by then some ops taken lie outside of the window.
 func (s *Scheduler) retryBudgetAllows() bool {
-	if !s.settings.budgeted {
+	if !s.settings.retryBudgetLimited {
 		return true
 	}
-	from := s.now - s.settings.budgetWindow
+	from := s.now - s.settings.retryBudgetWindow
 	s.admissions, s.retries = dropBefore(s.admissions, from+holdUp), dropBefore(s.retries, from-holdUp)
-	return float64(len(s.retries)+1) <= s.settings.budgetFree+s.settings.budgetShare*float64(len(s.admissions))
+	return float64(len(s.retries)+1) <= s.settings.retryBudgetFree+s.settings.retryBudgetShare*float64(len(s.admissions))
 }
 
 // retry holds an op once more after a dispatch that brought no answer, or gives it up. Credit bounds what
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -62,9 +62,9 @@
 
 func (s *Scheduler) sweep() {
 	s.setTimer(s.now+s.sweepInterval(), "sweep")
-	s.settle()
+	s.deactivateIdle()
 	for _, o := range s.activeServers {
-		if o.patientDispatches > 0 && s.now-o.unansweredSince > s.settings.longestTarget/2 {
+		if o.fullDeadlineDispatches > 0 && s.now-o.unansweredSince > s.settings.longestTarget/2 {
 			s.applyHealthEvent(o, unresponsive)
 			o.unansweredSince = s.now
 		}
@@ -77,9 +77,9 @@
 	}
 	// A held op draws anew, as if its client had come again: one that lost its only lot would be held in vain.
 	for p := s.firstHeld; p != nil; p = p.nextHeld {
-		if s.now-p.drawnAt >= s.settings.shortestTarget {
-			p.drawnAt, p.admissionDraw = s.now, s.rng.Float64()
-			s.recordRedraw(p)
+		if s.now-p.sampledAt >= s.settings.shortestTarget {
+			p.sampledAt, p.admissionDraw = s.now, s.rng.Float64()
+			s.recordResample(p)
 		}
 	}
 	s.assignAllHeld()
@@ -106,53 +106,53 @@
 		servers: map[honeyplank.ServerID]*server{}, ops: map[honeyplank.OpID]*op{},
 		savedEstimates: map[honeyplank.ServerID]honeyplank.ServerEstimate{}, volumes: map[int64]*volume{},
 		keyQueues: map[int64]*keyQueue{}, serversByCell: map[int][]*server{}, demandByCell: map[int]*cellDemand{},
-		earlierTries: map[requestIdentity]*earlierTry{}, rankingEpoch: 1,
+		earlierAttempts: map[requestIdentity]*earlierAttempt{}, rankingEpoch: 1,
 		latencyByType: make([]typeLatency, len(settings.OpTypes.TargetLatency)),
 	}
 }
 
 // Scheduler is one instance. It shares nothing with others.
 type Scheduler struct {
-	settings          *schedulerSettings
-	rng               *rand.Rand
-	now               time.Duration
-	startedAt         time.Duration
-	started           bool
-	actions           []honeyplank.Action
-	servers           map[honeyplank.ServerID]*server
-	savedEstimates    map[honeyplank.ServerID]honeyplank.ServerEstimate // from before this instance
-	serversByID       []*server                                         // by id
-	activeServers     []*server                                         // those that the sweep looks at, by id
-	joinedServers     []*server                                         // those that came, in that order
-	rankingEpoch      int                                               // counts the starts of joined
-	accepting         []*server                                         // sound ones, as seen at a time
-	acceptingAt       time.Duration
-	serversVisited    int // disk servers looked at for new objects and in sweeps
-	evictedAt         time.Duration
-	running           int                 // how many are listed as on
-	maxSchedulersSeen int                 // the most that volumes were seen to come through
-	demand            [2]decayedRate      // units taken: due, and beyond
-	boundDemand       decayedRate         // units asked of those that hold data, over a longer time
-	fleetDemand       decayedRate         // units asked of all hosts for the volumes known here
-	demandByCell      map[int]*cellDemand // by where the data lies
-	serversByCell     map[int][]*server   // disk servers by the data they hold
-	latencyByType     []typeLatency       // by op type
-	earlierTries      map[requestIdentity]*earlierTry
-	lostShare         float64 // recent share of dispatches whose answers seemed lost
-	unitsAdmitted     float64 // of all ops taken, and their squares
-	unitsSquared      float64
-	ops               map[honeyplank.OpID]*op
-	firstHeld         *op // of the held ones, in the order taken; also those with no disk server
-	lastHeld          *op
-	serial            int
-	unassigned        int // held ops with no disk server
-	volumes           map[int64]*volume
-	keyQueues         map[int64]*keyQueue
-	admissions        []time.Duration // ops taken, for the budget
-	retries           []time.Duration // further dispatches, for the budget
-	watchActive       bool
-	watchRequested    time.Duration
-	backoff           time.Duration
+	settings             *schedulerSettings
+	rng                  *rand.Rand
+	now                  time.Duration
+	startedAt            time.Duration
+	started              bool
+	actions              []honeyplank.Action
+	servers              map[honeyplank.ServerID]*server
+	savedEstimates       map[honeyplank.ServerID]honeyplank.ServerEstimate // from before this instance
+	serversByID          []*server                                         // by id
+	activeServers        []*server                                         // those that the sweep looks at, by id
+	joinedServers        []*server                                         // those that came, in that order
+	rankingEpoch         int                                               // counts the starts of joined
+	acceptingCache       []*server                                         // sound ones, as seen at a time
+	acceptingAt          time.Duration
+	serversVisited       int // disk servers looked at for new objects and in sweeps
+	evictedAt            time.Duration
+	serversUp            int                 // how many are listed as on
+	maxSchedulersSeen    int                 // the most that volumes were seen to come through
+	demand               [2]decayedRate      // units taken: due, and beyond
+	cellBoundDemand      decayedRate         // units asked of those that hold data, over a longer time
+	fleetDemand          decayedRate         // units asked of all hosts for the volumes known here
+	demandByCell         map[int]*cellDemand // by where the data lies
+	serversByCell        map[int][]*server   // disk servers by the data they hold
+	latencyByType        []typeLatency       // by op type
+	earlierAttempts      map[requestIdentity]*earlierAttempt
+	lostShare            float64 // recent share of dispatches whose answers seemed lost
+	unitsAdmitted        float64 // of all ops taken, and their squares
+	unitsSquaredAdmitted float64
+	ops                  map[honeyplank.OpID]*op
+	firstHeld            *op // of the held ones, in the order taken; also those with no disk server
+	lastHeld             *op
+	serial               int
+	unassigned           int // held ops with no disk server
+	volumes              map[int64]*volume
+	keyQueues            map[int64]*keyQueue
+	admissions           []time.Duration // ops taken, for the budget
+	retries              []time.Duration // further dispatches, for the budget
+	watchActive          bool
+	watchRequested       time.Duration
+	backoff              time.Duration
 }
 
 func (s *Scheduler) emit(a honeyplank.Action) { s.actions = append(s.actions, a) }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -32,8 +32,8 @@
 	reportsServedElsewhere        bool
 	hedgingAllowed, cancelAllowed bool
 	maxDispatches                 int
-	budgetWindow                  time.Duration
-	budgetShare                   float64
+	retryBudgetWindow             time.Duration
+	retryBudgetShare              float64
 	slowStartWindow               time.Duration
 	slowStartTime                 time.Duration
 	slowStartFrom                 float64
@@ -41,8 +41,8 @@
 	maxArrivalDelay               time.Duration // the longest from a decision until the dispatch is written
 	orderSettle                   time.Duration
 	maxRetryAfter                 time.Duration // 0: no advice is given
-	budgeted                      bool
-	budgetFree                    float64
+	retryBudgetLimited            bool
+	retryBudgetFree               float64
 	meanRate, meanWeight          float64
 	shortestTarget, longestTarget time.Duration // of the target latencies
 	utilityDeficit                []float64     // by op type: what its utility lacks to the greatest, as a part
@@ -73,8 +73,8 @@
 		hedgingAllowed:         settings.Dispatches.Parallel,
 		cancelAllowed:          settings.Dispatches.Cancel,
 		maxDispatches:          settings.Dispatches.Max,
-		budgetWindow:           settings.RetryBudget.Window,
-		budgetShare:            settings.RetryBudget.Share,
+		retryBudgetWindow:      settings.RetryBudget.Window,
+		retryBudgetShare:       settings.RetryBudget.Share,
 		slowStartWindow:        settings.SlowStart.Window,
 		slowStartTime:          settings.SlowStart.Time,
 		slowStartFrom:          settings.SlowStart.From,
@@ -85,7 +85,7 @@
 	if settings.RetryAfter.Allowed {
 		t.maxRetryAfter = settings.RetryAfter.Max
 	}
-	t.budgetFree, t.budgeted = settings.RetryBudget.Free, settings.RetryBudget.Limited
+	t.retryBudgetFree, t.retryBudgetLimited = settings.RetryBudget.Free, settings.RetryBudget.Limited
 	t.meanRate, t.meanWeight = mean(t.rate), mean(t.weight)
 	utility := settings.OpTypes.Utility
 	for _, x := range utility {
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -47,7 +47,7 @@
 func (s *Scheduler) nextSignal(o *server) sliceSignal {
 	var own *op
 	if o.sliceState != sliceIdle {
-		own = s.chooseOp(o, o.served)
+		own = s.chooseOp(o, o.servedQueue)
 	}
 	other := s.nextQueue(o)
 	switch {
@@ -61,7 +61,7 @@
 		return sliceExpired
 	case own != nil:
 		return servedReady
-	case o.served.thinkTime.value(meanOffset) >= o.sliceEnd-s.now:
+	case o.servedQueue.thinkTime.value(meanOffset) >= o.sliceEnd-s.now:
 		return thinkTimeTooLong
 	case s.cheaperQueue(o) != nil:
 		return cheaperReady
@@ -73,11 +73,11 @@
 
 // cheaperQueue is the paper's await test; the node's mean await stands for the longest seek.
 func (s *Scheduler) cheaperQueue(o *server) *volumeQueue {
-	limit, own := o.meanAwait(meanOffset), o.served.await.value(meanOffset)
+	limit, own := o.meanAwait(meanOffset), o.servedQueue.await.value(meanOffset)
 	for i, from := 0, o.ringStart(); i < len(o.nonEmpty); i++ {
 		q := o.nonEmpty[(from+i)%len(o.nonEmpty)]
 		a := q.await.value(meanOffset)
-		if q != o.served && q.round < o.round && a <= own && a < limit && s.chooseOp(o, q) != nil {
+		if q != o.servedQueue && q.round < o.round && a <= own && a < limit && s.chooseOp(o, q) != nil {
 			return q
 		}
 	}
@@ -91,7 +91,7 @@
 	for i, from := 0, o.ringStart(); i < len(o.nonEmpty); i++ {
 		q := o.nonEmpty[(from+i)%len(o.nonEmpty)]
 		p := s.chooseOp(o, q)
-		if q == o.served || p == nil {
+		if q == o.servedQueue || p == nil {
 			continue
 		}
 		if class := 2*boolToInt(!s.withinReserve(p)) + boolToInt(q.round >= o.round); class < least {
@@ -112,20 +112,20 @@
 // startSlice starts a slice: the volumes with held ops share a round of a part of the shortest target latency.
 func (s *Scheduler) startSlice(o *server, q *volumeQueue) {
 	slice := s.relativeWeight(q.volume.plan) * sliceShare * float64(s.settings.shortestTarget) / float64(max(o.busyVolumes(), 1))
-	o.served, q.round, o.sliceEnd = q, o.round, s.now+max(time.Duration(slice), s.sweepInterval())
+	o.servedQueue, q.round, o.sliceEnd = q, o.round, s.now+max(time.Duration(slice), s.sweepInterval())
 }
 
-func (s *Scheduler) endSlice(o *server) { o.served = nil }
+func (s *Scheduler) endSlice(o *server) { o.servedQueue = nil }
 
 func (s *Scheduler) handOverSlice(o *server) { s.startSlice(o, s.cheaperQueue(o)) }
 
-func (s *Scheduler) sendFromServed(o *server) { s.dispatch(s.chooseOp(o, o.served), o) }
+func (s *Scheduler) sendFromServed(o *server) { s.dispatch(s.chooseOp(o, o.servedQueue), o) }
 
 func (s *Scheduler) sendFromOthers(o *server) { s.dispatch(s.chooseOp(o, s.nextQueue(o)), o) }
 
 // idleWait begins the wait; what it leaves of the window goes to others at once.
 func (s *Scheduler) idleWait(o *server) {
-	o.waitEnd = min(s.now+o.served.thinkTime.value(meanOffset), o.sliceEnd)
+	o.waitEnd = min(s.now+o.servedQueue.thinkTime.value(meanOffset), o.sliceEnd)
 	s.sendFromOthers(o)
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -44,7 +44,7 @@
 	if bears < 30 {
 		falls = bears + 3*math.Sqrt(bears) + 3
 	}
-	deviation := slowStartDeviations * math.Sqrt(s.unitsSquared/s.unitsAdmitted/s.settings.meanUnits)
+	deviation := slowStartDeviations * math.Sqrt(s.unitsSquaredAdmitted/s.unitsAdmitted/s.settings.meanUnits)
 	root := (math.Sqrt(deviation*deviation+4*falls) - deviation) / 2
 	return min(slowStartTarget, root*root/bears)
 }
@@ -71,7 +71,7 @@
 		return false
 	}
 	// Until an answer tells that connections come up, those of many hosts may come up late and together.
-	if late := s.settings.maxArrivalDelay; !o.answeredSinceStart && s.now < o.Started+late+window {
+	if late := s.settings.maxArrivalDelay; !o.respondedSinceStart && s.now < o.Started+late+window {
 		window += late
 	}
 	part *= s.slowStartShare(bears)
@@ -83,14 +83,14 @@
 // what this host is asked of a mean node, and by how many hosts the volumes come through that it knows there.
 func (s *Scheduler) trafficShare(o *server) float64 {
 	hosts := float64(max(s.settings.schedulers, s.maxSchedulersSeen, 1)) // settings may lag behind what volumes tell
-	usual := s.boundDemand.rate() / float64(max(s.running, 1))
+	usual := s.cellBoundDemand.rate() / float64(max(s.serversUp, 1))
 	if !(usual > 0) {
 		return 1 / hosts
 	}
-	through := s.fleetDemand.rate() / float64(max(s.running, 1))
+	through := s.fleetDemand.rate() / float64(max(s.serversUp, 1))
 	here, known := usual, through
-	if f := s.demandByCell[o.Cell]; f != nil && f.asked[0].time > 0 {
-		here, known = max(here, f.asked[0].rate()+f.asked[1].rate()), max(known, f.fleet.rate())
+	if f := s.demandByCell[o.Cell]; f != nil && f.requested[0].time > 0 {
+		here, known = max(here, f.requested[0].rate()+f.requested[1].rate()), max(known, f.fleet.rate())
 	}
 	return max(1/hosts, here/(hosts*usual+known-through))
 }
