--- a/policy/queues.go
+++ b/policy/queues.go
@@ -120,7 +120,7 @@
 		q.held, q.retryCount = nil, 0
 		clear(q.opsByKey)
 	}
-	o.served, o.sliceState, o.heldCount, o.nonEmpty = nil, sliceIdle, 0, nil
+	o.servedQueue, o.sliceState, o.heldCount, o.nonEmpty = nil, sliceIdle, 0, nil
 }
 
 // indexAfterSerial is where in live the queues made later than one begin.
@@ -130,10 +130,10 @@
 
 // ringStart is where in live the ring goes on after the served queue.
 func (o *server) ringStart() int {
-	if o.served == nil {
+	if o.servedQueue == nil {
 		return 0
 	}
-	return o.indexAfterSerial(o.served.serial)
+	return o.indexAfterSerial(o.servedQueue.serial)
 }
 
 // busyVolumes counts the volumes with held ops.
@@ -170,25 +170,10 @@
 	}
 }
 
-// nothingCanLeave tells, without a look at each, that none of a volume's held ops can leave a node: it is left alone,
-// their clients would be gone, or room and limit are used up for all. choose would find the same.
-func (s *Scheduler) nothingCanLeave(o *server, q *volumeQueue) bool {
-	trying := o.health == halfOpen && o.outstanding > 0 && s.now-o.unansweredSince <= o.backoff
-	if len(q.held) == 0 || o.health == down || trying {
-		return true
+// orderedBefore is the order that a queue is kept in: that of before but for the run, then as they came to be held.
+func orderedBefore(p, than *op) bool {
+	if p.isRetry != than.isRetry {
+		return p.isRetry
 	}
-	soon, last := s.now+s.earliestAnswerOfAnyType(o), len(q.held)-1
-	for last >= 0 && soon >= q.held[last].Timeout {
-		last--
-	}
-	if last < 0 {
-		return true
-	}
-	s.refillBuckets(q.volume)
-	if o.outstanding > 0 {
-		if float64(o.outstanding) >= s.largestConcurrencyLimit(o, q.volume.reserve >= q.smallestUnits) {
-			return true
-		}
-	}
-	return valueAt(s.settings.limit, q.volume.plan) > 0 && q.retryCount == 0 && q.volume.limit < q.smallestUnits
+	return p.target < than.target || p.target == than.target && p.heldSerial < than.heldSerial
 }
