--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -26,7 +26,7 @@
 	PeerListen string           // where this scheduler hears its peers; none: it does not
 	Peers      []netip.AddrPort // one a scheduler, by ordinal
 	PeersAll   netip.AddrPort
-	Known      []byte // the list as last had, in discovery's form
+	CachedList []byte // the list as last had, in discovery's form
 	Site       *simwire.Site
 }
 
@@ -37,8 +37,8 @@
 	Wrong, Want string
 }
 
-func (f *ConfigError) Error() string {
-	return fmt.Sprintf("%s:%d: %s; expected %s", f.File, f.Line, f.Wrong, f.Want)
+func (e *ConfigError) Error() string {
+	return fmt.Sprintf("%s:%d: %s; expected %s", e.File, e.Line, e.Wrong, e.Want)
 }
 
 // notifiedWithin is when a change counts as told once discovery has it and could be reached, as the platform's rules say.
@@ -92,7 +92,7 @@
 		}
 		return nil, &ConfigError{file, line("", at), err.Error(), want}
 	}
-	p := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, PeerListen: f.Peer, Known: f.Known,
+	config := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, PeerListen: f.Peer, CachedList: f.Known,
 		Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
 	const address = "an IPv4 address and a port, as 127.0.0.1:6379"
 	for _, a := range []struct {
@@ -108,47 +108,47 @@
 		if err != nil {
 			return nil, fault("peers", fmt.Sprintf("an address of peers is %q", text), address)
 		}
-		p.Peers = append(p.Peers, a)
+		config.Peers = append(config.Peers, a)
 	}
 	if f.PeersAll != "" {
 		var err error
-		if p.PeersAll, err = parseIPv4(f.PeersAll); err != nil {
+		if config.PeersAll, err = parseIPv4(f.PeersAll); err != nil {
 			return nil, fault("peers_all", fmt.Sprintf("peers_all is %q", f.PeersAll), address)
 		}
 	}
 	if seed, err := strconv.ParseUint(f.Seed, 16, 64); err == nil {
-		p.Seed = int64(seed)
+		config.Seed = int64(seed)
 	} else { // any text does: it only has to be new
 		h := fnv.New64a()
 		h.Write([]byte(f.Seed))
-		p.Seed = int64(h.Sum64())
+		config.Seed = int64(h.Sum64())
 	}
-	if p.Sockets < minSockets {
-		return nil, fault("sockets", fmt.Sprintf("sockets is %d", p.Sockets), fmt.Sprintf("%d or more", minSockets))
+	if config.Sockets < minSockets {
+		return nil, fault("sockets", fmt.Sprintf("sockets is %d", config.Sockets), fmt.Sprintf("%d or more", minSockets))
 	}
-	if p.MemoryMB < 1 {
+	if config.MemoryMB < 1 {
 		return nil, fault("memory_mb", fmt.Sprintf("memory_mb is %g", f.Limits.MemoryMB), "1 or more")
 	}
 	if len(f.Settings) == 0 {
 		return nil, fault("", "settings is missing", "the object of the settings")
 	}
 	var err error
-	if p.Site, err = simwire.ReadSite(f.Settings); err != nil {
+	if config.Site, err = simwire.ReadSite(f.Settings); err != nil {
 		return nil, fault("settings", "settings: "+err.Error(), "what the simulator's first message holds")
 	}
-	if len(p.Site.OpTypes) == 0 || len(p.Site.Plans) == 0 {
+	if len(config.Site.OpTypes) == 0 || len(config.Site.Plans) == 0 {
 		return nil, fault("settings", "settings has no classes or no plans", "one of each at least")
 	}
 	// Whatever the settings allow between two calls, a change counts as told after notifiedWithin; the module calls again
 	// within a quarter of this.
-	watch := &p.Site.Settings.Watch
+	watch := &config.Site.Settings.Watch
 	watch.Within = min(watch.Within, notifiedWithin*4/3)
 	if len(f.Known) > 0 {
 		if _, _, err := readList(f.Known); err != nil {
 			return nil, fault("known", "known: "+err.Error(), "a list in discovery's form")
 		}
 	}
-	return p, nil
+	return config, nil
 }
 
 func parseIPv4(text string) (netip.AddrPort, error) {
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -32,7 +32,7 @@
 	UpSinceMS float64 `json:"up_since_ms"`
 }
 
-var phases = map[string]honeyplank.MemberState{"up": honeyplank.Up, "draining": honeyplank.Draining, "removed": honeyplank.Removed}
+var memberStates = map[string]honeyplank.MemberState{"up": honeyplank.Up, "draining": honeyplank.Draining, "removed": honeyplank.Removed}
 
 // readList reads a message; entries that can't be used are left out, and told.
 func readList(text []byte) (l *listMessage, skipped []string, err error) {
@@ -42,7 +42,7 @@
 	}
 	sound := l.Members[:0]
 	for _, m := range l.Members {
-		_, known := phases[m.Phase]
+		_, known := memberStates[m.Phase]
 		_, err := parseIPv4(m.Address)
 		switch {
 		case m.ID == "":
@@ -126,7 +126,7 @@
 	for b := make([]byte, 16<<10); ; {
 		broken.Reset(r.deadline - time.Since(start))
 		n, err := answer.Body.Read(b)
-		messages, wrong := r.Feed(time.Since(start), b[:n])
+		messages, wrong := r.feed(time.Since(start), b[:n])
 		for _, text := range messages {
 			if err := hear(text); err != nil {
 				return err
--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -11,31 +11,31 @@
 // applyMember takes over what the list says of a disk server.
 func (s *Scheduler) applyMember(m listMember) *diskServer {
 	id := honeyplank.ServerID(m.ID)
-	sv := s.servers[id]
-	if sv == nil {
-		sv = &diskServer{scheduler: s, id: id, address: m.Address}
-		s.servers[id] = sv
+	ds := s.servers[id]
+	if ds == nil {
+		ds = &diskServer{scheduler: s, id: id, address: m.Address}
+		s.servers[id] = ds
 	}
-	sv.removed, sv.draining = phases[m.Phase] == honeyplank.Removed, phases[m.Phase] == honeyplank.Draining
-	if m.Address != "" && m.Address != sv.address {
-		sv.address, sv.redialAfter, sv.redials = m.Address, 0, 0
-		sv.retireConns()
-		sv.reassignWaiters()
+	ds.removed, ds.draining = memberStates[m.Phase] == honeyplank.Removed, memberStates[m.Phase] == honeyplank.Draining
+	if m.Address != "" && m.Address != ds.address {
+		ds.address, ds.redialAfter, ds.dialFailures = m.Address, 0, 0
+		ds.retireConns()
+		ds.reassignWaiters()
 	}
-	if sv.removed {
-		sv.retireConns()
-		if len(sv.conns) == 0 {
+	if ds.removed {
+		ds.retireConns()
+		if len(ds.conns) == 0 {
 			delete(s.servers, id)
 		}
 	}
-	return sv
+	return ds
 }
 
 // retireConns has connections close once they carry nothing; those that are not up yet at once.
-func (sv *diskServer) retireConns() {
-	for _, l := range slices.Clone(sv.conns) {
-		if l.retiring = true; len(l.inFlight) == 0 {
-			l.close()
+func (ds *diskServer) retireConns() {
+	for _, sc := range slices.Clone(ds.conns) {
+		if sc.retiring = true; len(sc.inFlight) == 0 {
+			sc.close()
 		}
 	}
 }
@@ -44,30 +44,30 @@
 // decided before may still wait for a connection, or to be written. It guards against connections that come up for
 // longer than the grace, and could harm where a server's grace is longer than what the settings say. The grace counts from
 // when the list came; what begins may leave a hold-up later.
-func (sv *diskServer) enforceDrainGrace(told time.Duration) {
-	if sv.removed {
-		sv.cancelUnsent()
-	} else if grace := sv.scheduler.settings().Settings.DrainGrace; sv.draining {
-		sv.scheduler.loop.Schedule(told+max(grace-maxHoldUp, 0), func() {
-			if sv.draining {
-				sv.cancelUnsent()
+func (ds *diskServer) enforceDrainGrace(told time.Duration) {
+	if ds.removed {
+		ds.cancelUnsent()
+	} else if grace := ds.scheduler.site().Settings.DrainGrace; ds.draining {
+		ds.scheduler.loop.Schedule(told+max(grace-maxHoldUp, 0), func() {
+			if ds.draining {
+				ds.cancelUnsent()
 			}
 		})
 	}
 }
 
 // cancelUnsent takes back all of which nothing has left.
-func (sv *diskServer) cancelUnsent() {
-	waiting := sv.waiting
-	sv.waiting = nil
-	for _, e := range waiting {
-		e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+func (ds *diskServer) cancelUnsent() {
+	waiting := ds.waiting
+	ds.waiting = nil
+	for _, a := range waiting {
+		a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 	}
-	for _, l := range slices.Clone(sv.conns) {
-		for _, e := range slices.Clone(l.inFlight) {
-			if l.conn != nil && !e.finished && e.firstByte >= l.appendedBytes-uint64(l.conn.UnsentBytes()) && !e.fullyWritten() {
-				l.withdraw(e)
-				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+	for _, sc := range slices.Clone(ds.conns) {
+		for _, a := range slices.Clone(sc.inFlight) {
+			if sc.conn != nil && !a.finished && a.firstByte >= sc.appendedBytes-uint64(sc.conn.UnsentBytes()) && !a.fullyWritten() {
+				sc.withdraw(a)
+				a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 			}
 		}
 	}
@@ -78,9 +78,9 @@
 	now := s.loop.Now()
 	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may leave less room
 	}
-	for _, sv := range s.servers {
-		for len(sv.idle) > 0 && s.settings().Idle > 0 && now-sv.idle[0].idleSince > s.settings().Idle/2 {
-			sv.idle[0].close()
+	for _, ds := range s.servers {
+		for len(ds.idle) > 0 && s.site().Idle > 0 && now-ds.idle[0].idleSince > s.site().Idle/2 {
+			ds.idle[0].close()
 		}
 	}
 }
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -13,27 +13,27 @@
 	standin "honeyplank/fake/resp"
 )
 
-// floods are what bad clients send.
-var floods = map[string]struct {
+// floodPayloads are what bad clients send.
+var floodPayloads = map[string]struct {
 	text  string
 	reads bool
 }{
-	"PINGs, not read":    {strings.Repeat(string(command("PING")), 1000), false},
-	"PINGs, read":        {strings.Repeat(string(command("PING")), 1000), true},
-	"large PINGs":        {string(command("PING", strings.Repeat("v", maxBody))), true},
+	"PINGs, not read":    {strings.Repeat(string(encodeCommand("PING")), 1000), false},
+	"PINGs, read":        {strings.Repeat(string(encodeCommand("PING")), 1000), true},
+	"large PINGs":        {string(encodeCommand("PING", strings.Repeat("v", maxBody))), true},
 	"what can't be read": {strings.Repeat("v", maxBody), false},
-	"errors":             {strings.Repeat(string(command("BLK.READ", "x", "y", "z")), 1000), true},
+	"errors":             {strings.Repeat(string(encodeCommand("BLK.READ", "x", "y", "z")), 1000), true},
 }
 
-// flooders is how many bad clients there are.
-const flooders = 200
+// floodConns is how many bad clients there are.
+const floodConns = 200
 
 // TestMain lets the test program be the bad clients too, in a process of their own: in one with the scheduler they would
 // hold its loop up by themselves.
 func TestMain(m *testing.M) {
 	if kind, address := os.Getenv("FLOOD_KIND"), os.Getenv("FLOOD_ADDRESS"); kind != "" {
-		for range flooders {
-			go floodOn(address, kind)
+		for range floodConns {
+			go floodAddress(address, kind)
 		}
 		time.Sleep(time.Minute)
 		return
@@ -41,16 +41,16 @@
 	os.Exit(m.Run())
 }
 
-// floodOn sends at full speed, each time on a new connection once it loses the one that it has.
-func floodOn(address, kind string) {
+// floodAddress sends at full speed, each time on a new connection once it loses the one that it has.
+func floodAddress(address, kind string) {
 	for ; ; time.Sleep(10 * time.Millisecond) {
 		c, err := net.DialTimeout("tcp", address, time.Second)
-		if err == nil && floods[kind].reads {
+		if err == nil && floodPayloads[kind].reads {
 			go io.Copy(io.Discard, c)
 		}
 		for err == nil {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
-			_, err = io.WriteString(c, floods[kind].text)
+			_, err = io.WriteString(c, floodPayloads[kind].text)
 		}
 		if c != nil {
 			c.Close()
@@ -58,24 +58,24 @@
 	}
 }
 
-// flood starts the bad clients.
-func (w *world) flood(kind string) {
-	w.t.Helper()
+// startFlood starts the bad clients.
+func (bed *testbed) startFlood(kind string) {
+	bed.t.Helper()
 	own, err := os.Executable()
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 	process := exec.Command(own)
-	process.Env = append(os.Environ(), "GOMAXPROCS=2", "FLOOD_KIND="+kind, "FLOOD_ADDRESS="+w.s.Address())
+	process.Env = append(os.Environ(), "GOMAXPROCS=2", "FLOOD_KIND="+kind, "FLOOD_ADDRESS="+bed.scheduler.Address())
 	if err := process.Start(); err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() {
+	bed.t.Cleanup(func() {
 		process.Process.Kill()
 		process.Wait()
 	})
-	w.eventually("the flood", func() (ok bool) {
-		w.on(func() { ok = len(w.s.clients) > flooders/4 || w.s.protocolErrors > flooders })
+	bed.eventually("the flood", func() (ok bool) {
+		bed.onLoop(func() { ok = len(bed.scheduler.clients) > floodConns/4 || bed.scheduler.protocolErrors > floodConns })
 		return ok
 	})
 }
@@ -106,23 +106,25 @@
 		"PINGs, and servers hang": {faults: standin.Faults{Silent: true}, flood: "PINGs, read"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 2)
-			for i, d := range w.disks {
+			bed := newTestbed(t, 2)
+			for i, d := range bed.disks {
 				d.Apply(x.faults)
 				if x.gate {
-					g, m := w.behind(i, "up")
-					g.open()
-					w.disco.Change(m)
-					w.eventually("the address", func() (ok bool) {
-						w.on(func() { ok = w.s.servers["s-0"].address != "" && (i == 0 || w.s.servers["s-1"].address == g.address) })
+					g, m := bed.gateServer(i, "up")
+					g.acceptConns()
+					bed.discovery.Change(m)
+					bed.eventually("the address", func() (ok bool) {
+						bed.onLoop(func() {
+							ok = bed.scheduler.servers["s-0"].address != "" && (i == 0 || bed.scheduler.servers["s-1"].address == g.address)
+						})
 						return ok
 					})
 				}
 			}
-			good := w.dial()
-			good.ask("BLK.READ", piece, "first", terms("read", 300, 0))
+			good := bed.dialClient()
+			good.do("BLK.READ", objectKey, "first", opOptions("read", 300, 0))
 			if x.flood != "" {
-				w.flood(x.flood)
+				bed.startFlood(x.flood)
 			}
 			served := 0
 			for i := range 10 {
@@ -132,13 +134,13 @@
 				}
 				id := fmt.Sprint("good", i)
 				begun := time.Now()
-				good.send(append([]string{"BLK." + strings.ToUpper(class), piece, id, terms(class, ms, i%2)}, args...)...)
-				got := good.answer(3 * time.Second)
+				good.send(append([]string{"BLK." + strings.ToUpper(class), objectKey, id, opOptions(class, ms, i%2)}, args...)...)
+				got := good.readReply(3 * time.Second)
 				took := time.Since(begun)
 				if got == "closed" || took > time.Duration(ms)*time.Millisecond+500*time.Millisecond {
 					t.Errorf("%s: %.40q after %v", id, got, took)
 				}
-				if got == string(standin.Value(piece, id)) {
+				if got == string(standin.Value(objectKey, id)) {
 					served++
 				}
 			}
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -24,37 +24,37 @@
 	"honeyplank/resp"
 )
 
-// world is a scheduler with disk servers and a discovery of our own, all on loopback.
-type world struct {
-	t     *testing.T
-	disks []*standin.Disk
-	disco *standin.Discovery
-	s     *Scheduler
-	file  string
-	conf  map[string]any
-	done  chan error
-
-	module *spy
+// testbed is a scheduler with disk servers and a discovery of our own, all on loopback.
+type testbed struct {
+	t          *testing.T
+	disks      []*standin.Disk
+	discovery  *standin.Discovery
+	scheduler  *Scheduler
+	configFile string
+	config     map[string]any
+	served     chan error
+
+	module *recordingModule
 }
 
-// spy lets a test hear what the module is told. It is touched on the loop.
-type spy struct {
+// recordingModule lets a test hear what the module is told. It is touched on the loop.
+type recordingModule struct {
 	inflight.Module
-	heard func(honeyplank.Event)
+	onEvent func(honeyplank.Event)
 }
 
-func (m *spy) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
-	m.heard(e)
-	return m.Module.Handle(now, e)
+func (module *recordingModule) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+	module.onEvent(e)
+	return module.Module.Handle(now, e)
 }
 
-// eager is a module that sends every op to one disk server at once, and aborts what brings no ack.
-type eager struct{ to honeyplank.ServerID }
+// singleServerModule is a module that sends every op to one disk server at once, and aborts what brings no ack.
+type singleServerModule struct{ server honeyplank.ServerID }
 
-func (m eager) Handle(_ time.Duration, e honeyplank.Event) []honeyplank.Action {
+func (m singleServerModule) Handle(_ time.Duration, e honeyplank.Event) []honeyplank.Action {
 	switch e := e.(type) {
 	case honeyplank.Op:
-		return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: m.to}}
+		return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: m.server}}
 	case honeyplank.Outcome:
 		if !e.Answered {
 			return []honeyplank.Action{honeyplank.Fail{Op: e.Op}}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// settings are in the words of the simulator's first message.
-const settings = `{"caps":{"cancel":true,"connect_timeout_ms":250,"keepalive_ms":30000,"max_attempts":3,"may_duplicate":true,
+// testSettings are in the words of the simulator's first message.
+const testSettings = `{"caps":{"cancel":true,"connect_timeout_ms":250,"keepalive_ms":30000,"max_attempts":3,"may_duplicate":true,
 "peer_messages":true,"probes":true,"retry_after":true,"max_retry_after_ms":1000,"streams_per_conn":4},
 "classes":[{"name":"read","give_up_ms":400,"target_ms":200,"semantics":"pure","worth":2,"late_worth":0.2,"dedup_scope":"all","window_ms":5000},
 {"name":"write","give_up_ms":600,"target_ms":300,"semantics":"pure","worth":2,"late_worth":0.1,"dedup_scope":"all","window_ms":5000}],
@@ -74,104 +74,104 @@
 "report":{"fields":["util","latency_ms"],"how":"piggyback"},
 "rules":{"grace_to_answer_ms":5,"stop_sending_within_ms":1000,"cold_from":0.5,"cold_ms":1000,"fall_ms":1000,"tip_multiple":4},"step_ms":1}`
 
-// start starts a scheduler over n disk servers, one a cell; change alters its configuration before.
-func start(t *testing.T, n int, change ...func(map[string]any)) *world {
+// newTestbed starts a scheduler over n disk servers, one a cell; change alters its configuration before.
+func newTestbed(t *testing.T, n int, change ...func(map[string]any)) *testbed {
 	t.Helper()
-	w := &world{t: t, done: make(chan error, 1)}
+	bed := &testbed{t: t, served: make(chan error, 1)}
 	var members []standin.Member
 	for i := range n {
 		d, err := standin.NewDisk("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.disks = append(w.disks, d)
+		bed.disks = append(bed.disks, d)
 		t.Cleanup(d.Stop)
-		members = append(members, w.member(i, "up"))
+		members = append(members, bed.member(i, "up"))
 	}
 	var err error
-	if w.disco, err = standin.NewDiscovery(members...); err != nil {
+	if bed.discovery, err = standin.NewDiscovery(members...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.disco.Stop)
+	t.Cleanup(bed.discovery.Stop)
 	var site map[string]any
-	if err := json.Unmarshal([]byte(settings), &site); err != nil {
+	if err := json.Unmarshal([]byte(testSettings), &site); err != nil {
 		t.Fatal(err)
 	}
-	w.conf = map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": w.disco.Address(), "seed": "8c1f30d27a5be964",
+	bed.config = map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": bed.discovery.Address(), "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 256}, "settings": site,
 		"known": map[string]any{"revision": 1, "complete": true, "members": members}}
 	for _, f := range change {
-		f(w.conf)
+		f(bed.config)
 	}
-	w.file = filepath.Join(t.TempDir(), "config.json")
-	w.write()
-	p, err := ReadConfig(w.file)
+	bed.configFile = filepath.Join(t.TempDir(), "config.json")
+	bed.writeConfig()
+	config, err := ReadConfig(bed.configFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.module = &spy{Module: policy.New(p.Seed, p.Site.Settings), heard: func(honeyplank.Event) {}}
-	if w.s, err = newWithModule(p, w.module, zerolog.Nop()); err != nil {
+	bed.module = &recordingModule{Module: policy.New(config.Seed, config.Site.Settings), onEvent: func(honeyplank.Event) {}}
+	if bed.scheduler, err = newWithModule(config, bed.module, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
-	go func() { w.done <- w.s.Serve() }()
-	t.Cleanup(func() { w.s.loop.Post(w.s.loop.Stop) })
-	return w
+	go func() { bed.served <- bed.scheduler.Serve() }()
+	t.Cleanup(func() { bed.scheduler.loop.Post(bed.scheduler.loop.Stop) })
+	return bed
 }
 
-func (w *world) write() {
-	text, err := json.MarshalIndent(w.conf, "", " ")
+func (bed *testbed) writeConfig() {
+	text, err := json.MarshalIndent(bed.config, "", " ")
 	if err == nil {
-		err = os.WriteFile(w.file, text, 0o600)
+		err = os.WriteFile(bed.configFile, text, 0o600)
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
 }
 
 // reload has the scheduler take over the configuration as it now is.
-func (w *world) reload() {
-	w.t.Helper()
-	w.write()
-	p, err := ReadConfig(w.file)
+func (bed *testbed) reload() {
+	bed.t.Helper()
+	bed.writeConfig()
+	config, err := ReadConfig(bed.configFile)
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.s.Reload(p)
+	bed.scheduler.Reload(config)
 }
 
-func (w *world) member(i int, phase string) standin.Member {
-	return standin.Member{ID: fmt.Sprintf("s-%d", i), Address: w.disks[i].Address(), Zone: "room", Model: "std", Cell: i, Phase: phase, Size: 1}
+func (bed *testbed) member(i int, phase string) standin.Member {
+	return standin.Member{ID: fmt.Sprintf("s-%d", i), Address: bed.disks[i].Address(), Zone: "room", Model: "std", Cell: i, Phase: phase, Size: 1}
 }
 
-func (w *world) eventually(what string, f func() bool) {
-	w.t.Helper()
+func (bed *testbed) eventually(what string, f func() bool) {
+	bed.t.Helper()
 	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatal(what + " does not come to pass")
+			bed.t.Fatal(what + " does not come to pass")
 		}
 	}
 }
 
-// on runs f on the scheduler's loop.
-func (w *world) on(f func()) {
-	w.t.Helper()
+// onLoop runs f on the scheduler's loop.
+func (bed *testbed) onLoop(f func()) {
+	bed.t.Helper()
 	done := make(chan bool)
-	if w.s.loop.Post(func() { f(); close(done) }) {
+	if bed.scheduler.loop.Post(func() { f(); close(done) }) {
 		<-done
 	}
 }
 
-// caller is one connection of a client.
-type caller struct {
+// testClient is one connection of a client.
+type testClient struct {
 	t *testing.T
 	net.Conn
-	in   resp.Reader
-	rest []byte
+	reader   resp.Reader
+	buffered []byte
 }
 
-// dial connects a client, one that leaves much unread with a receive buffer of its own.
-func (w *world) dial(buffer ...int) *caller {
-	w.t.Helper()
+// dialClient connects a client, one that leaves much unread with a receive buffer of its own.
+func (bed *testbed) dialClient(buffer ...int) *testClient {
+	bed.t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			for _, n := range buffer {
@@ -179,21 +179,21 @@
 			}
 		})
 	}}
-	c, err := d.Dial("tcp", w.s.Address())
+	c, err := d.Dial("tcp", bed.scheduler.Address())
 	if err != nil {
-		w.t.Fatal(err)
+		bed.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close() })
-	return &caller{t: w.t, Conn: c, in: resp.Reader{Bounds: resp.Bounds{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}}}
+	bed.t.Cleanup(func() { c.Close() })
+	return &testClient{t: bed.t, Conn: c, reader: resp.Reader{Bounds: resp.Bounds{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}}}
 }
 
-// read waits for one value; false: the connection has ended, or nothing came in time.
-func (c *caller) read(within time.Duration) (resp.Value, bool) {
+// readValue waits for one value; false: the connection has ended, or nothing came in time.
+func (c *testClient) readValue(within time.Duration) (resp.Value, bool) {
 	c.SetReadDeadline(time.Now().Add(within))
 	b := make([]byte, 4096)
 	for {
-		used, v, whole, err := c.in.Next(c.rest)
-		c.rest = c.rest[used:]
+		used, v, whole, err := c.reader.Next(c.buffered)
+		c.buffered = c.buffered[used:]
 		if err != nil {
 			c.t.Fatalf("the scheduler sends what can't be read: %v", err)
 		}
@@ -204,18 +204,18 @@
 		if err != nil {
 			return v, false
 		}
-		c.rest = append(c.rest, b[:n]...)
+		c.buffered = append(c.buffered, b[:n]...)
 	}
 }
 
-func (c *caller) send(args ...string) {
+func (c *testClient) send(args ...string) {
 	c.t.Helper()
-	if _, err := c.Write(command(args...)); err != nil {
+	if _, err := c.Write(encodeCommand(args...)); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func command(args ...string) []byte {
+func encodeCommand(args ...string) []byte {
 	var list [][]byte
 	for _, a := range args {
 		list = append(list, []byte(a))
@@ -223,9 +223,9 @@
 	return resp.AppendCommand(nil, list...)
 }
 
-// arrived tells, on the loop, whether something that a client sent waits to be read by the scheduler.
-func (w *world) arrived() bool {
-	for x := range w.s.clients {
+// hasUnreadInput tells, on the loop, whether something that a client sent waits to be read by the scheduler.
+func (bed *testbed) hasUnreadInput() bool {
+	for x := range bed.scheduler.clients {
 		if !x.conn.Quiet() {
 			return true
 		}
@@ -233,15 +233,15 @@
 	return false
 }
 
-// ask sends a command and tells its answer: a value's text, an error's line behind '-', or "closed".
-func (c *caller) ask(args ...string) string {
+// do sends a command and tells its answer: a value's text, an error's line behind '-', or "closed".
+func (c *testClient) do(args ...string) string {
 	c.t.Helper()
 	c.send(args...)
-	return c.answer(3 * time.Second)
+	return c.readReply(3 * time.Second)
 }
 
-func (c *caller) answer(within time.Duration) string {
-	v, ok := c.read(within)
+func (c *testClient) readReply(within time.Duration) string {
+	v, ok := c.readValue(within)
 	switch {
 	case !ok:
 		return "closed"
@@ -251,28 +251,28 @@
 	return string(v.Text)
 }
 
-const piece = "7f3a9c21e0b4d655"
+const objectKey = "7f3a9c21e0b4d655"
 
-func terms(class string, ms, cell int) string {
+func opOptions(class string, ms, cell int) string {
 	return fmt.Sprintf("c=%s,t=gold,d=%d,volume=00000003b4d60021,units=2,shard=%d,hosts=1", class, ms, cell)
 }
 
-// gate stands before a disk server. Shut, it lets connections neither up nor, once they are, bytes through; what the
+// connGate stands before a disk server. Shut, it lets connections neither up nor, once they are, bytes through; what the
 // scheduler does meanwhile is done while they wait.
-type gate struct {
-	t       *testing.T
-	fd      int
-	address string
-	to      string
-	fill    []net.Conn
-	flow    chan bool // closed: bytes go through
-	once    sync.Once
+type connGate struct {
+	t          *testing.T
+	fd         int
+	address    string
+	target     string
+	backlog    []net.Conn
+	forwarding chan bool // closed: bytes go through
+	once       sync.Once
 }
 
-// shut makes a gate with room for no connection.
-func shut(t *testing.T, to string) *gate {
+// newConnGate makes a gate with room for no connection.
+func newConnGate(t *testing.T, to string) *connGate {
 	t.Helper()
-	g := &gate{t: t, to: to, flow: make(chan bool)}
+	g := &connGate{t: t, target: to, forwarding: make(chan bool)}
 	var err error
 	if g.fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err == nil {
 		unix.SetsockoptInt(g.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 4096)
@@ -293,21 +293,21 @@
 		if err != nil {
 			break
 		}
-		g.fill = append(g.fill, c)
+		g.backlog = append(g.backlog, c)
 	}
 	t.Cleanup(func() {
-		g.pass()
+		g.forwardBytes()
 		unix.Shutdown(g.fd, unix.SHUT_RDWR)
 		unix.Close(g.fd)
-		for _, c := range g.fill {
+		for _, c := range g.backlog {
 			c.Close()
 		}
 	})
 	return g
 }
 
-// open lets connections up, but no bytes through before pass.
-func (g *gate) open() {
+// acceptConns lets connections up, but no bytes through before pass.
+func (g *connGate) acceptConns() {
 	unix.Listen(g.fd, 1024)
 	go func() {
 		for {
@@ -326,12 +326,12 @@
 	}()
 }
 
-func (g *gate) pass() { g.once.Do(func() { close(g.flow) }) }
+func (g *connGate) forwardBytes() { g.once.Do(func() { close(g.forwarding) }) }
 
-func (g *gate) pipe(c net.Conn) {
+func (g *connGate) pipe(c net.Conn) {
 	defer c.Close()
-	<-g.flow
-	d, err := net.Dial("tcp", g.to)
+	<-g.forwarding
+	d, err := net.Dial("tcp", g.target)
 	if err != nil {
 		return
 	}
@@ -340,34 +340,34 @@
 	io.Copy(d, c)
 }
 
-// behind puts a gate before the n-th disk server in what the scheduler is told.
-func (w *world) behind(n int, phase string) (*gate, standin.Member) {
-	w.t.Helper()
-	g := shut(w.t, w.disks[n].Address())
-	m := w.member(n, phase)
+// gateServer puts a gate before the n-th disk server in what the scheduler is told.
+func (bed *testbed) gateServer(n int, phase string) (*connGate, standin.Member) {
+	bed.t.Helper()
+	g := newConnGate(bed.t, bed.disks[n].Address())
+	m := bed.member(n, phase)
 	m.Address = g.address
 	return g, m
 }
 
-// teller is a discovery that does nothing by itself: the test answers each call, or leaves it.
-type teller struct {
+// scriptedDiscovery is a discovery that does nothing by itself: the test answers each call, or leaves it.
+type scriptedDiscovery struct {
 	address string
-	calls   chan *call
+	calls   chan *discoveryCall
 }
 
-type call struct {
+type discoveryCall struct {
 	net.Conn
 	t    *testing.T
 	path string
 }
 
-func tells(t *testing.T) *teller {
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &teller{l.Addr().String(), make(chan *call, 256)}
+	x := &scriptedDiscovery{l.Addr().String(), make(chan *discoveryCall, 256)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -378,7 +378,7 @@
 			t.Cleanup(func() { c.Close() })
 			go func() {
 				if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					x.calls <- &call{c, t, r.URL.String()}
+					x.calls <- &discoveryCall{c, t, r.URL.String()}
 				}
 			}()
 		}
@@ -386,10 +386,10 @@
 	return x
 }
 
-func (x *teller) discovery(m map[string]any) { m["discovery"] = x.address }
+func (x *scriptedDiscovery) configure(m map[string]any) { m["discovery"] = x.address }
 
-// call waits for the next call.
-func (x *teller) call(t *testing.T, within time.Duration) *call {
+// nextCall waits for the next call.
+func (x *scriptedDiscovery) nextCall(t *testing.T, within time.Duration) *discoveryCall {
 	t.Helper()
 	select {
 	case c := <-x.calls:
@@ -400,13 +400,15 @@
 	return nil
 }
 
-func (c *call) head() { io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") }
+func (c *discoveryCall) sendHeader() {
+	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+}
 
-// say sends bytes of a watch, as one chunk.
-func (c *call) say(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+// sendChunk sends bytes of a watch, as one chunk.
+func (c *discoveryCall) sendChunk(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 
-// message is a list as discovery tells it; indented on many lines.
-func message(revision int, whole bool, indented bool, members ...standin.Member) string {
+// listJSON is a list as discovery tells it; indented on many lines.
+func listJSON(revision int, whole bool, indented bool, members ...standin.Member) string {
 	m := map[string]any{"revision": revision, "complete": whole, "members": append([]standin.Member{}, members...)}
 	text, _ := json.Marshal(m)
 	if indented {
@@ -415,8 +417,8 @@
 	return string(text) + "\n"
 }
 
-// knows tells whether the scheduler has a disk server, which it has not once that is told removed.
-func (w *world) knows(id string) (ok bool) {
-	w.on(func() { ok = w.s.servers[honeyplank.ServerID(id)] != nil })
+// hasServer tells whether the scheduler has a disk server, which it has not once that is told removed.
+func (bed *testbed) hasServer(id string) (ok bool) {
+	bed.onLoop(func() { ok = bed.scheduler.servers[honeyplank.ServerID(id)] != nil })
 	return ok
 }
--- a/scheduler/leaves_test.go
+++ b/scheduler/leaves_test.go
@@ -11,22 +11,22 @@
 	standin "honeyplank/fake/resp"
 )
 
-// later is a module that sends an op to its disk server a time after it came, and aborts what brings no ack.
-type later struct {
-	after time.Duration
-	last  honeyplank.OpID
+// delayedModule is a module that sends an op to its disk server a time after it came, and aborts what brings no ack.
+type delayedModule struct {
+	delay  time.Duration
+	lastOp honeyplank.OpID
 }
 
-func (m *later) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+func (m *delayedModule) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 	switch e := e.(type) {
 	case honeyplank.Op:
-		if m.after == 0 {
+		if m.delay == 0 {
 			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "s-0"}}
 		}
-		m.last = e.ID
-		return []honeyplank.Action{honeyplank.SetTimer{Name: "later", At: now + m.after}}
+		m.lastOp = e.ID
+		return []honeyplank.Action{honeyplank.SetTimer{Name: "later", At: now + m.delay}}
 	case honeyplank.Timer:
-		return []honeyplank.Action{honeyplank.Dispatch{Op: m.last, Server: "s-0"}}
+		return []honeyplank.Action{honeyplank.Dispatch{Op: m.lastOp, Server: "s-0"}}
 	case honeyplank.Outcome:
 		if !e.Answered {
 			return []honeyplank.Action{honeyplank.Fail{Op: e.Op}}
@@ -38,9 +38,9 @@
 // TestLeavesHeldUp: a client goes while the scheduler is held up for 0.15 s, in the middle of a round: whatever that would
 // send for it once it goes on, first or again, does not leave any more.
 func TestLeavesHeldUp(t *testing.T) {
-	leave := map[string]func(*caller){
-		"close": func(c *caller) { c.Close() },
-		"reset": func(c *caller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+	leave := map[string]func(*testClient){
+		"close": func(c *testClient) { c.Close() },
+		"reset": func(c *testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 	}
 	for how, leave := range leave {
 		for name, x := range map[string]struct {
@@ -59,26 +59,26 @@
 			"a connect, QUIT":    {gate: true, before: []string{"QUIT"}},
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
-				w := start(t, 1, slowConnect)
-				var g *gate
+				bed := newTestbed(t, 1, withSlowConnect)
+				var g *connGate
 				if x.gate {
 					var m standin.Member
-					g, m = w.behind(0, "up")
-					w.disco.Change(m)
-					w.eventually("the address", func() (ok bool) {
-						w.on(func() { ok = w.s.servers["s-0"].address == g.address })
+					g, m = bed.gateServer(0, "up")
+					bed.discovery.Change(m)
+					bed.eventually("the address", func() (ok bool) {
+						bed.onLoop(func() { ok = bed.scheduler.servers["s-0"].address == g.address })
 						return ok
 					})
 				}
-				w.on(func() { w.module.Module = eager{"s-0"} })
-				c := w.dial()
-				c.ask("PING")
+				bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+				c := bed.dialClient()
+				c.do("PING")
 				if g == nil { // a connection that has rested is there
-					w.dial().ask("BLK.READ", piece, "warm", terms("read", 9000, 0))
+					bed.dialClient().do("BLK.READ", objectKey, "warm", opOptions("read", 9000, 0))
 					time.Sleep(2 * minConnRest)
 				}
-				w.on(func() { w.module.Module = &later{after: x.after} })
-				op := command("BLK.READ", piece, "a", terms("read", 9000, 0))
+				bed.onLoop(func() { bed.module.Module = &delayedModule{delay: x.after} })
+				op := encodeCommand("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
 				var behind []byte
 				for _, b := range x.before {
 					switch b {
@@ -86,23 +86,23 @@
 						c.Write(op[:len(op)/2])
 						op = op[len(op)/2:]
 					case "QUIT":
-						behind = append(behind, command("QUIT")...)
+						behind = append(behind, encodeCommand("QUIT")...)
 					case "breach":
 						behind = append(behind, "no command\r\n"...)
 					case "many":
 						for i := range 2 * maxPending {
-							behind = append(behind, command("PING", fmt.Sprint(i))...)
+							behind = append(behind, encodeCommand("PING", fmt.Sprint(i))...)
 						}
 					}
 				}
 				if !x.fresh {
 					c.Write(append(op, behind...))
-					w.eventually("the command", func() (ok bool) { w.on(func() { ok = w.s.tracker.Unanswered() == 1 }); return ok })
+					bed.eventually("the command", func() (ok bool) { bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 1 }); return ok })
 				}
-				w.on(func() {
+				bed.onLoop(func() {
 					if g != nil {
-						g.open()
-						g.pass()
+						g.acceptConns()
+						g.forwardBytes()
 					}
 					if x.fresh {
 						c.Write(op)
@@ -110,12 +110,12 @@
 					leave(c)
 					time.Sleep(maxHoldUp)
 				})
-				w.eventually("the leave", func() (ok bool) { w.on(func() { ok = w.s.tracker.Unanswered() == 0 }); return ok })
+				bed.eventually("the leave", func() (ok bool) { bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 0 }); return ok })
 				if g != nil {
-					w.eventually("a connection", func() bool { _, n := w.waits(0); return n > 0 })
+					bed.eventually("a connection", func() bool { _, n := bed.connCounts(0); return n > 0 })
 				}
 				time.Sleep(2 * x.after)
-				for _, id := range got(w.disks[0]) {
+				for _, id := range receivedIDs(bed.disks[0]) {
 					if id != "warm" {
 						t.Errorf("%s has reached the disk server", id)
 					}
@@ -128,23 +128,23 @@
 // TestLeavesUnread: what a disk server's system has not taken when a client goes, or its time is over, never arrives, also
 // once the server reads on.
 func TestLeavesUnread(t *testing.T) {
-	w := start(t, 1, slowConnect)
-	g, m := w.behind(0, "up")
-	w.disco.Change(m)
-	w.eventually("the address", func() (ok bool) {
-		w.on(func() { ok = w.s.servers["s-0"].address == g.address })
+	bed := newTestbed(t, 1, withSlowConnect)
+	g, m := bed.gateServer(0, "up")
+	bed.discovery.Change(m)
+	bed.eventually("the address", func() (ok bool) {
+		bed.onLoop(func() { ok = bed.scheduler.servers["s-0"].address == g.address })
 		return ok
 	})
-	g.open()
-	w.on(func() { w.module.Module = &giveUp{} })
+	g.acceptConns()
+	bed.onLoop(func() { bed.module.Module = &cancellingModule{} })
 	body := strings.Repeat("x", maxBody)
 	for i, ms := range []int{9000, 300} {
-		c := w.dial()
-		c.send("BLK.WRITE", piece, fmt.Sprint("w", i), terms("write", ms, 0), body)
-		w.eventually("all bytes to leave", func() (ok bool) {
-			w.on(func() {
-				for _, l := range w.s.servers["s-0"].conns {
-					ok = ok || l.connected && len(l.inFlight) == 1 && l.conn.UnsentBytes() == 0 && l.conn.UnackedBytes() > 0
+		c := bed.dialClient()
+		c.send("BLK.WRITE", objectKey, fmt.Sprint("w", i), opOptions("write", ms, 0), body)
+		bed.eventually("all bytes to leave", func() (ok bool) {
+			bed.onLoop(func() {
+				for _, sc := range bed.scheduler.servers["s-0"].conns {
+					ok = ok || sc.connected && len(sc.inFlight) == 1 && sc.conn.UnsentBytes() == 0 && sc.conn.UnackedBytes() > 0
 				}
 			})
 			return ok
@@ -152,64 +152,64 @@
 		if ms > 300 {
 			c.Close()
 		}
-		w.eventually("the end", func() (ok bool) {
-			w.on(func() { ok = w.s.tracker.Unanswered() == 0 && w.s.tracker.Outstanding() == 0 })
+		bed.eventually("the end", func() (ok bool) {
+			bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 0 && bed.scheduler.tracker.Outstanding() == 0 })
 			return ok
 		})
 	}
-	g.pass()
+	g.forwardBytes()
 	time.Sleep(100 * time.Millisecond)
-	if ids := got(w.disks[0]); len(ids) > 0 {
+	if ids := receivedIDs(bed.disks[0]); len(ids) > 0 {
 		t.Errorf("%v have reached the disk server", ids)
 	}
 }
 
-// giveUp is a module that cancels what its client no longer waits for.
-type giveUp struct{}
+// cancellingModule is a module that cancels what its client no longer waits for.
+type cancellingModule struct{}
 
-func (giveUp) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+func (cancellingModule) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 	if e, ok := e.(honeyplank.ClientGone); ok {
 		return []honeyplank.Action{honeyplank.Cancel{Op: e.Op}}
 	}
-	return eager{"s-0"}.Handle(now, e)
+	return singleServerModule{"s-0"}.Handle(now, e)
 }
 
 // TestCrossesTheEnd: whatever ends a client's connection, a request that crosses the end is not read, so that its client may
 // send it again, and what was answered before comes whole.
 func TestCrossesTheEnd(t *testing.T) {
-	value := string(standin.Value(piece, "a"))
+	value := string(standin.Value(objectKey, "a"))
 	for name, x := range map[string]struct {
-		behind string                // sent behind an op whose answer is delayed
-		end    func(*world, *client) // on the loop
+		behind string                  // sent behind an op whose answer is delayed
+		end    func(*testbed, *client) // on the loop
 		want   []string
 	}{
-		"quit":   {behind: string(command("QUIT")), want: []string{value, "OK"}},
+		"quit":   {behind: string(encodeCommand("QUIT")), want: []string{value, "OK"}},
 		"breach": {behind: "no command\r\n", want: []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
-		"idle": {want: []string{value}, end: func(w *world, c *client) {
+		"idle": {want: []string{value}, end: func(bed *testbed, c *client) {
 			c.lastActivity -= 2 * maxIdle
-			w.s.checkClients()
+			bed.scheduler.checkClients()
 		}},
-		"rests in a crowd": {want: []string{value}, end: func(w *world, c *client) {
+		"rests in a crowd": {want: []string{value}, end: func(bed *testbed, c *client) {
 			c.lastActivity -= 2 * maxIdle
-			w.s.evictIdleClient()
+			bed.scheduler.evictIdleClient()
 		}},
-		"no more ops": {want: []string{value}, end: func(w *world, c *client) { c.closeWhenAnswered() }},
+		"no more ops": {want: []string{value}, end: func(bed *testbed, c *client) { c.closeWhenAnswered() }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1)
-			w.on(func() { w.module.Module = eager{"s-0"} })
-			w.disks[0].Apply(standin.Faults{Delay: 50 * time.Millisecond})
-			c := w.dial()
-			c.Write(append(command("BLK.READ", piece, "a", terms("read", 9000, 0)), x.behind...))
+			bed := newTestbed(t, 1)
+			bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+			bed.disks[0].Apply(standin.Faults{Delay: 50 * time.Millisecond})
+			c := bed.dialClient()
+			c.Write(append(encodeCommand("BLK.READ", objectKey, "a", opOptions("read", 9000, 0)), x.behind...))
 			if x.end != nil {
-				if got := c.answer(3 * time.Second); got != value {
+				if got := c.readReply(3 * time.Second); got != value {
 					t.Fatalf("%q", got)
 				}
 				x.want = nil
 			} else {
-				w.eventually("the end", func() (ok bool) {
-					w.on(func() {
-						for x := range w.s.clients {
+				bed.eventually("the end", func() (ok bool) {
+					bed.onLoop(func() {
+						for x := range bed.scheduler.clients {
 							ok = x.closing
 						}
 					})
@@ -217,32 +217,32 @@
 				})
 			}
 			var before, after int64
-			w.on(func() {
-				for one := range w.s.clients {
+			bed.onLoop(func() {
+				for one := range bed.scheduler.clients {
 					if x.end != nil {
-						x.end(w, one)
+						x.end(bed, one)
 					}
 				}
-				before = w.s.loop.Stats.BytesIn.Load()
+				before = bed.scheduler.loop.Stats.BytesIn.Load()
 			})
-			late := command("BLK.READ", piece, "late", terms("read", 9000, 0))
+			late := encodeCommand("BLK.READ", objectKey, "late", opOptions("read", 9000, 0))
 			c.Write(late)
 			for _, want := range x.want {
-				if got := c.answer(3 * time.Second); got != want {
+				if got := c.readReply(3 * time.Second); got != want {
 					t.Errorf("%q, expected %q", got, want)
 				}
 			}
 			if x.want != nil {
-				if got := c.answer(3 * time.Second); got != "closed" {
+				if got := c.readReply(3 * time.Second); got != "closed" {
 					t.Errorf("%q, expected an end", got)
 				}
 			}
-			w.on(func() { after = w.s.loop.Stats.BytesIn.Load() })
+			bed.onLoop(func() { after = bed.scheduler.loop.Stats.BytesIn.Load() })
 			answer := len(value) + 32 // of the disk server, at most
 			if n := int(after - before); n > answer || x.end != nil && n > 0 {
 				t.Errorf("%d bytes have been read", n)
 			}
-			if ids := got(w.disks[0]); fmt.Sprint(ids) != "[a]" {
+			if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[a]" {
 				t.Errorf("%v have reached the disk server", ids)
 			}
 		})
@@ -254,25 +254,25 @@
 func TestDrainHeldUp(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, maxHoldUp, 500 * time.Millisecond} {
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
-			w, g := atGate(t, 5*time.Second, grace)
-			c := w.dial()
-			c.send("BLK.READ", piece, "a", terms("read", 9000, 0))
-			w.eventually("the wait for a connection", func() bool { n, _ := w.waits(0); return n == 1 })
+			bed, g := newGatedTestbed(t, 5*time.Second, grace)
+			c := bed.dialClient()
+			c.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
+			bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
 			waits := make(chan int, 1)
-			w.on(func() {
-				w.module.heard = func(e honeyplank.Event) {
+			bed.onLoop(func() {
+				bed.module.onEvent = func(e honeyplank.Event) {
 					if l, ok := e.(honeyplank.List); ok && len(l.Members) > 0 {
-						w.s.loop.Schedule(w.s.loop.Now()+max(grace-maxHoldUp, 0), func() { waits <- len(w.s.servers["s-0"].waiting) })
+						bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+max(grace-maxHoldUp, 0), func() { waits <- len(bed.scheduler.servers["s-0"].waiting) })
 					}
 				}
 			})
-			m := w.member(0, "draining")
+			m := bed.member(0, "draining")
 			m.Address = g.address
-			w.disco.Change(m)
+			bed.discovery.Change(m)
 			if n := <-waits; n > 0 {
 				t.Errorf("%d still wait", n)
 			}
-			if got := c.answer(time.Second); got != "-ERR failed" {
+			if got := c.readReply(time.Second); got != "-ERR failed" {
 				t.Errorf("%q", got)
 			}
 		})
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -24,7 +24,7 @@
 // callTimeout is how long discovery may take to begin an answer. Where calls wait in turn, one that is given up before its turn
 // has been for nothing and comes again, which makes all turns longer.
 func (s *Scheduler) callTimeout() time.Duration {
-	if s.settings().Ask {
+	if s.site().Ask {
 		return sharedHeadTimeout
 	}
 	return headTimeout
@@ -42,7 +42,7 @@
 func (s *Scheduler) watchEstablished(ctx context.Context) func() {
 	return func() {
 		s.loop.Post(func() {
-			if ctx.Err() == nil && s.settings().Ask {
+			if ctx.Err() == nil && s.site().Ask {
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta, Version: s.revisionGuard.revision})
 			}
 		})
@@ -60,7 +60,7 @@
 			}
 			l.isCurrent = l.Complete || l.Revision >= s.revisionGuard.revision
 			if !s.revisionGuard.accept(s.loop.Now(), l) {
-				s.watchBroken(errOldList)
+				s.watchFailed(errOldList)
 				return
 			}
 			for _, text := range skipped {
@@ -79,21 +79,21 @@
 	return func(err error) {
 		s.loop.Post(func() {
 			switch {
-			case call == fetchCall && s.settings().Ask: // a watch that stands goes on
+			case call == fetchCall && s.site().Ask: // a watch that stands goes on
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 			case call == watchCall && ctx.Err() == nil:
-				s.watchBroken(err)
+				s.watchFailed(err)
 			}
 		})
 	}
 }
 
-// watchBroken is told that discovery could not be followed. Where it stands on this machine the next watch follows at once;
+// watchFailed is told that discovery could not be followed. Where it stands on this machine the next watch follows at once;
 // where all ask one discovery the module says when: calls that come again at once, from all, keep it from answering any.
-func (s *Scheduler) watchBroken(err error) {
+func (s *Scheduler) watchFailed(err error) {
 	s.log.Info().Err(err).Msg("discovery can't be followed")
 	s.setWatch(false)
-	if s.settings().Ask {
+	if s.site().Ask {
 		s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 	} else {
 		s.loop.Schedule(s.loop.Now()+watchRetryDelay, func() { s.setWatch(!s.stopping) })
@@ -103,7 +103,7 @@
 // applyList takes over what a list that came at a time says and tells the module.
 func (s *Scheduler) applyList(l *listMessage, kind honeyplank.ListKind, told time.Duration) {
 	e := honeyplank.List{Kind: kind, Version: l.Revision}
-	s.starts.observeClocks(s.wall(), s.loop.Now()) // in this order: a halt between them makes starts later, not earlier
+	s.starts.observeClocks(s.wallClock(), s.loop.Now()) // in this order: a halt between them makes starts later, not earlier
 	listed := map[honeyplank.ServerID]bool{}
 	var named []*diskServer
 	for _, m := range l.Members {
@@ -113,23 +113,23 @@
 	}
 	s.starts.listApplied(l, kind)
 	if kind != honeyplank.Delta {
-		for id, sv := range s.servers {
+		for id, ds := range s.servers {
 			if !listed[id] {
-				named = append(named, s.applyMember(listMember{ID: string(id), Address: sv.address, Phase: "removed"}))
+				named = append(named, s.applyMember(listMember{ID: string(id), Address: ds.address, Phase: "removed"}))
 			}
 		}
 	}
 	s.tracker.Deliver(e)
-	for _, sv := range named { // by now the module sends them nothing new
-		sv.enforceDrainGrace(told)
+	for _, ds := range named { // by now the module sends them nothing new
+		ds.enforceDrainGrace(told)
 	}
 }
 
 // toMember is an entry as the module knows it.
 func (s *Scheduler) toMember(m listMember) honeyplank.Member {
-	out := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: phases[m.Phase]}
-	out.Model, _ = indexOf("model", s.settings().Models, m.Model)
-	out.Zone, _ = indexOf("zone", s.settings().Zones, m.Zone)
+	out := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: memberStates[m.Phase]}
+	out.Model, _ = indexOf("model", s.site().Models, m.Model)
+	out.Zone, _ = indexOf("zone", s.site().Zones, m.Zone)
 	out.Started = s.starts.startOf(m)
 	return out
 }
--- a/scheduler/message_reader.go
+++ b/scheduler/message_reader.go
@@ -35,9 +35,9 @@
 func (r *messageReader) callStarted(now, within time.Duration) { r.deadline = now + within }
 func (r *messageReader) headReceived(now time.Duration)        { r.deadline = now + watchSilence }
 
-// Feed reads on. Bytes between messages put the end off, bytes of a message don't: one that never becomes whole is
+// feed reads on. Bytes between messages put the end off, bytes of a message don't: one that never becomes whole is
 // silence too.
-func (r *messageReader) Feed(now time.Duration, b []byte) (messages [][]byte, err error) {
+func (r *messageReader) feed(now time.Duration, b []byte) (messages [][]byte, err error) {
 	under := len(r.partial) > 0
 	for _, c := range b {
 		if r.depth == 0 {
@@ -82,15 +82,15 @@
 }
 
 // accept tells whether a list holds.
-func (h *revisionGuard) accept(now time.Duration, l *listMessage) bool {
-	if l.Revision < h.revision {
-		if h.olderSince == 0 {
-			h.olderSince = now
+func (g *revisionGuard) accept(now time.Duration, l *listMessage) bool {
+	if l.Revision < g.revision {
+		if g.olderSince == 0 {
+			g.olderSince = now
 		}
-		if now-h.olderSince < oldListTimeout {
+		if now-g.olderSince < oldListTimeout {
 			return false
 		}
 	}
-	h.revision, h.olderSince = l.Revision, 0
+	g.revision, g.olderSince = l.Revision, 0
 	return true
 }
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"slices"
 	"time"
 
 	"honeyplank"
@@ -22,7 +23,7 @@
 	waiting       []*attempt
 	dialing       int
 	redialAfter   time.Duration // no dial before
-	redials       int           // that could not even begin, in a row
+	dialFailures  int           // that could not even begin, in a row
 }
 
 const (
@@ -39,162 +40,159 @@
 )
 
 // assignConn writes to a connection that is idle, else opens one, else writes behind others, else waits for one.
-func (sv *diskServer) assignConn(e *attempt) {
-	if l := sv.takeIdleConn(); l != nil {
-		l.send(e)
+func (ds *diskServer) assignConn(a *attempt) {
+	if sc := ds.takeIdleConn(); sc != nil {
+		sc.send(a)
 		return
 	}
-	if sv.scheduler.loop.Now() >= sv.redialAfter && sv.scheduler.reserveDescriptor() && sv.dial() == nil {
-		sv.waiting = append(sv.waiting, e)
+	if ds.scheduler.loop.Now() >= ds.redialAfter && ds.scheduler.reserveDescriptor() && ds.dial() == nil {
+		ds.waiting = append(ds.waiting, a)
 		return
 	}
-	var least *serverConn
-	for _, l := range sv.conns {
-		if l.connected && !l.retiring && len(l.inFlight) > 0 && len(l.inFlight) < max(sv.scheduler.settings().Streams, 1) && (least == nil || len(l.inFlight) < len(least.inFlight)) {
-			least = l
+	var leastLoaded *serverConn
+	for _, sc := range ds.conns {
+		if sc.connected && !sc.retiring && len(sc.inFlight) > 0 && len(sc.inFlight) < max(ds.scheduler.site().Streams, 1) && (leastLoaded == nil || len(sc.inFlight) < len(leastLoaded.inFlight)) {
+			leastLoaded = sc
 		}
 	}
 	switch {
-	case least != nil:
-		least.send(e)
-	case sv.dialing > 0 || len(sv.idle) > 0:
-		sv.waiting = append(sv.waiting, e)
-		sv.scheduleWaiters()
-	case e.dispatch != nil && sv.scheduler.loop.Now() < sv.redialAfter && sv.redialAfter <= min(e.started+maxDialWait, e.dispatch.Deadline):
-		sv.waiting = append(sv.waiting, e)
+	case leastLoaded != nil:
+		leastLoaded.send(a)
+	case ds.dialing > 0 || len(ds.idle) > 0:
+		ds.waiting = append(ds.waiting, a)
+		ds.scheduleWaiters()
+	case a.dispatch != nil && ds.scheduler.loop.Now() < ds.redialAfter && ds.redialAfter <= min(a.started+maxDialWait, a.dispatch.Deadline):
+		ds.waiting = append(ds.waiting, a)
 	default: // no descriptor is to be had, which tells nothing of the server
-		e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+		a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 	}
 }
 
 // takeIdleConn takes the idle connection that has rested longest, where it has for long enough and nothing has come
 // on it since.
-func (sv *diskServer) takeIdleConn() *serverConn {
-	for len(sv.idle) > 0 {
-		l := sv.idle[0]
-		if sv.scheduler.loop.Now()-l.idleSince < minConnRest {
+func (ds *diskServer) takeIdleConn() *serverConn {
+	for len(ds.idle) > 0 {
+		sc := ds.idle[0]
+		if ds.scheduler.loop.Now()-sc.idleSince < minConnRest {
 			return nil
 		}
-		sv.idle = sv.idle[1:]
-		if l.conn.Quiet() {
-			return l
+		ds.idle = ds.idle[1:]
+		if sc.conn.Quiet() {
+			return sc
 		}
-		l.close()
+		sc.close()
 	}
 	return nil
 }
 
 // scheduleWaiters has those that wait for a connection looked at again: once the idle one that has rested longest has rested for
 // long enough, or where none is idle and none being opened at once.
-func (sv *diskServer) scheduleWaiters() {
-	if sv.wakeScheduled || len(sv.waiting) == 0 || sv.dialing > 0 && len(sv.idle) == 0 {
+func (ds *diskServer) scheduleWaiters() {
+	if ds.wakeScheduled || len(ds.waiting) == 0 || ds.dialing > 0 && len(ds.idle) == 0 {
 		return
 	}
-	at := sv.scheduler.loop.Now()
-	if len(sv.idle) == 0 && at < sv.redialAfter { // redial comes
+	at := ds.scheduler.loop.Now()
+	if len(ds.idle) == 0 && at < ds.redialAfter { // redial comes
 		return
 	}
-	if len(sv.idle) > 0 {
-		at = sv.idle[0].idleSince + minConnRest
+	if len(ds.idle) > 0 {
+		at = ds.idle[0].idleSince + minConnRest
 	}
-	sv.wakeScheduled = true
-	sv.scheduler.loop.Schedule(at, func() {
-		sv.wakeScheduled = false
-		for len(sv.waiting) > 0 { // one that has come free is as good as one that is still to come up
-			l := sv.takeIdleConn()
-			if l == nil {
+	ds.wakeScheduled = true
+	ds.scheduler.loop.Schedule(at, func() {
+		ds.wakeScheduled = false
+		for len(ds.waiting) > 0 { // one that has come free is as good as one that is still to come up
+			sc := ds.takeIdleConn()
+			if sc == nil {
 				break
 			}
-			e := sv.waiting[0]
-			sv.waiting = sv.waiting[1:]
-			l.send(e)
+			a := ds.waiting[0]
+			ds.waiting = ds.waiting[1:]
+			sc.send(a)
 		}
-		if sv.dialing == 0 && len(sv.idle) == 0 {
-			sv.reassignWaiters()
+		if ds.dialing == 0 && len(ds.idle) == 0 {
+			ds.reassignWaiters()
 		}
-		sv.scheduleWaiters()
+		ds.scheduleWaiters()
 	})
 }
 
 // reassignWaiters has those that wait choose again.
-func (sv *diskServer) reassignWaiters() {
-	waiting := sv.waiting
-	sv.waiting = nil
-	for _, e := range waiting {
-		if !e.finished {
-			sv.assignConn(e)
+func (ds *diskServer) reassignWaiters() {
+	waiting := ds.waiting
+	ds.waiting = nil
+	for _, a := range waiting {
+		if !a.finished {
+			ds.assignConn(a)
 		}
 	}
 }
 
-func (sv *diskServer) removeWaiter(e *attempt) {
-	for i, x := range sv.waiting {
-		if x == e {
-			sv.waiting = append(sv.waiting[:i], sv.waiting[i+1:]...)
-			return
-		}
+func (ds *diskServer) removeWaiter(a *attempt) {
+	if i := slices.Index(ds.waiting, a); i >= 0 {
+		ds.waiting = slices.Delete(ds.waiting, i, i+1)
 	}
 }
 
 // dial opens a connection for whoever waits.
-func (sv *diskServer) dial() error {
-	s := sv.scheduler
-	l := &serverConn{server: sv, reader: resp.Reader{Bounds: replyBounds}, idleSince: s.loop.Now()}
-	conn, err := s.loop.Dial(sv.address, l)
+func (ds *diskServer) dial() error {
+	s := ds.scheduler
+	sc := &serverConn{server: ds, reader: resp.Reader{Bounds: replyBounds}, idleSince: s.loop.Now()}
+	conn, err := s.loop.Dial(ds.address, sc)
 	if err != nil {
-		sv.postponeDial(err)
+		ds.postponeDial(err)
 		return err
 	}
-	if sv.redials = 0; s.failedDials > 0 {
-		s.log.Info().Str("osd", string(sv.id)).Int("tries", s.failedDials).Msg("connections can be opened again")
+	if ds.dialFailures = 0; s.failedDials > 0 {
+		s.log.Info().Str("osd", string(ds.id)).Int("tries", s.failedDials).Msg("connections can be opened again")
 		s.failedDials = 0
 	}
-	l.conn = conn
+	sc.conn = conn
 	conn.OnClosed = func() { s.serverConnCount-- }
-	conn.BeforeWrite = l.refreshDeadlines
+	conn.BeforeWrite = sc.refreshDeadlines
 	s.serverConnCount++
-	sv.conns = append(sv.conns, l)
-	sv.dialing++
-	l.connectTimer = s.loop.Schedule(s.loop.Now()+s.settings().ConnectWithin, func() { l.Closed(conn, errConnectTimeout) })
+	ds.conns = append(ds.conns, sc)
+	ds.dialing++
+	sc.connectTimer = s.loop.Schedule(s.loop.Now()+s.site().ConnectWithin, func() { sc.Closed(conn, errConnectTimeout) })
 	return nil
 }
 
 // postponeDial puts off the next dial, where this machine could not even begin one: no descriptor, port, memory or way is to
 // be had. It tells nothing of the disk server, and is logged once until one is opened again.
-func (sv *diskServer) postponeDial(err error) {
-	s := sv.scheduler
+func (ds *diskServer) postponeDial(err error) {
+	s := ds.scheduler
 	if s.failedDials++; s.failedDials == 1 {
-		s.log.Warn().Str("osd", string(sv.id)).Err(err).Msg("no connection can be opened")
+		s.log.Warn().Str("osd", string(ds.id)).Err(err).Msg("no connection can be opened")
 	}
-	sv.redialAfter = s.loop.Now() + min(minRedialDelay<<sv.redials, maxRedialDelay)
-	sv.redials = min(sv.redials+1, maxRedialShift)
-	s.loop.Schedule(sv.redialAfter, sv.redial)
+	ds.redialAfter = s.loop.Now() + min(minRedialDelay<<ds.dialFailures, maxRedialDelay)
+	ds.dialFailures = min(ds.dialFailures+1, maxRedialShift)
+	s.loop.Schedule(ds.redialAfter, ds.redial)
 }
 
 // redial tries once more for those that wait. Where that fails too, those that have waited for long are told, which lets
 // the module choose again.
-func (sv *diskServer) redial() {
-	if len(sv.waiting) == 0 || sv.dialing > 0 || len(sv.idle) > 0 || sv.scheduler.loop.Now() < sv.redialAfter {
-		sv.scheduleWaiters()
+func (ds *diskServer) redial() {
+	if len(ds.waiting) == 0 || ds.dialing > 0 || len(ds.idle) > 0 || ds.scheduler.loop.Now() < ds.redialAfter {
+		ds.scheduleWaiters()
 		return
 	}
-	if !sv.scheduler.reserveDescriptor() || sv.dial() != nil {
-		waiting := sv.waiting
-		sv.waiting = nil
-		for _, e := range waiting {
-			if sv.redialAfter <= min(e.started+maxDialWait, e.dispatch.Deadline) {
-				sv.waiting = append(sv.waiting, e)
+	if !ds.scheduler.reserveDescriptor() || ds.dial() != nil {
+		waiting := ds.waiting
+		ds.waiting = nil
+		for _, a := range waiting {
+			if ds.redialAfter <= min(a.started+maxDialWait, a.dispatch.Deadline) {
+				ds.waiting = append(ds.waiting, a)
 			} else {
-				e.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+				a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
 			}
 		}
 		return
 	}
-	behind := sv.waiting[1:]
-	sv.waiting = sv.waiting[:1:1]
-	for _, e := range behind {
-		if !e.finished {
-			sv.assignConn(e)
+	behind := ds.waiting[1:]
+	ds.waiting = ds.waiting[:1:1]
+	for _, a := range behind {
+		if !a.finished {
+			ds.assignConn(a)
 		}
 	}
 }
@@ -208,9 +206,9 @@
 // closeLongestIdle closes the connection that has been idle longest anywhere, if for long enough.
 func (s *Scheduler) closeLongestIdle(least time.Duration) bool {
 	var oldest *serverConn
-	for _, sv := range s.servers {
-		if len(sv.idle) > 0 && (oldest == nil || sv.idle[0].idleSince < oldest.idleSince) {
-			oldest = sv.idle[0]
+	for _, ds := range s.servers {
+		if len(ds.idle) > 0 && (oldest == nil || ds.idle[0].idleSince < oldest.idleSince) {
+			oldest = ds.idle[0]
 		}
 	}
 	if oldest == nil || s.loop.Now()-oldest.idleSince < least {
--- a/scheduler/quiet_test.go
+++ b/scheduler/quiet_test.go
@@ -12,29 +12,29 @@
 // TestReloadsInARow: of several new configurations within a moment the last holds: one watch, at its discovery, none of
 // what the others still had on their way, and no watch is left behind.
 func TestReloadsInARow(t *testing.T) {
-	w := start(t, 2)
-	w.eventually("the watch", func() bool { return w.disco.Watches() == 1 })
-	first, last := tells(t), tells(t)
+	bed := newTestbed(t, 2)
+	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
+	first, last := newScriptedDiscovery(t), newScriptedDiscovery(t)
 	for i := range 9 {
-		if w.conf["discovery"] = first.address; i%2 == 0 {
-			w.conf["discovery"] = last.address
+		if bed.config["discovery"] = first.address; i%2 == 0 {
+			bed.config["discovery"] = last.address
 		}
-		w.reload()
+		bed.reload()
 	}
-	answer := func(x *teller, text string) {
+	answer := func(x *scriptedDiscovery, text string) {
 		for c := range x.calls { // some are given up before they are made
-			c.head()
-			c.say(text)
+			c.sendHeader()
+			c.sendChunk(text)
 		}
 	}
-	go answer(first, message(9, false, false, w.member(0, "removed")))
-	go answer(last, message(7, false, false, w.member(1, "removed")))
-	w.eventually("the change", func() bool { return !w.knows("s-1") })
+	go answer(first, listJSON(9, false, false, bed.member(0, "removed")))
+	go answer(last, listJSON(7, false, false, bed.member(1, "removed")))
+	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 	time.Sleep(50 * time.Millisecond)
-	if !w.knows("s-0") {
+	if !bed.hasServer("s-0") {
 		t.Error("a watch that has ended is heard")
 	}
-	if got := w.dial().ask("BLK.READ", piece, "a", terms("read", 390, 0)); got != string(standin.Value(piece, "a")) {
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(standin.Value(objectKey, "a")) {
 		t.Error(got)
 	}
 }
@@ -54,23 +54,23 @@
 		"forgotten":                {idle: func(d *standin.Disk) { d.Apply(standin.Faults{Break: true}) }, fails: true}, // a reset is all that comes back
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1)
+			bed := newTestbed(t, 1)
 			var codes []honeyplank.Code
-			w.on(func() {
-				w.module.Module = eager{"s-0"}
-				w.module.heard = func(e honeyplank.Event) {
+			bed.onLoop(func() {
+				bed.module.Module = singleServerModule{"s-0"}
+				bed.module.onEvent = func(e honeyplank.Event) {
 					if o, ok := e.(honeyplank.Outcome); ok {
 						codes = append(codes, o.Code)
 					}
 				}
 			})
-			c := w.dial()
-			c.ask("BLK.WRITE", piece, "first", terms("write", 9000, 0), "x")
+			c := bed.dialClient()
+			c.do("BLK.WRITE", objectKey, "first", opOptions("write", 9000, 0), "x")
 			time.Sleep(2 * minConnRest)
 			act := func() {
-				x.idle(w.disks[0])
+				x.idle(bed.disks[0])
 				for deadline := time.Now().Add(2 * time.Second); !x.fails && time.Now().Before(deadline); {
-					if now, _ := w.disks[0].Connections(); now == 0 {
+					if now, _ := bed.disks[0].Connections(); now == 0 {
 						break
 					}
 					time.Sleep(time.Millisecond)
@@ -78,25 +78,25 @@
 			}
 			if x.before {
 				act()
-				w.eventually("the end", func() (ok bool) { w.on(func() { ok = len(w.s.servers["s-0"].conns) == 0 }); return ok })
-				c.send("BLK.WRITE", piece, "second", terms("write", 9000, 0), "x")
+				bed.eventually("the end", func() (ok bool) { bed.onLoop(func() { ok = len(bed.scheduler.servers["s-0"].conns) == 0 }); return ok })
+				c.send("BLK.WRITE", objectKey, "second", opOptions("write", 9000, 0), "x")
 			} else {
-				w.on(func() {
-					c.send("BLK.WRITE", piece, "second", terms("write", 9000, 0), "x")
+				bed.onLoop(func() {
+					c.send("BLK.WRITE", objectKey, "second", opOptions("write", 9000, 0), "x")
 					act()
 				})
 			}
-			want := string(standin.Value(piece, "second"))
+			want := string(standin.Value(objectKey, "second"))
 			if x.fails {
 				want = "-ERR failed"
 			}
-			if got := c.answer(3 * time.Second); got != want {
+			if got := c.readReply(3 * time.Second); got != want {
 				t.Errorf("%q, expected %q", got, want)
 			}
-			if ids := got(w.disks[0]); fmt.Sprint(ids) != "[first second]" {
+			if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[first second]" {
 				t.Errorf("%v have reached the disk server", ids)
 			}
-			w.on(func() {
+			bed.onLoop(func() {
 				if x.fails && codes[len(codes)-1] != honeyplank.Reset {
 					t.Errorf("outcomes %v", codes)
 				}
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -20,44 +20,44 @@
 
 var replyBounds = resp.Bounds{Line: maxReplyLine, Bulk: maxValue, Items: 8, Depth: 3, Total: maxValue + 2*maxReplyLine}
 
-func (l *serverConn) Input(_ *eventloop.Conn, b []byte) (used int) {
+func (sc *serverConn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
-		if len(l.inFlight) == 0 { // nothing is asked: it is no answer
-			l.failWith(errUnexpectedData)
+		if len(sc.inFlight) == 0 { // nothing is asked: it is no answer
+			sc.failWith(errUnexpectedData)
 			return len(b)
 		}
-		n, v, whole, err := l.reader.Next(b[used:])
+		n, v, whole, err := sc.reader.Next(b[used:])
 		used += n
 		if err != nil {
-			l.failMalformed(err)
+			sc.failMalformed(err)
 			return len(b)
 		}
 		if !whole {
 			continue
 		}
-		e := l.inFlight[0]
-		l.inFlight = l.inFlight[1:]
-		code, data, told, err := e.parseReply(&v)
+		a := sc.inFlight[0]
+		sc.inFlight = sc.inFlight[1:]
+		code, data, told, err := a.parseReply(&v)
 		if err != nil {
-			l.inFlight = append([]*attempt{e}, l.inFlight...)
-			l.failMalformed(err)
+			sc.inFlight = append([]*attempt{a}, sc.inFlight...)
+			sc.failMalformed(err)
 			return len(b)
 		}
-		if len(l.inFlight) == 0 && used < len(b) {
+		if len(sc.inFlight) == 0 && used < len(b) {
 			// A good answer with more behind it: the connection is of no further use.
-			l.close()
-			e.finish(code, data, told)
+			sc.close()
+			a.finish(code, data, told)
 			return len(b)
 		}
-		if len(l.inFlight) > 0 {
-			l.closeIfAbandoned()
-		} else if l.inFlight = nil; l.retiring {
-			l.close()
+		if len(sc.inFlight) > 0 {
+			sc.closeIfAbandoned()
+		} else if sc.inFlight = nil; sc.retiring {
+			sc.close()
 		} else {
-			l.markIdle()
+			sc.markIdle()
 		}
-		e.finish(code, data, told)
-		if l.conn == nil {
+		a.finish(code, data, told)
+		if sc.conn == nil {
 			return len(b)
 		}
 	}
@@ -65,8 +65,8 @@
 }
 
 // parseReply tells what an answer means.
-func (e *attempt) parseReply(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Feedback, err error) {
-	fields := e.server.scheduler.settings().Fields
+func (a *attempt) parseReply(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Feedback, err error) {
+	fields := a.server.scheduler.site().Fields
 	if v.Kind == resp.Error {
 		text := string(v.Text)
 		told.Load = parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], fields)
@@ -74,11 +74,11 @@
 			return honeyplank.Rejected, nil, told, nil
 		}
 		if !strings.HasPrefix(text, "ERR") {
-			e.server.scheduler.log.Warn().Str("osd", string(e.server.id)).Str("answer", text).Msg("turned down")
+			a.server.scheduler.log.Warn().Str("osd", string(a.server.id)).Str("answer", text).Msg("turned down")
 		}
 		return honeyplank.Failed, nil, told, nil
 	}
-	if e.dispatch == nil {
+	if a.dispatch == nil {
 		if v.Kind != resp.Bulk || v.Null {
 			return 0, nil, told, errMalformedReply
 		}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -114,7 +114,7 @@
 	}
 	r.options = string(r.args[3])
 	seen := map[string]bool{}
-	site := r.client.scheduler.settings()
+	site := r.client.scheduler.site()
 	for at := 0; at <= len(r.options); {
 		part := r.options[at:]
 		if i := strings.IndexByte(part, ','); i >= 0 {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -36,7 +36,7 @@
 	throttledClients int // those that are not read for a while
 	revisionGuard    revisionGuard
 	starts           startTracker
-	wall             func() time.Time   // the wall clock, which may step at any time
+	wallClock        func() time.Time   // the wall clock, which may step at any time
 	stopWatch        context.CancelFunc // nil: no watch
 	shuttingDown     bool
 	graceElapsed     bool // no client will come any more
@@ -60,24 +60,24 @@
 	listenRetryFor   = 5 * time.Second
 )
 
-func (s *Scheduler) settings() *simwire.Site { return s.config.Site }
+func (s *Scheduler) site() *simwire.Site { return s.config.Site }
 
 func (s *Scheduler) descriptorQuota(of float64) int {
 	return int(of * float64(s.config.Sockets-reservedDescriptors))
 }
 
 // New makes a scheduler and listens. Nothing is served before Serve.
-func New(p *Config, log zerolog.Logger) (*Scheduler, error) {
-	return newWithModule(p, policy.New(p.Seed, p.Site.Settings), log)
+func New(config *Config, log zerolog.Logger) (*Scheduler, error) {
+	return newWithModule(config, policy.New(config.Seed, config.Site.Settings), log)
 }
 
 // newWithModule makes a scheduler round a module.
-func newWithModule(p *Config, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
-	v := p.Site.Settings
+func newWithModule(config *Config, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
+	v := config.Site.Settings
 	// The clock starts late enough for a disk server that started before to have a start.
 	origin := v.Watch.Within + 2*(v.SlowStart.Time+v.SlowStart.Window)
 	for begun := time.Now(); ; time.Sleep(listenRetryDelay) {
-		s, err := open(p, module, log, origin)
+		s, err := listen(config, module, log, origin)
 		if err == nil || !isTransient(err) || time.Since(begun) > listenRetryFor {
 			return s, err
 		}
@@ -95,18 +95,18 @@
 	return false
 }
 
-// open opens what a scheduler listens on.
-func open(p *Config, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
+// listen opens what a scheduler listens on.
+func listen(config *Config, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
 	l, err := eventloop.New(origin)
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	s := &Scheduler{config: p, log: log, loop: l, wall: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*diskServer{}}
+	s := &Scheduler{config: config, log: log, loop: l, wallClock: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*diskServer{}}
 	s.tracker = inflight.New(l, module, sender{s})
 	s.tracker.OnAction = s.execute
 	s.tracker.OnIdle = s.stopIfIdle
-	if s.listener, err = l.Listen(p.Listen, s.accept); err == nil && p.PeerListen != "" && p.Site.Peers {
-		s.peers, err = l.ListenUDP(p.PeerListen, s.receiveGossip)
+	if s.listener, err = l.Listen(config.Listen, s.accept); err == nil && config.PeerListen != "" && config.Site.Peers {
+		s.peers, err = l.ListenUDP(config.PeerListen, s.receiveGossip)
 	}
 	if err != nil {
 		l.Stop()
@@ -123,12 +123,12 @@
 func (s *Scheduler) Serve() error {
 	s.loop.Post(func() {
 		known := &listMessage{}
-		if len(s.config.Known) > 0 {
-			known, _, _ = readList(s.config.Known)
+		if len(s.config.CachedList) > 0 {
+			known, _, _ = readList(s.config.CachedList)
 		}
 		s.revisionGuard.revision = known.Revision
 		s.applyList(known, honeyplank.Cached, s.loop.Now())
-		if !s.settings().Ask {
+		if !s.site().Ask {
 			s.setWatch(true)
 		}
 		s.housekeep()
@@ -155,17 +155,17 @@
 }
 
 // Reload takes over a configuration that has been replaced: where discovery is, the peers, and the limits.
-func (s *Scheduler) Reload(p *Config) {
+func (s *Scheduler) Reload(config *Config) {
 	s.loop.Post(func() {
-		moved := p.Discovery != s.config.Discovery
+		moved := config.Discovery != s.config.Discovery
 		site := s.config.Site // the module knows these settings for good
-		s.config = p
-		p.Site = site
+		s.config = config
+		config.Site = site
 		if moved { // also where a call to the old one had failed and the next is still to come
 			s.setWatch(false)
 			s.setWatch(true)
 		}
-		s.log.Info().Str("discovery", p.Discovery).Bool("moved", moved).Msg("configuration read anew")
+		s.log.Info().Str("discovery", config.Discovery).Bool("moved", moved).Msg("configuration read anew")
 	})
 }
 
@@ -175,9 +175,9 @@
 	case honeyplank.Probe:
 		s.probe(a.Server)
 	case honeyplank.CloseIdle:
-		if sv := s.servers[a.Server]; sv != nil {
-			for len(sv.idle) > 0 {
-				sv.idle[0].close()
+		if ds := s.servers[a.Server]; ds != nil {
+			for len(ds.idle) > 0 {
+				ds.idle[0].close()
 			}
 		}
 	case honeyplank.Gossip:
@@ -193,17 +193,17 @@
 
 // probe asks a disk server for its load.
 func (s *Scheduler) probe(id honeyplank.ServerID) {
-	sv := s.servers[id]
-	if sv == nil || !s.settings().Probes {
+	ds := s.servers[id]
+	if ds == nil || !s.site().Probes {
 		s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.NotSent})
 		return
 	}
-	e := &attempt{server: sv, started: s.loop.Now()}
-	e.timer = s.loop.Schedule(e.started+s.settings().ConnectWithin, func() {
-		if !e.finished {
-			e.cancel()
-			s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - e.started})
+	a := &attempt{server: ds, started: s.loop.Now()}
+	a.timer = s.loop.Schedule(a.started+s.site().ConnectWithin, func() {
+		if !a.finished {
+			a.cancel()
+			s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - a.started})
 		}
 	})
-	sv.assignConn(e)
+	ds.assignConn(a)
 }
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -49,112 +49,112 @@
 type sender struct{ *Scheduler }
 
 func (s sender) Send(d *inflight.Dispatch) {
-	sv := s.servers[d.Server]
-	if sv == nil {
+	ds := s.servers[d.Server]
+	if ds == nil {
 		d.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		return
 	}
-	e := &attempt{dispatch: d, server: sv, started: s.loop.Now()}
-	d.SenderState = e
-	sv.assignConn(e)
+	a := &attempt{dispatch: d, server: ds, started: s.loop.Now()}
+	d.SenderState = a
+	ds.assignConn(a)
 }
 
 func (s sender) Written(d *inflight.Dispatch) bool {
-	e, _ := d.SenderState.(*attempt)
-	return e != nil && e.fullyWritten()
+	a, _ := d.SenderState.(*attempt)
+	return a != nil && a.fullyWritten()
 }
 
 func (s sender) Cancel(d *inflight.Dispatch) {
-	if e, _ := d.SenderState.(*attempt); e != nil {
-		e.cancel()
+	if a, _ := d.SenderState.(*attempt); a != nil {
+		a.cancel()
 	}
 }
 
-func (e *attempt) fullyWritten() bool {
-	l := e.conn
-	return l != nil && l.connected && e.endByte <= l.appendedBytes-uint64(l.conn.UnsentBytes())
+func (a *attempt) fullyWritten() bool {
+	sc := a.conn
+	return sc != nil && sc.connected && a.endByte <= sc.appendedBytes-uint64(sc.conn.UnsentBytes())
 }
 
 // cancel ends the wait for an answer. What has not left is taken back; a connection that carries nothing else closes,
 // which tells the server.
-func (e *attempt) cancel() {
-	written := e.fullyWritten()
-	e.finished = true
-	l := e.conn
+func (a *attempt) cancel() {
+	written := a.fullyWritten()
+	a.finished = true
+	sc := a.conn
 	switch {
-	case l == nil:
-		e.server.removeWaiter(e)
+	case sc == nil:
+		a.server.removeWaiter(a)
 		return
-	case l.conn == nil:
+	case sc.conn == nil:
 		return
 	case !written:
-		l.withdraw(e)
+		sc.withdraw(a)
 		return
 	}
-	l.retiring = true
-	l.closeIfAbandoned()
+	sc.retiring = true
+	sc.closeIfAbandoned()
 }
 
 // withdraw has an entry whose last byte has not left never arrive. It guards against commands that run although they
 // were told as never sent, once the other end reads on.
-func (l *serverConn) withdraw(e *attempt) {
-	i := slices.Index(l.inFlight, e)
-	behind := slices.Clone(l.inFlight[i+1:])
-	gone := l.appendedBytes - uint64(l.conn.UnsentBytes())
-	if n := e.endByte - e.firstByte; e.firstByte >= gone { // none of it has left
-		l.conn.DiscardUnsent(int(e.firstByte-gone), int(e.endByte-gone))
-		l.appendedBytes -= n
-		for _, x := range behind {
-			x.firstByte, x.endByte = x.firstByte-n, x.endByte-n
+func (sc *serverConn) withdraw(a *attempt) {
+	i := slices.Index(sc.inFlight, a)
+	behind := slices.Clone(sc.inFlight[i+1:])
+	gone := sc.appendedBytes - uint64(sc.conn.UnsentBytes())
+	if n := a.endByte - a.firstByte; a.firstByte >= gone { // none of it has left
+		sc.conn.DiscardUnsent(int(a.firstByte-gone), int(a.endByte-gone))
+		sc.appendedBytes -= n
+		for _, a := range behind {
+			a.firstByte, a.endByte = a.firstByte-n, a.endByte-n
 		}
-		if l.inFlight = append(l.inFlight[:i], behind...); len(l.inFlight) > 0 {
-			l.closeIfAbandoned()
-		} else if l.retiring {
-			l.close()
+		if sc.inFlight = append(sc.inFlight[:i], behind...); len(sc.inFlight) > 0 {
+			sc.closeIfAbandoned()
+		} else if sc.retiring {
+			sc.close()
 		} else {
-			l.inFlight = nil
-			l.markIdle()
+			sc.inFlight = nil
+			sc.markIdle()
 		}
 		return
 	}
 	// A part has: nothing more may follow, and what is behind goes elsewhere.
-	l.retiring = true
-	l.conn.DiscardUnsent(0, l.conn.UnsentBytes())
-	l.appendedBytes, l.inFlight = gone, l.inFlight[:i]
-	l.closeIfAbandoned()
-	for _, x := range behind {
-		if x.conn = nil; !x.finished {
-			l.server.assignConn(x)
+	sc.retiring = true
+	sc.conn.DiscardUnsent(0, sc.conn.UnsentBytes())
+	sc.appendedBytes, sc.inFlight = gone, sc.inFlight[:i]
+	sc.closeIfAbandoned()
+	for _, a := range behind {
+		if a.conn = nil; !a.finished {
+			sc.server.assignConn(a)
 		}
 	}
 }
 
 // closeIfAbandoned closes a connection that takes nothing new once nobody waits for what it carries.
-func (l *serverConn) closeIfAbandoned() {
-	if !l.retiring {
+func (sc *serverConn) closeIfAbandoned() {
+	if !sc.retiring {
 		return
 	}
-	for _, x := range l.inFlight {
-		if !x.finished {
+	for _, a := range sc.inFlight {
+		if !a.finished {
 			return
 		}
 	}
-	l.close()
+	sc.close()
 }
 
 // end tells how a dispatch or probe ended, once.
-func (e *attempt) finish(code honeyplank.Code, data []byte, told inflight.Feedback) {
-	if e.finished {
+func (a *attempt) finish(code honeyplank.Code, data []byte, told inflight.Feedback) {
+	if a.finished {
 		return
 	}
-	e.finished = true
-	s := e.server.scheduler
-	if e.dispatch != nil {
-		e.dispatch.Finish(code, data, told)
+	a.finished = true
+	s := a.server.scheduler
+	if a.dispatch != nil {
+		a.dispatch.Finish(code, data, told)
 		return
 	}
-	s.loop.Cancel(e.timer)
-	s.tracker.Deliver(honeyplank.ProbeResult{Server: e.server.id, Code: code, Elapsed: s.loop.Now() - e.started, Load: told.Load})
+	s.loop.Cancel(a.timer)
+	s.tracker.Deliver(honeyplank.ProbeResult{Server: a.server.id, Code: code, Elapsed: s.loop.Now() - a.started, Load: told.Load})
 }
 
 var (
@@ -163,166 +163,164 @@
 )
 
 // markIdle puts a connection that carries nothing among the idle ones.
-func (l *serverConn) markIdle() {
-	l.idleSince = l.server.scheduler.loop.Now()
-	l.server.idle = append(l.server.idle, l)
-	l.server.scheduleWaiters()
+func (sc *serverConn) markIdle() {
+	sc.idleSince = sc.server.scheduler.loop.Now()
+	sc.server.idle = append(sc.server.idle, sc)
+	sc.server.scheduleWaiters()
 }
 
-func (l *serverConn) send(e *attempt) {
-	l.encode(e)
-	e.conn = l
-	l.inFlight = append(l.inFlight, e)
-	l.conn.Send()
+func (sc *serverConn) send(a *attempt) {
+	sc.encode(a)
+	a.conn = sc
+	sc.inFlight = append(sc.inFlight, a)
+	sc.conn.Send()
 }
 
 // encode appends the bytes of an entry, with the time that is left to it now.
-func (l *serverConn) encode(e *attempt) {
-	e.encodedAt = l.server.scheduler.loop.Now()
-	before := len(l.conn.Out)
-	e.firstByte = l.appendedBytes
-	if e.dispatch == nil {
-		l.conn.Out = resp.AppendCommand(l.conn.Out, []byte("INFO"), []byte("load"))
+func (sc *serverConn) encode(a *attempt) {
+	a.encodedAt = sc.server.scheduler.loop.Now()
+	before := len(sc.conn.Out)
+	a.firstByte = sc.appendedBytes
+	if a.dispatch == nil {
+		sc.conn.Out = resp.AppendCommand(sc.conn.Out, []byte("INFO"), []byte("load"))
 	} else {
-		l.conn.Out = e.dispatch.Client().(*request).appendCommand(l.conn.Out, e.dispatch.Deadline-e.encodedAt)
+		sc.conn.Out = a.dispatch.Client().(*request).appendCommand(sc.conn.Out, a.dispatch.Deadline-a.encodedAt)
 	}
-	l.appendedBytes += uint64(len(l.conn.Out) - before)
-	e.endByte = l.appendedBytes
+	sc.appendedBytes += uint64(len(sc.conn.Out) - before)
+	a.endByte = sc.appendedBytes
 }
 
 // refreshDeadlines tells anew the time that is left, before bytes are written that were made some time ago: a server that does not
 // read, or a hold-up, may have kept them. One of which a part has left already, and whose time is wrong by too much, never
 // arrives whole.
-func (l *serverConn) refreshDeadlines() {
-	now := l.server.scheduler.loop.Now()
-	gone := l.appendedBytes - uint64(l.conn.UnsentBytes())
+func (sc *serverConn) refreshDeadlines() {
+	now := sc.server.scheduler.loop.Now()
+	gone := sc.appendedBytes - uint64(sc.conn.UnsentBytes())
 	i := 0
-	for i < len(l.inFlight) && l.inFlight[i].firstByte < gone {
+	for i < len(sc.inFlight) && sc.inFlight[i].firstByte < gone {
 		i++
 	}
 	if i > 0 {
-		if e := l.inFlight[i-1]; e.endByte > gone && now-e.encodedAt > maxPartialAge && !e.finished {
-			l.withdraw(e)
-			e.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+		if a := sc.inFlight[i-1]; a.endByte > gone && now-a.encodedAt > maxPartialAge && !a.finished {
+			sc.withdraw(a)
+			a.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 			return
 		}
 	}
-	if i == len(l.inFlight) || now-l.inFlight[i].encodedAt <= maxEncodedAge {
+	if i == len(sc.inFlight) || now-sc.inFlight[i].encodedAt <= maxEncodedAge {
 		return
 	}
-	for _, e := range l.inFlight[i:] {
-		if e.finished || e.dispatch != nil && e.dispatch.Abandoned() { // it is about to be taken back, and its command is no longer held
+	for _, a := range sc.inFlight[i:] {
+		if a.finished || a.dispatch != nil && a.dispatch.Abandoned() { // it is about to be taken back, and its command is no longer held
 			return
 		}
 	}
-	l.conn.DiscardUnsent(int(l.inFlight[i].firstByte-gone), l.conn.UnsentBytes())
-	l.appendedBytes = l.inFlight[i].firstByte
-	for _, e := range l.inFlight[i:] {
-		l.encode(e)
+	sc.conn.DiscardUnsent(int(sc.inFlight[i].firstByte-gone), sc.conn.UnsentBytes())
+	sc.appendedBytes = sc.inFlight[i].firstByte
+	for _, a := range sc.inFlight[i:] {
+		sc.encode(a)
 	}
 }
 
-func (l *serverConn) Opened(*eventloop.Conn) {
-	l.server.scheduler.loop.Cancel(l.connectTimer)
-	l.connected = true
-	sv := l.server
-	sv.dialing--
-	for len(sv.waiting) > 0 && (len(l.inFlight) == 0 || len(sv.waiting) > sv.dialing && len(l.inFlight) < sv.scheduler.settings().Streams) {
-		e := sv.waiting[0]
-		sv.waiting = sv.waiting[1:]
-		l.send(e)
+func (sc *serverConn) Opened(*eventloop.Conn) {
+	sc.server.scheduler.loop.Cancel(sc.connectTimer)
+	sc.connected = true
+	ds := sc.server
+	ds.dialing--
+	for len(ds.waiting) > 0 && (len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().Streams) {
+		a := ds.waiting[0]
+		ds.waiting = ds.waiting[1:]
+		sc.send(a)
 	}
-	sv.scheduleWaiters()
-	if len(l.inFlight) == 0 {
-		l.markIdle()
+	ds.scheduleWaiters()
+	if len(sc.inFlight) == 0 {
+		sc.markIdle()
 	}
 }
 
 // failMalformed ends a connection on which what came can't be read: the answer that was due may have run.
-func (l *serverConn) failMalformed(err error) {
-	e := l.inFlight[0]
-	rest := l.inFlight[1:]
-	l.logEnd(err)
-	l.close()
-	e.finish(honeyplank.Failed, nil, inflight.Feedback{})
-	for _, x := range rest {
-		x.finish(honeyplank.Reset, nil, inflight.Feedback{})
+func (sc *serverConn) failMalformed(err error) {
+	a := sc.inFlight[0]
+	rest := sc.inFlight[1:]
+	sc.logEnd(err)
+	sc.close()
+	a.finish(honeyplank.Failed, nil, inflight.Feedback{})
+	for _, a := range rest {
+		a.finish(honeyplank.Reset, nil, inflight.Feedback{})
 	}
 }
 
 // failWith ends a connection and what it carries.
-func (l *serverConn) failWith(err error) {
-	l.logEnd(err)
-	l.failInFlight()
+func (sc *serverConn) failWith(err error) {
+	sc.logEnd(err)
+	sc.failInFlight()
 }
 
-func (l *serverConn) logEnd(err error) {
-	l.server.scheduler.log.Debug().Str("osd", string(l.server.id)).Err(err).Int("out", len(l.inFlight)).Msg("connection ended")
+func (sc *serverConn) logEnd(err error) {
+	sc.server.scheduler.log.Debug().Str("osd", string(sc.server.id)).Err(err).Int("out", len(sc.inFlight)).Msg("connection ended")
 }
 
 // Closed is told that the connection broke, ended or never came up.
-func (l *serverConn) Closed(_ *eventloop.Conn, err error) {
+func (sc *serverConn) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
 		err = errors.New("the disk server ended it")
 	}
-	if len(l.inFlight) > 0 || !l.connected {
-		l.logEnd(err)
+	if len(sc.inFlight) > 0 || !sc.connected {
+		sc.logEnd(err)
 	}
-	l.failInFlight()
+	sc.failInFlight()
 }
 
-func (l *serverConn) failInFlight() {
-	sv, out, up := l.server, l.inFlight, l.connected
+func (sc *serverConn) failInFlight() {
+	ds, out, up := sc.server, sc.inFlight, sc.connected
 	codes := make([]honeyplank.Code, len(out))
-	for i, e := range out {
-		if codes[i] = honeyplank.ConnectFailed; e.fullyWritten() {
+	for i, a := range out {
+		if codes[i] = honeyplank.ConnectFailed; a.fullyWritten() {
 			codes[i] = honeyplank.Reset
 		}
 	}
-	l.close()
-	for i, e := range out {
-		e.finish(codes[i], nil, inflight.Feedback{})
+	sc.close()
+	for i, a := range out {
+		a.finish(codes[i], nil, inflight.Feedback{})
 	}
 	// Each waits for a connection of its own while descriptors last. Past that several wait for one, and with the last
 	// one that is being opened all of them have failed: they would wait for their op timeouts else.
-	for n := 0; !up && len(sv.waiting) > sv.dialing && (n == 0 || sv.dialing == 0 && len(sv.idle) == 0); n++ {
-		e := sv.waiting[0]
-		sv.waiting = sv.waiting[1:]
-		e.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+	for n := 0; !up && len(ds.waiting) > ds.dialing && (n == 0 || ds.dialing == 0 && len(ds.idle) == 0); n++ {
+		a := ds.waiting[0]
+		ds.waiting = ds.waiting[1:]
+		a.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 	}
 }
 
 // close ends the connection and takes it off the books; what it carries is not told. Bytes that the disk server's system
 // has not taken yet go with it: it guards against commands that arrive after they were given up, once a server that hangs
 // reads on, or a network that was cut is back.
-func (l *serverConn) close() {
-	sv := l.server
-	if l.conn == nil {
+func (sc *serverConn) close() {
+	ds := sc.server
+	if sc.conn == nil {
 		return
 	}
-	sv.scheduler.loop.Cancel(l.connectTimer)
-	if l.conn.UnackedBytes() > 0 {
-		l.conn.Abort()
+	ds.scheduler.loop.Cancel(sc.connectTimer)
+	if sc.conn.UnackedBytes() > 0 {
+		sc.conn.Abort()
 	} else {
-		l.conn.Close()
+		sc.conn.Close()
 	}
-	if !l.connected {
-		sv.dialing--
+	if !sc.connected {
+		ds.dialing--
 	}
-	l.conn, l.inFlight = nil, nil
-	sv.conns = without(sv.conns, l)
-	sv.idle = without(sv.idle, l)
-	sv.scheduleWaiters()
-	if sv.removed && len(sv.conns) == 0 && sv.scheduler.servers[sv.id] == sv {
-		delete(sv.scheduler.servers, sv.id)
+	sc.conn, sc.inFlight = nil, nil
+	ds.conns = without(ds.conns, sc)
+	ds.idle = without(ds.idle, sc)
+	ds.scheduleWaiters()
+	if ds.removed && len(ds.conns) == 0 && ds.scheduler.servers[ds.id] == ds {
+		delete(ds.scheduler.servers, ds.id)
 	}
 }
 
-func without(list []*serverConn, l *serverConn) []*serverConn {
-	for i, x := range list {
-		if x == l {
-			return append(list[:i], list[i+1:]...)
-		}
+func without(conns []*serverConn, sc *serverConn) []*serverConn {
+	if i := slices.Index(conns, sc); i >= 0 {
+		return slices.Delete(conns, i, i+1)
 	}
-	return list
+	return conns
 }
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -14,8 +14,8 @@
 	standin "honeyplank/fake/resp"
 )
 
-// hoard takes all descriptors of the process; the function that it returns gives them back.
-func hoard() (back func()) {
+// takeAllDescriptors takes all descriptors of the process; the function that it returns gives them back.
+func takeAllDescriptors() (back func()) {
 	var taken []int
 	for {
 		x, err := unix.Dup(2)
@@ -44,55 +44,55 @@
 		"no way":                   {0, false, "-"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t, 1)
-			w.eventually("the list", func() bool { return w.knows("s-0") })
+			bed := newTestbed(t, 1)
+			bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
 			var log bytes.Buffer
 			var codes []honeyplank.Code
-			w.on(func() {
-				w.s.log = zerolog.New(&log).Level(zerolog.WarnLevel)
-				w.module.heard = func(e honeyplank.Event) {
+			bed.onLoop(func() {
+				bed.scheduler.log = zerolog.New(&log).Level(zerolog.WarnLevel)
+				bed.module.onEvent = func(e honeyplank.Event) {
 					if o, ok := e.(honeyplank.Outcome); ok {
 						codes = append(codes, o.Code)
 					}
 				}
-				w.module.Module = eager{"s-0"}
+				bed.module.Module = singleServerModule{"s-0"}
 				if !x.way {
-					w.s.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
+					bed.scheduler.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
 				}
 			})
-			var callers []*caller
+			var callers []*testClient
 			for range 5 {
-				c := w.dial()
-				c.ask("PING")
+				c := bed.dialClient()
+				c.do("PING")
 				callers = append(callers, c)
 			}
 			if x.way {
-				w.on(func() {
-					back := hoard()
+				bed.onLoop(func() {
+					back := takeAllDescriptors()
 					t.Cleanup(back)
-					w.s.loop.Schedule(w.s.loop.Now()+x.short, back)
+					bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+x.short, back)
 				})
 			}
 			for i, c := range callers {
-				c.send("BLK.READ", piece, fmt.Sprint("a", i), terms("read", 390, 0))
+				c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 390, 0))
 			}
 			for i, c := range callers {
 				want := x.want
 				if want == "" {
-					want = string(standin.Value(piece, fmt.Sprint("a", i)))
+					want = string(standin.Value(objectKey, fmt.Sprint("a", i)))
 				}
-				if got := c.answer(time.Second); got != want && (x.want == "" || got != "-ERR failed") {
+				if got := c.readReply(time.Second); got != want && (x.want == "" || got != "-ERR failed") {
 					t.Errorf("%q, expected %q", got, want)
 				}
 			}
-			w.on(func() {
+			bed.onLoop(func() {
 				for _, code := range codes {
 					if code != honeyplank.NotSent && code != honeyplank.Succeeded {
 						t.Errorf("outcomes %v", codes)
 					}
 				}
-				if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || w.s.failedDials > 20 {
-					t.Errorf("%d lines after %d tries: %s", n, w.s.failedDials, log.Bytes())
+				if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || bed.scheduler.failedDials > 20 {
+					t.Errorf("%d lines after %d tries: %s", n, bed.scheduler.failedDials, log.Bytes())
 				}
 			})
 		})
@@ -101,14 +101,14 @@
 
 // TestListensLate: a scheduler that lacks a descriptor at its start listens once there is one.
 func TestListensLate(t *testing.T) {
-	w := start(t, 1)
-	p, err := ReadConfig(w.file)
+	bed := newTestbed(t, 1)
+	config, err := ReadConfig(bed.configFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := hoard()
+	back := takeAllDescriptors()
 	time.AfterFunc(200*time.Millisecond, back)
-	s, err := New(p, zerolog.Nop())
+	s, err := New(config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -36,7 +36,7 @@
 		s.log.Info().Int("open", s.tracker.Unanswered()).Msg("ending")
 		s.logCounters()
 		var longest time.Duration
-		for _, t := range s.settings().Settings.OpTypes.OpTimeout {
+		for _, t := range s.site().Settings.OpTypes.OpTimeout {
 			longest = max(longest, t)
 		}
 		s.shutdown = planShutdown(told, longest)
@@ -68,17 +68,17 @@
 	s.loop.Schedule(s.shutdown.failRemaining, func() {
 		s.tracker.FailAll()
 		s.logCounters()
-		s.leave(s.loop.Now() + flushMargin)
+		s.stopWhenFlushed(s.loop.Now() + flushMargin)
 	})
 }
 
-// leave ends the loop at a time, or as soon after as all clients have what they are owed: a close over what they still
+// stopWhenFlushed ends the loop at a time, or as soon after as all clients have what they are owed: a close over what they still
 // send would take it from them. It is not put off past the kill.
-func (s *Scheduler) leave(at time.Duration) {
+func (s *Scheduler) stopWhenFlushed(at time.Duration) {
 	s.loop.Schedule(at, func() {
 		for c := range s.clients {
 			if c.conn.UnackedBytes() > 0 && s.loop.Now() < s.shutdown.killTime-flushMargin {
-				s.leave(s.loop.Now() + flushPollInterval)
+				s.stopWhenFlushed(s.loop.Now() + flushPollInterval)
 				return
 			}
 		}
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -11,8 +11,8 @@
 	"honeyplank/resp"
 )
 
-// deadlines gives every class a time.
-func deadlines(longest time.Duration) func(map[string]any) {
+// withOpTimeout gives every class a time.
+func withOpTimeout(longest time.Duration) func(map[string]any) {
 	return func(m map[string]any) {
 		for _, c := range m["settings"].(map[string]any)["classes"].([]any) {
 			class := c.(map[string]any)
@@ -21,29 +21,29 @@
 	}
 }
 
-// crossing is what has crossed the socket of one client, as its scheduler saw it. It is touched on the loop.
-type crossing struct {
-	in   resp.Reader
-	read int           // whole commands
-	last time.Duration // when bytes were last sent
+// clientTraffic is what has crossed the socket of one client, as its scheduler saw it. It is touched on the loop.
+type clientTraffic struct {
+	reader   resp.Reader
+	commands int           // whole commands
+	lastSent time.Duration // when bytes were last sent
 }
 
-// tap counts what crosses the sockets of all clients from now on, by their addresses.
-func (w *world) tap(all map[*client]*crossing) {
-	for c := range w.s.clients {
+// tapClients counts what crosses the sockets of all clients from now on, by their addresses.
+func (bed *testbed) tapClients(all map[*client]*clientTraffic) {
+	for c := range bed.scheduler.clients {
 		if all[c] != nil {
 			continue
 		}
-		x := &crossing{in: resp.Reader{Bounds: commandBounds}}
+		x := &clientTraffic{reader: resp.Reader{Bounds: commandBounds}}
 		all[c] = x
 		c.conn.Tap = func(sent bool, b []byte) {
 			if sent {
-				x.last = w.s.loop.Now()
+				x.lastSent = bed.scheduler.loop.Now()
 			}
 			for !sent && len(b) > 0 {
-				used, _, whole, err := x.in.Next(b)
+				used, _, whole, err := x.reader.Next(b)
 				if b = b[used:]; whole {
-					x.read++
+					x.commands++
 				} else if used == 0 || err != nil {
 					return
 				}
@@ -52,16 +52,16 @@
 	}
 }
 
-// answers counts the whole answers until the connection ends, and tells how it does.
-func (c *caller) answers() (n int, err error) {
+// countReplies counts the whole answers until the connection ends, and tells how it does.
+func (c *testClient) countReplies() (n int, err error) {
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	for b := make([]byte, 4096); err == nil; {
 		var got int
 		got, err = c.Read(b)
-		c.rest = append(c.rest, b[:got]...)
+		c.buffered = append(c.buffered, b[:got]...)
 		for {
-			used, _, whole, wrong := c.in.Next(c.rest)
-			c.rest = c.rest[used:]
+			used, _, whole, wrong := c.reader.Next(c.buffered)
+			c.buffered = c.buffered[used:]
 			if wrong != nil {
 				return n, wrong
 			}
@@ -82,31 +82,31 @@
 		for _, step := range []string{"none", "ops", "answers", "leave"} {
 			t.Run(fmt.Sprint(longest, " ", step), func(t *testing.T) {
 				t.Parallel()
-				w := start(t, 1, deadlines(longest))
-				all := map[*client]*crossing{}
+				bed := newTestbed(t, 1, withOpTimeout(longest))
+				all := map[*client]*clientTraffic{}
 				var late time.Duration // how much the machine has held the loop up on its own
-				w.on(func() {
-					w.module.Module = eager{"s-0"}
+				bed.onLoop(func() {
+					bed.module.Module = singleServerModule{"s-0"}
 					var look func()
-					next := w.s.loop.Now()
+					next := bed.scheduler.loop.Now()
 					look = func() {
-						w.tap(all)
-						if over := w.s.loop.Now() - next; w.s.shuttingDown && over > 10*time.Millisecond {
+						bed.tapClients(all)
+						if over := bed.scheduler.loop.Now() - next; bed.scheduler.shuttingDown && over > 10*time.Millisecond {
 							late += over
 						}
-						next = w.s.loop.Now() + time.Millisecond
-						w.s.loop.Schedule(next, look)
+						next = bed.scheduler.loop.Now() + time.Millisecond
+						bed.scheduler.loop.Schedule(next, look)
 					}
 					look()
 				})
-				w.disks[0].Apply(standin.Faults{Silent: true})
+				bed.disks[0].Apply(standin.Faults{Silent: true})
 				ms := int(longest.Milliseconds())
 				var ended sync.WaitGroup
 				var mu sync.Mutex
 				total := 0
-				follow := func(c *caller) {
+				follow := func(c *testClient) {
 					ended.Go(func() {
-						n, err := c.answers()
+						n, err := c.countReplies()
 						if err != io.EOF {
 							t.Errorf("a connection ends with %v after %d answers", err, n)
 						}
@@ -116,65 +116,65 @@
 						c.Close()
 					})
 				}
-				flood := func(c *caller, gap time.Duration) {
+				flood := func(c *testClient, gap time.Duration) {
 					follow(c)
 					go func() {
 						for i := 0; ; i++ {
-							if _, err := c.Write(command("BLK.READ", piece, fmt.Sprintf("%s-%d", c.LocalAddr(), i), terms("read", ms, 0))); err != nil {
+							if _, err := c.Write(encodeCommand("BLK.READ", objectKey, fmt.Sprintf("%s-%d", c.LocalAddr(), i), opOptions("read", ms, 0))); err != nil {
 								return
 							}
 							time.Sleep(gap)
 						}
 					}()
 				}
-				first, second, half, rests := w.dial(), w.dial(), w.dial(), w.dial()
-				w.eventually("the clients", func() (ok bool) { w.on(func() { ok = len(all) == 4 }); return ok })
+				first, second, half, rests := bed.dialClient(), bed.dialClient(), bed.dialClient(), bed.dialClient()
+				bed.eventually("the clients", func() (ok bool) { bed.onLoop(func() { ok = len(all) == 4 }); return ok })
 				flood(first, time.Millisecond)
 				flood(second, 5*time.Millisecond)
 				half.Write([]byte("*4\r\n$8\r\nBLK.RE"))
 				ended.Go(func() { // the error that it may get is no answer to a command
-					if n, err := half.answers(); n > 1 || err != io.EOF {
+					if n, err := half.countReplies(); n > 1 || err != io.EOF {
 						t.Errorf("half a command gets %d answers and %v", n, err)
 					}
 					half.Close()
 				})
 				follow(rests)
 				told := time.Now()
-				w.s.Shutdown()
+				bed.scheduler.Shutdown()
 				var plan shutdownPlan
-				w.on(func() {
-					plan = w.s.shutdown
+				bed.onLoop(func() {
+					plan = bed.scheduler.shutdown
 					at := map[string]time.Duration{"ops": plan.closeIntake, "answers": plan.failRemaining, "leave": plan.failRemaining + flushMargin}[step]
 					if at > 0 {
-						w.s.loop.Schedule(at-1, func() { time.Sleep(maxHoldUp); late -= maxHoldUp })
+						bed.scheduler.loop.Schedule(at-1, func() { time.Sleep(maxHoldUp); late -= maxHoldUp })
 					}
 				})
 				for time.Since(told) < 390*time.Millisecond {
 					n, shut := 0, true
-					w.on(func() { n, shut = len(all), w.s.intakeClosed })
+					bed.onLoop(func() { n, shut = len(all), bed.scheduler.intakeClosed })
 					if shut { // the machine is too busy
 						break
 					}
-					c := w.dial()
-					w.eventually("the connection", func() bool {
+					c := bed.dialClient()
+					bed.eventually("the connection", func() bool {
 						ok := true // also where the loop has ended
-						w.on(func() { ok = w.s.intakeClosed || len(all) > n })
+						bed.onLoop(func() { ok = bed.scheduler.intakeClosed || len(all) > n })
 						return ok
 					})
 					flood(c, 20*time.Millisecond)
 					time.Sleep(50 * time.Millisecond)
 				}
 				select {
-				case <-w.done:
+				case <-bed.served:
 				case <-time.After(10 * time.Second):
 					t.Fatal("it does not end")
 				}
 				ended.Wait()
 				read := 0
 				for _, x := range all { // the loop has ended
-					read += x.read
-					if x.last > plan.killTime-flushMargin/2+late {
-						t.Errorf("something is sent %v before the kill, the machine was busy for %v", plan.killTime-x.last, late)
+					read += x.commands
+					if x.lastSent > plan.killTime-flushMargin/2+late {
+						t.Errorf("something is sent %v before the kill, the machine was busy for %v", plan.killTime-x.lastSent, late)
 					}
 				}
 				if read != total || read == 0 {
--- a/scheduler/starts_test.go
+++ b/scheduler/starts_test.go
@@ -15,15 +15,15 @@
 	for _, before := range []time.Duration{-hour, -3 * time.Second, 0, 3 * time.Second, hour} { // a step since the process began
 		for _, between := range []time.Duration{-hour, -3 * time.Second, 0, 3 * time.Second, hour} {
 			t.Run(fmt.Sprint(before, " ", between), func(t *testing.T) {
-				w := start(t, 2)
+				bed := newTestbed(t, 2)
 				heard := map[honeyplank.ServerID]time.Duration{}
 				lists := make(chan bool, 16)
 				step := before
 				var from time.Duration
-				w.on(func() {
-					from = w.s.loop.Now()
-					w.s.wall = func() time.Time { return time.Now().Add(step) }
-					w.module.heard = func(e honeyplank.Event) {
+				bed.onLoop(func() {
+					from = bed.scheduler.loop.Now()
+					bed.scheduler.wallClock = func() time.Time { return time.Now().Add(step) }
+					bed.module.onEvent = func(e honeyplank.Event) {
 						if l, ok := e.(honeyplank.List); ok && len(l.Members) == 1 { // one that the test tells
 							for _, m := range l.Members {
 								heard[m.ID] = m.Started
@@ -33,11 +33,11 @@
 					}
 				})
 				tell := func(id string, stamp int64) (started, now time.Duration) {
-					m := w.member(1, "up")
+					m := bed.member(1, "up")
 					m.ID, m.StartedM = id, stamp
-					w.disco.Change(m)
+					bed.discovery.Change(m)
 					<-lists
-					w.on(func() { started, now = heard[honeyplank.ServerID(id)], w.s.loop.Now() })
+					bed.onLoop(func() { started, now = heard[honeyplank.ServerID(id)], bed.scheduler.loop.Now() })
 					return started, now
 				}
 				stamp := time.Now().Add(step - age).UnixMilli()
@@ -48,8 +48,8 @@
 					t.Errorf("one that runs since long has started at %v", got)
 				}
 				var first, last time.Duration
-				w.on(func() { first, last = heard["s-9"], w.s.loop.Now() })
-				w.on(func() { step += between })
+				bed.onLoop(func() { first, last = heard["s-9"], bed.scheduler.loop.Now() })
+				bed.onLoop(func() { step += between })
 				if got, _ := tell("s-9", stamp); got != first {
 					t.Errorf("it has started at %v, later at %v", first, got)
 				}
@@ -73,33 +73,33 @@
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			stamp := time.Now().Add(step - 10*time.Millisecond).UnixMilli()
-			w := start(t, 2, func(m map[string]any) {
+			bed := newTestbed(t, 2, func(m map[string]any) {
 				known := m["known"].(map[string]any)
 				known["members"] = append([]any{}, map[string]any{"id": "s-0", "host_port": "127.0.0.1:1", "locality": "room",
 					"flavor": "std", "cell": 0, "phase": "up", "size": 1, "up_since_ms": stamp})
 			})
 			var first, now time.Duration
-			w.eventually("the list", func() bool {
-				w.on(func() {
-					now = w.s.loop.Now()
-					first = w.s.starts.startOf(listMember{ID: "s-0", Phase: "up", UpSinceMS: float64(stamp)})
+			bed.eventually("the list", func() bool {
+				bed.onLoop(func() {
+					now = bed.scheduler.loop.Now()
+					first = bed.scheduler.starts.startOf(listMember{ID: "s-0", Phase: "up", UpSinceMS: float64(stamp)})
 				})
-				return w.knows("s-0")
+				return bed.hasServer("s-0")
 			})
 			if first <= 0 || first > now || now-first > 10*time.Second {
 				t.Errorf("it has started %v ago", now-first)
 			}
 			again := make(chan time.Duration, 4)
-			w.on(func() {
-				w.module.heard = func(e honeyplank.Event) {
+			bed.onLoop(func() {
+				bed.module.onEvent = func(e honeyplank.Event) {
 					if l, ok := e.(honeyplank.List); ok && l.Kind == honeyplank.Delta && len(l.Members) > 0 {
 						again <- l.Members[0].Started
 					}
 				}
 			})
-			m := w.member(0, "up")
+			m := bed.member(0, "up")
 			m.StartedM = stamp
-			w.disco.Change(m)
+			bed.discovery.Change(m)
 			if got := <-again; got != first {
 				t.Errorf("it has started at %v, later at %v", first, got)
 			}
