--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -78,9 +78,12 @@
 	now := s.loop.Now()
 	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may leave less room
 	}
-	for _, ds := range s.servers {
-		for len(ds.idle) > 0 && s.site().Idle > 0 && now-ds.idle[0].idleSince > s.site().Idle/2 {
-			ds.idle[0].close()
+	keepalive := s.site().Idle
+	for keepalive > 0 {
+		sc := s.longestIdleConn()
+		if sc == nil || now-sc.idleSince <= keepalive/2 {
+			return
 		}
+		sc.close()
 	}
 }
--- /dev/null
+++ b/scheduler/fleet_cost_test.go
@@ -0,0 +1,141 @@
+package scheduler
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+	"time"
+
+	"honeyplank"
+	standin "honeyplank/fake/resp"
+)
+
+// idleConnsInFleet is the number of disk servers to which a connection is idle in TestFleetCost.
+const idleConnsInFleet = 20
+
+// newFleetTestbed starts a scheduler with a list of n disk servers, which share one address, and n peers. It has idle
+// connections to a few of the servers.
+func newFleetTestbed(t *testing.T, n int) *testbed {
+	t.Helper()
+	bed := newTestbed(t, 1, func(config map[string]any) {
+		address := config["known"].(map[string]any)["members"].([]standin.Member)[0].Address
+		var members []standin.Member
+		var peers []string
+		for i := range n {
+			members = append(members, standin.Member{ID: fmt.Sprint("s-", i), Address: address, Zone: "room", Model: "std", Cell: i, Phase: "up", Size: 1})
+			peers = append(peers, fmt.Sprintf("127.0.0.1:%d", 20000+i))
+		}
+		config["known"] = map[string]any{"revision": 1, "complete": true, "members": members}
+		config["peers"] = peers
+	})
+	bed.eventually("the list", func() bool { return bed.hasServer(fmt.Sprint("s-", n-1)) })
+	client := bed.dialClient()
+	for i := range idleConnsInFleet {
+		bed.onLoop(func() { bed.module.Module = singleServerModule{honeyplank.ServerID(fmt.Sprint("s-", i))} })
+		id := fmt.Sprint("op-", i)
+		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(standin.Value(objectKey, id)) {
+			t.Fatal(got)
+		}
+	}
+	return bed
+}
+
+// TestFleetCost: the work of steps that come again and again is the same for a small and a large fleet: it grows with what
+// they name or close, not with the number of disk servers or schedulers.
+func TestFleetCost(t *testing.T) {
+	const small, large = 200, 3200
+	steps := map[string]struct {
+		run     func(s *Scheduler, n int)
+		visited func(s *Scheduler) int
+		most    int // entries that one run may look at
+	}{
+		"housekeeping with nothing to close": {
+			run:     func(s *Scheduler, _ int) { s.closeIdleServerConns() },
+			visited: func(s *Scheduler) int { return s.visited.idleConns },
+			most:    1,
+		},
+		"a connection past the quota": {
+			run: func(s *Scheduler, _ int) {
+				open := s.serverConnCount
+				s.serverConnCount = s.descriptorQuota(serverDescriptorShare)
+				s.reserveDescriptor()
+				s.serverConnCount = open
+			},
+			visited: func(s *Scheduler) int { return s.visited.idleConns },
+			most:    1,
+		},
+		"a message of a peer": {
+			run: func(s *Scheduler, n int) {
+				s.receiveGossip(netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 20000+n-1)), []byte("x"))
+			},
+			visited: func(s *Scheduler) int { return s.visited.peers },
+			most:    1,
+		},
+		"a message of a stranger": {
+			run: func(s *Scheduler, _ int) {
+				s.receiveGossip(netip.MustParseAddrPort("127.0.0.2:9"), []byte("x"))
+			},
+			visited: func(s *Scheduler) int { return s.visited.peers },
+		},
+		"a delta of one server": {
+			run: func(s *Scheduler, n int) {
+				member := listMember{ID: fmt.Sprint("s-", n-1), Address: s.servers["s-0"].address, Phase: "draining"}
+				s.applyList(&listMessage{Revision: 2, Members: []listMember{member}}, honeyplank.Delta, s.loop.Now())
+			},
+			visited: func(s *Scheduler) int { return s.visited.members },
+			most:    1,
+		},
+	}
+	fleets := map[int]*testbed{small: newFleetTestbed(t, small), large: newFleetTestbed(t, large)}
+	for name, step := range steps {
+		t.Run(name, func(t *testing.T) {
+			visited := map[int]int{}
+			for n, bed := range fleets {
+				bed.onLoop(func() {
+					bed.module.Module = singleServerModule{"s-0"} // the cost of the decision module is its own
+					s := bed.scheduler
+					before := step.visited(s)
+					step.run(s, n)
+					visited[n] = step.visited(s) - before
+				})
+			}
+			if visited[small] != visited[large] || visited[large] > step.most {
+				t.Errorf("%d entries looked at with %d disk servers, %d with %d; at most %d expected",
+					visited[small], small, visited[large], large, step.most)
+			}
+		})
+	}
+}
+
+// TestIdleConnOrder: of the idle connections to all disk servers the one that has been idle longest is closed first, and
+// one that carries an op again is not among them.
+func TestIdleConnOrder(t *testing.T) {
+	bed := newFleetTestbed(t, idleConnsInFleet)
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	time.Sleep(2 * minConnRest)
+	id := "again"
+	if got := bed.dialClient().do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(standin.Value(objectKey, id)) {
+		t.Fatal(got)
+	}
+	bed.onLoop(func() {
+		s := bed.scheduler
+		for i := range idleConnsInFleet {
+			expected := honeyplank.ServerID(fmt.Sprint("s-", (i+1)%idleConnsInFleet))
+			if n := len(s.servers[expected].idle); n != 1 {
+				t.Errorf("%d idle connections to %s", n, expected)
+				return
+			}
+			if s.closeLongestIdle(time.Hour) {
+				t.Error("a connection is closed that has been idle for less")
+				return
+			}
+			if !s.closeLongestIdle(0) || len(s.servers[expected].conns) != 0 {
+				t.Errorf("the connection to %s is not the next to be closed", expected)
+				return
+			}
+		}
+		if s.closeLongestIdle(0) {
+			t.Error("a connection is closed that is not idle")
+		}
+	})
+}
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"slices"
 
 	"honeyplank"
 )
@@ -20,10 +21,23 @@
 	}
 }
 
+// receiveGossip hands a datagram of a configured peer to the decision module, once for each position that its address
+// has among the peers. Other senders are not heard.
 func (s *Scheduler) receiveGossip(from netip.AddrPort, b []byte) {
-	for i, p := range s.config.Peers {
-		if p == from && len(b) <= maxDatagram {
-			s.tracker.Deliver(honeyplank.PeerMessage{From: i, Data: append([]byte(nil), b...)})
-		}
+	if len(b) > maxDatagram {
+		return
+	}
+	for _, ordinal := range s.peerOrdinals[from] {
+		s.visited.peers++
+		s.tracker.Deliver(honeyplank.PeerMessage{From: ordinal, Data: slices.Clone(b)})
+	}
+}
+
+// ordinalsByAddress gives the positions of each address in a list of peers.
+func ordinalsByAddress(peers []netip.AddrPort) map[netip.AddrPort][]int {
+	ordinals := make(map[netip.AddrPort][]int, len(peers))
+	for i, address := range peers {
+		ordinals[address] = append(ordinals[address], i)
 	}
+	return ordinals
 }
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -107,6 +107,7 @@
 	listed := map[honeyplank.ServerID]bool{}
 	var named []*diskServer
 	for _, m := range l.Members {
+		s.visited.members++
 		listed[honeyplank.ServerID(m.ID)] = true
 		named = append(named, s.applyMember(m))
 		e.Members = append(e.Members, s.toMember(m))
@@ -114,6 +115,7 @@
 	s.starts.listApplied(l, kind)
 	if kind != honeyplank.Delta {
 		for id, ds := range s.servers {
+			s.visited.members++
 			if !listed[id] {
 				named = append(named, s.applyMember(listMember{ID: string(id), Address: ds.address, Phase: "removed"}))
 			}
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -77,6 +77,7 @@
 			return nil
 		}
 		ds.idle = ds.idle[1:]
+		ds.scheduler.idleServerConns.remove(sc)
 		if sc.conn.Quiet() {
 			return sc
 		}
@@ -203,17 +204,20 @@
 	return s.serverConnCount < s.descriptorQuota(serverDescriptorShare) || s.closeLongestIdle(time.Second)
 }
 
+// longestIdleConn is the connection that has been idle longest, of those to all disk servers; nil: none is idle.
+func (s *Scheduler) longestIdleConn() *serverConn {
+	if s.idleServerConns.first != nil {
+		s.visited.idleConns++
+	}
+	return s.idleServerConns.first
+}
+
 // closeLongestIdle closes the connection that has been idle longest anywhere, if for long enough.
 func (s *Scheduler) closeLongestIdle(least time.Duration) bool {
-	var oldest *serverConn
-	for _, ds := range s.servers {
-		if len(ds.idle) > 0 && (oldest == nil || ds.idle[0].idleSince < oldest.idleSince) {
-			oldest = ds.idle[0]
-		}
-	}
-	if oldest == nil || s.loop.Now()-oldest.idleSince < least {
+	sc := s.longestIdleConn()
+	if sc == nil || s.loop.Now()-sc.idleSince < least {
 		return false
 	}
-	oldest.close()
+	sc.close()
 	return true
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -7,6 +7,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/netip"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -46,8 +47,17 @@
 	// Commands answered with an error, connections that could not be read, and ones there was no room for.
 	errorReplies, protocolErrors, rejectedConns int
 	countersLoggedAt                            time.Duration
+	// idleServerConns are the idle connections to all disk servers, and peerOrdinals the positions of each address among
+	// the configured peers: what is looked up again and again costs the same in a small and in a large fleet.
+	idleServerConns idleConnList
+	peerOrdinals    map[netip.AddrPort][]int
+	visited         visitCounts
 }
 
+// visitCounts are how many entries were looked at by steps that recur, so that a test can compare the work in a small
+// fleet with that in a large one.
+type visitCounts struct{ idleConns, peers, members int }
+
 // Descriptors: some are kept for the listener, the loop, discovery and files, the rest is shared.
 const (
 	reservedDescriptors   = 24
@@ -102,6 +112,7 @@
 		return nil, fmt.Errorf("platform: %w", err)
 	}
 	s := &Scheduler{config: config, log: log, loop: l, wallClock: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*diskServer{}}
+	s.peerOrdinals = ordinalsByAddress(config.Peers)
 	s.tracker = inflight.New(l, module, sender{s})
 	s.tracker.OnAction = s.execute
 	s.tracker.OnIdle = s.stopIfIdle
@@ -161,6 +172,7 @@
 		site := s.config.Site // the module knows these settings for good
 		s.config = config
 		config.Site = site
+		s.peerOrdinals = ordinalsByAddress(config.Peers)
 		if moved { // also where a call to the old one had failed and the next is still to come
 			s.setWatch(false)
 			s.setWatch(true)
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -29,6 +29,7 @@
 	reader        resp.Reader
 	appendedBytes uint64 // bytes ever appended
 	idleSince     time.Duration
+	idleLinks     idleLinks
 	connectTimer  *eventloop.Timer
 }
 
@@ -166,6 +167,7 @@
 func (sc *serverConn) markIdle() {
 	sc.idleSince = sc.server.scheduler.loop.Now()
 	sc.server.idle = append(sc.server.idle, sc)
+	sc.server.scheduler.idleServerConns.pushBack(sc)
 	sc.server.scheduleWaiters()
 }
 
@@ -312,6 +314,7 @@
 	sc.conn, sc.inFlight = nil, nil
 	ds.conns = without(ds.conns, sc)
 	ds.idle = without(ds.idle, sc)
+	ds.scheduler.idleServerConns.remove(sc)
 	ds.scheduleWaiters()
 	if ds.removed && len(ds.conns) == 0 && ds.scheduler.servers[ds.id] == ds {
 		delete(ds.scheduler.servers, ds.id)
