--- a/eventloop/close_test.go
+++ b/eventloop/close_test.go
@@ -28,63 +28,71 @@
 	for name, closeConn := range closings {
 		for _, size := range []int{1, 4 << 20} { // 4 MB: more than the socket buffers hold
 			for _, peerCloses := range []string{"", "half", "after"} {
-				t.Run(name+" "+peerCloses, func(t *testing.T) {
-					loop, err := New(time.Second)
-					if err != nil {
-						t.Fatal(err)
-					}
-					conns := make(chan *Conn, 1)
-					h := &countingHandler{}
-					listener, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler { conns <- c; return h })
-					if err != nil {
-						t.Fatal(err)
-					}
-					done := make(chan error, 1)
-					go func() { done <- loop.Run() }()
-					defer func() { loop.Post(loop.Stop); <-done }()
-					peer, err := net.Dial("tcp", listener.Address())
-					if err != nil {
-						t.Fatal(err)
-					}
-					defer peer.Close()
-					c := <-conns
-					sent := bytes.Repeat([]byte("v"), size)
-					closed, crossed := make(chan bool), make(chan bool)
-					var reads int64
-					loop.Post(func() { // nothing is read before this ends
-						c.OnClosed = func() {
-							reads = loop.Stats.BytesIn.Load()
-							close(closed)
-						}
-						c.Out = append(c.Out, sent...)
-						peer.Write([]byte("crosses"))
-						if peerCloses == "half" {
-							peer.(*net.TCPConn).CloseWrite()
-						}
-						for c.NoInputPending() {
-						}
-						closeConn(c)
-						close(crossed)
-					})
-					<-crossed
-					time.Sleep(50 * time.Millisecond) // the end of the sending has arrived; the output follows as it is read
-					got, err := io.ReadAll(peer)
-					if !bytes.Equal(got, sent) || err != nil {
-						t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
-					}
-					if peerCloses == "after" {
-						peer.Close()
-					}
-					select {
-					case <-closed:
-					case <-time.After(5 * time.Second):
-						t.Fatal("the connection does not close")
-					}
-					if reads > 0 || h.received > 0 {
-						t.Errorf("%d bytes have been read", reads)
-					}
-				})
+				t.Run(name+" "+peerCloses, func(t *testing.T) { testCloseWithUnreadInput(t, closeConn, size, peerCloses) })
 			}
 		}
 	}
 }
+
+func testCloseWithUnreadInput(t *testing.T, closeConn func(*Conn), size int, peerCloses string) {
+	handler := &countingHandler{}
+	loop, c, peer := connect(t, handler)
+	sent := bytes.Repeat([]byte("v"), size)
+	closed, crossed := make(chan bool), make(chan bool)
+	var reads int64
+	loop.Post(func() { // nothing is read before this ends
+		c.OnClosed = func() {
+			reads = loop.Stats.BytesIn.Load()
+			close(closed)
+		}
+		c.Out = append(c.Out, sent...)
+		peer.Write([]byte("crosses"))
+		if peerCloses == "half" {
+			peer.CloseWrite()
+		}
+		for c.NoInputPending() {
+		}
+		closeConn(c)
+		close(crossed)
+	})
+	<-crossed
+	time.Sleep(50 * time.Millisecond) // the end of the sending has arrived; the output follows as it is read
+	got, err := io.ReadAll(peer)
+	if !bytes.Equal(got, sent) || err != nil {
+		t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
+	}
+	if peerCloses == "after" {
+		peer.Close()
+	}
+	select {
+	case <-closed:
+	case <-time.After(5 * time.Second):
+		t.Fatal("the connection does not close")
+	}
+	if reads > 0 || handler.received > 0 {
+		t.Errorf("%d bytes have been read", reads)
+	}
+}
+
+// connect returns a loop that runs until the test ends, a connection that it has accepted, and the other end of that.
+func connect(t *testing.T, handler Handler) (*Loop, *Conn, *net.TCPConn) {
+	t.Helper()
+	loop, err := New(time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	conns := make(chan *Conn, 1)
+	listener, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler { conns <- c; return handler })
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan error, 1)
+	go func() { done <- loop.Run() }()
+	t.Cleanup(func() { loop.Post(loop.Stop); <-done })
+	peer, err := net.Dial("tcp", listener.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { peer.Close() })
+	return loop, <-conns, peer.(*net.TCPConn)
+}
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -101,59 +101,82 @@
 	}
 	s := &scenario{t: t, loop: loop, done: make(chan bool), ended: make(chan error, 1)}
 	start := time.Now()
-	listener, err := loop.Listen("127.0.0.1:0", s.accept)
+	if !s.start() || !s.awaitDone() {
+		return
+	}
+	expectCalls(t, "in all", k.count(""), 2000+200*faults, start)
+	// Nothing happens now, so that few calls may be made.
+	idle, before := time.Now(), k.count("")
+	time.Sleep(5 * time.Millisecond)
+	expectCalls(t, "while nothing happens", k.count("")-before, 50, idle)
+	s.stop()
+	s.check()
+}
+
+// expectCalls bounds the number of calls in a time; what takes long may take more of them.
+func expectCalls(t testing.TB, when string, calls, atMost int, since time.Time) {
+	t.Helper()
+	if atMost += 10 * int(time.Since(since)/time.Millisecond); calls > atMost {
+		t.Errorf("%d calls %s, want %d at most", calls, when, atMost)
+	}
+}
+
+// start runs the loop. It reports false where the faults leave no listener or no UDP socket; then the loop has ended.
+func (s *scenario) start() bool {
+	s.t.Helper()
+	listener, err := s.loop.Listen("127.0.0.1:0", s.accept)
 	var udp *UDPConn
 	if err == nil {
-		udp, err = loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { s.received = true })
+		udp, err = s.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { s.received = true })
 	}
 	if err != nil {
-		loop.Stop()
-		loop.Run()
-		return
+		s.loop.Stop()
+		s.loop.Run()
+		return false
 	}
-	address := localAddress(t, listener.fd)
+	address := localAddress(s.t, listener.fd)
 	if got := listener.Address(); got != "" && got != address.String() {
-		t.Errorf("listens on %s, Address is %s", address, got)
+		s.t.Errorf("listens on %s, Address is %s", address, got)
 	}
-	udpAddress := localAddress(t, udp.fd)
-	go func() { s.ended <- loop.Run() }()
+	udpAddress := localAddress(s.t, udp.fd)
+	go func() { s.ended <- s.loop.Run() }()
 	for range scenarioPosts {
-		loop.Post(func() { s.posts++ })
+		s.loop.Post(func() { s.posts++ })
 	}
-	loop.Post(func() {
+	s.loop.Post(func() {
 		s.dialAll(address.String())
 		s.tick(udp, udpAddress)
 	})
+	return true
+}
+
+// awaitDone waits until all is over. It reports false where the loop has ended instead.
+func (s *scenario) awaitDone() bool {
+	s.t.Helper()
 	select {
 	case <-s.done:
 	case err := <-s.ended:
 		if !fatal(err) {
-			t.Errorf("the loop has ended: %v", err)
+			s.t.Errorf("the loop has ended: %v", err)
 		}
-		return
+		return false
 	case <-time.After(testTimeout):
-		t.Errorf("not over in %v", testTimeout)
-	}
-	// Nothing happens now, so that few calls may be made.
-	bounded := func(what string, calls, atMost int, since time.Time) {
-		if atMost += 10 * int(time.Since(since)/time.Millisecond); calls > atMost {
-			t.Errorf("%d calls %s, want %d at most", calls, what, atMost)
-		}
+		s.t.Errorf("not over in %v", testTimeout)
 	}
-	bounded("in all", k.count(""), 2000+200*faults, start)
-	idle, before := time.Now(), k.count("")
-	time.Sleep(5 * time.Millisecond)
-	bounded("while nothing happens", k.count("")-before, 50, idle)
-	loop.Post(loop.Stop)
+	return true
+}
+
+func (s *scenario) stop() {
+	s.t.Helper()
+	s.loop.Post(s.loop.Stop)
 	select {
 	case err := <-s.ended:
 		if err != nil && !fatal(err) {
-			t.Errorf("the loop has ended: %v", err)
+			s.t.Errorf("the loop has ended: %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("Run has not returned after Stop")
+		s.t.Fatal("Run has not returned after Stop")
 	}
-	s.check()
 }
 
 // localAddress is the address of a socket.
