--- a/resp/resp.go
+++ b/resp/resp.go
@@ -1,6 +1,10 @@
-// Package resp is RESP2, the serialization protocol of Redis: arrays, bulk strings, lines. A Reader takes bytes as
-// they come and keeps what is not whole; every length is checked against a bound before a byte of it is believed,
-// and room is made as bytes come, never by what a length claims. It does no I/O.
+// Package resp reads and writes RESP2, the serialization protocol of Redis: lines, integers, bulk strings and arrays.
+//
+// A Reader takes bytes as they are received and keeps what is not complete. It guards against hostile input: each length is
+// checked against a limit before anything is read for it, and memory is allocated as bytes arrive, never by what a length
+// claims. It would harm a peer whose values are larger than the limits: the Reader refuses them with a ProtocolError.
+//
+// The package does no I/O.
 package resp
 
 import (
@@ -9,123 +13,144 @@
 	"strconv"
 )
 
-// Kind is the first byte of a value.
+// Kind is the type of a value: the byte with which it begins.
 type Kind byte
 
+// The kinds of RESP2.
 const (
-	Simple  Kind = '+'
-	Error   Kind = '-'
-	Integer Kind = ':'
-	Bulk    Kind = '$'
-	Array   Kind = '*'
+	Simple  Kind = '+' // a line
+	Error   Kind = '-' // a line that tells of an error
+	Integer Kind = ':' // a signed number of 64 bits
+	Bulk    Kind = '$' // any bytes, after their number
+	Array   Kind = '*' // values, after their number
 )
 
-// Value is one value. Text is a line or a bulk string, List an array.
+// Value is one value.
 type Value struct {
 	Kind Kind
-	Null bool
-	Int  int64
-	Text []byte
-	List []Value
+	Null bool    // a bulk string or an array of length -1
+	Int  int64   // of Integer
+	Text []byte  // of Simple, Error and Bulk
+	List []Value // of Array
 }
 
-// Limits are what a Reader believes.
+// Limits bound what a Reader accepts. A value that exceeds one of them is a ProtocolError.
 type Limits struct {
-	Line  int // bytes of a line
+	Line  int // bytes of a line, with its kind and line end
 	Bulk  int // bytes of a bulk string
 	Items int // values of an array
 	Depth int // arrays inside one another
-	Total int // bytes of a value in all
-	// CommandsOnly takes nothing but arrays of bulk strings that are not null, of at least one.
+	Total int // bytes of a value in all, without line ends
+	// CommandsOnly accepts nothing but arrays of at least one bulk string that is not null, as clients send them.
 	CommandsOnly bool
 }
 
-// ProtocolError tells what could not be read; nothing behind it can be either.
+// ProtocolError is the error of input that is not RESP2 or exceeds a limit. What follows that input cannot be read either.
 type ProtocolError struct{ Reason string }
 
-func (b *ProtocolError) Error() string { return "resp: " + b.Reason }
+func (e *ProtocolError) Error() string { return "resp: " + e.Reason }
 
-func protocolError(format string, a ...any) error { return &ProtocolError{fmt.Sprintf(format, a...)} }
+func protocolError(format string, args ...any) error {
+	return &ProtocolError{fmt.Sprintf(format, args...)}
+}
+
+// maxNumberLine is the most bytes of a line that holds a number, with its kind and line end.
+const maxNumberLine = 32
+
+var lineEnd = []byte("\r\n")
 
 // Reader reads values one by one. After an error it must not be used again.
 type Reader struct {
 	Limits Limits
-	line   []byte // of a line that has not ended
-	bulk   []byte // of a bulk string that has not ended
-	want   int    // bytes of it, with its end of line; 0: none is under way
-	total  int    // bytes of the value under way
-	open   []frame
+
+	line     []byte // of a line that has not ended
+	bulk     []byte // of a bulk string that has not ended
+	bulkSize int    // of that with its line end, in bytes; 0: none has begun
+	total    int    // bytes of the value that has begun
+	open     []openArray
 }
 
-type frame struct {
-	value Value
-	left  int
+// openArray is an array of which values are missing.
+type openArray struct {
+	value   Value
+	missing int
 }
 
-// Idle tells that nothing is under way: the next byte begins a value.
-func (r *Reader) Idle() bool { return len(r.open) == 0 && r.want == 0 && len(r.line) == 0 }
+// Idle tells that no value has begun: the next byte is the first of one.
+func (r *Reader) Idle() bool { return len(r.open) == 0 && r.bulkSize == 0 && len(r.line) == 0 }
 
-// BufferedBytes is how many bytes the value under way takes up so far.
+// BufferedBytes is the number of bytes that the value which has begun takes up so far.
 func (r *Reader) BufferedBytes() int { return r.total + len(r.line) + len(r.bulk) }
 
-// Next reads from b and returns how many bytes it used, and a value once one is whole.
-func (r *Reader) Next(b []byte) (used int, v Value, whole bool, err error) {
+// Next reads from b. It returns how many bytes it has used, and a value once one is complete; otherwise it has used all of b
+// and needs more. An error is a *ProtocolError.
+func (r *Reader) Next(b []byte) (used int, value Value, complete bool, err error) {
 	for {
-		var item Value
-		if r.want > 0 {
-			n := min(r.want-len(r.bulk), len(b)-used)
-			r.bulk = append(r.bulk, b[used:used+n]...)
-			used += n
-			if len(r.bulk) < r.want {
-				return used, v, false, nil
-			}
-			text := r.bulk[:r.want-2]
-			if !bytes.Equal(r.bulk[r.want-2:], crlf) {
-				return used, v, false, protocolError("a bulk string of %d bytes does not end there", len(text))
-			}
-			item = Value{Kind: Bulk, Text: text}
-			r.bulk, r.want = nil, 0
-		} else {
-			line, n, err := r.next(b[used:])
-			used += n
-			if line == nil || err != nil {
-				return used, v, false, err
-			}
-			ready, err := r.begin(line, &item)
-			r.line = r.line[:0]
-			if err != nil {
-				return used, v, false, err
-			}
-			if !ready {
-				continue
-			}
-		}
-		// item is whole: it ends the arrays that wait for nothing more.
-		for len(r.open) > 0 {
-			f := &r.open[len(r.open)-1]
-			f.value.List = append(f.value.List, item)
-			if f.left--; f.left > 0 {
-				break
-			}
-			item = f.value
-			r.open = r.open[:len(r.open)-1]
-			if len(r.open) == 0 {
-				r.total = 0
-				return used, item, true, nil
-			}
-			continue
+		item, n, ok, err := r.readItem(b[used:])
+		used += n
+		if !ok || err != nil {
+			return used, Value{}, false, err
 		}
-		if len(r.open) == 0 {
+		if value, ok := r.addItem(item); ok {
 			r.total = 0
-			return used, item, true, nil
+			return used, value, true, nil
+		}
+	}
+}
+
+// addItem adds a complete value to the array to which it belongs. It reports true, and the outermost value, once that is
+// complete.
+func (r *Reader) addItem(item Value) (Value, bool) {
+	for len(r.open) > 0 {
+		array := &r.open[len(r.open)-1]
+		array.value.List = append(array.value.List, item)
+		array.missing--
+		if array.missing > 0 {
+			return Value{}, false
+		}
+		item = array.value
+		r.open = r.open[:len(r.open)-1]
+	}
+	return item, true
+}
+
+// readItem reads a value that is not an array with values, and the heads of the arrays before it.
+func (r *Reader) readItem(b []byte) (item Value, used int, complete bool, err error) {
+	for {
+		if r.bulkSize > 0 {
+			item, n, complete, err := r.readBulk(b[used:])
+			return item, used + n, complete, err
+		}
+		line, n, err := r.readLine(b[used:])
+		used += n
+		if line == nil || err != nil {
+			return Value{}, used, false, err
+		}
+		item, complete, err := r.parseLine(line)
+		r.line = r.line[:0]
+		if complete || err != nil {
+			return item, used, complete, err
 		}
 	}
 }
 
-var crlf = []byte("\r\n")
+// readBulk reads the bytes of a bulk string.
+func (r *Reader) readBulk(b []byte) (item Value, used int, complete bool, err error) {
+	used = min(r.bulkSize-len(r.bulk), len(b))
+	r.bulk = append(r.bulk, b[:used]...)
+	if len(r.bulk) < r.bulkSize {
+		return Value{}, used, false, nil
+	}
+	text := r.bulk[:r.bulkSize-len(lineEnd)]
+	if !bytes.HasSuffix(r.bulk, lineEnd) {
+		return Value{}, used, false, protocolError("a bulk string of %d bytes does not end there", len(text))
+	}
+	r.bulk, r.bulkSize = nil, 0
+	return Value{Kind: Bulk, Text: text}, used, true, nil
+}
 
-// next returns a line without its end, or nil while there is none.
-func (r *Reader) next(b []byte) (line []byte, used int, err error) {
+// readLine returns a line without its line end, or nil while it has not ended.
+func (r *Reader) readLine(b []byte) (line []byte, used int, err error) {
 	if len(b) == 0 {
 		return nil, 0, nil
 	}
@@ -133,98 +158,120 @@
 	if len(r.line) > 0 {
 		first = r.line[0]
 	}
-	switch kind := Kind(first); {
-	case r.Limits.CommandsOnly && kind != Array && len(r.open) == 0:
-		return nil, 0, protocolError("expected '*', got %q", first)
-	case r.Limits.CommandsOnly && kind != Bulk && len(r.open) > 0:
-		return nil, 0, protocolError("expected '$', got %q", first)
-	case kind != Simple && kind != Error && kind != Integer && kind != Bulk && kind != Array:
-		return nil, 0, protocolError("%q begins no value", first)
+	if err := r.checkKind(first); err != nil {
+		return nil, 0, err
 	}
 	end := bytes.IndexByte(b, '\n')
-	n := end + 1
+	used = end + 1
 	if end < 0 {
-		n = len(b)
-	}
-	most := r.Limits.Line
-	if k := Kind(first); k == Bulk || k == Array || k == Integer {
-		most = min(most, 32)
+		used = len(b)
 	}
-	if len(r.line)+n > most {
-		return nil, n, protocolError("a line is longer than %d bytes", most)
+	if limit := r.lineLimit(Kind(first)); len(r.line)+used > limit {
+		return nil, used, protocolError("a line is longer than %d bytes", limit)
 	}
-	r.line = append(r.line, b[:n]...)
+	r.line = append(r.line, b[:used]...)
 	if end < 0 {
-		return nil, n, nil
+		return nil, used, nil
 	}
-	if !bytes.HasSuffix(r.line, crlf) {
-		return nil, n, protocolError("a line does not end in CR LF")
+	if !bytes.HasSuffix(r.line, lineEnd) {
+		return nil, used, protocolError("a line does not end in CR LF")
 	}
-	return r.line[:len(r.line)-2], n, nil
+	return r.line[:len(r.line)-len(lineEnd)], used, nil
 }
 
-// begin reads a line; ready tells that item is whole, else its rest is to come.
-func (r *Reader) begin(line []byte, item *Value) (ready bool, err error) {
+// checkKind tells whether a value may begin with a byte.
+func (r *Reader) checkKind(first byte) error {
+	kind := Kind(first)
+	switch {
+	case r.Limits.CommandsOnly && kind != Array && len(r.open) == 0:
+		return protocolError("expected '*', got %q", first)
+	case r.Limits.CommandsOnly && kind != Bulk && len(r.open) > 0:
+		return protocolError("expected '$', got %q", first)
+	case kind != Simple && kind != Error && kind != Integer && kind != Bulk && kind != Array:
+		return protocolError("%q begins no value", first)
+	}
+	return nil
+}
+
+// lineLimit is the most bytes of the first line of a value.
+func (r *Reader) lineLimit(kind Kind) int {
+	if kind == Bulk || kind == Array || kind == Integer {
+		return min(r.Limits.Line, maxNumberLine)
+	}
+	return r.Limits.Line
+}
+
+// addToTotal counts bytes of the value that has begun.
+func (r *Reader) addToTotal(n int) error {
+	r.total += n
+	if r.total > r.Limits.Total {
+		return protocolError("a value is longer than %d bytes", r.Limits.Total)
+	}
+	return nil
+}
+
+// parseLine returns the value that a line holds. It reports false where the line is the head of one.
+func (r *Reader) parseLine(line []byte) (Value, bool, error) {
 	kind, text := Kind(line[0]), line[1:]
-	if r.total += len(line); r.total > r.Limits.Total {
-		return false, protocolError("a value is longer than %d bytes", r.Limits.Total)
+	if err := r.addToTotal(len(line)); err != nil {
+		return Value{}, false, err
 	}
 	if kind == Simple || kind == Error {
 		if bytes.IndexByte(text, '\r') >= 0 {
-			return false, protocolError("a line has a CR inside")
+			return Value{}, false, protocolError("a line has a CR inside")
 		}
-		*item = Value{Kind: kind, Text: bytes.Clone(text)}
-		return true, nil
+		return Value{Kind: kind, Text: bytes.Clone(text)}, true, nil
 	}
-	n, err := number(text)
+	n, err := parseNumber(text)
 	if err != nil {
-		return false, err
+		return Value{}, false, err
 	}
-	switch kind {
-	case Integer:
-		*item = Value{Kind: Integer, Int: n}
-		return true, nil
-	case Bulk:
-		if n == -1 && !r.Limits.CommandsOnly {
-			*item = Value{Kind: Bulk, Null: true}
-			return true, nil
-		}
-		if n < 0 || n > int64(r.Limits.Bulk) {
-			return false, protocolError("invalid bulk length %d, expected 0 to %d", n, r.Limits.Bulk)
-		}
-		if r.total += int(n); r.total > r.Limits.Total {
-			return false, protocolError("a value is longer than %d bytes", r.Limits.Total)
-		}
-		r.want = int(n) + 2
-		return false, nil
+	if kind == Integer {
+		return Value{Kind: Integer, Int: n}, true, nil
 	}
 	if n == -1 && !r.Limits.CommandsOnly {
-		*item = Value{Kind: Array, Null: true}
-		return true, nil
+		return Value{Kind: kind, Null: true}, true, nil
+	}
+	if kind == Bulk {
+		return Value{}, false, r.beginBulk(n)
+	}
+	return r.beginArray(n)
+}
+
+// beginBulk begins a bulk string of n bytes.
+func (r *Reader) beginBulk(n int64) error {
+	if n < 0 || n > int64(r.Limits.Bulk) {
+		return protocolError("invalid bulk length %d, expected 0 to %d", n, r.Limits.Bulk)
+	}
+	if err := r.addToTotal(int(n)); err != nil {
+		return err
 	}
-	least := int64(0)
+	r.bulkSize = int(n) + len(lineEnd)
+	return nil
+}
+
+// beginArray begins an array of n values; one of none is complete.
+func (r *Reader) beginArray(n int64) (Value, bool, error) {
+	atLeast := int64(0)
 	if r.Limits.CommandsOnly {
-		least = 1
+		atLeast = 1
 	}
-	if n < least || n > int64(r.Limits.Items) {
-		return false, protocolError("invalid multibulk length %d, expected %d to %d", n, least, r.Limits.Items)
+	if n < atLeast || n > int64(r.Limits.Items) {
+		return Value{}, false, protocolError("invalid multibulk length %d, expected %d to %d", n, atLeast, r.Limits.Items)
 	}
 	if len(r.open) >= r.Limits.Depth {
-		return false, protocolError("arrays are more than %d deep", r.Limits.Depth)
+		return Value{}, false, protocolError("arrays are more than %d deep", r.Limits.Depth)
 	}
 	if n == 0 {
-		*item = Value{Kind: Array}
-		return true, nil
+		return Value{Kind: Array}, true, nil
 	}
-	r.open = append(r.open, frame{Value{Kind: Array}, int(n)})
-	return false, nil
+	r.open = append(r.open, openArray{value: Value{Kind: Array}, missing: int(n)})
+	return Value{}, false, nil
 }
 
-func number(text []byte) (int64, error) {
-	digits := text
-	if len(digits) > 0 && digits[0] == '-' {
-		digits = digits[1:]
-	}
+// parseNumber reads a decimal number of 64 bits, with '-' as the only sign.
+func parseNumber(text []byte) (int64, error) {
+	digits := bytes.TrimPrefix(text, []byte("-"))
 	n, err := strconv.ParseInt(string(text), 10, 64)
 	if len(digits) == 0 || digits[0] == '+' || err != nil {
 		return 0, protocolError("%q is no number", text)
@@ -232,7 +279,7 @@
 	return n, nil
 }
 
-// AppendCommand appends an array of bulk strings.
+// AppendCommand appends an array of bulk strings: a command as clients send it.
 func AppendCommand(b []byte, args ...[]byte) []byte {
 	b = AppendArray(b, len(args))
 	for _, a := range args {
@@ -241,33 +288,37 @@
 	return b
 }
 
-// AppendArray appends the head of an array of n values.
-func AppendArray(b []byte, n int) []byte { return head(b, Array, n) }
+// AppendArray appends the head of an array of n values. The values follow it.
+func AppendArray(b []byte, n int) []byte { return appendHead(b, Array, n) }
 
 // AppendBulk appends a bulk string.
 func AppendBulk(b, text []byte) []byte {
-	return append(append(head(b, Bulk, len(text)), text...), crlf...)
+	return append(append(appendHead(b, Bulk, len(text)), text...), lineEnd...)
 }
 
 // AppendNull appends a null bulk string.
-func AppendNull(b []byte) []byte { return head(b, Bulk, -1) }
+func AppendNull(b []byte) []byte { return appendHead(b, Bulk, -1) }
+
+// AppendSimple appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
+func AppendSimple(b []byte, text string) []byte { return appendLine(b, Simple, text) }
 
-// AppendSimple and AppendError append a line; text must have no end of line inside.
-func AppendSimple(b []byte, text string) []byte { return line(b, Simple, text) }
-func AppendError(b []byte, text string) []byte  { return line(b, Error, text) }
+// AppendError appends a line that tells of an error. Bytes of text that are not printable ASCII are replaced by '?'.
+func AppendError(b []byte, text string) []byte { return appendLine(b, Error, text) }
 
-func head(b []byte, k Kind, n int) []byte {
-	return append(strconv.AppendInt(append(b, byte(k)), int64(n), 10), crlf...)
+func appendHead(b []byte, kind Kind, n int) []byte {
+	return append(strconv.AppendInt(append(b, byte(kind)), int64(n), 10), lineEnd...)
 }
 
-func line(b []byte, k Kind, text string) []byte {
-	b = append(b, byte(k))
-	for i := range len(text) { // what a client sent may be told in an error
+// appendLine replaces what is not printable. It guards against text with a line end inside, which an error that quotes a
+// client's input could have: the reader would take the rest for another value.
+func appendLine(b []byte, kind Kind, text string) []byte {
+	b = append(b, byte(kind))
+	for i := range len(text) {
 		if c := text[i]; c >= ' ' && c < 0x7f {
 			b = append(b, c)
 		} else {
 			b = append(b, '?')
 		}
 	}
-	return append(b, crlf...)
+	return append(b, lineEnd...)
 }
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -12,33 +12,34 @@
 )
 
 var (
-	commands = Limits{Line: 64, Bulk: 100, Items: 6, Depth: 1, Total: 200, CommandsOnly: true}
-	answers  = Limits{Line: 64, Bulk: 100, Items: 4, Depth: 3, Total: 200}
+	commandLimits = Limits{Line: 64, Bulk: 100, Items: 6, Depth: 1, Total: 200, CommandsOnly: true}
+	replyLimits   = Limits{Line: 64, Bulk: 100, Items: 4, Depth: 3, Total: 200}
 )
 
-// all reads what is in text, in pieces of n bytes.
-func all(b Limits, text []byte, n int) (list []Value, err error) {
-	r := Reader{Limits: b}
+// readAll reads text in pieces of a size.
+func readAll(limits Limits, text []byte, size int) (list []Value, err error) {
+	r := Reader{Limits: limits}
 	for len(text) > 0 {
-		piece := text[:min(n, len(text))]
+		piece := text[:min(size, len(text))]
 		text = text[len(piece):]
 		for len(piece) > 0 {
-			used, v, whole, err := r.Next(piece)
+			used, value, complete, err := r.Next(piece)
 			if err != nil {
 				return list, err
 			}
 			piece = piece[used:]
-			if whole {
-				list = append(list, v)
+			if complete {
+				list = append(list, value)
 			} else if len(piece) > 0 {
-				return list, errors.New("bytes are left and no value is whole")
+				return list, errors.New("bytes are left and no value is complete")
 			}
 		}
 	}
 	return list, nil
 }
 
-func TestReads(t *testing.T) {
+// TestCommands reads commands, and input that is none.
+func TestCommands(t *testing.T) {
 	for text, want := range map[string]string{
 		"*2\r\n$4\r\nPING\r\n$0\r\n\r\n":        `[[PING ]]`,
 		"*1\r\n$2\r\n\r\n\r\n*1\r\n$1\r\nx\r\n": "[[\r\n] [x]]",
@@ -59,29 +60,36 @@
 		"*1\n":                        "resp: a line does not end in CR LF",
 		"*" + strings.Repeat("1", 40): "resp: a line is longer than 32 bytes",
 	} {
-		list, err := all(commands, []byte(text), len(text))
-		got := ""
-		if err != nil {
-			got = err.Error()
-		} else {
-			var words [][]string
-			for _, v := range list {
-				var w []string
-				for _, x := range v.List {
-					w = append(w, string(x.Text))
-				}
-				words = append(words, w)
-			}
-			got = fmt.Sprint(words)
+		if got := readCommands(text); got != want {
+			t.Errorf("%q: %s, want %s", text, got, want)
 		}
-		if got != want {
-			t.Errorf("%q: %s, expected %s", text, got, want)
+	}
+}
+
+// readCommands prints the commands that text holds, or the error of reading them.
+func readCommands(text string) string {
+	list, err := readAll(commandLimits, []byte(text), len(text))
+	var protocolErr *ProtocolError
+	if errors.As(err, &protocolErr) {
+		return err.Error()
+	}
+	if err != nil {
+		return "not a ProtocolError: " + err.Error()
+	}
+	var commands [][]string
+	for _, command := range list {
+		var words []string
+		for _, word := range command.List {
+			words = append(words, string(word.Text))
 		}
+		commands = append(commands, words)
 	}
+	return fmt.Sprint(commands)
 }
 
-func TestAnswers(t *testing.T) {
-	list, err := all(answers, []byte("*3\r\n$1\r\nx\r\n$-1\r\n*2\r\n:-7\r\n*0\r\n-ERR failed\r\n+PONG\r\n*-1\r\n"), 1)
+// TestReplies reads values of all kinds, and input that is no value or exceeds a limit.
+func TestReplies(t *testing.T) {
+	list, err := readAll(replyLimits, []byte("*3\r\n$1\r\nx\r\n$-1\r\n*2\r\n:-7\r\n*0\r\n-ERR failed\r\n+PONG\r\n*-1\r\n"), 1)
 	want := []Value{
 		{Kind: Array, List: []Value{{Kind: Bulk, Text: []byte("x")}, {Kind: Bulk, Null: true}, {Kind: Array, List: []Value{{Kind: Integer, Int: -7}, {Kind: Array}}}}},
 		{Kind: Error, Text: []byte("ERR failed")}, {Kind: Simple, Text: []byte("PONG")}, {Kind: Array, Null: true},
@@ -90,46 +98,46 @@
 		t.Errorf("%+v, %v", list, err)
 	}
 	for _, text := range []string{"*1\r\n*1\r\n*1\r\n*1\r\n", "HTTP/1.1 100 Continue\r\n", "$3000000000\r\n", "+a\rb\r\n", "+" + strings.Repeat("x", 64)} {
-		if _, err := all(answers, []byte(text), 3); err == nil {
+		if _, err := readAll(replyLimits, []byte(text), 3); err == nil {
 			t.Errorf("%q is read", text)
 		}
 	}
 }
 
-// TestWrites reads back what is written; an error's text can't end its line early.
-func TestWrites(t *testing.T) {
+// TestAppend reads back what is appended; the text of an error cannot end its line early.
+func TestAppend(t *testing.T) {
 	b := AppendCommand(nil, []byte("BLK.WRITE"), []byte("a\r\nb"), nil)
-	list, err := all(commands, b, 1)
+	list, err := readAll(commandLimits, b, 1)
 	if err != nil || len(list) != 1 || string(list[0].List[1].Text) != "a\r\nb" || len(list[0].List) != 3 {
 		t.Fatalf("%+v, %v", list, err)
 	}
-	list, err = all(answers, AppendSimple(AppendError(AppendNull(nil), "ERR a\r\nb\xff"), "OK"), 1)
+	list, err = readAll(replyLimits, AppendSimple(AppendError(AppendNull(nil), "ERR a\r\nb\xff"), "OK"), 1)
 	if err != nil || len(list) != 3 || !list[0].Null || string(list[1].Text) != "ERR a??b?" {
 		t.Fatalf("%+v, %v", list, err)
 	}
 }
 
-// FuzzReader compares the reader, fed in pieces, with the model that has all at once; what it takes up is bounded by
-// what it was given, not by what lengths claim.
+// FuzzReader compares the Reader, which gets its input in pieces, with a model that has all of it at once. What the Reader
+// allocates is bounded by the input, not by what lengths claim.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("*2\r\n$4\r\nPING\r\n$0\r\n\r\n"), 3, true)
 	f.Add([]byte("*3\r\n$1\r\nx\r\n$-1\r\n$14\r\nutil=0.1,a=2.5\r\n-BUSY\r\n"), 1, false)
 	f.Add([]byte("$3000000000\r\nxxxxxxxx"), 5, false)
 	f.Add([]byte("*3\r\n*2\r\n:1\r\n+x\r\n*0\r\n*-1\r\n"), 2, false)
-	f.Fuzz(func(t *testing.T, in []byte, n int, command bool) {
-		bounds := answers
+	f.Fuzz(func(t *testing.T, in []byte, size int, command bool) {
+		limits := replyLimits
 		if command {
-			bounds = commands
+			limits = commandLimits
 		}
 		var got []Value
 		var err error
-		used := heap.Bytes(func() { got, err = all(bounds, in, max(n, 1)%64+1) })
+		used := heap.Bytes(func() { got, err = readAll(limits, in, max(size, 1)%64+1) })
 		if used > uint64(4<<20+1000*len(in)) {
 			t.Fatalf("%d bytes are allocated for %d", used, len(in))
 		}
-		want, bad := plain(bounds, in)
-		if len(got) != len(want) || (err != nil) != bad {
-			t.Fatalf("%q: %d values and %v, the model has %d and %v", in, len(got), err, len(want), bad)
+		want, malformed := readModel(limits, in)
+		if len(got) != len(want) || (err != nil) != malformed {
+			t.Fatalf("%q: %d values and %v, the model has %d and %v", in, len(got), err, len(want), malformed)
 		}
 		for i := range got {
 			if !reflect.DeepEqual(got[i], want[i]) {
@@ -139,97 +147,122 @@
 	})
 }
 
-// ---- The model: it has the whole text, and takes values off its front ----
-
+// model reads values off the front of a text that it has at once.
 type model struct {
-	b     Limits
-	text  []byte
-	total int
+	limits Limits
+	text   []byte
+	total  int // bytes of the value that has begun
 }
 
-var errShort, errBad = errors.New("not whole"), errors.New("bad")
+var (
+	errIncomplete = errors.New("incomplete")
+	errMalformed  = errors.New("malformed")
+)
 
-func plain(b Limits, text []byte) (list []Value, bad bool) {
-	m := &model{b: b, text: text}
+// readModel returns the values in text, and whether what follows them is malformed rather than incomplete.
+func readModel(limits Limits, text []byte) (list []Value, malformed bool) {
+	m := &model{limits: limits, text: text}
 	for len(m.text) > 0 {
 		m.total = 0
 		v, err := m.value(0)
 		if err != nil {
-			return list, err == errBad
+			return list, err == errMalformed
 		}
 		list = append(list, v)
 	}
 	return list, false
 }
 
-func (m *model) value(depth int) (v Value, err error) {
+// value reads a value inside depth arrays.
+func (m *model) value(depth int) (Value, error) {
 	if len(m.text) == 0 {
-		return v, errShort
+		return Value{}, errIncomplete
 	}
-	kind := m.text[0]
-	if !strings.ContainsRune("+-:$*", rune(kind)) || m.b.CommandsOnly && (depth == 0 && kind != '*' || depth > 0 && kind != '$') {
-		return v, errBad
+	kind := Kind(m.text[0])
+	if !m.allowed(kind, depth) {
+		return Value{}, errMalformed
 	}
-	most := m.b.Line
-	if kind == '$' || kind == '*' || kind == ':' {
-		most = min(most, 32)
+	line, err := m.line(kind)
+	if err != nil {
+		return Value{}, err
+	}
+	if kind == Simple || kind == Error {
+		if bytes.ContainsRune(line, '\r') {
+			return Value{}, errMalformed
+		}
+		return Value{Kind: kind, Text: bytes.Clone(line)}, nil
+	}
+	n, err := parseNumber(line)
+	switch {
+	case err != nil:
+		return Value{}, errMalformed
+	case kind == Integer:
+		return Value{Kind: kind, Int: n}, nil
+	case n == -1 && !m.limits.CommandsOnly:
+		return Value{Kind: kind, Null: true}, nil
+	case kind == Bulk:
+		return m.bulk(n)
+	}
+	return m.array(n, depth)
+}
+
+func (m *model) allowed(kind Kind, depth int) bool {
+	if m.limits.CommandsOnly {
+		return kind == Array && depth == 0 || kind == Bulk && depth > 0
+	}
+	return strings.ContainsRune("+-:$*", rune(kind))
+}
+
+// line takes the first line of a value and returns what follows its kind.
+func (m *model) line(kind Kind) ([]byte, error) {
+	limit := m.limits.Line
+	if kind == Bulk || kind == Array || kind == Integer {
+		limit = min(limit, 32)
 	}
 	end := bytes.IndexByte(m.text, '\n')
-	if end < 0 && len(m.text) <= most {
-		return v, errShort
+	if end < 0 && len(m.text) <= limit {
+		return nil, errIncomplete
 	}
-	if end < 0 || end+1 > most || m.text[end-1] != '\r' {
-		return v, errBad
+	if end < 0 || end+1 > limit || m.text[end-1] != '\r' {
+		return nil, errMalformed
 	}
 	line := m.text[1 : end-1]
 	m.text = m.text[end+1:]
-	if m.total += len(line) + 1; m.total > m.b.Total {
-		return v, errBad
+	if m.total += len(line) + 1; m.total > m.limits.Total {
+		return nil, errMalformed
 	}
-	v.Kind = Kind(kind)
-	if kind == '+' || kind == '-' {
-		if bytes.ContainsRune(line, '\r') {
-			return v, errBad
-		}
-		v.Text = bytes.Clone(line)
-		return v, nil
+	return line, nil
+}
+
+func (m *model) bulk(n int64) (Value, error) {
+	if n < 0 || n > int64(m.limits.Bulk) {
+		return Value{}, errMalformed
 	}
-	n, err := number(line)
-	switch {
-	case err != nil:
-		return v, errBad
-	case kind == ':':
-		v.Int = n
-		return v, nil
-	case n == -1 && !m.b.CommandsOnly:
-		v.Null = true
-		return v, nil
-	case kind == '$':
-		if n < 0 || n > int64(m.b.Bulk) {
-			return v, errBad
-		}
-		if m.total += int(n); m.total > m.b.Total {
-			return v, errBad
-		}
-		if len(m.text) < int(n)+2 {
-			return v, errShort
-		}
-		v.Text = m.text[:n:n]
-		if string(m.text[n:n+2]) != "\r\n" {
-			return v, errBad
-		}
-		m.text = m.text[n+2:]
-		return v, nil
+	if m.total += int(n); m.total > m.limits.Total {
+		return Value{}, errMalformed
+	}
+	if len(m.text) < int(n)+2 {
+		return Value{}, errIncomplete
 	}
-	if n < 0 || n > int64(m.b.Items) || n == 0 && m.b.CommandsOnly || depth >= m.b.Depth {
-		return v, errBad
+	if string(m.text[n:n+2]) != "\r\n" {
+		return Value{}, errMalformed
+	}
+	v := Value{Kind: Bulk, Text: m.text[:n:n]}
+	m.text = m.text[n+2:]
+	return v, nil
+}
+
+func (m *model) array(n int64, depth int) (Value, error) {
+	if n < 0 || n > int64(m.limits.Items) || n == 0 && m.limits.CommandsOnly || depth >= m.limits.Depth {
+		return Value{}, errMalformed
 	}
+	v := Value{Kind: Array}
 	for range n {
-		x, err := m.value(depth + 1)
+		item, err := m.value(depth + 1)
 		if err != nil {
-			return v, err
+			return Value{}, err
 		}
-		v.List = append(v.List, x)
+		v.List = append(v.List, item)
 	}
 	return v, nil
 }
