--- a/honeyplank.go
+++ b/honeyplank.go
@@ -1,157 +1,162 @@
-// Package honeyplank holds the interface between the decision module and
-// whatever feeds it: events in, actions out, and the ids and outcomes they
-// speak of. It decides nothing. All times are spans since the clock's start.
+// Package honeyplank is the interface between a decision module (package policy) and what surrounds it: events go in, actions
+// come out. It holds their types, those of the ids and codes in them, and the module's Settings. It makes no decisions.
 //
-// Settings travel beside it as a plain map[string]any from our names to
-// values; package internal/wire lists the names it fills in.
+// All times are spans on the clock of the instance, since its start. An amount of work is measured in units, as the
+// deployment defines them.
 package honeyplank
 
 import "time"
 
-// OpID names an op and ServerID a disk server, both as the wire gives them.
-type (
-	OpID     string
-	ServerID string
-)
+// OpID is the id of an op, unique among the ops in flight of an instance.
+type OpID string
+
+// ServerID is the id of a disk server, as the endpoint list gives it.
+type ServerID string
 
 // Semantics tells what a repeat of an op may do.
 type Semantics int
 
+// The semantics of an op type.
 const (
-	Idempotent   Semantics = iota // may run again
-	Deduplicated                  // repeats are dropped inside a scope, for a time
-	AtMostOnce                    // must never run twice
+	Idempotent   Semantics = iota // a repeat does no harm
+	Deduplicated                  // repeats are dropped within a DedupScope, for OpTypeSettings.DedupWindow
+	AtMostOnce                    // it must never run twice
 )
 
 // DedupScope is the group of disk servers that drops repeats of a deduplicated op.
 type DedupScope int
 
+// The scopes of deduplication.
 const (
-	ScopeAll DedupScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  DedupScope = iota // all disk servers
+	ScopeZone                   // those of one zone
+	ScopeCell                   // those of one cell
 )
 
-// Code tells how a dispatch or probe ended.
+// Code tells how a dispatch or a probe ended. The zero value is none.
 type Code int
 
+// The outcomes of a dispatch or a probe.
 const (
-	Succeeded     Code = 1 + iota // served
-	Failed                        // an error came back; it may have run
-	Rejected                      // turned away unseen
-	TimedOut                      // no answer in time; it may have run
-	ConnectFailed                 // no connection; it never ran
-	Reset                         // the connection dropped; it may have run
-	Cancelled                     // withdrawn; it may have run
-	NotSent                       // never sent
+	Succeeded     Code = 1 + iota // it was served
+	Failed                        // an error came back; the op may have run
+	Rejected                      // the disk server refused it; the op did not run
+	TimedOut                      // no answer came in time; the op may have run
+	ConnectFailed                 // no connection was established; the op did not run
+	Reset                         // the connection was lost; the op may have run
+	Cancelled                     // the module cancelled it; the op may have run
+	NotSent                       // it was not sent; the op did not run
 )
 
-// MemberState is what the list says of a disk server.
+// MemberState is the state of a disk server in the endpoint list.
 type MemberState int
 
+// The states of a member.
 const (
-	Up MemberState = iota
-	Draining
-	Removed
+	Up       MemberState = iota // it takes ops
+	Draining                    // it is about to leave; Settings.DrainGrace tells how long it may be sent to
+	Removed                     // it is not in the list any more
 )
 
-// ListKind tells how to read the entries of a list event.
+// ListKind tells how to read the members of a List event.
 type ListKind int
 
+// The kinds of a List event.
 const (
-	Delta       ListKind = iota // apply on top of the list held
-	Complete                    // replaces the list held
-	Cached                      // the whole list as last seen, perhaps stale
-	WatchFailed                 // a watch or fetch failed or a watch ended; no entries
-	OutOfBand                   // changes from elsewhere than the watch, which they say nothing of
+	Delta       ListKind = iota // changes of the list before
+	Complete                    // replaces the list before
+	Cached                      // a complete list that was saved earlier and may be stale
+	WatchFailed                 // a watch or a fetch failed, or a watch ended; there are no members
+	OutOfBand                   // changes from another source than the watch; they do not show that the watch works
 )
 
-// Member is a disk server as the list knows it.
+// Member is a disk server of the endpoint list.
 type Member struct {
 	ID      ServerID
-	Started time.Duration // when it last started; 0: long ago
-	Size    float64       // a size to compare with other servers'
-	Model   int
-	Zone    int
-	Cell    int
+	Started time.Duration // when it last started; 0: long ago, or not known
+	Size    float64       // its capacity relative to other disk servers
+	Model   int           // number of the hardware model
+	Zone    int           // number of the zone
+	Cell    int           // number of the cell; see Op.Cell
 	State   MemberState
 }
 
-// NewObject as an op's Cell: any disk server may take it.
+// NewObject as Op.Cell tells that any disk server may take the op.
 const NewObject = -1
 
-// Event is one of List, Op, Outcome, Began, Timer, Probed, Peer, Lapsed, Learnt.
+// Event is what a decision module is told. It is one of List, Op, Outcome, ResponseStarted, Timer, ProbeResult, PeerMessage,
+// ClientGone and SavedEstimates.
 type Event interface{ event() }
 
 type (
-	// List brings news of the disk servers.
+	// List brings news of the endpoint list.
 	List struct {
 		Kind    ListKind
-		Version int64
+		Version int64 // of the list at its source
 		Members []Member
 	}
-	// Op is a client's op that this scheduler now owes one final answer.
+	// Op is a client's op, which must have one final answer from now on: the first Outcome with code Succeeded, Reject or Fail.
 	Op struct {
 		ID         OpID
-		Units      float64
+		Units      float64       // its size
 		Timeout    time.Duration // the clock time at which the client gives up
-		Plan       int
-		Type       int
-		Key        int64 // piece of data read or written
-		HasKey     bool
-		Write      bool
-		Schedulers int // schedulers through which the volume's ops come
-		Retry      bool
-		Volume     int64
-		Cell       int // holder of the data, or NewObject
+		Plan       int           // number of the volume's plan, see PlanSettings
+		Type       int           // number of the op type, see OpTypeSettings
+		Key        int64         // number of the object that is read or written, if HasKey
+		HasKey     bool          // ops of an ordered type are ordered by Key
+		Write      bool          // it changes data
+		Schedulers int           // number of instances through which the volume's ops come
+		Retry      bool          // the client has tried it before
+		Volume     int64         // number of the volume
+		Cell       int           // number of the cell that holds the data, or NewObject
 	}
-	// Outcome ends one dispatch. Done: the op has had its final answer.
+	// Outcome ends a dispatch. Each dispatch has one.
 	Outcome struct {
 		Op              OpID
-		Dispatch        int
+		Dispatch        int // number of the dispatch among those of the op, from 0
 		Server          ServerID
 		Code            Code
-		Elapsed         time.Duration
-		Answered        bool
-		QuotaUsed       int     // 1 + percent of the plan's rate served everywhere; 0: not told
-		ServedElsewhere float64 // units this server did for the volume for other schedulers
-		Load            map[string]float64
+		Elapsed         time.Duration      // since the Dispatch action
+		Answered        bool               // the op has its final answer, or its client has gone
+		QuotaUsed       int                // 1 + percent of the plan's rate that all instances have used; 0: not known
+		ServedElsewhere float64            // units that this disk server has served to the volume through other instances
+		Load            map[string]float64 // the disk server's load report by name; nil: none
 	}
-	// ResponseStarted tells that a streamed answer has started.
+	// ResponseStarted tells that the first bytes of a streamed answer have arrived.
 	ResponseStarted struct {
 		Op       OpID
-		Dispatch int
+		Dispatch int // number of the dispatch among those of the op, from 0
 		Server   ServerID
-		Elapsed  time.Duration
+		Elapsed  time.Duration // since the Dispatch action
 	}
-	// Timer is a timer set by SetTimer that has run out.
+	// Timer tells that a timer of SetTimer is due.
 	Timer struct{ Name string }
 	// ProbeResult ends a Probe.
 	ProbeResult struct {
 		Server  ServerID
 		Code    Code
-		Elapsed time.Duration
-		Load    map[string]float64
+		Elapsed time.Duration      // since the Probe action
+		Load    map[string]float64 // the disk server's load report by name; nil: none
 	}
-	// PeerMessage is a message from another scheduler.
+	// PeerMessage is a message from another instance, sent by its Gossip action.
 	PeerMessage struct {
-		From int
+		From int // number of the sender among the instances, from 0
 		Data []byte
 	}
-	// ClientGone tells that the client has gone; nothing more is owed.
+	// ClientGone tells that the client of an op has closed or cancelled. The op needs no answer any more.
 	ClientGone struct{ Op OpID }
-	// SavedEstimates tells, before any other event, what an instance before this one knew of the disk servers.
+	// SavedEstimates tells what an earlier process of this instance knew of the disk servers. It comes before all other
+	// events.
 	SavedEstimates struct {
-		TypicalLatency float64 // recent answer time of all, in seconds
+		TypicalLatency float64 // recent latency over all disk servers, in seconds
 		Servers        []ServerEstimate
 	}
-	// ServerEstimate is what was known of a disk server. At is on the clock of the instance that is told, and may lie
-	// before its start.
+	// ServerEstimate is what was known of a disk server.
 	ServerEstimate struct {
 		Server      ServerID
-		At          time.Duration // when something was last learnt there
-		BestPerUnit float64       // best answer time for each unit, in seconds; 0: not known
-		Latency     float64       // recent answer time, in seconds
+		At          time.Duration // when it was last updated; negative: before the clock's start
+		BestPerUnit float64       // lowest latency for each unit, in seconds; 0: not known
+		Latency     float64       // recent latency, in seconds
 	}
 )
 
@@ -165,52 +170,52 @@
 func (ClientGone) event()      {}
 func (SavedEstimates) event()  {}
 
-// Action is one of Dispatch, Throttle, Abort, Cancel, Probe, Tell, Log,
-// Watch, Fetch, SetTimer, CloseIdle.
+// Action is what a decision module orders. It is one of Dispatch, Reject, Fail, Cancel, Probe, CloseIdle, Gossip, Log, Watch,
+// Fetch and SetTimer.
 type Action interface{ action() }
 
 type (
-	// Dispatch sends an op to a disk server; After 0: until the op timeout.
+	// Dispatch sends an op to a disk server. Its Outcome follows.
 	Dispatch struct {
 		Op      OpID
 		Server  ServerID
-		Timeout time.Duration
+		Timeout time.Duration // for the outcome, from now; 0: until Op.Timeout
 	}
-	// Reject answers that trying again is harmless, with advice when.
+	// Reject answers an op that has not run, so that trying again is harmless.
 	Reject struct {
 		Op         OpID
-		RetryAfter time.Duration
+		RetryAfter time.Duration // after which to try again; 0: no advice
 	}
-	// Fail answers with no promise.
+	// Fail answers an op that may have run.
 	Fail struct{ Op OpID }
-	// Cancel stops waiting for one dispatch.
+	// Cancel ends a dispatch, with the code Cancelled.
 	Cancel struct {
 		Op       OpID
-		Dispatch int
+		Dispatch int // number of the dispatch among those of the op, from 0
 	}
-	// Probe checks on a disk server.
+	// Probe checks the health of a disk server. Its ProbeResult follows.
 	Probe struct{ Server ServerID }
-	// CloseIdle shuts idle connections to a disk server.
+	// CloseIdle closes the idle connections to a disk server.
 	CloseIdle struct{ Server ServerID }
-	// Gossip sends a message to a peer, or to all with Everyone.
+	// Gossip sends a message to another instance, or to all.
 	Gossip struct {
-		To   int
+		To   int // number of the receiver among the instances, from 0, or AllPeers
 		Data []byte
 	}
-	// Log adds a line to the operators' report.
+	// Log writes a line to the operators' log.
 	Log struct{ Text string }
-	// Watch asks for list changes from now on.
+	// Watch starts or ends the watch of the endpoint list.
 	Watch struct{ Enabled bool }
-	// Fetch asks for the whole list once.
+	// Fetch asks for a complete endpoint list, once.
 	Fetch struct{}
-	// SetTimer asks for a Timer event at a clock time.
+	// SetTimer asks for a Timer event.
 	SetTimer struct {
-		At   time.Duration
+		At   time.Duration // the clock time of the event
 		Name string
 	}
 )
 
-// AllPeers as Tell.To addresses every peer.
+// AllPeers as Gossip.To addresses all other instances.
 const AllPeers = -1
 
 func (Dispatch) action()  {}
--- a/settings.go
+++ b/settings.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Settings are what the decision module knows of its deployment. They are read once, by New of the module, and must not
-// change afterwards. A zero value means that the deployment does not state the figure.
+// Settings are what a decision module knows of its deployment. The module reads them once, when it is made; they must not
+// change afterwards. A zero value means that the deployment does not state the figure, where nothing else is said.
 type Settings struct {
-	// Step is the least time between two timers.
+	// Step is the shortest time between two timers of the module.
 	Step time.Duration
-	// Schedulers is the number of instances of the deployment, Ordinal the place of this one among them.
+	// Schedulers is the number of instances of the deployment.
 	Schedulers int
-	Ordinal    int
+	// Ordinal is the number of this instance among them, from 0.
+	Ordinal int
 
 	OpTypes OpTypeSettings
 	Plans   PlanSettings
 
-	// MeanUnits and LargestUnits are the mean and the largest size of an op, in units.
-	MeanUnits    float64
+	// MeanUnits is the mean size of an op, in units.
+	MeanUnits float64
+	// LargestUnits is the largest size of an op, in units.
 	LargestUnits float64
 
 	Watch       WatchSettings
@@ -25,77 +27,77 @@
 	SlowStart   SlowStartSettings
 	Usage       UsageSettings
 
-	// DrainGrace is how long after it was notified of a draining disk server an instance may still send to it.
+	// DrainGrace is how long an instance may still send to a disk server after the list has told it that this is draining.
 	DrainGrace time.Duration
 	// AnswerGrace is how long after its deadline an op may still be answered.
 	AnswerGrace time.Duration
-	// OrderSettle is how long the next op of an ordered type waits after one of its key that may run on.
+	// OrderSettle is how long the next op of an ordered type waits after one of the same key that may still run.
 	OrderSettle time.Duration
 }
 
-// OpTypeSettings has a list for each figure of an op type; the place in the lists is the type's number.
+// OpTypeSettings has a list for each figure of an op type. The index in the lists is the number of the type, see Op.Type.
 type OpTypeSettings struct {
-	TargetLatency []time.Duration // within which an answer earns its full utility
-	OpTimeout     []time.Duration // for which clients wait, all tries together
-	Utility       []float64
+	TargetLatency []time.Duration // an answer within it earns the full utility
+	OpTimeout     []time.Duration // how long clients wait for an answer, all their tries together
+	Utility       []float64       // the priority weight of an op
 	Semantics     []Semantics
-	DedupScope    []DedupScope
-	DedupWindow   []time.Duration // for which repeats of a deduplicated op are dropped
-	Ordered       []bool          // ops of one key run in the order in which they came
+	DedupScope    []DedupScope    // of a deduplicated type
+	DedupWindow   []time.Duration // how long repeats of a deduplicated op are dropped
+	Ordered       []bool          // ops of one key run in the order of their arrival
 }
 
-// PlanSettings has a list for each figure of a plan; the place in the lists is the plan's number.
+// PlanSettings has a list for each figure of a plan. The index in the lists is the number of the plan, see Op.Plan.
 type PlanSettings struct {
-	Rate    []float64 // units a second that are expected
-	Reserve []float64 // units a second that are promised
-	Weight  []float64 // of a volume among others beyond their reserves
-	Value   []float64 // factor of the utility of its ops
-	Limit   []float64 // units a second that are allowed; 0: any
-	Burst   []float64 // units that a limit's bucket holds
-	Slack   []float64 // units by which a limit may be passed
+	Rate    []float64 // expected rate of a volume, in units a second
+	Reserve []float64 // promised rate of a volume, in units a second
+	Weight  []float64 // share of a volume relative to others, beyond their reserves
+	Value   []float64 // factor of the utility of a volume's ops
+	Limit   []float64 // highest allowed rate of a volume, in units a second; 0: none
+	Burst   []float64 // size of the limit's token bucket, in units
+	Slack   []float64 // by how much a limit may be exceeded, in units
 }
 
-// WatchSettings tell how the endpoint list is followed.
+// WatchSettings tell how the endpoint list is watched.
 type WatchSettings struct {
-	// OnRequest: the module asks for the watch, and again when it ends.
+	// OnRequest tells that the module must ask for the watch with a Watch action, and again when the watch has ended.
 	OnRequest bool
-	// Within is how soon a change counts as notified.
+	// Within is the time within which an instance must have asked for the watch; it bounds the module's backoff.
 	Within time.Duration
 }
 
 // DispatchSettings bound the dispatches of an op.
 type DispatchSettings struct {
-	Max      int  // in all; 0: one
-	Parallel bool // several may be out at once (hedged requests)
-	Cancel   bool // one may be cancelled
-	// ConnectTimeout is how long a connection may take to come up.
+	Max      int  // dispatches of an op in all; 0: one
+	Parallel bool // several may be outstanding at once (hedged requests)
+	Cancel   bool // an outstanding one may be cancelled
+	// ConnectTimeout is how long it may take to establish a connection.
 	ConnectTimeout time.Duration
 }
 
-// RetryAfterSettings tell of the advice that a rejected op may carry.
+// RetryAfterSettings tell of the advice that comes with Reject.
 type RetryAfterSettings struct {
-	Allowed bool
-	Max     time.Duration
+	Allowed bool          // Reject.RetryAfter may be set
+	Max     time.Duration // the longest advice
 }
 
-// RetryBudget bounds the retries within a sliding window: Free of them, and Share of the ops admitted.
+// RetryBudget bounds the retries within a sliding window.
 type RetryBudget struct {
-	Limited bool // else any number may go out
-	Free    float64
-	Share   float64
-	Window  time.Duration
+	Limited bool          // there is a budget; else the number of retries is not bounded
+	Free    float64       // retries that are always allowed
+	Share   float64       // further retries for each op admitted
+	Window  time.Duration // the length of the window
 }
 
-// SlowStartSettings are the budget of a disk server that has just started.
+// SlowStartSettings bound what a disk server gets that has just started.
 type SlowStartSettings struct {
-	Window time.Duration // for which Units are counted; 0: there is no slow start
-	Time   time.Duration // until it is warm
-	From   float64       // of its full capacity, right after the start
-	Units  float64       // within a window that it bears right after the start
+	Window time.Duration // the time over which Units counts; 0: there is no slow start
+	Time   time.Duration // from the start until the disk server has its full capacity
+	From   float64       // capacity right after the start, as a share of the full one
+	Units  float64       // units in a window that it can serve right after the start
 }
 
-// UsageSettings tell what is known of a volume's use through all instances.
+// UsageSettings tell what disk servers report of a volume's use through all instances.
 type UsageSettings struct {
-	Period    time.Duration // of the total that answers bring; 0: they bring none
-	Elsewhere bool          // answers tell what a disk server did for the volume for other instances
+	Period    time.Duration // over which Outcome.QuotaUsed counts; 0: it is not reported
+	Elsewhere bool          // Outcome.ServedElsewhere is reported
 }
