--- /dev/null
+++ b/membership/ledger_test.go
@@ -0,0 +1,426 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"honeyplank"
+)
+
+const second = time.Second
+
+var testSettings = Settings{MaxRemovedShare: 0.5, ConfirmAfter: 10 * second, FlapWindow: 60 * second, FlapThreshold: 3, FlapHold: 5 * second}
+
+// input is one thing that can happen.
+type input struct {
+	name     string
+	from     Source
+	complete bool
+	fails    bool
+	tick     time.Duration
+	reports  map[string]State
+	started  bool // reported with a start of now
+}
+
+// inputs are all that the exhaustive search applies, for two servers.
+func inputs() (list []input) {
+	for from := range sourceCount {
+		for _, x := range []input{
+			{name: "a on", reports: map[string]State{"a": Up}}, {name: "a draining", reports: map[string]State{"a": Draining}},
+			{name: "a gone", reports: map[string]State{"a": Removed}}, {name: "a on, started", reports: map[string]State{"a": Up}, started: true},
+			{name: "b on", reports: map[string]State{"b": Up}}, {name: "all", complete: true, reports: map[string]State{"a": Up, "b": Up}},
+			{name: "none", complete: true}, {name: "b alone", complete: true, reports: map[string]State{"b": Up}}, {name: "fails", fails: true},
+		} {
+			x.from = from
+			x.name = from.String() + ": " + x.name
+			list = append(list, x)
+		}
+	}
+	return append(list, input{name: "1 s", tick: second}, input{name: "11 s", tick: 11 * second})
+}
+
+// model is the merge rule of docs/sources.md, written a second time: slow, and without the structure of the ledger.
+type model struct {
+	now        time.Duration
+	reports    map[string]*[2]modelReport
+	removals   [2][]time.Duration
+	nodes      []string
+	heldUntil  map[string]time.Duration
+	returns    map[string][]time.Duration
+	holdLength map[string]time.Duration
+	state      map[string]State
+}
+
+type modelReport struct {
+	state            State
+	at               time.Duration
+	started          time.Duration
+	unconfirmedSince time.Duration // 0: there is no unconfirmed removal
+}
+
+func newModel() *model {
+	m := &model{reports: map[string]*[2]modelReport{}, heldUntil: map[string]time.Duration{}, returns: map[string][]time.Duration{}, holdLength: map[string]time.Duration{}, state: map[string]State{}}
+	for _, n := range []string{"a", "b", "c", "d"} {
+		m.nodes, m.reports[n] = append(m.nodes, n), &[2]modelReport{}
+	}
+	return m
+}
+
+func (m *model) apply(x input) {
+	m.now += x.tick
+	touched := map[string]bool{}
+	if x.tick > 0 || x.fails {
+		for _, n := range m.nodes {
+			touched[n] = x.tick > 0
+		}
+	} else {
+		var removed []string
+		listed := 0
+		for _, n := range m.nodes {
+			report := &m.reports[n][x.from]
+			listedBefore := report.state == Up || report.state == Draining
+			if listedBefore {
+				listed++
+			}
+			state, reported := x.reports[n]
+			switch {
+			case reported && state != Removed:
+				started := report.started
+				if x.started {
+					started = m.now
+				}
+				if report.state != state || report.started != started || report.unconfirmedSince > 0 {
+					report.at = m.now
+				}
+				report.state, report.started, report.unconfirmedSince = state, started, 0
+				touched[n] = true
+			case listedBefore && (reported || x.complete):
+				removed = append(removed, n)
+				touched[n] = true
+			}
+		}
+		recent := 0
+		for _, at := range m.removals[x.from] {
+			if at > m.now-testSettings.ConfirmAfter {
+				recent++
+			}
+		}
+		removedUp := 0
+		for _, n := range removed {
+			if m.reports[n][x.from].state == Up {
+				removedUp++
+			}
+		}
+		tooMany := listed+recent > 1 && float64(removedUp+recent) > testSettings.MaxRemovedShare*float64(listed+recent)
+		for _, n := range removed {
+			report := &m.reports[n][x.from]
+			if tooMany && report.state == Up {
+				if report.unconfirmedSince == 0 {
+					report.unconfirmedSince = m.now
+				}
+				continue
+			}
+			if report.state == Up && report.unconfirmedSince == 0 {
+				m.removals[x.from] = append(m.removals[x.from], m.now)
+			}
+			report.state, report.at, report.unconfirmedSince = Removed, m.now, 0
+		}
+	}
+	for _, n := range m.nodes {
+		if touched[n] {
+			m.merge(n)
+		}
+	}
+}
+
+func (m *model) merge(n string) {
+	for i := range 2 {
+		report, other := &m.reports[n][i], &m.reports[n][1-i]
+		if report.unconfirmedSince > 0 && m.now >= report.unconfirmedSince+testSettings.ConfirmAfter && (other.state != Up || other.unconfirmedSince > 0) {
+			report.state, report.at, report.unconfirmedSince = Removed, m.now, 0
+		}
+	}
+	worst := NeverListed
+	for i := range 2 {
+		worst = max(worst, m.reports[n][i].state)
+	}
+	if worst >= Draining {
+		for i := range 2 {
+			report, other := &m.reports[n][i], &m.reports[n][1-i]
+			if report.state >= Draining && other.state == Up && other.unconfirmedSince == 0 && other.started > report.at {
+				worst = Up
+			}
+		}
+	}
+	if before := m.state[n]; worst == Up && before >= Draining {
+		switch {
+		case m.heldUntil[n] > m.now:
+			return
+		case m.heldUntil[n] > 0:
+			m.heldUntil[n] = 0
+		default:
+			recent := m.returns[n][:0]
+			for _, at := range m.returns[n] {
+				if at > m.now-testSettings.FlapWindow-m.holdLength[n] {
+					recent = append(recent, at)
+				}
+			}
+			if len(recent) == 0 {
+				m.holdLength[n] = 0
+			}
+			m.returns[n] = append(recent, m.now)
+			if len(m.returns[n]) >= testSettings.FlapThreshold {
+				m.holdLength[n] = min(max(2*m.holdLength[n], testSettings.FlapHold), testSettings.FlapWindow)
+				m.heldUntil[n] = m.now + m.holdLength[n]
+				return
+			}
+		}
+	}
+	m.state[n] = worst
+}
+
+// comparison runs the ledger and the model side by side and keeps the list as the decision module would.
+type comparison struct {
+	ledger *Ledger
+	model  *model
+	list   map[honeyplank.ServerID]honeyplank.MemberState
+}
+
+func newComparison() *comparison {
+	return &comparison{New(testSettings), newModel(), map[honeyplank.ServerID]honeyplank.MemberState{}}
+}
+
+// apply applies one input to both and returns what is wrong after it.
+func (c *comparison) apply(x input) error {
+	before := map[string]State{}
+	for _, n := range c.model.nodes {
+		before[n] = c.model.state[n]
+	}
+	c.model.apply(x)
+	var out []honeyplank.List
+	switch now := c.model.now; {
+	case x.fails:
+		c.ledger.SourceFailed(now, x.from)
+	case x.tick > 0:
+		out = c.ledger.Tick(now)
+	default:
+		var all []Report
+		for _, n := range c.model.nodes {
+			if st, ok := x.reports[n]; ok {
+				all = append(all, Report{honeyplank.Member{ID: honeyplank.ServerID(n), Started: c.model.reports[n][x.from].started}, st, c.model.reports[n][x.from].started})
+			}
+		}
+		if x.complete {
+			out = c.ledger.Complete(now, x.from, all)
+		} else {
+			out = c.ledger.Delta(now, x.from, all)
+		}
+	}
+	for _, l := range out {
+		for _, m := range l.Members {
+			c.list[m.ID] = m.State
+		}
+	}
+	for _, n := range c.model.nodes {
+		id := honeyplank.ServerID(n)
+		v, _ := c.ledger.View(id)
+		if v.State != c.model.state[n] {
+			return fmt.Errorf("%s is %v, the model has %v: ledger %+v, model %+v, now %v, held until %v", n, v.State, c.model.state[n], v, c.model.reports[n], c.model.now, c.model.heldUntil[n])
+		}
+		notified, known := c.list[id]
+		if known != (v.State != NeverListed) && v.State == Up || known && (notified == honeyplank.Up) != (v.State == Up) {
+			return fmt.Errorf("%s is %v, the decision module was notified of %v", n, v.State, notified)
+		}
+		if err := c.invariants(n, v, before[n], x); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// invariants are what the rule guarantees, checked without applying it.
+func (c *comparison) invariants(n string, v View, before State, x input) error {
+	etcd, dns := c.model.reports[n][0], c.model.reports[n][1]
+	takenOut := func(report modelReport) bool { return report.state == Draining || report.state == Removed }
+	for i, report := range []modelReport{etcd, dns} {
+		other := []modelReport{dns, etcd}[i]
+		if takenOut(report) && v.State == Up && !(other.state == Up && other.started > report.at) {
+			return fmt.Errorf("%s gets work though %v reports %v", n, Source(i), report.state)
+		}
+	}
+	if etcd.state == Up && dns.state == Up && etcd.unconfirmedSince == 0 && dns.unconfirmedSince == 0 && v.State != Up && c.model.heldUntil[n] <= c.model.now {
+		return fmt.Errorf("%s is %v though both sources list it as up", n, v.State)
+	}
+	if x.fails && v.State != before {
+		return fmt.Errorf("a failing source changed %s from %v to %v", n, before, v.State)
+	}
+	from, other := c.model.reports[n][x.from], c.model.reports[n][1-x.from]
+	if x.complete && len(x.reports) == 0 && from.unconfirmedSince > 0 && before == Up && v.State != Up && other.state == Up && other.unconfirmedSince == 0 {
+		return fmt.Errorf("%s was removed by a source that emptied at once", n)
+	}
+	return nil
+}
+
+// TestExhaustive applies every sequence of some inputs for two servers, both without any report before and after both sources
+// have listed both as up.
+func TestExhaustive(t *testing.T) {
+	all := inputs()
+	depth := 4
+	if testing.Short() {
+		depth = 3
+	}
+	count := 0
+	sequence := make([]int, depth)
+	for _, begin := range [][]input{nil, {all[5], all[14]}} {
+		if len(begin) > 0 && (begin[0].name != "etcd: all" || begin[1].name != "dns: all") {
+			t.Fatal("the inputs have moved")
+		}
+		clear(sequence)
+		for {
+			c := newComparison()
+			c.model.now = second
+			for _, x := range begin {
+				if err := c.apply(x); err != nil {
+					t.Fatal(err)
+				}
+			}
+			for k, i := range sequence {
+				if err := c.apply(all[i]); err != nil {
+					var names []string
+					for _, i := range sequence[:k+1] {
+						names = append(names, all[i].name)
+					}
+					t.Fatalf("begun with %d inputs, %q: %v", len(begin), names, err)
+				}
+			}
+			count++
+			k := depth - 1
+			for ; k >= 0; k-- {
+				if sequence[k]++; sequence[k] < len(all) {
+					break
+				}
+				sequence[k] = 0
+			}
+			if k < 0 {
+				break
+			}
+		}
+	}
+	t.Logf("%d sequences of %d inputs", count, depth)
+}
+
+// TestGenerated applies long sequences for four nodes, from fixed seeds.
+func TestGenerated(t *testing.T) {
+	for seed := range int64(200) {
+		rng := rand.New(rand.NewSource(seed))
+		c := newComparison()
+		c.model.now = second
+		for step := range 300 {
+			x := input{from: Source(rng.Intn(2)), reports: map[string]State{}, complete: rng.Intn(3) == 0, started: rng.Intn(5) == 0}
+			switch rng.Intn(6) {
+			case 0:
+				x = input{tick: time.Duration(1+rng.Intn(20)) * second}
+			case 1:
+				x = input{fails: true, from: x.from}
+			default:
+				for _, n := range c.model.nodes {
+					if rng.Intn(3) > 0 {
+						x.reports[n] = State(1 + rng.Intn(3))
+						if x.complete && x.reports[n] == Removed {
+							delete(x.reports, n)
+						}
+					}
+				}
+			}
+			if err := c.apply(x); err != nil {
+				t.Fatalf("seed %d, step %d, %+v: %v", seed, step, x, err)
+			}
+		}
+	}
+}
+
+// TestFlapping has a source take a node out and in for ten minutes: the decision module is notified of few returns.
+func TestFlapping(t *testing.T) {
+	c := newComparison()
+	c.model.now = second
+	ups := 0
+	for range 300 {
+		for _, x := range []input{{reports: map[string]State{"a": Up}}, {tick: second}, {reports: map[string]State{"a": Draining}}, {tick: second}} {
+			was := c.list["a"]
+			if err := c.apply(x); err != nil {
+				t.Fatal(err)
+			}
+			if is := c.list["a"]; was != honeyplank.Up && is == honeyplank.Up {
+				ups++
+			}
+		}
+	}
+	if ups > 20 { // 300 without the rule
+		t.Errorf("the module heard the node come back %d times in ten minutes", ups)
+	}
+}
+
+// TestSeveralReportsAtOnce has a source report one server several times at once, as a watch does that was held up: the last report decides.
+func TestSeveralReportsAtOnce(t *testing.T) {
+	for name, c := range map[string]struct {
+		before, reports []State
+		want            State
+	}{
+		"new, removed and back":  {nil, []State{Up, Removed, Up}, Up},
+		"removed and back":       {[]State{Up}, []State{Removed, Up}, Up},
+		"removed and draining":   {[]State{Up}, []State{Removed, Draining}, Draining},
+		"back and removed":       {[]State{Up, Removed}, []State{Up, Removed}, Removed},
+		"new and removed":        {nil, []State{Up, Removed}, Removed},
+		"draining and on":        {[]State{Up}, []State{Draining, Up}, Up},
+		"on and draining":        {[]State{Up}, []State{Up, Draining}, Draining},
+		"draining and removed":   {[]State{Up}, []State{Draining, Removed}, Removed},
+		"out and in three times": {[]State{Up}, []State{Removed, Up, Removed, Up, Removed, Up}, Up},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ledger := New(Settings{MaxRemovedShare: 1})
+			now := second
+			for _, state := range c.before {
+				now += second
+				ledger.Delta(now, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: state}})
+			}
+			var all []Report
+			for i, state := range c.reports { // the start shows which of them the ledger took
+				all = append(all, Report{Member: honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}, State: state})
+			}
+			ledger.Delta(now+second, Etcd, all)
+			v, _ := ledger.View("a")
+			if v.State != c.want || c.want != Removed && v.Member.Started != time.Duration(len(all)) {
+				t.Errorf("%v after %v: %v, started %d", c.reports, c.before, v.State, v.Member.Started)
+			}
+		})
+	}
+}
+
+// TestSurelyNewerStart has DNS list as up what etcd has taken out: only a start that surely came after that puts it back.
+func TestSurelyNewerStart(t *testing.T) {
+	for name, c := range map[string]struct {
+		out            State
+		started, after time.Duration
+		want           State
+	}{
+		"named again":              {Draining, 5 * second, 5 * second, Draining},
+		"first sight, after it":    {Draining, 30 * second, 0, Draining},
+		"perhaps before it":        {Draining, 30 * second, 15 * second, Draining},
+		"surely after it":          {Draining, 30 * second, 21 * second, Up},
+		"gone, first sight":        {Removed, 30 * second, 0, Removed},
+		"gone, surely after it":    {Removed, 30 * second, 21 * second, Up},
+		"gone, in the same moment": {Removed, 30 * second, 20 * second, Removed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ledger := New(Settings{MaxRemovedShare: 1})
+			ledger.Delta(10*second, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: Up}})
+			ledger.Delta(20*second, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
+			ledger.Complete(30*second, DNS, []Report{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, StartedAfter: c.after}})
+			if v, _ := ledger.View("a"); v.State != c.want {
+				t.Errorf("%v, want %v", v.State, c.want)
+			}
+		})
+	}
+}
