--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,6 +1,7 @@
-// Package discovery learns of the disk servers: from etcd over its published gRPC API (docs/etcd.md) and from DNS
-// SRV records (docs/dns.md). The sources ask, tell what they heard and report what failed. Whom to believe is
-// decided in package belief, when to ask etcd again by the module.
+// Package discovery has the types that the two sources of the list of disk servers share. Package discovery/etcd
+// watches the list in etcd (docs/etcd.md), package discovery/dns polls the SRV records in DNS (docs/dns.md). The
+// sources ask, pass on what they heard and report what failed. Which of them is right about a server is decided in
+// package membership, when etcd is asked again in the decision module.
 package discovery
 
 import (
@@ -12,48 +13,76 @@
 	"honeyplank"
 )
 
-// Record is the value of a node's key; the key is the prefix and the node's address.
+// The values of Record.State.
+const (
+	StateOn       = "on"       // the server takes work
+	StateDraining = "draining" // it gets no new work
+)
+
+// Record is the value of a server's key in etcd; the key is the prefix and the server's address.
 type Record struct {
-	State     string  `json:"state"`                // "on" or "draining"
-	StartedMS int64   `json:"started_ms,omitempty"` // unix time of its last start; 0: long ago
-	Size      float64 `json:"size,omitempty"`
+	State     string  `json:"state"`                // StateOn or StateDraining
+	StartedMS int64   `json:"started_ms,omitempty"` // Unix time of its last start, in milliseconds; 0: long ago
+	Size      float64 `json:"size,omitempty"`       // relative to other servers; 0: as all others
 	Model     int     `json:"model,omitempty"`
 	Zone      int     `json:"zone,omitempty"`
 	Cell      int     `json:"cell"`
 }
 
-// Node is a record with its address.
+// Node is one server of the list.
 type Node struct {
 	Record
-	Address string
-	Removed bool
+	Address string // IP address and port
+	Removed bool   // the server is not listed any more; Record is what was listed last
 }
 
-// Update is what the source heard. Err tells why a watch or fetch failed; then there are no nodes.
+// Update is what a source has heard.
 type Update struct {
+	// Kind is Complete for a whole list, Delta for changes, and WatchFailed where a request or watch failed: Err has the
+	// reason then, and there are no nodes.
 	Kind     honeyplank.ListKind
-	Revision int64
+	Revision int64 // of etcd
 	Nodes    []Node
-	Skipped  []string // keys whose values made no sense, with the reason
+	Skipped  []string // the entries that are not valid, each with the reason
 	Err      error
-	// Current tells that nothing that has happened up to now is left to be told. Only changes set it; news without nodes
-	// may tell nothing else.
+	// Current: every change up to this moment has been passed on. Only a Delta sets it; one without nodes may have no
+	// other content.
 	Current bool
 }
 
-// ParseRecord reads the value of a node's key.
-func ParseRecord(address string, value []byte) (r Record, err error) {
+// Why a record is not valid. RecordError wraps one of these, or the error of the JSON decoder.
+var (
+	ErrAddress  = errors.New("not an IP address and port")
+	ErrState    = errors.New("state is neither on nor draining")
+	ErrNegative = errors.New("a number is negative")
+)
+
+// RecordError tells which record is not valid and why.
+type RecordError struct {
+	Address string
+	Err     error
+}
+
+// Error is the text that the log shows for a skipped entry.
+func (e *RecordError) Error() string { return fmt.Sprintf("discovery: %.80q: %v", e.Address, e.Err) }
+
+// Unwrap is the reason.
+func (e *RecordError) Unwrap() error { return e.Err }
+
+// ParseRecord decodes and checks the value of a server's key. An error is a *RecordError.
+func ParseRecord(address string, value []byte) (Record, error) {
+	var r Record
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return r, fmt.Errorf("members: %.80q is no address", address)
+		return r, &RecordError{address, ErrAddress}
 	}
 	if err := json.Unmarshal(value, &r); err != nil {
-		return r, fmt.Errorf("members: %s: %w", address, err)
+		return r, &RecordError{address, err}
 	}
-	if r.State != "on" && r.State != "draining" {
-		return r, fmt.Errorf("members: %s: state %.20q is neither on nor draining", address, r.State)
+	if r.State != StateOn && r.State != StateDraining {
+		return r, &RecordError{address, fmt.Errorf("%w: %.20q", ErrState, r.State)}
 	}
 	if r.Size < 0 || r.StartedMS < 0 || r.Cell < 0 || r.Zone < 0 {
-		return r, errors.New("members: " + address + ": a negative figure")
+		return r, &RecordError{address, ErrNegative}
 	}
 	return r, nil
 }
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -13,7 +13,7 @@
 	"honeyplank/discovery"
 )
 
-const fewest = 5 // nodes that the fuzzed list may hold
+const testMaxNodes = 5 // of the fuzzed list
 
 // change is one event as the model remembers it.
 type change struct {
@@ -23,14 +23,14 @@
 }
 
 // model is the slow plain rule of a watch: it keeps all that was ever taken and works out each time, from the
-// beginning, what must be known by now. It knows no pieces, tables or bounds but the rule itself.
+// beginning, what must be known by now. It knows no fragments, tables or bounds but the rule itself.
 type model struct {
 	base    map[string]discovery.Node
 	baseAt  int64
 	taken   []change // of responses that are complete
-	pending []change // of pieces
+	pending []change // of fragments
 	upTo    int64    // by a progress notice
-	open    bool     // more pieces are to come
+	open    bool     // more fragments are to come
 	created bool
 	over    bool
 }
@@ -48,15 +48,15 @@
 	for _, c := range m.taken {
 		if _, there := out[c.key]; c.node == nil {
 			delete(out, c.key)
-		} else if there || len(out) < fewest {
+		} else if there || len(out) < testMaxNodes {
 			out[c.key] = *c.node
 		}
 	}
 	return out
 }
 
-// hear tells whether the watch goes on after a response.
-func (m *model) hear(r *etcdserverpb.WatchResponse) bool {
+// handle tells whether the watch goes on after a response.
+func (m *model) handle(r *etcdserverpb.WatchResponse) bool {
 	order := slices.IsSortedFunc(r.Events, func(a, b *mvccpb.Event) int { return int(a.GetKv().GetModRevision() - b.GetKv().GetModRevision()) })
 	whole := !slices.ContainsFunc(r.Events, func(e *mvccpb.Event) bool { return e.Kv == nil })
 	progress := len(r.Events) == 0 && !r.Fragment && (!m.open || r.WatchId < 0) && !r.Created
@@ -77,10 +77,10 @@
 		}
 		return true
 	}
-	told := m.revision()
+	revision := m.revision()
 	for _, e := range r.Events {
 		c := change{revision: e.Kv.ModRevision, key: string(e.Kv.Key)}
-		if c.revision <= told {
+		if c.revision <= revision {
 			continue
 		}
 		for _, p := range m.pending {
@@ -96,7 +96,7 @@
 				c.key = ""
 			}
 		}
-		if m.pending = append(m.pending, c); len(m.pending) > 2*fewest {
+		if m.pending = append(m.pending, c); len(m.pending) > 2*testMaxNodes {
 			m.over = true
 			return false
 		}
@@ -108,7 +108,7 @@
 	for _, c := range m.pending {
 		if c.key != "" {
 			m.taken = append(m.taken, c)
-		} else if c.revision > 0 { // told as nonsense: it is behind us
+		} else if c.revision > 0 { // passed on as skipped
 			m.taken = append(m.taken, change{revision: c.revision, key: "-"})
 		}
 	}
@@ -117,8 +117,8 @@
 }
 
 // FuzzWatch plays responses of etcd in any order, with revisions that go back, events for unknown keys and keys
-// outside the list, events without pairs, pieces, progress, cancels and what follows them. The watch and the plain
-// model must know the same nodes and stand or fall together; what is told, applied in order, is what is known.
+// outside the list, events without pairs, fragments, progress, cancels and what follows them. The watch and the plain
+// model must have the same nodes and end together; the updates, applied in order, come to what is known.
 func FuzzWatch(f *testing.F) {
 	f.Add([]byte{0, 5, 1, 0x61, 1, 0x72, 2, 0x83, 1, 0x91, 3, 0, 1, 0xA1})
 	f.Add([]byte{0, 5, 1, 0x61, 1, 0x51, 7, 0x81, 4, 0, 1, 0x90})
@@ -126,23 +126,23 @@
 	f.Add([]byte{0, 9, 1, 0xA1, 1, 0xA2, 1, 0xB3, 1, 0xB4, 1, 0xB5, 1, 0xC6, 2, 0xD1, 1, 0xE6})
 	f.Fuzz(func(t *testing.T, script []byte) {
 		base := map[string]discovery.Node{}
-		l := list{prefix: prefix, most: fewest, known: map[string]discovery.Node{}}
-		r := l.read()
+		l := list{prefix: prefix, maxNodes: testMaxNodes, nodes: map[string]discovery.Node{}}
+		r := l.newRead()
 		page := &etcdserverpb.RangeResponse{Header: &etcdserverpb.ResponseHeader{Revision: 5}}
 		for i := range 3 {
 			page.Kvs = append(page.Kvs, &mvccpb.KeyValue{Key: []byte(fmt.Sprintf("%s127.0.0.1:%d", prefix, i+1)), Value: []byte(`{"state":"on"}`), ModRevision: 5})
 		}
-		if _, err := r.page(page); err != nil {
+		if _, err := r.addPage(page); err != nil {
 			t.Fatal(err)
 		}
-		heard := map[string]discovery.Node{}
-		for _, n := range l.whole(r).Nodes {
-			heard[n.Address], base[n.Address] = n, n
+		received := map[string]discovery.Node{}
+		for _, n := range l.replace(r).Nodes {
+			received[n.Address], base[n.Address] = n, n
 		}
-		l.watch()
+		l.beginWatch()
 		m := &model{base: base, baseAt: 5}
 		for len(script) >= 2 {
-			what, n := script[0], script[1]
+			kind, n := script[0], script[1]
 			script = script[2:]
 			revision := int64(n >> 4)
 			head := &etcdserverpb.ResponseHeader{Revision: max(revision, 9)}
@@ -150,8 +150,8 @@
 			if n&8 != 0 {
 				event.Kv.Value = []byte(`{"state":"on","cell":3}`)
 			}
-			out := &etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{event}, Fragment: what&0x80 != 0}
-			switch what % 12 {
+			out := &etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{event}, Fragment: kind&0x80 != 0}
+			switch kind % 12 {
 			case 0:
 				head.Revision, out.Created, out.Events = int64(n), true, nil
 			case 1:
@@ -169,7 +169,7 @@
 			case 7: // two of one response, the second before or after the first
 				out.Events = append(out.Events, &mvccpb.Event{Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: event.Kv.Key, ModRevision: int64(n & 15)}})
 			case 8:
-				event.Kv.Value = []byte("nonsense")
+				event.Kv.Value = []byte("not a record")
 			case 9:
 				out.Header = nil
 			case 10:
@@ -178,35 +178,35 @@
 				event.Kv.Key = []byte(prefix + "no address")
 				event.Type = mvccpb.Event_EventType(n & 1)
 			}
-			was := l.revision
-			news, err := l.hear(out)
-			if on := m.hear(out); on != (err == nil) {
-				t.Fatalf("%v: the watch says %v, the model %v", out, err, on)
+			revisionBefore := l.revision
+			update, err := l.handle(out)
+			if goesOn := m.handle(out); goesOn != (err == nil) {
+				t.Fatalf("%v: the watch returns %v, the model goes on: %v", out, err, goesOn)
 			}
 			if err != nil {
-				if news != nil || errors.Is(err, errMost) {
-					t.Fatalf("%+v with %v", news, err)
+				if update != nil || errors.Is(err, errTooManyKeys) {
+					t.Fatalf("%+v with %v", update, err)
 				}
-				continue // what still comes changes nothing
+				continue // further responses change nothing
 			}
-			if news != nil {
-				for _, n := range news.Nodes {
-					if heard[n.Address] = n; n.Removed {
-						delete(heard, n.Address)
+			if update != nil {
+				for _, n := range update.Nodes {
+					if received[n.Address] = n; n.Removed {
+						delete(received, n.Address)
 					}
 				}
 			}
-			if news != nil && news.Current && (m.open || m.revision() < out.Header.Revision) {
-				t.Fatalf("%v: told as current, the model is at %d", out, m.revision())
+			if update != nil && update.Current && (m.open || m.revision() < out.Header.Revision) {
+				t.Fatalf("%v: passed on as current, the model is at %d", out, m.revision())
 			}
-			if l.revision < was || l.revision != m.revision() {
-				t.Fatalf("revision %d, was %d, the model's is %d", l.revision, was, m.revision())
+			if l.revision < revisionBefore || l.revision != m.revision() {
+				t.Fatalf("revision %d, was %d, the model's is %d", l.revision, revisionBefore, m.revision())
 			}
-			if want := m.known(); !maps.Equal(l.known, want) || !maps.Equal(heard, want) {
-				t.Fatalf("known %v\nheard %v\nmodel %v", l.known, heard, want)
+			if want := m.known(); !maps.Equal(l.nodes, want) || !maps.Equal(received, want) {
+				t.Fatalf("nodes %v\nreceived %v\nmodel %v", l.nodes, received, want)
 			}
-			if len(l.known) > fewest || len(l.held)+len(l.skipped) > 2*fewest {
-				t.Fatalf("%d nodes, %d held, %d skipped", len(l.known), len(l.held), len(l.skipped))
+			if len(l.nodes) > testMaxNodes || len(l.held)+len(l.skipped) > 2*testMaxNodes {
+				t.Fatalf("%d nodes, %d held, %d skipped", len(l.nodes), len(l.held), len(l.skipped))
 			}
 		}
 	})
@@ -217,7 +217,7 @@
 	pair := func(i int) *mvccpb.KeyValue {
 		return &mvccpb.KeyValue{Key: fmt.Appendf(nil, "%s127.0.0.1:%05d", prefix, i), Value: []byte(`{"state":"on"}`)}
 	}
-	l := list{prefix: prefix, most: fewest, known: map[string]discovery.Node{}}
+	l := list{prefix: prefix, maxNodes: testMaxNodes, nodes: map[string]discovery.Node{}}
 	head := &etcdserverpb.ResponseHeader{Revision: 7}
 	for name, p := range map[string]*etcdserverpb.RangeResponse{
 		"without a revision":       {Kvs: []*mvccpb.KeyValue{pair(1)}},
@@ -226,17 +226,17 @@
 		"before the list":          {Header: head, Kvs: []*mvccpb.KeyValue{{Key: []byte("/")}}},
 		"empty, with more to come": {Header: head, More: true},
 	} {
-		if _, err := l.read().page(p); err == nil {
+		if _, err := l.newRead().addPage(p); err == nil {
 			t.Error(name, "is taken")
 		}
 	}
-	r := l.read()
+	r := l.newRead()
 	var err error
 	n := 0
 	for ; err == nil && n < 100; n++ {
-		_, err = r.page(&etcdserverpb.RangeResponse{Header: head, Kvs: []*mvccpb.KeyValue{pair(n + 1)}, More: true})
+		_, err = r.addPage(&etcdserverpb.RangeResponse{Header: head, Kvs: []*mvccpb.KeyValue{pair(n + 1)}, More: true})
 	}
-	if !errors.Is(err, errMost) || n > 2*fewest+1 || len(r.held) != fewest {
+	if !errors.Is(err, errTooManyKeys) || n > 2*testMaxNodes+1 || len(r.held) != testMaxNodes {
 		t.Errorf("a list without an end: %v after %d pages, %d held", err, n, len(r.held))
 	}
 }
