--- a/discovery/dns/client_test.go
+++ b/discovery/dns/client_test.go
@@ -22,10 +22,10 @@
 	return list
 }
 
-// resolve starts name servers and a source that asks them in turn.
+// resolve starts fake name servers and a client that asks them in turn.
 func resolve(t *testing.T, n int, change func(*Settings)) ([]*fakedns.Server, chan discovery.Update) {
 	t.Helper()
-	terms := Settings{Name: zone, MinInterval: 50 * time.Millisecond, MaxInterval: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
+	settings := Settings{Name: zone, MinInterval: 50 * time.Millisecond, MaxInterval: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
 	var servers []*fakedns.Server
 	for range n {
 		s, err := fakedns.New(zone)
@@ -34,29 +34,29 @@
 		}
 		t.Cleanup(s.Close)
 		s.Set(0, nodes(3))
-		servers, terms.Servers = append(servers, s), append(terms.Servers, s.Address())
+		servers, settings.Servers = append(servers, s), append(settings.Servers, s.Address())
 	}
 	if change != nil {
-		change(&terms)
+		change(&settings)
 	}
-	out := make(chan discovery.Update, 1000)
-	d := New(terms, func(n discovery.Update) { out <- n })
-	t.Cleanup(d.Close)
-	return servers, out
+	updates := make(chan discovery.Update, 1000)
+	c := New(settings, func(u discovery.Update) { updates <- u })
+	t.Cleanup(c.Close)
+	return servers, updates
 }
 
-// TestAnswers has a name server answer in every way that it should and should not: what fails is a failure with
-// its reason, what is truly nothing is an answer.
+// TestAnswers has a name server answer correctly and with every fault: a fault is a failure with its reason, and an empty
+// answer is only one with an SOA.
 func TestAnswers(t *testing.T) {
-	servers, news := resolve(t, 1, nil)
+	servers, updates := resolve(t, 1, nil)
 	s := servers[0]
 	for _, c := range []struct {
-		name   string
-		faults fakedns.Faults
-		count  int    // nodes
-		says   string // of a failure
+		name      string
+		faults    fakedns.Faults
+		count     int    // nodes
+		errorText string // empty: no error
 	}{
-		{"as it should be", fakedns.Faults{}, 3, ""},
+		{"correct", fakedns.Faults{}, 3, ""},
 		{"truncated over UDP", fakedns.Faults{Truncate: true}, 3, ""},
 		{"without addresses", fakedns.Faults{Bare: true}, 3, ""},
 		{"truncated over UDP, no TCP", fakedns.Faults{Truncate: true, NoTCP: true}, 0, "over tcp"},
@@ -66,35 +66,35 @@
 		{"malformed", fakedns.Faults{Malformed: true}, 0, "another question"}, // what could be read of it
 		{"another id", fakedns.Faults{WrongID: true}, 0, "over udp"},
 		{"another question", fakedns.Faults{Other: true}, 0, "another question"},
-		{"empty by mistake", fakedns.Faults{Empty: true}, 0, "without an SOA"},
-		{"truly nothing", fakedns.Faults{None: true}, 0, ""},
+		{"no records, without an SOA", fakedns.Faults{Empty: true}, 0, "without an SOA"},
+		{"no records, with an SOA", fakedns.Faults{None: true}, 0, ""},
 	} {
 		s.Fault(c.faults)
-		for range 2 { // what was under way when the fault came
+		for range 2 { // queries under way when the fault was set
 			select {
-			case <-news:
+			case <-updates:
 			case <-time.After(2 * time.Second):
-				t.Fatalf("%s: no news", c.name)
+				t.Fatalf("%s: no update", c.name)
 			}
 		}
-		n := <-news
-		if c.says != "" && (n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), c.says)) {
-			t.Errorf("%s: %v, want %q", c.name, n.Err, c.says)
+		n := <-updates
+		if c.errorText != "" && (n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), c.errorText)) {
+			t.Errorf("%s: %v, want %q", c.name, n.Err, c.errorText)
 		}
-		if c.says == "" && (n.Kind != honeyplank.Complete || len(n.Nodes) != c.count) {
+		if c.errorText == "" && (n.Kind != honeyplank.Complete || len(n.Nodes) != c.count) {
 			t.Errorf("%s: kind %d, %d nodes, %v", c.name, n.Kind, len(n.Nodes), n.Err)
 		}
 	}
 }
 
-// TestConvention reads what records tell: cell, zone, start, drain, and which of a cell's servers comes first.
+// TestConvention reads the content of records: cell, zone, start, draining, and which of the servers of a cell are listed.
 func TestConvention(t *testing.T) {
-	servers, news := resolve(t, 1, nil)
-	<-news
+	servers, updates := resolve(t, 1, nil)
+	<-updates
 	servers[0].Set(1, []fakedns.Record{
 		{Target: "a--c4-z2-t1700000000.x.", IP: "127.0.0.1", Port: 1, Weight: 3},
-		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // stands by for a
-		{Target: "c--c5.x.", IP: "127.0.0.1", Port: 3, Weight: 0},              // drains
+		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // not listed, as a has a lower priority
+		{Target: "c--c5.x.", IP: "127.0.0.1", Port: 3, Weight: 0},              // draining
 		{Target: "d--c5.x.", IP: "127.0.0.1", Port: 4, Weight: 1, Priority: 9},
 		{Target: "d--c8.x.", IP: "127.0.0.1", Port: 8, Weight: 1}, // on, and draining: it drains
 		{Target: "d--c8.x.", IP: "127.0.0.1", Port: 8, Weight: 0},
@@ -105,7 +105,7 @@
 	servers[0].Fault(fakedns.Faults{Bare: true}) // A, then AAAA are asked for
 	var n discovery.Update
 	for range 4 {
-		n = <-news
+		n = <-updates
 	}
 	got := ""
 	for _, x := range n.Nodes {
@@ -117,36 +117,36 @@
 	}
 }
 
-// TestTurns has the first server fail: the second is asked, and stays the first while it answers.
-func TestTurns(t *testing.T) {
-	servers, news := resolve(t, 2, nil)
-	<-news
+// TestPreferredServer has the first server fail: the second is asked, and stays the preferred one while it answers.
+func TestPreferredServer(t *testing.T) {
+	servers, updates := resolve(t, 2, nil)
+	<-updates
 	servers[0].Fault(fakedns.Faults{Rcode: mdns.RcodeServerFailure})
 	for range 5 {
-		if n := <-news; n.Err != nil {
+		if n := <-updates; n.Err != nil {
 			t.Fatal(n.Err)
 		}
 	}
 	was := servers[0].Queries()
 	for range 5 {
-		<-news
+		<-updates
 	}
 	if now := servers[0].Queries(); now != was {
 		t.Errorf("the failing server was asked %d times more", now-was)
 	}
 }
 
-// TestLifetimes gives lifetimes of nothing and of a week: the floor and the ceiling hold, and asking is drawn out.
+// TestLifetimes has lifetimes of nothing and of a week: the bounds of the interval hold, and it has jitter.
 func TestLifetimes(t *testing.T) {
 	for ttl, want := range map[uint32][2]time.Duration{0: {35 * time.Millisecond, 50 * time.Millisecond}, 7 * 24 * 3600: {300 * time.Millisecond, 400 * time.Millisecond}} {
-		servers, news := resolve(t, 1, nil)
+		servers, updates := resolve(t, 1, nil)
 		servers[0].Set(ttl, nodes(2))
-		<-news
-		<-news
+		<-updates
+		<-updates
 		seen := map[time.Duration]bool{}
 		for range 5 {
 			began := time.Now()
-			<-news
+			<-updates
 			took := time.Since(began)
 			seen[took.Round(time.Millisecond)] = true
 			if took < want[0] || took > want[1]+50*time.Millisecond {
--- /dev/null
+++ b/discovery/dns/exchange.go
@@ -0,0 +1,120 @@
+package dns
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+
+	mdns "github.com/miekg/dns"
+)
+
+const (
+	udpSize    = 1232 // bytes of a UDP answer that pass without fragments (DNS Flag Day 2020)
+	maxAliases = 8    // CNAME records followed in one answer; guards against a loop
+)
+
+// Why an answer is none. Update.Err wraps these.
+var (
+	ErrTruncated     = errors.New("truncated over TCP too")
+	ErrNotAnAnswer   = errors.New("no answer to a question")
+	ErrOtherQuestion = errors.New("an answer to another question")
+	ErrEmptyAnswer   = errors.New("an empty answer without an SOA")
+)
+
+// RcodeError is the error code of a name server.
+type RcodeError int
+
+// Error names the code.
+func (e RcodeError) Error() string { return "the server answers " + mdns.RcodeToString[int(e)] }
+
+// negativeError is the answer that a name has no records of a type (RFC 2308), with its lifetime in seconds.
+type negativeError struct{ ttl uint32 }
+
+func (negativeError) Error() string { return "there are no such records" }
+
+// exchange sends one query to one server: over UDP, and over TCP where that answer is truncated. The error is a
+// negativeError where the server answers that there are no such records.
+func (c *Client) exchange(ctx context.Context, server, name string, recordType uint16) (*mdns.Msg, error) {
+	query := new(mdns.Msg)
+	query.SetQuestion(name, recordType)
+	query.SetEdns0(udpSize, false)
+	var answer *mdns.Msg
+	for _, network := range []string{"udp", "tcp"} {
+		callCtx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
+		transport := &mdns.Client{Net: network, Timeout: c.settings.Timeout, UDPSize: udpSize}
+		var err error
+		c.Queries++
+		answer, _, err = transport.ExchangeContext(callCtx, query, server) // compares the message ids
+		cancel()
+		if err != nil {
+			return nil, fmt.Errorf("over %s: %w", network, err)
+		}
+		if !answer.Truncated {
+			break
+		}
+	}
+	records, err := validAnswer(answer, name, recordType)
+	if err != nil {
+		return nil, err
+	}
+	answer.Answer = records
+	return answer, nil
+}
+
+// validAnswer is the records by which a message answers a question, or why it is no answer.
+func validAnswer(m *mdns.Msg, name string, recordType uint16) ([]mdns.RR, error) {
+	if err := checkHeader(m, name, recordType); err != nil {
+		return nil, err
+	}
+	records := followAliases(m.Answer, name, recordType)
+	if m.Rcode == mdns.RcodeSuccess && len(records) > 0 {
+		return records, nil
+	}
+	for _, record := range m.Ns { // a negative answer carries the SOA, which has its lifetime (RFC 2308)
+		if soa, ok := record.(*mdns.SOA); ok {
+			return nil, negativeError{min(soa.Hdr.Ttl, soa.Minttl)}
+		}
+	}
+	return nil, ErrEmptyAnswer
+}
+
+// checkHeader tells why a message is no answer to a question, as far as its header and question section go.
+func checkHeader(m *mdns.Msg, name string, recordType uint16) error {
+	switch {
+	case m.Truncated:
+		return ErrTruncated
+	case !m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) != 1:
+		return ErrNotAnAnswer
+	case !strings.EqualFold(m.Question[0].Name, name) || m.Question[0].Qtype != recordType || m.Question[0].Qclass != mdns.ClassINET:
+		return fmt.Errorf("%w, %s", ErrOtherQuestion, m.Question[0].String())
+	case m.Rcode != mdns.RcodeSuccess && m.Rcode != mdns.RcodeNameError:
+		return RcodeError(m.Rcode)
+	}
+	return nil
+}
+
+// followAliases is the records of a type that a name has, or that its aliases have, in whatever order they come.
+func followAliases(all []mdns.RR, name string, recordType uint16) []mdns.RR {
+	var records []mdns.RR
+	owner := strings.ToLower(name)
+	for range maxAliases {
+		alias := ""
+		for _, record := range all {
+			header := record.Header()
+			if header.Class != mdns.ClassINET || !strings.EqualFold(header.Name, owner) {
+				continue
+			}
+			if header.Rrtype == recordType {
+				records = append(records, record)
+			} else if cname, ok := record.(*mdns.CNAME); ok {
+				alias = strings.ToLower(cname.Target)
+			}
+		}
+		if alias == "" || len(records) > 0 {
+			break
+		}
+		owner = alias
+	}
+	return records
+}
--- a/discovery/dns/fuzz_test.go
+++ b/discovery/dns/fuzz_test.go
@@ -13,7 +13,7 @@
 )
 
 // FuzzAnswer holds any message against a question, as it comes from the wire: no panic, and only records of the
-// question's kind, under its name or an alias of it, are taken.
+// question's type, under its name or an alias of it, are taken.
 func FuzzAnswer(f *testing.F) {
 	q := new(mdns.Msg)
 	q.SetQuestion(zone, mdns.TypeSRV)
@@ -34,7 +34,7 @@
 		var err error
 		if n := heap.Bytes(func() {
 			if err = m.Unpack(b); err == nil {
-				found, err = validRecord(m, zone, mdns.TypeSRV)
+				found, err = validAnswer(m, zone, mdns.TypeSRV)
 			}
 		}); n > uint64(1<<20+1000*len(b)) {
 			t.Fatalf("%d bytes are allocated for a message of %d", n, len(b))
@@ -67,36 +67,36 @@
 	f.Add([]byte{9, 0x11, 8, 0x22, 10, 3, 11, 4, 2, 5})
 	f.Fuzz(func(t *testing.T, script []byte) {
 		given, asked := map[string]bool{}, 0
-		d := &Client{t: Settings{Name: zone}}
-		d.ask = func(_, name string, kind uint16) (*mdns.Msg, error) {
+		c := &Client{settings: Settings{Name: zone}}
+		c.query = func(_, name string, recordType uint16) (*mdns.Msg, error) {
 			if asked++; len(script) < 2 {
-				return nil, errNegative{5}
+				return nil, negativeError{5}
 			}
 			q, m := new(mdns.Msg), new(mdns.Msg)
-			q.SetQuestion(name, kind)
+			q.SetQuestion(name, recordType)
 			m.SetReply(q)
 			count := 1 + int(script[0]>>6)
 			for range count {
 				if len(script) < 2 {
 					break
 				}
-				what, n := script[0]&15, script[1]
+				action, n := script[0]&15, script[1]
 				script = script[2:]
 				target := fmt.Sprintf("n%d--c%d-z1.%s", n&3, n>>4, zone)
-				head := mdns.RR_Header{Name: name, Rrtype: kind, Class: mdns.ClassINET, Ttl: uint32(n)}
+				head := mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET, Ttl: uint32(n)}
 				address := &mdns.A{Hdr: head, A: net.IPv4(127, 0, 0, n)}
 				address.Hdr.Rrtype = mdns.TypeA
-				note := func() { given[address.A.String()] = true }
-				switch what {
+				markGiven := func() { given[address.A.String()] = true }
+				switch action {
 				case 0, 1:
 					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n >> 2 & 3), Weight: uint16(n & 1), Priority: uint16(n >> 1 & 1), Target: target})
 				case 2:
 					m.Answer = append(m.Answer, address)
-					note()
+					markGiven()
 				case 3: // an address nobody asked for, along with the answer
 					address.Hdr.Name = target
 					m.Extra = append(m.Extra, address)
-					note()
+					markGiven()
 				case 4: // an alias, perhaps of itself
 					m.Answer = append(m.Answer, &mdns.CNAME{Hdr: mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: target})
 				case 5:
@@ -104,7 +104,7 @@
 				case 6:
 					m.Ns = append(m.Ns, &mdns.SOA{Hdr: head, Minttl: uint32(n)})
 				case 7:
-					m.Question = []mdns.Question{{Name: target, Qtype: kind, Qclass: mdns.ClassINET}}
+					m.Question = []mdns.Question{{Name: target, Qtype: recordType, Qclass: mdns.ClassINET}}
 				case 8:
 					m.Truncated = true
 				case 9:
@@ -126,19 +126,19 @@
 					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
 				}
 			}
-			answers, err := validRecord(m, name, kind)
+			answers, err := validAnswer(m, name, recordType)
 			if err != nil {
 				return nil, err
 			}
 			m.Answer = answers
 			return m, nil
 		}
-		news, _, err := d.list("any")
-		if err != nil && len(news.Nodes) > 0 {
-			t.Fatalf("%d nodes with %v", len(news.Nodes), err)
+		update, _, err := c.readList("any")
+		if err != nil && len(update.Nodes) > 0 {
+			t.Fatalf("%d nodes with %v", len(update.Nodes), err)
 		}
 		seen := map[string]bool{}
-		for _, n := range news.Nodes {
+		for _, n := range update.Nodes {
 			at, err := netip.ParseAddrPort(n.Address)
 			if err != nil || at.Port() == 0 || !given[at.Addr().String()] || seen[n.Address] || n.State != "on" && n.State != "draining" {
 				t.Fatalf("%+v, given were %v, %v", n, given, err)
--- /dev/null
+++ b/discovery/dns/list.go
@@ -0,0 +1,158 @@
+package dns
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+	"regexp"
+	"strconv"
+	"strings"
+
+	mdns "github.com/miekg/dns"
+
+	"honeyplank"
+	"honeyplank/discovery"
+)
+
+const millisecondsPerSecond = 1000
+
+// errNoCell: the first label of a target does not follow the convention, or the record has no port.
+var errNoCell = errors.New("names no cell")
+
+// listRead is one reading of the list from one server.
+type listRead struct {
+	*Client
+	server    string
+	addresses map[string][]netip.Addr // by target
+	ttl       uint32                  // seconds; the shortest of the records used
+	entries   []entry
+	skipped   []string
+}
+
+// entry is an SRV record with its address.
+type entry struct {
+	node     discovery.Node
+	priority uint16
+}
+
+// readList reads the SRV records and the addresses of their targets from one server. ttl is the shortest lifetime in
+// seconds. Where one address can't be had the whole list is an error: without it, a server would seem to be removed.
+func (c *Client) readList(server string) (update discovery.Update, ttl uint32, err error) {
+	update = discovery.Update{Kind: honeyplank.Complete}
+	answer, err := c.query(server, c.settings.Name, mdns.TypeSRV)
+	var negative negativeError
+	if errors.As(err, &negative) { // the list is empty
+		return update, negative.ttl, nil
+	}
+	if err != nil {
+		return update, 0, err
+	}
+	read := &listRead{Client: c, server: server, addresses: map[string][]netip.Addr{}, ttl: math.MaxUint32}
+	for _, record := range answer.Extra {
+		read.addAddress(record)
+	}
+	for _, record := range answer.Answer {
+		if srv, ok := record.(*mdns.SRV); ok {
+			if err := read.addRecord(srv); err != nil {
+				return update, 0, err
+			}
+		}
+	}
+	update.Nodes, update.Skipped = read.selected(), read.skipped
+	return update, read.ttl, nil
+}
+
+// addRecord adds an SRV record as an entry, or skips it.
+func (r *listRead) addRecord(srv *mdns.SRV) error {
+	r.ttl = min(r.ttl, srv.Hdr.Ttl)
+	target := strings.ToLower(srv.Target)
+	e, err := parseTarget(target, srv)
+	if err != nil {
+		r.skipped = append(r.skipped, err.Error())
+		return nil
+	}
+	if err := r.queryAddress(target); err != nil {
+		return err
+	}
+	if len(r.addresses[target]) == 0 {
+		r.skipped = append(r.skipped, "discovery: "+target+" has no address")
+		return nil
+	}
+	e.node.Address = netip.AddrPortFrom(r.addresses[target][0], srv.Port).String() // one target is one server
+	r.entries = append(r.entries, e)
+	return nil
+}
+
+// queryAddress asks for the A and then the AAAA records of a target, until there is an address.
+func (r *listRead) queryAddress(target string) error {
+	for _, recordType := range []uint16{mdns.TypeA, mdns.TypeAAAA} {
+		if len(r.addresses[target]) > 0 {
+			return nil
+		}
+		answer, err := r.query(r.server, target, recordType)
+		var negative negativeError
+		if errors.As(err, &negative) {
+			r.ttl = min(r.ttl, negative.ttl)
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		for _, record := range answer.Answer {
+			record.Header().Name = target // also where an alias led to it
+			r.addAddress(record)
+		}
+	}
+	return nil
+}
+
+// addAddress adds an A or AAAA record under its owner; others are ignored.
+func (r *listRead) addAddress(record mdns.RR) {
+	var raw []byte
+	switch a := record.(type) {
+	case *mdns.A:
+		raw = a.A.To4()
+	case *mdns.AAAA:
+		raw = a.AAAA.To16()
+	}
+	if ip, ok := netip.AddrFromSlice(raw); ok {
+		name := strings.ToLower(record.Header().Name)
+		r.addresses[name] = append(r.addresses[name], ip.Unmap())
+		r.ttl = min(r.ttl, record.Header().Ttl)
+	}
+}
+
+// selected is the nodes of the entries that count.
+func (r *listRead) selected() (nodes []discovery.Node) {
+	candidates := make([]candidate, len(r.entries))
+	for i, e := range r.entries {
+		candidates[i] = candidate{server: e.node.Address, cell: e.node.Cell, priority: e.priority, draining: e.node.State == discovery.StateDraining}
+	}
+	for _, i := range selectRecords(candidates) {
+		nodes = append(nodes, r.entries[i].node)
+	}
+	return nodes
+}
+
+// targetLabel is the first label of a target: a name, the cell, and where given the zone and the start in Unix seconds.
+var targetLabel = regexp.MustCompile(`^[a-z0-9-]*--c([0-9]{1,6})(?:-z([0-9]{1,4}))?(?:-t([0-9]{1,12}))?$`)
+
+// parseTarget decodes a record and the first label of its target, in lower case.
+func parseTarget(target string, r *mdns.SRV) (e entry, err error) {
+	label, _, _ := strings.Cut(target, ".")
+	part := targetLabel.FindStringSubmatch(label)
+	if part == nil || r.Port == 0 {
+		return e, fmt.Errorf("discovery: target %.80s:%d %w", target, r.Port, errNoCell)
+	}
+	e.priority = r.Priority
+	e.node.State, e.node.Size = discovery.StateOn, float64(r.Weight)
+	if r.Weight == 0 {
+		e.node.State = discovery.StateDraining
+	}
+	e.node.Cell, _ = strconv.Atoi(part[1]) // the pattern bounds the digits; a part that is left out is 0
+	e.node.Zone, _ = strconv.Atoi(part[2])
+	started, _ := strconv.ParseInt(part[3], 10, 64)
+	e.node.StartedMS = millisecondsPerSecond * started
+	return e, nil
+}
--- a/discovery/dns/resolver.go
+++ b/discovery/dns/resolver.go
@@ -5,142 +5,131 @@
 	"time"
 )
 
-// Settings bound the asking.
+const (
+	// jitterShare is the share of an interval that is drawn, so that schedulers that began together do not go on asking
+	// together: a query comes after three quarters of the interval to all of it.
+	jitterShare = 1.0 / 4
+	// backoffGrowth is by which factor the interval grows with each round in which all servers fail.
+	backoffGrowth = 2
+)
+
+// resolverSettings bound the queries.
 type resolverSettings struct {
-	Servers     int           // name servers, asked in turn
-	MinInterval time.Duration // the least pause, whatever a record's lifetime
-	MaxInterval time.Duration // the longest
-	Seed        int64
+	servers     int // number of name servers, asked in turn
+	minInterval time.Duration
+	maxInterval time.Duration
+	seed        int64
 }
 
-// spread is the share of a pause that is drawn, so that many schedulers do not ask at once: from three quarters of a
-// lifetime to all of it.
-const spread = 1.0 / 4
-
-// Query is the next question: which server, and when, as a span since start.
+// query is the next query: the index of the server, and when, as a span since the start.
 type query struct {
-	Server int
-	At     time.Duration
+	server int
+	at     time.Duration
 }
 
-type state int
+// resolverState is how the last round of queries went. A round ends with an answer, or when each server has failed.
+type resolverState int
 
 const (
-	settled state = iota // the server asked first gave the last answer, or none was asked yet
-	trying               // servers before have failed in this round
-	failing              // all servers failed in the round before
+	answered     resolverState = iota // the last query was answered, or there was none yet
+	tryingOthers                      // servers have failed in this round
+	allFailed                         // all servers have failed in the round before
 )
 
-type input int
+// resolverInput is the outcome of a query.
+type resolverInput int
 
 const (
-	inAnswer input = iota
-	inFailure
-	inLastFailure // of the last server that this round had left
+	inputAnswer      resolverInput = iota
+	inputFailure                   // there are servers left in this round
+	inputLastFailure               // there is none left
 )
 
-// step tells the state after an outcome, what is to be done, and whether the round's outcome is to be told.
-type step struct {
-	next state
-	do   func(*resolver, time.Duration, time.Duration)
-	tell bool
+// resolverTransition is what is done on an outcome, and whether it is the outcome of the round.
+type resolverTransition struct {
+	next     resolverState
+	action   func(r *resolver, now, ttl time.Duration)
+	endRound bool
 }
 
-// steps is complete: every state knows every input. Pauses after failed rounds double from the floor up to the
-// ceiling: it guards against a crowd asking a name server that is barely there; it could harm where all servers were
-// out only for a moment, by up to a ceiling.
-var steps = map[state]map[input]step{
-	settled: {inAnswer: {settled, (*resolver).rest, true}, inFailure: {trying, (*resolver).turn, false}, inLastFailure: {failing, (*resolver).back, true}},
-	trying:  {inAnswer: {settled, (*resolver).rest, true}, inFailure: {trying, (*resolver).turn, false}, inLastFailure: {failing, (*resolver).back, true}},
-	failing: {inAnswer: {settled, (*resolver).rest, true}, inFailure: {failing, (*resolver).turn, false}, inLastFailure: {failing, (*resolver).back, true}},
+// resolverTransitions has an entry for every state and input. After a round in which all servers failed the interval
+// grows from the minimum to the maximum: this guards against a crowd of schedulers that asks a name server which barely
+// works. It could harm where all servers failed only for a moment, by one maximum interval.
+var resolverTransitions = map[resolverState]map[resolverInput]resolverTransition{
+	answered: {
+		inputAnswer:      {answered, (*resolver).awaitExpiry, true},
+		inputFailure:     {tryingOthers, (*resolver).tryNext, false},
+		inputLastFailure: {allFailed, (*resolver).backOff, true},
+	},
+	tryingOthers: {
+		inputAnswer:      {answered, (*resolver).awaitExpiry, true},
+		inputFailure:     {tryingOthers, (*resolver).tryNext, false},
+		inputLastFailure: {allFailed, (*resolver).backOff, true},
+	},
+	allFailed: {
+		inputAnswer:      {answered, (*resolver).awaitExpiry, true},
+		inputFailure:     {allFailed, (*resolver).tryNext, false},
+		inputLastFailure: {allFailed, (*resolver).backOff, true},
+	},
 }
 
-// Resolver decides the next question from the outcome of the last.
+// resolver decides the next query from the outcome of the last. It does no I/O and reads no clock.
 type resolver struct {
-	t      resolverSettings
-	rng    *rand.Rand
-	state  state
-	first  int // the server asked first: the one that answered last
-	failed int // servers of this round
-	pause  time.Duration
-	next   query
+	settings  resolverSettings
+	rng       *rand.Rand
+	state     resolverState
+	preferred int           // the server that answered last; each round begins with it
+	failed    int           // servers that have failed in this round
+	interval  time.Duration // after the last round in which all failed; 0: the last one had an answer
+	next      query
 }
 
-// New makes one; its first question is due at once.
-func newResolver(t resolverSettings) *resolver {
-	return &resolver{t: t, rng: rand.New(rand.NewSource(t.Seed))}
+// newResolver makes a resolver whose first query is due at once.
+func newResolver(settings resolverSettings) *resolver {
+	return &resolver{settings: settings, rng: rand.New(rand.NewSource(settings.seed))}
 }
 
-// Next is the question that is due next.
-func (a *resolver) Next() query { return a.next }
+// Next is the query that is due next.
+func (r *resolver) Next() query { return r.next }
 
-// Answered tells that the question was answered, also that there is nothing; life is how long that holds. Failed tells
-// that it was not; it returns whether all servers have failed now, which is the round's outcome.
-func (a *resolver) Answered(now, life time.Duration) { a.step(inAnswer, now, life) }
+// Answered takes in that the query was answered, also negatively; ttl is the lifetime of the answer.
+func (r *resolver) Answered(now, ttl time.Duration) { r.apply(inputAnswer, now, ttl) }
 
-// Failed: see Answered.
-func (a *resolver) Failed(now time.Duration) (all bool) {
-	in := inFailure
-	if a.failed++; a.failed >= a.t.Servers {
-		in = inLastFailure
+// Failed takes in that the query was not answered. It returns whether all servers have failed in this round.
+func (r *resolver) Failed(now time.Duration) (all bool) {
+	input := inputFailure
+	if r.failed++; r.failed >= r.settings.servers {
+		input = inputLastFailure
 	}
-	return a.step(in, now, 0)
-}
-
-func (a *resolver) step(in input, now, life time.Duration) bool {
-	s := steps[a.state][in]
-	a.state = s.next
-	s.do(a, now, life)
-	return s.tell
+	return r.apply(input, now, 0)
 }
 
-// rest waits until the answer's lifetime is over and asks the same server first.
-func (a *resolver) rest(now, life time.Duration) {
-	a.first, a.failed, a.pause = a.next.Server, 0, 0
-	a.next.At = now + a.draw(life)
+func (r *resolver) apply(input resolverInput, now, ttl time.Duration) (endRound bool) {
+	t := resolverTransitions[r.state][input]
+	r.state = t.next
+	t.action(r, now, ttl)
+	return t.endRound
 }
 
-// turn asks the next server at once.
-func (a *resolver) turn(now, _ time.Duration) {
-	a.next = query{(a.next.Server + 1) % a.t.Servers, now}
+// awaitExpiry asks the same server when the answer's lifetime is over.
+func (r *resolver) awaitExpiry(now, ttl time.Duration) {
+	r.preferred, r.failed, r.interval = r.next.server, 0, 0
+	r.next.at = now + r.jittered(ttl)
 }
 
-// back waits, each time twice as long, and begins with the server that answered last.
-func (a *resolver) back(now, _ time.Duration) {
-	a.failed, a.pause = 0, min(max(2*a.pause, a.t.MinInterval), a.t.MaxInterval)
-	a.next = query{a.first, now + a.draw(a.pause)}
+// tryNext asks the next server at once.
+func (r *resolver) tryNext(now, _ time.Duration) {
+	r.next = query{(r.next.server + 1) % r.settings.servers, now}
 }
 
-func (a *resolver) draw(span time.Duration) time.Duration {
-	span = min(max(span, a.t.MinInterval), a.t.MaxInterval)
-	return span - time.Duration(a.rng.Float64()*spread*float64(span))
+// backOff begins the next round later than the one before, with the server that answered last.
+func (r *resolver) backOff(now, _ time.Duration) {
+	r.failed, r.interval = 0, min(max(backoffGrowth*r.interval, r.settings.minInterval), r.settings.maxInterval)
+	r.next = query{r.preferred, now + r.jittered(r.interval)}
 }
 
-// Record is an SRV record as far as its choice goes.
-type candidate struct {
-	Server   string
-	Cell     int
-	Priority uint16
-	Draining bool
-}
-
-// Choose returns the places of the records that count: of each cell those of the lowest priority that do not drain,
-// and all that drain, each server once. Of two records of one server the one that drains counts.
-func choose(all []candidate) (chosen []int) {
-	least, drains, seen := map[int]uint16{}, map[string]bool{}, map[string]bool{}
-	for _, r := range all {
-		drains[r.Server] = drains[r.Server] || r.Draining
-	}
-	for _, r := range all {
-		if p, ok := least[r.Cell]; !drains[r.Server] && (!ok || r.Priority < p) {
-			least[r.Cell] = r.Priority
-		}
-	}
-	for i, r := range all {
-		if !seen[r.Server] && (r.Draining || !drains[r.Server] && r.Priority == least[r.Cell]) {
-			seen[r.Server] = true
-			chosen = append(chosen, i)
-		}
-	}
-	return chosen
+// jittered is an interval within the bounds of the settings, less what is drawn.
+func (r *resolver) jittered(interval time.Duration) time.Duration {
+	interval = min(max(interval, r.settings.minInterval), r.settings.maxInterval)
+	return interval - time.Duration(r.rng.Float64()*jitterShare*float64(interval))
 }
