--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,256 +7,299 @@
 	"honeyplank"
 )
 
-// Shares of the shortest target latency up to which a server's latency leaves its whole window to ops.
+// Shares of the shortest target latency up to which a server's latency leaves its whole window to
+// ops.
 const (
 	spareLatencyShare   = 0.04 // for ops beyond the reserve
 	reserveLatencyShare = 0.18 // for ops within the reserve
 )
 
-// requestIdentity tells which ops may be tries of one client's request.
+// medianAdmissionDraw stands for the admission draw of an op that is not known yet.
+const medianAdmissionDraw = 0.5
+
+// requestIdentity is what the attempts of one client request have in common.
 type requestIdentity struct {
 	volume, key int64
-	typ         int
+	opType      int
 	units       float64
 }
 
-// earlierAttempt is the last op of an identity, and how long its client's first try had.
+// earlierAttempt is the last op of a request identity, with the time left to its client at the
+// first attempt.
 type earlierAttempt struct {
 	op       *op
 	timeLeft time.Duration
 	expires  time.Duration
 }
 
-func identityOf(p *op) requestIdentity { return requestIdentity{p.Volume, p.Key, p.Type, p.Units} }
+func identityOf(op *op) requestIdentity {
+	return requestIdentity{op.Volume, op.Key, op.Type, op.Units}
+}
 
-func (s *Scheduler) admit(e honeyplank.Op) {
-	if s.ops[e.ID] != nil {
+// admit takes in a new op: it is assigned to a server, and dispatched, held or given up at once.
+func (s *Scheduler) admit(event honeyplank.Op) {
+	if s.ops[event.ID] != nil {
 		return
 	}
 	s.admissions = append(dropBefore(s.admissions, s.now-s.settings.retryBudgetWindow), s.now)
-	p := &op{Op: e, admissionDraw: s.rng.Float64(), sampledAt: s.now}
-	s.unitsAdmitted, s.unitsSquaredAdmitted = s.unitsAdmitted+e.Units, s.unitsSquaredAdmitted+e.Units*e.Units
-	// A retry's target latency runs from its client's first try. An op with less time than its target latency
-	// is wanted within the time it brings.
-	p.target = min(s.now+valueAt(s.settings.targetLatency, e.Type)-s.alreadyWaited(p), e.Timeout)
-	s.ops[e.ID] = p
-	if e.HasKey && valueAt(s.settings.ordered, e.Type) {
-		s.joinKeyQueue(p)
+	op := &op{Op: event, admissionDraw: s.rng.Float64(), sampledAt: s.now}
+	s.unitsAdmitted += event.Units
+	s.unitsSquaredAdmitted += event.Units * event.Units
+	// The target latency of a retry runs from its client's first attempt. An op that brings less
+	// time than its target latency is to be answered within the time it brings.
+	op.target = min(s.now+valueAt(s.settings.targetLatency, event.Type)-s.alreadyWaited(op), event.Timeout)
+	s.ops[event.ID] = op
+	if event.HasKey && valueAt(s.settings.ordered, event.Type) {
+		s.joinKeyQueue(op)
 	}
-	s.openVolume(p)
-	s.recordDemand(p, s.withinReserve(p))
-	if s.assignServer(p); p.queue != nil {
-		p.queue.thinkTime.observe(s.now, meanDecay, meanScale)
-		p.queue.demand.add(s.now, p.Units, 2*s.settings.longestTarget)
-		s.runSlices(p.server)
+	s.openVolume(op)
+	s.recordDemand(op, s.withinReserve(op))
+	s.assignServer(op)
+	if op.queue != nil {
+		op.queue.thinkTime.observe(s.now)
+		op.queue.demand.add(s.now, op.Units, 2*s.settings.longestTarget)
+		s.runSlices(op.server)
 	}
-	if !p.answered && !p.isOutstanding() && s.deadlineUnreachable(p) {
-		s.giveUp(p)
+	if !op.answered && !op.isOutstanding() && s.deadlineUnreachable(op) {
+		s.giveUp(op)
 	}
 }
 
-// alreadyWaited is for how long the client of an op has waited since its first try: the time that the op lacks to an
-// earlier one of the same identity that came to nothing.
-func (s *Scheduler) alreadyWaited(p *op) time.Duration {
-	total := valueAt(s.settings.opTimeout, p.Type)
-	if !p.HasKey || total <= 0 {
+// openVolume appends an op to the held ones and links it to the record of its volume.
+func (s *Scheduler) openVolume(op *op) {
+	record := s.volumes[op.Volume]
+	if record == nil {
+		record = &volume{plan: op.Plan, refilledAt: s.noDispatchSince(), reserve: math.Inf(1)}
+		s.volumes[op.Volume] = record
+	}
+	record.schedulers, record.lastSeen = op.Schedulers, s.now
+	if record.schedulers < 1 {
+		record.schedulers = max(s.settings.schedulers, 1)
+	}
+	s.maxSchedulersSeen = max(s.maxSchedulersSeen, record.schedulers)
+	record.openOps++
+	op.volume, op.dispatches = record, op.inlineDispatch[:0]
+	s.appendHeld(op)
+}
+
+// alreadyWaited is how long the client of an op has waited since its first attempt: the time that
+// the op has less than an earlier one of the same identity that failed.
+func (s *Scheduler) alreadyWaited(op *op) time.Duration {
+	total := valueAt(s.settings.opTimeout, op.Type)
+	if !op.HasKey || total <= 0 {
 		return 0
 	}
-	left := p.Timeout - s.now
-	a := s.earlierAttempts[identityOf(p)]
-	if a == nil || !a.op.answered || s.now >= a.expires {
-		a = &earlierAttempt{timeLeft: left, expires: s.now + total}
-		s.earlierAttempts[identityOf(p)] = a
+	left := op.Timeout - s.now
+	attempt := s.earlierAttempts[identityOf(op)]
+	if attempt == nil || !attempt.op.answered || s.now >= attempt.expires {
+		attempt = &earlierAttempt{timeLeft: left, expires: s.now + total}
+		s.earlierAttempts[identityOf(op)] = attempt
 	}
-	a.op = p
-	return max(a.timeLeft-left, 0)
+	attempt.op = op
+	return max(attempt.timeLeft-left, 0)
 }
 
-// assignServer puts a held op into a queue: at the holder of its data, or for a new object where chooseNewServer says.
-func (s *Scheduler) assignServer(p *op) {
+// assignServer enqueues a held op at the server of its data, or for a new object at the one that
+// chooseNewServer returns. Where there is none the op stays unassigned.
+func (s *Scheduler) assignServer(op *op) {
 	var home *server
-	for _, o := range s.serversByCell[p.Cell] { // the healthiest, of those the one that has run for longest
-		if home == nil || o.health < home.health || o.health == home.health && o.Started < home.Started {
-			home = o
-		}
+	if op.Cell == honeyplank.NewObject {
+		home = s.chooseNewServer(op)
+	} else {
+		home = s.healthiestOfCell(op.Cell)
 	}
-	if p.Cell == honeyplank.NewObject {
-		home = s.chooseNewServer(p)
+	if home == nil {
+		return
 	}
-	if home != nil {
-		s.unassigned--
-		home.enqueue(p)
-		s.markActive(home)
-		p.queue.lastSeen = s.now
+	s.unassigned--
+	home.enqueue(op)
+	s.markActive(home)
+	op.queue.lastSeen = s.now
+}
+
+// healthiestOfCell is the healthiest server that holds a cell's data, of equal ones the one that
+// started first.
+func (s *Scheduler) healthiestOfCell(cell int) (healthiest *server) {
+	for _, server := range s.serversByCell[cell] {
+		if healthiest == nil || server.health < healthiest.health ||
+			server.health == healthiest.health && server.Started < healthiest.Started {
+			healthiest = server
+		}
 	}
+	return healthiest
 }
 
-// chooseNewServer is the first disk server of the volume's ranking that has not enough already, or else the one that has least
-// against its room: of the first ones in rank, and only if no new object may go to any of these, of all.
-func (s *Scheduler) chooseNewServer(p *op) (home *server) {
-	if !s.mayDispatchAnywhere(p) {
+// chooseNewServer returns the server for a new object: the first of the volume's top-ranked servers
+// with a relative load below 1, else the least loaded of them. All servers are searched only where
+// none of those may get new objects.
+func (s *Scheduler) chooseNewServer(op *op) (home *server) {
+	if !s.mayDispatchAnywhere(op) {
 		return nil
 	}
-	due, least := s.withinReserve(p), math.Inf(1)
-	for _, r := range s.topRanked(p.volume, p.Volume) {
+	withinReserve, leastLoad := s.withinReserve(op), math.Inf(1)
+	for _, candidate := range s.topRanked(op.volume, op.Volume) {
 		s.serversVisited++
-		load := s.relativeLoad(p, r.server, due)
-		if load < least {
-			home, least = r.server, load
+		load := s.relativeLoad(op, candidate.server, withinReserve)
+		if load < leastLoad {
+			home, leastLoad = candidate.server, load
 		}
 		if load < 1 {
 			break
 		}
 	}
-	if home != nil || p.volume.topComplete {
+	if home != nil || op.volume.topComplete {
 		return home
 	}
-	hash, first := volumeHash(p.Volume), uint64(0)
-	for _, o := range s.acceptingServers() { // in no order of rank: of those with room the first in rank, else of the least
+	return s.leastLoadedAccepting(op, withinReserve)
+}
+
+// leastLoadedAccepting searches all servers that accept new objects, in no order of rank: it
+// returns the first in rank of those with a relative load below 1, else of the least loaded ones.
+func (s *Scheduler) leastLoadedAccepting(op *op, withinReserve bool) (home *server) {
+	hash, leastLoad, firstRank := volumeHash(op.Volume), math.Inf(1), uint64(0)
+	for _, server := range s.acceptingServers() {
 		s.serversVisited++
-		load := s.relativeLoad(p, o, due)
-		if load < 1 { // room is room, however much
+		load := s.relativeLoad(op, server, withinReserve)
+		if load < 1 { // any free capacity counts alike
 			load = 0
 		}
-		if at := rendezvousHash(hash, o.ID); load < least || load == least && !math.IsInf(load, 1) && at > first {
-			home, least, first = o, load, at
+		rank := rendezvousHash(hash, server.ID)
+		if load < leastLoad || load == leastLoad && !math.IsInf(load, 1) && rank > firstRank {
+			home, leastLoad, firstRank = server, load, rank
 		}
 	}
 	return home
 }
 
-// relativeLoad is what is out and held at a disk server against the room there for a new object, without end where it may
-// not go.
-func (s *Scheduler) relativeLoad(p *op, o *server, due bool) float64 {
-	if !s.acceptsNewObjects(o) || !s.mayDispatchTo(p, o, due) {
+// relativeLoad is the number of ops outstanding and held at a server, with a new object added, over
+// its concurrency limit for new objects; infinite where the op may not go.
+func (s *Scheduler) relativeLoad(op *op, server *server, withinReserve bool) float64 {
+	if !s.acceptsNewObjects(server) || !s.mayDispatchTo(op, server, withinReserve) {
 		return math.Inf(1)
 	}
-	return float64(1+o.outstanding+o.heldCount) / s.concurrencyLimit(o, p.Type, spareLatencyShare)
+	limit := s.concurrencyLimit(server, op.Type, spareLatencyShare)
+	return float64(1+server.outstanding+server.heldCount) / limit
 }
 
-// acceptsNewObjects tells whether a disk server may be given new objects: not where errors, resets or full queues come
-// back fast, which would otherwise look like room, nor where it is cold or down. It could harm when most
-// servers fail at once. Cold is one where a middle lot beyond the reserves would not do.
-func (s *Scheduler) acceptsNewObjects(o *server) bool {
-	live := o.health == up || o.health == halfOpen && o.outstanding == 0
-	return live && s.failureRate(o) < maxFailureRate && s.slowStartAllows(o, 1, 0.5, false)
+// acceptsNewObjects reports whether a server may get new objects: it is up, its failure rate is
+// low, and its slow start would allow an op beyond the reserve with a median admission draw. It
+// guards against servers whose errors, resets or rejections come back fast, which would look like
+// free capacity. It could harm when most servers fail at once.
+func (s *Scheduler) acceptsNewObjects(server *server) bool {
+	live := server.health == up || server.health == halfOpen && server.outstanding == 0
+	return live && s.failureRate(server) < maxFailureRate &&
+		s.slowStartAllows(server, 1, medianAdmissionDraw, false)
 }
 
-// hasCapacity tells whether the window has room for an op. It gives only the part that the node's latency leaves,
-// less to ops beyond the reserve. It guards against windows of many hosts adding up past what a node serves
-// in time, and should hold against slow and crowded nodes too. It could harm where long ops are the rule.
-func (s *Scheduler) hasCapacity(o *server, p *op) bool {
-	trying := o.health == halfOpen && o.outstanding > 0 && s.now-o.unansweredSince <= o.backoff
-	if o.health == down || trying || s.now+s.earliestAnswer(o, p.Type) >= p.Timeout { // or the client would be gone
+// hasCapacity reports whether a server's window has capacity for an op: only the part that the
+// server's latency leaves, less for ops beyond the reserve. It guards against windows of many
+// instances that add up to more than a server serves in time, whatever slows it. It could harm
+// where ops that take long are the rule.
+func (s *Scheduler) hasCapacity(server *server, op *op) bool {
+	clientGone := s.now+s.earliestAnswer(server, op.Type) >= op.Timeout
+	if server.health == down || s.halfOpenBusy(server) || clientGone {
 		return false
 	}
-	window, excess := s.concurrencyLimit(o, p.Type, reserveLatencyShare), 1.0
-	if !s.withinReserve(p) {
-		window, excess = s.concurrencyLimit(o, p.Type, spareLatencyShare), s.demandExcess(p)
+	limit, excess := s.concurrencyLimit(server, op.Type, reserveLatencyShare), 1.0
+	if !s.withinReserve(op) {
+		limit, excess = s.concurrencyLimit(server, op.Type, spareLatencyShare), s.demandExcess(op)
 	}
-	if o.outstanding > 0 || window >= 1 {
-		return float64(o.outstanding) < window
+	if server.outstanding > 0 || limit >= 1 {
+		return float64(server.outstanding) < limit
 	}
-	return p.admissionDraw*excess < s.successProbability(o, p)*window/(1-window)
+	return op.admissionDraw*excess < s.successProbability(server, op)*limit/(1-limit)
 }
 
-// successProbability is how likely an op with little time left is to be answered in it, roughly. It guards crowded nodes
-// against tries that clients in a hurry give up. It could harm where the latency seen is long past.
-func (s *Scheduler) successProbability(o *server, p *op) float64 {
-	left := max(min(p.Timeout, p.target)-s.now, 0)
-	part := min(1, left.Seconds()/max(s.expectedLatency(o, p.Type), 1e-9))
+// successProbability estimates how likely an op with little time left is answered in time. It
+// guards crowded servers against attempts that their clients are about to give up. It could harm
+// where the latency estimate is out of date.
+func (s *Scheduler) successProbability(server *server, op *op) float64 {
+	left := max(min(op.Timeout, op.target)-s.now, 0)
+	part := min(1, left.Seconds()/max(s.expectedLatency(server, op.Type), 1e-9))
 	return part * part
 }
 
-// demandExcess is how far a volume asks for more at a node than others do by its weight, as seen by this host: with
-// few ops a host, lots stand for the slices that queues too short would need.
-func (s *Scheduler) demandExcess(p *op) float64 {
-	usual := s.relativeWeight(p.Plan) * s.settings.meanRate / float64(p.volume.schedulers)
-	if usual <= 0 || p.queue == nil {
+// demandExcess is a volume's demand at a server over its share by weight, as seen by this instance.
+// It takes the place of the slices where an instance has so few ops at a server that no queue
+// forms.
+func (s *Scheduler) demandExcess(op *op) float64 {
+	usual := s.relativeWeight(op.Plan) * s.settings.meanRate / float64(op.volume.schedulers)
+	if usual <= 0 || op.queue == nil {
 		return 1
 	}
-	return p.queue.demand.rateWithPrior(usual, 2*s.settings.longestTarget) / usual
+	return op.queue.demand.rateWithPrior(usual, 2*s.settings.longestTarget) / usual
 }
 
-// concurrencyLimit is what the node's latency leaves of the window for ops that may take a part of the target latency.
-// Below one it falls steeply, but not below the hosts' even parts of what the node serves within the target
-// latency, two at a time: while hosts are few, one op of each always fits.
-func (s *Scheduler) concurrencyLimit(o *server, typ int, part float64) float64 {
-	latency, hosts, target := s.expectedLatency(o, typ), float64(max(s.settings.schedulers, 1)), s.settings.shortestTarget.Seconds()
+// concurrencyLimit is the part of a server's window, in ops, that its latency leaves to ops of a
+// type, where latencyShare is the latency, as a share of the target latency, up to which that is
+// the whole window. Below one op it falls with the power 1.5, but not below an even share among the
+// instances of what the server serves within twice the shortest target latency, two at a time: with
+// few instances, one op of each always fits.
+func (s *Scheduler) concurrencyLimit(server *server, opType int, latencyShare float64) float64 {
+	latency, target := s.expectedLatency(server, opType), s.settings.shortestTarget.Seconds()
 	if latency <= 0 || target <= 0 {
-		return o.window
+		return server.window
 	}
-	places := o.window * min(1, part*target/latency)
-	if places >= 1 {
-		return places
+	limit := server.window * min(1, latencyShare*target/latency)
+	if limit >= 1 {
+		return limit
 	}
-	even := farPastBest * s.settings.shortestTarget.Seconds() / (hosts * o.bestPerUnit * s.settings.meanUnits)
-	return min(1, max(places*math.Sqrt(places), even))
+	instances := float64(max(s.settings.schedulers, 1))
+	evenShare := farPastBest * target / (instances * server.bestPerUnit * s.settings.meanUnits)
+	return min(1, max(limit*math.Sqrt(limit), evenShare))
 }
 
-// mayDispatch holds an op to the rules: attempts, kind, drains, cold starts, order, budget and limit.
-func (s *Scheduler) mayDispatch(p *op, o *server) bool {
-	return s.mayDispatchAnywhere(p) && s.mayDispatchTo(p, o, s.withinReserve(p))
+// largestConcurrencyLimit is the largest concurrency limit of a server over all op types.
+func (s *Scheduler) largestConcurrencyLimit(server *server, withinReserve bool) (largest float64) {
+	for opType := range s.settings.targetLatency {
+		largest = max(largest, s.concurrencyLimit(server, opType, spareLatencyShare))
+		if withinReserve {
+			largest = max(largest, s.concurrencyLimit(server, opType, reserveLatencyShare))
+		}
+	}
+	return largest
 }
 
-// mayDispatchAnywhere holds an op to those rules that are the same wherever it goes.
-func (s *Scheduler) mayDispatchAnywhere(p *op) bool {
-	if p.responseStarted || p.Timeout <= s.now || len(p.dispatches) > 0 && !s.retryBudgetAllows() {
-		return false
-	}
-	s.refillBuckets(p.volume)
-	if valueAt(s.settings.limit, p.volume.plan) > 0 && len(p.dispatches) == 0 && p.volume.limit < s.limitHeadroom(p) {
-		return false
-	}
-	return s.isNextOfKey(p)
+// mayDispatch reports whether the rules allow a dispatch to a server: attempts, semantics,
+// draining, slow start, order, retry budget and limit.
+func (s *Scheduler) mayDispatch(op *op, server *server) bool {
+	return s.mayDispatchAnywhere(op) && s.mayDispatchTo(op, server, s.withinReserve(op))
 }
 
-// mayDispatchTo holds an op to the rules of a disk server.
-func (s *Scheduler) mayDispatchTo(p *op, o *server, due bool) bool {
-	home := p.Cell == honeyplank.NewObject || p.Cell == o.Cell
-	if !home || o.State != honeyplank.Up {
+// mayDispatchAnywhere checks the rules that do not depend on the server.
+func (s *Scheduler) mayDispatchAnywhere(op *op) bool {
+	isRetry := len(op.dispatches) > 0
+	if op.responseStarted || op.Timeout <= s.now || isRetry && !s.retryBudgetAllows() {
 		return false
 	}
-	if len(p.dispatches) > 0 && (!s.retryAllowed(p, o) || o.retryCredit < 1) {
+	s.refillBuckets(op.volume)
+	limited := valueAt(s.settings.limit, op.volume.plan) > 0
+	if limited && !isRetry && op.volume.limit < s.limitHeadroom(op) {
 		return false
 	}
-	return s.slowStartAllows(o, p.Units, p.admissionDraw, due)
+	return s.isNextOfKey(op)
 }
 
-// deadlineUnreachable tells whether a held op can no longer earn its utility: its target latency would be over before
-// an answer of the usual time there, or the client is about to give up. It guards against late answers that
-// cost a node as much as good ones, whatever fills it; after a short stall it gives up some ops too early.
-func (s *Scheduler) deadlineUnreachable(p *op) bool {
-	soon := s.now
-	if p.server != nil {
-		soon += s.earliestAnswer(p.server, p.Type)
-	}
-	return soon >= p.target || s.now+s.sweepInterval() >= p.Timeout
-}
-
-// openVolume takes an op up as held, with the record of its volume.
-func (s *Scheduler) openVolume(p *op) {
-	v := s.volumes[p.Volume]
-	if v == nil {
-		v = &volume{plan: p.Plan, refilledAt: s.noDispatchSince(), reserve: math.Inf(1)}
-		s.volumes[p.Volume] = v
+// mayDispatchTo checks the rules that depend on the server.
+func (s *Scheduler) mayDispatchTo(op *op, server *server, withinReserve bool) bool {
+	holdsData := op.Cell == honeyplank.NewObject || op.Cell == server.Cell
+	if !holdsData || server.State != honeyplank.Up {
+		return false
 	}
-	v.schedulers, v.lastSeen = p.Schedulers, s.now
-	if v.schedulers < 1 {
-		v.schedulers = max(s.settings.schedulers, 1)
+	if len(op.dispatches) > 0 && (!s.retryAllowed(op, server) || server.retryCredit < 1) {
+		return false
 	}
-	s.maxSchedulersSeen = max(s.maxSchedulersSeen, v.schedulers)
-	v.openOps++
-	p.volume, p.dispatches = v, p.inlineDispatch[:0]
-	s.appendHeld(p)
+	return s.slowStartAllows(server, op.Units, op.admissionDraw, withinReserve)
 }
 
-// largestConcurrencyLimit is the most that places gives ops of any type.
-func (s *Scheduler) largestConcurrencyLimit(o *server, due bool) (most float64) {
-	for typ := range s.settings.targetLatency {
-		if most = max(most, s.concurrencyLimit(o, typ, spareLatencyShare)); due {
-			most = max(most, s.concurrencyLimit(o, typ, reserveLatencyShare))
-		}
+// deadlineUnreachable reports whether a held op can no longer earn its utility: its target latency
+// would be over before an early answer, or the client is about to give up. It guards against late
+// answers, which cost a server as much as timely ones. It could harm after a short pause of a
+// server: some ops are given up too early.
+func (s *Scheduler) deadlineUnreachable(op *op) bool {
+	earliest := s.now
+	if op.server != nil {
+		earliest += s.earliestAnswer(op.server, op.Type)
 	}
-	return most
+	return earliest >= op.target || s.now+s.sweepInterval() >= op.Timeout
 }
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -6,18 +6,40 @@
 	"honeyplank"
 )
 
-// This file counts what this host is asked, and of whom, and what a cold disk server bears. Nothing here decides.
+// Indices of the pairs of rates that are kept apart by the reserve.
+const (
+	withinReserveIndex = iota
+	beyondReserveIndex
+	reserveIndices
+)
+
+// cellMemoryFactor is how much longer the demand on one cell is remembered than that on all, whose
+// ops are more frequent.
+const cellMemoryFactor = 8
 
-// cellDemand is what is asked of the holders of a cell.
+// cellDemand is the demand on the servers of a cell, in units.
 type cellDemand struct {
-	requested [2]decayedRate // units: due, and beyond
-	fleet     decayedRate    // units that all hosts are asked for the volumes known here
+	requested [reserveIndices]decayedRate // through this instance
+	fleet     decayedRate                 // through all instances, for the volumes that this one sees here
+}
+
+// windowDemand is the demand of this instance on a server within a window, in units.
+type windowDemand struct {
+	withinReserve, beyondReserve float64
 }
 
-// recordDemand notes the units of an op whose data lies somewhere. What is asked of all is remembered for no longer than a
-// window of the cold rule, where there is one, so that a burst is seen within it.
-func (s *Scheduler) recordDemand(p *op, due bool) {
-	if p.Cell == honeyplank.NewObject {
+func reserveIndex(withinReserve bool) int {
+	if withinReserve {
+		return withinReserveIndex
+	}
+	return beyondReserveIndex
+}
+
+// recordDemand adds an op to the demand on its cell and on all; ops for new objects have no cell
+// and are left out. The demand on all is remembered for no longer than a slow-start window, where
+// there is one, so that it shows a burst within it.
+func (s *Scheduler) recordDemand(op *op, withinReserve bool) {
+	if op.Cell == honeyplank.NewObject {
 		return
 	}
 	memory := 2 * s.settings.longestTarget
@@ -25,56 +47,60 @@
 	if s.settings.slowStartWindow > 0 {
 		recent = min(memory, s.settings.slowStartWindow)
 	}
-	here := s.demandByCell[p.Cell]
-	if here == nil {
-		here = &cellDemand{}
-		s.demandByCell[p.Cell] = here
-	}
-	units := [2]float64{0, p.Units}
-	if due {
-		units = [2]float64{p.Units, 0}
+	cell := s.demandByCell[op.Cell]
+	if cell == nil {
+		cell = &cellDemand{}
+		s.demandByCell[op.Cell] = cell
 	}
+	var units [reserveIndices]float64
+	units[reserveIndex(withinReserve)] = op.Units
 	for i := range s.demand {
 		s.demand[i].add(s.now, units[i], recent)
-		here.requested[i].add(s.now, units[i], 8*memory)
+		cell.requested[i].add(s.now, units[i], cellMemoryFactor*memory)
 	}
-	everywhere := p.Units * float64(p.volume.schedulers)
-	s.cellBoundDemand.add(s.now, p.Units, 8*memory)
-	s.fleetDemand.add(s.now, everywhere, 8*memory)
-	here.fleet.add(s.now, everywhere, 8*memory)
+	fleetUnits := op.Units * float64(op.volume.schedulers)
+	s.cellBoundDemand.add(s.now, op.Units, cellMemoryFactor*memory)
+	s.fleetDemand.add(s.now, fleetUnits, cellMemoryFactor*memory)
+	cell.fleet.add(s.now, fleetUnits, cellMemoryFactor*memory)
 }
 
-// recordResample notes that a held op has drawn a new lot where it is held: for the lots it is asked there once more.
-func (s *Scheduler) recordResample(p *op) {
-	if p.queue != nil {
-		p.server.resampledDemand[boolToInt(!s.withinReserve(p))].add(s.now, p.Units, s.settings.shortestTarget)
+// recordResample adds a held op with a new admission draw to the demand on its server: for random
+// admission it counts as another op.
+func (s *Scheduler) recordResample(op *op) {
+	if op.queue != nil {
+		i := reserveIndex(s.withinReserve(op))
+		op.server.resampledDemand[i].add(s.now, op.Units, s.settings.shortestTarget)
 	}
 }
 
-// resampleRate is how many units a second draw anew at a disk server of late, due or beyond.
-func (s *Scheduler) resampleRate(o *server, i int) float64 {
-	if o.resampledDemand[i].time == 0 {
+// resampleRate is the recent rate, in units a second, at which ops held for a server got new
+// admission draws.
+func (s *Scheduler) resampleRate(server *server, i int) float64 {
+	if server.resampledDemand[i].time == 0 {
 		return 0
 	}
-	o.resampledDemand[i].add(s.now, 0, s.settings.shortestTarget)
-	return o.resampledDemand[i].rate()
+	server.resampledDemand[i].add(s.now, 0, s.settings.shortestTarget)
+	return server.resampledDemand[i].rate()
 }
 
-// demandSplit is how many units this host is asked of a node within a window, due and beyond: of a mean one, or of what this
-// one holds where that is more, by as much more as this host is asked of late, and what held ops ask by drawing anew.
-func (s *Scheduler) demandSplit(o *server, window time.Duration) (first, others float64) {
-	var units [2]float64
+// demandSplit is the demand of this instance on a server within a window: that on a mean server, or
+// on the server's cell where that is more, scaled up by a current surge, and what held ops add by
+// new admission draws.
+func (s *Scheduler) demandSplit(server *server, window time.Duration) windowDemand {
+	var units [reserveIndices]float64
 	surge := 1.0
 	if s.cellBoundDemand.time > 0 {
-		surge = max(1, (s.demand[0].rate()+s.demand[1].rate())/s.cellBoundDemand.rate())
+		current := s.demand[withinReserveIndex].rate() + s.demand[beyondReserveIndex].rate()
+		surge = max(1, current/s.cellBoundDemand.rate())
 	}
+	cell := s.demandByCell[server.Cell]
 	for i := range units {
-		usual := s.demand[i].rate() / float64(max(s.serversUp, 1))
-		units[i] = usual
-		if here := s.demandByCell[o.Cell]; here != nil && here.requested[i].time > 0 {
-			units[i] = max(usual, here.requested[i].rate()*surge)
+		mean := s.demand[i].rate() / float64(max(s.serversUp, 1))
+		units[i] = mean
+		if cell != nil && cell.requested[i].time > 0 {
+			units[i] = max(mean, cell.requested[i].rate()*surge)
 		}
-		units[i] = (units[i] + s.resampleRate(o, i)) * window.Seconds()
+		units[i] = (units[i] + s.resampleRate(server, i)) * window.Seconds()
 	}
-	return units[0], units[1]
+	return windowDemand{units[withinReserveIndex], units[beyondReserveIndex]}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,144 +9,185 @@
 	"honeyplank"
 )
 
-func (s *Scheduler) applyList(l honeyplank.List) {
-	switch l.Kind {
-	case honeyplank.WatchFailed: // nothing tells whether a watch still stands: watch again, ever less often
-		s.watchActive = false
-		most := s.settings.watchDeadline / 4
-		s.backoff = min(max(2*s.backoff, most/16, s.sweepInterval()), max(most, s.sweepInterval()))
-		s.setTimer(s.now+s.backoff/2+time.Duration(s.rng.Int63n(int64(s.backoff/2)+1)), "watch")
+// Bounds of the backoff of watch requests, as divisors of the time within which changes are to be
+// notified.
+const (
+	longestWatchBackoff  = 4
+	shortestWatchBackoff = 16 // of the longest
+)
+
+// server is the record of a disk server.
+type server struct {
+	honeyplank.Member
+	listedUp    bool
+	wasListedUp bool // before the complete list that is being read
+	active      bool // visited by sweeps
+
+	health      health
+	healthSince time.Duration
+	backoff     time.Duration // for which it gets nothing once it is down
+
+	// Outstanding dispatches of this instance.
+	window                 float64 // most of them, in ops
+	outstanding            int
+	dispatches             []outstandingDispatch // in the order sent
+	fullDeadlineDispatches int                   // those with time left for a usual answer
+	unansweredSince        time.Duration         // since when one has been outstanding without any answer
+	unitsOutstanding       float64
+	retryCredit            float64 // retries that answers have earned
+	lastKey                int64   // key of the last op sent
+
+	// Estimates.
+	slowness           float64 // recent latency over the typical one of the op types; 0: not known
+	slownessAt         time.Duration
+	perUnit            float64 // recent latency per unit, in seconds
+	bestPerUnit        float64 // least of perUnit, decaying slowly towards it
+	answersSinceGrowth float64 // answers since the window last grew
+	latencyElevated    bool    // perUnit has been past a multiple of bestPerUnit
+	failureShare       float64 // recent share of failed dispatches, at failedAt
+	failedAt           time.Duration
+
+	// Slow start.
+	sentLog             []sentUnits // dispatches that ended within the window and may have arrived
+	respondedSinceStart bool
+	resampledDemand     [reserveIndices]decayedRate // units of held ops that got new admission draws
+
+	// Held ops.
+	heldCount     int
+	queues        []*volumeQueue // in ring order
+	nonEmpty      []*volumeQueue // those with held ops, in ring order
+	queueByVolume map[*volume]*volumeQueue
+	queueSerial   int // of the newest queue
+
+	// Slices.
+	servedQueue *volumeQueue
+	sliceState  sliceState
+	sliceEnd    time.Duration
+	waitEnd     time.Duration // of the idle wait for the served queue's next op
+	round       int
+}
+
+// applyList takes in news of the endpoint list, and dispatches what may be sent after it.
+func (s *Scheduler) applyList(list honeyplank.List) {
+	switch list.Kind {
+	case honeyplank.WatchFailed:
+		s.backOffWatch()
 		return
 	case honeyplank.Delta, honeyplank.Complete:
 		s.watchActive, s.backoff = true, 0
 	}
-	changes := l.Kind == honeyplank.Delta || l.Kind == honeyplank.OutOfBand
-	if !changes { // what a whole list leaves out is gone
+	complete := list.Kind != honeyplank.Delta && list.Kind != honeyplank.OutOfBand
+	if complete { // servers that are not in it are removed
 		s.markAllRemoved()
 	}
-	touched := make([]*server, 0, len(l.Members))
-	for _, m := range l.Members {
-		o := s.servers[m.ID]
-		if o == nil { // what was sent to it before this instance started is unknown: that counts as too much
-			o = s.addServer(&server{Member: m, window: minWindow, retryCredit: maxRetryCredit, sentLog: []sentUnits{{s.startedAt, math.Inf(1)}}})
-		}
-		if m.Started > o.Started {
-			o.respondedSinceStart = false
-			s.applyHealthEvent(o, restarted)
-		}
-		s.updateMember(o, m)
-		touched = append(touched, o)
+	changed := make([]*server, 0, len(list.Members))
+	for _, member := range list.Members {
+		changed = append(changed, s.applyMember(member))
 	}
-	if !changes {
-		touched = s.serversByID
-		for _, o := range s.serversByID {
-			o.wasListedUp = false
+	if complete {
+		changed = s.serversByID
+		for _, server := range s.serversByID {
+			server.wasListedUp = false
 		}
 	}
-	s.unassignStopped(touched)
-	s.assignHeld(touched)
+	s.unassignStopped(changed)
+	s.assignHeld(changed)
 }
 
-// server is the one record of a disk server.
-type server struct {
-	honeyplank.Member
-	listedUp               bool // counted among those that run
-	wasListedUp            bool // so before the whole list that is being read
-	active                 bool // the sweep looks at it
-	health                 health
-	healthSince            time.Duration         // start of the present health state
-	backoff                time.Duration         // how long it is left alone once down
-	window                 float64               // ops of this host that may be out here
-	outstanding            int                   // ops of this host that are out here
-	dispatches             []outstandingDispatch // those, in the order sent
-	fullDeadlineDispatches int                   // those that had time for a usual answer
-	unansweredSince        time.Duration         // since when one of these has been out without any answer
-	slowness               float64               // recent answer times, against the usual ones of the types answered; 0: not known
-	slownessAt             time.Duration         // when slowness last took something in
-	perUnit                float64               // recent answer time for each unit of size, in seconds
-	bestPerUnit            float64               // the best of perUnit, slowly forgotten
-	answersSinceGrowth     float64               // answers since the window last grew
-	latencyElevated        bool                  // latency stays past twice its best
-	retryCredit            float64               // further dispatches earned by answers
-	failureShare           float64               // recent share of dispatches that brought nothing, when last blamed
-	failedAt               time.Duration
-	sentLog                []sentUnits    // units of dispatches that ended within the window of the cold rule and may have arrived
-	unitsOutstanding       float64        // units of those that are out, which may arrive at any time
-	respondedSinceStart    bool           // an answer came since its last start
-	resampledDemand        [2]decayedRate // units of held ops that drew their lots anew: due, and beyond
-	heldCount              int            // ops held here
-	queues                 []*volumeQueue // in ring order
-	nonEmpty               []*volumeQueue // those with held ops, in ring order
-	queueByVolume          map[*volume]*volumeQueue
-	queueSerial            int // of the queue made last
-	servedQueue            *volumeQueue
-	sliceState             sliceState
-	sliceEnd               time.Duration // end of the served volume's slice
-	waitEnd                time.Duration // end of the wait for its next op
-	round                  int
-	lastKey                int64 // key of the last op sent, to keep runs together
+// backOffWatch sets the timer of the next watch request, later with each failure, with random
+// jitter. It does not rely on any sign that a watch is still active.
+func (s *Scheduler) backOffWatch() {
+	s.watchActive = false
+	longest := s.settings.watchDeadline / longestWatchBackoff
+	shortest := max(longest/shortestWatchBackoff, s.sweepInterval())
+	s.backoff = min(max(2*s.backoff, shortest), max(longest, s.sweepInterval()))
+	jitter := time.Duration(s.rng.Int63n(int64(s.backoff/2) + 1))
+	s.setTimer(s.now+s.backoff/2+jitter, watchTimer)
 }
 
-func without[T comparable](list []T, x T) []T {
-	for i, y := range list {
-		if y == x {
-			return append(list[:i], list[i+1:]...)
-		}
-	}
-	return list
+// requestWatch asks for changes of the endpoint list from now on.
+func (s *Scheduler) requestWatch() {
+	s.watchRequested = s.now
+	s.emit(honeyplank.Watch{Enabled: true})
 }
 
-// addServer takes up the record of a disk server.
-func (s *Scheduler) addServer(o *server) *server {
-	s.servers[o.ID] = o
-	s.serversByID = insertByID(s.serversByID, o)
-	// What an instance before this one had learnt holds unless the server has started since. It guards
-	// the first seconds after a switch; it could harm where a machine was replaced under one address.
-	if k, ok := s.savedEstimates[o.ID]; ok && s.estimateValid(k, o.Started) {
-		o.bestPerUnit, o.slowness, o.slownessAt = k.BestPerUnit, k.Latency/max(s.meanLatency(), 1e-9), k.At
+// applyMember takes in an entry of the endpoint list and returns the server's record.
+func (s *Scheduler) applyMember(member honeyplank.Member) *server {
+	known := s.servers[member.ID]
+	if known == nil {
+		known = s.addServer(member)
+	}
+	if member.Started > known.Started {
+		known.respondedSinceStart = false
+		s.applyHealthEvent(known, restarted)
 	}
-	delete(s.savedEstimates, o.ID)
-	return o
+	s.updateMember(known, member)
+	return known
 }
 
-// insertByID puts a disk server into a list kept by id.
-func insertByID(list []*server, o *server) []*server {
-	i := sort.Search(len(list), func(i int) bool { return list[i].ID >= o.ID })
-	return slices.Insert(list, i, o)
+// addServer makes the record of a server. What an earlier instance sent to it is unknown: for slow
+// start that counts as infinitely many units, sent when this instance started.
+func (s *Scheduler) addServer(member honeyplank.Member) *server {
+	added := &server{
+		Member:      member,
+		window:      minWindow,
+		retryCredit: maxRetryCredit,
+		sentLog:     []sentUnits{{s.startedAt, math.Inf(1)}},
+	}
+	s.servers[added.ID] = added
+	s.serversByID = insertByID(s.serversByID, added)
+	s.applySavedEstimate(added)
+	return added
 }
 
-// updateMember notes what the list says of a disk server, and with it who holds what and how many run. The work does
-// not grow with the fleet.
-func (s *Scheduler) updateMember(o *server, m honeyplank.Member) {
-	stayed := o.listedUp || o.wasListedUp
-	if o.listedUp {
+// updateMember takes over an entry of the endpoint list into a server's record, the number of
+// servers that are up, and the servers of its cell. Its work does not grow with the fleet.
+func (s *Scheduler) updateMember(server *server, member honeyplank.Member) {
+	wasUp := server.listedUp || server.wasListedUp
+	if server.listedUp {
 		s.serversUp--
-		s.serversByCell[o.Cell] = without(s.serversByCell[o.Cell], o)
+		s.serversByCell[server.Cell] = without(s.serversByCell[server.Cell], server)
 	}
-	o.Member, o.listedUp = m, m.State == honeyplank.Up
-	if o.listedUp {
-		s.serversUp++
-		s.serversByCell[o.Cell] = insertByID(s.serversByCell[o.Cell], o)
-		if !stayed {
-			s.joinRankings(o)
-		}
+	server.Member, server.listedUp = member, member.State == honeyplank.Up
+	if !server.listedUp {
+		return
+	}
+	s.serversUp++
+	s.serversByCell[server.Cell] = insertByID(s.serversByCell[server.Cell], server)
+	if !wasUp {
+		s.joinRankings(server)
 	}
 }
 
-// unassignStopped takes from disk servers that do not run what is held for them.
+// markAllRemoved marks all servers as removed, before a complete list is read.
+func (s *Scheduler) markAllRemoved() {
+	for _, server := range s.serversByID {
+		server.wasListedUp = server.listedUp
+		member := server.Member
+		member.State = honeyplank.Removed
+		s.updateMember(server, member)
+	}
+}
+
+// unassignStopped takes the held ops from those servers of a list that are not up.
 func (s *Scheduler) unassignStopped(list []*server) {
-	for _, o := range list {
-		if !o.listedUp {
-			s.unassignAll(o)
+	for _, server := range list {
+		if !server.listedUp {
+			s.unassignAll(server)
 		}
 	}
 }
 
-func (s *Scheduler) markAllRemoved() {
-	for _, o := range s.serversByID {
-		o.wasListedUp = o.listedUp
-		m := o.Member
-		m.State = honeyplank.Removed
-		s.updateMember(o, m)
+// insertByID inserts a server into a list sorted by id.
+func insertByID(list []*server, server *server) []*server {
+	i := sort.Search(len(list), func(i int) bool { return list[i].ID >= server.ID })
+	return slices.Insert(list, i, server)
+}
+
+// without removes the first element that equals value from a list, in place.
+func without[T comparable](list []T, value T) []T {
+	if i := slices.Index(list, value); i >= 0 {
+		return append(list[:i], list[i+1:]...)
 	}
+	return list
 }
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -13,126 +13,160 @@
 const (
 	// estimateLifetime is how old a saved estimate of an earlier instance may be.
 	estimateLifetime = 24 * time.Hour
-	// Latency per unit up to nearBest times its best grows the window; past farPastBest times its best halves it.
+	// Latency per unit up to nearBest times its best grows the window; past farPastBest times its
+	// best halves it.
 	nearBest    = 1.5
 	farPastBest = 2.0
-	// bestLatencyDecay is the part by which a best latency moves towards the recent one with each answer.
+	// bestLatencyDecay is the part by which a best latency moves towards the recent one with each
+	// answer.
 	bestLatencyDecay = 1.0 / 256
-	// typicalLatencyDecay is the time constant, in longest target latencies, with which the typical latency of an op type
-	// without answers decays to its fastest.
+	// typicalLatencyDecay is the time constant, in longest target latencies, with which the typical
+	// latency of an op type without answers decays to its fastest.
 	typicalLatencyDecay = 16
 )
 
-// typeLatency is the answer time of an op type at all nodes, in seconds.
+// typeLatency is the latency of an op type over all servers, in seconds.
 type typeLatency struct {
-	mean, fastest float64 // recent, and the least, slowly forgotten; 0: not known
-	updatedAt     time.Duration
+	mean      float64 // recent mean; 0: not known
+	fastest   float64 // least, decaying slowly towards recent ones; 0: not known
+	updatedAt time.Duration
 }
 
-// meanLatency is the mean answer time of the types that were answered, 0 where none was.
+// meanLatency is the mean latency, in seconds, of the op types that had answers; 0 where none had.
 func (s *Scheduler) meanLatency() float64 {
 	sum, known := 0.0, 0
-	for _, t := range s.latencyByType {
-		if t.mean > 0 {
-			sum, known = sum+t.mean, known+1
+	for _, typical := range s.latencyByType {
+		if typical.mean > 0 {
+			sum, known = sum+typical.mean, known+1
 		}
 	}
 	return sum / float64(max(known, 1))
 }
 
-// estimateValid tells whether what an instance before learnt still does: than a time to come no start could be newer.
-func (s *Scheduler) estimateValid(k honeyplank.ServerEstimate, started time.Duration) bool {
-	return k.At <= s.now && s.now-k.At < estimateLifetime && started <= max(k.At, 0)
+// estimateValid reports whether a saved estimate may be used for a server that started at a time:
+// it is neither too old nor from the future, where no start could be newer, and the server has not
+// started since.
+func (s *Scheduler) estimateValid(saved honeyplank.ServerEstimate, started time.Duration) bool {
+	return saved.At <= s.now && s.now-saved.At < estimateLifetime && started <= max(saved.At, 0)
 }
 
-// expectedLatency is how long a node's answers to ops of a type take, as far as this host can tell by now: the usual
-// time of the type times how slow the node was seen to be, which is forgotten over time, since with many
-// hosts answers of one node are rare. It guards against beliefs that outlive what they tell of, and against
-// long ops that are taken for slow nodes; where one node alone stays slow, it is tried again too soon.
-func (s *Scheduler) expectedLatency(o *server, typ int) float64 {
-	usual := s.typicalLatency(typ)
-	if o.slowness <= 0 {
+// expectedLatency is the expected latency of a server for ops of a type, in seconds: the typical
+// latency of the type times the server's slowness, which decays to 1, since with many instances
+// each sees few answers of one server. It guards against estimates that outlive their cause, and
+// against taking a server for slow because of ops that take long. It could harm where one server
+// alone stays slow: it gets ops again too soon.
+func (s *Scheduler) expectedLatency(server *server, opType int) float64 {
+	usual := s.typicalLatency(opType)
+	if server.slowness <= 0 {
 		return usual
 	}
-	return usual * (1 + (o.slowness-1)*s.decay(o.slownessAt))
+	return usual * (1 + (server.slowness-1)*s.decay(server.slownessAt))
 }
 
-// typicalLatency is the recent answer time of a type anywhere. Without answers it gives way to the fastest ones: it
-// guards against a type that is refused for the time of answers long past, and would never hear of better.
-func (s *Scheduler) typicalLatency(typ int) float64 {
-	t := valueAt(s.latencyByType, typ)
-	if t.mean == 0 {
+// typicalLatency is the recent latency of an op type over all servers, in seconds. Without answers
+// it decays to the fastest ones: it guards against rejecting a type because of old answers, after
+// which it would get no newer ones.
+func (s *Scheduler) typicalLatency(opType int) float64 {
+	typical := valueAt(s.latencyByType, opType)
+	if typical.mean == 0 {
 		return cmp.Or(s.meanLatency(), spareLatencyShare*s.settings.shortestTarget.Seconds())
 	}
-	fades := float64(max(typicalLatencyDecay*s.settings.longestTarget, s.sweepInterval()))
-	return t.fastest + (t.mean-t.fastest)*math.Exp(-float64(s.now-t.updatedAt)/fades)
+	timeConstant := float64(max(typicalLatencyDecay*s.settings.longestTarget, s.sweepInterval()))
+	weight := math.Exp(-float64(s.now-typical.updatedAt) / timeConstant)
+	return typical.fastest + (typical.mean-typical.fastest)*weight
 }
 
-// decay is what is left of the weight of what was learnt at a time.
+// decay is the weight left to an observation made at a time.
 func (s *Scheduler) decay(at time.Duration) float64 {
 	return math.Exp(-float64(s.now-at) / float64(max(s.settings.longestTarget, s.sweepInterval())))
 }
 
-// recordLatency takes in an answer time of a node, and of all where it tells of more than that one.
-func (s *Scheduler) recordLatency(o *server, typ int, took float64, ofAll bool) {
+// recordLatency takes in the latency, in seconds, of an answer from a server: for the server's
+// slowness, and with ofAllServers for the typical latency of the op type too.
+func (s *Scheduler) recordLatency(server *server, opType int, took float64, ofAllServers bool) {
 	latency := took
-	if o.slowness > 0 {
-		latency = ewma(s.expectedLatency(o, typ), took, max(ewmaWeight, 1-s.decay(o.slownessAt)))
+	if server.slowness > 0 {
+		weight := max(ewmaWeight, 1-s.decay(server.slownessAt))
+		latency = ewma(s.expectedLatency(server, opType), took, weight)
 	}
-	if ofAll && typ >= 0 && typ < len(s.latencyByType) {
-		t := &s.latencyByType[typ]
-		if t.mean > 0 {
-			t.mean = s.typicalLatency(typ)
-		}
-		t.mean, t.updatedAt = ewma(t.mean, took, ewmaWeight), s.now
-		if t.fastest == 0 || took < t.fastest {
-			t.fastest = took
-		}
-		t.fastest += bestLatencyDecay * (took - t.fastest)
+	if ofAllServers && opType >= 0 && opType < len(s.latencyByType) {
+		s.recordTypicalLatency(opType, took)
 	}
-	o.slowness, o.slownessAt = latency/max(s.typicalLatency(typ), 1e-9), s.now
+	server.slowness, server.slownessAt = latency/max(s.typicalLatency(opType), minSeconds), s.now
 }
 
-// earliestAnswer is when an answer of a node is worth hoping for: many come in half of their mean time.
-func (s *Scheduler) earliestAnswer(o *server, typ int) time.Duration {
-	return time.Duration(s.expectedLatency(o, typ) / 2 * float64(time.Second))
+func (s *Scheduler) recordTypicalLatency(opType int, took float64) {
+	typical := &s.latencyByType[opType]
+	if typical.mean > 0 {
+		typical.mean = s.typicalLatency(opType)
+	}
+	typical.mean, typical.updatedAt = ewma(typical.mean, took, ewmaWeight), s.now
+	if typical.fastest == 0 || took < typical.fastest {
+		typical.fastest = took
+	}
+	typical.fastest += bestLatencyDecay * (took - typical.fastest)
+}
+
+// earliestAnswer is the time after which an answer of a server may come: many come in half of the
+// mean latency.
+func (s *Scheduler) earliestAnswer(server *server, opType int) time.Duration {
+	return time.Duration(s.expectedLatency(server, opType) / 2 * float64(time.Second))
+}
+
+// earliestAnswerOfAnyType is the least earliestAnswer over all op types.
+func (s *Scheduler) earliestAnswerOfAnyType(server *server) time.Duration {
+	earliest := time.Duration(math.MaxInt64)
+	for opType := range s.settings.targetLatency {
+		earliest = min(earliest, s.earliestAnswer(server, opType))
+	}
+	return earliest
 }
 
-// SavedEstimates is what means the same to an instance that comes after: how fast servers are, seen yet or not.
+// SavedEstimates returns what a later instance can use: the latency estimates of the servers, and
+// saved ones of servers that this instance has not been told of.
 func (s *Scheduler) SavedEstimates() honeyplank.SavedEstimates {
 	usual := s.meanLatency()
-	l := honeyplank.SavedEstimates{TypicalLatency: usual}
+	estimates := honeyplank.SavedEstimates{TypicalLatency: usual}
 	for _, id := range slices.Sorted(maps.Keys(s.savedEstimates)) {
-		l.Servers = append(l.Servers, s.savedEstimates[id])
+		estimates.Servers = append(estimates.Servers, s.savedEstimates[id])
 	}
-	for _, o := range s.serversByID {
-		if o.slowness > 0 && o.Started <= max(o.slownessAt, 0) {
-			l.Servers = append(l.Servers, honeyplank.ServerEstimate{Server: o.ID, At: o.slownessAt, BestPerUnit: o.bestPerUnit, Latency: o.slowness * usual})
+	for _, server := range s.serversByID {
+		if server.slowness > 0 && server.Started <= max(server.slownessAt, 0) {
+			estimates.Servers = append(estimates.Servers, honeyplank.ServerEstimate{
+				Server:      server.ID,
+				At:          server.slownessAt,
+				BestPerUnit: server.bestPerUnit,
+				Latency:     server.slowness * usual,
+			})
 		}
 	}
-	return l
+	return estimates
 }
 
-// restoreEstimates takes in what an instance before this one had learnt, unless it is too old, or of a time to come: by that no
-// start could be told to be newer.
-func (s *Scheduler) restoreEstimates(e honeyplank.SavedEstimates) {
+// restoreEstimates takes in the estimates that an earlier instance saved, and logs those that are
+// not valid.
+func (s *Scheduler) restoreEstimates(estimates honeyplank.SavedEstimates) {
 	for i := range s.latencyByType {
-		s.latencyByType[i] = typeLatency{mean: e.TypicalLatency, fastest: e.TypicalLatency, updatedAt: s.now}
+		typical := estimates.TypicalLatency
+		s.latencyByType[i] = typeLatency{mean: typical, fastest: typical, updatedAt: s.now}
 	}
-	for _, k := range e.Servers {
-		if s.estimateValid(k, 0) {
-			s.savedEstimates[k.Server] = k
+	for _, saved := range estimates.Servers {
+		if s.estimateValid(saved, 0) {
+			s.savedEstimates[saved.Server] = saved
 		} else {
-			s.logf("osd %s: what was learnt of it is too old, or of a time to come: passed over", k.Server)
+			s.logf("osd %s: saved estimate ignored: too old, or from the future", saved.Server)
 		}
 	}
 }
 
-// earliestAnswerOfAnyType is the least that soonest gives for any type.
-func (s *Scheduler) earliestAnswerOfAnyType(o *server) time.Duration {
-	least := time.Duration(math.MaxInt64)
-	for typ := range s.settings.targetLatency {
-		least = min(least, s.earliestAnswer(o, typ))
+// applySavedEstimate uses the saved estimate for a new record of a server, unless the server has
+// started since. It guards the first seconds of an instance. It could harm where a machine was
+// replaced under the same address.
+func (s *Scheduler) applySavedEstimate(server *server) {
+	saved, ok := s.savedEstimates[server.ID]
+	if ok && s.estimateValid(saved, server.Started) {
+		server.bestPerUnit, server.slownessAt = saved.BestPerUnit, saved.At
+		server.slowness = saved.Latency / max(s.meanLatency(), minSeconds)
 	}
-	return least
+	delete(s.savedEstimates, server.ID)
 }
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -7,37 +7,41 @@
 	evictInterval = time.Second      // between two searches for idle records, whose work grows with their number
 )
 
-// evictIdle drops entries that have been idle for long.
+// evictIdle drops the records that have been idle for a time, or have expired.
 func (s *Scheduler) evictIdle(idle time.Duration) {
-	for _, o := range s.serversByID {
-		kept := o.queues[:0]
-		for _, q := range o.queues {
-			if len(q.held) > 0 || q == o.servedQueue || s.now-q.lastSeen < idle {
-				kept = append(kept, q)
-			} else {
-				delete(o.queueByVolume, q.volume)
-			}
-		}
-		o.queues = kept
+	for _, server := range s.serversByID {
+		s.evictIdleQueues(server, idle)
 	}
-	for id, v := range s.volumes {
-		if v.openOps == 0 && s.now-v.lastSeen >= idle {
+	for id, volume := range s.volumes {
+		if volume.openOps == 0 && s.now-volume.lastSeen >= idle {
 			delete(s.volumes, id)
 		}
 	}
-	for cell, f := range s.demandByCell {
-		if s.now-f.requested[0].last >= idle {
+	for cell, demand := range s.demandByCell {
+		if s.now-demand.requested[withinReserveIndex].last >= idle {
 			delete(s.demandByCell, cell)
 		}
 	}
-	for id, a := range s.earlierAttempts {
-		if s.now >= a.expires {
-			delete(s.earlierAttempts, id)
+	for identity, attempt := range s.earlierAttempts {
+		if s.now >= attempt.expires {
+			delete(s.earlierAttempts, identity)
+		}
+	}
+	for key, queue := range s.keyQueues {
+		if len(queue.ops) == 0 && s.now >= queue.settledAt {
+			delete(s.keyQueues, key)
 		}
 	}
-	for id, k := range s.keyQueues {
-		if len(k.ops) == 0 && s.now >= k.settledAt {
-			delete(s.keyQueues, id)
+}
+
+func (s *Scheduler) evictIdleQueues(server *server, idle time.Duration) {
+	kept := server.queues[:0]
+	for _, queue := range server.queues {
+		if len(queue.held) > 0 || queue == server.servedQueue || s.now-queue.lastSeen < idle {
+			kept = append(kept, queue)
+		} else {
+			delete(server.queueByVolume, queue.volume)
 		}
 	}
+	server.queues = kept
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -15,71 +15,112 @@
 // maxFailureRate is the share of failed dispatches from which a server gets no new objects.
 const maxFailureRate = 0.2
 
-// healthTransitions is read by judge; a pair that is missing changes nothing. It guards against servers that died or
-// are silent, and should hold against any cut between this host and a server. It could harm where a server
-// merely pauses for long: it then gets one op at a time until it answers.
+// health is the health state of a server, the healthiest first.
+type health int
+
+const (
+	up       health = iota
+	suspect         // one piece of evidence against it
+	down            // nothing is sent to it until its backoff has elapsed
+	halfOpen        // one op at a time is sent to it, until it responds
+)
+
+func (h health) String() string { return [...]string{"up", "suspect", "down", "half-open"}[h] }
+
+// healthEvent is what a health state depends on.
+type healthEvent int
+
+const (
+	noEvidence     healthEvent = iota
+	responded                  // any answer
+	unresponsive               // no connection, a reset, or silence
+	restarted                  // the endpoint list shows a newer start
+	backoffElapsed             // the time for which a server that is down gets nothing
+)
+
+// healthTransitions is the table of applyHealthEvent; a pair that is missing changes nothing. It
+// guards against servers that died, are silent or are cut off from this instance. It could harm
+// where a server merely pauses for long: it then gets one op at a time until it answers.
 var healthTransitions = map[health]map[healthEvent]struct {
 	next   health
 	effect func(*Scheduler, *server)
 }{
-	up:       {unresponsive: {suspect, resetWindow}, restarted: {up, resetWindow}},
-	suspect:  {responded: {up, nil}, unresponsive: {down, (*Scheduler).backOff}, restarted: {up, resetWindow}},
-	down:     {responded: {up, resetWindow}, backoffElapsed: {halfOpen, nil}, restarted: {up, resetWindow}},
-	halfOpen: {responded: {up, resetWindow}, unresponsive: {down, (*Scheduler).backOff}, restarted: {up, resetWindow}},
+	up: {
+		unresponsive: {suspect, resetWindow},
+		restarted:    {up, resetWindow},
+	},
+	suspect: {
+		responded:    {up, nil},
+		unresponsive: {down, (*Scheduler).backOff},
+		restarted:    {up, resetWindow},
+	},
+	down: {
+		responded:      {up, resetWindow},
+		backoffElapsed: {halfOpen, nil},
+		restarted:      {up, resetWindow},
+	},
+	halfOpen: {
+		responded:    {up, resetWindow},
+		unresponsive: {down, (*Scheduler).backOff},
+		restarted:    {up, resetWindow},
+	},
 }
 
-func (s *Scheduler) applyHealthEvent(o *server, in healthEvent) {
-	rule, ok := healthTransitions[o.health][in]
+// applyHealthEvent moves a server to its next health state, and logs a change from or to down.
+func (s *Scheduler) applyHealthEvent(server *server, event healthEvent) {
+	transition, ok := healthTransitions[server.health][event]
 	if !ok {
 		return
 	}
-	if o.health != rule.next && (o.health == down || rule.next == down) {
-		s.logf("osd %s: %s, was %s", o.ID, rule.next, o.health)
+	if server.health != transition.next && (server.health == down || transition.next == down) {
+		s.logf("osd %s: %s, was %s", server.ID, transition.next, server.health)
 	}
-	o.health, o.healthSince = rule.next, s.now
-	if o.health == down { // the sweep ends its rest
-		s.markActive(o)
+	server.health, server.healthSince = transition.next, s.now
+	if server.health == down { // the sweep has to see the end of its backoff
+		s.markActive(server)
 	}
-	if rule.effect != nil {
-		rule.effect(s, o)
+	if transition.effect != nil {
+		transition.effect(s, server)
 	}
 }
 
-func resetWindow(_ *Scheduler, o *server) { o.window, o.backoff = minWindow, 0 }
-
-func halveWindow(o *server) { o.window = max(minWindow, o.window/2) }
-
-// backOff leaves a disk server alone, longer each time, up to the longest target latency.
-func (s *Scheduler) backOff(o *server) {
-	o.backoff = min(max(time.Duration(farPastBest*float64(o.backoff)), s.settings.shortestTarget/2), s.settings.longestTarget)
+// checkHealth is a sweep's part of the health of a server: silence, and the end of its backoff.
+func (s *Scheduler) checkHealth(server *server) {
+	silence := s.settings.longestTarget / 2
+	if server.fullDeadlineDispatches > 0 && s.now-server.unansweredSince > silence {
+		s.applyHealthEvent(server, unresponsive)
+		server.unansweredSince = s.now
+	}
+	if server.health == down && s.now-server.healthSince >= server.backoff {
+		s.applyHealthEvent(server, backoffElapsed)
+	}
 }
 
-// recordFailure counts ends that brought nothing; failing is their recent share. It is forgotten over time, since a
-// host that only writes would never hear of a server again.
-func (s *Scheduler) recordFailure(o *server, _ *op, _ honeyplank.Outcome) {
-	f := s.failureRate(o)
-	o.failureShare, o.failedAt = f+ewmaWeight*(1-f), s.now
+// halfOpenBusy reports whether a half-open server has its one op outstanding, for no longer than
+// its backoff.
+func (s *Scheduler) halfOpenBusy(server *server) bool {
+	return server.health == halfOpen && server.outstanding > 0 && s.now-server.unansweredSince <= server.backoff
 }
 
-func (s *Scheduler) failureRate(o *server) float64 { return o.failureShare * s.decay(o.failedAt) }
+func resetWindow(_ *Scheduler, server *server) { server.window, server.backoff = minWindow, 0 }
 
-type health int
+func halveWindow(server *server) { server.window = max(minWindow, server.window/2) }
 
-const (
-	up health = iota
-	suspect
-	down
-	halfOpen
-)
-
-func (h health) String() string { return [...]string{"up", "doubted", "down", "trial"}[h] }
+// backOff doubles the time for which a server that is down gets nothing, up to the longest target
+// latency.
+func (s *Scheduler) backOff(server *server) {
+	doubled := time.Duration(farPastBest * float64(server.backoff))
+	server.backoff = min(max(doubled, s.settings.shortestTarget/2), s.settings.longestTarget)
+}
 
-type healthEvent int
+// recordFailure counts a dispatch that failed.
+func (s *Scheduler) recordFailure(server *server, _ *op, _ honeyplank.Outcome) {
+	rate := s.failureRate(server)
+	server.failureShare, server.failedAt = rate+ewmaWeight*(1-rate), s.now
+}
 
-const (
-	noEvidence     healthEvent = iota
-	responded                  // an answer, whatever it was
-	unresponsive               // no connection, a reset, or silence
-	restarted                  // the list tells of a new start
-	backoffElapsed             // its rest has passed
-)
+// failureRate is the recent share of failed dispatches to a server. It decays over time: an
+// instance whose clients only write new objects would never send to the server again.
+func (s *Scheduler) failureRate(server *server) float64 {
+	return server.failureShare * s.decay(server.failedAt)
+}
--- a/policy/means.go
+++ b/policy/means.go
@@ -6,89 +6,96 @@
 	"time"
 )
 
-// Decay, scale and offset of a decayed mean: the paper's a, b and c (its footnote on equations 2 and 3).
+// Decay, scale and offset of a decayed mean: the paper's a, b and c (its footnote on equations 2
+// and 3).
 const (
 	meanDecay  = 7.0 / 8
 	meanScale  = 32
 	meanOffset = 1024 // in milliseconds
 )
 
+// minSeconds keeps a division by a time that may be 0 finite.
+const minSeconds = 1e-9
+
 // ewmaWeight is the weight of the newest value in an exponentially weighted moving average.
 const ewmaWeight = 1.0 / 8
 
-// decayedMean is the paper's decayed mean: (total+c)/sum.
+// decayedMean is the paper's decayed mean of the time between events: (total + c) / sum, in
+// milliseconds.
 type decayedMean struct {
 	total, sum float64
 	last       time.Duration
 	seen       bool
 }
 
-// observe takes in the time since the last event; the first one only starts the count.
-func (m *decayedMean) observe(now time.Duration, a, b float64) {
+// observe takes in an event; the first one has no time before it.
+func (m *decayedMean) observe(now time.Duration) {
 	if m.seen {
-		m.total = a*m.total + b*float64(now-m.last)/float64(time.Millisecond)
-		m.sum = a*m.sum + b
+		m.total = meanDecay*m.total + meanScale*float64(now-m.last)/float64(time.Millisecond)
+		m.sum = meanDecay*m.sum + meanScale
 	}
 	m.last, m.seen = now, true
 }
 
-// value is the mean gap, without end while nothing has been seen.
-func (m *decayedMean) value(c float64) time.Duration {
+// value is the mean time between events; the longest duration while there were none.
+func (m *decayedMean) value() time.Duration {
 	if m.sum == 0 {
 		return math.MaxInt64
 	}
-	return time.Duration((m.total + c) / m.sum * float64(time.Millisecond))
+	return time.Duration((m.total + meanOffset) / m.sum * float64(time.Millisecond))
 }
 
-// decayedRate is a decayed rate: units over the time in which they came.
+// decayedRate is an exponentially decayed rate: units over the time in which they came.
 type decayedRate struct {
-	units, time float64
+	units, time float64 // time in seconds
 	last        time.Duration
 }
 
-func (f *decayedRate) add(now time.Duration, units float64, memory time.Duration) {
+// add takes in units that came now; what came before decays with the time constant memory. A rate
+// starts as if nothing had come within that.
+func (r *decayedRate) add(now time.Duration, units float64, memory time.Duration) {
 	memory = max(memory, time.Millisecond)
-	if f.time == 0 { // as if nothing had come for as long as it remembers
-		f.last = now - memory
+	if r.time == 0 {
+		r.last = now - memory
 	}
-	gap := (now - f.last).Seconds()
-	keep := math.Exp(-gap / memory.Seconds())
-	f.units, f.time, f.last = f.units*keep+units, f.time*keep+gap, now
+	elapsed := (now - r.last).Seconds()
+	kept := math.Exp(-elapsed / memory.Seconds())
+	r.units, r.time, r.last = r.units*kept+units, r.time*kept+elapsed, now
 }
 
-// rate is in units a second, without end while nothing is known.
-func (f *decayedRate) rate() float64 { return f.units / f.time }
+// rate is in units a second; NaN before the first add.
+func (r *decayedRate) rate() float64 { return r.units / r.time }
 
-// rateWithPrior is the rate drawn towards a figure, which counts as if seen for a time.
-func (f *decayedRate) rateWithPrior(figure float64, memory time.Duration) float64 {
-	return (f.units + figure*memory.Seconds()) / max(f.time+memory.Seconds(), 1e-9)
+// rateWithPrior is the rate averaged with a prior one, which counts as if observed for a time.
+func (r *decayedRate) rateWithPrior(prior float64, observed time.Duration) float64 {
+	return (r.units + prior*observed.Seconds()) / max(r.time+observed.Seconds(), minSeconds)
 }
 
-// ewma moves a mean towards a new value, which is the mean while there is none.
-func ewma(mean, x, weight float64) float64 {
+// ewma moves a mean towards a new value by a weight; a mean of 0 is taken for none.
+func ewma(mean, value, weight float64) float64 {
 	if mean == 0 {
-		return x
+		return value
 	}
-	return mean + weight*(x-mean)
+	return mean + weight*(value-mean)
 }
 
-// boolToInt is 1 for what holds.
-func boolToInt(holds bool) int {
-	if holds {
-		return 1
+// mean is the arithmetic mean of a list, 0 for an empty one.
+func mean(list []float64) (mean float64) {
+	for _, value := range list {
+		mean += value / float64(len(list))
 	}
-	return 0
+	return mean
 }
 
-// dropBefore drops what lies before a time from a log kept in order.
-func dropBefore(log []time.Duration, from time.Duration) []time.Duration {
-	i := sort.Search(len(log), func(i int) bool { return log[i] >= from })
-	return log[i:]
+func boolToInt(condition bool) int {
+	if condition {
+		return 1
+	}
+	return 0
 }
 
-func mean(list []float64) (m float64) {
-	for _, x := range list {
-		m += x / float64(len(list))
-	}
-	return m
+// dropBefore drops the times before one from a sorted list.
+func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
+	i := sort.Search(len(times), func(i int) bool { return times[i] >= from })
+	return times[i:]
 }
--- a/policy/ops.go
+++ b/policy/ops.go
@@ -6,89 +6,95 @@
 	"honeyplank"
 )
 
-// isNextOfKey tells whether an op of an ordered type has its key's turn.
-func (s *Scheduler) isNextOfKey(p *op) bool {
-	k := p.keyQueue
-	return k == nil || k.ops[0] == p && (s.now >= k.settledAt || k.settlingOp == p.ID)
-}
-
-// op is an op that this scheduler owes an answer.
+// op is the record of an op that this instance has to answer.
 type op struct {
 	honeyplank.Op
 	target          time.Duration // clock time at which its target latency is over
-	sampledAt       time.Duration // when its lot was drawn
-	admissionDraw   float64       // its own draw from [0, 1), for shares smaller than an op
+	admissionDraw   float64       // random, from [0, 1): compared with the probability of admission
+	sampledAt       time.Duration // when admissionDraw was drawn
 	dispatches      []opDispatch
-	inlineDispatch  [1]opDispatch // room for the first, which is mostly the only one
+	inlineDispatch  [1]opDispatch // holds the first dispatch, mostly the only one, without an allocation
 	responseStarted bool
-	answered        bool // answered or gone, kept while a dispatch has no outcome
+	answered        bool // answered, or its client has gone; kept while a dispatch has no outcome
 	volume          *volume
-	server          *server      // where it is held or was last sent
-	queue           *volumeQueue // where it is held; nil while it is out
-	keyQueue        *keyQueue
-	heldSerial      int // place in the order held
-	previousHeld    *op // neighbours in the list of held ops
+	server          *server      // where it is held or was last dispatched
+	queue           *volumeQueue // that holds it; nil while it is dispatched or unassigned
+	keyQueue        *keyQueue    // of an ordered type; else nil
+	heldSerial      int          // order of the list of held ops; 0: not in it
+	previousHeld    *op          // neighbours in the list of held ops
 	nextHeld        *op
-	isRetry         bool // it comes before others of its volume: a further dispatch
+	isRetry         bool // held for another dispatch: it goes before others of its volume
 }
 
+// opDispatch is one dispatch of an op.
 type opDispatch struct {
-	server     *server
-	sentAt     time.Duration
-	done       bool
-	mayHaveRun bool // it may have run
-
-	shortDeadline bool // it had less time than a usual answer takes
+	server        *server
+	sentAt        time.Duration
+	done          bool // its outcome is known
+	mayHaveRun    bool
+	shortDeadline bool // the op had less time left than a usual answer takes
 }
 
-// keyQueue keeps ops of ordered types apart.
+// keyQueue keeps the ops of ordered types with one key in order: only the first may be dispatched,
+// and not before settledAt, unless it is settlingOp, whose own dispatch may be running still.
 type keyQueue struct {
-	ops        []*op // in the order taken
+	ops        []*op // in the order of admission
 	settledAt  time.Duration
 	settlingOp honeyplank.OpID
 }
 
-func (p *op) isOutstanding() bool {
-	for _, d := range p.dispatches {
-		if !d.done {
+// isOutstanding reports whether a dispatch of an op has no outcome yet.
+func (op *op) isOutstanding() bool {
+	for _, dispatch := range op.dispatches {
+		if !dispatch.done {
 			return true
 		}
 	}
 	return false
 }
 
-// finishOp ends an op; its record stays while a dispatch has no outcome, since its key must wait for that.
-func (s *Scheduler) finishOp(p *op) {
-	p.dequeue()
-	s.removeHeld(p)
-	p.answered = true
-	if p.isOutstanding() {
+// neverRan reports whether every dispatch of an op is known not to have run.
+func (op *op) neverRan() bool {
+	for _, dispatch := range op.dispatches {
+		if !dispatch.done || dispatch.mayHaveRun {
+			return false
+		}
+	}
+	return true
+}
+
+// finishOp ends an op. Its record stays while a dispatch has no outcome, since the next op of its
+// key waits for that.
+func (s *Scheduler) finishOp(op *op) {
+	op.dequeue()
+	s.removeHeld(op)
+	op.answered = true
+	if op.isOutstanding() {
 		return
 	}
-	delete(s.ops, p.ID)
-	p.volume.openOps--
-	if p.keyQueue != nil {
-		p.keyQueue.ops = without(p.keyQueue.ops, p)
+	delete(s.ops, op.ID)
+	op.volume.openOps--
+	if op.keyQueue != nil {
+		op.keyQueue.ops = without(op.keyQueue.ops, op)
 	}
 }
 
-// joinKeyQueue puts an op at the end of its key's line.
-func (s *Scheduler) joinKeyQueue(p *op) {
-	k := s.keyQueues[p.Key]
-	if k == nil {
-		k = &keyQueue{}
-		s.keyQueues[p.Key] = k
+// joinKeyQueue appends an op to its key's queue.
+func (s *Scheduler) joinKeyQueue(op *op) {
+	queue := s.keyQueues[op.Key]
+	if queue == nil {
+		queue = &keyQueue{}
+		s.keyQueues[op.Key] = queue
 	}
-	k.ops = append(k.ops, p)
-	p.keyQueue = k
+	queue.ops = append(queue.ops, op)
+	op.keyQueue = queue
 }
 
-// neverRan tells whether every dispatch of an op is known not to have run.
-func (p *op) neverRan() bool {
-	for _, d := range p.dispatches {
-		if !d.done || d.mayHaveRun {
-			return false
-		}
+// isNextOfKey reports whether the order of an op's key allows its dispatch.
+func (s *Scheduler) isNextOfKey(op *op) bool {
+	queue := op.keyQueue
+	if queue == nil {
+		return true
 	}
-	return true
+	return queue.ops[0] == op && (s.now >= queue.settledAt || queue.settlingOp == op.ID)
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -6,168 +6,222 @@
 	"honeyplank"
 )
 
-// rejectIsSafe tells whether a throttling answer may be given: trying again must do no harm.
-func (s *Scheduler) rejectIsSafe(p *op) bool {
-	kind := valueAt(s.settings.semantics, p.Type)
-	anywhere := valueAt(s.settings.dedupScope, p.Type) == honeyplank.ScopeAll
-	return kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && anywhere || p.neverRan()
+// outcomeMeaning is what an outcome tells of a dispatch and of its server.
+type outcomeMeaning struct {
+	arrived     bool // the server may have received it
+	mayHaveRun  bool
+	mayStillRun bool
+	evidence    healthEvent
+	effect      func(*Scheduler, *server, *op, honeyplank.Outcome)
+}
+
+// outcomeMeanings is the table of handleOutcome.
+var outcomeMeanings = map[honeyplank.Code]outcomeMeaning{
+	honeyplank.Succeeded: {
+		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Scheduler).recordSuccess,
+	},
+	honeyplank.Failed: {
+		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Scheduler).recordFailure,
+	},
+	honeyplank.Rejected: {
+		arrived: true, evidence: responded, effect: (*Scheduler).recordTimeout,
+	},
+	honeyplank.TimedOut: {
+		arrived: true, mayHaveRun: true, mayStillRun: true, effect: (*Scheduler).recordTimeout,
+	},
+	honeyplank.ConnectFailed: {
+		evidence: unresponsive, effect: (*Scheduler).recordFailure,
+	},
+	honeyplank.Reset: {
+		arrived: true, mayHaveRun: true, mayStillRun: true, evidence: unresponsive,
+		effect: (*Scheduler).recordFailure,
+	},
+	honeyplank.Cancelled: {
+		arrived: true, mayHaveRun: true, mayStillRun: true,
+	},
+	honeyplank.NotSent: {},
 }
 
-func (s *Scheduler) dispatch(p *op, o *server) {
-	v := p.volume
-	if len(p.dispatches) > 0 {
+// dispatch sends an op to a server, and takes its units from its volume's buckets.
+func (s *Scheduler) dispatch(op *op, server *server) {
+	volume := op.volume
+	if len(op.dispatches) > 0 {
 		s.retries = append(s.retries, s.now)
-		o.retryCredit--
+		server.retryCredit--
 	} else {
-		v.limit -= p.Units
+		volume.limit -= op.Units
 	}
-	if v.reserve > 0 { // from an empty store nothing is taken: no debt but that of one op
-		v.reserve -= p.Units
+	if volume.reserve > 0 { // an empty bucket stays as it is: its debt is never more than one op
+		volume.reserve -= op.Units
 	}
-	// A server may drop an op with little time left, and say nothing: its silence tells nothing.
-	hurried := p.Timeout-s.now < 2*s.earliestAnswer(o, p.Type)
-	if !hurried && o.fullDeadlineDispatches == 0 || o.health == halfOpen {
-		o.unansweredSince = s.now
+	// A server may drop an op with little time left without an answer: its silence is no evidence.
+	shortDeadline := op.Timeout-s.now < 2*s.earliestAnswer(server, op.Type)
+	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == halfOpen {
+		server.unansweredSince = s.now
 	}
-	s.recordDispatch(p, o, hurried)
-	s.emit(honeyplank.Dispatch{Op: p.ID, Server: o.ID})
-}
-
-// outcomeMeanings tells what each end of a dispatch means: whether it may have run, whether it may be running
-// still, and what it says of the disk server.
-var outcomeMeanings = map[honeyplank.Code]outcomeMeaning{
-	honeyplank.Succeeded:     {arrived: true, mayHaveRun: true, evidence: responded, effect: (*Scheduler).recordSuccess},
-	honeyplank.Failed:        {arrived: true, mayHaveRun: true, evidence: responded, effect: (*Scheduler).recordFailure},
-	honeyplank.Rejected:      {arrived: true, evidence: responded, effect: (*Scheduler).recordTimeout},
-	honeyplank.TimedOut:      {arrived: true, mayHaveRun: true, mayStillRun: true, effect: (*Scheduler).recordTimeout},
-	honeyplank.ConnectFailed: {evidence: unresponsive, effect: (*Scheduler).recordFailure},
-	honeyplank.Reset:         {arrived: true, mayHaveRun: true, mayStillRun: true, evidence: unresponsive, effect: (*Scheduler).recordFailure},
-	honeyplank.Cancelled:     {arrived: true, mayHaveRun: true, mayStillRun: true},
-	honeyplank.NotSent:       {},
+	s.recordDispatch(op, server, shortDeadline)
+	s.emit(honeyplank.Dispatch{Op: op.ID, Server: server.ID})
 }
 
-// outcomeMeaning is an entry of outcomes; arrived: the disk server may have got it.
-type outcomeMeaning struct {
-	arrived, mayHaveRun, mayStillRun bool
-	evidence                         healthEvent
-	effect                           func(*Scheduler, *server, *op, honeyplank.Outcome)
+// recordDispatch notes a dispatch in the records of the op and the server.
+func (s *Scheduler) recordDispatch(op *op, server *server, shortDeadline bool) {
+	op.dequeue()
+	s.removeHeld(op)
+	op.server, op.isRetry = server, false
+	outstanding := outstandingDispatch{op: op, index: len(op.dispatches), sentAt: s.now}
+	server.dispatches = append(server.dispatches, outstanding)
+	sent := opDispatch{server: server, sentAt: s.now, shortDeadline: shortDeadline}
+	op.dispatches = append(op.dispatches, sent)
+	server.outstanding++
+	server.fullDeadlineDispatches += boolToInt(!shortDeadline)
+	s.markActive(server)
+	server.unitsOutstanding += op.Units
+	if op.HasKey {
+		server.lastKey = op.Key
+	}
 }
 
-func (s *Scheduler) handleOutcome(e honeyplank.Outcome) {
-	o, p, way := s.servers[e.Server], s.ops[e.Op], outcomeMeanings[e.Code]
-	if o == nil || p == nil || !s.closeDispatch(p, e.Dispatch, way) {
+// handleOutcome takes in the end of a dispatch: it updates the records, answers or retries the op,
+// and dispatches what may be sent now.
+func (s *Scheduler) handleOutcome(outcome honeyplank.Outcome) {
+	server, op, meaning := s.servers[outcome.Server], s.ops[outcome.Op], outcomeMeanings[outcome.Code]
+	if server == nil || op == nil || !s.closeDispatch(op, outcome.Dispatch, meaning) {
 		return
 	}
-	o.outstanding--
-	o.fullDeadlineDispatches -= boolToInt(!p.dispatches[e.Dispatch].shortDeadline)
-	if way.evidence == responded {
-		o.unansweredSince = s.now
-		o.respondedSinceStart = o.respondedSinceStart || p.dispatches[e.Dispatch].sentAt >= o.Started
-		o.markOvertaken(p.dispatches[e.Dispatch].sentAt, s.now)
+	s.recordResponse(server, op.dispatches[outcome.Dispatch], meaning)
+	s.applyHealthEvent(server, meaning.evidence)
+	// Any answer may report what was served elsewhere, each time for once.
+	op.volume.servedElsewhere.add(s.now, outcome.ServedElsewhere, s.usageMemory())
+	if meaning.effect != nil {
+		meaning.effect(s, server, op, outcome)
 	}
-	s.applyHealthEvent(o, way.evidence)
-	p.volume.servedElsewhere.add(s.now, e.ServedElsewhere, s.usageMemory()) // told with any answer, and once
-	if way.effect != nil {
-		way.effect(s, o, p, e)
+	if op.keyQueue != nil && meaning.mayStillRun {
+		op.keyQueue.settledAt, op.keyQueue.settlingOp = s.now+s.settings.orderSettle, op.ID
 	}
-	if k := p.keyQueue; k != nil && way.mayStillRun {
-		k.settledAt, k.settlingOp = s.now+s.settings.orderSettle, p.ID
+	if outcome.Code == honeyplank.Succeeded {
+		delete(s.earlierAttempts, identityOf(op))
 	}
-	if e.Code == honeyplank.Succeeded {
-		delete(s.earlierAttempts, identityOf(p))
+	if op.answered || outcome.Answered {
+		s.finishOp(op)
+	} else if !op.isOutstanding() && op.queue == nil {
+		s.retry(op, server)
+	}
+	s.runSlicesOfNextInKey(op)
+	s.runSlices(server)
+}
+
+// closeDispatch records the end of an op's dispatch; it returns false where that was known or there
+// is none.
+func (s *Scheduler) closeDispatch(op *op, index int, meaning outcomeMeaning) bool {
+	if index < 0 || index >= len(op.dispatches) || op.dispatches[index].done {
+		return false
 	}
-	if p.answered || e.Answered {
-		s.finishOp(p)
-	} else if !p.isOutstanding() && p.queue == nil {
-		s.retry(p, o)
+	op.dispatches[index].done, op.dispatches[index].mayHaveRun = true, meaning.mayHaveRun
+	server := op.dispatches[index].server
+	server.dispatches = slices.DeleteFunc(server.dispatches, func(dispatch outstandingDispatch) bool {
+		return dispatch.op == op && dispatch.index == index
+	})
+	server.unitsOutstanding -= op.Units
+	if len(server.dispatches) == 0 { // no rounding error is kept
+		server.unitsOutstanding = 0
 	}
-	if k := p.keyQueue; k != nil && len(k.ops) > 0 && k.ops[0].server != nil { // the next of the key may leave now
-		s.runSlices(k.ops[0].server)
+	if meaning.arrived && s.inSlowStart(server) {
+		server.sentLog = append(server.sentLog, sentUnits{s.now, op.Units})
 	}
-	s.runSlices(o)
+	return true
 }
 
-// cancel gives an op up at once.
-func (s *Scheduler) giveUp(p *op) {
-	if s.rejectIsSafe(p) {
-		s.emit(honeyplank.Reject{Op: p.ID, RetryAfter: min(valueAt(s.settings.targetLatency, p.Type), s.settings.maxRetryAfter)})
-	} else {
-		s.emit(honeyplank.Fail{Op: p.ID})
+// recordResponse updates what a server's record knows of outstanding dispatches after the end of
+// one.
+func (s *Scheduler) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
+	server.outstanding--
+	server.fullDeadlineDispatches -= boolToInt(!dispatch.shortDeadline)
+	if meaning.evidence == responded {
+		server.unansweredSince = s.now
+		server.respondedSinceStart = server.respondedSinceStart || dispatch.sentAt >= server.Started
+		server.markOvertaken(dispatch.sentAt, s.now)
 	}
-	s.finishOp(p)
 }
 
-func (s *Scheduler) recordSuccess(o *server, p *op, e honeyplank.Outcome) {
-	o.retryCredit = min(o.retryCredit+1, maxRetryCredit)
-	o.failureShare -= ewmaWeight * o.failureShare
-	s.lostShare -= ewmaWeight / 8 * s.lostShare
-	s.recordLatency(o, p.Type, e.Elapsed.Seconds(), true)
-	o.perUnit = ewma(o.perUnit, e.Elapsed.Seconds()/max(p.Units, 1), ewmaWeight)
-	if o.bestPerUnit == 0 || o.perUnit < o.bestPerUnit {
-		o.bestPerUnit = o.perUnit
-	}
-	o.bestPerUnit += bestLatencyDecay * (o.perUnit - o.bestPerUnit)
-	o.answersSinceGrowth++
-	spell := o.perUnit > farPastBest*o.bestPerUnit
-	if spell && !o.latencyElevated {
-		halveWindow(o)
-	} else if o.perUnit < nearBest*o.bestPerUnit && o.answersSinceGrowth >= o.window {
-		o.window, o.answersSinceGrowth = min(maxWindow, o.window+1), 0
-	}
-	o.latencyElevated = spell
-	q := o.queueOf(p.volume)
-	q.await.observe(s.now, meanDecay, meanScale)
-	q.lastSeen = s.now
-	p.volume.servedHere.add(s.now, p.Units, s.usageMemory())
-	if e.QuotaUsed > 0 {
-		p.volume.servedEverywhere = float64(e.QuotaUsed-1) / 100 * valueAt(s.settings.rate, p.Plan)
+// runSlicesOfNextInKey dispatches what may be sent where the next op of an op's key is held.
+func (s *Scheduler) runSlicesOfNextInKey(op *op) {
+	queue := op.keyQueue
+	if queue != nil && len(queue.ops) > 0 && queue.ops[0].server != nil {
+		s.runSlices(queue.ops[0].server)
 	}
 }
 
-// recordTimeout takes a time-out for an answer that takes at least as long, up to the shortest target latency (past
-// that it may be lost rather than late), and a full queue for one past the longest, but only of that node.
-// This guards the rest against a node that turns all away, and could harm where all are full at once.
-func (s *Scheduler) recordTimeout(o *server, p *op, e honeyplank.Outcome) {
-	least := min(e.Elapsed, s.settings.shortestTarget)
-	if e.Code == honeyplank.Rejected {
-		least = s.settings.longestTarget
-		halveWindow(o)
-		s.recordFailure(o, p, e)
-	}
-	if least.Seconds() > s.expectedLatency(o, p.Type) {
-		s.recordLatency(o, p.Type, least.Seconds(), e.Code != honeyplank.Rejected)
+// recordSuccess updates the records with a successful answer.
+func (s *Scheduler) recordSuccess(server *server, op *op, outcome honeyplank.Outcome) {
+	server.retryCredit = min(server.retryCredit+1, maxRetryCredit)
+	server.failureShare -= ewmaWeight * server.failureShare
+	s.lostShare -= lostShareWeight * s.lostShare
+	s.recordLatency(server, op.Type, outcome.Elapsed.Seconds(), true)
+	server.recordLatencyPerUnit(outcome.Elapsed.Seconds() / max(op.Units, 1))
+	queue := server.queueOf(op.volume)
+	queue.await.observe(s.now)
+	queue.lastSeen = s.now
+	op.volume.servedHere.add(s.now, op.Units, s.usageMemory())
+	if outcome.QuotaUsed > 0 {
+		share := float64(outcome.QuotaUsed-1) / 100
+		op.volume.servedEverywhere = share * valueAt(s.settings.rate, op.Plan)
 	}
 }
 
-// recordDispatch notes that an op goes out to a disk server.
-func (s *Scheduler) recordDispatch(p *op, o *server, hurried bool) {
-	p.dequeue()
-	s.removeHeld(p)
-	p.server, p.isRetry = o, false
-	o.dispatches = append(o.dispatches, outstandingDispatch{op: p, index: len(p.dispatches), sentAt: s.now})
-	p.dispatches = append(p.dispatches, opDispatch{server: o, sentAt: s.now, shortDeadline: hurried})
-	o.outstanding++
-	o.fullDeadlineDispatches += boolToInt(!hurried)
-	s.markActive(o)
-	o.unitsOutstanding += p.Units
-	if p.HasKey {
-		o.lastKey = p.Key
-	}
+// recordLatencyPerUnit takes in the latency per unit of an answer, in seconds, and adapts the
+// window to it: it grows by one op per window of answers near the best latency, and halves once
+// when latency passes a multiple of the best.
+func (server *server) recordLatencyPerUnit(perUnit float64) {
+	server.perUnit = ewma(server.perUnit, perUnit, ewmaWeight)
+	if server.bestPerUnit == 0 || server.perUnit < server.bestPerUnit {
+		server.bestPerUnit = server.perUnit
+	}
+	server.bestPerUnit += bestLatencyDecay * (server.perUnit - server.bestPerUnit)
+	server.answersSinceGrowth++
+	elevated := server.perUnit > farPastBest*server.bestPerUnit
+	nearBestLatency := server.perUnit < nearBest*server.bestPerUnit
+	if elevated && !server.latencyElevated {
+		halveWindow(server)
+	} else if nearBestLatency && server.answersSinceGrowth >= server.window {
+		server.window, server.answersSinceGrowth = min(maxWindow, server.window+1), 0
+	}
+	server.latencyElevated = elevated
 }
 
-// closeDispatch notes how a dispatch ended, and for the cold rule when it arrived at the latest; it tells whether that was news.
-func (s *Scheduler) closeDispatch(p *op, n int, way outcomeMeaning) bool {
-	if n < 0 || n >= len(p.dispatches) || p.dispatches[n].done {
-		return false
-	}
-	p.dispatches[n].done, p.dispatches[n].mayHaveRun = true, way.mayHaveRun
-	o := p.dispatches[n].server
-	o.dispatches = slices.DeleteFunc(o.dispatches, func(f outstandingDispatch) bool { return f.op == p && f.index == n })
-	if o.unitsOutstanding -= p.Units; len(o.dispatches) == 0 { // no rest of rounding
-		o.unitsOutstanding = 0
+// recordTimeout takes a time-out for an answer with the latency so far, up to the shortest target
+// latency (past that it may be lost rather than late), and a rejection for one with the longest
+// target latency, for that server alone. It guards the other servers against one that rejects
+// everything. It could harm where all are full at once.
+func (s *Scheduler) recordTimeout(server *server, op *op, outcome honeyplank.Outcome) {
+	rejected := outcome.Code == honeyplank.Rejected
+	latency := min(outcome.Elapsed, s.settings.shortestTarget)
+	if rejected {
+		latency = s.settings.longestTarget
+		halveWindow(server)
+		s.recordFailure(server, op, outcome)
+	}
+	if latency.Seconds() > s.expectedLatency(server, op.Type) {
+		s.recordLatency(server, op.Type, latency.Seconds(), !rejected)
 	}
-	if way.arrived && s.inSlowStart(o) {
-		o.sentLog = append(o.sentLog, sentUnits{s.now, p.Units})
+}
+
+// rejectIsSafe reports whether an op may be answered as rejected: another attempt of the client
+// must do no harm.
+func (s *Scheduler) rejectIsSafe(op *op) bool {
+	semantics := valueAt(s.settings.semantics, op.Type)
+	dedupEverywhere := valueAt(s.settings.dedupScope, op.Type) == honeyplank.ScopeAll
+	return semantics == honeyplank.Idempotent ||
+		semantics == honeyplank.Deduplicated && dedupEverywhere ||
+		op.neverRan()
+}
+
+// giveUp answers an op without success: as rejected where that is safe, else as failed.
+func (s *Scheduler) giveUp(op *op) {
+	if s.rejectIsSafe(op) {
+		retryAfter := min(valueAt(s.settings.targetLatency, op.Type), s.settings.maxRetryAfter)
+		s.emit(honeyplank.Reject{Op: op.ID, RetryAfter: retryAfter})
+	} else {
+		s.emit(honeyplank.Fail{Op: op.ID})
 	}
-	return true
+	s.finishOp(op)
 }
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -6,174 +6,186 @@
 	"time"
 )
 
-// This file holds the held ops: one queue a volume and node, and the list of all. Nothing here decides.
-
-// volumeQueue is a volume at a node.
+// volumeQueue holds the ops of a volume that wait for dispatch to a server.
 type volumeQueue struct {
 	volume        *volume
-	await         decayedMean   // completion gaps
-	thinkTime     decayedMean   // arrival gaps
-	demand        decayedRate   // units taken
-	held          []*op         // by rank: early ones first, then by target, then as they came
-	serial        int           // place in the ring
-	opsByKey      map[int64]int // how many of held have a key
-	smallestUnits float64       // no op of held is smaller
-	retryCount    int           // how many of held have been sent before
-	round         int           // the round in which it was last served
+	await         decayedMean   // times between completions (the paper's await)
+	thinkTime     decayedMean   // times between arrivals (the paper's thinkt)
+	demand        decayedRate   // units that arrived
+	held          []*op         // in the order of orderedBefore
+	serial        int           // position in the server's ring of queues
+	opsByKey      map[int64]int // number of held ops for each key
+	smallestUnits float64       // lower bound of the held ops' units
+	retryCount    int           // held ops that have been dispatched before
+	round         int           // in which it was last served
 	lastSeen      time.Duration
 }
 
-// queueOf returns the volume's queue at a node, made when it is missing.
-func (o *server) queueOf(v *volume) *volumeQueue {
-	q := o.queueByVolume[v]
-	if q == nil {
-		if o.queueByVolume == nil {
-			o.queueByVolume = map[*volume]*volumeQueue{}
+// queueOf returns a volume's queue for a server; it is made if there is none.
+func (server *server) queueOf(owner *volume) *volumeQueue {
+	queue := server.queueByVolume[owner]
+	if queue == nil {
+		if server.queueByVolume == nil {
+			server.queueByVolume = map[*volume]*volumeQueue{}
 		}
-		o.queueSerial++
-		q = &volumeQueue{volume: v, round: -1, serial: o.queueSerial, opsByKey: map[int64]int{}}
-		o.queueByVolume[v], o.queues = q, append(o.queues, q)
+		server.queueSerial++
+		queue = &volumeQueue{volume: owner, round: -1, serial: server.queueSerial, opsByKey: map[int64]int{}}
+		server.queueByVolume[owner], server.queues = queue, append(server.queues, queue)
 	}
-	return q
+	return queue
 }
 
-// enqueue holds an op in its volume's queue at a node; leave takes it out again.
-func (o *server) enqueue(p *op) {
-	p.server, p.queue = o, o.queueOf(p.volume)
-	if len(p.queue.held) == 0 {
-		o.nonEmpty = slices.Insert(o.nonEmpty, o.indexAfterSerial(p.queue.serial), p.queue)
+// enqueue puts an op into its volume's queue for a server.
+func (server *server) enqueue(op *op) {
+	op.server, op.queue = server, server.queueOf(op.volume)
+	if len(op.queue.held) == 0 {
+		server.nonEmpty = slices.Insert(server.nonEmpty, server.indexAfterSerial(op.queue.serial), op.queue)
 	}
-	p.queue.insert(p)
-	o.heldCount++
+	op.queue.insert(op)
+	server.heldCount++
 }
 
-func (p *op) dequeue() {
-	if p.queue != nil {
-		if p.queue.remove(p); len(p.queue.held) == 0 {
-			i := p.server.indexAfterSerial(p.queue.serial - 1)
-			p.server.nonEmpty = slices.Delete(p.server.nonEmpty, i, i+1)
-		}
-		p.server.heldCount--
-		p.queue = nil
+// dequeue takes an op out of its queue, if it is in one.
+func (op *op) dequeue() {
+	if op.queue == nil {
+		return
+	}
+	op.queue.remove(op)
+	if len(op.queue.held) == 0 {
+		i := op.server.indexAfterSerial(op.queue.serial - 1)
+		op.server.nonEmpty = slices.Delete(op.server.nonEmpty, i, i+1)
 	}
+	op.server.heldCount--
+	op.queue = nil
 }
 
-func (q *volumeQueue) insert(p *op) {
-	if len(q.held) == 0 || p.Units < q.smallestUnits {
-		q.smallestUnits = p.Units
+func (queue *volumeQueue) insert(op *op) {
+	if len(queue.held) == 0 || op.Units < queue.smallestUnits {
+		queue.smallestUnits = op.Units
 	}
-	i := sort.Search(len(q.held), func(i int) bool { return orderedBefore(p, q.held[i]) })
-	q.held = slices.Insert(q.held, i, p)
-	if q.retryCount += boolToInt(len(p.dispatches) > 0); p.HasKey {
-		q.opsByKey[p.Key]++
+	i := sort.Search(len(queue.held), func(i int) bool { return orderedBefore(op, queue.held[i]) })
+	queue.held = slices.Insert(queue.held, i, op)
+	queue.retryCount += boolToInt(len(op.dispatches) > 0)
+	if op.HasKey {
+		queue.opsByKey[op.Key]++
 	}
 }
 
-func (q *volumeQueue) remove(p *op) {
-	i := sort.Search(len(q.held), func(i int) bool { return !orderedBefore(q.held[i], p) })
-	q.held = slices.Delete(q.held, i, i+1)
-	if q.retryCount -= boolToInt(len(p.dispatches) > 0); p.HasKey {
-		if q.opsByKey[p.Key]--; q.opsByKey[p.Key] == 0 {
-			delete(q.opsByKey, p.Key)
-		}
+func (queue *volumeQueue) remove(op *op) {
+	i := sort.Search(len(queue.held), func(i int) bool { return !orderedBefore(queue.held[i], op) })
+	queue.held = slices.Delete(queue.held, i, i+1)
+	queue.retryCount -= boolToInt(len(op.dispatches) > 0)
+	if !op.HasKey {
+		return
+	}
+	queue.opsByKey[op.Key]--
+	if queue.opsByKey[op.Key] == 0 {
+		delete(queue.opsByKey, op.Key)
 	}
 }
 
-// appendHeld puts an op at the end of the held ones; release takes it out. Ops that lie nowhere are counted.
-func (s *Scheduler) appendHeld(p *op) {
+// appendHeld appends an op to the list of held ops; those without a server are counted.
+func (s *Scheduler) appendHeld(op *op) {
 	s.serial++
-	p.heldSerial, p.previousHeld, p.nextHeld = s.serial, s.lastHeld, nil
+	op.heldSerial, op.previousHeld, op.nextHeld = s.serial, s.lastHeld, nil
 	if s.lastHeld != nil {
-		s.lastHeld.nextHeld = p
+		s.lastHeld.nextHeld = op
 	} else {
-		s.firstHeld = p
+		s.firstHeld = op
 	}
-	s.lastHeld = p
-	s.unassigned += boolToInt(p.server == nil)
+	s.lastHeld = op
+	s.unassigned += boolToInt(op.server == nil)
 }
 
-func (s *Scheduler) removeHeld(p *op) {
-	if p.heldSerial == 0 {
+// removeHeld takes an op out of the list of held ops, if it is in it.
+func (s *Scheduler) removeHeld(op *op) {
+	if op.heldSerial == 0 {
 		return
 	}
-	if p.previousHeld != nil {
-		p.previousHeld.nextHeld = p.nextHeld
+	if op.previousHeld != nil {
+		op.previousHeld.nextHeld = op.nextHeld
 	} else {
-		s.firstHeld = p.nextHeld
+		s.firstHeld = op.nextHeld
 	}
-	if p.nextHeld != nil {
-		p.nextHeld.previousHeld = p.previousHeld
+	if op.nextHeld != nil {
+		op.nextHeld.previousHeld = op.previousHeld
 	} else {
-		s.lastHeld = p.previousHeld
+		s.lastHeld = op.previousHeld
 	}
-	s.unassigned -= boolToInt(p.server == nil)
-	p.heldSerial, p.previousHeld, p.nextHeld = 0, nil, nil
+	s.unassigned -= boolToInt(op.server == nil)
+	op.heldSerial, op.previousHeld, op.nextHeld = 0, nil, nil
 }
 
-// unassignAll takes the held ops from a disk server that takes nothing more.
-func (s *Scheduler) unassignAll(o *server) {
-	for _, q := range o.queues {
-		for _, p := range q.held {
-			p.server, p.queue = nil, nil
+// unassignAll empties the queues of a server; their ops stay held, without a server.
+func (s *Scheduler) unassignAll(server *server) {
+	for _, queue := range server.queues {
+		for _, op := range queue.held {
+			op.server, op.queue = nil, nil
 		}
-		s.unassigned += len(q.held)
-		q.held, q.retryCount = nil, 0
-		clear(q.opsByKey)
+		s.unassigned += len(queue.held)
+		queue.held, queue.retryCount = nil, 0
+		clear(queue.opsByKey)
 	}
-	o.servedQueue, o.sliceState, o.heldCount, o.nonEmpty = nil, sliceIdle, 0, nil
+	server.servedQueue, server.sliceState, server.heldCount, server.nonEmpty = nil, sliceIdle, 0, nil
 }
 
-// indexAfterSerial is where in live the queues made later than one begin.
-func (o *server) indexAfterSerial(serial int) int {
-	return sort.Search(len(o.nonEmpty), func(i int) bool { return o.nonEmpty[i].serial > serial })
+// indexAfterSerial is the index in nonEmpty of the first queue with a greater serial.
+func (server *server) indexAfterSerial(serial int) int {
+	return sort.Search(len(server.nonEmpty), func(i int) bool { return server.nonEmpty[i].serial > serial })
 }
 
-// ringStart is where in live the ring goes on after the served queue.
-func (o *server) ringStart() int {
-	if o.servedQueue == nil {
+// ringStart is the index in nonEmpty after the served queue, where a pass over the ring starts.
+func (server *server) ringStart() int {
+	if server.servedQueue == nil {
 		return 0
 	}
-	return o.indexAfterSerial(o.servedQueue.serial)
+	return server.indexAfterSerial(server.servedQueue.serial)
 }
 
-// busyVolumes counts the volumes with held ops.
-func (o *server) busyVolumes() int { return len(o.nonEmpty) }
+// busyVolumes is the number of volumes with held ops.
+func (server *server) busyVolumes() int { return len(server.nonEmpty) }
 
-// assignAllHeld finds a place for ops that have none and sends what may leave, from all servers.
+// assignAllHeld assigns held ops without a server, and dispatches what may be sent to any active
+// server.
 func (s *Scheduler) assignAllHeld() {
-	for p := s.firstHeld; p != nil && s.unassigned > 0; p = p.nextHeld {
-		if p.server == nil {
-			s.assignServer(p)
+	for op := s.firstHeld; op != nil && s.unassigned > 0; op = op.nextHeld {
+		if op.server == nil {
+			s.assignServer(op)
 		}
 	}
-	for _, o := range s.activeServers {
-		if o.heldCount > 0 {
-			s.runSlices(o)
+	for _, server := range s.activeServers {
+		if server.heldCount > 0 {
+			s.runSlices(server)
 		}
 	}
 }
 
-// assignHeld finds a place for ops that have none and sends what may leave, from some servers and from where it
-// found one: after a change only there, since the rest is looked at with the next sweep.
-func (s *Scheduler) assignHeld(from []*server) {
-	for p := s.firstHeld; p != nil && s.unassigned > 0; p = p.nextHeld {
-		if p.server == nil {
-			if s.assignServer(p); p.server != nil && len(from) < len(s.serversByID) {
-				from = append(from, p.server)
+// assignHeld assigns held ops without a server, and dispatches what may be sent to the changed
+// servers and to those that got an op here. Only these can have changed; the others are visited by
+// the next sweep.
+func (s *Scheduler) assignHeld(changed []*server) {
+	for op := s.firstHeld; op != nil && s.unassigned > 0; op = op.nextHeld {
+		if op.server == nil {
+			s.assignServer(op)
+			if op.server != nil && len(changed) < len(s.serversByID) {
+				changed = append(changed, op.server)
 			}
 		}
 	}
-	for _, o := range from {
-		if o.heldCount > 0 {
-			s.runSlices(o)
+	for _, server := range changed {
+		if server.heldCount > 0 {
+			s.runSlices(server)
 		}
 	}
 }
 
-// orderedBefore is the order that a queue is kept in: that of before but for the run, then as they came to be held.
-func orderedBefore(p, than *op) bool {
-	if p.isRetry != than.isRetry {
-		return p.isRetry
+// orderedBefore is the order of a queue: retries first, then by target, then in the order held.
+func orderedBefore(op, other *op) bool {
+	if op.isRetry != other.isRetry {
+		return op.isRetry
+	}
+	if op.target != other.target {
+		return op.target < other.target
 	}
-	return p.target < than.target || p.target == than.target && p.heldSerial < than.heldSerial
+	return op.heldSerial < other.heldSerial
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -8,71 +8,86 @@
 // limitHeadroomShare is the share of a limit's bucket that is kept from an op type of no utility.
 const limitHeadroomShare = 0.5
 
-// noDispatchSince is since when nothing has left for a volume without a record, as far as is sure.
+// volume is the record of a volume: what this instance may send for it, and its ranking of servers.
+type volume struct {
+	plan             int
+	schedulers       int     // instances through which its ops come
+	reserve          float64 // units in this instance's bucket of the reserve
+	limit            float64 // units in this instance's bucket of the limit
+	refilledAt       time.Duration
+	servedHere       decayedRate    // units served through this instance
+	servedElsewhere  decayedRate    // units served through others, as answers report
+	servedEverywhere float64        // units a second served through all, as the usage meter reports late
+	topServers       []rankedServer // the first servers of its ranking
+	topComplete      bool           // topServers holds every server that is up
+	rankingEpoch     int            // that topServers was made in
+	joinedSeen       int            // joinedServers that topServers has taken in
+	openOps          int            // ops admitted and not yet finished
+	lastSeen         time.Duration
+}
+
+// noDispatchSince is the time since when nothing was dispatched for a volume without a record, as
+// far as is certain.
 func (s *Scheduler) noDispatchSince() time.Duration { return max(s.startedAt, s.now-idleExpiry) }
 
-// refillBuckets brings the volume's stores up to now. Of the limit this host counts an even part; of the reserve its
-// part of what the volume is served, at least an even one: by the late total, or without a meter by what
-// nodes say they served it through others.
-func (s *Scheduler) refillBuckets(v *volume) {
-	gap, hosts := (s.now - v.refilledAt).Seconds(), float64(v.schedulers)
-	v.refilledAt = s.now
-	reserve, limit := valueAt(s.settings.reserve, v.plan), valueAt(s.settings.limit, v.plan)
-	part := reserve / hosts
-	if v.servedEverywhere > 0 {
-		v.servedHere.add(s.now, 0, s.usageMemory())
-		part = max(part, reserve*min(1, v.servedHere.rate()/v.servedEverywhere))
-	} else if s.settings.reportsServedElsewhere && s.settings.meterPeriod == 0 && v.servedHere.units > 0 {
-		v.servedHere.add(s.now, 0, s.usageMemory())
-		v.servedElsewhere.add(s.now, 0, s.usageMemory())
-		part = max(part, reserve*v.servedHere.units/(v.servedHere.units+v.servedElsewhere.units))
+// refillBuckets brings a volume's buckets up to now. The limit's bucket fills at an even share
+// among the volume's instances, the reserve's at the share of reserveRefillRate.
+func (s *Scheduler) refillBuckets(volume *volume) {
+	elapsed, instances := (s.now - volume.refilledAt).Seconds(), float64(volume.schedulers)
+	volume.refilledAt = s.now
+	reserve, limit := valueAt(s.settings.reserve, volume.plan), valueAt(s.settings.limit, volume.plan)
+	refillRate := s.reserveRefillRate(volume, reserve)
+	volume.reserve = min(volume.reserve+elapsed*refillRate, reserve+s.settings.largestUnits)
+	volume.limit = min(volume.limit+elapsed*limit/instances, s.bucketCapacity(volume.plan, volume.schedulers))
+}
+
+// reserveRefillRate is this instance's share of a volume's reserve, in units a second: its share of
+// what the volume is served, and an even one at least. It is known from the usage meter's total, or
+// without a meter from what servers report to have served through other instances.
+func (s *Scheduler) reserveRefillRate(volume *volume, reserve float64) float64 {
+	evenShare := reserve / float64(volume.schedulers)
+	if volume.servedEverywhere > 0 {
+		volume.servedHere.add(s.now, 0, s.usageMemory())
+		return max(evenShare, reserve*min(1, volume.servedHere.rate()/volume.servedEverywhere))
 	}
-	v.reserve = min(v.reserve+gap*part, reserve+s.settings.largestUnits)
-	v.limit = min(v.limit+gap*limit/hosts, s.bucketCapacity(v.plan, v.schedulers))
+	if s.settings.reportsServedElsewhere && s.settings.meterPeriod == 0 && volume.servedHere.units > 0 {
+		volume.servedHere.add(s.now, 0, s.usageMemory())
+		volume.servedElsewhere.add(s.now, 0, s.usageMemory())
+		here, elsewhere := volume.servedHere.units, volume.servedElsewhere.units
+		return max(evenShare, reserve*here/(here+elsewhere))
+	}
+	return evenShare
 }
 
-// bucketCapacity is what this host's part of a limit's store holds. What left a full one may be held up and arrive with what it
-// was filled with since, so that much less is kept, unless the slack covers it. A largest op always fits if it did.
-func (s *Scheduler) bucketCapacity(plan, hosts int) float64 {
-	whole := valueAt(s.settings.burst, plan)
-	less := max(0, holdUp.Seconds()*valueAt(s.settings.limit, plan)-valueAt(s.settings.slack, plan))
-	whole, less = whole/float64(hosts), less/float64(hosts)
-	return max(whole-less, min(whole, s.settings.largestUnits))
+// bucketCapacity is the capacity of this instance's bucket of a plan's limit, in units. What is
+// dispatched from a full bucket may be delayed by holdUp and arrive together with what refilled it
+// since: the capacity is less by that, unless the limit's slack covers it. It still holds one op of
+// the largest size if the whole bucket does.
+func (s *Scheduler) bucketCapacity(plan, instances int) float64 {
+	burst := valueAt(s.settings.burst, plan)
+	margin := max(0, holdUp.Seconds()*valueAt(s.settings.limit, plan)-valueAt(s.settings.slack, plan))
+	burst, margin = burst/float64(instances), margin/float64(instances)
+	return max(burst-margin, min(burst, s.settings.largestUnits))
 }
 
-// usageMemory is how far back a host looks at what a volume is served.
+// usageMemory is the time constant of the rates at which a volume is served.
 func (s *Scheduler) usageMemory() time.Duration {
 	return 2 * cmp.Or(s.settings.meterPeriod, s.settings.longestTarget)
 }
 
-// withinReserve tells whether an op is inside its volume's reserve, as far as this host's store of it lasts.
-func (s *Scheduler) withinReserve(p *op) bool {
-	s.refillBuckets(p.volume)
-	return p.target > s.now && p.volume.reserve >= p.Units
-}
-
-// limitHeadroom is what the limit's store must hold for an op to leave: a part stays for op types of more utility,
-// though a full store lets any op go. It guards against surges of cheap large ops that use up a limit which
-// dearer ones then lack; it could harm where the dearer never come.
-func (s *Scheduler) limitHeadroom(p *op) float64 {
-	store := s.bucketCapacity(p.Plan, p.volume.schedulers)
-	return max(p.Units, min(p.Units+limitHeadroomShare*valueAt(s.settings.utilityDeficit, p.Type)*store, store))
+// withinReserve reports whether an op is before its target latency and its volume's bucket of the
+// reserve covers it.
+func (s *Scheduler) withinReserve(op *op) bool {
+	s.refillBuckets(op.volume)
+	return op.target > s.now && op.volume.reserve >= op.Units
 }
 
-// volume counts what is due to a volume through this host.
-type volume struct {
-	plan             int
-	schedulers       int
-	reserve          float64 // units of the reserve left
-	limit            float64 // units of this host's part of the limit left
-	refilledAt       time.Duration
-	servedHere       decayedRate    // units this host was served
-	servedElsewhere  decayedRate    // units others were served, as answers tell
-	servedEverywhere float64        // units a second served everywhere, by the late meter
-	topServers       []rankedServer // the first of its ranking
-	topComplete      bool           // best holds all that are on
-	rankingEpoch     int            // those that best was made from
-	joinedSeen       int
-	openOps          int // ops taken and not over
-	lastSeen         time.Duration
+// limitHeadroom is how many units the limit's bucket must hold for an op to be dispatched: a part
+// is kept for op types of more utility, though a full bucket allows any op. It guards against
+// surges of large ops of little utility that use up a limit which others then lack. It could harm
+// where ops of more utility never come.
+func (s *Scheduler) limitHeadroom(op *op) float64 {
+	capacity := s.bucketCapacity(op.Plan, op.volume.schedulers)
+	kept := limitHeadroomShare * valueAt(s.settings.utilityDeficit, op.Type) * capacity
+	return max(op.Units, min(op.Units+kept, capacity))
 }
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -8,107 +8,109 @@
 	"honeyplank"
 )
 
-// This file ranks disk servers for new objects and keeps those that a sweep has to look at, so that the work of an event
-// does not grow with the fleet. Nothing here decides.
-
+// Each volume keeps the first servers of its ranking, and sweeps visit active servers alone, so
+// that the work of an event does not grow with the fleet.
 const (
-	shortList    = 64            // most servers kept of a volume's ranking
-	minShortList = shortList / 2 // with fewer left of them the ranking is looked through anew
+	maxTopServers = 64                // kept of a volume's ranking
+	minTopServers = maxTopServers / 2 // with fewer left the ranking is made anew from all servers
 )
 
-// rankedServer is a disk server and its rendezvous hash for a volume.
+// rankedServer is a server with its rendezvous hash for a volume.
 type rankedServer struct {
 	server *server
 	rank   uint64
 }
 
-// FNV-1a, 64 bits.
+// Parameters of FNV-1a with 64 bits.
 const (
 	hashStart = 14695981039346656037
 	hashPrime = 1099511628211
 )
 
-// volumeHash is the part of a rank that a volume has in common for all disk servers.
+// volumeHash is the FNV-1a hash of a volume's number in decimal, with which all its rendezvous
+// hashes start.
 func volumeHash(volume int64) uint64 {
 	var digits [20]byte
-	h := uint64(hashStart)
-	for _, c := range strconv.AppendInt(digits[:0], volume, 10) {
-		h = (h ^ uint64(c)) * hashPrime
+	hash := uint64(hashStart)
+	for _, digit := range strconv.AppendInt(digits[:0], volume, 10) {
+		hash = (hash ^ uint64(digit)) * hashPrime
 	}
-	return h
+	return hash
 }
 
-// rendezvousHash is the rendezvous hash of a volume, by its hash, and a disk server.
-func rendezvousHash(volume uint64, id honeyplank.ServerID) uint64 {
-	x := volume
+// rendezvousHash is the rendezvous hash of a server for a volume, given by its volumeHash.
+func rendezvousHash(hash uint64, id honeyplank.ServerID) uint64 {
 	for i := range len(id) {
-		x = (x ^ uint64(id[i])) * hashPrime
+		hash = (hash ^ uint64(id[i])) * hashPrime
 	}
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>33
+	hash ^= hash >> 33 // finalizer of MurmurHash3, its first round
+	hash *= 0xff51afd7ed558ccd
+	return hash ^ hash>>33
 }
 
-// ranksBefore is the order of a ranking: by hash, equal ones by id.
-func (r rankedServer) ranksBefore(than rankedServer) bool {
-	return r.rank > than.rank || r.rank == than.rank && r.server.ID < than.server.ID
+// ranksBefore is the order of a ranking: by descending hash, equal ones by id.
+func (candidate rankedServer) ranksBefore(than rankedServer) bool {
+	return candidate.rank > than.rank || candidate.rank == than.rank && candidate.server.ID < than.server.ID
 }
 
-// topRanked returns the first disk servers of a volume's ranking that are on, in its order. They are always exactly the
-// first ones: servers that come are put in, ones that leave are taken out, and when few are left all are looked through.
-func (s *Scheduler) topRanked(v *volume, id int64) []rankedServer {
-	v.topServers = slices.DeleteFunc(v.topServers, func(r rankedServer) bool { return !r.server.listedUp })
+// topRanked returns the first servers of a volume's ranking that are up, in order: exactly those of
+// a ranking of all servers, in which ones that came up are inserted and ones that left are deleted.
+// When few are left it is made anew.
+func (s *Scheduler) topRanked(volume *volume, id int64) []rankedServer {
+	volume.topServers = slices.DeleteFunc(volume.topServers, func(candidate rankedServer) bool {
+		return !candidate.server.listedUp
+	})
 	hash := volumeHash(id)
-	if v.rankingEpoch != s.rankingEpoch || !v.topComplete && len(v.topServers) < minShortList {
-		v.topServers, v.topComplete = v.topServers[:0], true
-		for _, o := range s.serversByID {
-			v.insertRanked(o, hash)
+	if volume.rankingEpoch != s.rankingEpoch || !volume.topComplete && len(volume.topServers) < minTopServers {
+		volume.topServers, volume.topComplete = volume.topServers[:0], true
+		for _, server := range s.serversByID {
+			volume.insertRanked(server, hash)
 		}
 		s.serversVisited += len(s.serversByID)
 	} else {
-		for _, o := range s.joinedServers[v.joinedSeen:] {
-			v.insertRanked(o, hash)
+		for _, server := range s.joinedServers[volume.joinedSeen:] {
+			volume.insertRanked(server, hash)
 		}
-		s.serversVisited += len(s.joinedServers) - v.joinedSeen
+		s.serversVisited += len(s.joinedServers) - volume.joinedSeen
 	}
-	v.rankingEpoch, v.joinedSeen = s.rankingEpoch, len(s.joinedServers)
-	return v.topServers
+	volume.rankingEpoch, volume.joinedSeen = s.rankingEpoch, len(s.joinedServers)
+	return volume.topServers
 }
 
-// insertRanked puts a disk server into the list where it belongs there.
-func (v *volume) insertRanked(o *server, hash uint64) {
-	if !o.listedUp {
+// insertRanked inserts a server that is up into topServers, if it ranks among them.
+func (volume *volume) insertRanked(server *server, hash uint64) {
+	if !server.listedUp {
 		return
 	}
-	r, n := rankedServer{o, rendezvousHash(hash, o.ID)}, len(v.topServers)
-	if n > 0 && !v.topComplete && v.topServers[n-1].ranksBefore(r) {
+	candidate, n := rankedServer{server, rendezvousHash(hash, server.ID)}, len(volume.topServers)
+	if n > 0 && !volume.topComplete && volume.topServers[n-1].ranksBefore(candidate) {
 		return
 	}
-	i := sort.Search(n, func(i int) bool { return !v.topServers[i].ranksBefore(r) })
-	if i < n && v.topServers[i].server == o {
+	i := sort.Search(n, func(i int) bool { return !volume.topServers[i].ranksBefore(candidate) })
+	if i < n && volume.topServers[i].server == server {
 		return
 	}
-	v.topServers = slices.Insert(v.topServers, i, r)
-	if len(v.topServers) > shortList {
-		v.topServers, v.topComplete = v.topServers[:shortList], false
+	volume.topServers = slices.Insert(volume.topServers, i, candidate)
+	if len(volume.topServers) > maxTopServers {
+		volume.topServers, volume.topComplete = volume.topServers[:maxTopServers], false
 	}
 }
 
-// joinRankings notes that a disk server has come, for lists made before.
-func (s *Scheduler) joinRankings(o *server) {
-	if len(s.joinedServers) > 2*len(s.serversByID)+shortList { // long ago seen by most: start over
+// joinRankings notes that a server came up, for the rankings that exist.
+func (s *Scheduler) joinRankings(server *server) {
+	if len(s.joinedServers) > 2*len(s.serversByID)+maxTopServers { // most rankings have taken in most of them
 		s.joinedServers, s.rankingEpoch = nil, s.rankingEpoch+1
 	}
-	s.joinedServers = append(s.joinedServers, o)
+	s.joinedServers = append(s.joinedServers, server)
 }
 
-// acceptingServers are the disk servers that were sound at most a sweep ago.
+// acceptingServers returns the servers that accepted new objects at most a sweep ago.
 func (s *Scheduler) acceptingServers() []*server {
 	if s.now-s.acceptingAt >= s.sweepInterval() || s.acceptingAt == 0 {
 		s.acceptingAt, s.acceptingCache = s.now, s.acceptingCache[:0]
-		for _, o := range s.serversByID {
-			if o.listedUp && s.acceptsNewObjects(o) {
-				s.acceptingCache = append(s.acceptingCache, o)
+		for _, server := range s.serversByID {
+			if server.listedUp && s.acceptsNewObjects(server) {
+				s.acceptingCache = append(s.acceptingCache, server)
 			}
 		}
 		s.serversVisited += len(s.serversByID)
@@ -116,19 +118,20 @@
 	return s.acceptingCache
 }
 
-// markActive has the sweep look at a disk server from now on.
-func (s *Scheduler) markActive(o *server) {
-	if !o.active {
-		o.active = true
-		s.activeServers = insertByID(s.activeServers, o)
+// markActive adds a server to those that sweeps visit.
+func (s *Scheduler) markActive(server *server) {
+	if !server.active {
+		server.active = true
+		s.activeServers = insertByID(s.activeServers, server)
 	}
 }
 
-// deactivateIdle takes those out of the sweep that have nothing out, nothing held and are not down.
+// deactivateIdle removes servers without outstanding or held ops from those that sweeps visit, but
+// for those that are down.
 func (s *Scheduler) deactivateIdle() {
-	s.activeServers = slices.DeleteFunc(s.activeServers, func(o *server) bool {
-		o.active = o.outstanding > 0 || o.heldCount > 0 || o.health == down
-		return !o.active
+	s.activeServers = slices.DeleteFunc(s.activeServers, func(server *server) bool {
+		server.active = server.outstanding > 0 || server.heldCount > 0 || server.health == down
+		return !server.active
 	})
 	s.serversVisited += len(s.activeServers)
 }
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -66,7 +66,7 @@
 		set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
 		set.Plans.Limit, set.Plans.Burst = []float64{float64(rng.Intn(2)) * 50}, []float64{100}
 		s := New(seed, set)
-		size := []int{1, 5, 40, shortList, shortList + 1, 200, 700}[seed%7]
+		size := []int{1, 5, 40, maxTopServers, maxTopServers + 1, 200, 700}[seed%7]
 		now, next := time.Minute, 0
 		tell := func(kind honeyplank.ListKind, members ...honeyplank.Member) {
 			s.Handle(now, honeyplank.List{Kind: kind, Members: members})
@@ -134,11 +134,11 @@
 					t.Fatalf("seed %d, step %d: place %d of the ranking is %s, want %s", seed, step, k, r.server.ID, list[k].ID)
 				}
 			}
-			if len(near) < min(len(list), minShortList) {
+			if len(near) < min(len(list), minTopServers) {
 				t.Fatalf("seed %d, step %d: %d of %d servers ranked", seed, step, len(near), len(list))
 			}
 			compared++
-			if inList := slices.Index(list, want) < len(near); want != got && (inList && room || len(list) <= minShortList) {
+			if inList := slices.Index(list, want) < len(near); want != got && (inList && room || len(list) <= minTopServers) {
 				t.Fatalf("seed %d, step %d: %v, want %v", seed, step, got, want)
 			}
 			if first, _ := plainHome(s, p, list[:len(near)]); first != nil {
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -1,6 +1,8 @@
-// Package policy decides every op of one scheduler. Call New(seed, settings) once and then
-// Handle(now, event) for each event in turn; the events, the actions it returns and the outcomes are
-// defined in package honeyplank, the names of the settings in internal/wire. docs/design.md says why.
+// Package policy is the decision module: it decides every op of one scheduler. New makes an
+// instance from a seed and the settings, and Handle takes one event after another and returns the
+// actions to carry out. Events, actions and settings are defined in package honeyplank. The package
+// has no clock and does no I/O. docs/design.md describes the mechanism, iShare, and what was
+// changed in it.
 package policy
 
 import (
@@ -14,82 +16,155 @@
 // sweepShare is the interval of sweeps, as a share of the shortest target latency.
 const sweepShare = 1.0 / 20
 
-// holdUp is for how long the process may be held up between reading its clock and writing: what is decided at one time
-// may leave so much later.
+// holdUp is the longest time for which the process may be delayed between reading its clock and
+// writing: a dispatch may leave that much later than it was decided.
 const holdUp = 150 * time.Millisecond
 
-// Handle takes one event and returns what is to be done at once.
+// Names of the timers that the module sets.
+const (
+	sweepTimer = "sweep"
+	watchTimer = "watch"
+)
+
+// Scheduler is one instance of the decision module. It is not safe for concurrent use.
+type Scheduler struct {
+	settings  *schedulerSettings
+	rng       *rand.Rand
+	now       time.Duration // of the event that is being handled
+	started   bool
+	startedAt time.Duration
+	actions   []honeyplank.Action // returned for that event
+	evictedAt time.Duration
+
+	// Endpoint list and watch.
+	servers        map[honeyplank.ServerID]*server
+	serversByID    []*server         // sorted by id
+	serversByCell  map[int][]*server // those that are up, sorted by id
+	serversUp      int               // number listed as up
+	activeServers  []*server         // those that sweeps visit, sorted by id
+	watchActive    bool
+	watchRequested time.Duration
+	backoff        time.Duration // of the next watch request
+
+	// Ranking for new objects.
+	joinedServers  []*server // servers that came up, in that order
+	rankingEpoch   int       // counts the times that joinedServers was emptied
+	acceptingCache []*server // servers that accepted new objects at acceptingAt
+	acceptingAt    time.Duration
+	serversVisited int // servers looked at for new objects and in sweeps
+
+	// Ops.
+	ops             map[honeyplank.OpID]*op
+	firstHeld       *op // list of the held ops in the order held, unassigned ones included
+	lastHeld        *op
+	serial          int // of the op held last
+	unassigned      int // held ops without a server
+	volumes         map[int64]*volume
+	keyQueues       map[int64]*keyQueue
+	earlierAttempts map[requestIdentity]*earlierAttempt
+	admissions      []time.Duration // times of admissions within the retry budget's window
+	retries         []time.Duration // times of retries within it
+	lostShare       float64         // recent share of dispatches that were cancelled as lost
+
+	// Demand, in units.
+	demand               [reserveIndices]decayedRate // of ops that have a cell
+	cellBoundDemand      decayedRate                 // the same over a longer time
+	fleetDemand          decayedRate                 // of all instances, for the volumes that this one sees
+	demandByCell         map[int]*cellDemand
+	maxSchedulersSeen    int     // largest number of instances that a volume came through
+	unitsAdmitted        float64 // sum over all ops
+	unitsSquaredAdmitted float64 // sum of the squares
+
+	// Estimates.
+	latencyByType  []typeLatency                                     // by op type
+	savedEstimates map[honeyplank.ServerID]honeyplank.ServerEstimate // of servers not listed so far
+}
+
+// New returns an instance that has seen no event. The settings must not change afterwards.
+func New(seed int64, settings *honeyplank.Settings) *Scheduler {
+	return &Scheduler{
+		settings:        readSettings(settings),
+		rng:             rand.New(rand.NewSource(seed)),
+		servers:         map[honeyplank.ServerID]*server{},
+		serversByCell:   map[int][]*server{},
+		rankingEpoch:    1,
+		ops:             map[honeyplank.OpID]*op{},
+		volumes:         map[int64]*volume{},
+		keyQueues:       map[int64]*keyQueue{},
+		earlierAttempts: map[requestIdentity]*earlierAttempt{},
+		demandByCell:    map[int]*cellDemand{},
+		latencyByType:   make([]typeLatency, len(settings.OpTypes.TargetLatency)),
+		savedEstimates:  map[honeyplank.ServerID]honeyplank.ServerEstimate{},
+	}
+}
+
+// Handle takes the event of a clock time and returns the actions to carry out at once, in their
+// order.
 func (s *Scheduler) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 	s.now, s.actions = now, nil
 	if !s.started {
-		s.started, s.startedAt = true, now
-		s.setTimer(now+s.sweepInterval(), "sweep")
-		if s.settings.watchOnRequest {
-			s.requestWatch()
-		}
+		s.start()
 	}
-	switch e := event.(type) {
+	switch event := event.(type) {
 	case honeyplank.List:
-		s.applyList(e)
+		s.applyList(event)
 	case honeyplank.Op:
-		s.admit(e)
+		s.admit(event)
 	case honeyplank.Outcome:
-		s.handleOutcome(e)
+		s.handleOutcome(event)
 	case honeyplank.ResponseStarted:
-		if p := s.ops[e.Op]; p != nil {
-			p.responseStarted = true
+		if op := s.ops[event.Op]; op != nil {
+			op.responseStarted = true
 		}
 	case honeyplank.Timer:
-		if e.Name == "sweep" {
-			s.sweep()
-		}
-		if e.Name == "watch" && !s.watchActive {
-			s.requestWatch()
-		}
+		s.handleTimer(event.Name)
 	case honeyplank.SavedEstimates:
-		s.restoreEstimates(e)
+		s.restoreEstimates(event)
 	case honeyplank.ClientGone:
-		if p := s.ops[e.Op]; p != nil && !p.answered {
-			s.finishOp(p)
+		if op := s.ops[event.Op]; op != nil && !op.answered {
+			s.finishOp(op)
 		}
 	}
 	return s.actions
 }
 
+func (s *Scheduler) start() {
+	s.started, s.startedAt = true, s.now
+	s.setTimer(s.now+s.sweepInterval(), sweepTimer)
+	if s.settings.watchOnRequest {
+		s.requestWatch()
+	}
+}
+
+func (s *Scheduler) handleTimer(name string) {
+	switch {
+	case name == sweepTimer:
+		s.sweep()
+	case name == watchTimer && !s.watchActive:
+		s.requestWatch()
+	}
+}
+
+// sweepInterval is the time between two sweeps.
 func (s *Scheduler) sweepInterval() time.Duration {
 	return max(time.Duration(sweepShare*float64(s.settings.shortestTarget)), s.settings.step, time.Millisecond)
 }
 
+// sweep does what depends on time alone: health, lost answers, new admission draws, dispatches of
+// held ops, ops that can no longer be answered in time, the watch, and idle records.
 func (s *Scheduler) sweep() {
-	s.setTimer(s.now+s.sweepInterval(), "sweep")
+	s.setTimer(s.now+s.sweepInterval(), sweepTimer)
 	s.deactivateIdle()
-	for _, o := range s.activeServers {
-		if o.fullDeadlineDispatches > 0 && s.now-o.unansweredSince > s.settings.longestTarget/2 {
-			s.applyHealthEvent(o, unresponsive)
-			o.unansweredSince = s.now
-		}
-		if o.health == down && s.now-o.healthSince >= o.backoff {
-			s.applyHealthEvent(o, backoffElapsed)
-		}
-		if s.settings.cancelAllowed && s.settings.hedgingAllowed { // what is withdrawn may run on
-			s.cancelOverdue(o)
-		}
-	}
-	// A held op draws anew, as if its client had come again: one that lost its only lot would be held in vain.
-	for p := s.firstHeld; p != nil; p = p.nextHeld {
-		if s.now-p.sampledAt >= s.settings.shortestTarget {
-			p.sampledAt, p.admissionDraw = s.now, s.rng.Float64()
-			s.recordResample(p)
+	mayCancel := s.settings.cancelAllowed && s.settings.hedgingAllowed // a cancelled dispatch may run on
+	for _, server := range s.activeServers {
+		s.checkHealth(server)
+		if mayCancel {
+			s.cancelOverdue(server)
 		}
 	}
+	s.resampleHeld()
 	s.assignAllHeld()
-	for p := s.firstHeld; p != nil; {
-		next := p.nextHeld
-		if s.deadlineUnreachable(p) {
-			s.giveUp(p)
-		}
-		p = next
-	}
+	s.giveUpUnreachable()
 	if s.settings.watchOnRequest && !s.watchActive && s.now-s.watchRequested > s.settings.watchDeadline/2 {
 		s.requestWatch()
 	}
@@ -99,63 +174,29 @@
 	}
 }
 
-// New makes an instance that knows nothing yet.
-func New(seed int64, settings *honeyplank.Settings) *Scheduler {
-	return &Scheduler{
-		settings: readSettings(settings), rng: rand.New(rand.NewSource(seed)),
-		servers: map[honeyplank.ServerID]*server{}, ops: map[honeyplank.OpID]*op{},
-		savedEstimates: map[honeyplank.ServerID]honeyplank.ServerEstimate{}, volumes: map[int64]*volume{},
-		keyQueues: map[int64]*keyQueue{}, serversByCell: map[int][]*server{}, demandByCell: map[int]*cellDemand{},
-		earlierAttempts: map[requestIdentity]*earlierAttempt{}, rankingEpoch: 1,
-		latencyByType: make([]typeLatency, len(settings.OpTypes.TargetLatency)),
+// resampleHeld draws new admission draws for ops that have been held for a shortest target latency
+// since the last one, as for a new attempt of the client: an op with a high draw would be held in
+// vain.
+func (s *Scheduler) resampleHeld() {
+	for op := s.firstHeld; op != nil; op = op.nextHeld {
+		if s.now-op.sampledAt >= s.settings.shortestTarget {
+			op.sampledAt, op.admissionDraw = s.now, s.rng.Float64()
+			s.recordResample(op)
+		}
 	}
 }
 
-// Scheduler is one instance. It shares nothing with others.
-type Scheduler struct {
-	settings             *schedulerSettings
-	rng                  *rand.Rand
-	now                  time.Duration
-	startedAt            time.Duration
-	started              bool
-	actions              []honeyplank.Action
-	servers              map[honeyplank.ServerID]*server
-	savedEstimates       map[honeyplank.ServerID]honeyplank.ServerEstimate // from before this instance
-	serversByID          []*server                                         // by id
-	activeServers        []*server                                         // those that the sweep looks at, by id
-	joinedServers        []*server                                         // those that came, in that order
-	rankingEpoch         int                                               // counts the starts of joined
-	acceptingCache       []*server                                         // sound ones, as seen at a time
-	acceptingAt          time.Duration
-	serversVisited       int // disk servers looked at for new objects and in sweeps
-	evictedAt            time.Duration
-	serversUp            int                 // how many are listed as on
-	maxSchedulersSeen    int                 // the most that volumes were seen to come through
-	demand               [2]decayedRate      // units taken: due, and beyond
-	cellBoundDemand      decayedRate         // units asked of those that hold data, over a longer time
-	fleetDemand          decayedRate         // units asked of all hosts for the volumes known here
-	demandByCell         map[int]*cellDemand // by where the data lies
-	serversByCell        map[int][]*server   // disk servers by the data they hold
-	latencyByType        []typeLatency       // by op type
-	earlierAttempts      map[requestIdentity]*earlierAttempt
-	lostShare            float64 // recent share of dispatches whose answers seemed lost
-	unitsAdmitted        float64 // of all ops taken, and their squares
-	unitsSquaredAdmitted float64
-	ops                  map[honeyplank.OpID]*op
-	firstHeld            *op // of the held ones, in the order taken; also those with no disk server
-	lastHeld             *op
-	serial               int
-	unassigned           int // held ops with no disk server
-	volumes              map[int64]*volume
-	keyQueues            map[int64]*keyQueue
-	admissions           []time.Duration // ops taken, for the budget
-	retries              []time.Duration // further dispatches, for the budget
-	watchActive          bool
-	watchRequested       time.Duration
-	backoff              time.Duration
+func (s *Scheduler) giveUpUnreachable() {
+	for op := s.firstHeld; op != nil; {
+		next := op.nextHeld
+		if s.deadlineUnreachable(op) {
+			s.giveUp(op)
+		}
+		op = next
+	}
 }
 
-func (s *Scheduler) emit(a honeyplank.Action) { s.actions = append(s.actions, a) }
+func (s *Scheduler) emit(action honeyplank.Action) { s.actions = append(s.actions, action) }
 
 func (s *Scheduler) setTimer(at time.Duration, name string) {
 	s.emit(honeyplank.SetTimer{At: at, Name: name})
@@ -164,9 +205,3 @@
 func (s *Scheduler) logf(format string, arguments ...any) {
 	s.emit(honeyplank.Log{Text: fmt.Sprintf(format, arguments...)})
 }
-
-// requestWatch asks discovery for changes from now on.
-func (s *Scheduler) requestWatch() {
-	s.watchRequested = s.now
-	s.emit(honeyplank.Watch{Enabled: true})
-}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,111 +7,147 @@
 	"honeyplank"
 )
 
-// This file holds the settings that the module reads, looked up once. Nothing here decides.
-
-// schedulerSettings are the settings by their names, looked up once, with what follows from them alone.
+// schedulerSettings are the settings that the module reads, with the figures that follow from them
+// alone. Lists have a value for each op type or plan.
 type schedulerSettings struct {
-	step                          time.Duration
-	watchOnRequest                bool
-	watchDeadline                 time.Duration
-	targetLatency, opTimeout      []time.Duration
-	semantics                     []honeyplank.Semantics
-	dedupScope                    []honeyplank.DedupScope
-	dedupWindow                   []time.Duration
-	ordered                       []bool
-	rate                          []float64
-	weight                        []float64
-	reserve                       []float64
-	limit                         []float64
-	burst                         []float64
-	slack                         []float64
-	schedulers                    int
-	meanUnits                     float64
-	largestUnits                  float64
-	meterPeriod                   time.Duration
-	reportsServedElsewhere        bool
-	hedgingAllowed, cancelAllowed bool
-	maxDispatches                 int
-	retryBudgetWindow             time.Duration
-	retryBudgetShare              float64
-	slowStartWindow               time.Duration
-	slowStartTime                 time.Duration
-	slowStartFrom                 float64
-	slowStartUnits                float64
-	maxArrivalDelay               time.Duration // the longest from a decision until the dispatch is written
-	orderSettle                   time.Duration
-	maxRetryAfter                 time.Duration // 0: no advice is given
-	retryBudgetLimited            bool
-	retryBudgetFree               float64
-	meanRate, meanWeight          float64
-	shortestTarget, longestTarget time.Duration // of the target latencies
-	utilityDeficit                []float64     // by op type: what its utility lacks to the greatest, as a part
+	step       time.Duration // least time between two timers
+	schedulers int
+
+	// Op types.
+	targetLatency []time.Duration
+	opTimeout     []time.Duration
+	semantics     []honeyplank.Semantics
+	dedupScope    []honeyplank.DedupScope
+	dedupWindow   []time.Duration
+	ordered       []bool
+	orderSettle   time.Duration
+	meanUnits     float64
+	largestUnits  float64
+
+	// Plans. Rates, reserves and limits are in units a second, bursts and slacks in units.
+	rate    []float64
+	weight  []float64
+	reserve []float64
+	limit   []float64
+	burst   []float64
+	slack   []float64
+
+	// Endpoint list and usage meter.
+	watchOnRequest         bool
+	watchDeadline          time.Duration // within which changes are notified
+	meterPeriod            time.Duration
+	reportsServedElsewhere bool
+
+	// Dispatches and retries.
+	hedgingAllowed     bool
+	cancelAllowed      bool
+	maxDispatches      int
+	retryBudgetLimited bool
+	retryBudgetWindow  time.Duration
+	retryBudgetFree    float64
+	retryBudgetShare   float64
+
+	// Slow start.
+	slowStartWindow time.Duration
+	slowStartTime   time.Duration
+	slowStartFrom   float64
+	slowStartUnits  float64
+
+	derivedSettings
+}
+
+// derivedSettings are the figures that follow from the settings.
+type derivedSettings struct {
+	shortestTarget  time.Duration // least target latency
+	longestTarget   time.Duration // greatest target latency
+	maxArrivalDelay time.Duration // longest time from a decision until its dispatch is written
+	maxRetryAfter   time.Duration // 0: rejections carry no advice
+	meanRate        float64       // over the plans
+	meanWeight      float64       // over the plans
+	utilityDeficit  []float64     // by op type: the part of the greatest utility that it lacks
 }
 
 func readSettings(settings *honeyplank.Settings) *schedulerSettings {
-	t := &schedulerSettings{
-		step:                   settings.Step,
+	opTypes, plans, slowStart := settings.OpTypes, settings.Plans, settings.SlowStart
+	return &schedulerSettings{
+		step:       settings.Step,
+		schedulers: settings.Schedulers,
+
+		targetLatency: opTypes.TargetLatency,
+		opTimeout:     opTypes.OpTimeout,
+		semantics:     opTypes.Semantics,
+		dedupScope:    opTypes.DedupScope,
+		dedupWindow:   opTypes.DedupWindow,
+		ordered:       opTypes.Ordered,
+		orderSettle:   settings.OrderSettle,
+		meanUnits:     settings.MeanUnits,
+		largestUnits:  settings.LargestUnits,
+
+		rate:    plans.Rate,
+		weight:  plans.Weight,
+		reserve: plans.Reserve,
+		limit:   plans.Limit,
+		burst:   plans.Burst,
+		slack:   plans.Slack,
+
 		watchOnRequest:         settings.Watch.OnRequest,
 		watchDeadline:          settings.Watch.Within,
-		targetLatency:          settings.OpTypes.TargetLatency,
-		opTimeout:              settings.OpTypes.OpTimeout,
-		semantics:              settings.OpTypes.Semantics,
-		dedupScope:             settings.OpTypes.DedupScope,
-		dedupWindow:            settings.OpTypes.DedupWindow,
-		ordered:                settings.OpTypes.Ordered,
-		rate:                   settings.Plans.Rate,
-		weight:                 settings.Plans.Weight,
-		reserve:                settings.Plans.Reserve,
-		limit:                  settings.Plans.Limit,
-		burst:                  settings.Plans.Burst,
-		slack:                  settings.Plans.Slack,
-		schedulers:             settings.Schedulers,
-		meanUnits:              settings.MeanUnits,
-		largestUnits:           settings.LargestUnits,
 		meterPeriod:            settings.Usage.Period,
 		reportsServedElsewhere: settings.Usage.Elsewhere,
-		hedgingAllowed:         settings.Dispatches.Parallel,
-		cancelAllowed:          settings.Dispatches.Cancel,
-		maxDispatches:          settings.Dispatches.Max,
-		retryBudgetWindow:      settings.RetryBudget.Window,
-		retryBudgetShare:       settings.RetryBudget.Share,
-		slowStartWindow:        settings.SlowStart.Window,
-		slowStartTime:          settings.SlowStart.Time,
-		slowStartFrom:          settings.SlowStart.From,
-		slowStartUnits:         settings.SlowStart.Units,
-		orderSettle:            settings.OrderSettle,
-		maxArrivalDelay:        settings.Dispatches.ConnectTimeout + holdUp,
+
+		hedgingAllowed:     settings.Dispatches.Parallel,
+		cancelAllowed:      settings.Dispatches.Cancel,
+		maxDispatches:      settings.Dispatches.Max,
+		retryBudgetLimited: settings.RetryBudget.Limited,
+		retryBudgetWindow:  settings.RetryBudget.Window,
+		retryBudgetFree:    settings.RetryBudget.Free,
+		retryBudgetShare:   settings.RetryBudget.Share,
+
+		slowStartWindow: slowStart.Window,
+		slowStartTime:   slowStart.Time,
+		slowStartFrom:   slowStart.From,
+		slowStartUnits:  slowStart.Units,
+
+		derivedSettings: deriveSettings(settings),
+	}
+}
+
+func deriveSettings(settings *honeyplank.Settings) derivedSettings {
+	derived := derivedSettings{
+		maxArrivalDelay: settings.Dispatches.ConnectTimeout + holdUp,
+		meanRate:        mean(settings.Plans.Rate),
+		meanWeight:      mean(settings.Plans.Weight),
 	}
 	if settings.RetryAfter.Allowed {
-		t.maxRetryAfter = settings.RetryAfter.Max
+		derived.maxRetryAfter = settings.RetryAfter.Max
 	}
-	t.retryBudgetFree, t.retryBudgetLimited = settings.RetryBudget.Free, settings.RetryBudget.Limited
-	t.meanRate, t.meanWeight = mean(t.rate), mean(t.weight)
-	utility := settings.OpTypes.Utility
-	for _, x := range utility {
-		t.utilityDeficit = append(t.utilityDeficit, 1-x/max(slices.Max(utility), 1e-9))
+	if targets := settings.OpTypes.TargetLatency; len(targets) > 0 {
+		derived.shortestTarget = slices.Min(targets)
+		derived.longestTarget = max(0, slices.Max(targets))
 	}
-	for i, x := range t.targetLatency {
-		if i == 0 || x < t.shortestTarget {
-			t.shortestTarget = x
-		}
-		t.longestTarget = max(t.longestTarget, x)
+	for _, utility := range settings.OpTypes.Utility {
+		greatest := max(slices.Max(settings.OpTypes.Utility), minUtility)
+		derived.utilityDeficit = append(derived.utilityDeficit, 1-utility/greatest)
 	}
-	return t
+	return derived
 }
 
-// valueAt is a list's i-th value, or the type's zero value.
-func valueAt[T any](list []T, i int) (v T) {
+// minUtility keeps a division by the greatest utility finite.
+const minUtility = 1e-9
+
+// valueAt is the i-th value of a list, or the zero value where the list has none.
+func valueAt[T any](list []T, i int) (value T) {
 	if i >= 0 && i < len(list) {
-		v = list[i]
+		value = list[i]
 	}
-	return v
+	return value
 }
 
-// relativeWeight is a plan's against the mean.
+// relativeWeight is the weight of a plan over the mean weight; 1 where it has none.
 func (s *Scheduler) relativeWeight(plan int) float64 {
-	if w := valueAt(s.settings.weight, plan) / s.settings.meanWeight; w > 0 {
-		return w
+	weight := valueAt(s.settings.weight, plan) / s.settings.meanWeight
+	if weight > 0 {
+		return weight
 	}
 	return 1
 }
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -8,7 +8,30 @@
 // sliceShare is the length of a round of slices, as a share of the shortest target latency.
 const sliceShare = 0.25
 
-// sliceTransitions is read by pump; a pair that is missing ends the pump.
+// sliceState is the state of a server's time slices.
+type sliceState int
+
+const (
+	sliceIdle    sliceState = iota // no queue is served
+	sliceServing                   // a queue is served
+	sliceWaiting                   // the served queue is empty, its next op is waited for
+)
+
+// sliceSignal is what runSlices acts on.
+type sliceSignal int
+
+const (
+	nothingReady     sliceSignal = iota // no op may be dispatched now
+	othersReady                         // no queue is served, and one has an op that may be dispatched
+	servedReady                         // the served queue has one
+	reserveWaiting                      // the served queue has none within its reserve, another has
+	sliceExpired                        // the slice is over, and another queue has an op
+	thinkTimeTooLong                    // the served queue has none, nor is its next due within the slice
+	cheaperReady                        // the served queue has none, and one with a shorter await has one
+	worthWaiting                        // the served queue has none, and its next is worth the wait
+)
+
+// sliceTransitions is the table of runSlices; a pair that is missing ends its loop.
 var sliceTransitions = map[sliceState]map[sliceSignal]struct {
 	next   sliceState
 	effect func(*Scheduler, *server)
@@ -32,183 +55,195 @@
 	},
 }
 
-func (s *Scheduler) runSlices(o *server) {
+// runSlices dispatches the held ops of a server that may be sent now, in the order of the slices.
+func (s *Scheduler) runSlices(server *server) {
 	for {
-		rule, ok := sliceTransitions[o.sliceState][s.nextSignal(o)]
+		transition, ok := sliceTransitions[server.sliceState][s.nextSignal(server)]
 		if !ok {
 			return
 		}
-		o.sliceState = rule.next
-		rule.effect(s, o)
+		server.sliceState = transition.next
+		transition.effect(s, server)
 	}
 }
 
-// nextSignal tells what the loop is to act on.
-func (s *Scheduler) nextSignal(o *server) sliceSignal {
-	var own *op
-	if o.sliceState != sliceIdle {
-		own = s.chooseOp(o, o.servedQueue)
+// nextSignal is the paper's algorithm 1, with the reserve before it.
+func (s *Scheduler) nextSignal(server *server) sliceSignal {
+	var served *op
+	if server.sliceState != sliceIdle {
+		served = s.chooseOp(server, server.servedQueue)
 	}
-	other := s.nextQueue(o)
+	other := s.nextQueue(server)
 	switch {
-	case own == nil && other == nil:
+	case served == nil && other == nil:
 		return nothingReady
-	case o.sliceState == sliceIdle:
+	case server.sliceState == sliceIdle:
 		return othersReady
-	case own != nil && other != nil && !s.withinReserve(own) && s.withinReserve(s.chooseOp(o, other)):
+	case served != nil && other != nil && !s.withinReserve(served) && s.withinReserve(s.chooseOp(server, other)):
 		return reserveWaiting
-	case other != nil && s.now >= o.sliceEnd:
+	case other != nil && s.now >= server.sliceEnd:
 		return sliceExpired
-	case own != nil:
+	case served != nil:
 		return servedReady
-	case o.servedQueue.thinkTime.value(meanOffset) >= o.sliceEnd-s.now:
+	case server.servedQueue.thinkTime.value() >= server.sliceEnd-s.now:
 		return thinkTimeTooLong
-	case s.cheaperQueue(o) != nil:
+	case s.cheaperQueue(server) != nil:
 		return cheaperReady
-	case o.outstanding == 0 || o.sliceState == sliceWaiting && s.now >= o.waitEnd:
+	case server.outstanding == 0 || server.sliceState == sliceWaiting && s.now >= server.waitEnd:
 		return thinkTimeTooLong
 	}
 	return worthWaiting
 }
 
-// cheaperQueue is the paper's await test; the node's mean await stands for the longest seek.
-func (s *Scheduler) cheaperQueue(o *server) *volumeQueue {
-	limit, own := o.meanAwait(meanOffset), o.servedQueue.await.value(meanOffset)
-	for i, from := 0, o.ringStart(); i < len(o.nonEmpty); i++ {
-		q := o.nonEmpty[(from+i)%len(o.nonEmpty)]
-		a := q.await.value(meanOffset)
-		if q != o.servedQueue && q.round < o.round && a <= own && a < limit && s.chooseOp(o, q) != nil {
-			return q
+// cheaperQueue is the paper's await test: the first queue not served this round whose await is no
+// longer than the served queue's. The mean await of the server takes the place of the longest seek
+// as an upper bound.
+func (s *Scheduler) cheaperQueue(server *server) *volumeQueue {
+	longest, servedAwait := server.meanAwait(), server.servedQueue.await.value()
+	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
+		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
+		await := queue.await.value()
+		eligible := queue != server.servedQueue && queue.round < server.round
+		if eligible && await <= servedAwait && await < longest && s.chooseOp(server, queue) != nil {
+			return queue
 		}
 	}
 	return nil
 }
 
-// nextQueue is the volume whose slice comes next: one not served this round, with ops inside its reserve first.
-func (s *Scheduler) nextQueue(o *server) *volumeQueue {
-	var found *volumeQueue
-	least := math.MaxInt
-	for i, from := 0, o.ringStart(); i < len(o.nonEmpty); i++ {
-		q := o.nonEmpty[(from+i)%len(o.nonEmpty)]
-		p := s.chooseOp(o, q)
-		if q == o.servedQueue || p == nil {
+// nextQueue is the queue whose slice comes next, in ring order: one with an op within its reserve
+// goes first, then one not served this round.
+func (s *Scheduler) nextQueue(server *server) (next *volumeQueue) {
+	lowestClass := math.MaxInt
+	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
+		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
+		op := s.chooseOp(server, queue)
+		if queue == server.servedQueue || op == nil {
 			continue
 		}
-		if class := 2*boolToInt(!s.withinReserve(p)) + boolToInt(q.round >= o.round); class < least {
-			found, least = q, class
+		class := 2*boolToInt(!s.withinReserve(op)) + boolToInt(queue.round >= server.round)
+		if class < lowestClass {
+			next, lowestClass = queue, class
 		}
 	}
-	return found
+	return next
 }
 
-func (s *Scheduler) beginSlice(o *server) {
-	q := s.nextQueue(o)
-	if q.round >= o.round {
-		o.round++
+// beginSlice starts the slice of the next queue, and a new round where all have been served in this
+// one.
+func (s *Scheduler) beginSlice(server *server) {
+	queue := s.nextQueue(server)
+	if queue.round >= server.round {
+		server.round++
 	}
-	s.startSlice(o, q)
+	s.startSlice(server, queue)
 }
 
-// startSlice starts a slice: the volumes with held ops share a round of a part of the shortest target latency.
-func (s *Scheduler) startSlice(o *server, q *volumeQueue) {
-	slice := s.relativeWeight(q.volume.plan) * sliceShare * float64(s.settings.shortestTarget) / float64(max(o.busyVolumes(), 1))
-	o.servedQueue, q.round, o.sliceEnd = q, o.round, s.now+max(time.Duration(slice), s.sweepInterval())
+// startSlice starts a queue's slice: the queues with held ops share a round by the weights of their
+// volumes.
+func (s *Scheduler) startSlice(server *server, queue *volumeQueue) {
+	weight := s.relativeWeight(queue.volume.plan)
+	length := weight * sliceShare * float64(s.settings.shortestTarget) / float64(max(server.busyVolumes(), 1))
+	server.servedQueue, queue.round = queue, server.round
+	server.sliceEnd = s.now + max(time.Duration(length), s.sweepInterval())
 }
 
-func (s *Scheduler) endSlice(o *server) { o.servedQueue = nil }
+func (s *Scheduler) endSlice(server *server) { server.servedQueue = nil }
 
-func (s *Scheduler) handOverSlice(o *server) { s.startSlice(o, s.cheaperQueue(o)) }
+func (s *Scheduler) handOverSlice(server *server) { s.startSlice(server, s.cheaperQueue(server)) }
 
-func (s *Scheduler) sendFromServed(o *server) { s.dispatch(s.chooseOp(o, o.servedQueue), o) }
+func (s *Scheduler) sendFromServed(server *server) {
+	s.dispatch(s.chooseOp(server, server.servedQueue), server)
+}
 
-func (s *Scheduler) sendFromOthers(o *server) { s.dispatch(s.chooseOp(o, s.nextQueue(o)), o) }
+func (s *Scheduler) sendFromOthers(server *server) {
+	s.dispatch(s.chooseOp(server, s.nextQueue(server)), server)
+}
 
-// idleWait begins the wait; what it leaves of the window goes to others at once.
-func (s *Scheduler) idleWait(o *server) {
-	o.waitEnd = min(s.now+o.servedQueue.thinkTime.value(meanOffset), o.sliceEnd)
-	s.sendFromOthers(o)
+// idleWait starts the wait for the served queue's next op. Other queues use the window meanwhile.
+func (s *Scheduler) idleWait(server *server) {
+	server.waitEnd = min(s.now+server.servedQueue.thinkTime.value(), server.sliceEnd)
+	s.sendFromOthers(server)
 }
 
-// chooseOp picks the op of a volume that leaves next: a further dispatch, then the run under way, then the
-// one whose target latency is over first. It returns nil where none may leave now.
-func (s *Scheduler) chooseOp(o *server, q *volumeQueue) *op {
-	if s.nothingCanLeave(o, q) {
+// chooseOp is the op of a queue to dispatch next: a retry, then one with the key of the last op
+// sent, then the one whose target latency is over first. It is nil where none may be dispatched
+// now.
+func (s *Scheduler) chooseOp(server *server, queue *volumeQueue) (chosen *op) {
+	if s.nothingCanLeave(server, queue) {
 		return nil
 	}
-	var found *op
-	run := q.opsByKey[o.lastKey] > 0
-	for _, p := range q.held {
-		if found != nil && !run { // none that comes later goes before it
+	continuesRun := queue.opsByKey[server.lastKey] > 0
+	for _, op := range queue.held {
+		if chosen != nil && !continuesRun { // without a run the queue is sorted already
 			break
 		}
-		if goesBefore(o, p, found) && s.hasCapacity(o, p) && s.mayDispatch(p, o) {
-			found = p
+		if goesBefore(server, op, chosen) && s.hasCapacity(server, op) && s.mayDispatch(op, server) {
+			chosen = op
 		}
 	}
-	return found
+	return chosen
 }
 
-func goesBefore(o *server, p, than *op) bool {
-	if than == nil || p.isRetry != than.isRetry {
-		return than == nil || p.isRetry
+// goesBefore reports whether an op is to be dispatched to a server before another, which may be
+// nil.
+func goesBefore(server *server, op, other *op) bool {
+	if other == nil {
+		return true
+	}
+	if op.isRetry != other.isRetry {
+		return op.isRetry
 	}
-	if run := p.HasKey && p.Key == o.lastKey; run != (than.HasKey && than.Key == o.lastKey) {
-		return run
+	inRun := op.HasKey && op.Key == server.lastKey
+	otherInRun := other.HasKey && other.Key == server.lastKey
+	if inRun != otherInRun {
+		return inRun
 	}
-	return p.target < than.target
+	return op.target < other.target
 }
 
-// nothingCanLeave tells, without a look at each, that none of a volume's held ops can leave a node: it is left alone,
-// their clients would be gone, or room and limit are used up for all. choose would find the same.
-func (s *Scheduler) nothingCanLeave(o *server, q *volumeQueue) bool {
-	trying := o.health == halfOpen && o.outstanding > 0 && s.now-o.unansweredSince <= o.backoff
-	if len(q.held) == 0 || o.health == down || trying {
+// nothingCanLeave reports, without a check of each op, that chooseOp would find none in a queue:
+// the server gets nothing, the clients would be gone, or the window or the limit is used up for
+// all.
+func (s *Scheduler) nothingCanLeave(server *server, queue *volumeQueue) bool {
+	if len(queue.held) == 0 || server.health == down || s.halfOpenBusy(server) {
 		return true
 	}
-	soon, last := s.now+s.earliestAnswerOfAnyType(o), len(q.held)-1
-	for last >= 0 && soon >= q.held[last].Timeout {
-		last--
-	}
-	if last < 0 {
+	if s.allClientsGone(server, queue) {
 		return true
 	}
-	s.refillBuckets(q.volume)
-	if o.outstanding > 0 {
-		if float64(o.outstanding) >= s.largestConcurrencyLimit(o, q.volume.reserve >= q.smallestUnits) {
+	s.refillBuckets(queue.volume)
+	volume := queue.volume
+	if server.outstanding > 0 {
+		withinReserve := volume.reserve >= queue.smallestUnits
+		if float64(server.outstanding) >= s.largestConcurrencyLimit(server, withinReserve) {
 			return true
 		}
 	}
-	return valueAt(s.settings.limit, q.volume.plan) > 0 && q.retryCount == 0 && q.volume.limit < q.smallestUnits
+	limited := valueAt(s.settings.limit, volume.plan) > 0
+	return limited && queue.retryCount == 0 && volume.limit < queue.smallestUnits
 }
 
-type sliceState int
-
-const (
-	sliceIdle sliceState = iota // no volume is served
-	sliceServing
-	sliceWaiting // for the next op of the served volume
-)
-
-type sliceSignal int
-
-const (
-	nothingReady     sliceSignal = iota // nothing can leave now
-	othersReady                         // only volumes that are not served have an op that can leave
-	servedReady                         // the served volume has one
-	reserveWaiting                      // only beyond its reserve, while another's is within
-	sliceExpired                        // the slice is over, another has one
-	thinkTimeTooLong                    // it has none, and thinkt reaches past its slice
-	cheaperReady                        // it has none, and another that completes faster has one
-	worthWaiting                        // it has none, and waiting is worth while
-)
+// allClientsGone reports whether no client of a queue's ops would wait for the earliest answer of a
+// server. The op held last mostly has the most time left.
+func (s *Scheduler) allClientsGone(server *server, queue *volumeQueue) bool {
+	earliest := s.now + s.earliestAnswerOfAnyType(server)
+	for i := len(queue.held) - 1; i >= 0; i-- {
+		if earliest < queue.held[i].Timeout {
+			return false
+		}
+	}
+	return true
+}
 
-// meanAwait is the mean over the volumes whose await is known.
-func (o *server) meanAwait(c float64) time.Duration {
-	var sum, n time.Duration
-	for _, q := range o.queues {
-		if q.await.sum > 0 {
-			sum, n = sum+q.await.value(c), n+1
+// meanAwait is the mean await of a server's queues that have one.
+func (server *server) meanAwait() time.Duration {
+	var sum, known time.Duration
+	for _, queue := range server.queues {
+		if queue.await.sum > 0 {
+			sum += queue.await.value()
+			known++
 		}
 	}
-	return sum / max(n, 1)
+	return sum / max(known, 1)
 }
