--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -8,43 +8,56 @@
 	"honeyplank/resp"
 )
 
-// Bounds of what a client may have a scheduler keep. Waits and sizes here are about connections, not about ops.
+// Bounds of what a client may have a scheduler keep. They are about connections; ops are the decision module's.
 const (
-	maxBody           = 64 << 10
-	maxPending        = 32                     // commands of one connection without an answer; more wait unread
-	maxOwedBytes      = maxPending * maxBody   // bytes of answers, due and not read by the client; with more it is not read
-	commandTimeout    = 2 * time.Second        // for a first command, and for the rest of one
-	maxIdle           = time.Minute            // idle connections stand for so long while there are few,
-	reducedIdle       = 2 * time.Second        // for so long past an eighth of the descriptors,
-	minIdle           = 500 * time.Millisecond // and for so long past a quarter: clients get no more than a third
-	errorReadTime     = 200 * time.Millisecond // to read an error before the connection closes
-	maxDeadlineFactor = 100                    // times the op timeout of the settings: no client is waited for any longer
-	maxCommandBatch   = 64                     // commands of one connection that are taken in a row and are no ops
-	initialReadSize   = 16 << 10               // bytes read at a time from a connection that has not brought an op
-	throttleFactor    = 4                      // clients that bring no ops together have one part of the loop's time in so many
-	minThrottle       = 2 * time.Millisecond   // shorter waits are added up
-	maxThrottle       = time.Second
-	maxEvictionChecks = 8 // connections looked at for one that may be closed
+	maxBody         = 64 << 10             // bytes of a command's body and of a value
+	maxPending      = 32                   // commands of one connection without a reply; more wait unread
+	maxReplyBacklog = maxPending * maxBody // bytes of replies, due or not read by the client; beyond it no more is read
+
+	commandTimeout = 2 * time.Second        // for a first command, and for the rest of one
+	errorReadTime  = 200 * time.Millisecond // to read an error before the connection closes
+
+	// Idle connections stay open for maxIdle while there are few; for reducedIdle once those that have brought ops hold
+	// more than an eighth of all descriptors, and for minIdle once they hold more than a quarter.
+	maxIdle     = time.Minute
+	reducedIdle = 2 * time.Second
+	minIdle     = 500 * time.Millisecond
+
+	// maxDeadlineFactor times the settings' op timeout is the longest that any client is waited for.
+	maxDeadlineFactor = 100
+
+	// Clients that bring no ops are kept from taking up the loop: maxCommandBatch commands of one of them are handled in a
+	// row, initialReadSize bytes are read at a time, and all of them together get one part of the loop's time in
+	// throttleFactor. Pauses shorter than minThrottle are added up; none is longer than maxThrottle.
+	maxCommandBatch = 64
+	initialReadSize = 16 << 10
+	throttleFactor  = 4
+	minThrottle     = 2 * time.Millisecond
+	maxThrottle     = time.Second
+
+	// maxEvictionChecks is how many connections are examined for one that may be closed.
+	maxEvictionChecks = 8
 )
 
 var commandBounds = resp.Bounds{Line: 64, Bulk: maxBody, Items: 16, Depth: 1, Total: maxBody + 4096, Command: true}
 
-// client is one connection from clients.
+// client is one connection of a client.
 type client struct {
 	scheduler      *Scheduler
 	conn           *eventloop.Conn
 	reader         resp.Reader
-	pending        []*request    // commands without an answer sent, in order
-	lastActivity   time.Duration // when a command or an answer last ended
-	commandStarted time.Duration // when the command under way began; 0: none is
-	hasSentRequest bool          // it has brought an op
-	paused         bool
-	throttled      bool          // it is not read for a while
-	loopTime       time.Duration // of the loop, without an op
-	closing        bool          // nothing more is taken from it
-	quitRequested  bool          // it has asked for its end
+	pending        []*request    // commands whose reply has not been written, in order
+	lastActivity   time.Duration // when a command was read whole or a reply written last
+	commandStarted time.Duration // when the first part of an unfinished command came; 0: there is none
+	hasSentOp      bool          // it has brought an op
+	paused         bool          // it is not read, for one of several reasons
+	throttled      bool          // it is not read until its share of the loop's time allows for it
+	loopTime       time.Duration // time of the loop that it has used since its last op or pause
+	closing        bool          // no more commands are taken from it
+	quitRequested  bool          // it has sent QUIT
 }
 
+// accept takes a connection of a client, or rejects it with nil where there is no descriptor for it and none idle gives way.
 func (s *Scheduler) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clientConnCount >= s.descriptorQuota(clientDescriptorShare) && !s.evictIdleClient() {
 		s.rejectedConns++
@@ -56,7 +69,7 @@
 	conn.NotifyHalfClose, conn.MaxRead = true, initialReadSize
 	conn.OnClosed = func() {
 		s.clientConnCount--
-		if c.hasSentRequest {
+		if c.hasSentOp {
 			s.activeClients--
 		}
 		delete(s.clients, c)
@@ -66,8 +79,8 @@
 	return c
 }
 
-// idleTimeout is how long a connection may stand idle: clients that never come back must leave room for those that do.
-// Ones that never brought an op don't count, so that a crowd of those costs nobody else a connection.
+// idleTimeout is how long a connection may be idle: clients that never come back must leave room for those that do.
+// Ones that never brought an op do not count, so that a crowd of those costs nobody else a connection.
 func (s *Scheduler) idleTimeout() time.Duration {
 	switch {
 	case s.activeClients > s.config.Sockets/4:
@@ -78,32 +91,24 @@
 	return maxIdle
 }
 
-// evictIdleClient closes the connection that has been of no use for longest: one that never brought an op, else one that
-// has been idle for some time. It tells whether there was one. One on which something has come that is not read yet
-// is left where another will do: closing over that resets the connection, takes an answer from the client that it
-// has not read, and may meet a first op. A crowd whose bytes are all unread still gives way.
+// evictIdleClient closes the connection that has been of no use for longest, and reports whether there was one: one that
+// never brought an op, else one that has been idle for some time. A connection with unread input is spared where another
+// can be closed: closing it resets the connection, which takes replies from the client that it has not read, and the
+// input may be a first op. In a crowd whose input is all unread, one is closed all the same.
 func (s *Scheduler) evictIdleClient() bool {
 	var unread *client
 	for range maxEvictionChecks {
-		var worst *client
-		for c := range s.clients {
-			if c.isBusy() || c.closing || c.hasSentRequest && (s.shuttingDown || s.loop.Now()-c.lastActivity < minIdle) {
-				continue
-			}
-			if worst == nil || worst.hasSentRequest && !c.hasSentRequest || worst.hasSentRequest == c.hasSentRequest && c.lastActivity < worst.lastActivity {
-				worst = c
-			}
-		}
+		candidate := s.evictionCandidate()
 		switch {
-		case worst == nil:
+		case candidate == nil:
 			return false
-		case worst.conn.Quiet():
-			worst.conn.Close()
+		case candidate.conn.Quiet():
+			candidate.conn.Close()
 			return true
-		case unread == nil && !worst.hasSentRequest:
-			unread = worst
+		case unread == nil && !candidate.hasSentOp:
+			unread = candidate
 		}
-		worst.lastActivity = s.loop.Now()
+		candidate.lastActivity = s.loop.Now()
 	}
 	if unread != nil {
 		unread.conn.Close()
@@ -111,33 +116,87 @@
 	return unread != nil
 }
 
-// isBusy tells that something is owed on a connection: an answer, or to a client that has brought ops the rest of one, or
-// the wait for the rest of a command. To others it is not: a crowd that asks for PONGs and reads none would hold all room.
+// evictionCandidate is the first client to be evicted; nil: none may be.
+func (s *Scheduler) evictionCandidate() *client {
+	var candidate *client
+	for c := range s.clients {
+		if c.mayBeEvicted() && (candidate == nil || c.evictedBefore(candidate)) {
+			candidate = c
+		}
+	}
+	return candidate
+}
+
+func (c *client) mayBeEvicted() bool {
+	if c.isBusy() || c.closing {
+		return false
+	}
+	return !c.hasSentOp || !c.scheduler.shuttingDown && c.scheduler.loop.Now()-c.lastActivity >= minIdle
+}
+
+func (c *client) evictedBefore(other *client) bool {
+	if c.hasSentOp != other.hasSentOp {
+		return !c.hasSentOp
+	}
+	return c.lastActivity < other.lastActivity
+}
+
+// isBusy reports whether a connection is in use: it waits for a reply or, if it has brought ops, for the rest of a reply or
+// of a command. Others are not in use then: a crowd that sends PING and reads no reply would hold all descriptors.
 func (c *client) isBusy() bool {
-	return len(c.pending) > 0 || c.hasSentRequest && (c.conn.UnsentBytes() > 0 || c.commandStarted > 0)
+	return len(c.pending) > 0 || c.hasSentOp && (c.conn.UnsentBytes() > 0 || c.commandStarted > 0)
 }
 
-// owedBytes is how many bytes of answers a client may yet have to read, at most.
-func (c *client) owedBytes() int { return c.conn.UnsentBytes() + len(c.pending)*maxBody }
+// replyBacklog is how many bytes of replies a client may yet have to read, at most.
+func (c *client) replyBacklog() int { return c.conn.UnsentBytes() + len(c.pending)*maxBody }
 
+// Opened does nothing: connections of clients are up when they are accepted.
 func (c *client) Opened(*eventloop.Conn) {}
 
+// Input handles the commands in b and returns how many bytes it has used.
 func (c *client) Input(_ *eventloop.Conn, b []byte) (used int) {
-	now, taken, commands := c.scheduler.loop.Now(), c.scheduler.tracker.Counts.Admitted, 0
+	s := c.scheduler
+	now, admitted := s.loop.Now(), s.tracker.Counts.Admitted
+	used, commands, err := c.readCommands(b, now)
+	if err != nil {
+		c.protocolError(err)
+		return len(b)
+	}
+	switch {
+	case s.tracker.Counts.Admitted > admitted:
+		c.loopTime = 0
+	case !c.closing && !s.intakeClosed:
+		c.loopTime += s.loop.Now() - now
+		c.throttle(commands > 0, used < len(b))
+	}
+	if s.intakeClosed {
+		c.conn.Pause()
+		c.flushReplies()
+	}
+	if c.closing {
+		return len(b)
+	}
+	return used
+}
+
+// readCommands handles the whole commands in b, until a bound on what is taken from the client is reached. An error says
+// that b does not follow the protocol.
+func (c *client) readCommands(b []byte, now time.Duration) (used, commands int, err error) {
+	s := c.scheduler
+	admitted := s.tracker.Counts.Admitted
 	for used < len(b) && !c.closing {
-		if commands >= maxCommandBatch && c.scheduler.tracker.Counts.Admitted == taken && !c.scheduler.intakeClosed {
+		if commands >= maxCommandBatch && s.tracker.Counts.Admitted == admitted && !s.intakeClosed {
 			break
 		}
-		if c.owedBytes() >= maxOwedBytes && !c.scheduler.intakeClosed {
+		if c.replyBacklog() >= maxReplyBacklog && !s.intakeClosed {
 			c.paused = true
 			c.conn.Pause()
 			break
 		}
-		n, v, whole, err := c.reader.Next(b[used:])
+		n, command, whole, err := c.reader.Next(b[used:])
 		used += n
 		if err != nil {
-			c.protocolError(err)
-			return len(b)
+			return used, commands, err
 		}
 		if !whole {
 			if c.commandStarted == 0 {
@@ -146,53 +205,40 @@
 			break
 		}
 		c.commandStarted, c.lastActivity = 0, now
-		c.handleCommand(min(c.conn.ReceivedAfter(), now), v.List)
+		c.handleCommand(min(c.conn.ReceivedAfter(), now), command.List)
 		commands++
 	}
-	switch {
-	case c.scheduler.tracker.Counts.Admitted > taken:
-		c.loopTime = 0
-	case !c.closing && !c.scheduler.intakeClosed:
-		c.loopTime += c.scheduler.loop.Now() - now
-		c.throttle(commands > 0, used < len(b))
-	}
-	if c.scheduler.intakeClosed {
-		c.conn.Pause()
-		c.flushReplies()
-	}
-	if c.closing {
-		return len(b)
-	}
-	return used
+	return used, commands, nil
 }
 
-// throttle has a client that took up time of the loop and brought no op be read again only after a multiple of that, so that
-// all such clients together leave most of the time to others. It guards requests against floods, and could harm a client
-// whose first request comes behind many commands, by some milliseconds for each other such client there is.
-func (c *client) throttle(whole, more bool) {
-	wait := c.loopTime * throttleFactor * time.Duration(c.scheduler.throttledClients+1)
-	if !whole || !more && wait < minThrottle { // a part of a command may be one of a request
+// throttle pauses reading from a client that used time of the loop and brought no op, for a multiple of that time, so that
+// all such clients together leave most of the loop's time to others. It guards ops against floods of other commands, and
+// could harm a client whose first op comes behind many commands, by some milliseconds for each throttled client.
+// hasCommands says that it sent whole commands, hasMore that more of its input waits.
+func (c *client) throttle(hasCommands, hasMore bool) {
+	pause := c.loopTime * throttleFactor * time.Duration(c.scheduler.throttledClients+1)
+	if !hasCommands || !hasMore && pause < minThrottle { // a part of a command may be the first one of an op
 		return
 	}
 	c.paused, c.throttled, c.loopTime = true, true, 0
 	c.scheduler.throttledClients++
 	c.conn.Pause()
-	c.scheduler.loop.Schedule(c.scheduler.loop.Now()+min(wait, maxThrottle), func() {
+	c.scheduler.loop.Schedule(c.scheduler.loop.Now()+min(pause, maxThrottle), func() {
 		c.throttled = false
 		c.scheduler.throttledClients--
 		c.resumeReading()
 	})
 }
 
-// Closed is told that the client has gone.
+// Closed handles the end of the connection by the client or by a failure.
 func (c *client) Closed(*eventloop.Conn, error) { c.disconnect() }
 
-// disconnect ends what is owed to a client.
+// disconnect reports the client of each unanswered op as gone.
 func (c *client) disconnect() {
 	c.closing = true
-	due := c.pending
+	pending := c.pending
 	c.pending = nil
-	for _, r := range due {
+	for _, r := range pending {
 		if !r.done {
 			r.done = true
 			c.scheduler.tracker.ClientGone(r.id)
@@ -200,15 +246,16 @@
 	}
 }
 
-// protocolError answers what can't be read: nothing behind it can be either.
+// protocolError replies to input that does not follow the protocol, behind the replies that are due, and closes the
+// connection: input behind it cannot be read either.
 func (c *client) protocolError(err error) {
 	c.scheduler.protocolErrors++
 	text := "ERR Protocol error"
-	var b *resp.ProtocolError
-	if errors.As(err, &b) {
-		text += ": " + b.Reason
+	var protocol *resp.ProtocolError
+	if errors.As(err, &protocol) {
+		text += ": " + protocol.Reason
 	}
-	if len(c.pending) > 0 { // what was asked before is still answered, in order
+	if len(c.pending) > 0 { // commands before it get their replies first
 		c.closing = true
 		c.conn.Pause()
 		c.pending = append(c.pending, &request{client: c, done: true, reply: resp.AppendError(nil, text)})
@@ -219,6 +266,8 @@
 	c.conn.CloseAfterFlush(errorReadTime)
 }
 
+// flushReplies writes the replies that are complete, in the order of their commands, and ends the connection where the
+// last one was its last.
 func (c *client) flushReplies() {
 	for len(c.pending) > 0 && c.pending[0].done {
 		c.conn.Out = append(c.conn.Out, c.pending[0].reply...)
@@ -232,7 +281,7 @@
 	switch {
 	case c.quitRequested && len(c.pending) == 0:
 		c.conn.CloseGracefully()
-	case c.closing && len(c.pending) == 0: // a breach stood behind these
+	case c.closing && len(c.pending) == 0: // a protocol error was the last of them
 		c.conn.CloseAfterFlush(errorReadTime)
 	case c.scheduler.intakeClosed && len(c.pending) == 0:
 		c.closing = true
@@ -243,8 +292,8 @@
 	}
 }
 
-// closeWhenAnswered closes the connection once what was asked on it is answered; nothing more is read. Commands that were read and
-// wait for others are refused: unanswered they would be lost.
+// closeWhenAnswered stops reading and closes the connection once its commands have their replies. Commands that were read but
+// not handled yet are rejected: without a reply their client would not know that they never ran.
 func (c *client) closeWhenAnswered() {
 	if c.closing {
 		return
@@ -252,49 +301,55 @@
 	c.paused = true
 	if c.conn.BufferedBytes() > 0 {
 		c.conn.Pause()
-		c.conn.Resume() // offers them to Input
+		c.conn.Resume() // offers the buffered commands to Input, which rejects them
 	} else if c.conn.Pause(); len(c.pending) == 0 {
 		c.closing = true
 		c.conn.CloseGracefully()
 	}
 }
 
-// resumeReading reads on where room has come free.
+// resumeReading reads on once enough of the replies have been written.
 func (c *client) resumeReading() {
-	if c.paused && !c.throttled && !c.closing && !c.scheduler.intakeClosed && c.owedBytes() < maxOwedBytes/2 {
+	if c.paused && !c.throttled && !c.closing && !c.scheduler.intakeClosed && c.replyBacklog() < maxReplyBacklog/2 {
 		c.paused = false
 		c.conn.Resume()
 	}
 }
 
-// checkClients looks after connections: ones that say nothing, leave a command half said, or don't read.
+// checkClients closes connections that bring no command, leave one unfinished, do not read their replies or are idle for
+// too long, and has the others be read on.
 func (s *Scheduler) checkClients() {
-	now := s.loop.Now()
-	for s.clientConnCount > s.descriptorQuota(clientDescriptorShare) && s.evictIdleClient() { // a new configuration may leave less room
+	for s.clientConnCount > s.descriptorQuota(clientDescriptorShare) && s.evictIdleClient() { // a new configuration may allow for fewer
 	}
-	most := s.idleTimeout()
+	idleTimeout := s.idleTimeout()
 	for c := range s.clients {
-		switch idle := now - c.lastActivity; {
-		case c.closing:
-		case c.commandStarted > 0 && now-c.commandStarted > commandTimeout:
-			c.protocolError(&resp.ProtocolError{Reason: "the rest of a command does not come"})
-		case c.isBusy() && idle <= maxIdle:
-			c.resumeReading()
-		case len(c.pending) > 0:
-		case c.conn.UnsentBytes() > 0 && idle > maxIdle: // it does not read
+		c.checkTimeouts(idleTimeout)
+	}
+}
+
+// checkTimeouts closes the connection if it has passed one of its timeouts, and else has it be read on.
+func (c *client) checkTimeouts(idleTimeout time.Duration) {
+	now := c.scheduler.loop.Now()
+	switch idle := now - c.lastActivity; {
+	case c.closing:
+	case c.commandStarted > 0 && now-c.commandStarted > commandTimeout:
+		c.protocolError(&resp.ProtocolError{Reason: "the rest of a command does not come"})
+	case c.isBusy() && idle <= maxIdle:
+		c.resumeReading()
+	case len(c.pending) > 0:
+	case c.conn.UnsentBytes() > 0 && idle > maxIdle: // it does not read its replies
+		c.conn.Close()
+	case !c.hasSentOp && idle > commandTimeout: // closed without a wait: a crowd that stays would keep others out
+		if c.paused || c.conn.Quiet() { // else its input is read first
 			c.conn.Close()
-		case !c.hasSentRequest && idle > commandTimeout: // at once: a crowd that lingers would keep others out
-			if c.paused || c.conn.Quiet() { // else what has come is read first
-				c.conn.Close()
-			}
-		case s.shuttingDown: // a connection that closes now is not replaced
-		case c.hasSentRequest && idle > most:
-			if c.conn.Quiet() {
-				c.closing = true
-				c.conn.CloseGracefully()
-			}
-		default:
-			c.resumeReading()
 		}
+	case c.scheduler.shuttingDown: // its client could not replace the connection here
+	case c.hasSentOp && idle > idleTimeout:
+		if c.conn.Quiet() {
+			c.closing = true
+			c.conn.CloseGracefully()
+		}
+	default:
+		c.resumeReading()
 	}
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -12,15 +12,16 @@
 	"honeyplank"
 )
 
-// listMessage is a message of discovery.
+// listMessage is a message of discovery: the complete endpoint list, or the members that have changed.
 type listMessage struct {
 	Revision int64        `json:"revision"`
 	Complete bool         `json:"complete"`
 	Members  []listMember `json:"members"`
 
-	isCurrent bool // with it all that was told holds
+	isCurrent bool // with this message, all that has been received is the state of discovery
 }
 
+// listMember is an entry of the list.
 type listMember struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"host_port"`
@@ -29,116 +30,163 @@
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"`
 	Size      float64 `json:"size"`
-	UpSinceMS float64 `json:"up_since_ms"`
+	UpSinceMS float64 `json:"up_since_ms"` // start of the disk server, milliseconds of Unix time
 }
 
 var memberStates = map[string]honeyplank.MemberState{"up": honeyplank.Up, "draining": honeyplank.Draining, "removed": honeyplank.Removed}
 
-// readList reads a message; entries that can't be used are left out, and told.
-func readList(text []byte) (l *listMessage, skipped []string, err error) {
-	l = &listMessage{}
-	if err := json.Unmarshal(text, l); err != nil {
+// readList reads a message. Entries that cannot be used are left out, with the reason of each in skipped.
+func readList(text []byte) (list *listMessage, skipped []string, err error) {
+	list = &listMessage{}
+	if err := json.Unmarshal(text, list); err != nil {
 		return nil, nil, err
 	}
-	sound := l.Members[:0]
-	for _, m := range l.Members {
-		_, known := memberStates[m.Phase]
-		_, err := parseIPv4(m.Address)
-		switch {
-		case m.ID == "":
-			skipped = append(skipped, "an entry has no id")
-		case !known:
-			skipped = append(skipped, fmt.Sprintf("phase %q of %s is unknown", m.Phase, m.ID))
-		case err != nil && m.Phase != "removed":
-			skipped = append(skipped, fmt.Sprintf("host_port of %s is %q", m.ID, m.Address))
-		default:
-			sound = append(sound, m)
+	usable := list.Members[:0]
+	for _, m := range list.Members {
+		if reason := m.unusable(); reason != "" {
+			skipped = append(skipped, reason)
+		} else {
+			usable = append(usable, m)
 		}
 	}
-	l.Members = sound
-	return l, skipped, nil
+	list.Members = usable
+	return list, skipped, nil
 }
 
-var errOldList = errors.New("discovery: the list is older than the one held")
+// unusable gives the reason for which an entry cannot be used; empty: it can.
+func (m listMember) unusable() string {
+	if m.ID == "" {
+		return "an entry has no id"
+	}
+	if _, ok := memberStates[m.Phase]; !ok {
+		return fmt.Sprintf("phase %q of %s is unknown", m.Phase, m.ID)
+	}
+	if _, err := parseIPv4(m.Address); err != nil && m.Phase != "removed" {
+		return fmt.Sprintf("host_port of %s is %q", m.ID, m.Address)
+	}
+	return ""
+}
 
-// watchList follows the list at an address behind a revision, on a goroutine of its own, until the watch ends or its context
-// does; the answer has to begin within a time. begun is called when it stands, lists go to hear, why it ended to fail.
-func watchList(ctx context.Context, address string, revision int64, within time.Duration, begun func(), hear func(*listMessage, []string), fail func(error)) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	defer client.CloseIdleConnections()
-	fail(readMessages(ctx, client, fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision), within, begun, func(text []byte) error {
-		l, skipped, err := readList(text)
+var (
+	errOldList     = errors.New("discovery: the list is older than the current one")
+	errWatchSilent = errors.New("discovery has fallen silent")
+)
+
+// statusError is a response of discovery with another status than 200.
+type statusError struct{ status string }
+
+func (e *statusError) Error() string { return "discovery answers " + e.status }
+
+// listCallbacks are called from the goroutine of a call to discovery.
+type listCallbacks struct {
+	established func() // the response has begun; nil: nobody needs to know
+	received    func(list *listMessage, skipped []string)
+	failed      func(error) // the call has ended, and why; last
+}
+
+// watchList receives the changes of the list after a revision until the watch fails or ctx is done. The response has to begin
+// within headTimeout.
+func watchList(ctx context.Context, address string, revision int64, headTimeout time.Duration, callbacks listCallbacks) {
+	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision)
+	call := listCall{url: url, headTimeout: headTimeout, established: callbacks.established}
+	callbacks.failed(call.run(ctx, func(text []byte) error {
+		list, skipped, err := readList(text)
 		if err == nil {
-			hear(l, skipped)
+			callbacks.received(list, skipped)
 		}
 		return err
 	}))
 }
 
-// fetchList asks for the whole list once.
-func fetchList(ctx context.Context, address string, within time.Duration, hear func(*listMessage, []string), fail func(error)) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	var lists [][]byte
-	err := readMessages(ctx, client, "http://"+address+"/discovery/hosts", within, func() {}, func(text []byte) error {
-		lists = append(lists, text)
+// fetchList asks for the complete list once. The response has to begin within headTimeout.
+func fetchList(ctx context.Context, address string, headTimeout time.Duration, callbacks listCallbacks) {
+	call := listCall{url: "http://" + address + "/discovery/hosts", headTimeout: headTimeout}
+	var messages [][]byte
+	err := call.run(ctx, func(text []byte) error {
+		messages = append(messages, text)
 		return nil
 	})
-	if errors.Is(err, io.EOF) && len(lists) == 1 {
-		var l *listMessage
+	if errors.Is(err, io.EOF) && len(messages) == 1 { // else it was cut, and tells nothing
+		var list *listMessage
 		var skipped []string
-		if l, skipped, err = readList(lists[0]); err == nil {
-			hear(l, skipped)
+		if list, skipped, err = readList(messages[0]); err == nil {
+			callbacks.received(list, skipped)
 			return
 		}
 	}
-	fail(err)
+	callbacks.failed(err)
+}
+
+// listCall is one call to discovery.
+type listCall struct {
+	url         string
+	headTimeout time.Duration
+	established func() // may be nil
+
+	started time.Time
+	reader  messageReader
+	silence *time.Timer // cancels the call at the reader's deadline
 }
 
-// readMessages reads an answer message by message; io.EOF is its end in order.
-func readMessages(ctx context.Context, client *http.Client, url string, within time.Duration, begun func(), hear func(text []byte) error) error {
+// run makes the call and hands over its messages one by one, until it ends; io.EOF is the regular end of a response.
+func (c *listCall) run(ctx context.Context, receive func(text []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	start := time.Now()
-	var r messageReader
-	r.callStarted(0, within)
-	broken := time.AfterFunc(r.deadline, func() { cancel(errWatchSilent) })
-	defer broken.Stop()
-	fault := func(err error) error {
-		if context.Cause(ctx) == errWatchSilent {
-			return errWatchSilent
-		}
-		return err
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	defer client.CloseIdleConnections()
+	c.started = time.Now()
+	c.reader.callStarted(0, c.headTimeout)
+	c.silence = time.AfterFunc(c.reader.deadline, func() { cancel(errWatchSilent) })
+	defer c.silence.Stop()
+	return c.receive(ctx, client, receive)
+}
+
+// cause gives errWatchSilent for an error of a call that was cancelled for silence, and other errors as they are.
+func cause(ctx context.Context, err error) error {
+	if context.Cause(ctx) == errWatchSilent {
+		return errWatchSilent
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	return err
+}
+
+// receive sends the request and reads the response.
+func (c *listCall) receive(ctx context.Context, client *http.Client, receive func(text []byte) error) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
 		return err
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
-		return fault(err)
+		return cause(ctx, err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return &statusError{response.Status}
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("discovery answers %s", answer.Status)
+	if c.established != nil {
+		c.established()
 	}
-	begun()
-	r.headReceived(time.Since(start))
-	for b := make([]byte, 16<<10); ; {
-		broken.Reset(r.deadline - time.Since(start))
-		n, err := answer.Body.Read(b)
-		messages, wrong := r.feed(time.Since(start), b[:n])
+	c.reader.headReceived(time.Since(c.started))
+	return cause(ctx, c.readBody(response.Body, receive))
+}
+
+// readBody reads the messages of a response until it ends.
+func (c *listCall) readBody(body io.Reader, receive func(text []byte) error) error {
+	buffer := make([]byte, readSize)
+	for {
+		c.silence.Reset(c.reader.deadline - time.Since(c.started))
+		n, readErr := body.Read(buffer)
+		messages, err := c.reader.feed(time.Since(c.started), buffer[:n])
 		for _, text := range messages {
-			if err := hear(text); err != nil {
+			if err := receive(text); err != nil {
 				return err
 			}
 		}
-		if wrong != nil {
-			return wrong
-		}
 		if err != nil {
-			return fault(err)
+			return err
+		}
+		if readErr != nil {
+			return readErr
 		}
 	}
 }
-
-var errWatchSilent = errors.New("discovery has fallen silent")
--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -5,10 +5,9 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/inflight"
 )
 
-// applyMember takes over what the list says of a disk server.
+// applyMember applies an entry of the list to its disk server, which is made if it is new.
 func (s *Scheduler) applyMember(m listMember) *diskServer {
 	id := honeyplank.ServerID(m.ID)
 	ds := s.servers[id]
@@ -16,7 +15,8 @@
 		ds = &diskServer{scheduler: s, id: id, address: m.Address}
 		s.servers[id] = ds
 	}
-	ds.removed, ds.draining = memberStates[m.Phase] == honeyplank.Removed, memberStates[m.Phase] == honeyplank.Draining
+	state := memberStates[m.Phase]
+	ds.removed, ds.draining = state == honeyplank.Removed, state == honeyplank.Draining
 	if m.Address != "" && m.Address != ds.address {
 		ds.address, ds.redialAfter, ds.dialFailures = m.Address, 0, 0
 		ds.retireConns()
@@ -31,7 +31,8 @@
 	return ds
 }
 
-// retireConns has connections close once they carry nothing; those that are not up yet at once.
+// retireConns closes the connections that carry nothing, those that are not up yet too, and has the others close once
+// nobody waits for what they carry.
 func (ds *diskServer) retireConns() {
 	for _, sc := range slices.Clone(ds.conns) {
 		if sc.retiring = true; len(sc.inFlight) == 0 {
@@ -40,45 +41,49 @@
 	}
 }
 
-// enforceDrainGrace sees to it that nothing begins at a server that is gone, or past the grace at one that drains: what has been
-// decided before may still wait for a connection, or to be written. It guards against connections that come up for
-// longer than the grace, and could harm where a server's grace is longer than what the settings say. The grace counts from
-// when the list came; what begins may leave a hold-up later.
-func (ds *diskServer) enforceDrainGrace(told time.Duration) {
+// enforceDrainGrace ensures that nothing begins at a disk server that is removed, or past the grace at one that is draining:
+// attempts decided before may still wait for a connection, or to be written. It guards against connections that take longer
+// than the grace to come up, and could harm where a disk server's grace is longer than the settings say. The grace counts
+// from when the process was notified, and ends a hold-up early, since what begins may leave that much later.
+func (ds *diskServer) enforceDrainGrace(notified time.Duration) {
 	if ds.removed {
 		ds.cancelUnsent()
-	} else if grace := ds.scheduler.site().Settings.DrainGrace; ds.draining {
-		ds.scheduler.loop.Schedule(told+max(grace-maxHoldUp, 0), func() {
-			if ds.draining {
-				ds.cancelUnsent()
-			}
-		})
+		return
+	}
+	if !ds.draining {
+		return
 	}
+	grace := ds.scheduler.site().Settings.DrainGrace
+	ds.scheduler.loop.Schedule(notified+max(grace-maxHoldUp, 0), func() {
+		if ds.draining {
+			ds.cancelUnsent()
+		}
+	})
 }
 
-// cancelUnsent takes back all of which nothing has left.
+// cancelUnsent takes back the attempts of which nothing is written.
 func (ds *diskServer) cancelUnsent() {
 	waiting := ds.waiting
 	ds.waiting = nil
 	for _, a := range waiting {
-		a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+		a.fail(honeyplank.NotSent)
 	}
 	for _, sc := range slices.Clone(ds.conns) {
 		for _, a := range slices.Clone(sc.inFlight) {
-			if sc.conn != nil && !a.finished && a.firstByte >= sc.appendedBytes-uint64(sc.conn.UnsentBytes()) && !a.fullyWritten() {
+			if sc.conn != nil && !a.finished && a.firstByte >= sc.writtenBytes() && !a.fullyWritten() {
 				sc.withdraw(a)
-				a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+				a.fail(honeyplank.NotSent)
 			}
 		}
 	}
 }
 
-// closeIdleServerConns closes connections that have been idle for half of what the other end keeps them.
+// closeIdleServerConns closes connections that have been idle for half of the time for which the disk servers keep them,
+// and the longest idle ones while there are too many.
 func (s *Scheduler) closeIdleServerConns() {
-	now := s.loop.Now()
-	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may leave less room
+	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may allow for fewer
 	}
-	keepalive := s.site().Idle
+	now, keepalive := s.loop.Now(), s.site().Idle
 	for keepalive > 0 {
 		sc := s.longestIdleConn()
 		if sc == nil || now-sc.idleSince <= keepalive/2 {
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -121,7 +121,7 @@
 					if a.fullyWritten() {
 						written++
 					}
-					if gone := link.appendedBytes - uint64(link.conn.UnsentBytes()); leaver < 0 && a.firstByte < gone && gone < a.endByte {
+					if gone := link.writtenBytes(); leaver < 0 && a.firstByte < gone && gone < a.endByte {
 						leaver = i
 					}
 				}
@@ -226,8 +226,8 @@
 		bed.onLoop(func() {
 			for x := range bed.scheduler.clients {
 				ok = x.conn.UnsentBytes() > 0 && len(x.pending) == 0 && x.paused
-				if x.owedBytes() > maxOwedBytes+2*maxBody {
-					t.Errorf("%d bytes are owed", x.owedBytes())
+				if x.replyBacklog() > maxReplyBacklog+2*maxBody {
+					t.Errorf("%d bytes are owed", x.replyBacklog())
 				}
 			}
 		})
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -7,8 +7,11 @@
 	"honeyplank"
 )
 
+// maxDatagram is how many bytes a message between peers may have.
 const maxDatagram = 256
 
+// sendGossip sends a message of the decision module to one peer or to all. One that is too long is dropped, as a datagram
+// may be.
 func (s *Scheduler) sendGossip(a honeyplank.Gossip) {
 	if s.peers == nil || len(a.Data) > maxDatagram {
 		return
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -7,7 +7,7 @@
 	"honeyplank"
 )
 
-// setWatch starts or ends following discovery.
+// setWatch starts or ends the watch of discovery.
 func (s *Scheduler) setWatch(on bool) {
 	if !on && s.stopWatch != nil {
 		s.stopWatch()
@@ -18,11 +18,24 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stopWatch = cancel
-	go watchList(ctx, s.config.Discovery, s.revisionGuard.revision, s.callTimeout(), s.watchEstablished(ctx), s.listReceived(ctx, watchCall), s.callFailed(ctx, watchCall))
+	go watchList(ctx, s.config.Discovery, s.revisionGuard.revision, s.callTimeout(), listCallbacks{
+		established: s.watchEstablished(ctx),
+		received:    s.listReceived(ctx, watchCall),
+		failed:      s.callFailed(ctx, watchCall),
+	})
 }
 
-// callTimeout is how long discovery may take to begin an answer. Where calls wait in turn, one that is given up before its turn
-// has been for nothing and comes again, which makes all turns longer.
+// fetch asks discovery for the complete list, once.
+func (s *Scheduler) fetch() {
+	ctx := context.Background()
+	go fetchList(ctx, s.config.Discovery, s.callTimeout(), listCallbacks{
+		received: s.listReceived(ctx, fetchCall),
+		failed:   s.callFailed(ctx, fetchCall),
+	})
+}
+
+// callTimeout is how long discovery may take to begin a response. Where all instances share one discovery, calls wait in a
+// queue: one that is given up before its turn has been for nothing and is repeated, which makes the queue longer.
 func (s *Scheduler) callTimeout() time.Duration {
 	if s.site().Ask {
 		return sharedHeadTimeout
@@ -30,12 +43,12 @@
 	return headTimeout
 }
 
-// callKind tells a call for the whole list from a watch.
+// callKind says what discovery was called for.
 type callKind int
 
 const (
-	fetchCall callKind = iota
-	watchCall
+	fetchCall callKind = iota // the complete list, once
+	watchCall                 // all changes from now on
 )
 
 // watchEstablished tells a module that has asked for the watch that it has it, also where nothing has changed.
@@ -49,37 +62,38 @@
 	}
 }
 
-// listReceived hands a message over to the loop; one of a watch that has ended is dropped, and one that is older than the list
-// held ends its watch.
+// listReceived hands a message to the loop. One from a watch that has ended is dropped, and so is a fetched list that is
+// older than the current one; an older one from a watch ends the watch.
 func (s *Scheduler) listReceived(ctx context.Context, call callKind) func(*listMessage, []string) {
-	return func(l *listMessage, skipped []string) {
-		told := s.loop.Now() // the loop may hear of it late
+	return func(list *listMessage, skipped []string) {
+		notified := s.loop.Now() // the loop may be held up before it handles the message
 		s.loop.Post(func() {
-			if ctx.Err() != nil || call == fetchCall && l.Revision < s.revisionGuard.revision {
+			if ctx.Err() != nil || call == fetchCall && list.Revision < s.revisionGuard.revision {
 				return
 			}
-			l.isCurrent = l.Complete || l.Revision >= s.revisionGuard.revision
-			if !s.revisionGuard.accept(s.loop.Now(), l) {
+			list.isCurrent = list.Complete || list.Revision >= s.revisionGuard.revision
+			if !s.revisionGuard.accept(s.loop.Now(), list) {
 				s.watchFailed(errOldList)
 				return
 			}
-			for _, text := range skipped {
-				s.log.Warn().Str("why", text).Msg("an entry of the list is passed over")
+			for _, reason := range skipped {
+				s.log.Warn().Str("reason", reason).Msg("entry of the endpoint list skipped")
 			}
 			kind := honeyplank.Delta
-			if l.Complete {
+			if list.Complete {
 				kind = honeyplank.Complete
 			}
-			s.applyList(l, kind, told)
+			s.applyList(list, kind, notified)
 		})
 	}
 }
 
+// callFailed handles the end of a call without the list that it was for.
 func (s *Scheduler) callFailed(ctx context.Context, call callKind) func(error) {
 	return func(err error) {
 		s.loop.Post(func() {
 			switch {
-			case call == fetchCall && s.site().Ask: // a watch that stands goes on
+			case call == fetchCall && s.site().Ask: // an established watch goes on
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 			case call == watchCall && ctx.Err() == nil:
 				s.watchFailed(err)
@@ -88,10 +102,10 @@
 	}
 }
 
-// watchFailed is told that discovery could not be followed. Where it stands on this machine the next watch follows at once;
-// where all ask one discovery the module says when: calls that come again at once, from all, keep it from answering any.
+// watchFailed ends the watch and has the next one begin: after watchRetryDelay where discovery runs on this machine. Where
+// all instances share one discovery the module says when: calls that all repeat at once keep it from answering any.
 func (s *Scheduler) watchFailed(err error) {
-	s.log.Info().Err(err).Msg("discovery can't be followed")
+	s.log.Info().Err(err).Msg("watch of discovery failed")
 	s.setWatch(false)
 	if s.site().Ask {
 		s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
@@ -100,38 +114,47 @@
 	}
 }
 
-// applyList takes over what a list that came at a time says and tells the module.
-func (s *Scheduler) applyList(l *listMessage, kind honeyplank.ListKind, told time.Duration) {
-	e := honeyplank.List{Kind: kind, Version: l.Revision}
-	s.starts.observeClocks(s.wallClock(), s.loop.Now()) // in this order: a halt between them makes starts later, not earlier
-	listed := map[honeyplank.ServerID]bool{}
-	var named []*diskServer
-	for _, m := range l.Members {
+// applyList applies a list, or a change of it, that reached the process at notified, and hands it to the module.
+func (s *Scheduler) applyList(list *listMessage, kind honeyplank.ListKind, notified time.Duration) {
+	event := honeyplank.List{Kind: kind, Version: list.Revision}
+	// The wall clock is read first: a hold-up between the two makes starts of disk servers later, never earlier.
+	s.starts.observeClocks(s.wallClock(), s.loop.Now())
+	var changed []*diskServer
+	for _, m := range list.Members {
 		s.visited.members++
-		listed[honeyplank.ServerID(m.ID)] = true
-		named = append(named, s.applyMember(m))
-		e.Members = append(e.Members, s.toMember(m))
+		changed = append(changed, s.applyMember(m))
+		event.Members = append(event.Members, s.toMember(m))
 	}
-	s.starts.listApplied(l, kind)
+	s.starts.listApplied(list, kind)
 	if kind != honeyplank.Delta {
-		for id, ds := range s.servers {
-			s.visited.members++
-			if !listed[id] {
-				named = append(named, s.applyMember(listMember{ID: string(id), Address: ds.address, Phase: "removed"}))
-			}
-		}
+		changed = append(changed, s.removeUnlisted(list)...)
+	}
+	s.tracker.Deliver(event)
+	for _, ds := range changed { // the module has been notified and dispatches nothing new to those that left
+		ds.enforceDrainGrace(notified)
 	}
-	s.tracker.Deliver(e)
-	for _, ds := range named { // by now the module sends them nothing new
-		ds.enforceDrainGrace(told)
+}
+
+// removeUnlisted removes the disk servers that a complete list does not name, and returns them.
+func (s *Scheduler) removeUnlisted(list *listMessage) (removed []*diskServer) {
+	listed := make(map[honeyplank.ServerID]bool, len(list.Members))
+	for _, m := range list.Members {
+		listed[honeyplank.ServerID(m.ID)] = true
+	}
+	for id, ds := range s.servers {
+		s.visited.members++
+		if !listed[id] {
+			removed = append(removed, s.applyMember(listMember{ID: string(id), Address: ds.address, Phase: "removed"}))
+		}
 	}
+	return removed
 }
 
-// toMember is an entry as the module knows it.
+// toMember makes an entry of the list a member as the module knows it.
 func (s *Scheduler) toMember(m listMember) honeyplank.Member {
-	out := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: memberStates[m.Phase]}
-	out.Model, _ = indexOf("model", s.site().Models, m.Model)
-	out.Zone, _ = indexOf("zone", s.site().Zones, m.Zone)
-	out.Started = s.starts.startOf(m)
-	return out
+	member := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: memberStates[m.Phase]}
+	member.Model, _ = indexOf("model", s.site().Models, m.Model)
+	member.Zone, _ = indexOf("zone", s.site().Zones, m.Zone)
+	member.Started = s.starts.startOf(m)
+	return member
 }
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -5,11 +5,10 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/inflight"
 	"honeyplank/resp"
 )
 
-// diskServer is the connections to one disk server. An op has a connection of its own while descriptors last, since
+// diskServer has the connections to one disk server. An op has a connection of its own while descriptors last, since
 // answers come in the order of commands; past that, connections carry several.
 type diskServer struct {
 	scheduler     *Scheduler
@@ -17,59 +16,62 @@
 	address       string
 	removed       bool
 	draining      bool
-	wakeScheduled bool          // rouse will be called
+	wakeScheduled bool          // wakeWaiters is scheduled
 	conns         []*serverConn // all that are open or being opened, oldest first
-	idle          []*serverConn // those that carry nothing, the one that has rested longest first
-	waiting       []*attempt
-	dialing       int
-	redialAfter   time.Duration // no dial before
-	dialFailures  int           // that could not even begin, in a row
+	idle          []*serverConn // those that carry nothing, the one that has been idle longest first
+	waiting       []*attempt    // for a connection, in the order in which they came
+	dialing       int           // connections that are being opened
+	redialAfter   time.Duration // no dial begins before
+	dialFailures  int           // dials in a row that could not begin, up to maxRedialShift
 }
 
 const (
-	// minConnRest is how long a connection rests before it carries the next op: what comes in the meantime is no
-	// answer to that. It guards against servers that answer a second time some milliseconds late (1.2 to 3.9 were met),
-	// and costs connections.
+	// minConnRest is how long a connection is idle before it carries the next op: what comes in the meantime is no answer to
+	// that. It guards against disk servers that answer a second time some milliseconds late (1.2 to 3.9 were met), and
+	// costs connections.
 	minConnRest = 8 * time.Millisecond
-	// After a dial that could not begin the next follows at first after, and later after twice that each time, up to a bound.
+	// A dial that could not begin is repeated after minRedialDelay, then after twice the delay before, up to maxRedialDelay,
+	// which maxRedialShift doublings give.
 	minRedialDelay = 10 * time.Millisecond
 	maxRedialDelay = 160 * time.Millisecond
 	maxRedialShift = 4
 	// maxDialWait is how long a dispatch waits for a dial that can begin.
 	maxDialWait = 200 * time.Millisecond
+	// minEvictableIdle is how long a connection has been idle at least before it is closed for another.
+	minEvictableIdle = time.Second
 )
 
-// assignConn writes to a connection that is idle, else opens one, else writes behind others, else waits for one.
+// assignConn sends an attempt on an idle connection, else on a new one, else behind others, else when there is one.
 func (ds *diskServer) assignConn(a *attempt) {
 	if sc := ds.takeIdleConn(); sc != nil {
 		sc.send(a)
 		return
 	}
-	if ds.scheduler.loop.Now() >= ds.redialAfter && ds.scheduler.reserveDescriptor() && ds.dial() == nil {
+	now := ds.scheduler.loop.Now()
+	if now >= ds.redialAfter && ds.dialIfAllowed() {
 		ds.waiting = append(ds.waiting, a)
 		return
 	}
-	var leastLoaded *serverConn
-	for _, sc := range ds.conns {
-		if sc.connected && !sc.retiring && len(sc.inFlight) > 0 && len(sc.inFlight) < max(ds.scheduler.site().Streams, 1) && (leastLoaded == nil || len(sc.inFlight) < len(leastLoaded.inFlight)) {
-			leastLoaded = sc
-		}
-	}
+	sc := ds.leastLoadedConn()
 	switch {
-	case leastLoaded != nil:
-		leastLoaded.send(a)
+	case sc != nil:
+		sc.send(a)
 	case ds.dialing > 0 || len(ds.idle) > 0:
 		ds.waiting = append(ds.waiting, a)
 		ds.scheduleWaiters()
-	case a.dispatch != nil && ds.scheduler.loop.Now() < ds.redialAfter && ds.redialAfter <= min(a.started+maxDialWait, a.dispatch.Deadline):
+	case a.dispatch != nil && ds.scheduler.loop.Now() < ds.redialAfter && ds.redialAfter <= a.dialDeadline():
 		ds.waiting = append(ds.waiting, a)
-	default: // no descriptor is to be had, which tells nothing of the server
-		a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
+	default: // there is no descriptor, which says nothing of the disk server
+		a.fail(honeyplank.NotSent)
 	}
 }
 
-// takeIdleConn takes the idle connection that has rested longest, where it has for long enough and nothing has come
-// on it since.
+// dialDeadline is until when a dispatch waits for a dial that can begin.
+func (a *attempt) dialDeadline() time.Duration {
+	return min(a.started+maxDialWait, a.dispatch.Deadline)
+}
+
+// takeIdleConn takes the connection that has been idle longest, if that is long enough and nothing has come on it since.
 func (ds *diskServer) takeIdleConn() *serverConn {
 	for len(ds.idle) > 0 {
 		sc := ds.idle[0]
@@ -86,43 +88,72 @@
 	return nil
 }
 
-// scheduleWaiters has those that wait for a connection looked at again: once the idle one that has rested longest has rested for
-// long enough, or where none is idle and none being opened at once.
+// leastLoadedConn is the connection that carries the fewest attempts, of those that may carry one more; nil: there is none.
+func (ds *diskServer) leastLoadedConn() *serverConn {
+	most := max(ds.scheduler.site().Streams, 1)
+	var least *serverConn
+	for _, sc := range ds.conns {
+		load := len(sc.inFlight)
+		if !sc.connected || sc.retiring || load == 0 || load >= most {
+			continue
+		}
+		if least == nil || load < len(least.inFlight) {
+			least = sc
+		}
+	}
+	return least
+}
+
+// nextWaiter takes the attempt that has waited longest.
+func (ds *diskServer) nextWaiter() *attempt {
+	a := ds.waiting[0]
+	ds.waiting = ds.waiting[1:]
+	return a
+}
+
+// scheduleWaiters has the waiting attempts looked at again: when the connection that has been idle longest may carry one,
+// or at once where none is idle and none is being opened.
 func (ds *diskServer) scheduleWaiters() {
 	if ds.wakeScheduled || len(ds.waiting) == 0 || ds.dialing > 0 && len(ds.idle) == 0 {
 		return
 	}
 	at := ds.scheduler.loop.Now()
-	if len(ds.idle) == 0 && at < ds.redialAfter { // redial comes
+	if len(ds.idle) == 0 && at < ds.redialAfter { // redial looks at them
 		return
 	}
 	if len(ds.idle) > 0 {
 		at = ds.idle[0].idleSince + minConnRest
 	}
 	ds.wakeScheduled = true
-	ds.scheduler.loop.Schedule(at, func() {
-		ds.wakeScheduled = false
-		for len(ds.waiting) > 0 { // one that has come free is as good as one that is still to come up
-			sc := ds.takeIdleConn()
-			if sc == nil {
-				break
-			}
-			a := ds.waiting[0]
-			ds.waiting = ds.waiting[1:]
-			sc.send(a)
-		}
-		if ds.dialing == 0 && len(ds.idle) == 0 {
-			ds.reassignWaiters()
+	ds.scheduler.loop.Schedule(at, ds.wakeWaiters)
+}
+
+// wakeWaiters sends waiting attempts on idle connections, and where none is left nor being opened has the rest choose again.
+func (ds *diskServer) wakeWaiters() {
+	ds.wakeScheduled = false
+	for len(ds.waiting) > 0 { // an idle connection will do for those that wait for one that is being opened
+		sc := ds.takeIdleConn()
+		if sc == nil {
+			break
 		}
-		ds.scheduleWaiters()
-	})
+		sc.send(ds.nextWaiter())
+	}
+	if ds.dialing == 0 && len(ds.idle) == 0 {
+		ds.reassignWaiters()
+	}
+	ds.scheduleWaiters()
 }
 
-// reassignWaiters has those that wait choose again.
+// reassignWaiters has all waiting attempts choose again.
 func (ds *diskServer) reassignWaiters() {
 	waiting := ds.waiting
 	ds.waiting = nil
-	for _, a := range waiting {
+	ds.assignAll(waiting)
+}
+
+// assignAll assigns connections to attempts, but for those that finish meanwhile.
+func (ds *diskServer) assignAll(attempts []*attempt) {
+	for _, a := range attempts {
 		if !a.finished {
 			ds.assignConn(a)
 		}
@@ -135,7 +166,24 @@
 	}
 }
 
-// dial opens a connection for whoever waits.
+// failWaiters is called when a connection did not come up. Each attempt waits for a connection of its own while descriptors
+// last, and one fails with each. Past that several wait for one, and all of them fail with the last that was being opened:
+// they would wait for their op timeouts else.
+func (ds *diskServer) failWaiters() {
+	for first := true; len(ds.waiting) > ds.dialing; first = false {
+		if !first && (ds.dialing > 0 || len(ds.idle) > 0) {
+			return
+		}
+		ds.nextWaiter().fail(honeyplank.ConnectFailed)
+	}
+}
+
+// dialIfAllowed opens a connection if there is a descriptor for it, and reports whether it could.
+func (ds *diskServer) dialIfAllowed() bool {
+	return ds.scheduler.reserveDescriptor() && ds.dial() == nil
+}
+
+// dial begins to open a connection. An error says that this machine could not begin.
 func (ds *diskServer) dial() error {
 	s := ds.scheduler
 	sc := &serverConn{server: ds, reader: resp.Reader{Bounds: replyBounds}, idleSince: s.loop.Now()}
@@ -145,7 +193,7 @@
 		return err
 	}
 	if ds.dialFailures = 0; s.failedDials > 0 {
-		s.log.Info().Str("osd", string(ds.id)).Int("tries", s.failedDials).Msg("connections can be opened again")
+		s.log.Info().Str("osd", string(ds.id)).Int("attempts", s.failedDials).Msg("connections can be opened again")
 		s.failedDials = 0
 	}
 	sc.conn = conn
@@ -158,8 +206,8 @@
 	return nil
 }
 
-// postponeDial puts off the next dial, where this machine could not even begin one: no descriptor, port, memory or way is to
-// be had. It tells nothing of the disk server, and is logged once until one is opened again.
+// postponeDial schedules the next dial where this machine could not begin one: it lacks a descriptor, a port, memory or a
+// route. That says nothing of the disk server, and is logged once until a dial begins again.
 func (ds *diskServer) postponeDial(err error) {
 	s := ds.scheduler
 	if s.failedDials++; s.failedDials == 1 {
@@ -170,38 +218,39 @@
 	s.loop.Schedule(ds.redialAfter, ds.redial)
 }
 
-// redial tries once more for those that wait. Where that fails too, those that have waited for long are told, which lets
-// the module choose again.
+// redial dials again for the attempts that wait. Where that fails too, those that have waited for long are reported as not
+// sent, so that the module can choose again.
 func (ds *diskServer) redial() {
 	if len(ds.waiting) == 0 || ds.dialing > 0 || len(ds.idle) > 0 || ds.scheduler.loop.Now() < ds.redialAfter {
 		ds.scheduleWaiters()
 		return
 	}
-	if !ds.scheduler.reserveDescriptor() || ds.dial() != nil {
-		waiting := ds.waiting
-		ds.waiting = nil
-		for _, a := range waiting {
-			if ds.redialAfter <= min(a.started+maxDialWait, a.dispatch.Deadline) {
-				ds.waiting = append(ds.waiting, a)
-			} else {
-				a.finish(honeyplank.NotSent, nil, inflight.Feedback{})
-			}
-		}
+	if !ds.dialIfAllowed() {
+		ds.failLongWaiters()
 		return
 	}
-	behind := ds.waiting[1:]
-	ds.waiting = ds.waiting[:1:1]
-	for _, a := range behind {
-		if !a.finished {
-			ds.assignConn(a)
+	others := ds.waiting[1:]
+	ds.waiting = ds.waiting[:1:1] // the first waits for the new connection
+	ds.assignAll(others)
+}
+
+// failLongWaiters reports the attempts that cannot wait for the next dial as not sent.
+func (ds *diskServer) failLongWaiters() {
+	waiting := ds.waiting
+	ds.waiting = nil
+	for _, a := range waiting {
+		if ds.redialAfter <= a.dialDeadline() {
+			ds.waiting = append(ds.waiting, a)
+		} else {
+			a.fail(honeyplank.NotSent)
 		}
 	}
 }
 
-// reserveDescriptor tells whether a descriptor is left for one more connection to a disk server; the one that has been idle
-// longest anywhere gives way.
+// reserveDescriptor reports whether there is a descriptor for one more connection to a disk server; the one that has been
+// idle longest anywhere gives way.
 func (s *Scheduler) reserveDescriptor() bool {
-	return s.serverConnCount < s.descriptorQuota(serverDescriptorShare) || s.closeLongestIdle(time.Second)
+	return s.serverConnCount < s.descriptorQuota(serverDescriptorShare) || s.closeLongestIdle(minEvictableIdle)
 }
 
 // longestIdleConn is the connection that has been idle longest, of those to all disk servers; nil: none is idle.
@@ -212,7 +261,8 @@
 	return s.idleServerConns.first
 }
 
-// closeLongestIdle closes the connection that has been idle longest anywhere, if for long enough.
+// closeLongestIdle closes the connection that has been idle longest anywhere, if it has been for a time at least, and
+// reports whether it did.
 func (s *Scheduler) closeLongestIdle(least time.Duration) bool {
 	sc := s.longestIdleConn()
 	if sc == nil || s.loop.Now()-sc.idleSince < least {
@@ -221,3 +271,10 @@
 	sc.close()
 	return true
 }
+
+// closeIdleConns closes the idle connections to one disk server.
+func (ds *diskServer) closeIdleConns() {
+	for len(ds.idle) > 0 {
+		ds.idle[0].close()
+	}
+}
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -13,119 +13,140 @@
 )
 
 const (
-	// What an answer may have: the longest value of the protocol, and lines.
-	maxReplyLine = 4096
-	maxValue     = 64 << 10
+	maxReplyLine = 4096     // bytes of a line: an error, or the head of a value
+	maxValue     = 64 << 10 // bytes of the longest value of the protocol
+	maxFigure    = 1e12     // of a load report; a larger one makes no sense
+	maxQuotaUsed = 1e9
 )
 
 var replyBounds = resp.Bounds{Line: maxReplyLine, Bulk: maxValue, Items: 8, Depth: 3, Total: maxValue + 2*maxReplyLine}
 
+var errMalformedReply = errors.New("it is no answer to what was asked")
+
+// serverReply is what an answer of a disk server says.
+type serverReply struct {
+	code     honeyplank.Code
+	data     []byte
+	feedback inflight.Feedback
+}
+
+// Input handles the answers in b and returns how many bytes it has used.
 func (sc *serverConn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
-		if len(sc.inFlight) == 0 { // nothing is asked: it is no answer
+		if len(sc.inFlight) == 0 { // nothing was asked
 			sc.failWith(errUnexpectedData)
 			return len(b)
 		}
-		n, v, whole, err := sc.reader.Next(b[used:])
+		n, value, whole, err := sc.reader.Next(b[used:])
 		used += n
-		if err != nil {
-			sc.failMalformed(err)
-			return len(b)
-		}
-		if !whole {
+		if err == nil && !whole {
 			continue
 		}
-		a := sc.inFlight[0]
-		sc.inFlight = sc.inFlight[1:]
-		code, data, told, err := a.parseReply(&v)
+		var reply serverReply
+		if err == nil {
+			reply, err = sc.inFlight[0].parseReply(&value)
+		}
 		if err != nil {
-			sc.inFlight = append([]*attempt{a}, sc.inFlight...)
 			sc.failMalformed(err)
 			return len(b)
 		}
-		if len(sc.inFlight) == 0 && used < len(b) {
-			// A good answer with more behind it: the connection is of no further use.
-			sc.close()
-			a.finish(code, data, told)
-			return len(b)
-		}
-		if len(sc.inFlight) > 0 {
-			sc.closeIfAbandoned()
-		} else if sc.inFlight = nil; sc.retiring {
-			sc.close()
-		} else {
-			sc.markIdle()
-		}
-		a.finish(code, data, told)
-		if sc.conn == nil {
+		if sc.handleReply(reply, used < len(b)); sc.conn == nil {
 			return len(b)
 		}
 	}
 	return used
 }
 
-// parseReply tells what an answer means.
-func (a *attempt) parseReply(v *resp.Value) (code honeyplank.Code, data []byte, told inflight.Feedback, err error) {
-	fields := a.server.scheduler.site().Fields
-	if v.Kind == resp.Error {
-		text := string(v.Text)
-		told.Load = parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], fields)
-		if text == "BUSY" || strings.HasPrefix(text, "BUSY ") {
-			return honeyplank.Rejected, nil, told, nil
-		}
-		if !strings.HasPrefix(text, "ERR") {
-			a.server.scheduler.log.Warn().Str("osd", string(a.server.id)).Str("answer", text).Msg("turned down")
-		}
-		return honeyplank.Failed, nil, told, nil
+// handleReply reports the outcome of the first attempt in flight. hasMore says that more has come behind the answer.
+func (sc *serverConn) handleReply(reply serverReply, hasMore bool) {
+	a := sc.inFlight[0]
+	sc.inFlight = sc.inFlight[1:]
+	switch {
+	case len(sc.inFlight) > 0:
+		sc.closeIfAbandoned()
+	case hasMore: // nothing else was asked: the connection cannot be trusted with another command
+		sc.close()
+	default:
+		sc.release()
 	}
-	if a.dispatch == nil {
-		if v.Kind != resp.Bulk || v.Null {
-			return 0, nil, told, errMalformedReply
-		}
-		told.Load = parseLoadReport(string(v.Text), fields)
-		return honeyplank.Succeeded, nil, told, nil
+	a.finish(reply.code, reply.data, reply.feedback)
+}
+
+// parseReply reads the answer to an attempt.
+func (a *attempt) parseReply(value *resp.Value) (serverReply, error) {
+	switch {
+	case value.Kind == resp.Error:
+		return a.parseError(string(value.Text)), nil
+	case a.dispatch == nil:
+		return a.parseProbeReply(value)
 	}
-	if v.Kind != resp.Array || len(v.List) == 0 || v.List[0].Kind != resp.Bulk || v.List[0].Null {
-		return 0, nil, told, errMalformedReply
+	return a.parseDispatchReply(value)
+}
+
+// parseError reads an error, the last word of which may be a load report.
+func (a *attempt) parseError(text string) serverReply {
+	s := a.server.scheduler
+	feedback := inflight.Feedback{Load: parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], s.site().Fields)}
+	if text == "BUSY" || strings.HasPrefix(text, "BUSY ") {
+		return serverReply{code: honeyplank.Rejected, feedback: feedback}
 	}
-	if len(v.List) > 1 && v.List[1].Kind == resp.Bulk {
-		told.QuotaUsed, told.ServedElsewhere = parseUsage(string(v.List[1].Text))
+	if !strings.HasPrefix(text, "ERR") {
+		s.log.Warn().Str("osd", string(a.server.id)).Str("answer", text).Msg("command refused by disk server")
 	}
-	if len(v.List) > 2 && v.List[2].Kind == resp.Bulk {
-		told.Load = parseLoadReport(string(v.List[2].Text), fields)
+	return serverReply{code: honeyplank.Failed, feedback: feedback}
+}
+
+// parseProbeReply reads a load report.
+func (a *attempt) parseProbeReply(value *resp.Value) (serverReply, error) {
+	if value.Kind != resp.Bulk || value.Null {
+		return serverReply{}, errMalformedReply
 	}
-	return honeyplank.Succeeded, v.List[0].Text, told, nil
+	load := parseLoadReport(string(value.Text), a.server.scheduler.site().Fields)
+	return serverReply{code: honeyplank.Succeeded, feedback: inflight.Feedback{Load: load}}, nil
 }
 
-var errMalformedReply = errors.New("it is no answer to what was asked")
+// parseDispatchReply reads an array of the op's data, figures on its quota and a load report. The data has to be there.
+func (a *attempt) parseDispatchReply(value *resp.Value) (serverReply, error) {
+	if value.Kind != resp.Array || len(value.List) == 0 || value.List[0].Kind != resp.Bulk || value.List[0].Null {
+		return serverReply{}, errMalformedReply
+	}
+	reply := serverReply{code: honeyplank.Succeeded, data: value.List[0].Text}
+	if len(value.List) > 1 && value.List[1].Kind == resp.Bulk {
+		reply.feedback.QuotaUsed, reply.feedback.ServedElsewhere = parseUsage(string(value.List[1].Text))
+	}
+	if len(value.List) > 2 && value.List[2].Kind == resp.Bulk {
+		reply.feedback.Load = parseLoadReport(string(value.List[2].Text), a.server.scheduler.site().Fields)
+	}
+	return reply, nil
+}
 
-// parsePairs reads names and values, as util=0.61,latency_ms=12; what can't be read is left out.
+// parsePairs reads names and values, as util=0.61,latency_ms=12; what cannot be read is left out.
 func parsePairs(text string) map[string]float64 {
-	found := map[string]float64{}
-	for _, p := range strings.Split(text, ",") {
-		name, value, _ := strings.Cut(p, "=")
-		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && x >= 0 && x < 1e12 {
-			found[strings.TrimSpace(name)] = x
+	pairs := map[string]float64{}
+	for _, pair := range strings.Split(text, ",") {
+		name, value, _ := strings.Cut(pair, "=")
+		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && x >= 0 && x < maxFigure {
+			pairs[strings.TrimSpace(name)] = x
 		}
 	}
-	return found
+	return pairs
 }
 
-// parseLoadReport reads a load report; one that lacks what the settings name is none.
+// parseLoadReport reads a load report by the module's names; nil: it lacks one of the fields that the settings name.
 func parseLoadReport(text string, fields []string) map[string]float64 {
-	found, named := parsePairs(text), map[string]float64{}
-	for _, f := range fields {
-		x, ok := found[f]
+	pairs, load := parsePairs(text), map[string]float64{}
+	for _, field := range fields {
+		x, ok := pairs[field]
 		if !ok {
 			return nil
 		}
-		named[simwire.FieldName(f)] = x
+		load[simwire.FieldName(field)] = x
 	}
-	return named
+	return load
 }
 
-// parseUsage reads the figures on use.
-func parseUsage(text string) (used int, elsewhere float64) {
-	found := parsePairs(text)
-	return int(min(found["used"], 1e9)), found["cost"]
+// parseUsage reads the figures on a volume's quota, in the units of inflight.Feedback; figures that are missing are 0.
+func parseUsage(text string) (quotaUsed int, servedElsewhere float64) {
+	pairs := parsePairs(text)
+	return int(min(pairs["used"], maxQuotaUsed)), pairs["cost"]
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -2,10 +2,12 @@
 
 import (
 	"bytes"
+	"encoding/binary"
 	"encoding/hex"
 	"errors"
 	"fmt"
 	"math"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -15,60 +17,86 @@
 	"honeyplank/resp"
 )
 
-// request is a command that is owed an answer.
+// Arguments of BLK.READ and BLK.WRITE: COMMAND KEY ID NAME=VALUE,... [BODY].
+const (
+	keyArg = iota + 1
+	idArg
+	optionsArg
+	bodyArg // of BLK.WRITE alone
+
+	keyDigits       = 16   // hexadecimal digits of a key
+	maxIDBytes      = 64   // of an op's id
+	maxOptionsBytes = 1024 // of the list of names and values
+	maxTimeoutMS    = 1e9  // that a client may name
+	maxUnits        = 1e6  // of an op's size
+)
+
+// requiredOptions are the names that the list of names and values has to hold.
+var requiredOptions = []string{"c", "t", "d", "volume", "units", "shard", "hosts"}
+
+var errDuplicateID = errors.New("the id is that of an open request")
+
+// request is a command of a client, to which one reply is sent.
 type request struct {
-	client        *client
-	id            honeyplank.OpID
-	args          [][]byte
-	options       string // the list of names and values, and where in it the value of d lies
-	deadlineStart int
-	deadlineEnd   int
-	reply         []byte
-	done          bool
+	client  *client
+	id      honeyplank.OpID
+	args    [][]byte // nil once it has its reply
+	options string   // the list of names and values
+	// The value of d, the timeout, lies between these offsets of options: disk servers get another.
+	timeoutStart, timeoutEnd int
+	reply                    []byte
+	done                     bool // reply is complete
 }
 
-// handleCommand takes one command up that came at a time, or answers it.
-func (c *client) handleCommand(came time.Duration, list []resp.Value) {
+// handleCommand replies to a command or admits it as an op. It has arrived after received, a time of the loop.
+func (c *client) handleCommand(received time.Duration, list []resp.Value) {
 	args := make([][]byte, len(list))
 	for i, v := range list {
 		args[i] = v.Text
 	}
 	r := &request{client: c, args: args}
 	c.pending = append(c.pending, r)
-	if c.scheduler.intakeClosed { // it was read before the scheduler took no more
+	if c.scheduler.intakeClosed { // it was read before the intake was closed
 		r.reply, r.done = resp.AppendError(nil, "BUSY"), true
 		return
 	}
 	switch name := string(bytes.ToUpper(args[0])); {
 	case string(args[0]) == "BLK.READ" || string(args[0]) == "BLK.WRITE":
-		op, err := r.parseOp(came)
-		if err == nil && !c.scheduler.tracker.Admit(op, r) {
-			err = errors.New("the id is that of an open request")
-		}
-		if err == nil && !c.hasSentRequest {
-			c.hasSentRequest, c.conn.MaxRead = true, 0
-			c.scheduler.activeClients++
-		}
-		if err != nil {
-			c.scheduler.errorReplies++
-			c.scheduler.log.Debug().Err(err).Msg("a command is answered with an error")
-			r.respond(resp.AppendError(nil, "ERR "+err.Error()))
-		}
+		r.admit(received)
 	case name == "PING" && len(args) == 1:
 		r.respond(resp.AppendSimple(nil, "PONG"))
 	case name == "PING" && len(args) == 2:
 		r.respond(resp.AppendBulk(nil, args[1]))
 	case name == "CLIENT" || name == "SELECT":
 		r.respond(resp.AppendSimple(nil, "OK"))
-	case name == "QUIT": // what was asked before is answered before
+	case name == "QUIT": // commands before it are answered before it
 		c.closing, c.quitRequested = true, true
-		c.conn.Pause() // what comes behind is not read: its client may send it again
+		c.conn.Pause() // commands behind it are not read: the client may send them again
 		r.respond(resp.AppendSimple(nil, "OK"))
 	default:
 		r.respond(resp.AppendError(nil, fmt.Sprintf("ERR unknown command %.32q", args[0])))
 	}
 }
 
+// admit hands the command to the tracker as an op; one that cannot be used gets an error.
+func (r *request) admit(received time.Duration) {
+	c := r.client
+	op, err := r.parseOp(received)
+	if err == nil && !c.scheduler.tracker.Admit(op, r) {
+		err = errDuplicateID
+	}
+	if err != nil {
+		c.scheduler.errorReplies++
+		c.scheduler.log.Debug().Err(err).Msg("a command is answered with an error")
+		r.respond(resp.AppendError(nil, "ERR "+err.Error()))
+		return
+	}
+	if !c.hasSentOp {
+		c.hasSentOp, c.conn.MaxRead = true, 0
+		c.scheduler.activeClients++
+	}
+}
+
 // respond sends a reply, behind those due before it.
 func (r *request) respond(reply []byte) {
 	if r.done {
@@ -91,134 +119,147 @@
 	r.respond(resp.AppendError(nil, text))
 }
 
-// parseOp reads a command of the form COMMAND PIECE ID NAME=VALUE,... [BODY].
-func (r *request) parseOp(now time.Duration) (op honeyplank.Op, err error) {
-	write := string(r.args[0]) == "BLK.WRITE"
-	want := 4
-	if write {
-		want = 5
+// parseOp reads the op that the command asks for. Its timeout counts from received.
+func (r *request) parseOp(received time.Duration) (op honeyplank.Op, err error) {
+	op.Write = string(r.args[0]) == "BLK.WRITE"
+	expected := bodyArg
+	if op.Write {
+		expected++
 	}
-	if len(r.args) != want {
-		return op, fmt.Errorf("wrong number of arguments: %d, expected %d", len(r.args), want)
+	if len(r.args) != expected {
+		return op, fmt.Errorf("wrong number of arguments: %d, expected %d", len(r.args), expected)
 	}
-	if op.Key, err = parseHex16("the piece of data", r.args[1]); err != nil {
+	if op.Key, err = parseHex16("the piece of data", r.args[keyArg]); err != nil {
 		return op, err
 	}
-	if len(r.args[2]) == 0 || len(r.args[2]) > 64 {
-		return op, errors.New("no id of 1 to 64 bytes")
+	op.HasKey = true
+	if n := len(r.args[idArg]); n == 0 || n > maxIDBytes {
+		return op, fmt.Errorf("no id of 1 to %d bytes", maxIDBytes)
 	}
-	r.id = honeyplank.OpID(r.args[2])
-	op.ID, op.HasKey, op.Write = r.id, true, write
-	if len(r.args[3]) > 1024 {
-		return op, errors.New("the list of names and values is longer than 1024 bytes")
+	r.id = honeyplank.OpID(r.args[idArg])
+	op.ID = r.id
+	if len(r.args[optionsArg]) > maxOptionsBytes {
+		return op, fmt.Errorf("the list of names and values is longer than %d bytes", maxOptionsBytes)
+	}
+	r.options = string(r.args[optionsArg])
+	if err := r.parseOptions(&op, received); err != nil {
+		return op, err
 	}
-	r.options = string(r.args[3])
+	op.Timeout = min(op.Timeout, received+maxOpTime(r.client.scheduler.site(), op.Type))
+	return op, nil
+}
+
+// parseOptions reads the list of names and values, NAME=VALUE,NAME=VALUE..., into op.
+func (r *request) parseOptions(op *honeyplank.Op, received time.Duration) error {
 	seen := map[string]bool{}
-	site := r.client.scheduler.site()
-	for at := 0; at <= len(r.options); {
-		part := r.options[at:]
-		if i := strings.IndexByte(part, ','); i >= 0 {
-			part = part[:i]
-		}
-		name, value, ok := strings.Cut(part, "=")
+	for start := 0; start <= len(r.options); {
+		option, _, _ := strings.Cut(r.options[start:], ",")
+		name, value, ok := strings.Cut(option, "=")
 		if !ok || seen[name] {
-			return op, fmt.Errorf("%.32q is no name and value, or stands twice", part)
+			return fmt.Errorf("%.32q is no name and value, or stands twice", option)
 		}
 		seen[name] = true
-		switch name {
-		case "c":
-			op.Type, err = indexOf("class", site.OpTypes, value)
-		case "t":
-			op.Plan, err = indexOf("plan", site.Plans, value)
-		case "d":
-			var ms float64
-			ms, err = parseDecimal(name, value, 1e9)
-			op.Timeout = now + time.Duration(ms*float64(time.Millisecond))
-			r.deadlineStart, r.deadlineEnd = at+len(name)+1, at+len(part)
-		case "r":
-			op.Retry = value == "1"
-		case "volume":
-			op.Volume, err = parseHex16(name, []byte(value))
-		case "units":
-			op.Units, err = parseDecimal(name, value, 1e6)
-		case "shard":
-			op.Cell, err = strconv.Atoi(value)
-			if err != nil || op.Cell < honeyplank.NewObject {
-				err = fmt.Errorf("shard is %.32q, expected a number from -1", value)
-			}
-		case "hosts":
-			op.Schedulers, err = strconv.Atoi(value)
-			if err != nil || op.Schedulers < 1 {
-				err = fmt.Errorf("hosts is %.32q, expected a number from 1", value)
-			}
+		if name == "d" {
+			r.timeoutStart, r.timeoutEnd = start+len("d="), start+len(option)
 		}
-		if err != nil {
-			return op, err
+		if err := r.parseOption(op, received, name, value); err != nil {
+			return err
 		}
-		at += len(part) + 1
+		start += len(option) + len(",")
 	}
-	for _, name := range []string{"c", "t", "d", "volume", "units", "shard", "hosts"} {
+	for _, name := range requiredOptions {
 		if !seen[name] {
-			return op, fmt.Errorf("%s is missing", name)
+			return fmt.Errorf("%s is missing", name)
 		}
 	}
-	op.Timeout = min(op.Timeout, now+maxDeadline(site, op.Type))
-	return op, nil
+	return nil
+}
+
+// parseOption reads one value into op; names that are not known are left to the disk servers.
+func (r *request) parseOption(op *honeyplank.Op, received time.Duration, name, value string) (err error) {
+	site := r.client.scheduler.site()
+	switch name {
+	case "c":
+		op.Type, err = indexOf("class", site.OpTypes, value)
+	case "t":
+		op.Plan, err = indexOf("plan", site.Plans, value)
+	case "d":
+		var ms float64
+		ms, err = parseDecimal(name, value, maxTimeoutMS)
+		op.Timeout = received + time.Duration(ms*float64(time.Millisecond))
+	case "r":
+		op.Retry = value == "1"
+	case "volume":
+		op.Volume, err = parseHex16(name, []byte(value))
+	case "units":
+		op.Units, err = parseDecimal(name, value, maxUnits)
+	case "shard":
+		op.Cell, err = parseInteger(name, value, honeyplank.NewObject)
+	case "hosts":
+		op.Schedulers, err = parseInteger(name, value, 1)
+	}
+	return err
 }
 
-// maxDeadline is how long an op of a class may take at most, whatever its client says: some times what the settings give
-// all of its tries. It guards against dispatches without an answer that would hold a connection and a place for ever.
-func maxDeadline(site *simwire.Site, class int) time.Duration {
-	if timeouts := site.Settings.OpTypes.OpTimeout; timeouts[class] > 0 {
-		return maxDeadlineFactor * timeouts[class]
+// maxOpTime is how long an op of a type may take at most, whatever timeout its client names: a multiple of the settings' op
+// timeout. It guards against dispatches without an answer that would hold a connection and a place for ever, and could
+// harm a client that does wait for longer.
+func maxOpTime(site *simwire.Site, opType int) time.Duration {
+	if timeouts := site.Settings.OpTypes.OpTimeout; timeouts[opType] > 0 {
+		return maxDeadlineFactor * timeouts[opType]
 	}
-	return math.MaxInt64 / 2
+	return math.MaxInt64 / 2 // so that a time of the loop may be added
 }
 
+// parseHex16 reads a number of 16 hexadecimal digits.
 func parseHex16(name string, text []byte) (int64, error) {
-	var b [8]byte
-	if len(text) != 16 {
-		return 0, fmt.Errorf("%s is %.32q, expected 16 hex digits", name, text)
+	var decoded [keyDigits / 2]byte
+	if len(text) != keyDigits {
+		return 0, fmt.Errorf("%s is %.32q, expected %d hex digits", name, text, keyDigits)
 	}
-	if _, err := hex.Decode(b[:], text); err != nil {
-		return 0, fmt.Errorf("%s is %.32q, expected 16 hex digits", name, text)
+	if _, err := hex.Decode(decoded[:], text); err != nil {
+		return 0, fmt.Errorf("%s is %.32q, expected %d hex digits", name, text, keyDigits)
 	}
-	n, err := strconv.ParseUint(string(text), 16, 64)
-	return int64(n), err
+	return int64(binary.BigEndian.Uint64(decoded[:])), nil
 }
 
+// indexOf gives the position of a name; what says what the names are of.
 func indexOf(what string, names []string, value string) (int, error) {
-	for i, n := range names {
-		if n == value {
-			return i, nil
-		}
+	if i := slices.Index(names, value); i >= 0 {
+		return i, nil
 	}
 	return 0, fmt.Errorf("%s %.32q is unknown", what, value)
 }
 
-func parseDecimal(name, value string, most float64) (float64, error) {
-	for _, c := range []byte(value) {
-		if (c < '0' || c > '9') && c != '.' {
-			return 0, fmt.Errorf("%s is %.32q, expected a number above 0", name, value)
-		}
+// parseInteger reads a whole number from least on.
+func parseInteger(name, value string, least int) (int, error) {
+	n, err := strconv.Atoi(value)
+	if err != nil || n < least {
+		return n, fmt.Errorf("%s is %.32q, expected a number from %d", name, value, least)
 	}
+	return n, nil
+}
+
+// parseDecimal reads a number above 0 and up to most, of digits and a point alone.
+func parseDecimal(name, value string, most float64) (float64, error) {
 	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(x > 0 && x <= most) {
+	if err != nil || strings.Trim(value, "0123456789.") != "" || !(x > 0 && x <= most) {
 		return 0, fmt.Errorf("%s is %.32q, expected a number above 0", name, value)
 	}
 	return x, nil
 }
 
-// appendCommand appends the command as a disk server is to have it: as it came, but for the time that is left.
-func (r *request) appendCommand(out []byte, left time.Duration) []byte {
-	ms := max(left.Milliseconds(), 1)
-	terms := r.options[:r.deadlineStart] + strconv.FormatInt(ms, 10) + r.options[r.deadlineEnd:]
+// appendCommand appends the command as a disk server is to get it: as it came, but for the timeout, of which timeLeft
+// remains.
+func (r *request) appendCommand(out []byte, timeLeft time.Duration) []byte {
+	ms := max(timeLeft.Milliseconds(), 1)
+	options := r.options[:r.timeoutStart] + strconv.FormatInt(ms, 10) + r.options[r.timeoutEnd:]
 	out = resp.AppendArray(out, len(r.args))
-	for i, a := range r.args {
-		if i == 3 {
-			a = []byte(terms)
+	for i, arg := range r.args {
+		if i == optionsArg {
+			arg = []byte(options)
 		}
-		out = resp.AppendBulk(out, a)
+		out = resp.AppendBulk(out, arg)
 	}
 	return out
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,6 +1,9 @@
-// Package scheduler is honeyplank as one scheduler of the operators' platform: clients and disk servers in RESP2,
-// the list from discovery, peers by datagrams, one configuration file. It carries what happens to the books of
-// package ops and does what the decision module says; it decides nothing on ops.
+// Package scheduler is honeyplank as one scheduler of the operators' platform. It serves clients and calls disk servers in
+// RESP2, receives the endpoint list from discovery, exchanges datagrams with its peers and is configured by one file.
+//
+// It reports what happens to the tracker of package inflight and executes the actions of the decision module; it makes no
+// decision on ops itself. All state belongs to one event loop: other goroutines, such as those that call discovery, hand
+// their results to it by Post.
 package scheduler
 
 import (
@@ -20,82 +23,92 @@
 	"honeyplank/policy"
 )
 
-// Scheduler is one running scheduler. All but New, Serve, Shutdown and Reload runs on its loop.
+// Scheduler is one running scheduler. Serve, Shutdown and Reload may be called from any goroutine; all else runs on its loop.
 type Scheduler struct {
-	config           *Config
-	log              zerolog.Logger
-	loop             *eventloop.Loop
-	tracker          *inflight.Tracker
-	listener         *eventloop.Listener
-	peers            *eventloop.UDPConn
-	clients          map[*client]bool
-	servers          map[honeyplank.ServerID]*diskServer
-	serverConnCount  int // connections to disk servers
-	failedDials      int // connections to disk servers that could not even be begun since one was
-	clientConnCount  int // connections of clients, those that are closing too
-	activeClients    int // those of them that have brought an op
-	throttledClients int // those that are not read for a while
-	revisionGuard    revisionGuard
-	starts           startTracker
-	wallClock        func() time.Time   // the wall clock, which may step at any time
-	stopWatch        context.CancelFunc // nil: no watch
-	shuttingDown     bool
-	graceElapsed     bool // no client will come any more
-	intakeClosed     bool // no connection is kept
-	stopping         bool
-	shutdown         shutdownPlan
-	// Commands answered with an error, connections that could not be read, and ones there was no room for.
-	errorReplies, protocolErrors, rejectedConns int
-	countersLoggedAt                            time.Duration
-	// idleServerConns are the idle connections to all disk servers, and peerOrdinals the positions of each address among
-	// the configured peers: what is looked up again and again costs the same in a small and in a large fleet.
+	config   *Config
+	log      zerolog.Logger
+	loop     *eventloop.Loop
+	tracker  *inflight.Tracker
+	listener *eventloop.Listener
+	peers    *eventloop.UDPConn // nil: there are no messages of peers
+	clients  map[*client]bool
+	servers  map[honeyplank.ServerID]*diskServer
+
+	revisionGuard revisionGuard
+	starts        startTracker
+	wallClock     func() time.Time   // may be set to another time at any moment
+	stopWatch     context.CancelFunc // nil: there is no watch
+
+	// idleServerConns are the idle connections to all disk servers, and peerOrdinals the positions of each address among the
+	// configured peers: what recurs costs the same in a small and in a large fleet.
 	idleServerConns idleConnList
 	peerOrdinals    map[netip.AddrPort][]int
 	visited         visitCounts
+
+	serverConnCount  int // open connections to disk servers
+	failedDials      int // in a row that this machine could not begin
+	clientConnCount  int // open connections of clients, those that are closing too
+	activeClients    int // connections of clients that have brought an op
+	throttledClients int // connections of clients that are throttled
+	errorReplies     int // commands answered with an error
+	protocolErrors   int // connections whose input did not follow the protocol
+	rejectedConns    int // connections of clients for which there was no descriptor
+	countersLoggedAt time.Duration
+
+	shuttingDown bool
+	graceElapsed bool // no more clients are expected
+	intakeClosed bool // no more ops are admitted
+	stopping     bool // the loop is about to stop
+	shutdown     shutdownPlan
 }
 
 // visitCounts are how many entries were looked at by steps that recur, so that a test can compare the work in a small
 // fleet with that in a large one.
 type visitCounts struct{ idleConns, peers, members int }
 
-// Descriptors: some are kept for the listener, the loop, discovery and files, the rest is shared.
 const (
+	// reservedDescriptors are kept for the listener, the loop, discovery and files; clients and disk servers share the rest.
 	reservedDescriptors   = 24
 	clientDescriptorShare = 0.6
 	serverDescriptorShare = 0.4
-	housekeepingInterval  = 250 * time.Millisecond
-	counterInterval       = 5 * time.Second
-	// A start that lacks descriptors or memory is tried again after reopen, for listenRetryFor.
+
+	housekeepingInterval = 250 * time.Millisecond
+	counterInterval      = 5 * time.Second // between two log lines with the counters
+
+	// Where descriptors or memory are short at the start, it is repeated after listenRetryDelay, for listenRetryFor.
 	listenRetryDelay = 50 * time.Millisecond
 	listenRetryFor   = 5 * time.Second
 )
 
+// site gives the settings of the deployment.
 func (s *Scheduler) site() *simwire.Site { return s.config.Site }
 
-func (s *Scheduler) descriptorQuota(of float64) int {
-	return int(of * float64(s.config.Sockets-reservedDescriptors))
+// descriptorQuota gives how many descriptors a share of those that are not reserved is.
+func (s *Scheduler) descriptorQuota(share float64) int {
+	return int(share * float64(s.config.Sockets-reservedDescriptors))
 }
 
-// New makes a scheduler and listens. Nothing is served before Serve.
+// New makes a scheduler and listens for clients and peers; where descriptors or memory are short it tries for some
+// seconds. Nothing is served before Serve.
 func New(config *Config, log zerolog.Logger) (*Scheduler, error) {
 	return newWithModule(config, policy.New(config.Seed, config.Site.Settings), log)
 }
 
-// newWithModule makes a scheduler round a module.
+// newWithModule makes a scheduler with a decision module.
 func newWithModule(config *Config, module inflight.Module, log zerolog.Logger) (*Scheduler, error) {
-	v := config.Site.Settings
-	// The clock starts late enough for a disk server that started before to have a start.
-	origin := v.Watch.Within + 2*(v.SlowStart.Time+v.SlowStart.Window)
+	settings := config.Site.Settings
+	// The loop's clock begins late enough for a disk server to have started before it.
+	origin := settings.Watch.Within + 2*(settings.SlowStart.Time+settings.SlowStart.Window)
 	for begun := time.Now(); ; time.Sleep(listenRetryDelay) {
 		s, err := listen(config, module, log, origin)
 		if err == nil || !isTransient(err) || time.Since(begun) > listenRetryFor {
 			return s, err
 		}
-		log.Warn().Err(err).Msg("it can't listen yet")
+		log.Warn().Err(err).Msg("cannot listen yet")
 	}
 }
 
-// isTransient tells that an error is one of a machine that lacks something for a moment.
+// isTransient reports whether an error says that the machine lacks something which may be free again soon.
 func isTransient(err error) bool {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
 		if errors.Is(err, errno) {
@@ -105,40 +118,54 @@
 	return false
 }
 
-// listen opens what a scheduler listens on.
+// listen makes a scheduler and opens its sockets.
 func listen(config *Config, module inflight.Module, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
-	l, err := eventloop.New(origin)
+	loop, err := eventloop.New(origin)
 	if err != nil {
-		return nil, fmt.Errorf("platform: %w", err)
+		return nil, fmt.Errorf("scheduler: %w", err)
+	}
+	s := &Scheduler{
+		config:       config,
+		log:          log,
+		loop:         loop,
+		wallClock:    time.Now,
+		clients:      map[*client]bool{},
+		servers:      map[honeyplank.ServerID]*diskServer{},
+		peerOrdinals: ordinalsByAddress(config.Peers),
 	}
-	s := &Scheduler{config: config, log: log, loop: l, wallClock: time.Now, clients: map[*client]bool{}, servers: map[honeyplank.ServerID]*diskServer{}}
-	s.peerOrdinals = ordinalsByAddress(config.Peers)
-	s.tracker = inflight.New(l, module, sender{s})
+	s.tracker = inflight.New(loop, module, sender{s})
 	s.tracker.OnAction = s.execute
 	s.tracker.OnIdle = s.stopIfIdle
-	if s.listener, err = l.Listen(config.Listen, s.accept); err == nil && config.PeerListen != "" && config.Site.Peers {
-		s.peers, err = l.ListenUDP(config.PeerListen, s.receiveGossip)
-	}
-	if err != nil {
-		l.Stop()
-		l.Run()
-		return nil, fmt.Errorf("platform: %w", err)
+	if err := s.openSockets(); err != nil {
+		loop.Stop()
+		loop.Run() // closes what is open
+		return nil, fmt.Errorf("scheduler: %w", err)
 	}
 	return s, nil
 }
 
-// Address is where clients connect.
+func (s *Scheduler) openSockets() (err error) {
+	if s.listener, err = s.loop.Listen(s.config.Listen, s.accept); err != nil {
+		return err
+	}
+	if s.config.PeerListen != "" && s.site().Peers {
+		s.peers, err = s.loop.ListenUDP(s.config.PeerListen, s.receiveGossip)
+	}
+	return err
+}
+
+// Address is the address for clients.
 func (s *Scheduler) Address() string { return s.listener.Address() }
 
-// Serve runs the scheduler until Shutdown has ended it.
+// Serve runs the scheduler until Shutdown has ended it. It begins with the cached list and follows discovery from there.
 func (s *Scheduler) Serve() error {
 	s.loop.Post(func() {
-		known := &listMessage{}
+		list := &listMessage{}
 		if len(s.config.CachedList) > 0 {
-			known, _, _ = readList(s.config.CachedList)
+			list, _, _ = readList(s.config.CachedList) // it has been checked with the configuration
 		}
-		s.revisionGuard.revision = known.Revision
-		s.applyList(known, honeyplank.Cached, s.loop.Now())
+		s.revisionGuard.revision = list.Revision
+		s.applyList(list, honeyplank.Cached, s.loop.Now())
 		if !s.site().Ask {
 			s.setWatch(true)
 		}
@@ -147,6 +174,7 @@
 	return s.loop.Run()
 }
 
+// housekeep closes idle connections and logs the counters, again and again.
 func (s *Scheduler) housekeep() {
 	s.closeIdleServerConns()
 	s.checkClients()
@@ -157,23 +185,37 @@
 	s.loop.Schedule(s.loop.Now()+housekeepingInterval, s.housekeep)
 }
 
-// logCounters logs what has been done so far and what is open.
+// logCounters logs how many ops, replies and connections there have been and are now.
 func (s *Scheduler) logCounters() {
-	n := &s.tracker.Counts
-	s.log.Info().Int("taken", n.Admitted).Int("acked", n.Succeeded).Int("throttled", n.Rejected).Int("aborted", n.Failed).Int("lapsed", n.ClientsGone).
-		Int("dispatches", n.Dispatches).Int("owed", s.tracker.Unanswered()).Int("out", s.tracker.Outstanding()).Int("errors", s.errorReplies).Int("breaches", s.protocolErrors).
-		Int("turned_away", s.rejectedConns).Int("clients", s.clientConnCount).Int("spoken", s.activeClients).Int("disk_servers", len(s.servers)).Int("connections", s.serverConnCount).Msg("counts")
+	counts := &s.tracker.Counts
+	s.log.Info().
+		Int("admitted", counts.Admitted).
+		Int("succeeded", counts.Succeeded).
+		Int("rejected", counts.Rejected).
+		Int("failed", counts.Failed).
+		Int("clients_gone", counts.ClientsGone).
+		Int("dispatches", counts.Dispatches).
+		Int("unanswered", s.tracker.Unanswered()).
+		Int("in_flight", s.tracker.Outstanding()).
+		Int("error_replies", s.errorReplies).
+		Int("protocol_errors", s.protocolErrors).
+		Int("rejected_connections", s.rejectedConns).
+		Int("clients", s.clientConnCount).
+		Int("active_clients", s.activeClients).
+		Int("disk_servers", len(s.servers)).
+		Int("connections", s.serverConnCount).
+		Msg("counts")
 }
 
-// Reload takes over a configuration that has been replaced: where discovery is, the peers, and the limits.
+// Reload applies a configuration that has been replaced: the address of discovery, the peers and the limits. The settings of
+// the deployment stay as they were at the start, since the decision module was made with them.
 func (s *Scheduler) Reload(config *Config) {
 	s.loop.Post(func() {
 		moved := config.Discovery != s.config.Discovery
-		site := s.config.Site // the module knows these settings for good
+		config.Site = s.config.Site
 		s.config = config
-		config.Site = site
 		s.peerOrdinals = ordinalsByAddress(config.Peers)
-		if moved { // also where a call to the old one had failed and the next is still to come
+		if moved { // also where the former one has failed and a retry is due
 			s.setWatch(false)
 			s.setWatch(true)
 		}
@@ -181,16 +223,14 @@
 	})
 }
 
-// execute does what the module says beside ops and timers.
+// execute executes the actions of the module that the tracker does not: those that concern no op and no timer.
 func (s *Scheduler) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.Probe:
 		s.probe(a.Server)
 	case honeyplank.CloseIdle:
 		if ds := s.servers[a.Server]; ds != nil {
-			for len(ds.idle) > 0 {
-				ds.idle[0].close()
-			}
+			ds.closeIdleConns()
 		}
 	case honeyplank.Gossip:
 		s.sendGossip(a)
@@ -199,11 +239,11 @@
 	case honeyplank.Watch:
 		s.setWatch(a.Enabled)
 	case honeyplank.Fetch:
-		go fetchList(context.Background(), s.config.Discovery, s.callTimeout(), s.listReceived(context.Background(), fetchCall), s.callFailed(context.Background(), fetchCall))
+		s.fetch()
 	}
 }
 
-// probe asks a disk server for its load.
+// probe asks a disk server for its load report.
 func (s *Scheduler) probe(id honeyplank.ServerID) {
 	ds := s.servers[id]
 	if ds == nil || !s.site().Probes {
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -7,14 +7,13 @@
 
 	"honeyplank"
 	"honeyplank/eventloop"
-	"honeyplank/inflight"
 	"honeyplank/resp"
 )
 
 const (
-	// A disk server may be told 0.15 s more than a client has left. Bytes that are older than fresh are made anew; those of
-	// a command of which a part has left can't be, and are kept back when they are older than maxPartialAge: a hold-up may
-	// come on top.
+	// A command names the time that its client has left, and may be 0.15 s late with it. Unsent bytes older than
+	// maxEncodedAge are encoded anew. Those of a command of which a part is written cannot be: it is withdrawn when they
+	// are older than maxPartialAge, since there may be a hold-up before the rest is written.
 	maxEncodedAge = 5 * time.Millisecond
 	maxPartialAge = 100 * time.Millisecond
 )
@@ -22,155 +21,51 @@
 // serverConn is one connection to a disk server.
 type serverConn struct {
 	server        *diskServer
-	conn          *eventloop.Conn
+	conn          *eventloop.Conn // nil: closed
 	connected     bool
-	retiring      bool       // takes nothing new and closes after what is out
-	inFlight      []*attempt // in the order written
+	retiring      bool       // takes no more attempts and closes once nobody waits for what it carries
+	inFlight      []*attempt // in the order written, which is that of the answers
 	reader        resp.Reader
-	appendedBytes uint64 // bytes ever appended
-	idleSince     time.Duration
+	appendedBytes uint64        // bytes ever appended to the output, less those that were withdrawn
+	idleSince     time.Duration // when inFlight became empty
 	idleLinks     idleLinks
 	connectTimer  *eventloop.Timer
 }
 
-// attempt is a dispatch, or a probe, on its way.
-type attempt struct {
-	dispatch  *inflight.Dispatch // nil: a probe
-	server    *diskServer
-	conn      *serverConn // nil: it waits for a connection
-	started   time.Duration
-	encodedAt time.Duration // when its bytes were made
-	firstByte uint64        // where its bytes on the link begin,
-	endByte   uint64        // and end
-	finished  bool          // given up: its answer is nobody's
-	timer     *eventloop.Timer
-}
-
-// sender carries the dispatches of the books, each with its entry for Link.
-type sender struct{ *Scheduler }
-
-func (s sender) Send(d *inflight.Dispatch) {
-	ds := s.servers[d.Server]
-	if ds == nil {
-		d.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
-		return
-	}
-	a := &attempt{dispatch: d, server: ds, started: s.loop.Now()}
-	d.SenderState = a
-	ds.assignConn(a)
-}
-
-func (s sender) Written(d *inflight.Dispatch) bool {
-	a, _ := d.SenderState.(*attempt)
-	return a != nil && a.fullyWritten()
-}
-
-func (s sender) Cancel(d *inflight.Dispatch) {
-	if a, _ := d.SenderState.(*attempt); a != nil {
-		a.cancel()
-	}
-}
-
-func (a *attempt) fullyWritten() bool {
-	sc := a.conn
-	return sc != nil && sc.connected && a.endByte <= sc.appendedBytes-uint64(sc.conn.UnsentBytes())
-}
-
-// cancel ends the wait for an answer. What has not left is taken back; a connection that carries nothing else closes,
-// which tells the server.
-func (a *attempt) cancel() {
-	written := a.fullyWritten()
-	a.finished = true
-	sc := a.conn
-	switch {
-	case sc == nil:
-		a.server.removeWaiter(a)
-		return
-	case sc.conn == nil:
-		return
-	case !written:
-		sc.withdraw(a)
-		return
-	}
-	sc.retiring = true
-	sc.closeIfAbandoned()
-}
-
-// withdraw has an entry whose last byte has not left never arrive. It guards against commands that run although they
-// were told as never sent, once the other end reads on.
-func (sc *serverConn) withdraw(a *attempt) {
-	i := slices.Index(sc.inFlight, a)
-	behind := slices.Clone(sc.inFlight[i+1:])
-	gone := sc.appendedBytes - uint64(sc.conn.UnsentBytes())
-	if n := a.endByte - a.firstByte; a.firstByte >= gone { // none of it has left
-		sc.conn.DiscardUnsent(int(a.firstByte-gone), int(a.endByte-gone))
-		sc.appendedBytes -= n
-		for _, a := range behind {
-			a.firstByte, a.endByte = a.firstByte-n, a.endByte-n
-		}
-		if sc.inFlight = append(sc.inFlight[:i], behind...); len(sc.inFlight) > 0 {
-			sc.closeIfAbandoned()
-		} else if sc.retiring {
-			sc.close()
-		} else {
-			sc.inFlight = nil
-			sc.markIdle()
-		}
-		return
-	}
-	// A part has: nothing more may follow, and what is behind goes elsewhere.
-	sc.retiring = true
-	sc.conn.DiscardUnsent(0, sc.conn.UnsentBytes())
-	sc.appendedBytes, sc.inFlight = gone, sc.inFlight[:i]
-	sc.closeIfAbandoned()
-	for _, a := range behind {
-		if a.conn = nil; !a.finished {
-			sc.server.assignConn(a)
-		}
-	}
-}
+var (
+	errConnectTimeout = errors.New("the connection does not come up")
+	errUnexpectedData = errors.New("more has come than was asked for")
+	errServerClosed   = errors.New("the disk server ended it")
+)
 
-// closeIfAbandoned closes a connection that takes nothing new once nobody waits for what it carries.
-func (sc *serverConn) closeIfAbandoned() {
-	if !sc.retiring {
-		return
-	}
-	for _, a := range sc.inFlight {
-		if !a.finished {
-			return
-		}
-	}
-	sc.close()
+// writtenBytes is how many bytes the system has taken, as a position in all that was appended.
+func (sc *serverConn) writtenBytes() uint64 {
+	return sc.appendedBytes - uint64(sc.conn.UnsentBytes())
 }
 
-// end tells how a dispatch or probe ended, once.
-func (a *attempt) finish(code honeyplank.Code, data []byte, told inflight.Feedback) {
-	if a.finished {
-		return
+// Opened is called when the connection is up: it takes attempts that wait for one.
+func (sc *serverConn) Opened(*eventloop.Conn) {
+	ds := sc.server
+	ds.scheduler.loop.Cancel(sc.connectTimer)
+	sc.connected = true
+	ds.dialing--
+	for len(ds.waiting) > 0 && sc.takesWaiter() {
+		sc.send(ds.nextWaiter())
 	}
-	a.finished = true
-	s := a.server.scheduler
-	if a.dispatch != nil {
-		a.dispatch.Finish(code, data, told)
-		return
+	ds.scheduleWaiters()
+	if len(sc.inFlight) == 0 {
+		sc.markIdle()
 	}
-	s.loop.Cancel(a.timer)
-	s.tracker.Deliver(honeyplank.ProbeResult{Server: a.server.id, Code: code, Elapsed: s.loop.Now() - a.started, Load: told.Load})
 }
 
-var (
-	errConnectTimeout = errors.New("the connection does not come up")
-	errUnexpectedData = errors.New("more has come than was asked for")
-)
-
-// markIdle puts a connection that carries nothing among the idle ones.
-func (sc *serverConn) markIdle() {
-	sc.idleSince = sc.server.scheduler.loop.Now()
-	sc.server.idle = append(sc.server.idle, sc)
-	sc.server.scheduler.idleServerConns.pushBack(sc)
-	sc.server.scheduleWaiters()
+// takesWaiter reports whether a new connection is to take one more attempt: the first, and others for which no connection
+// is being opened.
+func (sc *serverConn) takesWaiter() bool {
+	ds := sc.server
+	return len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().Streams
 }
 
+// send writes the command of an attempt.
 func (sc *serverConn) send(a *attempt) {
 	sc.encode(a)
 	a.conn = sc
@@ -178,7 +73,7 @@
 	sc.conn.Send()
 }
 
-// encode appends the bytes of an entry, with the time that is left to it now.
+// encode appends the command of an attempt to the output, with the time that is left to it now.
 func (sc *serverConn) encode(a *attempt) {
 	a.encodedAt = sc.server.scheduler.loop.Now()
 	before := len(sc.conn.Out)
@@ -192,80 +87,124 @@
 	a.endByte = sc.appendedBytes
 }
 
-// refreshDeadlines tells anew the time that is left, before bytes are written that were made some time ago: a server that does not
-// read, or a hold-up, may have kept them. One of which a part has left already, and whose time is wrong by too much, never
-// arrives whole.
+// refreshDeadlines is called before output is written. It encodes commands anew that were encoded some time ago, since a
+// disk server that does not read, or a hold-up, may have kept them, and withdraws one that is partly written if the time that
+// it names is off by too much.
 func (sc *serverConn) refreshDeadlines() {
 	now := sc.server.scheduler.loop.Now()
-	gone := sc.appendedBytes - uint64(sc.conn.UnsentBytes())
-	i := 0
-	for i < len(sc.inFlight) && sc.inFlight[i].firstByte < gone {
-		i++
+	written := sc.writtenBytes()
+	firstUnsent := 0
+	for firstUnsent < len(sc.inFlight) && sc.inFlight[firstUnsent].firstByte < written {
+		firstUnsent++
 	}
-	if i > 0 {
-		if a := sc.inFlight[i-1]; a.endByte > gone && now-a.encodedAt > maxPartialAge && !a.finished {
+	if firstUnsent > 0 {
+		a := sc.inFlight[firstUnsent-1]
+		if a.endByte > written && now-a.encodedAt > maxPartialAge && !a.finished {
 			sc.withdraw(a)
-			a.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+			a.fail(honeyplank.ConnectFailed)
 			return
 		}
 	}
-	if i == len(sc.inFlight) || now-sc.inFlight[i].encodedAt <= maxEncodedAge {
+	sc.encodeAgain(sc.inFlight[firstUnsent:], now)
+}
+
+// encodeAgain replaces the bytes of attempts of which nothing is written, if they are too old.
+func (sc *serverConn) encodeAgain(unsent []*attempt, now time.Duration) {
+	if len(unsent) == 0 || now-unsent[0].encodedAt <= maxEncodedAge {
 		return
 	}
-	for _, a := range sc.inFlight[i:] {
-		if a.finished || a.dispatch != nil && a.dispatch.Abandoned() { // it is about to be taken back, and its command is no longer held
-			return
-		}
+	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // it is about to be withdrawn, and its command is not held any more
+		return
 	}
-	sc.conn.DiscardUnsent(int(sc.inFlight[i].firstByte-gone), sc.conn.UnsentBytes())
-	sc.appendedBytes = sc.inFlight[i].firstByte
-	for _, a := range sc.inFlight[i:] {
+	start := unsent[0].firstByte
+	sc.conn.DiscardUnsent(int(start-sc.writtenBytes()), sc.conn.UnsentBytes())
+	sc.appendedBytes = start
+	for _, a := range unsent {
 		sc.encode(a)
 	}
 }
 
-func (sc *serverConn) Opened(*eventloop.Conn) {
-	sc.server.scheduler.loop.Cancel(sc.connectTimer)
-	sc.connected = true
-	ds := sc.server
-	ds.dialing--
-	for len(ds.waiting) > 0 && (len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().Streams) {
-		a := ds.waiting[0]
-		ds.waiting = ds.waiting[1:]
-		sc.send(a)
+// withdraw takes back an attempt whose last byte is not written, so that its command never arrives whole. It guards against
+// commands that run although they were reported as never sent, once the disk server reads on.
+func (sc *serverConn) withdraw(a *attempt) {
+	if a.firstByte >= sc.writtenBytes() {
+		sc.withdrawUnsent(a)
+	} else {
+		sc.withdrawPartial(a)
 	}
-	ds.scheduleWaiters()
-	if len(sc.inFlight) == 0 {
-		sc.markIdle()
+}
+
+// withdrawUnsent takes back an attempt of which nothing is written; the others stay.
+func (sc *serverConn) withdrawUnsent(a *attempt) {
+	written, size := sc.writtenBytes(), a.endByte-a.firstByte
+	sc.conn.DiscardUnsent(int(a.firstByte-written), int(a.endByte-written))
+	sc.appendedBytes -= size
+	i := slices.Index(sc.inFlight, a)
+	sc.inFlight = slices.Delete(sc.inFlight, i, i+1)
+	for _, behind := range sc.inFlight[i:] {
+		behind.firstByte -= size
+		behind.endByte -= size
+	}
+	if len(sc.inFlight) > 0 {
+		sc.closeIfAbandoned()
+	} else {
+		sc.release()
 	}
 }
 
-// failMalformed ends a connection on which what came can't be read: the answer that was due may have run.
-func (sc *serverConn) failMalformed(err error) {
-	a := sc.inFlight[0]
-	rest := sc.inFlight[1:]
-	sc.logEnd(err)
-	sc.close()
-	a.finish(honeyplank.Failed, nil, inflight.Feedback{})
-	for _, a := range rest {
-		a.finish(honeyplank.Reset, nil, inflight.Feedback{})
+// withdrawPartial takes back an attempt of which a part is written. Nothing more may be written then, and the attempts
+// behind it go to other connections.
+func (sc *serverConn) withdrawPartial(a *attempt) {
+	i := slices.Index(sc.inFlight, a)
+	behind := slices.Clone(sc.inFlight[i+1:])
+	sc.retiring = true
+	written := sc.writtenBytes()
+	sc.conn.DiscardUnsent(0, sc.conn.UnsentBytes())
+	sc.appendedBytes, sc.inFlight = written, sc.inFlight[:i]
+	sc.closeIfAbandoned()
+	for _, next := range behind {
+		if next.conn = nil; !next.finished {
+			sc.server.assignConn(next)
+		}
 	}
 }
 
-// failWith ends a connection and what it carries.
-func (sc *serverConn) failWith(err error) {
-	sc.logEnd(err)
-	sc.failInFlight()
+// release is called when the connection carries nothing any more.
+func (sc *serverConn) release() {
+	sc.inFlight = nil
+	if sc.retiring {
+		sc.close()
+	} else {
+		sc.markIdle()
+	}
 }
 
-func (sc *serverConn) logEnd(err error) {
-	sc.server.scheduler.log.Debug().Str("osd", string(sc.server.id)).Err(err).Int("out", len(sc.inFlight)).Msg("connection ended")
+// markIdle puts the connection among the idle ones.
+func (sc *serverConn) markIdle() {
+	ds := sc.server
+	sc.idleSince = ds.scheduler.loop.Now()
+	ds.idle = append(ds.idle, sc)
+	ds.scheduler.idleServerConns.pushBack(sc)
+	ds.scheduleWaiters()
+}
+
+// closeIfAbandoned closes a connection that takes no more attempts once nobody waits for those that it carries.
+func (sc *serverConn) closeIfAbandoned() {
+	if !sc.retiring {
+		return
+	}
+	for _, a := range sc.inFlight {
+		if !a.finished {
+			return
+		}
+	}
+	sc.close()
 }
 
-// Closed is told that the connection broke, ended or never came up.
+// Closed is called when the connection broke, was ended by the disk server or never came up.
 func (sc *serverConn) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
-		err = errors.New("the disk server ended it")
+		err = errServerClosed
 	}
 	if len(sc.inFlight) > 0 || !sc.connected {
 		sc.logEnd(err)
@@ -273,36 +212,55 @@
 	sc.failInFlight()
 }
 
+// failWith closes the connection for an error and fails what it carries.
+func (sc *serverConn) failWith(err error) {
+	sc.logEnd(err)
+	sc.failInFlight()
+}
+
+// failMalformed closes the connection for an answer that cannot be read. The command that it is for may have run, and so may
+// those behind it.
+func (sc *serverConn) failMalformed(err error) {
+	inFlight := sc.inFlight
+	sc.logEnd(err)
+	sc.close()
+	inFlight[0].fail(honeyplank.Failed)
+	for _, a := range inFlight[1:] {
+		a.fail(honeyplank.Reset)
+	}
+}
+
+// failInFlight closes the connection and fails what it carries: commands that are written may have run.
 func (sc *serverConn) failInFlight() {
-	ds, out, up := sc.server, sc.inFlight, sc.connected
-	codes := make([]honeyplank.Code, len(out))
-	for i, a := range out {
+	inFlight, connected := sc.inFlight, sc.connected
+	codes := make([]honeyplank.Code, len(inFlight)) // before the close, which ends the count of written bytes
+	for i, a := range inFlight {
 		if codes[i] = honeyplank.ConnectFailed; a.fullyWritten() {
 			codes[i] = honeyplank.Reset
 		}
 	}
 	sc.close()
-	for i, a := range out {
-		a.finish(codes[i], nil, inflight.Feedback{})
+	for i, a := range inFlight {
+		a.fail(codes[i])
 	}
-	// Each waits for a connection of its own while descriptors last. Past that several wait for one, and with the last
-	// one that is being opened all of them have failed: they would wait for their op timeouts else.
-	for n := 0; !up && len(ds.waiting) > ds.dialing && (n == 0 || ds.dialing == 0 && len(ds.idle) == 0); n++ {
-		a := ds.waiting[0]
-		ds.waiting = ds.waiting[1:]
-		a.finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+	if !connected {
+		sc.server.failWaiters()
 	}
 }
 
-// close ends the connection and takes it off the books; what it carries is not told. Bytes that the disk server's system
-// has not taken yet go with it: it guards against commands that arrive after they were given up, once a server that hangs
-// reads on, or a network that was cut is back.
+func (sc *serverConn) logEnd(err error) {
+	sc.server.scheduler.log.Debug().Str("osd", string(sc.server.id)).Err(err).Int("in_flight", len(sc.inFlight)).Msg("connection ended")
+}
+
+// close closes the connection and forgets it, without an outcome for what it carries. Bytes that the disk server's system has
+// not taken are dropped by a reset: it guards against commands that arrive after they were given up, once a disk server
+// that hangs reads on or a network that was cut is back.
 func (sc *serverConn) close() {
-	ds := sc.server
 	if sc.conn == nil {
 		return
 	}
-	ds.scheduler.loop.Cancel(sc.connectTimer)
+	ds, s := sc.server, sc.server.scheduler
+	s.loop.Cancel(sc.connectTimer)
 	if sc.conn.UnackedBytes() > 0 {
 		sc.conn.Abort()
 	} else {
@@ -314,13 +272,14 @@
 	sc.conn, sc.inFlight = nil, nil
 	ds.conns = without(ds.conns, sc)
 	ds.idle = without(ds.idle, sc)
-	ds.scheduler.idleServerConns.remove(sc)
+	s.idleServerConns.remove(sc)
 	ds.scheduleWaiters()
-	if ds.removed && len(ds.conns) == 0 && ds.scheduler.servers[ds.id] == ds {
-		delete(ds.scheduler.servers, ds.id)
+	if ds.removed && len(ds.conns) == 0 && s.servers[ds.id] == ds {
+		delete(s.servers, ds.id)
 	}
 }
 
+// without takes a connection out of a list.
 func without(conns []*serverConn, sc *serverConn) []*serverConn {
 	if i := slices.Index(conns, sc); i >= 0 {
 		return slices.Delete(conns, i, i+1)
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	for text, want := range map[string]error{"no list": errNotJSON, "{}]": errNotJSON, "[]": errNotJSON,
-		`{"` + strings.Repeat("x", maxMessage): errMessageTooLong} {
+		`{"` + strings.Repeat("x", maxMessageBytes): errMessageTooLong} {
 		var r messageReader
 		if _, err := r.feed(0, []byte(text)); !errors.Is(err, want) {
 			t.Errorf("%.20q: %v, expected %v", text, err, want)
@@ -187,7 +187,10 @@
 		want        bool
 	}{{3, -1, false}, {0, 0, false}, {0, -1, true}} {
 		heard := make(chan bool, 1)
-		go fetchList(context.Background(), d.address, time.Second, func(*listMessage, []string) { heard <- true }, func(error) { heard <- false })
+		go fetchList(context.Background(), d.address, time.Second, listCallbacks{
+			received: func(*listMessage, []string) { heard <- true },
+			failed:   func(error) { heard <- false },
+		})
 		c := d.nextCall(t, time.Second)
 		text := listJSON(7, true, true)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", text[:len(text)-x.cut])
--- a/scheduler/told_test.go
+++ b/scheduler/told_test.go
@@ -44,7 +44,7 @@
 		look = func() {
 			now := bed.scheduler.loop.Now()
 			for _, sc := range bed.scheduler.servers["s-0"].conns {
-				gone := sc.appendedBytes - uint64(sc.conn.UnsentBytes())
+				gone := sc.writtenBytes()
 				if gone != was {
 					was, since = gone, now
 				}
@@ -75,7 +75,7 @@
 	bed.onLoop(func() {
 		for _, sc := range bed.scheduler.servers["s-0"].conns {
 			for _, a := range sc.inFlight {
-				unsent[string(a.dispatch.Op())] = a.firstByte >= sc.appendedBytes-uint64(sc.conn.UnsentBytes())
+				unsent[string(a.dispatch.Op())] = a.firstByte >= sc.writtenBytes()
 			}
 		}
 		g.forwardBytes()
