--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -47,8 +47,7 @@
 		sc.send(a)
 		return
 	}
-	now := ds.scheduler.loop.Now()
-	if now >= ds.redialAfter && ds.dialIfAllowed() {
+	if ds.scheduler.loop.Now() >= ds.redialAfter && ds.dialIfAllowed() {
 		ds.waiting = append(ds.waiting, a)
 		return
 	}
@@ -59,16 +58,16 @@
 	case ds.dialing > 0 || len(ds.idle) > 0:
 		ds.waiting = append(ds.waiting, a)
 		ds.scheduleWaiters()
-	case a.dispatch != nil && ds.scheduler.loop.Now() < ds.redialAfter && ds.redialAfter <= a.dialDeadline():
+	case ds.scheduler.loop.Now() < ds.redialAfter && a.mayWaitForDial(ds.redialAfter):
 		ds.waiting = append(ds.waiting, a)
 	default: // there is no descriptor, which says nothing of the disk server
 		a.fail(honeyplank.NotSent)
 	}
 }
 
-// dialDeadline is until when a dispatch waits for a dial that can begin.
-func (a *attempt) dialDeadline() time.Duration {
-	return min(a.started+maxDialWait, a.dispatch.Deadline)
+// mayWaitForDial reports whether an attempt waits until a time for a dial that can begin. Probes do not.
+func (a *attempt) mayWaitForDial(until time.Duration) bool {
+	return a.dispatch != nil && until <= min(a.started+maxDialWait, a.dispatch.Deadline)
 }
 
 // takeIdleConn takes the connection that has been idle longest, if that is long enough and nothing has come on it since.
@@ -239,7 +238,7 @@
 	waiting := ds.waiting
 	ds.waiting = nil
 	for _, a := range waiting {
-		if ds.redialAfter <= a.dialDeadline() {
+		if a.mayWaitForDial(ds.redialAfter) {
 			ds.waiting = append(ds.waiting, a)
 		} else {
 			a.fail(honeyplank.NotSent)
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -117,3 +117,44 @@
 	s.loop.Post(s.loop.Stop)
 	<-done
 }
+
+// TestProbeWaitsForDial: a probe that waits for a connection has its outcome, also where the next dial cannot begin.
+func TestProbeWaitsForDial(t *testing.T) {
+	bed := newTestbed(t, 1, withSlowConnect, func(config map[string]any) {
+		config["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = 1
+	})
+	bed.disks[0].Apply(standin.Faults{Silent: true})
+	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
+	results := make(chan honeyplank.ProbeResult, 1)
+	bed.onLoop(func() {
+		bed.module.Module = &delayedModule{delay: time.Hour}
+		bed.module.onEvent = func(e honeyplank.Event) {
+			if result, ok := e.(honeyplank.ProbeResult); ok {
+				results <- result
+			}
+		}
+	})
+	bed.dialClient().send("BLK.READ", objectKey, "first", opOptions("read", 9000, 0))
+	bed.eventually("the op", func() (ok bool) {
+		bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 1 })
+		return ok
+	})
+	bed.onLoop(func() {
+		s := bed.scheduler
+		s.tracker.Deliver(honeyplank.Timer{}) // the op opens a connection, and holds it once it is up
+		ds := s.servers["s-0"]
+		if ds.dialing != 1 {
+			t.Errorf("%d connections are being opened", ds.dialing)
+		}
+		ds.address = "255.255.255.255:9"
+		s.execute(honeyplank.Probe{Server: "s-0"}) // no dial can begin: it waits for that connection
+	})
+	select {
+	case result := <-results:
+		if result.Code != honeyplank.NotSent {
+			t.Errorf("%+v", result)
+		}
+	case <-time.After(4 * time.Second): // less than a probe's own timeout
+		t.Error("the probe has no outcome")
+	}
+}
