--- a/inflight/tracker_test.go
+++ b/inflight/tracker_test.go
@@ -285,67 +285,94 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		rng := rand.New(rand.NewSource(seed))
-		h := newHarness(t)
-		defer h.loop.Run()
-		defer h.loop.Stop()
-		outcomes := map[string]int{}
-		h.decide = func(e honeyplank.Event) (out []honeyplank.Action) {
-			if o, ok := e.(honeyplank.Outcome); ok {
-				outcomes[fmt.Sprintf("%s/%d", o.Op, o.Dispatch)]++
-			}
-			for range rng.Intn(3) {
-				id := honeyplank.OpID(fmt.Sprint(rng.Intn(30)))
-				switch rng.Intn(5) {
-				case 0, 1:
-					if h.tracker.ops[id] != nil {
-						out = append(out, honeyplank.Dispatch{Op: id, Server: "x"})
-					}
-				case 2:
-					out = append(out, honeyplank.Reject{Op: id})
-				case 3:
-					out = append(out, honeyplank.Fail{Op: id})
-				case 4:
-					out = append(out, honeyplank.Cancel{Op: id, Dispatch: rng.Intn(3)})
-				}
-			}
-			return out
+		r := &randomRun{
+			harness:  newHarness(t),
+			rng:      rand.New(rand.NewSource(seed)),
+			outcomes: map[string]int{},
+			answers:  map[int]int{},
+			gone:     map[int]bool{},
 		}
-		answers, gone, admitted := map[int]int{}, map[int]bool{}, 0
-		for i := range 30 {
-			h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Timeout: time.Hour}, &funcClient{func(string) { answers[i]++ }})
-			admitted++
-			if len(h.sent) > 0 && rng.Intn(2) == 0 {
-				h.sent[rng.Intn(len(h.sent))].Finish(honeyplank.Code(1+rng.Intn(8)), nil, Feedback{})
-			}
-			if n := rng.Intn(30); n <= i && rng.Intn(4) == 0 {
-				gone[n] = gone[n] || answers[n] == 0
-				h.tracker.ClientGone(honeyplank.OpID(fmt.Sprint(n)))
-			}
+		defer r.loop.Run()
+		defer r.loop.Stop()
+		r.decide = r.randomActions
+		for i := range randomOps {
+			r.step(i)
 		}
-		h.tracker.FailAll()
-		for len(h.sent) > 0 {
-			d := h.sent[0]
-			h.sent = h.sent[1:]
+		r.tracker.FailAll()
+		for len(r.sent) > 0 {
+			d := r.sent[0]
+			r.sent = r.sent[1:]
 			d.Finish(honeyplank.TimedOut, nil, Feedback{})
 		}
-		for i := range admitted {
-			if want := 1; gone[i] {
-				want = 0
-				if answers[i] != want {
-					t.Fatalf("the client of op %d has gone, and it has %d answers", i, answers[i])
-				}
-			} else if answers[i] != want {
-				t.Fatalf("op %d has %d answers", i, answers[i])
+		r.check()
+	})
+}
+
+// randomOps is the number of ops of a randomRun.
+const randomOps = 30
+
+// randomRun is a harness on which module, sender and clients act at random.
+type randomRun struct {
+	*harness
+	rng      *rand.Rand
+	outcomes map[string]int // by dispatch
+	answers  map[int]int    // by op
+	gone     map[int]bool   // ops whose client has gone before an answer
+}
+
+// randomActions counts outcomes and returns up to two actions, on ops of which some are not in flight.
+func (r *randomRun) randomActions(e honeyplank.Event) (actions []honeyplank.Action) {
+	if o, ok := e.(honeyplank.Outcome); ok {
+		r.outcomes[fmt.Sprintf("%s/%d", o.Op, o.Dispatch)]++
+	}
+	for range r.rng.Intn(3) {
+		id := honeyplank.OpID(fmt.Sprint(r.rng.Intn(randomOps)))
+		switch r.rng.Intn(5) {
+		case 0, 1:
+			if r.tracker.ops[id] != nil {
+				actions = append(actions, honeyplank.Dispatch{Op: id, Server: "x"})
 			}
+		case 2:
+			actions = append(actions, honeyplank.Reject{Op: id})
+		case 3:
+			actions = append(actions, honeyplank.Fail{Op: id})
+		case 4:
+			actions = append(actions, honeyplank.Cancel{Op: id, Dispatch: r.rng.Intn(3)})
 		}
-		for name, n := range outcomes {
-			if n != 1 {
-				t.Fatalf("dispatch %s has %d outcomes", name, n)
-			}
+	}
+	return actions
+}
+
+// step admits an op. Then a dispatch may end, and a client may go.
+func (r *randomRun) step(i int) {
+	op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Timeout: time.Hour}
+	r.tracker.Admit(op, &funcClient{func(string) { r.answers[i]++ }})
+	if len(r.sent) > 0 && r.rng.Intn(2) == 0 {
+		r.sent[r.rng.Intn(len(r.sent))].Finish(honeyplank.Code(1+r.rng.Intn(8)), nil, Feedback{})
+	}
+	if n := r.rng.Intn(randomOps); n <= i && r.rng.Intn(4) == 0 {
+		r.gone[n] = r.gone[n] || r.answers[n] == 0
+		r.tracker.ClientGone(honeyplank.OpID(fmt.Sprint(n)))
+	}
+}
+
+func (r *randomRun) check() {
+	r.t.Helper()
+	for i := range randomOps {
+		want := 1
+		if r.gone[i] {
+			want = 0
 		}
-		if h.tracker.Unanswered() != 0 || len(outcomes) != h.tracker.Counts.Dispatches {
-			t.Fatalf("%d unanswered, %d outcomes of %d dispatches", h.tracker.Unanswered(), len(outcomes), h.tracker.Counts.Dispatches)
+		if r.answers[i] != want {
+			r.t.Fatalf("op %d has %d answers, want %d; its client has gone before: %v", i, r.answers[i], want, r.gone[i])
 		}
-	})
+	}
+	for name, n := range r.outcomes {
+		if n != 1 {
+			r.t.Fatalf("dispatch %s has %d outcomes", name, n)
+		}
+	}
+	if unanswered := r.tracker.Unanswered(); unanswered != 0 || len(r.outcomes) != r.tracker.Counts.Dispatches {
+		r.t.Fatalf("%d unanswered, %d outcomes of %d dispatches", unanswered, len(r.outcomes), r.tracker.Counts.Dispatches)
+	}
 }
