--- a/estimates/learnt_test.go
+++ b/estimates/record_test.go
@@ -17,6 +17,7 @@
 		{"127.0.0.1:5001", time.UnixMilli(1_000_000).UTC(), 0.002, 0.01}, {"127.0.0.1:5002", time.UnixMilli(2_000_000).UTC(), 0.02, 0.3}}}
 }
 
+// TestFile writes and reads a file, and reads it damaged.
 func TestFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "learnt")
 	if _, err := Read(file); !os.IsNotExist(err) {
@@ -34,29 +35,29 @@
 		t.Errorf("left beside it: %v", list)
 	}
 	b, _ := os.ReadFile(file)
-	for i := range b { // any one byte that is not as written
+	for i := range b { // any one byte changed
 		c := append([]byte(nil), b...)
 		c[i] ^= 1
 		if _, err := Decode(c); err == nil {
-			t.Fatalf("byte %d changed: read as sound", i)
+			t.Fatalf("byte %d changed: read as valid", i)
 		}
 		if _, err := Decode(b[:i]); err == nil {
-			t.Fatalf("cut at %d: read as sound", i)
+			t.Fatalf("cut at %d: read as valid", i)
 		}
 	}
 	bad := record()
 	bad.Servers[0].BestPerUnit = -1
 	if b, _ := bad.Encode(); b != nil {
 		if _, err := Decode(b); err == nil {
-			t.Error("a time below 0 is read as sound")
+			t.Error("a negative latency is read as valid")
 		}
 	}
 }
 
-// What a unit means is told with it.
+// TestOtherUnits has records of units of the same and of another size.
 func TestOtherUnits(t *testing.T) {
-	span := func(at time.Time) time.Duration { return at.Sub(time.UnixMilli(0)) }
-	same, other := record().ToEvent(16<<10, span), record().ToEvent(4<<10, span)
+	clock := func(at time.Time) time.Duration { return at.Sub(time.UnixMilli(0)) }
+	same, other := record().ToEvent(16<<10, clock), record().ToEvent(4<<10, clock)
 	if k := same.Servers[1]; k != (honeyplank.ServerEstimate{Server: "127.0.0.1:5002", At: 2000 * time.Second, BestPerUnit: 0.02, Latency: 0.3}) {
 		t.Errorf("same units: %+v", k)
 	}
@@ -68,7 +69,7 @@
 	}
 }
 
-// FuzzDecode reads any bytes, as a file and as the content under a right checksum: no panic, and what is read as sound
+// FuzzDecode reads any bytes, as a file and as the content under a right checksum: no panic, and what is read as valid
 // is written and read back the same.
 func FuzzDecode(f *testing.F) {
 	b, _ := record().Encode()
@@ -77,7 +78,7 @@
 	f.Add([]byte(magic + "00000000\n"))
 	f.Add([]byte(`{"unit":-1,"usual":1e999,"servers":[{"at":"0001-01-01T00:00:00Z","best":-0}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		for _, file := range [][]byte{b, append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(b, table)), b...)} {
+		for _, file := range [][]byte{b, append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(b, checksumTable)), b...)} {
 			r, err := Decode(file)
 			if err != nil {
 				continue
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -1,82 +1,67 @@
 package estimates
 
 import (
-	"context"
 	"errors"
 	"io/fs"
-	"os"
 	"path/filepath"
 	"regexp"
-	"syscall"
 	"time"
 )
 
-// fileSystem is what a write asks of the system. A folder's lock is free again once its holder has ended, however it did.
-type fileSystem interface {
-	Lock(folder string) (unlock func(), err error)
-	List(folder string) ([]fs.DirEntry, error)
-	Create(folder, pattern string) (file, error)
-	Rename(from, to string) error
-	Remove(name string) error
-	SyncFolder(folder string) error
-}
-
-type file interface {
-	Name() string
-	Write([]byte) (int, error)
-	Sync() error
-	Close() error
-}
-
-const temporary = ".learnt-*.tmp"
+const (
+	// temporaryPattern is the pattern of the names of temporary files, for os.CreateTemp.
+	temporaryPattern = ".learnt-*.tmp"
+	// unlockedWriterAge is the age from which on a temporary file of a version that took no lock has no writer any more.
+	unlockedWriterAge = time.Hour
+)
 
 var (
-	ours = regexp.MustCompile(`^\.learnt-[0-9]+\.tmp$`)
-	// formerly is what versions that took no lock named theirs: one that is this old has no writer any more.
-	formerly    = regexp.MustCompile(`^\.learnt-[0-9]+$`)
-	formerlyAge = time.Hour
+	// temporaryName matches the names that os.CreateTemp makes of temporaryPattern.
+	temporaryName = regexp.MustCompile(`^\.learnt-[0-9]+\.tmp$`)
+	// unlockedTemporaryName matches the names of the temporary files of versions that took no lock.
+	unlockedTemporaryName = regexp.MustCompile(`^\.learnt-[0-9]+$`)
 )
 
-// errLocked tells that another writer is at work in the folder.
-var errLocked = errors.New("learnt: another writer holds the folder's lock")
-
-// patience is how many attempts a write leaves to who holds the lock. That may be a program that knows nothing of it, or
-// a writer that the system doesn't let go; the write is carried out without the lock then. It could harm where the holder
-// is a living writer that removes the temporary file: the rename fails, and the write is tried again.
-const patience = 8
-
-// unlocked is a file system without locks.
-type unlocked struct{ fileSystem }
+// errLocked: another writer holds the folder's lock.
+var errLocked = errors.New("estimates: another writer holds the folder's lock")
 
-func (unlocked) Lock(string) (func(), error) { return nil, syscall.ENOLCK }
+// Write replaces a file as a whole or leaves it as it was, and removes the temporary files of killed writers. It fails at
+// once where another writer is at work in the folder.
+func (r *Record) Write(file string) error {
+	content, err := r.Encode()
+	if err != nil {
+		return err
+	}
+	return replace(disk{}, file, content)
+}
 
-// replace puts a file in the place of another: whatever fails and wherever the process is killed, the former or the new
-// one is there as a whole, also after a loss of power. Once it has succeeded, no temporary file is left. After an error
-// the file may be the former or the new one.
+// replace puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new file
+// is there as a whole, also after a loss of power. After success no temporary file is left. After an error the file may be
+// the old or the new one.
 func replace(system fileSystem, name string, content []byte) error {
 	folder := filepath.Dir(name)
 	unlock, err := system.Lock(folder)
 	if errors.Is(err, errLocked) {
 		return err
 	}
-	// Where there is no lock, a temporary file may have a living writer: all are left alone then.
+	// Without the lock a temporary file may have a writer that is alive: none is removed then.
 	locked := err == nil
 	if locked {
 		defer unlock()
-		sweep(system, name) // before, as they may fill the disk; what fails here is tried again after
+		removeTemporary(system, name) // before, as they may fill the disk; what fails here is tried again after
 	}
-	if err := create(system, name, content); err != nil {
+	if err := writeAndRename(system, name, content); err != nil {
 		return err
 	}
 	if err := system.SyncFolder(folder); err != nil || !locked {
 		return err
 	}
-	return sweep(system, name)
+	return removeTemporary(system, name)
 }
 
-// create writes a temporary file and renames it.
-func create(system fileSystem, name string, content []byte) error {
-	f, err := system.Create(filepath.Dir(name), temporary)
+// writeAndRename writes a temporary file and renames it to the name.
+func writeAndRename(system fileSystem, name string, content []byte) error {
+	f, err := system.Create(filepath.Dir(name), temporaryPattern)
 	if err != nil {
 		return err
 	}
@@ -94,13 +79,13 @@
 	return err
 }
 
-// sweep removes the temporary files of killed writers from a file's folder. It is for the holder of the folder's lock:
-// any that are there have no writer. What else is in the folder, it does not touch.
-func sweep(system fileSystem, name string) error {
+// removeTemporary removes the temporary files of killed writers from the folder of a file, which is kept itself. Only the
+// holder of the folder's lock may call it: no temporary file has a writer then. Other files are not touched.
+func removeTemporary(system fileSystem, name string) error {
 	folder, kept := filepath.Split(filepath.Clean(name))
 	list, err := system.List(filepath.Dir(name))
 	for _, entry := range list {
-		if entry.Name() == kept || !entry.Type().IsRegular() || !ours.MatchString(entry.Name()) && !abandoned(entry) {
+		if entry.Name() == kept || !entry.Type().IsRegular() || !isTemporary(entry) {
 			continue
 		}
 		if e := system.Remove(folder + entry.Name()); !errors.Is(e, fs.ErrNotExist) {
@@ -110,112 +95,14 @@
 	return err
 }
 
-// abandoned tells whether a file is a temporary one of a version that took no lock, and too old to have a writer.
-func abandoned(entry fs.DirEntry) bool {
-	if !formerly.MatchString(entry.Name()) {
-		return false
-	}
-	info, err := entry.Info()
-	return err == nil && time.Since(info.ModTime()) > formerlyAge
-}
-
-// Backoff is how long to wait between attempts: First after the first that failed, then twice as long each, up to Most.
-type Backoff struct{ Initial, Max time.Duration }
-
-// Wait is how long to wait after so many attempts have failed.
-func (b Backoff) Wait(failed int) time.Duration {
-	wait := b.Initial
-	for ; failed > 1 && wait < b.Max; failed-- {
-		wait *= 2
-	}
-	return min(wait, b.Max)
-}
-
-// writing is how soon a write that failed is tried again.
-var writing = Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
-
-// Keep writes a record as Write does, and again with growing waits until it has worked, the context is over, or the
-// error is one that lasts. failed hears of the first failure only. It may stay longer than its context where the system
-// does: who can't wait for that runs it on a goroutine.
-func (r *Record) WriteWithRetry(ctx context.Context, file string, failed func(error)) error {
-	return r.keep(ctx, disk{}, file, failed)
-}
-
-func (r *Record) keep(ctx context.Context, system fileSystem, file string, failed func(error)) error {
-	content, err := r.Encode()
-	if err != nil {
-		return err
+// isTemporary tells whether a file is a temporary one without a writer, provided that the folder's lock is held.
+func isTemporary(entry fs.DirEntry) bool {
+	if temporaryName.MatchString(entry.Name()) {
+		return true
 	}
-	for n := 1; ; n++ {
-		err := replace(system, file, content)
-		if err == nil || lasts(err) {
-			return err
-		}
-		if n == 1 {
-			failed(err)
-		}
-		if n == patience && errors.Is(err, errLocked) {
-			system = unlocked{system}
-		}
-		select {
-		case <-ctx.Done():
-			return err
-		case <-time.After(writing.Wait(n)):
-		}
-	}
-}
-
-// lasts tells errors that no wait mends: a folder that is missing or not to be written, a directory in the file's place.
-// A temporary file that was gone when it was to be renamed is none.
-func lasts(err error) bool {
-	var renamed *os.LinkError
-	if errors.As(err, &renamed) && errors.Is(err, fs.ErrNotExist) {
+	if !unlockedTemporaryName.MatchString(entry.Name()) {
 		return false
 	}
-	for _, kind := range []error{fs.ErrNotExist, fs.ErrPermission, fs.ErrExist, syscall.ENOTDIR, syscall.EISDIR, syscall.EROFS, syscall.ENAMETOOLONG} {
-		if errors.Is(err, kind) {
-			return true
-		}
-	}
-	return false
-}
-
-// disk is the system's own file system.
-type disk struct{}
-
-// Lock takes the advisory lock of a folder, and does not wait for it. The kernel gives it back when a process ends.
-func (disk) Lock(folder string) (func(), error) {
-	f, err := os.Open(folder)
-	if err != nil {
-		return nil, err
-	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
-		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = errLocked
-		}
-		return nil, err
-	}
-	return func() { f.Close() }, nil
-}
-
-func (disk) List(folder string) ([]fs.DirEntry, error) { return os.ReadDir(folder) }
-
-func (disk) Create(folder, pattern string) (file, error) { return os.CreateTemp(folder, pattern) }
-
-func (disk) Rename(from, to string) error { return os.Rename(from, to) }
-
-func (disk) Remove(name string) error { return os.Remove(name) }
-
-// SyncFolder makes a rename last through a loss of power. A folder that may be written but not read, and a file system
-// that syncs no folders, have no such call: the rename stands as it does there.
-func (disk) SyncFolder(folder string) error {
-	f, err := os.Open(folder)
-	if err == nil {
-		err = errors.Join(f.Sync(), f.Close())
-	}
-	if errors.Is(err, fs.ErrPermission) || errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.ENOTSUP) {
-		return nil
-	}
-	return err
+	info, err := entry.Info()
+	return err == nil && time.Since(info.ModTime()) > unlockedWriterAge
 }
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -18,11 +18,11 @@
 	"time"
 )
 
-const writerOf = "LEARNT_TEST_WRITER"
+const writerEnv = "LEARNT_TEST_WRITER"
 
-// TestMain is a writer without end when it is told a file.
+// TestMain writes a file again and again where the environment names one.
 func TestMain(m *testing.M) {
-	file := os.Getenv(writerOf)
+	file := os.Getenv(writerEnv)
 	if file == "" {
 		os.Exit(m.Run())
 	}
@@ -55,8 +55,8 @@
 	return list
 })
 
-// whole reads a file, which must be one of the versions, and tells which.
-func whole(t *testing.T, file string) int {
+// readVersion reads a file, which must be one of the versions, and returns which.
+func readVersion(t *testing.T, file string) int {
 	t.Helper()
 	b, err := os.ReadFile(file)
 	for i, version := range encoded() {
@@ -68,8 +68,8 @@
 	return -1
 }
 
-// beside lists what is in a file's folder beside it.
-func beside(t *testing.T, file string) (names []string) {
+// otherFiles lists the files in the folder of a file beside it.
+func otherFiles(t *testing.T, file string) (names []string) {
 	t.Helper()
 	list, err := os.ReadDir(filepath.Dir(file))
 	if err != nil {
@@ -83,14 +83,15 @@
 	return names
 }
 
-// faulty is the system's file system. fault tells for each call how it ends; done: after it was carried out, a write by half.
-type faulty struct {
+// faultSystem is the system's file system with faults. fault returns the error of each call; done: the call is carried out
+// all the same, a write by half.
+type faultSystem struct {
 	disk
 	calls []string
 	fault func(call string) (err error, done bool)
 }
 
-func (f *faulty) do(call string, do func() error) error {
+func (f *faultSystem) do(call string, do func() error) error {
 	f.calls = append(f.calls, call)
 	err, done := f.fault(call)
 	if err == nil {
@@ -102,7 +103,7 @@
 	return err
 }
 
-func (f *faulty) Lock(folder string) (unlock func(), err error) {
+func (f *faultSystem) Lock(folder string) (unlock func(), err error) {
 	err = f.do("lock", func() (err error) { unlock, err = f.disk.Lock(folder); return err })
 	if err != nil && unlock != nil {
 		unlock() // as the kernel does for one that was killed
@@ -110,34 +111,34 @@
 	return unlock, err
 }
 
-func (f *faulty) List(folder string) (list []fs.DirEntry, err error) {
+func (f *faultSystem) List(folder string) (list []fs.DirEntry, err error) {
 	err = f.do("list", func() (err error) { list, err = f.disk.List(folder); return err })
 	return list, err
 }
 
-func (f *faulty) Create(folder, pattern string) (made file, err error) {
+func (f *faultSystem) Create(folder, pattern string) (made file, err error) {
 	err = f.do("create", func() (err error) { made, err = f.disk.Create(folder, pattern); return err })
-	return faultyFile{made, f}, err
+	return faultFile{made, f}, err
 }
 
-func (f *faulty) Rename(from, to string) error {
+func (f *faultSystem) Rename(from, to string) error {
 	return f.do("rename", func() error { return f.disk.Rename(from, to) })
 }
 
-func (f *faulty) Remove(name string) error {
+func (f *faultSystem) Remove(name string) error {
 	return f.do("remove", func() error { return f.disk.Remove(name) })
 }
 
-func (f *faulty) SyncFolder(folder string) error {
+func (f *faultSystem) SyncFolder(folder string) error {
 	return f.do("sync folder", func() error { return nil }) // no power is cut here, and the tests are sooner done
 }
 
-type faultyFile struct {
+type faultFile struct {
 	file
-	system *faulty
+	system *faultSystem
 }
 
-func (f faultyFile) Write(b []byte) (int, error) {
+func (f faultFile) Write(b []byte) (int, error) {
 	f.system.calls = append(f.system.calls, "write")
 	if err, done := f.system.fault("write"); err != nil {
 		n := 0
@@ -149,11 +150,11 @@
 	return f.file.Write(b)
 }
 
-func (f faultyFile) Sync() error { return f.system.do("sync", func() error { return nil }) }
+func (f faultFile) Sync() error { return f.system.do("sync", func() error { return nil }) }
 
-func (f faultyFile) Close() error { return f.system.do("close", f.file.Close) }
+func (f faultFile) Close() error { return f.system.do("close", f.file.Close) }
 
-// folder makes one with the first version in it, what a killed writer left, and what is none of ours.
+// folder makes a folder with the first version, temporary files of killed writers, and others.
 func folder(t *testing.T) (name string, others []string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -167,23 +168,24 @@
 			t.Fatal(err)
 		}
 	}
-	if err := os.Chtimes(filepath.Join(dir, ".learnt-6"), time.Time{}, time.Now().Add(-2*formerlyAge)); err != nil {
+	if err := os.Chtimes(filepath.Join(dir, ".learnt-6"), time.Time{}, time.Now().Add(-2*unlockedWriterAge)); err != nil {
 		t.Fatal(err)
 	}
 	return name, others
 }
 
-func quick(t *testing.T) {
+// withoutWaits makes the waits between attempts as short as can be.
+func withoutWaits(t *testing.T) {
 	t.Helper()
-	usual := writing
-	writing = Backoff{Initial: time.Microsecond, Max: time.Microsecond}
-	t.Cleanup(func() { writing = usual })
+	before := writeBackoff
+	writeBackoff = Backoff{Initial: time.Microsecond, Max: time.Microsecond}
+	t.Cleanup(func() { writeBackoff = before })
 }
 
 // TestFaults has each call fail in each way, once and in runs, before and after it was carried out: at every call the
-// file is the former or the new one whole; in the end it is the new one, alone but for what is none of ours.
+// file is the old or the new one as a whole; in the end it is the new one, alone but for what is no temporary file.
 func TestFaults(t *testing.T) {
-	quick(t)
+	withoutWaits(t)
 	for _, call := range []string{"lock", "list", "create", "write", "sync", "close", "rename", "remove", "sync folder"} {
 		kinds := []error{syscall.ENOSPC, syscall.EIO, syscall.EMFILE}
 		if call == "lock" {
@@ -195,20 +197,20 @@
 				for _, run := range []int{1, 2, 7} {
 					for _, done := range []bool{false, true} {
 						name, others := folder(t)
-						left, heard := run, 0
-						system := &faulty{fault: func(at string) (error, bool) {
-							whole(t, name)
+						left, reported := run, 0
+						system := &faultSystem{fault: func(at string) (error, bool) {
+							readVersion(t, name)
 							if at != call || left == 0 {
 								return nil, false
 							}
 							left--
 							return kind, done
 						}}
-						err := versions()[1].keep(t.Context(), system, name, func(error) { heard++ })
-						if err != nil || left != 0 && (call != "remove" || !done) || heard > 1 || heard == 0 && call != "list" && call != "remove" {
-							t.Errorf("%s fails with %v, %d times, done %v: %v, %d not met, told %d times", call, kind, run, done, err, left, heard)
+						err := versions()[1].writeWithRetry(t.Context(), system, name, func(error) { reported++ })
+						if err != nil || left != 0 && (call != "remove" || !done) || reported > 1 || reported == 0 && call != "list" && call != "remove" {
+							t.Errorf("%s fails with %v, %d times, done %v: %v, %d not met, reported %d times", call, kind, run, done, err, left, reported)
 						}
-						if n, names := whole(t, name), beside(t, name); n != 1 || !slices.Equal(names, others) {
+						if n, names := readVersion(t, name), otherFiles(t, name); n != 1 || !slices.Equal(names, others) {
 							t.Errorf("%s fails with %v, %d times, done %v: version %d, beside it %v", call, kind, run, done, n, names)
 						}
 					}
@@ -227,7 +229,7 @@
 		for _, done := range []bool{false, true} {
 			name, others := folder(t)
 			n := 0
-			system := &faulty{fault: func(string) (error, bool) {
+			system := &faultSystem{fault: func(string) (error, bool) {
 				if n++; n <= last {
 					return nil, false
 				}
@@ -236,14 +238,14 @@
 			if err := replace(system, name, nil); last == 0 && err == nil {
 				t.Fatal("no call at all")
 			}
-			if n <= last { // it came to its end
+			if n <= last { // it was not killed
 				if seen[0] == 0 || seen[1] == 0 {
-					t.Errorf("killed with the former file %d times, with the new one %d", seen[0], seen[1])
+					t.Errorf("killed with the old file %d times, with the new one %d", seen[0], seen[1])
 				}
 				return
 			}
 			if b, err := os.ReadFile(name); err != nil || len(b) > 0 {
-				whole(t, name)
+				readVersion(t, name)
 				seen[0]++
 			} else {
 				seen[1]++ // the new one is empty here
@@ -251,16 +253,16 @@
 			if err := versions()[1].Write(name); err != nil {
 				t.Fatal(err)
 			}
-			if n, names := whole(t, name), beside(t, name); n != 1 || !slices.Equal(names, others) {
+			if n, names := readVersion(t, name), otherFiles(t, name); n != 1 || !slices.Equal(names, others) {
 				t.Errorf("killed at call %d, done %v: version %d, beside it %v", last, done, n, names)
 			}
 		}
 	}
 }
 
-// TestOrder: a content is on the disk before it takes the file's place, and the folder after.
+// TestOrder checks the order of the calls: the content is synced before it takes the file's place, the folder after.
 func TestOrder(t *testing.T) {
-	system := &faulty{fault: func(string) (error, bool) { return nil, false }}
+	system := &faultSystem{fault: func(string) (error, bool) { return nil, false }}
 	if err := replace(system, filepath.Join(t.TempDir(), "learnt"), []byte(magic)); err != nil {
 		t.Fatal(err)
 	}
@@ -269,24 +271,25 @@
 	}
 }
 
-// TestLasting: an error that no wait mends ends the attempts at once, any other when the context does.
-func TestLasting(t *testing.T) {
-	quick(t)
+// TestPermanentError checks that an error that waiting does not mend ends the attempts at once, any other one with the
+// context.
+func TestPermanentError(t *testing.T) {
+	withoutWaits(t)
 	name, _ := folder(t)
 	taken := filepath.Join(filepath.Dir(name), "directory")
 	if err := os.MkdirAll(filepath.Join(taken, "inside"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []string{filepath.Join(name, "learnt"), filepath.Join(taken, "missing", "learnt"), taken} {
-		heard := 0
-		if err := record().WriteWithRetry(context.Background(), bad, func(error) { heard++ }); err == nil || heard > 0 {
-			t.Errorf("%s: %v, told %d times", bad, err, heard)
+		reported := 0
+		if err := record().WriteWithRetry(context.Background(), bad, func(error) { reported++ }); err == nil || reported > 0 {
+			t.Errorf("%s: %v, reported %d times", bad, err, reported)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	tried, heard := 0, 0
-	system := &faulty{fault: func(call string) (error, bool) {
+	tried, reported := 0, 0
+	system := &faultSystem{fault: func(call string) (error, bool) {
 		if call == "create" {
 			if tried++; tried == 9 {
 				cancel()
@@ -295,47 +298,47 @@
 		}
 		return nil, false
 	}}
-	if err := record().keep(ctx, system, name, func(error) { heard++ }); !errors.Is(err, syscall.ENOSPC) || tried < 9 || heard != 1 {
-		t.Errorf("%v after %d attempts, told %d times", err, tried, heard)
+	if err := record().writeWithRetry(ctx, system, name, func(error) { reported++ }); !errors.Is(err, syscall.ENOSPC) || tried < 9 || reported != 1 {
+		t.Errorf("%v after %d attempts, reported %d times", err, tried, reported)
 	}
-	whole(t, name)
+	readVersion(t, name)
 }
 
-// TestLivingWriter: a temporary file stays while a writer may live that holds the lock, or where there are no locks.
-func TestLivingWriter(t *testing.T) {
+// TestConcurrentWriter checks that a temporary file stays while another writer may hold the lock, or without locks.
+func TestConcurrentWriter(t *testing.T) {
 	name, others := folder(t)
-	all := beside(t, name)
+	all := otherFiles(t, name)
 	unlock, err := disk{}.Lock(filepath.Dir(name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := versions()[1].Write(name); !errors.Is(err, errLocked) || whole(t, name) != 0 || !slices.Equal(beside(t, name), all) {
-		t.Errorf("beside a living writer: %v, %v", err, beside(t, name))
+	if err := versions()[1].Write(name); !errors.Is(err, errLocked) || readVersion(t, name) != 0 || !slices.Equal(otherFiles(t, name), all) {
+		t.Errorf("beside another writer: %v, %v", err, otherFiles(t, name))
 	}
-	quick(t)
-	if err := versions()[1].WriteWithRetry(t.Context(), name, func(error) {}); err != nil || whole(t, name) != 1 || !slices.Equal(beside(t, name), all) {
-		t.Errorf("beside one that never ends: %v, %v", err, beside(t, name))
+	withoutWaits(t)
+	if err := versions()[1].WriteWithRetry(t.Context(), name, func(error) {}); err != nil || readVersion(t, name) != 1 || !slices.Equal(otherFiles(t, name), all) {
+		t.Errorf("beside a writer that never ends: %v, %v", err, otherFiles(t, name))
 	}
 	unlock()
 	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	system := &faulty{fault: func(call string) (error, bool) {
+	system := &faultSystem{fault: func(call string) (error, bool) {
 		if call == "lock" {
 			return syscall.ENOLCK, false
 		}
 		return nil, false
 	}}
-	if err := versions()[1].keep(t.Context(), system, name, nil); err != nil || whole(t, name) != 1 || !slices.Equal(beside(t, name), all) {
-		t.Errorf("without locks: %v, %v", err, beside(t, name))
+	if err := versions()[1].writeWithRetry(t.Context(), system, name, nil); err != nil || readVersion(t, name) != 1 || !slices.Equal(otherFiles(t, name), all) {
+		t.Errorf("without locks: %v, %v", err, otherFiles(t, name))
 	}
-	if err := versions()[0].Write(name); err != nil || whole(t, name) != 0 || !slices.Equal(beside(t, name), others) {
-		t.Errorf("alone: %v, %v", err, beside(t, name))
+	if err := versions()[0].Write(name); err != nil || readVersion(t, name) != 0 || !slices.Equal(otherFiles(t, name), others) {
+		t.Errorf("alone: %v, %v", err, otherFiles(t, name))
 	}
 	// A file that is named as a temporary one is not removed as one.
 	own := filepath.Join(t.TempDir(), ".learnt-9.tmp")
 	for n := range 2 {
-		if err := versions()[n].Write(own); err != nil || whole(t, own) != n {
+		if err := versions()[n].Write(own); err != nil || readVersion(t, own) != n {
 			t.Errorf("%s: %v", own, err)
 		}
 	}
@@ -363,7 +366,7 @@
 		var writers [2]*exec.Cmd
 		for i := range writers {
 			c := exec.Command(os.Args[0])
-			c.Env = append(os.Environ(), writerOf+"="+name)
+			c.Env = append(os.Environ(), writerEnv+"="+name)
 			out, err := c.StdoutPipe()
 			if err == nil {
 				err = c.Start()
@@ -372,16 +375,16 @@
 				t.Fatal(err)
 			}
 			defer c.Process.Kill()
-			if word := make([]byte, 7); i == 0 {
-				if n, _ := out.Read(word); string(word[:n]) != "written" {
-					t.Errorf("a writer says %q", word[:n])
+			if output := make([]byte, 7); i == 0 {
+				if n, _ := out.Read(output); string(output[:n]) != "written" {
+					t.Errorf("a writer prints %q", output[:n])
 				}
 			}
 			go func() {
 				b := make([]byte, 4096)
 				for n, err := out.Read(b); err == nil; n, err = out.Read(b) {
-					if said := strings.Trim(strings.ReplaceAll(string(b[:n]), "written", ""), "\n"); said != "" && !strings.HasPrefix("written", said) && !strings.HasSuffix("written", said) {
-						t.Errorf("a writer fails: %s", said)
+					if printed := strings.Trim(strings.ReplaceAll(string(b[:n]), "written", ""), "\n"); printed != "" && !strings.HasPrefix("written", printed) && !strings.HasSuffix("written", printed) {
+						t.Errorf("a writer fails: %s", printed)
 					}
 				}
 			}()
@@ -396,8 +399,8 @@
 				t.Errorf("a writer ended by itself: %v", c.ProcessState)
 			}
 		}
-		whole(t, name)
-		if left := beside(t, name); len(left) > 0 {
+		readVersion(t, name)
+		if left := otherFiles(t, name); len(left) > 0 {
 			interrupted++
 		}
 	}
@@ -405,7 +408,7 @@
 	if err := versions()[1].Write(name); err != nil {
 		t.Fatal(err)
 	}
-	if left := beside(t, name); whole(t, name) != 1 || len(left) > 0 {
+	if left := otherFiles(t, name); readVersion(t, name) != 1 || len(left) > 0 {
 		t.Errorf("left: %v", left)
 	}
 }
