--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,6 +1,6 @@
 // Package discovery has the types that the two sources of the list of disk servers share. Package discovery/etcd
 // watches the list in etcd (docs/etcd.md), package discovery/dns polls the SRV records in DNS (docs/dns.md). The
-// sources ask, pass on what they heard and report what failed. Which of them is right about a server is decided in
+// sources ask, pass on what they received and report what failed. Which of them is right about a server is decided in
 // package membership, when etcd is asked again in the decision module.
 package discovery
 
@@ -36,7 +36,7 @@
 	Removed bool   // the server is not listed any more; Record is what was listed last
 }
 
-// Update is what a source has heard.
+// Update is what a source has received.
 type Update struct {
 	// Kind is Complete for a whole list, Delta for changes, and WatchFailed where a request or watch failed: Err has the
 	// reason then, and there are no nodes.
@@ -57,7 +57,7 @@
 	ErrNegative = errors.New("a number is negative")
 )
 
-// RecordError tells which record is not valid and why.
+// RecordError says which record is not valid and why.
 type RecordError struct {
 	Address string
 	Err     error
--- a/discovery/dns/client.go
+++ b/discovery/dns/client.go
@@ -39,7 +39,7 @@
 	Queries  int // sent so far; to be read after Close only
 }
 
-// New begins to poll. What is heard goes to update, on the goroutine of the Client, which runs until Close.
+// New begins to poll. Updates go to update, on the goroutine of the Client, which runs until Close.
 func New(settings Settings, update func(discovery.Update)) *Client {
 	settings.Name = mdns.Fqdn(settings.Name)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/discovery/dns/exchange.go
+++ b/discovery/dns/exchange.go
@@ -79,7 +79,7 @@
 	return nil, ErrEmptyAnswer
 }
 
-// checkHeader tells why a message is no answer to a question, as far as its header and question section go.
+// checkHeader returns why a message is no answer to a question, as far as its header and question section go.
 func checkHeader(m *mdns.Msg, name string, recordType uint16) error {
 	switch {
 	case m.Truncated:
--- a/discovery/etcd/list.go
+++ b/discovery/etcd/list.go
@@ -147,7 +147,7 @@
 	return r
 }
 
-// addPage takes in a page and tells whether there are more.
+// addPage takes in a page and reports whether there are more.
 func (r *listRead) addPage(p *etcdserverpb.RangeResponse) (more bool, err error) {
 	if p.GetHeader() == nil || p.Header.Revision < 1 {
 		return false, errNoRevision
--- a/discovery/etcd/rpc.go
+++ b/discovery/etcd/rpc.go
@@ -52,7 +52,7 @@
 	return s.watch(ctx, conn)
 }
 
-// hasRevision tells whether there is a revision from which a watch can go on.
+// hasRevision reports whether there is a revision from which a watch can go on.
 func (s session) hasRevision() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,24 +98,16 @@
 	if err := s.apply(func(l *list) (*discovery.Update, error) { l.beginWatch(); from = l.revision; return nil, nil }); err != nil {
 		return err
 	}
+	created := func() {}
 	if s.askWithin > 0 {
 		timer := time.AfterFunc(s.askWithin, func() { cancel(fmt.Errorf("%w: %v", ErrNotCreated, s.askWithin)) })
 		defer timer.Stop()
-		return s.receiveFrom(ctx, cancel, conn, from, func() { timer.Stop() })
+		created = func() { timer.Stop() }
 	}
-	return s.receiveFrom(ctx, cancel, conn, from, func() {})
-}
-
-// receiveFrom is receive from a revision; created is called with each response that says that the watch is created.
-func (s session) receiveFrom(ctx context.Context, cancel context.CancelCauseFunc, conn *grpc.ClientConn, from int64, created func()) error {
-	stream, err := etcdserverpb.NewWatchClient(conn).Watch(ctx)
+	stream, err := s.create(ctx, conn, from)
 	if err != nil {
 		return err
 	}
-	create := &etcdserverpb.WatchCreateRequest{Key: []byte(s.list.prefix), RangeEnd: prefixEnd(s.list.prefix), StartRevision: from + 1, ProgressNotify: true, Fragment: true}
-	if err := stream.Send(&etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_CreateRequest{CreateRequest: create}}); err != nil {
-		return err
-	}
 	active := make(chan struct{}, 1)
 	s.running.Go(func() { s.checkProgress(ctx, cancel, stream, active) }) // ends with ctx, which ends with watch
 	for {
@@ -123,28 +115,44 @@
 		if err != nil {
 			return err
 		}
-		keepsUp := true
-		err = s.apply(func(l *list) (*discovery.Update, error) {
-			update, err := l.handle(response)
-			// A progress response keeps up a complete watch, not one of which a fragment or its creation is awaited.
-			keepsUp = l.state == watching || len(response.Events) > 0
-			return update, err
-		})
+		err = s.handle(response, active)
 		if response.Created {
 			created()
 		}
-		if keepsUp {
-			select {
-			case active <- struct{}{}:
-			default:
-			}
-		}
 		if err != nil {
 			return err
 		}
 	}
 }
 
+// create asks for a watch from after a revision.
+func (s session) create(ctx context.Context, conn *grpc.ClientConn, from int64) (etcdserverpb.Watch_WatchClient, error) {
+	stream, err := etcdserverpb.NewWatchClient(conn).Watch(ctx)
+	if err != nil {
+		return nil, err
+	}
+	request := &etcdserverpb.WatchCreateRequest{Key: []byte(s.list.prefix), RangeEnd: prefixEnd(s.list.prefix), StartRevision: from + 1, ProgressNotify: true, Fragment: true}
+	return stream, stream.Send(&etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_CreateRequest{CreateRequest: request}})
+}
+
+// handle applies a response, and reports on active one that keeps up the watch.
+func (s session) handle(response *etcdserverpb.WatchResponse, active chan<- struct{}) error {
+	keepsUp := true
+	err := s.apply(func(l *list) (*discovery.Update, error) {
+		update, err := l.handle(response)
+		// A progress response keeps up a complete watch, not one of which a fragment or its creation is awaited.
+		keepsUp = l.state == watching || len(response.Events) > 0
+		return update, err
+	})
+	if keepsUp {
+		select {
+		case active <- struct{}{}:
+		default:
+		}
+	}
+	return err
+}
+
 // checkProgress asks a watch without responses for its progress and ends one that does not answer. It guards against a
 // watch that stays open and delivers nothing; it could harm where askWithin is shorter than a slow etcd takes.
 func (s session) checkProgress(ctx context.Context, cancel context.CancelCauseFunc, stream etcdserverpb.Watch_WatchClient, active <-chan struct{}) {
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -55,7 +55,7 @@
 	return out
 }
 
-// handle tells whether the watch goes on after a response.
+// handle reports whether the watch goes on after a response.
 func (m *model) handle(r *etcdserverpb.WatchResponse) bool {
 	order := slices.IsSortedFunc(r.Events, func(a, b *mvccpb.Event) int { return int(a.GetKv().GetModRevision() - b.GetKv().GetModRevision()) })
 	whole := !slices.ContainsFunc(r.Events, func(e *mvccpb.Event) bool { return e.Kv == nil })
--- a/estimates/retry.go
+++ b/estimates/retry.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// isPermanent tells whether an error is one that waiting does not mend: a folder that is missing or may not be written, a
+// isPermanent reports whether an error is one that waiting does not mend: a folder that is missing or may not be written, a
 // directory in the place of the file. A temporary file that was removed before it was renamed is not.
 func isPermanent(err error) bool {
 	var renamed *os.LinkError
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -95,7 +95,7 @@
 	return err
 }
 
-// isTemporary tells whether a file is a temporary one without a writer, provided that the folder's lock is held.
+// isTemporary reports whether a file is a temporary one without a writer, provided that the folder's lock is held.
 func isTemporary(entry fs.DirEntry) bool {
 	if temporaryName.MatchString(entry.Name()) {
 		return true
--- a/membership/flap.go
+++ b/membership/flap.go
@@ -14,7 +14,7 @@
 	heldUntil time.Duration   // end of the hold in force; 0: none
 }
 
-// holdReturn takes in that a server that was taken out would be up again, and tells whether it is held out for now.
+// holdReturn takes in that a server that was taken out would be up again, and reports whether it is held out for now.
 func (f *flapHold) holdReturn(now time.Duration, settings Settings) bool {
 	if f.heldUntil > now {
 		return true
--- a/membership/ledger.go
+++ b/membership/ledger.go
@@ -1,5 +1,5 @@
 // Package membership merges what two sources, etcd and DNS, report of the disk servers into one list. Reports go in
-// with the time at which they were heard; the changes of the list for the decision module come out. The package does
+// with the time at which they were received; the changes of the list for the decision module come out. The package does
 // no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule as a table.
 //
 // All times are spans since a fixed moment of the caller's monotonic clock and do not decrease from call to call.
@@ -46,10 +46,10 @@
 // String is the state as logs and the nodes command show it.
 func (s State) String() string { return [...]string{"never", "on", "draining", "gone"}[s] }
 
-// listed tells whether a source that reports this state lists the server.
+// listed reports whether a source that reports this state lists the server.
 func (s State) listed() bool { return s == Up || s == Draining }
 
-// takenOut tells whether a source that reports this state has taken the server out of service.
+// takenOut reports whether a source that reports this state has taken the server out of service.
 func (s State) takenOut() bool { return s == Draining || s == Removed }
 
 // Report is what a source reports of one server.
@@ -90,7 +90,7 @@
 	removedAt          time.Duration
 }
 
-// confirmedUp tells whether the source lists the server as up, without an unconfirmed removal.
+// confirmedUp reports whether the source lists the server as up, without an unconfirmed removal.
 func (r *sourceReport) confirmedUp() bool { return r.state == Up && !r.removalUnconfirmed }
 
 // confirmAt is when an unconfirmed removal has lasted long enough; 0: there is none.
@@ -142,7 +142,7 @@
 // removed. It returns what the decision module is to be notified of: nothing, or one list, which is a delta or, the
 // first time, the complete list.
 func (l *Ledger) Complete(now time.Duration, from Source, reports []Report) []honeyplank.List {
-	l.heard(now, from)
+	l.received(now, from)
 	listedBefore := l.sources[from].listed
 	named := make(map[honeyplank.ServerID]bool, len(reports))
 	var touched []*node
@@ -164,7 +164,7 @@
 // one server the last decides: a watch that was held up delivers several revisions of etcd at once, and a server that
 // is removed and put back within them has not been removed.
 func (l *Ledger) Delta(now time.Duration, from Source, reports []Report) []honeyplank.List {
-	l.heard(now, from)
+	l.received(now, from)
 	listedBefore := l.sources[from].listed
 	last := make(map[honeyplank.ServerID]int, len(reports))
 	for i, report := range reports {
@@ -205,8 +205,8 @@
 // NextTick is when a Tick may change something; 0: no time is awaited. A Tick before that does no harm.
 func (l *Ledger) NextTick() time.Duration { return l.nextTick }
 
-// heard notes that a source has reported.
-func (l *Ledger) heard(now time.Duration, from Source) {
+// received notes that a source has reported.
+func (l *Ledger) received(now time.Duration, from Source) {
 	l.now = now
 	l.sources[from].heardAt, l.sources[from].failingSince = max(now, 1), 0
 }
@@ -223,7 +223,7 @@
 		l.sources[from].listed++
 	}
 	if r.state != report.State || r.member.Started != report.Member.Started || r.removalUnconfirmed {
-		r.reportedAt = l.now // a repeated report keeps its time: it is no news
+		r.reportedAt = l.now // a repeated report keeps its time: it is nothing new
 	}
 	r.state, r.member, r.startedAfter, r.removalUnconfirmed = report.State, report.Member, report.StartedAfter, false
 	return n
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -39,7 +39,7 @@
 }
 
 // merge is the merged state of a server and its cause. The one way past the rule is a start that is surely newer than
-// the report that took the server out, shown by a source that lists it as up: the first source has not heard of the new
+// the report that took the server out, shown by a source that lists it as up: the first source has not received the new
 // start yet.
 func merge(reports *[sourceCount]sourceReport) (State, Cause) {
 	etcd, dns := &reports[Etcd], &reports[DNS]
@@ -57,7 +57,7 @@
 	return state, cause
 }
 
-// putBack tells whether a source shows a start that is surely newer than the report by which the other one has taken
+// putBack reports whether a source shows a start that is surely newer than the report by which the other one has taken
 // the server out.
 func putBack(out, other *sourceReport) bool {
 	return out.state.takenOut() && other.confirmedUp() && other.startedAfter > out.reportedAt
--- a/membership/removal.go
+++ b/membership/removal.go
@@ -51,7 +51,7 @@
 }
 
 // confirmRemovals follows the unconfirmed removals of a node that have lasted, unless the other source lists the server
-// as up. It tells whether there was one.
+// as up. It reports whether there was one.
 func (l *Ledger) confirmRemovals(n *node) (confirmed bool) {
 	for from := range sourceCount {
 		r, other := &n.reports[from], &n.reports[from.other()]
--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -53,7 +53,7 @@
 	banLength     time.Duration // of the last ban; 0: none since the peer was trusted
 }
 
-// idle tells whether nothing of a peer is open and nothing is held against it.
+// idle reports whether nothing of a peer is open and nothing is held against it.
 func (p *peer) idle() bool {
 	return p.standing == trusted && p.connections == 0 && p.bytes == 0 && p.commands == 0
 }
@@ -124,7 +124,7 @@
 	return 0
 }
 
-// ReserveBytes tells whether a peer may be asked for n more bytes of write data; if so they count until ReleaseBytes. A
+// ReserveBytes reports whether a peer may be asked for n more bytes of write data; if so they count until ReleaseBytes. A
 // peer without any may always be asked, so that none waits for ever.
 func (g *Guard) ReserveBytes(now time.Duration, id string, n int) bool {
 	p := g.peer(now, id)
@@ -138,7 +138,7 @@
 // ReleaseBytes takes in that n bytes asked for have come, or will not come any more.
 func (g *Guard) ReleaseBytes(now time.Duration, id string, n int) { g.peer(now, id).bytes -= n }
 
-// BeginCommand tells whether a command of a peer may begin; if so it counts until EndCommand. One that may not is to be
+// BeginCommand reports whether a command of a peer may begin; if so it counts until EndCommand. One that may not is to be
 // answered at once: to queue it would use the memory that the limit is to save.
 func (g *Guard) BeginCommand(now time.Duration, id string) bool {
 	p := g.peer(now, id)
@@ -152,7 +152,7 @@
 // EndCommand takes in that a command that began has ended.
 func (g *Guard) EndCommand(now time.Duration, id string) { g.peer(now, id).commands-- }
 
-// PDUOverdue tells whether a PDU whose first byte came at a time should be complete.
+// PDUOverdue reports whether a PDU whose first byte came at a time should be complete.
 func (g *Guard) PDUOverdue(now, began time.Duration) bool {
 	return g.settings.PDUTimeout > 0 && now-began >= g.settings.PDUTimeout
 }
@@ -183,5 +183,5 @@
 	}
 }
 
-// reached tells whether a count is at its limit; 0: there is none.
+// reached reports whether a count is at its limit; 0: there is none.
 func reached(n, limit int) bool { return limit > 0 && n >= limit }
