--- a/peerlimit/guard_test.go
+++ b/peerlimit/guard_test.go
@@ -1,7 +1,9 @@
 package peerlimit
 
 import (
+	"fmt"
 	"math/rand"
+	"slices"
 	"testing"
 	"time"
 )
@@ -68,6 +70,23 @@
 	violate(5 * second) // the bans before are dropped
 }
 
+// TestViolationWindow has a peer's third violation at the end of the window of the first, and just before.
+func TestViolationWindow(t *testing.T) {
+	for name, c := range map[string]struct{ third, ban time.Duration }{
+		"within":     {10*second - 1, 5 * second},
+		"at its end": {10 * second, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			g := New(testSettings)
+			g.Violation(0, "p")
+			g.Violation(5*second, "p")
+			if got := g.Violation(c.third, "p"); got != c.ban {
+				t.Errorf("banned for %v, want %v", got, c.ban)
+			}
+		})
+	}
+}
+
 // TestNoLimits has no limit at all.
 func TestNoLimits(t *testing.T) {
 	g := New(Settings{})
@@ -78,124 +97,170 @@
 	}
 }
 
-// model counts by lists what the guard counts by numbers.
-type model struct {
-	open          map[string][]bool // by peer, whether each handshake is complete
-	reserved      map[string][]int
-	commands      map[string]int
-	violations    map[string][]time.Duration
-	bannedUntil   map[string]time.Duration
-	banLength     map[string]time.Duration
-	probation     map[string]bool
-	lastViolation map[string]time.Duration
+// modelPeer counts by lists what the guard counts by numbers.
+type modelPeer struct {
+	open          []bool // the connections, each with whether its handshake is complete
+	reserved      []int  // bytes
+	commands      int
+	violations    []time.Duration
+	lastViolation time.Duration
+	bannedUntil   time.Duration // 0: not banned
+	banLength     time.Duration
+	probation     bool
+}
+
+// passTime ends a ban or the memory of violations.
+func (p *modelPeer) passTime(now time.Duration) {
+	if until := p.bannedUntil; until > 0 && now >= until {
+		p.bannedUntil, p.probation, p.lastViolation = 0, true, until
+	}
+	if p.bannedUntil == 0 && now >= p.lastViolation+testSettings.ViolationWindow {
+		p.probation, p.banLength, p.violations = false, 0, nil
+	}
+}
+
+// verdict is what becomes of one more connection.
+func (p *modelPeer) verdict() Verdict {
+	handshakes := 0
+	for _, complete := range p.open {
+		if !complete {
+			handshakes++
+		}
+	}
+	switch {
+	case p.bannedUntil > 0:
+		return Banned
+	case len(p.open) >= testSettings.MaxConnections || p.probation && len(p.open) >= 2:
+		return TooManyConnections
+	case handshakes >= testSettings.MaxHandshakes:
+		return TooManyHandshakes
+	}
+	return Admit
+}
+
+// violate adds a violation and returns the length of the ban that it causes.
+func (p *modelPeer) violate(now time.Duration) time.Duration {
+	if p.bannedUntil > 0 {
+		return 0
+	}
+	p.lastViolation = now
+	recent := []time.Duration{now}
+	for _, at := range p.violations {
+		if at > now-testSettings.ViolationWindow {
+			recent = append(recent, at)
+		}
+	}
+	p.violations = recent
+	if !p.probation && len(recent) < testSettings.BanThreshold {
+		return 0
+	}
+	p.banLength = min(max(2*p.banLength, testSettings.InitialBan), testSettings.MaxBan)
+	p.bannedUntil, p.violations, p.probation = now+p.banLength, nil, false
+	return p.banLength
+}
+
+// history is a guard and the model of its peers, with the same events.
+type history struct {
+	rng   *rand.Rand
+	guard *Guard
+	now   time.Duration
+	peers map[string]*modelPeer
+}
+
+// step has one event of a peer happen, and fails where guard and model differ.
+func (h *history) step(t *testing.T) {
+	t.Helper()
+	h.now += time.Duration(h.rng.Intn(3000)) * time.Millisecond / 4
+	id := string(rune('a' + h.rng.Intn(4)))
+	if h.peers[id] == nil {
+		h.peers[id] = &modelPeer{}
+	}
+	p := h.peers[id]
+	p.passTime(h.now)
+	switch h.rng.Intn(7) {
+	case 0, 1:
+		want := p.verdict()
+		if v := h.guard.Open(h.now, id); v != want {
+			t.Fatalf("at %v: %s opens: %v, want %v", h.now, id, v, want)
+		} else if v == Admit {
+			p.open = append(p.open, false)
+		}
+	case 2:
+		if i := slices.Index(p.open, false); i >= 0 {
+			h.guard.HandshakeComplete(h.now, id)
+			p.open[i] = true
+		}
+	case 3:
+		if n := len(p.open); n > 0 {
+			h.guard.Close(h.now, id, p.open[n-1])
+			p.open = p.open[:n-1]
+		}
+	case 4:
+		if h.rng.Intn(3) > 0 {
+			return
+		}
+		want := p.violate(h.now)
+		if got := h.guard.Violation(h.now, id); got != want {
+			t.Fatalf("at %v: %s violates: %v, want %v", h.now, id, got, want)
+		}
+	case 5:
+		h.stepBytes(t, id, p)
+	case 6:
+		h.stepCommand(t, id, p)
+	}
+}
+
+func (h *history) stepBytes(t *testing.T, id string, p *modelPeer) {
+	t.Helper()
+	sum := 0
+	for _, n := range p.reserved {
+		sum += n
+	}
+	if n := 1 + h.rng.Intn(1500); h.rng.Intn(2) == 0 {
+		want := sum == 0 || sum+n <= testSettings.MaxBytes
+		if got := h.guard.ReserveBytes(h.now, id, n); got != want {
+			t.Fatalf("at %v: %s with %d bytes asked for %d: %v", h.now, id, sum, n, got)
+		}
+		if want {
+			p.reserved = append(p.reserved, n)
+		}
+	} else if k := len(p.reserved); k > 0 {
+		h.guard.ReleaseBytes(h.now, id, p.reserved[k-1])
+		p.reserved = p.reserved[:k-1]
+	}
+}
+
+func (h *history) stepCommand(t *testing.T, id string, p *modelPeer) {
+	t.Helper()
+	if h.rng.Intn(3) > 0 {
+		want := p.commands < testSettings.MaxCommands
+		if got := h.guard.BeginCommand(h.now, id); got != want {
+			t.Fatalf("at %v: %s with %d commands begins one: %v", h.now, id, p.commands, got)
+		}
+		if want {
+			p.commands++
+		}
+	} else if p.commands > 0 {
+		h.guard.EndCommand(h.now, id)
+		p.commands--
+	}
 }
 
 // TestGenerated compares long seeded histories of a few peers with the model: what one peer does must change nothing for
-// another, and idle peers are dropped.
+// another.
 func TestGenerated(t *testing.T) {
 	for seed := range int64(100) {
-		rng := rand.New(rand.NewSource(seed))
-		g, now := New(testSettings), time.Duration(0)
-		m := model{map[string][]bool{}, map[string][]int{}, map[string]int{}, map[string][]time.Duration{}, map[string]time.Duration{}, map[string]time.Duration{}, map[string]bool{}, map[string]time.Duration{}}
-		for range 2000 {
-			now += time.Duration(rng.Intn(3000)) * time.Millisecond / 4
-			id := string(rune('a' + rng.Intn(4)))
-			if until := m.bannedUntil[id]; until > 0 && now >= until {
-				m.bannedUntil[id], m.probation[id], m.lastViolation[id] = 0, true, until
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			h := history{rng: rand.New(rand.NewSource(seed)), guard: New(testSettings), peers: map[string]*modelPeer{}}
+			for range 2000 {
+				h.step(t)
 			}
-			if m.bannedUntil[id] == 0 && now >= m.lastViolation[id]+testSettings.ViolationWindow {
-				m.probation[id], m.banLength[id], m.violations[id] = false, 0, nil
-			}
-			switch rng.Intn(7) {
-			case 0, 1:
-				handshakes := 0
-				for _, complete := range m.open[id] {
-					if !complete {
-						handshakes++
-					}
-				}
-				want := Admit
-				switch {
-				case m.bannedUntil[id] > 0:
-					want = Banned
-				case len(m.open[id]) >= testSettings.MaxConnections || m.probation[id] && len(m.open[id]) >= 2:
-					want = TooManyConnections
-				case handshakes >= testSettings.MaxHandshakes:
-					want = TooManyHandshakes
-				}
-				if v := g.Open(now, id); v != want {
-					t.Fatalf("seed %d at %v: %s opens: %v, want %v", seed, now, id, v, want)
-				} else if v == Admit {
-					m.open[id] = append(m.open[id], false)
-				}
-			case 2:
-				for i, complete := range m.open[id] {
-					if !complete {
-						g.HandshakeComplete(now, id)
-						m.open[id][i] = true
-						break
-					}
-				}
-			case 3:
-				if n := len(m.open[id]); n > 0 {
-					g.Close(now, id, m.open[id][n-1])
-					m.open[id] = m.open[id][:n-1]
-				}
-			case 4:
-				if rng.Intn(3) > 0 {
-					continue
-				}
-				var want time.Duration
-				if m.bannedUntil[id] == 0 {
-					m.lastViolation[id] = now
-					recent := []time.Duration{now}
-					for _, at := range m.violations[id] {
-						if at > now-testSettings.ViolationWindow {
-							recent = append(recent, at)
-						}
-					}
-					m.violations[id] = recent
-					if m.probation[id] || len(recent) >= testSettings.BanThreshold {
-						m.banLength[id] = min(max(2*m.banLength[id], testSettings.InitialBan), testSettings.MaxBan)
-						want, m.bannedUntil[id], m.violations[id], m.probation[id] = m.banLength[id], now+m.banLength[id], nil, false
-					}
-				}
-				if got := g.Violation(now, id); got != want {
-					t.Fatalf("seed %d at %v: %s violates: %v, want %v", seed, now, id, got, want)
-				}
-			case 6:
-				if rng.Intn(3) > 0 {
-					want := m.commands[id] < testSettings.MaxCommands
-					if got := g.BeginCommand(now, id); got != want {
-						t.Fatalf("seed %d: %s with %d commands begins one: %v", seed, id, m.commands[id], got)
-					}
-					if want {
-						m.commands[id]++
-					}
-				} else if m.commands[id] > 0 {
-					g.EndCommand(now, id)
-					m.commands[id]--
-				}
-			case 5:
-				sum := 0
-				for _, n := range m.reserved[id] {
-					sum += n
-				}
-				if n := 1 + rng.Intn(1500); rng.Intn(2) == 0 {
-					want := sum == 0 || sum+n <= testSettings.MaxBytes
-					if got := g.ReserveBytes(now, id, n); got != want {
-						t.Fatalf("seed %d: %s with %d bytes asked for %d: %v", seed, id, sum, n, got)
-					}
-					if want {
-						m.reserved[id] = append(m.reserved[id], n)
-					}
-				} else if k := len(m.reserved[id]); k > 0 {
-					g.ReleaseBytes(now, id, m.reserved[id][k-1])
-					m.reserved[id] = m.reserved[id][:k-1]
-				}
-			}
-		}
+		})
 	}
+}
+
+// TestEviction has peers come and go: idle ones are dropped.
+func TestEviction(t *testing.T) {
 	g := New(testSettings)
 	for i := range 100_000 {
 		id := string(rune(i))
