--- a/membership/ledger_test.go
+++ b/membership/ledger_test.go
@@ -41,146 +41,6 @@
 	return append(list, input{name: "1 s", tick: second}, input{name: "11 s", tick: 11 * second})
 }
 
-// model is the merge rule of docs/sources.md, written a second time: slow, and without the structure of the ledger.
-type model struct {
-	now        time.Duration
-	reports    map[string]*[2]modelReport
-	removals   [2][]time.Duration
-	nodes      []string
-	heldUntil  map[string]time.Duration
-	returns    map[string][]time.Duration
-	holdLength map[string]time.Duration
-	state      map[string]State
-}
-
-type modelReport struct {
-	state            State
-	at               time.Duration
-	started          time.Duration
-	unconfirmedSince time.Duration // 0: there is no unconfirmed removal
-}
-
-func newModel() *model {
-	m := &model{reports: map[string]*[2]modelReport{}, heldUntil: map[string]time.Duration{}, returns: map[string][]time.Duration{}, holdLength: map[string]time.Duration{}, state: map[string]State{}}
-	for _, n := range []string{"a", "b", "c", "d"} {
-		m.nodes, m.reports[n] = append(m.nodes, n), &[2]modelReport{}
-	}
-	return m
-}
-
-func (m *model) apply(x input) {
-	m.now += x.tick
-	touched := map[string]bool{}
-	if x.tick > 0 || x.fails {
-		for _, n := range m.nodes {
-			touched[n] = x.tick > 0
-		}
-	} else {
-		var removed []string
-		listed := 0
-		for _, n := range m.nodes {
-			report := &m.reports[n][x.from]
-			listedBefore := report.state == Up || report.state == Draining
-			if listedBefore {
-				listed++
-			}
-			state, reported := x.reports[n]
-			switch {
-			case reported && state != Removed:
-				started := report.started
-				if x.started {
-					started = m.now
-				}
-				if report.state != state || report.started != started || report.unconfirmedSince > 0 {
-					report.at = m.now
-				}
-				report.state, report.started, report.unconfirmedSince = state, started, 0
-				touched[n] = true
-			case listedBefore && (reported || x.complete):
-				removed = append(removed, n)
-				touched[n] = true
-			}
-		}
-		recent := 0
-		for _, at := range m.removals[x.from] {
-			if at > m.now-testSettings.ConfirmAfter {
-				recent++
-			}
-		}
-		removedUp := 0
-		for _, n := range removed {
-			if m.reports[n][x.from].state == Up {
-				removedUp++
-			}
-		}
-		tooMany := listed+recent > 1 && float64(removedUp+recent) > testSettings.MaxRemovedShare*float64(listed+recent)
-		for _, n := range removed {
-			report := &m.reports[n][x.from]
-			if tooMany && report.state == Up {
-				if report.unconfirmedSince == 0 {
-					report.unconfirmedSince = m.now
-				}
-				continue
-			}
-			if report.state == Up && report.unconfirmedSince == 0 {
-				m.removals[x.from] = append(m.removals[x.from], m.now)
-			}
-			report.state, report.at, report.unconfirmedSince = Removed, m.now, 0
-		}
-	}
-	for _, n := range m.nodes {
-		if touched[n] {
-			m.merge(n)
-		}
-	}
-}
-
-func (m *model) merge(n string) {
-	for i := range 2 {
-		report, other := &m.reports[n][i], &m.reports[n][1-i]
-		if report.unconfirmedSince > 0 && m.now >= report.unconfirmedSince+testSettings.ConfirmAfter && (other.state != Up || other.unconfirmedSince > 0) {
-			report.state, report.at, report.unconfirmedSince = Removed, m.now, 0
-		}
-	}
-	worst := NeverListed
-	for i := range 2 {
-		worst = max(worst, m.reports[n][i].state)
-	}
-	if worst >= Draining {
-		for i := range 2 {
-			report, other := &m.reports[n][i], &m.reports[n][1-i]
-			if report.state >= Draining && other.state == Up && other.unconfirmedSince == 0 && other.started > report.at {
-				worst = Up
-			}
-		}
-	}
-	if before := m.state[n]; worst == Up && before >= Draining {
-		switch {
-		case m.heldUntil[n] > m.now:
-			return
-		case m.heldUntil[n] > 0:
-			m.heldUntil[n] = 0
-		default:
-			recent := m.returns[n][:0]
-			for _, at := range m.returns[n] {
-				if at > m.now-testSettings.FlapWindow-m.holdLength[n] {
-					recent = append(recent, at)
-				}
-			}
-			if len(recent) == 0 {
-				m.holdLength[n] = 0
-			}
-			m.returns[n] = append(recent, m.now)
-			if len(m.returns[n]) >= testSettings.FlapThreshold {
-				m.holdLength[n] = min(max(2*m.holdLength[n], testSettings.FlapHold), testSettings.FlapWindow)
-				m.heldUntil[n] = m.now + m.holdLength[n]
-				return
-			}
-		}
-	}
-	m.state[n] = worst
-}
-
 // comparison runs the ledger and the model side by side and keeps the list as the decision module would.
 type comparison struct {
 	ledger *Ledger
@@ -229,6 +89,11 @@
 		if v.State != c.model.state[n] {
 			return fmt.Errorf("%s is %v, the model has %v: ledger %+v, model %+v, now %v, held until %v", n, v.State, c.model.state[n], v, c.model.reports[n], c.model.now, c.model.heldUntil[n])
 		}
+		for from, report := range c.model.reports[n] {
+			if v.ReportedState[from] != report.state || v.ReportedAt[from] != report.at || v.Unconfirmed[from] != (report.unconfirmedSince > 0) {
+				return fmt.Errorf("%s as %v reports it: ledger %+v, model %+v", n, Source(from), v, report)
+			}
+		}
 		notified, known := c.list[id]
 		if known != (v.State != NeverListed) && v.State == Up || known && (notified == honeyplank.Up) != (v.State == Up) {
 			return fmt.Errorf("%s is %v, the decision module was notified of %v", n, v.State, notified)
