--- a/discovery/dns/fuzz_test.go
+++ b/discovery/dns/fuzz_test.go
@@ -57,82 +57,97 @@
 	})
 }
 
-// FuzzNames plays a name server that answers each question with some message, in any order and of any kind: answers
-// to other questions, chains of aliases, targets without addresses, negative answers, failures. Whatever comes, the
-// list is whole or fails as one: every node has an address that its target was given in this very conversation, no
-// server comes twice, and only so many questions are asked.
+// scriptedServer is a name server whose answers follow a script, two bytes a record or fault.
+type scriptedServer struct {
+	script  []byte
+	given   map[string]bool // addresses that it has given
+	queries int
+}
+
+// query answers a question by up to four steps of the script. At the end of the script the answer is negative.
+func (s *scriptedServer) query(_, name string, recordType uint16) (*mdns.Msg, error) {
+	if s.queries++; len(s.script) < 2 {
+		return nil, negativeError{5}
+	}
+	question, m := new(mdns.Msg), new(mdns.Msg)
+	question.SetQuestion(name, recordType)
+	m.SetReply(question)
+	for range 1 + int(s.script[0]>>6) {
+		if len(s.script) < 2 {
+			break
+		}
+		action, n := s.script[0]&15, s.script[1]
+		s.script = s.script[2:]
+		if !s.add(m, name, recordType, action, n) {
+			return nil, errors.New("no answer")
+		}
+	}
+	answers, err := validAnswer(m, name, recordType)
+	if err != nil {
+		return nil, err
+	}
+	m.Answer = answers
+	return m, nil
+}
+
+// add carries out one step of the script on an answer; false: there is no answer.
+func (s *scriptedServer) add(m *mdns.Msg, name string, recordType uint16, action, n byte) bool {
+	target := fmt.Sprintf("n%d--c%d-z1.%s", n&3, n>>4, zone)
+	head := mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET, Ttl: uint32(n)}
+	address := &mdns.A{Hdr: head, A: net.IPv4(127, 0, 0, n)}
+	address.Hdr.Rrtype = mdns.TypeA
+	switch action {
+	case 0, 1:
+		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n >> 2 & 3), Weight: uint16(n & 1), Priority: uint16(n >> 1 & 1), Target: target})
+	case 2:
+		m.Answer = append(m.Answer, address)
+		s.given[address.A.String()] = true
+	case 3: // an address that was not asked for, along with the answer
+		address.Hdr.Name = target
+		m.Extra = append(m.Extra, address)
+		s.given[address.A.String()] = true
+	case 4: // an alias, perhaps of itself
+		m.Answer = append(m.Answer, &mdns.CNAME{Hdr: mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: target})
+	case 5:
+		m.Rcode = int(n & 7)
+	case 6:
+		m.Ns = append(m.Ns, &mdns.SOA{Hdr: head, Minttl: uint32(n)})
+	case 7:
+		m.Question = []mdns.Question{{Name: target, Qtype: recordType, Qclass: mdns.ClassINET}}
+	case 8:
+		m.Truncated = true
+	case 9:
+		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n & 1), Weight: 1, Target: "no-cell." + zone})
+	case 10:
+		return false
+	case 11:
+		m.Response = n&1 == 0
+	case 12:
+		head.Name = target
+		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
+	case 13:
+		m.Question = nil
+	case 14: // an address whose length is none that there is
+		address.A = address.A[:n&15]
+		m.Extra = append(m.Extra, address)
+	case 15:
+		head.Class = mdns.ClassCHAOS
+		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
+	}
+	return true
+}
+
+// FuzzNames has a name server answer each question with some message, in any order and of any kind: answers to other
+// questions, chains of aliases, targets without addresses, negative answers, failures. Whatever comes, the list is complete
+// or fails as a whole: every node has an address that its target was given in this very conversation, no server comes
+// twice, and only so many questions are asked.
 func FuzzNames(f *testing.F) {
 	f.Add([]byte{0, 0x11, 0, 0x22, 1, 0x10, 2, 0})
 	f.Add([]byte{7, 0x31, 3, 1, 4, 2, 5, 3, 6, 4, 1, 1})
 	f.Add([]byte{9, 0x11, 8, 0x22, 10, 3, 11, 4, 2, 5})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		given, asked := map[string]bool{}, 0
-		c := &Client{settings: Settings{Name: zone}}
-		c.query = func(_, name string, recordType uint16) (*mdns.Msg, error) {
-			if asked++; len(script) < 2 {
-				return nil, negativeError{5}
-			}
-			q, m := new(mdns.Msg), new(mdns.Msg)
-			q.SetQuestion(name, recordType)
-			m.SetReply(q)
-			count := 1 + int(script[0]>>6)
-			for range count {
-				if len(script) < 2 {
-					break
-				}
-				action, n := script[0]&15, script[1]
-				script = script[2:]
-				target := fmt.Sprintf("n%d--c%d-z1.%s", n&3, n>>4, zone)
-				head := mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET, Ttl: uint32(n)}
-				address := &mdns.A{Hdr: head, A: net.IPv4(127, 0, 0, n)}
-				address.Hdr.Rrtype = mdns.TypeA
-				markGiven := func() { given[address.A.String()] = true }
-				switch action {
-				case 0, 1:
-					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n >> 2 & 3), Weight: uint16(n & 1), Priority: uint16(n >> 1 & 1), Target: target})
-				case 2:
-					m.Answer = append(m.Answer, address)
-					markGiven()
-				case 3: // an address nobody asked for, along with the answer
-					address.Hdr.Name = target
-					m.Extra = append(m.Extra, address)
-					markGiven()
-				case 4: // an alias, perhaps of itself
-					m.Answer = append(m.Answer, &mdns.CNAME{Hdr: mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: target})
-				case 5:
-					m.Rcode = int(n & 7)
-				case 6:
-					m.Ns = append(m.Ns, &mdns.SOA{Hdr: head, Minttl: uint32(n)})
-				case 7:
-					m.Question = []mdns.Question{{Name: target, Qtype: recordType, Qclass: mdns.ClassINET}}
-				case 8:
-					m.Truncated = true
-				case 9:
-					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n & 1), Weight: 1, Target: "no-cell." + zone})
-				case 10:
-					return nil, errors.New("no answer")
-				case 11:
-					m.Response = n&1 == 0
-				case 12:
-					head.Name = target
-					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
-				case 13:
-					m.Question = nil
-				case 14: // an address of no length that there is
-					address.A = address.A[:n&15]
-					m.Extra = append(m.Extra, address)
-				case 15:
-					head.Class = mdns.ClassCHAOS
-					m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
-				}
-			}
-			answers, err := validAnswer(m, name, recordType)
-			if err != nil {
-				return nil, err
-			}
-			m.Answer = answers
-			return m, nil
-		}
+		server := &scriptedServer{script: script, given: map[string]bool{}}
+		c := &Client{settings: Settings{Name: zone}, query: server.query}
 		update, _, err := c.readList("any")
 		if err != nil && len(update.Nodes) > 0 {
 			t.Fatalf("%d nodes with %v", len(update.Nodes), err)
@@ -140,13 +155,13 @@
 		seen := map[string]bool{}
 		for _, n := range update.Nodes {
 			at, err := netip.ParseAddrPort(n.Address)
-			if err != nil || at.Port() == 0 || !given[at.Addr().String()] || seen[n.Address] || n.State != "on" && n.State != "draining" {
-				t.Fatalf("%+v, given were %v, %v", n, given, err)
+			if err != nil || at.Port() == 0 || !server.given[at.Addr().String()] || seen[n.Address] || n.State != "on" && n.State != "draining" {
+				t.Fatalf("%+v, given were %v, %v", n, server.given, err)
 			}
 			seen[n.Address] = true
 		}
-		if asked > 1+2*4 {
-			t.Fatalf("%d questions for one answer of at most four records", asked)
+		if server.queries > 1+2*4 {
+			t.Fatalf("%d questions for one answer of at most four records", server.queries)
 		}
 	})
 }
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -116,7 +116,46 @@
 	return true
 }
 
-// FuzzWatch plays responses of etcd in any order, with revisions that go back, events for unknown keys and keys
+// scriptedResponse is a response of one kind; n has its revision, key and value.
+func scriptedResponse(kind, n byte) *etcdserverpb.WatchResponse {
+	revision := int64(n >> 4)
+	head := &etcdserverpb.ResponseHeader{Revision: max(revision, 9)}
+	event := &mvccpb.Event{Kv: &mvccpb.KeyValue{Key: []byte(fmt.Sprintf("%s127.0.0.1:%d", prefix, n&7)), ModRevision: revision, Value: []byte(`{"state":"draining"}`)}}
+	if n&8 != 0 {
+		event.Kv.Value = []byte(`{"state":"on","cell":3}`)
+	}
+	out := &etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{event}, Fragment: kind&0x80 != 0}
+	switch kind % 12 {
+	case 0:
+		head.Revision, out.Created, out.Events = int64(n), true, nil
+	case 1:
+	case 2:
+		event.Type, event.Kv.Value = mvccpb.DELETE, nil
+	case 3:
+		head.Revision, out.Events = int64(n&15), nil
+	case 4:
+		out.Canceled, out.Events = true, nil
+		out.CompactRevision = int64(n)
+	case 5:
+		event.Kv.Key = []byte("/other/" + string(event.Kv.Key))
+	case 6:
+		event.Kv = nil
+	case 7: // two of one response, the second before or after the first
+		out.Events = append(out.Events, &mvccpb.Event{Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: event.Kv.Key, ModRevision: int64(n & 15)}})
+	case 8:
+		event.Kv.Value = []byte("not a record")
+	case 9:
+		out.Header = nil
+	case 10:
+		out.WatchId, out.Events, out.Fragment = -1, nil, false
+	case 11:
+		event.Kv.Key = []byte(prefix + "no address")
+		event.Type = mvccpb.Event_EventType(n & 1)
+	}
+	return out
+}
+
+// FuzzWatch has responses of etcd in any order, with revisions that go back, events for unknown keys and keys
 // outside the list, events without pairs, fragments, progress, cancels and what follows them. The watch and the plain
 // model must have the same nodes and end together; the updates, applied in order, come to what is known.
 func FuzzWatch(f *testing.F) {
@@ -144,40 +183,7 @@
 		for len(script) >= 2 {
 			kind, n := script[0], script[1]
 			script = script[2:]
-			revision := int64(n >> 4)
-			head := &etcdserverpb.ResponseHeader{Revision: max(revision, 9)}
-			event := &mvccpb.Event{Kv: &mvccpb.KeyValue{Key: []byte(fmt.Sprintf("%s127.0.0.1:%d", prefix, n&7)), ModRevision: revision, Value: []byte(`{"state":"draining"}`)}}
-			if n&8 != 0 {
-				event.Kv.Value = []byte(`{"state":"on","cell":3}`)
-			}
-			out := &etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{event}, Fragment: kind&0x80 != 0}
-			switch kind % 12 {
-			case 0:
-				head.Revision, out.Created, out.Events = int64(n), true, nil
-			case 1:
-			case 2:
-				event.Type, event.Kv.Value = mvccpb.DELETE, nil
-			case 3:
-				head.Revision, out.Events = int64(n&15), nil
-			case 4:
-				out.Canceled, out.Events = true, nil
-				out.CompactRevision = int64(n)
-			case 5:
-				event.Kv.Key = []byte("/other/" + string(event.Kv.Key))
-			case 6:
-				event.Kv = nil
-			case 7: // two of one response, the second before or after the first
-				out.Events = append(out.Events, &mvccpb.Event{Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: event.Kv.Key, ModRevision: int64(n & 15)}})
-			case 8:
-				event.Kv.Value = []byte("not a record")
-			case 9:
-				out.Header = nil
-			case 10:
-				out.WatchId, out.Events, out.Fragment = -1, nil, false
-			case 11:
-				event.Kv.Key = []byte(prefix + "no address")
-				event.Type = mvccpb.Event_EventType(n & 1)
-			}
+			out := scriptedResponse(kind, n)
 			revisionBefore := l.revision
 			update, err := l.handle(out)
 			if goesOn := m.handle(out); goesOn != (err == nil) {
