--- /dev/null
+++ b/policy/endpoints_test.go
@@ -0,0 +1,34 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"honeyplank"
+)
+
+func member(i int, started time.Duration) honeyplank.Member {
+	return honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprint("osd", i)), Started: started, Cell: i, Zone: i % 2, Size: 1}
+}
+
+// The list must be asked for, and again after a failure, within the ask time.
+func TestWatchIsRenewed(t *testing.T) {
+	fleet := newTestFleet(t, 1, testSettings())
+	fleet.settings.Watch.OnRequest, fleet.settings.Watch.Within = true, time.Second
+	fleet.instances[0].settings = readSettings(fleet.settings)
+	asks, last, due := 0, time.Duration(0), time.Duration(0)
+	for ; fleet.now < 10*time.Second; fleet.now += 10 * ms {
+		timer := honeyplank.Timer{Name: []string{"sweep", "watch"}[boolToInt(fleet.now >= due)]}
+		for _, action := range fleet.handle(0, timer) {
+			if _, ok := action.(honeyplank.Watch); ok {
+				asks, last = asks+1, fleet.now
+				fleet.handle(0, honeyplank.List{Kind: honeyplank.WatchFailed})
+				due = fleet.timers[0]["watch"]
+			}
+		}
+		if fleet.now-last > time.Second || asks > 1000 {
+			t.Fatalf("%d asks until %v, the last at %v", asks, fleet.now, last)
+		}
+	}
+}
--- a/policy/overload_test.go
+++ b/policy/load_test.go
@@ -10,40 +10,40 @@
 	"honeyplank"
 )
 
-// due is an event to come.
-type due struct {
-	at    time.Duration
-	n     int
-	event honeyplank.Event
+// scheduledEvent is an event to come.
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	event    honeyplank.Event
 }
 
-type agenda []due
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].n < a[j].n
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return x
 }
 
-// flood is a fleet under a load of so many times what it serves: disk servers that serve 1,000 units a second each, one
+// loadScenario is a fleet under a load of so many times what it serves: disk servers that serve 1,000 units a second each, one
 // op after another, and volumes whose ops come at random, to one scheduler. All is simulated.
-type flood struct {
+type loadScenario struct {
 	servers, volumes int
 	load             float64
 	metered          bool // answers tell what a volume is served everywhere
-	runs             bool // ops have keys, and come as runs of them
+	keyRuns          bool // ops have keys, and come as runs of them
 }
 
 // overload settings: one op type, one plan.
-func (f flood) settings() *honeyplank.Settings {
-	set := figures()
+func (f loadScenario) settings() *honeyplank.Settings {
+	set := testSettings()
 	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
 	set.OpTypes.Semantics, set.OpTypes.DedupScope, set.OpTypes.DedupWindow = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
 	rate := 1000 * float64(f.servers) / float64(f.volumes)
@@ -53,13 +53,13 @@
 }
 
 // play runs it for a span and hands each event to tell, which returns the actions.
-func (f flood) play(seed int64, length time.Duration, tell func(time.Duration, honeyplank.Event) []honeyplank.Action) (ops int) {
+func (f loadScenario) play(seed int64, length time.Duration, tell func(time.Duration, honeyplank.Event) []honeyplank.Action) (ops int) {
 	rng := rand.New(rand.NewSource(seed))
-	var a agenda
+	var a eventQueue
 	n := 0
 	add := func(at time.Duration, e honeyplank.Event) {
 		n++
-		heap.Push(&a, due{at, n, e})
+		heap.Push(&a, scheduledEvent{at, n, e})
 	}
 	now, free := time.Second, make([]time.Duration, f.servers)
 	var members []honeyplank.Member
@@ -84,13 +84,13 @@
 			}
 			ops++
 			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(f.volumes)), Cell: rng.Intn(f.servers), Schedulers: 1}
-			if f.runs {
+			if f.keyRuns {
 				op.HasKey, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
 			}
 			open[op.ID] = &taken{Op: op}
 			e = op
 		} else {
-			d := heap.Pop(&a).(due)
+			d := heap.Pop(&a).(scheduledEvent)
 			now, e = d.at, d.event
 			if o, ok := e.(honeyplank.Outcome); ok {
 				delete(open, o.Op)
@@ -119,22 +119,22 @@
 	return ops
 }
 
-// floods are those that the table of docs/cost.md shows.
-var floods = map[string]flood{
+// loadScenarios are those that the table of docs/cost.md shows.
+var loadScenarios = map[string]loadScenario{
 	"half of 10":     {servers: 10, volumes: 100, load: 0.5},
 	"twice 10":       {servers: 10, volumes: 100, load: 2},
 	"five of 10":     {servers: 10, volumes: 100, load: 5},
 	"twice 100":      {servers: 100, volumes: 100, load: 2},
 	"one volume":     {servers: 10, volumes: 1, load: 2},
-	"runs":           {servers: 10, volumes: 100, load: 2, runs: true},
+	"runs":           {servers: 10, volumes: 100, load: 2, keyRuns: true},
 	"ten of 10":      {servers: 10, volumes: 100, load: 10},
 	"10,000 volumes": {servers: 10, volumes: 10000, load: 2},
 	"late meters":    {servers: 10, volumes: 100, load: 2, metered: true},
 }
 
-// BenchmarkFlood is the cost of an op in the module, handled events only, over half a second of each flood.
-func BenchmarkFlood(b *testing.B) {
-	for name, f := range floods {
+// BenchmarkLoadScenarios is the cost of an op in the module, handled events only, over half a second of each flood.
+func BenchmarkLoadScenarios(b *testing.B) {
+	for name, f := range loadScenarios {
 		b.Run(name, func(b *testing.B) {
 			var spent time.Duration
 			ops, held, events := 0, 0, 0
@@ -145,7 +145,7 @@
 					out := s.Handle(now, e)
 					spent += time.Since(began)
 					if events++; events%1000 == 0 {
-						held = max(held, s.waiting())
+						held = max(held, s.heldOps())
 					}
 					return out
 				})
@@ -157,8 +157,8 @@
 	}
 }
 
-// waiting is how many ops are held.
-func (s *Scheduler) waiting() (n int) {
+// heldOps is how many ops are held.
+func (s *Scheduler) heldOps() (n int) {
 	for p := s.firstHeld; p != nil; p = p.nextHeld {
 		n++
 	}
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-// figures are settings with two op types and one plan; tests change what they are about.
-func figures() *honeyplank.Settings {
+// testSettings are settings with two op types and one plan; tests change what they are about.
+func testSettings() *honeyplank.Settings {
 	return &honeyplank.Settings{
 		OpTypes: honeyplank.OpTypeSettings{
 			TargetLatency: []time.Duration{200 * ms, 1500 * ms},
@@ -30,294 +30,294 @@
 	}
 }
 
-// model is a slow, plain reading of the rules. It sees what every host is told and does.
-type model struct {
-	set    *honeyplank.Settings
-	now    time.Duration
-	ops    map[honeyplank.OpID]*told
-	order  []*told // as taken
-	osds   map[honeyplank.ServerID]honeyplank.Member
-	stop   map[honeyplank.ServerID]time.Duration // since when a host has been told to stop
-	cold   map[honeyplank.ServerID][]heating
-	gone   map[int64]float64 // out of the limit's store
-	filled map[int64]time.Duration
-	extras map[int][]time.Duration
-	errs   []string
+// ruleModel is a slow, plain reading of the rules. It sees what every host is told and does.
+type ruleModel struct {
+	settings     *honeyplank.Settings
+	now          time.Duration
+	ops          map[honeyplank.OpID]*trackedOp
+	order        []*trackedOp // as taken
+	servers      map[honeyplank.ServerID]honeyplank.Member
+	stoppedSince map[honeyplank.ServerID]time.Duration // since when a host has been told to stop
+	slowStart    map[honeyplank.ServerID][]slowStartDispatch
+	limitUsed    map[int64]float64 // out of the limit's store
+	limitUsedAt  map[int64]time.Duration
+	retries      map[int][]time.Duration
+	violations   []string
 }
 
-type told struct {
+type trackedOp struct {
 	honeyplank.Op
-	host        int
-	at          time.Duration
-	sends       []wentOut
-	over, begun bool
-	rested      time.Duration // until when its key rests after it
+	instance                  int
+	admittedAt                time.Duration
+	dispatched                []trackedDispatch
+	answered, responseStarted bool
+	settledAt                 time.Duration // until when its key rests after it
 }
 
-type wentOut struct {
-	withdrawn    bool
-	osd          honeyplank.ServerID
-	at           time.Duration
-	ended, maybe bool
-	never        bool          // it reached no server
-	end          time.Duration // when it ended
+type trackedDispatch struct {
+	cancelRequested  bool
+	server           honeyplank.ServerID
+	sentAt           time.Duration
+	done, mayHaveRun bool
+	notArrived       bool          // it reached no server
+	endedAt          time.Duration // when it ended
 }
 
-// heating is a dispatch to a disk server, for the fourth rule.
-type heating struct {
-	op *told
-	n  int
+// slowStartDispatch is a dispatch to a disk server, for the fourth rule.
+type slowStartDispatch struct {
+	op    *trackedOp
+	index int
 }
 
 // mayArrive tells whether a dispatch made since a time may reach its server at another one or later.
-func (h heating) mayArrive(since, at time.Duration) bool {
-	d := h.op.sends[h.n]
-	return d.at >= since && !d.never && (!d.ended || d.end >= at)
+func (h slowStartDispatch) mayArrive(since, at time.Duration) bool {
+	d := h.op.dispatched[h.index]
+	return d.sentAt >= since && !d.notArrived && (!d.done || d.endedAt >= at)
 }
 
-func (m *model) broken(rule int, format string, a ...any) {
-	m.errs = append(m.errs, fmt.Sprintf("%v rule %d: ", m.now, rule)+fmt.Sprintf(format, a...))
+func (m *ruleModel) violate(rule int, format string, a ...any) {
+	m.violations = append(m.violations, fmt.Sprintf("%v rule %d: ", m.now, rule)+fmt.Sprintf(format, a...))
 }
 
-// fresh tells whether every dispatch of an op is known not to have run.
-func (t *told) fresh() bool {
-	return !slices.ContainsFunc(t.sends, func(d wentOut) bool { return !d.ended || d.maybe })
+// neverRan tells whether every dispatch of an op is known not to have run.
+func (t *trackedOp) neverRan() bool {
+	return !slices.ContainsFunc(t.dispatched, func(d trackedDispatch) bool { return !d.done || d.mayHaveRun })
 }
 
-// mayRepeat is the second rule for a further dispatch, which is at work a time after its decision.
-func (m *model) mayRepeat(t *told, osd honeyplank.ServerID, after time.Duration) bool {
-	kind, scope := m.kind(t)
-	for _, d := range t.sends {
-		a, b := m.osds[d.osd], m.osds[osd]
+// mayRetry is the second rule for a further dispatch, which is at work a time after its decision.
+func (m *ruleModel) mayRetry(t *trackedOp, osd honeyplank.ServerID, after time.Duration) bool {
+	kind, scope := m.semanticsOf(t)
+	for _, d := range t.dispatched {
+		a, b := m.servers[d.server], m.servers[osd]
 		drops := []bool{true, a.Zone == b.Zone, a.Cell == b.Cell}[scope] &&
-			m.now+after-d.at < valueAt(m.set.OpTypes.DedupWindow, t.Type)
+			m.now+after-d.sentAt < valueAt(m.settings.OpTypes.DedupWindow, t.Type)
 		allowed := kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && drops
-		if !d.ended && !m.set.Dispatches.Parallel || (!d.ended || d.maybe) && !allowed {
+		if !d.done && !m.settings.Dispatches.Parallel || (!d.done || d.mayHaveRun) && !allowed {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *model) kind(t *told) (honeyplank.Semantics, honeyplank.DedupScope) {
-	return valueAt(m.set.OpTypes.Semantics, t.Type), valueAt(m.set.OpTypes.DedupScope, t.Type)
+func (m *ruleModel) semanticsOf(t *trackedOp) (honeyplank.Semantics, honeyplank.DedupScope) {
+	return valueAt(m.settings.OpTypes.Semantics, t.Type), valueAt(m.settings.OpTypes.DedupScope, t.Type)
 }
 
-// mayThrottle is the second rule for an answer.
-func (m *model) mayThrottle(t *told) bool {
-	kind, scope := m.kind(t)
-	return t.fresh() || kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
+// mayReject is the second rule for an answer.
+func (m *ruleModel) mayReject(t *trackedOp) bool {
+	kind, scope := m.semanticsOf(t)
+	return t.neverRan() || kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
 }
 
-// inTurn is the fifth rule.
-func (m *model) inTurn(t *told) bool {
-	if !t.HasKey || !valueAt(m.set.OpTypes.Ordered, t.Type) {
+// isNextOfKey is the fifth rule.
+func (m *ruleModel) isNextOfKey(t *trackedOp) bool {
+	if !t.HasKey || !valueAt(m.settings.OpTypes.Ordered, t.Type) {
 		return true
 	}
 	for _, e := range m.order[:slices.Index(m.order, t)] {
-		same := e.host == t.host && e.HasKey && e.Key == t.Key && valueAt(m.set.OpTypes.Ordered, e.Type)
-		if n := len(e.sends); same && (!e.over || m.now < e.rested || n > 0 && !e.sends[n-1].ended) {
+		same := e.instance == t.instance && e.HasKey && e.Key == t.Key && valueAt(m.settings.OpTypes.Ordered, e.Type)
+		if n := len(e.dispatched); same && (!e.answered || m.now < e.settledAt || n > 0 && !e.dispatched[n-1].done) {
 			return false
 		}
 	}
 	return true
 }
 
-// heldUp is for how long a process may stand still between a decision and the dispatch.
-const heldUp = 150 * ms
+// longestHoldUp is for how long a process may stand still between a decision and the dispatch.
+const longestHoldUp = 150 * ms
 
-// inBudget is the sixth rule, for one more further dispatch, when this or earlier ones are held up.
-func (m *model) inBudget(host int) bool {
-	if !m.set.RetryBudget.Limited {
+// withinRetryBudget is the sixth rule, for one more further dispatch, when this or earlier ones are held up.
+func (m *ruleModel) withinRetryBudget(host int) bool {
+	if !m.settings.RetryBudget.Limited {
 		return true
 	}
-	from, taken := m.now-m.set.RetryBudget.Window, 0.0
+	from, taken := m.now-m.settings.RetryBudget.Window, 0.0
 	for _, t := range m.order {
-		taken += float64(boolToInt(t.host == host && t.at >= from+heldUp))
+		taken += float64(boolToInt(t.instance == host && t.admittedAt >= from+longestHoldUp))
 	}
-	return float64(1+len(dropBefore(m.extras[host], from-heldUp))) <= m.set.RetryBudget.Free+m.set.RetryBudget.Share*taken
+	return float64(1+len(dropBefore(m.retries[host], from-longestHoldUp))) <= m.settings.RetryBudget.Free+m.settings.RetryBudget.Share*taken
 }
 
-func (m *model) dispatch(host int, a honeyplank.Dispatch) {
+func (m *ruleModel) dispatch(host int, a honeyplank.Dispatch) {
 	t := m.ops[a.Op]
-	if t.over {
-		m.broken(1, "%s dispatched after its answer", a.Op)
+	if t.answered {
+		m.violate(1, "%s dispatched after its answer", a.Op)
 	}
-	o := m.osds[a.Server]
-	if since, told := m.stop[a.Server]; told && m.now > since+m.set.DrainGrace {
-		m.broken(3, "%s goes to %s", a.Op, a.Server)
+	o := m.servers[a.Server]
+	if since, told := m.stoppedSince[a.Server]; told && m.now > since+m.settings.DrainGrace {
+		m.violate(3, "%s goes to %s", a.Op, a.Server)
 	}
 	if t.Cell != honeyplank.NewObject && t.Cell != o.Cell {
-		m.broken(2, "%s goes to a server without its data", a.Op)
+		m.violate(2, "%s goes to a server without its data", a.Op)
 	}
-	if !m.mayRepeat(t, a.Server, m.set.Dispatches.ConnectTimeout+heldUp) || len(t.sends) >= max(m.set.Dispatches.Max, 1) {
-		m.broken(2, "%s repeated", a.Op)
+	if !m.mayRetry(t, a.Server, m.settings.Dispatches.ConnectTimeout+longestHoldUp) || len(t.dispatched) >= max(m.settings.Dispatches.Max, 1) {
+		m.violate(2, "%s repeated", a.Op)
 	}
-	if !m.inTurn(t) {
-		m.broken(5, "%s out of turn", a.Op)
+	if !m.isNextOfKey(t) {
+		m.violate(5, "%s out of turn", a.Op)
 	}
-	if len(t.sends) > 0 {
-		if !m.inBudget(host) {
-			m.broken(6, "%s past the budget", a.Op)
+	if len(t.dispatched) > 0 {
+		if !m.withinRetryBudget(host) {
+			m.violate(6, "%s past the budget", a.Op)
 		}
-		m.extras[host] = append(m.extras[host], m.now)
-	} else if limit := valueAt(m.set.Plans.Limit, t.Plan); limit > 0 {
-		gone := max(0, m.gone[t.Volume]-limit*(m.now-m.filled[t.Volume]).Seconds()) + t.Units
-		m.gone[t.Volume], m.filled[t.Volume] = gone, m.now
-		if left := valueAt(m.set.Plans.Burst, t.Plan) - gone; left < -valueAt(m.set.Plans.Slack, t.Plan) {
-			m.broken(7, "volume %d at %.1f", t.Volume, left)
+		m.retries[host] = append(m.retries[host], m.now)
+	} else if limit := valueAt(m.settings.Plans.Limit, t.Plan); limit > 0 {
+		gone := max(0, m.limitUsed[t.Volume]-limit*(m.now-m.limitUsedAt[t.Volume]).Seconds()) + t.Units
+		m.limitUsed[t.Volume], m.limitUsedAt[t.Volume] = gone, m.now
+		if left := valueAt(m.settings.Plans.Burst, t.Plan) - gone; left < -valueAt(m.settings.Plans.Slack, t.Plan) {
+			m.violate(7, "volume %d at %.1f", t.Volume, left)
 		}
 	}
-	t.sends = append(t.sends, wentOut{osd: a.Server, at: m.now})
-	m.cold[o.ID] = append(m.cold[o.ID], heating{t, len(t.sends) - 1})
-	m.heat(o)
+	t.dispatched = append(t.dispatched, trackedDispatch{server: a.Server, sentAt: m.now})
+	m.slowStart[o.ID] = append(m.slowStart[o.ID], slowStartDispatch{t, len(t.dispatched) - 1})
+	m.checkSlowStart(o)
 }
 
-// heat is the fourth rule: all hosts' units that may reach a cold server within one window.
-func (m *model) heat(o honeyplank.Member) {
-	window, warm := m.set.SlowStart.Window, m.set.SlowStart.Time
+// checkSlowStart is the fourth rule: all hosts' units that may reach a cold server within one window.
+func (m *ruleModel) checkSlowStart(o honeyplank.Member) {
+	window, warm := m.settings.SlowStart.Window, m.settings.SlowStart.Time
 	age := m.now - o.Started
 	if window <= 0 || o.Started == 0 || age >= warm {
 		return
 	}
-	sum, from := 0.0, m.set.SlowStart.From
-	for _, x := range m.cold[o.ID] {
+	sum, from := 0.0, m.settings.SlowStart.From
+	for _, x := range m.slowStart[o.ID] {
 		sum += x.op.Units * float64(boolToInt(x.mayArrive(o.Started, m.now-window)))
 	}
-	sure := (from + (1-from)*float64(age)/float64(warm)) / from * m.set.SlowStart.Units
+	sure := (from + (1-from)*float64(age)/float64(warm)) / from * m.settings.SlowStart.Units
 	if sum > sure+1e-9 {
-		m.broken(4, "%s gets %.1f of %.1f", o.ID, sum, sure)
+		m.violate(4, "%s gets %.1f of %.1f", o.ID, sum, sure)
 	}
 }
 
-func (m *model) answer(id honeyplank.OpID, throttle bool) {
+func (m *ruleModel) recordAnswer(id honeyplank.OpID, throttle bool) {
 	t := m.ops[id]
-	if t.over || t.begun || m.now > t.Timeout+m.set.AnswerGrace {
-		m.broken(1, "%s answered twice or late", id)
+	if t.answered || t.responseStarted || m.now > t.Timeout+m.settings.AnswerGrace {
+		m.violate(1, "%s answered twice or late", id)
 	}
-	if throttle && !m.mayThrottle(t) {
-		m.broken(2, "%s throttled", id)
+	if throttle && !m.mayReject(t) {
+		m.violate(2, "%s throttled", id)
 	}
-	t.over = true
+	t.answered = true
 }
 
-// world feeds generated events to hosts that share a fleet, and their actions to the model.
-type world struct {
-	*model
-	t      *testing.T
-	rng    *rand.Rand
-	hosts  []*Scheduler
-	timers []map[string]time.Duration
-	due    map[honeyplank.OpID]time.Duration // when a dispatch that is out ends
-	acked  int
-	took   time.Duration  // the most that a dispatch takes
-	asked  func(host int) // a host asks for the list
+// testFleet feeds generated events to hosts that share a fleet, and their actions to the model.
+type testFleet struct {
+	*ruleModel
+	t               *testing.T
+	rng             *rand.Rand
+	instances       []*Scheduler
+	timers          []map[string]time.Duration
+	dispatchEnds    map[honeyplank.OpID]time.Duration // when a dispatch that is out ends
+	succeeded       int
+	longestDispatch time.Duration  // the most that a dispatch takes
+	onWatch         func(host int) // a host asks for the list
 }
 
-func newWorld(t *testing.T, seed int64, set *honeyplank.Settings) *world {
-	w := &world{t: t, took: 400 * ms, asked: func(int) {}, rng: rand.New(rand.NewSource(seed)), due: map[honeyplank.OpID]time.Duration{}, model: &model{
-		set: set, ops: map[honeyplank.OpID]*told{}, osds: map[honeyplank.ServerID]honeyplank.Member{},
-		stop: map[honeyplank.ServerID]time.Duration{}, cold: map[honeyplank.ServerID][]heating{},
-		gone: map[int64]float64{}, filled: map[int64]time.Duration{}, extras: map[int][]time.Duration{}}}
+func newTestFleet(t *testing.T, seed int64, set *honeyplank.Settings) *testFleet {
+	w := &testFleet{t: t, longestDispatch: 400 * ms, onWatch: func(int) {}, rng: rand.New(rand.NewSource(seed)), dispatchEnds: map[honeyplank.OpID]time.Duration{}, ruleModel: &ruleModel{
+		settings: set, ops: map[honeyplank.OpID]*trackedOp{}, servers: map[honeyplank.ServerID]honeyplank.Member{},
+		stoppedSince: map[honeyplank.ServerID]time.Duration{}, slowStart: map[honeyplank.ServerID][]slowStartDispatch{},
+		limitUsed: map[int64]float64{}, limitUsedAt: map[int64]time.Duration{}, retries: map[int][]time.Duration{}}}
 	for i := range max(set.Schedulers, 1) {
-		w.hosts = append(w.hosts, New(seed+int64(i), set))
+		w.instances = append(w.instances, New(seed+int64(i), set))
 		w.timers = append(w.timers, map[string]time.Duration{})
 	}
 	return w
 }
 
-// list tells every host of disk servers.
-func (w *world) list(kind honeyplank.ListKind, members ...honeyplank.Member) {
+// sendList tells every host of disk servers.
+func (w *testFleet) sendList(kind honeyplank.ListKind, members ...honeyplank.Member) {
 	for _, m := range members {
-		if _, told := w.stop[m.ID]; m.State == honeyplank.Up {
-			delete(w.stop, m.ID)
+		if _, told := w.stoppedSince[m.ID]; m.State == honeyplank.Up {
+			delete(w.stoppedSince, m.ID)
 		} else if !told {
-			w.stop[m.ID] = w.now
+			w.stoppedSince[m.ID] = w.now
 		}
-		w.osds[m.ID] = m
+		w.servers[m.ID] = m
 	}
-	for i := range w.hosts {
-		w.give(i, honeyplank.List{Kind: kind, Members: members})
+	for i := range w.instances {
+		w.handle(i, honeyplank.List{Kind: kind, Members: members})
 	}
 }
 
-func (w *world) give(i int, e honeyplank.Event) []honeyplank.Action {
+func (w *testFleet) handle(i int, e honeyplank.Event) []honeyplank.Action {
 	if op, ok := e.(honeyplank.Op); ok {
-		told := &told{Op: op, host: i, at: w.now}
+		told := &trackedOp{Op: op, instance: i, admittedAt: w.now}
 		w.ops[op.ID], w.order = told, append(w.order, told)
 	}
-	out := w.hosts[i].Handle(w.now, e)
+	out := w.instances[i].Handle(w.now, e)
 	for _, a := range out {
 		switch a := a.(type) {
 		case honeyplank.Dispatch:
 			w.dispatch(i, a)
-			w.due[a.Op] = min(w.now+time.Duration(w.rng.Int63n(int64(w.took))), w.ops[a.Op].Timeout)
+			w.dispatchEnds[a.Op] = min(w.now+time.Duration(w.rng.Int63n(int64(w.longestDispatch))), w.ops[a.Op].Timeout)
 		case honeyplank.Reject:
-			w.answer(a.Op, true)
+			w.recordAnswer(a.Op, true)
 		case honeyplank.Fail:
-			w.answer(a.Op, false)
+			w.recordAnswer(a.Op, false)
 		case honeyplank.Cancel:
 			t := w.ops[a.Op]
-			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.sends) || !w.set.Dispatches.Cancel {
-				w.broken(0, "%s: dispatch %d is withdrawn, which was never made or may not be", a.Op, a.Dispatch)
-			} else if a.Dispatch == len(t.sends)-1 {
-				t.sends[a.Dispatch].withdrawn, w.due[a.Op] = true, w.now
+			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.dispatched) || !w.settings.Dispatches.Cancel {
+				w.violate(0, "%s: dispatch %d is withdrawn, which was never made or may not be", a.Op, a.Dispatch)
+			} else if a.Dispatch == len(t.dispatched)-1 {
+				t.dispatched[a.Dispatch].cancelRequested, w.dispatchEnds[a.Op] = true, w.now
 			}
 		case honeyplank.SetTimer:
 			w.timers[i][a.Name] = a.At
 		case honeyplank.Watch:
-			w.asked(i)
+			w.onWatch(i)
 		}
 	}
 	return out
 }
 
-// end ends the dispatch of an op that is out and tells its host.
-func (w *world) end(t *told, code honeyplank.Code) {
-	n := len(t.sends) - 1
-	d := &t.sends[n]
-	d.never, d.end = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, w.now
-	d.ended, d.maybe = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
+// endDispatch ends the dispatch of an op that is out and tells its host.
+func (w *testFleet) endDispatch(t *trackedOp, code honeyplank.Code) {
+	n := len(t.dispatched) - 1
+	d := &t.dispatched[n]
+	d.notArrived, d.endedAt = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, w.now
+	d.done, d.mayHaveRun = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
 	if code == honeyplank.TimedOut || code == honeyplank.Reset || code == honeyplank.Cancelled {
-		t.rested = w.now + w.set.OrderSettle
+		t.settledAt = w.now + w.settings.OrderSettle
 	}
-	if code == honeyplank.Succeeded || t.begun {
-		w.acked, t.over = w.acked+boolToInt(!t.over), true
+	if code == honeyplank.Succeeded || t.responseStarted {
+		w.succeeded, t.answered = w.succeeded+boolToInt(!t.answered), true
 	}
-	w.give(t.host, honeyplank.Outcome{Op: t.ID, Dispatch: n, Server: d.osd, Code: code, Answered: t.over,
-		Elapsed: w.now - d.at, QuotaUsed: w.rng.Intn(200), ServedElsewhere: float64(len(w.order) % 4), Load: map[string]float64{"latency": 30}})
+	w.handle(t.instance, honeyplank.Outcome{Op: t.ID, Dispatch: n, Server: d.server, Code: code, Answered: t.answered,
+		Elapsed: w.now - d.sentAt, QuotaUsed: w.rng.Intn(200), ServedElsewhere: float64(len(w.order) % 4), Load: map[string]float64{"latency": 30}})
 }
 
-// step moves the clock, fires timers, ends dispatches and looks for ops past their time.
-func (w *world) step(codes []honeyplank.Code) {
-	w.now += w.set.Step
-	for i := range w.hosts {
+// advance moves the clock, fires timers, ends dispatches and looks for ops past their time.
+func (w *testFleet) advance(codes []honeyplank.Code) {
+	w.now += w.settings.Step
+	for i := range w.instances {
 		for _, name := range []string{"sweep", "watch"} {
 			if at, set := w.timers[i][name]; set && at <= w.now {
 				delete(w.timers[i], name)
-				w.give(i, honeyplank.Timer{Name: name})
+				w.handle(i, honeyplank.Timer{Name: name})
 			}
 		}
 	}
 	for _, t := range w.order {
-		n := len(t.sends)
-		if n > 0 && !t.sends[n-1].ended && w.due[t.ID] <= w.now {
+		n := len(t.dispatched)
+		if n > 0 && !t.dispatched[n-1].done && w.dispatchEnds[t.ID] <= w.now {
 			code := codes[w.rng.Intn(len(codes))]
-			if t.sends[n-1].withdrawn {
+			if t.dispatched[n-1].cancelRequested {
 				code = honeyplank.Cancelled
 			}
 			if w.now < t.Timeout {
-				w.end(t, code)
-			} else if !t.begun {
-				w.end(t, honeyplank.TimedOut)
+				w.endDispatch(t, code)
+			} else if !t.responseStarted {
+				w.endDispatch(t, honeyplank.TimedOut)
 			}
 		}
-		if !t.over && !t.begun && w.now > t.Timeout+w.set.AnswerGrace {
-			w.broken(1, "%s has no answer", t.ID)
-			t.over = true
+		if !t.answered && !t.responseStarted && w.now > t.Timeout+w.settings.AnswerGrace {
+			w.violate(1, "%s has no answer", t.ID)
+			t.answered = true
 		}
 	}
-	if len(w.errs) > 0 {
-		w.t.Fatal(w.errs[0])
+	if len(w.violations) > 0 {
+		w.t.Fatal(w.violations[0])
 	}
 }
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -15,8 +15,8 @@
 	"honeyplank"
 )
 
-// plainRank is the hash of a volume and a disk server, as the library computes it.
-func plainRank(volume int64, id honeyplank.ServerID) uint64 {
+// modelRank is the hash of a volume and a disk server, as the library computes it.
+func modelRank(volume int64, id honeyplank.ServerID) uint64 {
 	h := fnv.New64a()
 	h.Write(strconv.AppendInt(nil, volume, 10))
 	h.Write([]byte(id))
@@ -26,19 +26,19 @@
 	return x ^ x>>33
 }
 
-// wholeRanking is the slow model: all disk servers that are on, sorted.
-func wholeRanking(s *Scheduler, volume int64) (list []*server) {
+// modelRanking is the slow model: all disk servers that are on, sorted.
+func modelRanking(s *Scheduler, volume int64) (list []*server) {
 	for _, o := range s.serversByID {
 		if o.State == honeyplank.Up {
 			list = append(list, o)
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return plainRank(volume, list[i].ID) > plainRank(volume, list[j].ID) })
+	sort.SliceStable(list, func(i, j int) bool { return modelRank(volume, list[i].ID) > modelRank(volume, list[j].ID) })
 	return list
 }
 
-// plainHome is the choice as made over a whole ranking: the first with room, or else the one with least against its room.
-func plainHome(s *Scheduler, p *op, list []*server) (home *server, room bool) {
+// modelChoice is the choice as made over a whole ranking: the first with room, or else the one with least against its room.
+func modelChoice(s *Scheduler, p *op, list []*server) (home *server, room bool) {
 	least := math.Inf(1)
 	for _, o := range list {
 		if !s.acceptsNewObjects(o) || !s.mayDispatch(p, o) {
@@ -55,14 +55,14 @@
 	return home, false
 }
 
-// TestHomeAsOverTheWholeRanking: over random fleets that grow, shrink, restart cold, go down and fill up, a new object
+// TestChoiceAsOverFullRanking: over random fleets that grow, shrink, restart cold, go down and fill up, a new object
 // goes where the whole ranking sends it. Only past the short list may it differ: where no server of that has room
 // the least loaded of it is taken, though others further down may have room.
-func TestHomeAsOverTheWholeRanking(t *testing.T) {
+func TestChoiceAsOverFullRanking(t *testing.T) {
 	beyond, compared := 0, 0
 	for seed := range int64(60) {
 		rng := rand.New(rand.NewSource(seed))
-		set := figures()
+		set := testSettings()
 		set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
 		set.Plans.Limit, set.Plans.Burst = []float64{float64(rng.Intn(2)) * 50}, []float64{100}
 		s := New(seed, set)
@@ -123,8 +123,8 @@
 			p := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Schedulers: 1, Cell: honeyplank.NewObject},
 				admissionDraw: rng.Float64(), target: now + 200*ms}
 			s.openVolume(p)
-			list := wholeRanking(s, id)
-			want, room := plainHome(s, p, list)
+			list := modelRanking(s, id)
+			want, room := modelChoice(s, p, list)
 			got := s.chooseNewServer(p)
 			s.removeHeld(p)
 			s.unassigned = 0
@@ -141,7 +141,7 @@
 			if inList := slices.Index(list, want) < len(near); want != got && (inList && room || len(list) <= minTopServers) {
 				t.Fatalf("seed %d, step %d: %v, want %v", seed, step, got, want)
 			}
-			if first, _ := plainHome(s, p, list[:len(near)]); first != nil {
+			if first, _ := modelChoice(s, p, list[:len(near)]); first != nil {
 				want = first
 			}
 			if want != got {
@@ -158,7 +158,7 @@
 
 // largeFleet is one process with so many disk servers, of whose volumes new objects come.
 func largeFleet(servers int) *Scheduler {
-	set := figures()
+	set := testSettings()
 	set.Plans.Reserve = []float64{1e6}
 	s := New(1, set)
 	var members []honeyplank.Member
@@ -169,9 +169,9 @@
 	return s
 }
 
-// newObjects plays so many new objects of 200 volumes, each answered after 5 ms, with a sweep every 10 ms, and servers
+// playNewObjects plays so many new objects of 200 volumes, each answered after 5 ms, with a sweep every 10 ms, and servers
 // that are replaced one after another.
-func newObjects(s *Scheduler, from, n int, replace bool) {
+func playNewObjects(s *Scheduler, from, n int, replace bool) {
 	servers := len(s.serversByID)
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
@@ -200,12 +200,12 @@
 		work, held, allocations := map[int]float64{}, map[int]int{}, map[int]float64{}
 		for _, servers := range []int{200, 3200} {
 			s := largeFleet(servers)
-			newObjects(s, 0, 200, false) // each volume has its list
+			playNewObjects(s, 0, 200, false) // each volume has its list
 			s.serversVisited = 0
 			const objects = 4000
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			newObjects(s, 200, objects, replace)
+			playNewObjects(s, 200, objects, replace)
 			runtime.ReadMemStats(&after)
 			work[servers], allocations[servers] = float64(s.serversVisited)/objects, float64(after.Mallocs-before.Mallocs)/objects
 			for _, v := range s.volumes {
@@ -226,7 +226,7 @@
 			s := largeFleet(servers)
 			n := 0
 			for b.Loop() {
-				newObjects(s, n, 100, false)
+				playNewObjects(s, n, 100, false)
 				n += 100
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(n), "us/object")
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -19,7 +19,7 @@
 	unitTime        time.Duration
 	target, timeout time.Duration
 	utility         float64
-	kind            honeyplank.Semantics
+	semantics       honeyplank.Semantics
 	scope           honeyplank.DedupScope
 }
 
@@ -32,28 +32,28 @@
 }
 
 const (
-	fleetHosts     = 300
-	fleetServers   = 12 // those that hold the data of this process's volumes
-	fleetVolumes   = 16
-	volumeHosts    = 2
-	requestRate    = 30.0 // a second
-	faultBegins    = 15 * time.Second
-	faultEnds      = 21 * time.Second
-	recoveryEnds   = 31 * time.Second // ten seconds after the fault service is back
-	playEnds       = 46 * time.Second
-	retryAfter     = 100 * ms
-	mostTries      = 3
-	leastServed    = 0.5             // of a class on a calm day
-	leastOfAll     = 0.9             // of a class during a fault that takes no capacity from it
-	leastOfRest    = 0.6             // of a class where a quarter of the servers serve nothing
-	leastOfLost    = 0.3             // of a class where a quarter of the answers get lost and hold their places
-	chanceErrors   = 3.0             // standard errors that chance may take off these
-	mostLost       = 0.1             // of a class's service before the fault, once it is over
-	starvedFor     = 5 * time.Second // with nothing dispatched of a class, while its servers answer others
-	starvedNumber  = 12              // and so many of its requests
-	playsOfEach    = 4
-	silentAnswer   = time.Hour
-	unusualTimeout = 1e9 * ms
+	fleetInstances           = 300
+	fleetServers             = 12 // those that hold the data of this process's volumes
+	fleetVolumes             = 16
+	volumeInstances          = 2
+	requestRate              = 30.0 // a second
+	faultBegins              = 15 * time.Second
+	faultEnds                = 21 * time.Second
+	recoveryEnds             = 31 * time.Second // ten seconds after the fault service is back
+	playEnds                 = 46 * time.Second
+	retryAfter               = 100 * ms
+	maxAttempts              = 3
+	minServedBefore          = 0.5             // of a class on a calm day
+	minServed                = 0.9             // of a class during a fault that takes no capacity from it
+	minServedOfRest          = 0.6             // of a class where a quarter of the servers serve nothing
+	minServedWithLostAnswers = 0.3             // of a class where a quarter of the answers get lost and hold their places
+	chanceErrors             = 3.0             // standard errors that chance may take off these
+	maxLossAfterwards        = 0.1             // of a class's service before the fault, once it is over
+	starvedFor               = 5 * time.Second // with nothing dispatched of a class, while its servers answer others
+	starvedNumber            = 12              // and so many of its requests
+	seedsOfEach              = 4
+	silentAnswer             = time.Hour
+	unusualTimeout           = 1e9 * ms
 )
 
 // deployments differ in effects, sizes, times, limits and rules; none is fitted to a site.
@@ -93,7 +93,7 @@
 }
 
 func (d deployment) settings() *honeyplank.Settings {
-	set := figures()
+	set := testSettings()
 	var target, timeout, remember []time.Duration
 	var utility []float64
 	var kind []honeyplank.Semantics
@@ -101,13 +101,13 @@
 	largest, mean := 0, 0.0
 	for _, c := range d.classes {
 		target, timeout, remember = append(target, c.target), append(timeout, c.timeout), append(remember, 4*time.Second)
-		utility, kind, scope = append(utility, c.utility), append(kind, c.kind), append(scope, c.scope)
+		utility, kind, scope = append(utility, c.utility), append(kind, c.semantics), append(scope, c.scope)
 		largest, mean = max(largest, c.units), mean+c.share*float64(1+c.units)/2
 	}
 	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout, set.OpTypes.DedupWindow = target, timeout, remember
 	set.OpTypes.Utility, set.OpTypes.Semantics, set.OpTypes.DedupScope = utility, kind, scope
-	set.MeanUnits, set.LargestUnits, set.Schedulers = mean, float64(largest), fleetHosts
-	rate := volumeHosts * requestRate * mean / fleetVolumes
+	set.MeanUnits, set.LargestUnits, set.Schedulers = mean, float64(largest), fleetInstances
+	rate := volumeInstances * requestRate * mean / fleetVolumes
 	set.Plans.Rate, set.Plans.Reserve = []float64{rate}, []float64{rate}
 	set.Dispatches.Parallel, set.Dispatches.Cancel = true, true
 	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
@@ -119,65 +119,65 @@
 
 // clientRequest is a request of a client over all its tries.
 type clientRequest struct {
-	class    int
-	first    time.Duration
-	deadline time.Duration
-	tries    int
-	op       honeyplank.Op
-	sends    int
-	ended    bool
+	class      int
+	first      time.Duration
+	deadline   time.Duration
+	attempts   int
+	op         honeyplank.Op
+	dispatches int
+	answered   bool
 }
 
-// servicePlay is one process, its clients and its disk servers, on a clock of its own.
-type servicePlay struct {
+// serviceRun is one process, its clients and its disk servers, on a clock of its own.
+type serviceRun struct {
 	deployment
-	fault    *serviceFault
-	rng      *rand.Rand
-	module   *Scheduler
-	now      time.Duration
-	events   agenda
-	number   int
-	requests map[honeyplank.OpID]*clientRequest
-	all      []*clientRequest
-	served   map[*clientRequest]bool
-	sent     []time.Duration // by class: the last dispatch, or the last time with nothing to send
-	unsent   []int           // by class: requests taken since
-	answered time.Duration
-	starved  string
-	surging  float64
-	patience func(p *servicePlay, class int, timeout time.Duration) time.Duration
-	answer   func(p *servicePlay, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration)
+	fault         *serviceFault
+	rng           *rand.Rand
+	module        *Scheduler
+	now           time.Duration
+	events        eventQueue
+	sequence      int
+	requests      map[honeyplank.OpID]*clientRequest
+	all           []*clientRequest
+	served        map[*clientRequest]bool
+	lastDispatch  []time.Duration // by class: the last dispatch, or the last time with nothing to send
+	undispatched  []int           // by class: requests taken since
+	answered      time.Duration
+	starved       string
+	surging       float64
+	clientTimeout func(p *serviceRun, class int, timeout time.Duration) time.Duration
+	answer        func(p *serviceRun, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration)
 }
 
 // serviceFault changes how clients, disk servers or the list behave, from faultBegins to faultEnds.
 type serviceFault struct {
 	name  string
-	begin func(p *servicePlay)
-	end   func(p *servicePlay)
-	// whole: the fault leaves no capacity, so that nothing is asked of service until it is over.
-	whole bool
-	surge bool // it asks for more than a limit allows
+	begin func(p *serviceRun)
+	end   func(p *serviceRun)
+	// noCapacity: the fault leaves no capacity, so that nothing is asked of service until it is over.
+	noCapacity bool
+	surge      bool // it asks for more than a limit allows
 	// least is the part of each class that is served while it lasts; the class that is slow itself is left out.
-	least       float64
-	first, last bool // the first or the last class is slow itself
+	least                         float64
+	firstClassSlow, lastClassSlow bool // the first or the last class is slow itself
 }
 
 // floor is what a class is served at least during the fault, of so many requests: no less than chance takes off.
 func (f *serviceFault) floor(class, classes int, requests float64) float64 {
-	if f.first && class == 0 || f.last && class == classes-1 {
+	if f.firstClassSlow && class == 0 || f.lastClassSlow && class == classes-1 {
 		return 0
 	}
 	return f.least - chanceErrors*math.Sqrt(f.least*(1-f.least)/requests)
 }
 
-func (p *servicePlay) add(at time.Duration, e honeyplank.Event) {
-	p.number++
-	heap.Push(&p.events, due{at, p.number, e})
+func (p *serviceRun) add(at time.Duration, e honeyplank.Event) {
+	p.sequence++
+	heap.Push(&p.events, scheduledEvent{at, p.sequence, e})
 }
 
-func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*servicePlay) {
-	return func(p *servicePlay) {
-		p.answer = func(p *servicePlay, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*serviceRun) {
+	return func(p *serviceRun) {
+		p.answer = func(p *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if server < servers {
 				return code, after
 			}
@@ -186,9 +186,9 @@
 	}
 }
 
-func slowed(by time.Duration, servers, class int) func(*servicePlay) {
-	return func(p *servicePlay) {
-		p.answer = func(_ *servicePlay, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+func slowed(by time.Duration, servers, class int) func(*serviceRun) {
+	return func(p *serviceRun) {
+		p.answer = func(_ *serviceRun, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if server < servers && (class < 0 || r.class == class) {
 				took *= by
 			}
@@ -198,33 +198,33 @@
 }
 
 var serviceFaults = []serviceFault{
-	{name: "none", least: leastOfAll},
-	{name: "one client of each class with an unusual timeout", least: leastOfAll, begin: func(p *servicePlay) {
+	{name: "none", least: minServed},
+	{name: "one client of each class with an unusual timeout", least: minServed, begin: func(p *serviceRun) {
 		for class := range p.classes {
 			p.arrive(class, unusualTimeout)
 		}
 	}},
-	{name: "some clients wait for less than others", least: leastOfAll, begin: func(p *servicePlay) {
-		p.patience = func(p *servicePlay, _ int, timeout time.Duration) time.Duration {
+	{name: "some clients wait for less than others", least: minServed, begin: func(p *serviceRun) {
+		p.clientTimeout = func(p *serviceRun, _ int, timeout time.Duration) time.Duration {
 			return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[p.rng.Intn(4)])
 		}
 	}},
-	{name: "all servers slow", begin: slowed(20, fleetServers, -1), whole: true},
-	{name: "a quarter of the servers slow", least: leastOfRest, begin: slowed(20, fleetServers/4, -1)},
-	{name: "the first class slow", least: leastOfAll, first: true, begin: slowed(20, fleetServers, 0)},
-	{name: "the last class slow", least: leastOfAll, last: true, begin: func(p *servicePlay) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
-	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), whole: true},
-	{name: "silence of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
-	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), whole: true},
-	{name: "errors of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
-	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), whole: true},
-	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), whole: true},
-	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), whole: true},
-	{name: "full queues of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4)},
-	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), whole: true},
-	{name: "one very fast answer of each server", least: leastOfAll, begin: func(p *servicePlay) {
+	{name: "all servers slow", begin: slowed(20, fleetServers, -1), noCapacity: true},
+	{name: "a quarter of the servers slow", least: minServedOfRest, begin: slowed(20, fleetServers/4, -1)},
+	{name: "the first class slow", least: minServed, firstClassSlow: true, begin: slowed(20, fleetServers, 0)},
+	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: func(p *serviceRun) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
+	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
+	{name: "silence of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
+	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), noCapacity: true},
+	{name: "errors of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
+	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), noCapacity: true},
+	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), noCapacity: true},
+	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), noCapacity: true},
+	{name: "full queues of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4)},
+	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
+	{name: "one very fast answer of each server", least: minServed, begin: func(p *serviceRun) {
 		seen := map[int]bool{}
-		p.answer = func(_ *servicePlay, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+		p.answer = func(_ *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if !seen[server] {
 				seen[server] = true
 				return honeyplank.Succeeded, 50 * time.Microsecond
@@ -232,21 +232,21 @@
 			return honeyplank.Succeeded, took
 		}
 	}},
-	{name: "lost answers", least: leastOfLost, begin: func(p *servicePlay) {
-		p.answer = func(p *servicePlay, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
+	{name: "lost answers", least: minServedWithLostAnswers, begin: func(p *serviceRun) {
+		p.answer = func(p *serviceRun, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if p.rng.Intn(4) == 0 {
 				return honeyplank.TimedOut, silentAnswer
 			}
 			return honeyplank.Succeeded, took
 		}
 	}},
-	{name: "the first class surges", least: leastOfAll, begin: func(p *servicePlay) { p.surging = 10 }, surge: true},
-	{name: "all servers are gone and come back", begin: func(p *servicePlay) { p.list(honeyplank.Removed, 0) },
-		end: func(p *servicePlay) { p.list(honeyplank.Up, 0) }, whole: true},
-	{name: "all servers restart cold", begin: func(p *servicePlay) { p.list(honeyplank.Up, p.now) }, whole: true},
+	{name: "the first class surges", least: minServed, begin: func(p *serviceRun) { p.surging = 10 }, surge: true},
+	{name: "all servers are gone and come back", begin: func(p *serviceRun) { p.list(honeyplank.Removed, 0) },
+		end: func(p *serviceRun) { p.list(honeyplank.Up, 0) }, noCapacity: true},
+	{name: "all servers restart cold", begin: func(p *serviceRun) { p.list(honeyplank.Up, p.now) }, noCapacity: true},
 }
 
-func (p *servicePlay) list(state honeyplank.MemberState, started time.Duration) {
+func (p *serviceRun) list(state honeyplank.MemberState, started time.Duration) {
 	var members []honeyplank.Member
 	for i := range fleetServers {
 		m := member(i, started)
@@ -257,31 +257,31 @@
 }
 
 // arrive brings a new request of a class.
-func (p *servicePlay) arrive(class int, timeout time.Duration) {
+func (p *serviceRun) arrive(class int, timeout time.Duration) {
 	c := p.classes[class]
 	r := &clientRequest{class: class, first: p.now, deadline: p.now + timeout}
 	volume := p.rng.Intn(fleetVolumes)
 	r.op = honeyplank.Op{Units: float64(1 + p.rng.Intn(c.units)), Type: class, HasKey: true, Key: p.rng.Int63n(1 << 40),
-		Volume: int64(volume), Schedulers: volumeHosts, Cell: (volume*5 + p.rng.Intn(3)) % fleetServers}
+		Volume: int64(volume), Schedulers: volumeInstances, Cell: (volume*5 + p.rng.Intn(3)) % fleetServers}
 	p.all = append(p.all, r)
-	p.try(r)
+	p.attempt(r)
 }
 
-// try sends a request, once more perhaps, with what is left of its client's time.
-func (p *servicePlay) try(r *clientRequest) {
-	if r.ended || p.now >= r.deadline || r.tries >= mostTries {
+// attempt sends a request, once more perhaps, with what is left of its client's time.
+func (p *serviceRun) attempt(r *clientRequest) {
+	if r.answered || p.now >= r.deadline || r.attempts >= maxAttempts {
 		return
 	}
-	r.tries++
-	r.sends = 0
-	r.op.ID, r.op.Timeout = honeyplank.OpID(fmt.Sprintf("%d/%d", len(p.all), p.number)), r.deadline
-	p.number++
+	r.attempts++
+	r.dispatches = 0
+	r.op.ID, r.op.Timeout = honeyplank.OpID(fmt.Sprintf("%d/%d", len(p.all), p.sequence)), r.deadline
+	p.sequence++
 	p.requests[r.op.ID] = r
-	p.unsent[r.class]++
-	p.tell(r.op)
+	p.undispatched[r.class]++
+	p.handle(r.op)
 }
 
-func (p *servicePlay) tell(e honeyplank.Event) {
+func (p *serviceRun) handle(e honeyplank.Event) {
 	for _, action := range p.module.Handle(p.now, e) {
 		switch a := action.(type) {
 		case honeyplank.Dispatch:
@@ -302,7 +302,7 @@
 	}
 }
 
-func (p *servicePlay) index(r *clientRequest) int {
+func (p *serviceRun) index(r *clientRequest) int {
 	for i := len(p.all) - 1; i >= 0; i-- {
 		if p.all[i] == r {
 			return i
@@ -311,7 +311,7 @@
 	return -1
 }
 
-func (p *servicePlay) dispatch(a honeyplank.Dispatch) {
+func (p *serviceRun) dispatch(a honeyplank.Dispatch) {
 	r := p.requests[a.Op]
 	if r == nil {
 		return
@@ -328,19 +328,19 @@
 	if end >= r.op.Timeout {
 		code, end = honeyplank.TimedOut, r.op.Timeout
 	}
-	p.add(end, honeyplank.Outcome{Op: a.Op, Dispatch: r.sends, Server: a.Server, Code: code, Elapsed: end - p.now})
-	r.sends++
-	p.sent[r.class], p.unsent[r.class] = p.now, 0
+	p.add(end, honeyplank.Outcome{Op: a.Op, Dispatch: r.dispatches, Server: a.Server, Code: code, Elapsed: end - p.now})
+	r.dispatches++
+	p.lastDispatch[r.class], p.undispatched[r.class] = p.now, 0
 }
 
 // step plays one event.
-func (p *servicePlay) step(d due) {
+func (p *serviceRun) step(d scheduledEvent) {
 	p.now = d.at
 	switch e := d.event.(type) {
 	case honeyplank.Timer:
 		var index int
 		if n, _ := fmt.Sscanf(e.Name, "again %d", &index); n == 1 {
-			p.try(p.all[index])
+			p.attempt(p.all[index])
 			return
 		}
 		if e.Name == "arrival" {
@@ -350,21 +350,21 @@
 	case honeyplank.Outcome:
 		r := p.requests[e.Op]
 		if r == nil {
-			p.tell(e)
+			p.handle(e)
 			return
 		}
 		if e.Code == honeyplank.Succeeded {
-			e.Answered, r.ended, p.answered = true, true, p.now
+			e.Answered, r.answered, p.answered = true, true, p.now
 			p.served[r] = p.now-r.first <= p.classes[r.class].target
 			delete(p.requests, e.Op)
 		}
-		p.tell(e)
+		p.handle(e)
 		return
 	}
-	p.tell(d.event)
+	p.handle(d.event)
 }
 
-func (p *servicePlay) arrival() {
+func (p *serviceRun) arrival() {
 	rate := requestRate
 	if p.surging > 0 {
 		rate *= p.surging
@@ -380,20 +380,20 @@
 		class = 0
 	}
 	timeout := p.classes[class].timeout
-	if p.patience != nil {
-		timeout = p.patience(p, class, timeout)
+	if p.clientTimeout != nil {
+		timeout = p.clientTimeout(p, class, timeout)
 	}
 	p.arrive(class, timeout)
 	for class := range p.classes {
-		silent := p.now - p.sent[class]
-		if silent > starvedFor && p.unsent[class] >= starvedNumber && p.now-p.answered < time.Second && p.starved == "" {
-			p.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d requests taken", class, p.sent[class], p.now, p.unsent[class])
+		silent := p.now - p.lastDispatch[class]
+		if silent > starvedFor && p.undispatched[class] >= starvedNumber && p.now-p.answered < time.Second && p.starved == "" {
+			p.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d requests taken", class, p.lastDispatch[class], p.now, p.undispatched[class])
 		}
 	}
 }
 
 // shares are what part of each class's requests of a span was served within its target latency.
-func (p *servicePlay) shares(from, to time.Duration) (served, taken []float64) {
+func (p *serviceRun) shares(from, to time.Duration) (served, taken []float64) {
 	served, taken = make([]float64, len(p.classes)), make([]float64, len(p.classes))
 	for _, r := range p.all {
 		if r.first >= from && r.first < to {
@@ -404,20 +404,20 @@
 	return served, taken
 }
 
-func newServicePlay(d deployment, fault *serviceFault, seed int64) *servicePlay {
-	p := &servicePlay{deployment: d, fault: fault, rng: rand.New(rand.NewSource(seed)), module: New(seed, d.settings()),
+func newServiceRun(d deployment, fault *serviceFault, seed int64) *serviceRun {
+	p := &serviceRun{deployment: d, fault: fault, rng: rand.New(rand.NewSource(seed)), module: New(seed, d.settings()),
 		requests: map[honeyplank.OpID]*clientRequest{}, served: map[*clientRequest]bool{},
-		sent: make([]time.Duration, len(d.classes)), unsent: make([]int, len(d.classes))}
+		lastDispatch: make([]time.Duration, len(d.classes)), undispatched: make([]int, len(d.classes))}
 	p.now = time.Second
 	p.list(honeyplank.Up, 0)
 	p.add(p.now, honeyplank.Timer{Name: "arrival"})
 	return p
 }
 
-func (p *servicePlay) run() {
+func (p *serviceRun) run() {
 	begun, ended := p.fault.begin == nil, false
 	for p.now < playEnds {
-		d := heap.Pop(&p.events).(due)
+		d := heap.Pop(&p.events).(scheduledEvent)
 		if !begun && d.at >= faultBegins {
 			begun, p.now = true, d.at
 			p.fault.begin(p)
@@ -446,8 +446,8 @@
 				for k := range 2 {
 					before[k], during[k], after[k] = make([]float64, n), make([]float64, n), make([]float64, n)
 				}
-				for seed := range int64(playsOfEach) {
-					p := newServicePlay(d, fault, seed+1)
+				for seed := range int64(seedsOfEach) {
+					p := newServiceRun(d, fault, seed+1)
 					p.run()
 					for _, span := range []struct {
 						from, to time.Duration
@@ -460,7 +460,7 @@
 						}
 					}
 					// A surge uses up a limit: what is left of it goes to the class of more utility, until it is over.
-					noCapacity := fault.whole || p.limited && fault.surge
+					noCapacity := fault.noCapacity || p.limited && fault.surge
 					if p.starved != "" && !noCapacity {
 						t.Errorf("seed %d: %s", seed+1, p.starved)
 					}
@@ -469,13 +469,13 @@
 				for c := range n {
 					x, y, z := before[0][c]/before[1][c], during[0][c]/during[1][c], after[0][c]/after[1][c]
 					text += fmt.Sprintf(" class %d: %.2f %.2f %.2f;", c, x, y, z)
-					if x < leastServed {
+					if x < minServedBefore {
 						t.Errorf("class %d: served %.2f of its %v requests on a calm day", c, x, before[1][c])
 					}
 					if floor := fault.floor(c, n, during[1][c]); y < floor && !(d.limited && fault.surge) {
 						t.Errorf("class %d: served %.2f of its %v requests during the fault, at least %.2f expected", c, y, during[1][c], floor)
 					}
-					if z < x-mostLost {
+					if z < x-maxLossAfterwards {
 						t.Errorf("class %d: served %.2f of its requests before the fault, %.2f once it is over", c, x, z)
 					}
 				}
