--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fmt"
 	"math"
 	"reflect"
 	"testing"
@@ -9,7 +10,7 @@
 	"honeyplank"
 )
 
-// Windows of many hosts add up past what a node serves in time (incidents i9adade, i340d5f): ops beyond the
+// Windows of many instances add up past what a server serves in time (incidents i9adade, i340d5f): ops beyond the
 // reserve get less of the window as latency grows, and ops within it leave first.
 func TestReserveFirstOnSlowServers(t *testing.T) {
 	fleet := fullServerFleet(t)
@@ -45,27 +46,29 @@
 	}
 }
 
-// Where one op of each host is more than a node serves in time (incident i65239e), ops beyond the reserve leave
-// by lot, those of a volume that asks for more than others less often; with few hosts one op always fits.
+// Where one op of each instance is more than a server serves in time (incident i65239e), ops beyond the reserve leave
+// by random admission, those of a volume that asks for more than others less often; with few instances one op always fits.
 func TestConcurrencyLimitBelowOne(t *testing.T) {
 	for instances, want := range map[int][]bool{3: {true, true, true}, 200: {false, true, false}} {
-		fleet := fullServerFleet(t)
-		fleet.settings.Schedulers, fleet.settings.MeanUnits = instances, 2.0
-		s := fleet.instances[0]
-		s.settings = readSettings(fleet.settings)
-		server := s.servers["osd0"]
-		server.outstanding, server.bestPerUnit = 0, 0.02
-		s.setTypicalLatency(0.2)
-		s.setServerLatency(server, 0.2)
-		candidate := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{schedulers: 1}, admissionDraw: 0.5}
-		got := []bool{s.hasCapacity(server, candidate)}
-		for _, asked := range []float64{1, 4000} {
-			candidate.admissionDraw, candidate.queue = 0.01, &volumeQueue{demand: decayedRate{units: asked, time: 1}}
-			got = append(got, s.hasCapacity(server, candidate))
-		}
-		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%d hosts: room for the middle lot, a low one, a low one of a heavy volume: %v", instances, got)
-		}
+		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
+			fleet := fullServerFleet(t)
+			fleet.settings.Schedulers, fleet.settings.MeanUnits = instances, 2.0
+			s := fleet.instances[0]
+			s.settings = readSettings(fleet.settings)
+			server := s.servers["osd0"]
+			server.outstanding, server.bestPerUnit = 0, 0.02
+			s.setTypicalLatency(0.2)
+			s.setServerLatency(server, 0.2)
+			candidate := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{schedulers: 1}, admissionDraw: 0.5}
+			got := []bool{s.hasCapacity(server, candidate)}
+			for _, asked := range []float64{1, 4000} {
+				candidate.admissionDraw, candidate.queue = 0.01, &volumeQueue{demand: decayedRate{units: asked, time: 1}}
+				got = append(got, s.hasCapacity(server, candidate))
+			}
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("%d hosts: capacity for the median draw, a low one, a low one of a volume with high demand: %v", instances, got)
+			}
+		})
 	}
 }
 
@@ -80,7 +83,7 @@
 	}
 }
 
-// Where a node is crowded, an op with less time left than answers take is thinned by the square of what it lacks.
+// Where a server is crowded, an op with less time left than answers take is thinned by the square of what it lacks.
 func TestSuccessProbability(t *testing.T) {
 	s := New(1, testSettings())
 	server := &server{}
@@ -88,12 +91,14 @@
 	s.setTypicalLatency(0.4)
 	s.setServerLatency(server, 0.4)
 	for left, want := range map[time.Duration]float64{time.Second: 1, 400 * ms: 1, 200 * ms: 0.25, 0: 0, -time.Second: 0} {
-		in, gone := &op{target: s.now + left}, &op{target: time.Hour}
-		in.Timeout, gone.Timeout = time.Hour, s.now+left
-		for _, candidate := range []*op{in, gone} {
-			if got := s.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
-				t.Errorf("%v left: %v, want %v", left, got, want)
+		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
+			in, gone := &op{target: s.now + left}, &op{target: time.Hour}
+			in.Timeout, gone.Timeout = time.Hour, s.now+left
+			for _, candidate := range []*op{in, gone} {
+				if got := s.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
+					t.Errorf("%v left: %v, want %v", left, got, want)
+				}
 			}
-		}
+		})
 	}
 }
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -1,14 +1,15 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"honeyplank"
 )
 
-// What was seen of a node long ago gives way to what is seen everywhere; time-outs count up to the shortest
-// target latency and full queues past the longest (incident i65239e: nodes whose ops all ran out looked well).
+// What was seen of a server long ago gives way to what is seen everywhere; time-outs count up to the shortest
+// target latency and rejections past the longest (incident i65239e: servers whose ops all ran out looked well).
 func TestLatencyEstimate(t *testing.T) {
 	s := fullServerFleet(t).instances[0]
 	server := s.servers["osd0"]
@@ -20,14 +21,16 @@
 		elapsed time.Duration
 		least   float64
 	}{{honeyplank.TimedOut, 10 * ms, 0.04}, {honeyplank.TimedOut, 5 * time.Second, 0.15}, {honeyplank.Rejected, 0, 0.3}} {
-		s.recordTimeout(server, &op{}, honeyplank.Outcome{Code: test.code, Elapsed: test.elapsed})
-		if got := s.expectedLatency(server, 0); got < test.least || got > 2*test.least {
-			t.Errorf("%v s after %+v", got, test)
-		}
+		t.Run(fmt.Sprintf("code %d after %v", test.code, test.elapsed), func(t *testing.T) {
+			s.recordTimeout(server, &op{}, honeyplank.Outcome{Code: test.code, Elapsed: test.elapsed})
+			if got := s.expectedLatency(server, 0); got < test.least || got > 2*test.least {
+				t.Errorf("%v s after %+v", got, test)
+			}
+		})
 	}
 }
 
-// What an instance before this one learnt of a slow server holds from the first op, fades with its age, and is void
+// What an instance before this one knew of a slow server holds from the first op, fades with its age, and is void
 // where the server has started since; what a server has not answered since its start is not handed on.
 func TestSavedEstimates(t *testing.T) {
 	for _, test := range []struct {
@@ -35,31 +38,33 @@
 		out, known  int // how many of eight ops leave at once, and servers handed on after
 	}{{10 * time.Second, 0, 1, 2}, {10 * time.Second, 5 * time.Second, 1, 2}, {10 * time.Second, 10*time.Second + 1, 4, 1},
 		{-20 * time.Second, 0, 4, 2}, {11 * time.Second, 0, 4, 1}, {-24 * time.Hour, 0, 4, 1}} { // osd1 is never seen, and is handed on
-		settings := testSettings()
-		settings.MeanUnits = 1.0
-		fleet := newTestFleet(t, 1, settings)
-		fleet.now = 10 * time.Second
-		fleet.handle(0, honeyplank.SavedEstimates{TypicalLatency: 0.02, Servers: []honeyplank.ServerEstimate{{Server: "osd0", At: test.at, BestPerUnit: 0.02, Latency: 0.4}, {Server: "osd1", At: time.Second, Latency: 0.1}}})
-		fleet.sendList(honeyplank.Cached, member(0, test.started))
-		out := 0
-		for i := range 8 {
-			fleet.admit("a", i, 1, int64(i), 0)
-			out += len(fleet.order[i].dispatched)
-		}
-		if got := fleet.instances[0].SavedEstimates(); out != test.out || len(got.Servers) != test.known || got.TypicalLatency != 0.02 {
-			t.Errorf("learnt at %v, started at %v: %d ops leave at once, want %d; handed on %+v", test.at, test.started, out, test.out, got)
-		}
+		t.Run(fmt.Sprintf("estimate of %v, server started at %v", test.at, test.started), func(t *testing.T) {
+			settings := testSettings()
+			settings.MeanUnits = 1.0
+			fleet := newTestFleet(t, 1, settings)
+			fleet.now = 10 * time.Second
+			fleet.handle(0, honeyplank.SavedEstimates{TypicalLatency: 0.02, Servers: []honeyplank.ServerEstimate{{Server: "osd0", At: test.at, BestPerUnit: 0.02, Latency: 0.4}, {Server: "osd1", At: time.Second, Latency: 0.1}}})
+			fleet.sendList(honeyplank.Cached, member(0, test.started))
+			out := 0
+			for i := range 8 {
+				fleet.admit("a", i, 1, int64(i), 0)
+				out += len(fleet.order[i].dispatched)
+			}
+			if got := fleet.instances[0].SavedEstimates(); out != test.out || len(got.Servers) != test.known || got.TypicalLatency != 0.02 {
+				t.Errorf("learnt at %v, started at %v: %d ops leave at once, want %d; handed on %+v", test.at, test.started, out, test.out, got)
+			}
+		})
 	}
 }
 
-// setTypicalLatency has all types answered in a time as of late, in seconds.
+// setTypicalLatency has all types answered in a time as recently, in seconds.
 func (s *Scheduler) setTypicalLatency(seconds float64) {
 	for i := range s.latencyByType {
 		s.latencyByType[i] = typeLatency{mean: seconds, fastest: seconds, updatedAt: s.now}
 	}
 }
 
-// setServerLatency has a disk server take a time for an op of the first type, in seconds.
+// setServerLatency has a server take a time for an op of the first type, in seconds.
 func (s *Scheduler) setServerLatency(server *server, seconds float64) {
 	server.slowness, server.slownessAt = seconds/s.typicalLatency(0), s.now
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -23,31 +23,33 @@
 	}
 }
 
-// A server that turns ops away or breaks connections gets no new objects for a while, and tells nothing of the others.
+// A server that rejects ops or breaks connections gets no new objects for a while, and says nothing of the others.
 func TestServerThatRejectsAll(t *testing.T) {
 	for _, code := range []honeyplank.Code{honeyplank.Rejected, honeyplank.Reset} {
-		fleet := newTestFleet(t, 1, testSettings())
-		fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0))
-		s, server := fleet.instances[0], fleet.instances[0].servers["osd0"]
-		s.setTypicalLatency(0.02)
-		for i := range 8 {
-			fleet.admit("a", i, 1, int64(i), 0)
-			if n := len(fleet.order[i].dispatched); n == 1 {
-				fleet.endDispatch(fleet.order[i], code)
+		t.Run(fmt.Sprint("code ", code), func(t *testing.T) {
+			fleet := newTestFleet(t, 1, testSettings())
+			fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0))
+			s, server := fleet.instances[0], fleet.instances[0].servers["osd0"]
+			s.setTypicalLatency(0.02)
+			for i := range 8 {
+				fleet.admit("a", i, 1, int64(i), 0)
+				if n := len(fleet.order[i].dispatched); n == 1 {
+					fleet.endDispatch(fleet.order[i], code)
+				}
+				fleet.now += 20 * ms
+				fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+			}
+			if s.acceptsNewObjects(server) || !s.acceptsNewObjects(s.servers["osd1"]) {
+				t.Errorf("%v: osd0 accepts new objects: %v, the other: %v", code, s.acceptsNewObjects(server), s.acceptsNewObjects(s.servers["osd1"]))
+			}
+			if other := s.expectedLatency(s.servers["osd1"], 0); other > 0.03 {
+				t.Errorf("%v: expected latency of the other %v s", code, other)
 			}
-			fleet.now += 20 * ms
-			fleet.handle(0, honeyplank.Timer{Name: "sweep"})
-		}
-		if s.acceptsNewObjects(server) || !s.acceptsNewObjects(s.servers["osd1"]) {
-			t.Errorf("%v: osd0 counts as sound: %v, the other: %v", code, s.acceptsNewObjects(server), s.acceptsNewObjects(s.servers["osd1"]))
-		}
-		if other := s.expectedLatency(s.servers["osd1"], 0); other > 0.03 {
-			t.Errorf("%v: the other is believed to take %v s", code, other)
-		}
-		server.health = up
-		if s.now += time.Minute; !s.acceptsNewObjects(server) {
-			t.Errorf("%v: not tried again", code)
-		}
+			server.health = up
+			if s.now += time.Minute; !s.acceptsNewObjects(server) {
+				t.Errorf("%v: not tried again", code)
+			}
+		})
 	}
 }
 
@@ -55,25 +57,27 @@
 // nothing of the server; silence to ops with time does.
 func TestSilenceToShortTimeouts(t *testing.T) {
 	for left, want := range map[time.Duration]health{30 * ms: up, 400 * ms: down} {
-		settings := testSettings()
-		settings.Plans.Reserve = []float64{1e6}
-		fleet := newTestFleet(t, 1, settings)
-		fleet.sendList(honeyplank.Cached, member(0, 0))
-		s, sent := fleet.instances[0], 0
-		for i := range 250 {
-			s.setTypicalLatency(0.04)
-			fleet.now += 10 * ms
-			fleet.handle(0, honeyplank.Timer{Name: "sweep"})
-			for _, tracked := range fleet.order {
-				if n := len(tracked.dispatched); n > 0 && !tracked.dispatched[n-1].done && fleet.now >= tracked.Timeout {
-					fleet.endDispatch(tracked, honeyplank.TimedOut)
+		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
+			settings := testSettings()
+			settings.Plans.Reserve = []float64{1e6}
+			fleet := newTestFleet(t, 1, settings)
+			fleet.sendList(honeyplank.Cached, member(0, 0))
+			s, sent := fleet.instances[0], 0
+			for i := range 250 {
+				s.setTypicalLatency(0.04)
+				fleet.now += 10 * ms
+				fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+				for _, tracked := range fleet.order {
+					if n := len(tracked.dispatched); n > 0 && !tracked.dispatched[n-1].done && fleet.now >= tracked.Timeout {
+						fleet.endDispatch(tracked, honeyplank.TimedOut)
+					}
 				}
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + left, Schedulers: 1})
+				sent += len(fleet.order[i].dispatched)
+			}
+			if got := s.servers["osd0"].health; sent < 4 || (got == up) != (want == up) {
+				t.Errorf("%v left: %d sent, the server counts as %v", left, sent, got)
 			}
-			fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + left, Schedulers: 1})
-			sent += len(fleet.order[i].dispatched)
-		}
-		if got := s.servers["osd0"].health; sent < 4 || (got == up) != (want == up) {
-			t.Errorf("%v left: %d sent, the server counts as %v", left, sent, got)
-		}
+		})
 	}
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -32,7 +32,7 @@
 	return x
 }
 
-// loadScenario is a fleet under a load of so many times what it serves: disk servers that serve 1,000 units a second each, one
+// loadScenario is a fleet under a load of so many times what it serves: servers that serve 1,000 units a second each, one
 // op after another, and volumes whose ops come at random, to one scheduler. All is simulated.
 type loadScenario struct {
 	servers, volumes int
@@ -42,32 +42,32 @@
 }
 
 // overload settings: one op type, one plan.
-func (f loadScenario) settings() *honeyplank.Settings {
-	set := testSettings()
-	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
-	set.OpTypes.Semantics, set.OpTypes.DedupScope, set.OpTypes.DedupWindow = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
-	rate := 1000 * float64(f.servers) / float64(f.volumes)
-	set.Plans.Rate, set.Plans.Reserve, set.MeanUnits, set.LargestUnits = []float64{rate}, []float64{rate / 2}, 1.0, 4.0
-	set.Usage.Period = time.Second
-	return set
+func (scenario loadScenario) settings() *honeyplank.Settings {
+	settings := testSettings()
+	settings.OpTypes.TargetLatency, settings.OpTypes.OpTimeout = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
+	settings.OpTypes.Semantics, settings.OpTypes.DedupScope, settings.OpTypes.DedupWindow = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
+	rate := 1000 * float64(scenario.servers) / float64(scenario.volumes)
+	settings.Plans.Rate, settings.Plans.Reserve, settings.MeanUnits, settings.LargestUnits = []float64{rate}, []float64{rate / 2}, 1.0, 4.0
+	settings.Usage.Period = time.Second
+	return settings
 }
 
-// play runs it for a span and hands each event to tell, which returns the actions.
-func (f loadScenario) play(seed int64, length time.Duration, tell func(time.Duration, honeyplank.Event) []honeyplank.Action) (ops int) {
+// play runs it for a span and hands each event to handle, which returns the actions.
+func (scenario loadScenario) play(seed int64, length time.Duration, handle func(time.Duration, honeyplank.Event) []honeyplank.Action) (ops int) {
 	rng := rand.New(rand.NewSource(seed))
-	var a eventQueue
-	n := 0
-	add := func(at time.Duration, e honeyplank.Event) {
-		n++
-		heap.Push(&a, scheduledEvent{at, n, e})
+	var events eventQueue
+	sequence := 0
+	add := func(at time.Duration, event honeyplank.Event) {
+		sequence++
+		heap.Push(&events, scheduledEvent{at, sequence, event})
 	}
-	now, free := time.Second, make([]time.Duration, f.servers)
+	now, free := time.Second, make([]time.Duration, scenario.servers)
 	var members []honeyplank.Member
-	for i := range f.servers {
+	for i := range scenario.servers {
 		members = append(members, member(i, 0))
 	}
 	add(now, honeyplank.List{Kind: honeyplank.Complete, Members: members})
-	each := time.Duration(float64(time.Second) / (1000 * float64(f.servers) * f.load))
+	each := time.Duration(float64(time.Second) / (1000 * float64(scenario.servers) * scenario.load))
 	next, key := now, int64(0)
 	type taken struct {
 		honeyplank.Op
@@ -75,44 +75,44 @@
 	}
 	open := map[honeyplank.OpID]*taken{}
 	for now < time.Second+length {
-		var e honeyplank.Event
-		if len(a) == 0 || next < a[0].at {
+		var event honeyplank.Event
+		if len(events) == 0 || next < events[0].at {
 			now = next
 			next += time.Duration(rng.ExpFloat64() * float64(each))
 			if rng.Intn(4) == 0 {
 				key = rng.Int63n(1000)
 			}
 			ops++
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(f.volumes)), Cell: rng.Intn(f.servers), Schedulers: 1}
-			if f.keyRuns {
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(scenario.volumes)), Cell: rng.Intn(scenario.servers), Schedulers: 1}
+			if scenario.keyRuns {
 				op.HasKey, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
 			}
 			open[op.ID] = &taken{Op: op}
-			e = op
+			event = op
 		} else {
-			d := heap.Pop(&a).(scheduledEvent)
-			now, e = d.at, d.event
-			if o, ok := e.(honeyplank.Outcome); ok {
-				delete(open, o.Op)
+			upcoming := heap.Pop(&events).(scheduledEvent)
+			now, event = upcoming.at, upcoming.event
+			if outcome, ok := event.(honeyplank.Outcome); ok {
+				delete(open, outcome.Op)
 			}
 		}
-		for _, action := range tell(now, e) {
-			switch x := action.(type) {
+		for _, action := range handle(now, event) {
+			switch action := action.(type) {
 			case honeyplank.Dispatch:
-				op := open[x.Op]
+				op := open[action.Op]
 				at := -1
-				fmt.Sscanf(string(x.Server), "osd%d", &at)
+				fmt.Sscanf(string(action.Server), "osd%d", &at)
 				free[at] = max(free[at], now) + time.Duration(op.Units*float64(ms))
-				o := honeyplank.Outcome{Op: x.Op, Dispatch: op.sends, Server: x.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: free[at] - now}
-				if f.metered {
-					o.QuotaUsed = 1 + rng.Intn(150)
+				outcome := honeyplank.Outcome{Op: action.Op, Dispatch: op.sends, Server: action.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: free[at] - now}
+				if scenario.metered {
+					outcome.QuotaUsed = 1 + rng.Intn(150)
 				}
 				op.sends++
-				add(free[at], o)
+				add(free[at], outcome)
 			case honeyplank.Reject:
-				delete(open, x.Op)
+				delete(open, action.Op)
 			case honeyplank.SetTimer:
-				add(x.At, honeyplank.Timer{Name: x.Name})
+				add(action.At, honeyplank.Timer{Name: action.Name})
 			}
 		}
 	}
@@ -132,15 +132,15 @@
 	"late meters":    {servers: 10, volumes: 100, load: 2, metered: true},
 }
 
-// BenchmarkLoadScenarios is the cost of an op in the module, handled events only, over half a second of each flood.
+// BenchmarkLoadScenarios is the cost of an op in the module, handled events only, over half a second of each scenario.
 func BenchmarkLoadScenarios(b *testing.B) {
-	for name, f := range loadScenarios {
+	for name, scenario := range loadScenarios {
 		b.Run(name, func(b *testing.B) {
 			var spent time.Duration
 			ops, held, events := 0, 0, 0
 			for b.Loop() {
-				s := New(5, f.settings())
-				ops += f.play(5, 500*ms, func(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+				s := New(5, scenario.settings())
+				ops += scenario.play(5, 500*ms, func(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 					began := time.Now()
 					out := s.Handle(now, e)
 					spent += time.Since(began)
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -30,16 +30,16 @@
 	}
 }
 
-// ruleModel is a slow, plain reading of the rules. It sees what every host is told and does.
+// ruleModel is a slow, plain reading of the rules. It sees what every instance receives and does.
 type ruleModel struct {
 	settings     *honeyplank.Settings
 	now          time.Duration
 	ops          map[honeyplank.OpID]*trackedOp
 	order        []*trackedOp // as taken
 	servers      map[honeyplank.ServerID]honeyplank.Member
-	stoppedSince map[honeyplank.ServerID]time.Duration // since when a host has been told to stop
+	stoppedSince map[honeyplank.ServerID]time.Duration // since when a instance was notified that it drains or is gone
 	slowStart    map[honeyplank.ServerID][]slowStartDispatch
-	limitUsed    map[int64]float64 // out of the limit's store
+	limitUsed    map[int64]float64 // out of the limit's bucket
 	limitUsedAt  map[int64]time.Duration
 	retries      map[int][]time.Duration
 	violations   []string
@@ -63,16 +63,16 @@
 	endedAt          time.Duration // when it ended
 }
 
-// slowStartDispatch is a dispatch to a disk server, for the fourth rule.
+// slowStartDispatch is a dispatch to a server, for the fourth rule.
 type slowStartDispatch struct {
 	op    *trackedOp
 	index int
 }
 
 // mayArrive tells whether a dispatch made since a time may reach its server at another one or later.
-func (h slowStartDispatch) mayArrive(since, at time.Duration) bool {
-	d := h.op.dispatched[h.index]
-	return d.sentAt >= since && !d.notArrived && (!d.done || d.endedAt >= at)
+func (sent slowStartDispatch) mayArrive(since, at time.Duration) bool {
+	dispatch := sent.op.dispatched[sent.index]
+	return dispatch.sentAt >= since && !dispatch.notArrived && (!dispatch.done || dispatch.endedAt >= at)
 }
 
 func (m *ruleModel) violate(rule int, format string, a ...any) {
@@ -80,43 +80,43 @@
 }
 
 // neverRan tells whether every dispatch of an op is known not to have run.
-func (t *trackedOp) neverRan() bool {
-	return !slices.ContainsFunc(t.dispatched, func(d trackedDispatch) bool { return !d.done || d.mayHaveRun })
+func (op *trackedOp) neverRan() bool {
+	return !slices.ContainsFunc(op.dispatched, func(dispatch trackedDispatch) bool { return !dispatch.done || dispatch.mayHaveRun })
 }
 
-// mayRetry is the second rule for a further dispatch, which is at work a time after its decision.
-func (m *ruleModel) mayRetry(t *trackedOp, osd honeyplank.ServerID, after time.Duration) bool {
-	kind, scope := m.semanticsOf(t)
-	for _, d := range t.dispatched {
-		a, b := m.servers[d.server], m.servers[osd]
-		drops := []bool{true, a.Zone == b.Zone, a.Cell == b.Cell}[scope] &&
-			m.now+after-d.sentAt < valueAt(m.settings.OpTypes.DedupWindow, t.Type)
-		allowed := kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && drops
-		if !d.done && !m.settings.Dispatches.Parallel || (!d.done || d.mayHaveRun) && !allowed {
+// mayRetry is the second rule for a retry, which is at work a time after its decision.
+func (m *ruleModel) mayRetry(op *trackedOp, server honeyplank.ServerID, after time.Duration) bool {
+	semantics, scope := m.semanticsOf(op)
+	for _, dispatch := range op.dispatched {
+		earlier, later := m.servers[dispatch.server], m.servers[server]
+		drops := []bool{true, earlier.Zone == later.Zone, earlier.Cell == later.Cell}[scope] &&
+			m.now+after-dispatch.sentAt < valueAt(m.settings.OpTypes.DedupWindow, op.Type)
+		allowed := semantics == honeyplank.Idempotent || semantics == honeyplank.Deduplicated && drops
+		if !dispatch.done && !m.settings.Dispatches.Parallel || (!dispatch.done || dispatch.mayHaveRun) && !allowed {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *ruleModel) semanticsOf(t *trackedOp) (honeyplank.Semantics, honeyplank.DedupScope) {
-	return valueAt(m.settings.OpTypes.Semantics, t.Type), valueAt(m.settings.OpTypes.DedupScope, t.Type)
+func (m *ruleModel) semanticsOf(op *trackedOp) (honeyplank.Semantics, honeyplank.DedupScope) {
+	return valueAt(m.settings.OpTypes.Semantics, op.Type), valueAt(m.settings.OpTypes.DedupScope, op.Type)
 }
 
 // mayReject is the second rule for an answer.
-func (m *ruleModel) mayReject(t *trackedOp) bool {
-	kind, scope := m.semanticsOf(t)
-	return t.neverRan() || kind == honeyplank.Idempotent || kind == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
+func (m *ruleModel) mayReject(op *trackedOp) bool {
+	semantics, scope := m.semanticsOf(op)
+	return op.neverRan() || semantics == honeyplank.Idempotent || semantics == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
 }
 
 // isNextOfKey is the fifth rule.
-func (m *ruleModel) isNextOfKey(t *trackedOp) bool {
-	if !t.HasKey || !valueAt(m.settings.OpTypes.Ordered, t.Type) {
+func (m *ruleModel) isNextOfKey(op *trackedOp) bool {
+	if !op.HasKey || !valueAt(m.settings.OpTypes.Ordered, op.Type) {
 		return true
 	}
-	for _, e := range m.order[:slices.Index(m.order, t)] {
-		same := e.instance == t.instance && e.HasKey && e.Key == t.Key && valueAt(m.settings.OpTypes.Ordered, e.Type)
-		if n := len(e.dispatched); same && (!e.answered || m.now < e.settledAt || n > 0 && !e.dispatched[n-1].done) {
+	for _, earlier := range m.order[:slices.Index(m.order, op)] {
+		same := earlier.instance == op.instance && earlier.HasKey && earlier.Key == op.Key && valueAt(m.settings.OpTypes.Ordered, earlier.Type)
+		if n := len(earlier.dispatched); same && (!earlier.answered || m.now < earlier.settledAt || n > 0 && !earlier.dispatched[n-1].done) {
 			return false
 		}
 	}
@@ -126,198 +126,198 @@
 // longestHoldUp is for how long a process may stand still between a decision and the dispatch.
 const longestHoldUp = 150 * ms
 
-// withinRetryBudget is the sixth rule, for one more further dispatch, when this or earlier ones are held up.
-func (m *ruleModel) withinRetryBudget(host int) bool {
+// withinRetryBudget is the sixth rule, for one more retry, when this or earlier ones are delayed.
+func (m *ruleModel) withinRetryBudget(instance int) bool {
 	if !m.settings.RetryBudget.Limited {
 		return true
 	}
-	from, taken := m.now-m.settings.RetryBudget.Window, 0.0
-	for _, t := range m.order {
-		taken += float64(boolToInt(t.instance == host && t.admittedAt >= from+longestHoldUp))
+	from, admitted := m.now-m.settings.RetryBudget.Window, 0.0
+	for _, op := range m.order {
+		admitted += float64(boolToInt(op.instance == instance && op.admittedAt >= from+longestHoldUp))
 	}
-	return float64(1+len(dropBefore(m.retries[host], from-longestHoldUp))) <= m.settings.RetryBudget.Free+m.settings.RetryBudget.Share*taken
+	return float64(1+len(dropBefore(m.retries[instance], from-longestHoldUp))) <= m.settings.RetryBudget.Free+m.settings.RetryBudget.Share*admitted
 }
 
-func (m *ruleModel) dispatch(host int, a honeyplank.Dispatch) {
-	t := m.ops[a.Op]
-	if t.answered {
-		m.violate(1, "%s dispatched after its answer", a.Op)
+func (m *ruleModel) dispatch(instance int, action honeyplank.Dispatch) {
+	op := m.ops[action.Op]
+	if op.answered {
+		m.violate(1, "%s dispatched after its answer", action.Op)
 	}
-	o := m.servers[a.Server]
-	if since, told := m.stoppedSince[a.Server]; told && m.now > since+m.settings.DrainGrace {
-		m.violate(3, "%s goes to %s", a.Op, a.Server)
+	server := m.servers[action.Server]
+	if since, stopped := m.stoppedSince[action.Server]; stopped && m.now > since+m.settings.DrainGrace {
+		m.violate(3, "%s goes to %s", action.Op, action.Server)
 	}
-	if t.Cell != honeyplank.NewObject && t.Cell != o.Cell {
-		m.violate(2, "%s goes to a server without its data", a.Op)
+	if op.Cell != honeyplank.NewObject && op.Cell != server.Cell {
+		m.violate(2, "%s goes to a server without its data", action.Op)
 	}
-	if !m.mayRetry(t, a.Server, m.settings.Dispatches.ConnectTimeout+longestHoldUp) || len(t.dispatched) >= max(m.settings.Dispatches.Max, 1) {
-		m.violate(2, "%s repeated", a.Op)
+	if !m.mayRetry(op, action.Server, m.settings.Dispatches.ConnectTimeout+longestHoldUp) || len(op.dispatched) >= max(m.settings.Dispatches.Max, 1) {
+		m.violate(2, "%s repeated", action.Op)
 	}
-	if !m.isNextOfKey(t) {
-		m.violate(5, "%s out of turn", a.Op)
+	if !m.isNextOfKey(op) {
+		m.violate(5, "%s out of order", action.Op)
 	}
-	if len(t.dispatched) > 0 {
-		if !m.withinRetryBudget(host) {
-			m.violate(6, "%s past the budget", a.Op)
+	if len(op.dispatched) > 0 {
+		if !m.withinRetryBudget(instance) {
+			m.violate(6, "%s past the budget", action.Op)
 		}
-		m.retries[host] = append(m.retries[host], m.now)
-	} else if limit := valueAt(m.settings.Plans.Limit, t.Plan); limit > 0 {
-		gone := max(0, m.limitUsed[t.Volume]-limit*(m.now-m.limitUsedAt[t.Volume]).Seconds()) + t.Units
-		m.limitUsed[t.Volume], m.limitUsedAt[t.Volume] = gone, m.now
-		if left := valueAt(m.settings.Plans.Burst, t.Plan) - gone; left < -valueAt(m.settings.Plans.Slack, t.Plan) {
-			m.violate(7, "volume %d at %.1f", t.Volume, left)
+		m.retries[instance] = append(m.retries[instance], m.now)
+	} else if limit := valueAt(m.settings.Plans.Limit, op.Plan); limit > 0 {
+		used := max(0, m.limitUsed[op.Volume]-limit*(m.now-m.limitUsedAt[op.Volume]).Seconds()) + op.Units
+		m.limitUsed[op.Volume], m.limitUsedAt[op.Volume] = used, m.now
+		if left := valueAt(m.settings.Plans.Burst, op.Plan) - used; left < -valueAt(m.settings.Plans.Slack, op.Plan) {
+			m.violate(7, "volume %d at %.1f", op.Volume, left)
 		}
 	}
-	t.dispatched = append(t.dispatched, trackedDispatch{server: a.Server, sentAt: m.now})
-	m.slowStart[o.ID] = append(m.slowStart[o.ID], slowStartDispatch{t, len(t.dispatched) - 1})
-	m.checkSlowStart(o)
+	op.dispatched = append(op.dispatched, trackedDispatch{server: action.Server, sentAt: m.now})
+	m.slowStart[server.ID] = append(m.slowStart[server.ID], slowStartDispatch{op, len(op.dispatched) - 1})
+	m.checkSlowStart(server)
 }
 
-// checkSlowStart is the fourth rule: all hosts' units that may reach a cold server within one window.
-func (m *ruleModel) checkSlowStart(o honeyplank.Member) {
-	window, warm := m.settings.SlowStart.Window, m.settings.SlowStart.Time
-	age := m.now - o.Started
-	if window <= 0 || o.Started == 0 || age >= warm {
+// checkSlowStart is the fourth rule: all instances' units that may reach a server in slow start within one window.
+func (m *ruleModel) checkSlowStart(server honeyplank.Member) {
+	window, warmUp := m.settings.SlowStart.Window, m.settings.SlowStart.Time
+	age := m.now - server.Started
+	if window <= 0 || server.Started == 0 || age >= warmUp {
 		return
 	}
 	sum, from := 0.0, m.settings.SlowStart.From
-	for _, x := range m.slowStart[o.ID] {
-		sum += x.op.Units * float64(boolToInt(x.mayArrive(o.Started, m.now-window)))
+	for _, sent := range m.slowStart[server.ID] {
+		sum += sent.op.Units * float64(boolToInt(sent.mayArrive(server.Started, m.now-window)))
 	}
-	sure := (from + (1-from)*float64(age)/float64(warm)) / from * m.settings.SlowStart.Units
-	if sum > sure+1e-9 {
-		m.violate(4, "%s gets %.1f of %.1f", o.ID, sum, sure)
+	budget := (from + (1-from)*float64(age)/float64(warmUp)) / from * m.settings.SlowStart.Units
+	if sum > budget+1e-9 {
+		m.violate(4, "%s gets %.1f of %.1f", server.ID, sum, budget)
 	}
 }
 
-func (m *ruleModel) recordAnswer(id honeyplank.OpID, throttle bool) {
-	t := m.ops[id]
-	if t.answered || t.responseStarted || m.now > t.Timeout+m.settings.AnswerGrace {
+func (m *ruleModel) recordAnswer(id honeyplank.OpID, rejected bool) {
+	op := m.ops[id]
+	if op.answered || op.responseStarted || m.now > op.Timeout+m.settings.AnswerGrace {
 		m.violate(1, "%s answered twice or late", id)
 	}
-	if throttle && !m.mayReject(t) {
-		m.violate(2, "%s throttled", id)
+	if rejected && !m.mayReject(op) {
+		m.violate(2, "%s rejected", id)
 	}
-	t.answered = true
+	op.answered = true
 }
 
-// testFleet feeds generated events to hosts that share a fleet, and their actions to the model.
+// testFleet feeds generated events to instances that share a fleet, and their actions to the model.
 type testFleet struct {
 	*ruleModel
 	t               *testing.T
 	rng             *rand.Rand
 	instances       []*Scheduler
 	timers          []map[string]time.Duration
-	dispatchEnds    map[honeyplank.OpID]time.Duration // when a dispatch that is out ends
+	dispatchEnds    map[honeyplank.OpID]time.Duration // when a dispatch that is outstanding ends
 	succeeded       int
-	longestDispatch time.Duration  // the most that a dispatch takes
-	onWatch         func(host int) // a host asks for the list
+	longestDispatch time.Duration      // the most that a dispatch takes
+	onWatch         func(instance int) // a instance asks for the watch
 }
 
-func newTestFleet(t *testing.T, seed int64, set *honeyplank.Settings) *testFleet {
-	w := &testFleet{t: t, longestDispatch: 400 * ms, onWatch: func(int) {}, rng: rand.New(rand.NewSource(seed)), dispatchEnds: map[honeyplank.OpID]time.Duration{}, ruleModel: &ruleModel{
-		settings: set, ops: map[honeyplank.OpID]*trackedOp{}, servers: map[honeyplank.ServerID]honeyplank.Member{},
+func newTestFleet(t *testing.T, seed int64, settings *honeyplank.Settings) *testFleet {
+	fleet := &testFleet{t: t, longestDispatch: 400 * ms, onWatch: func(int) {}, rng: rand.New(rand.NewSource(seed)), dispatchEnds: map[honeyplank.OpID]time.Duration{}, ruleModel: &ruleModel{
+		settings: settings, ops: map[honeyplank.OpID]*trackedOp{}, servers: map[honeyplank.ServerID]honeyplank.Member{},
 		stoppedSince: map[honeyplank.ServerID]time.Duration{}, slowStart: map[honeyplank.ServerID][]slowStartDispatch{},
 		limitUsed: map[int64]float64{}, limitUsedAt: map[int64]time.Duration{}, retries: map[int][]time.Duration{}}}
-	for i := range max(set.Schedulers, 1) {
-		w.instances = append(w.instances, New(seed+int64(i), set))
-		w.timers = append(w.timers, map[string]time.Duration{})
+	for i := range max(settings.Schedulers, 1) {
+		fleet.instances = append(fleet.instances, New(seed+int64(i), settings))
+		fleet.timers = append(fleet.timers, map[string]time.Duration{})
 	}
-	return w
+	return fleet
 }
 
-// sendList tells every host of disk servers.
-func (w *testFleet) sendList(kind honeyplank.ListKind, members ...honeyplank.Member) {
-	for _, m := range members {
-		if _, told := w.stoppedSince[m.ID]; m.State == honeyplank.Up {
-			delete(w.stoppedSince, m.ID)
-		} else if !told {
-			w.stoppedSince[m.ID] = w.now
+// sendList tells every instance of servers.
+func (fleet *testFleet) sendList(kind honeyplank.ListKind, members ...honeyplank.Member) {
+	for _, member := range members {
+		if _, stopped := fleet.stoppedSince[member.ID]; member.State == honeyplank.Up {
+			delete(fleet.stoppedSince, member.ID)
+		} else if !stopped {
+			fleet.stoppedSince[member.ID] = fleet.now
 		}
-		w.servers[m.ID] = m
+		fleet.servers[member.ID] = member
 	}
-	for i := range w.instances {
-		w.handle(i, honeyplank.List{Kind: kind, Members: members})
+	for i := range fleet.instances {
+		fleet.handle(i, honeyplank.List{Kind: kind, Members: members})
 	}
 }
 
-func (w *testFleet) handle(i int, e honeyplank.Event) []honeyplank.Action {
-	if op, ok := e.(honeyplank.Op); ok {
-		told := &trackedOp{Op: op, instance: i, admittedAt: w.now}
-		w.ops[op.ID], w.order = told, append(w.order, told)
+func (fleet *testFleet) handle(i int, event honeyplank.Event) []honeyplank.Action {
+	if op, ok := event.(honeyplank.Op); ok {
+		tracked := &trackedOp{Op: op, instance: i, admittedAt: fleet.now}
+		fleet.ops[op.ID], fleet.order = tracked, append(fleet.order, tracked)
 	}
-	out := w.instances[i].Handle(w.now, e)
-	for _, a := range out {
-		switch a := a.(type) {
+	actions := fleet.instances[i].Handle(fleet.now, event)
+	for _, action := range actions {
+		switch action := action.(type) {
 		case honeyplank.Dispatch:
-			w.dispatch(i, a)
-			w.dispatchEnds[a.Op] = min(w.now+time.Duration(w.rng.Int63n(int64(w.longestDispatch))), w.ops[a.Op].Timeout)
+			fleet.dispatch(i, action)
+			fleet.dispatchEnds[action.Op] = min(fleet.now+time.Duration(fleet.rng.Int63n(int64(fleet.longestDispatch))), fleet.ops[action.Op].Timeout)
 		case honeyplank.Reject:
-			w.recordAnswer(a.Op, true)
+			fleet.recordAnswer(action.Op, true)
 		case honeyplank.Fail:
-			w.recordAnswer(a.Op, false)
+			fleet.recordAnswer(action.Op, false)
 		case honeyplank.Cancel:
-			t := w.ops[a.Op]
-			if t == nil || a.Dispatch < 0 || a.Dispatch >= len(t.dispatched) || !w.settings.Dispatches.Cancel {
-				w.violate(0, "%s: dispatch %d is withdrawn, which was never made or may not be", a.Op, a.Dispatch)
-			} else if a.Dispatch == len(t.dispatched)-1 {
-				t.dispatched[a.Dispatch].cancelRequested, w.dispatchEnds[a.Op] = true, w.now
+			op := fleet.ops[action.Op]
+			if op == nil || action.Dispatch < 0 || action.Dispatch >= len(op.dispatched) || !fleet.settings.Dispatches.Cancel {
+				fleet.violate(0, "%s: dispatch %d is cancelled, which was never made or may not be", action.Op, action.Dispatch)
+			} else if action.Dispatch == len(op.dispatched)-1 {
+				op.dispatched[action.Dispatch].cancelRequested, fleet.dispatchEnds[action.Op] = true, fleet.now
 			}
 		case honeyplank.SetTimer:
-			w.timers[i][a.Name] = a.At
+			fleet.timers[i][action.Name] = action.At
 		case honeyplank.Watch:
-			w.onWatch(i)
+			fleet.onWatch(i)
 		}
 	}
-	return out
+	return actions
 }
 
-// endDispatch ends the dispatch of an op that is out and tells its host.
-func (w *testFleet) endDispatch(t *trackedOp, code honeyplank.Code) {
-	n := len(t.dispatched) - 1
-	d := &t.dispatched[n]
-	d.notArrived, d.endedAt = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, w.now
-	d.done, d.mayHaveRun = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
+// endDispatch ends the dispatch of an op that is outstanding and tells its instance.
+func (fleet *testFleet) endDispatch(op *trackedOp, code honeyplank.Code) {
+	index := len(op.dispatched) - 1
+	dispatch := &op.dispatched[index]
+	dispatch.notArrived, dispatch.endedAt = code == honeyplank.ConnectFailed || code == honeyplank.NotSent, fleet.now
+	dispatch.done, dispatch.mayHaveRun = true, code != honeyplank.Rejected && code != honeyplank.ConnectFailed && code != honeyplank.NotSent
 	if code == honeyplank.TimedOut || code == honeyplank.Reset || code == honeyplank.Cancelled {
-		t.settledAt = w.now + w.settings.OrderSettle
+		op.settledAt = fleet.now + fleet.settings.OrderSettle
 	}
-	if code == honeyplank.Succeeded || t.responseStarted {
-		w.succeeded, t.answered = w.succeeded+boolToInt(!t.answered), true
+	if code == honeyplank.Succeeded || op.responseStarted {
+		fleet.succeeded, op.answered = fleet.succeeded+boolToInt(!op.answered), true
 	}
-	w.handle(t.instance, honeyplank.Outcome{Op: t.ID, Dispatch: n, Server: d.server, Code: code, Answered: t.answered,
-		Elapsed: w.now - d.sentAt, QuotaUsed: w.rng.Intn(200), ServedElsewhere: float64(len(w.order) % 4), Load: map[string]float64{"latency": 30}})
+	fleet.handle(op.instance, honeyplank.Outcome{Op: op.ID, Dispatch: index, Server: dispatch.server, Code: code, Answered: op.answered,
+		Elapsed: fleet.now - dispatch.sentAt, QuotaUsed: fleet.rng.Intn(200), ServedElsewhere: float64(len(fleet.order) % 4), Load: map[string]float64{"latency": 30}})
 }
 
 // advance moves the clock, fires timers, ends dispatches and looks for ops past their time.
-func (w *testFleet) advance(codes []honeyplank.Code) {
-	w.now += w.settings.Step
-	for i := range w.instances {
+func (fleet *testFleet) advance(codes []honeyplank.Code) {
+	fleet.now += fleet.settings.Step
+	for i := range fleet.instances {
 		for _, name := range []string{"sweep", "watch"} {
-			if at, set := w.timers[i][name]; set && at <= w.now {
-				delete(w.timers[i], name)
-				w.handle(i, honeyplank.Timer{Name: name})
+			if at, set := fleet.timers[i][name]; set && at <= fleet.now {
+				delete(fleet.timers[i], name)
+				fleet.handle(i, honeyplank.Timer{Name: name})
 			}
 		}
 	}
-	for _, t := range w.order {
-		n := len(t.dispatched)
-		if n > 0 && !t.dispatched[n-1].done && w.dispatchEnds[t.ID] <= w.now {
-			code := codes[w.rng.Intn(len(codes))]
-			if t.dispatched[n-1].cancelRequested {
+	for _, op := range fleet.order {
+		index := len(op.dispatched)
+		if index > 0 && !op.dispatched[index-1].done && fleet.dispatchEnds[op.ID] <= fleet.now {
+			code := codes[fleet.rng.Intn(len(codes))]
+			if op.dispatched[index-1].cancelRequested {
 				code = honeyplank.Cancelled
 			}
-			if w.now < t.Timeout {
-				w.endDispatch(t, code)
-			} else if !t.responseStarted {
-				w.endDispatch(t, honeyplank.TimedOut)
+			if fleet.now < op.Timeout {
+				fleet.endDispatch(op, code)
+			} else if !op.responseStarted {
+				fleet.endDispatch(op, honeyplank.TimedOut)
 			}
 		}
-		if !t.answered && !t.responseStarted && w.now > t.Timeout+w.settings.AnswerGrace {
-			w.violate(1, "%s has no answer", t.ID)
-			t.answered = true
+		if !op.answered && !op.responseStarted && fleet.now > op.Timeout+fleet.settings.AnswerGrace {
+			fleet.violate(1, "%s has no answer", op.ID)
+			op.answered = true
 		}
 	}
-	if len(w.violations) > 0 {
-		w.t.Fatal(w.violations[0])
+	if len(fleet.violations) > 0 {
+		fleet.t.Fatal(fleet.violations[0])
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,72 +8,78 @@
 	"honeyplank"
 )
 
-// A host's part of a reserve follows what the volume is served through it.
+// A instance's part of a reserve follows what the volume is served through it.
 func TestReserveShare(t *testing.T) {
 	for _, test := range []struct {
 		total, others float64
 		elsewhere     bool
 		want          bool
 	}{{0, 0, false, false}, {10, 0, false, true}, {0, 0, true, true}, {0, 9, true, false}} {
-		settings := testSettings()
-		settings.Usage.Elsewhere = test.elsewhere
-		if test.total > 0 {
-			settings.Usage.Period = time.Second
-		}
-		s := New(1, settings)
-		record := &volume{schedulers: 10, reserve: -1.5, servedEverywhere: test.total}
-		for range 10 {
-			s.now += 100 * ms
-			record.servedHere.add(s.now, 1, 2*time.Second)
-			record.servedElsewhere.add(s.now, test.others, 2*time.Second)
-		}
-		if got := s.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
-			t.Errorf("%+v: debt paid: %v", test, got)
-		}
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
+			settings := testSettings()
+			settings.Usage.Elsewhere = test.elsewhere
+			if test.total > 0 {
+				settings.Usage.Period = time.Second
+			}
+			s := New(1, settings)
+			record := &volume{schedulers: 10, reserve: -1.5, servedEverywhere: test.total}
+			for range 10 {
+				s.now += 100 * ms
+				record.servedHere.add(s.now, 1, 2*time.Second)
+				record.servedElsewhere.add(s.now, test.others, 2*time.Second)
+			}
+			if got := s.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
+				t.Errorf("%+v: within the reserve: %v", test, got)
+			}
+		})
 	}
 }
 
-// A host that has been up for long has its part of a limit ready for a volume that it meets for the first time or once
+// A instance that has been up for long has its part of a limit ready for a volume that it meets for the first time or once
 // more; one that has just started has none, since what it sent before is unknown.
 func TestLimitOfNewVolumes(t *testing.T) {
 	for up, want := range map[time.Duration]int{0: 0, 2 * time.Second: 4, time.Minute: 6} {
-		settings := testSettings()
-		settings.Plans.Limit, settings.Plans.Burst = []float64{2}, []float64{6}
-		fleet := newTestFleet(t, 1, settings)
-		fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0))
-		fleet.now += up
-		sent := 0
-		for i := range 10 {
-			fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 2})
-			sent += len(fleet.order[i].dispatched)
-		}
-		if sent != want {
-			t.Errorf("up for %v: %d ops of one unit leave at once, want %d", up, sent, want)
-		}
+		t.Run(fmt.Sprint("up for ", up), func(t *testing.T) {
+			settings := testSettings()
+			settings.Plans.Limit, settings.Plans.Burst = []float64{2}, []float64{6}
+			fleet := newTestFleet(t, 1, settings)
+			fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0))
+			fleet.now += up
+			sent := 0
+			for i := range 10 {
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 2})
+				sent += len(fleet.order[i].dispatched)
+			}
+			if sent != want {
+				t.Errorf("up for %v: %d ops of one unit leave at once, want %d", up, sent, want)
+			}
+		})
 	}
 }
 
-// Ops of less utility leave a part of a limit's store to those of more.
+// Ops of less utility leave a part of a limit's bucket to those of more.
 func TestLimitHeadroom(t *testing.T) {
 	settings := testSettings()
 	settings.Plans.Limit, settings.Plans.Burst, settings.Plans.Reserve = []float64{1}, []float64{12}, []float64{20}
 	settings.Plans.Slack = []float64{1}      // what a hold-up adds
 	for opType, want := range []int{12, 9} { // utilities 2 and 1: half of half is left by the second
-		fleet := newTestFleet(t, 1, settings)
-		fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
-		fleet.now = 10 * time.Hour
-		sent := 0
-		for i := range 16 {
-			fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: opType, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 4})
-			sent += len(fleet.order[i].dispatched)
-		}
-		if sent != want {
-			t.Errorf("op type %d: %d units leave, want %d", opType, sent, want)
-		}
+		t.Run(fmt.Sprint("op type ", opType), func(t *testing.T) {
+			fleet := newTestFleet(t, 1, settings)
+			fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
+			fleet.now = 10 * time.Hour
+			sent := 0
+			for i := range 16 {
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: opType, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 4})
+				sent += len(fleet.order[i].dispatched)
+			}
+			if sent != want {
+				t.Errorf("op type %d: %d units leave, want %d", opType, sent, want)
+			}
+		})
 	}
 }
 
-// A volume whose record was dropped as idle has what its store has surely filled by since, not a whole one. A full
+// A volume whose record was dropped as idle has what its bucket has surely filled by since, not a whole one. A full
 // store lets an op go whose type should leave more than the store can hold.
 func TestLimitAfterIdleExpiry(t *testing.T) {
 	settings := testSettings()
@@ -90,26 +96,28 @@
 		fleet.now += time.Minute
 	}
 	if give(0, 4) != 0 || give(1, 1) != 1 {
-		t.Error("a volume met late has not what half a minute gives")
+		t.Error("a volume met late lacks what half a minute refills")
 	}
 	fleet.now += 3 * time.Minute
 	fleet.handle(0, honeyplank.Timer{Name: "sweep"})
 	fleet.instances[0].volumes[0] = &volume{schedulers: 1, limit: 8, refilledAt: fleet.now}
 	if give(2, 7) != 1 {
-		t.Error("a full store does not let an op go")
+		t.Error("a full bucket does not let an op go")
 	}
 }
 
-// What a node served others is told once, also with an error or by a full queue.
+// What a server served others is told once, also with an error or by a rejection.
 func TestServedElsewhereInAnyAnswer(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	for i, code := range []honeyplank.Code{honeyplank.Succeeded, honeyplank.Failed, honeyplank.Rejected} {
-		fleet.admit("a", i, 1, int64(i), 0)
-		fleet.handle(0, honeyplank.Outcome{Op: fleet.order[i].ID, Server: "osd0", Code: code, ServedElsewhere: 5, Answered: true})
-		if got := fleet.instances[0].volumes[1].servedElsewhere.units; got != float64(5*(i+1)) {
-			t.Errorf("after %d answers: %v units of others", i+1, got)
-		}
+		t.Run(fmt.Sprint("code ", code), func(t *testing.T) {
+			fleet.admit("a", i, 1, int64(i), 0)
+			fleet.handle(0, honeyplank.Outcome{Op: fleet.order[i].ID, Server: "osd0", Code: code, ServedElsewhere: 5, Answered: true})
+			if got := fleet.instances[0].volumes[1].servedElsewhere.units; got != float64(5*(i+1)) {
+				t.Errorf("after %d answers: %v units of others", i+1, got)
+			}
+		})
 	}
 }
 
@@ -119,22 +127,24 @@
 	for _, test := range []struct{ limit, burst, slack, units, least, most float64 }{
 		{20, 40, 0, 1, 36, 40}, {20, 40, 3, 1, 40, 43}, {200, 6, 0, 6, 6, 6 + 200*0.15}, {20, 40, 0, 5, 30, 40},
 	} {
-		settings := testSettings()
-		settings.Plans.Limit, settings.Plans.Burst, settings.Plans.Slack = []float64{test.limit}, []float64{test.burst}, []float64{test.slack}
-		fleet := newTestFleet(t, 1, settings)
-		var members []honeyplank.Member
-		for i := range 50 {
-			members = append(members, member(i, 0))
-		}
-		fleet.sendList(honeyplank.Cached, members...)
-		sent, begin := 0.0, time.Hour
-		for i := range 150 {
-			fleet.now = begin + time.Duration(i)*ms
-			fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: test.units, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 50})
-			sent += test.units * float64(len(fleet.order[i].dispatched))
-		}
-		if sent < test.least || sent > test.most {
-			t.Errorf("%+v: %v units leave within a hold-up", test, sent)
-		}
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
+			settings := testSettings()
+			settings.Plans.Limit, settings.Plans.Burst, settings.Plans.Slack = []float64{test.limit}, []float64{test.burst}, []float64{test.slack}
+			fleet := newTestFleet(t, 1, settings)
+			var members []honeyplank.Member
+			for i := range 50 {
+				members = append(members, member(i, 0))
+			}
+			fleet.sendList(honeyplank.Cached, members...)
+			sent, begin := 0.0, time.Hour
+			for i := range 150 {
+				fleet.now = begin + time.Duration(i)*ms
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: test.units, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 50})
+				sent += test.units * float64(len(fleet.order[i].dispatched))
+			}
+			if sent < test.least || sent > test.most {
+				t.Errorf("%+v: %v units leave within a hold-up", test, sent)
+			}
+		})
 	}
 }
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestLostAnswer: an op whose answer does not come, while ops sent later to the same server are answered, is
-// withdrawn long before its op timeout and goes out again in time for its target latency. One that nothing has
-// overtaken, one of a once-only type, and any where withdrawing is not allowed are waited for.
+// cancelled long before its op timeout and goes out again in time for its target latency. One that nothing has
+// overtaken, one of a at-most-once type, and any where cancelling is not allowed are waited for.
 func TestLostAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -63,38 +63,40 @@
 // TestFrequentlyLostAnswers: where answers are lost often, one that others overtake is given up after half of the time.
 func TestFrequentlyLostAnswers(t *testing.T) {
 	for lost, want := range map[float64]int{0: 1, 0.05: 2} {
-		settings := testSettings()
-		settings.Dispatches.Cancel, settings.Dispatches.Parallel = true, true
-		fleet := newTestFleet(t, 1, settings)
-		fleet.sendList(honeyplank.Cached, member(0, 0))
-		quick := 0
-		answer := func() {
-			fleet.admit("quick", quick, 9, int64(quick), 0)
-			fleet.now += 5 * ms
-			fleet.endDispatch(fleet.ops[honeyplank.OpID(fmt.Sprint("quick", quick))], honeyplank.Succeeded)
-			quick++
-		}
-		for range 10 {
-			answer()
-		}
-		fleet.instances[0].lostShare = lost
-		fleet.admit("lost", 0, 9, 99, 0)
-		fleet.now += ms
-		for range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
-			answer()
-			fleet.handle(0, honeyplank.Timer{Name: "sweep"})
-			if s := fleet.ops["lost0"]; s.dispatched[0].cancelRequested && !s.dispatched[0].done {
-				fleet.endDispatch(s, honeyplank.Cancelled)
+		t.Run(fmt.Sprintf("share of %v lost", lost), func(t *testing.T) {
+			settings := testSettings()
+			settings.Dispatches.Cancel, settings.Dispatches.Parallel = true, true
+			fleet := newTestFleet(t, 1, settings)
+			fleet.sendList(honeyplank.Cached, member(0, 0))
+			quick := 0
+			answer := func() {
+				fleet.admit("quick", quick, 9, int64(quick), 0)
+				fleet.now += 5 * ms
+				fleet.endDispatch(fleet.ops[honeyplank.OpID(fmt.Sprint("quick", quick))], honeyplank.Succeeded)
+				quick++
+			}
+			for range 10 {
+				answer()
 			}
-		}
-		if n := len(fleet.ops["lost0"].dispatched); n != want {
-			t.Errorf("a share of %v lost: %d dispatches, expected %d", lost, n, want)
-		}
+			fleet.instances[0].lostShare = lost
+			fleet.admit("lost", 0, 9, 99, 0)
+			fleet.now += ms
+			for range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
+				answer()
+				fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+				if s := fleet.ops["lost0"]; s.dispatched[0].cancelRequested && !s.dispatched[0].done {
+					fleet.endDispatch(s, honeyplank.Cancelled)
+				}
+			}
+			if n := len(fleet.ops["lost0"].dispatched); n != want {
+				t.Errorf("a share of %v lost: %d dispatches, expected %d", lost, n, want)
+			}
+		})
 	}
 }
 
 // TestRetryWithinDedupWindow: a repeat of a deduplicated op goes out only while it can be at work before the servers forget
-// the first one, though the process is held up and the connection comes up late. The first dispatch always goes.
+// the first one, though the process is delayed and the connection comes up late. The first dispatch always goes.
 func TestRetryWithinDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		remember, connect, after time.Duration
@@ -104,22 +106,24 @@
 		{time.Second, 400 * ms, 400 * ms, 2}, {time.Second, 400 * ms, 500 * ms, 1},
 		{100 * ms, 0, 5 * ms, 1}, {0, 0, 5 * ms, 1},
 	} {
-		settings := testSettings()
-		settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Deduplicated, honeyplank.Deduplicated}
-		settings.OpTypes.DedupWindow, settings.Dispatches.ConnectTimeout = []time.Duration{test.remember, test.remember}, test.connect
-		fleet := newTestFleet(t, 1, settings)
-		fleet.sendList(honeyplank.Cached, member(0, 0))
-		fleet.instances[0].setTypicalLatency(0.001)
-		fleet.handle(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Schedulers: 1})
-		fleet.now += test.after
-		fleet.endDispatch(fleet.ops["a"], honeyplank.Reset)
-		if n := len(fleet.ops["a"].dispatched); n != test.want || len(fleet.violations) > 0 {
-			t.Errorf("%+v: %d dispatches, %v", test, n, fleet.violations)
-		}
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
+			settings := testSettings()
+			settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Deduplicated, honeyplank.Deduplicated}
+			settings.OpTypes.DedupWindow, settings.Dispatches.ConnectTimeout = []time.Duration{test.remember, test.remember}, test.connect
+			fleet := newTestFleet(t, 1, settings)
+			fleet.sendList(honeyplank.Cached, member(0, 0))
+			fleet.instances[0].setTypicalLatency(0.001)
+			fleet.handle(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Schedulers: 1})
+			fleet.now += test.after
+			fleet.endDispatch(fleet.ops["a"], honeyplank.Reset)
+			if n := len(fleet.ops["a"].dispatched); n != test.want || len(fleet.violations) > 0 {
+				t.Errorf("%+v: %d dispatches, %v", test, n, fleet.violations)
+			}
+		})
 	}
 }
 
-// TestRetryBudgetWithHoldUp: further dispatches are seen at their servers up to a hold-up after they were counted.
+// TestRetryBudgetWithHoldUp: retries are seen at their servers up to a hold-up after they were counted.
 func TestRetryBudgetWithHoldUp(t *testing.T) {
 	for _, test := range []struct {
 		free, share  float64
@@ -129,18 +133,20 @@
 		{1, 0, 0, 1100 * ms, false}, {1, 0, 0, 1160 * ms, true}, {1, 0, 0, 0, true}, {2, 0, 0, 900 * ms, true},
 		{0, 1, 840 * ms, 0, true}, {0, 1, 900 * ms, 0, false},
 	} {
-		settings := testSettings()
-		settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: test.free, Share: test.share, Window: time.Second}
-		s := New(1, settings)
-		s.now = time.Minute
-		if test.taken > 0 {
-			s.admissions = []time.Duration{s.now - test.taken}
-		}
-		if test.extra > 0 {
-			s.retries = []time.Duration{s.now - test.extra}
-		}
-		if got := s.retryBudgetAllows(); got != test.want {
-			t.Errorf("%+v: may leave: %v", test, got)
-		}
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
+			settings := testSettings()
+			settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: test.free, Share: test.share, Window: time.Second}
+			s := New(1, settings)
+			s.now = time.Minute
+			if test.taken > 0 {
+				s.admissions = []time.Duration{s.now - test.taken}
+			}
+			if test.extra > 0 {
+				s.retries = []time.Duration{s.now - test.extra}
+			}
+			if got := s.retryBudgetAllows(); got != test.want {
+				t.Errorf("%+v: allowed: %v", test, got)
+			}
+		})
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -44,7 +44,7 @@
 	return settings
 }
 
-// FuzzRules plays generated days to several hosts and holds every action to the model. At each step the
+// FuzzRules plays generated days to several instances and holds every action to the model. At each step the
 // module and the model must also agree on what each held op may do.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(16) {
@@ -56,7 +56,7 @@
 		codes := []honeyplank.Code{1, 1, 1, 1, 2, 3, 4, 5, 6, 7, 8}
 		fleet.now = time.Second
 		before := rand.New(rand.NewSource(seed + 1))
-		for i := range before.Intn(2) * len(fleet.instances) { // some have learnt before, also nonsense
+		for i := range before.Intn(2) * len(fleet.instances) { // some have knew before, also nonsense
 			fleet.handle(i, honeyplank.SavedEstimates{TypicalLatency: before.Float64(), Servers: []honeyplank.ServerEstimate{{Server: "osd0",
 				At: time.Duration(before.Intn(4000)-2000) * ms, BestPerUnit: before.Float64() * 0.1, Latency: before.Float64()}, {Server: "osd9", Latency: 3}}})
 		}
@@ -103,7 +103,7 @@
 			fleet.compareRules()
 		}
 		if fleet.succeeded == 0 {
-			t.Error("nothing was acked")
+			t.Error("no op succeeded")
 		}
 	})
 }
@@ -121,7 +121,7 @@
 			module, model = append(module, s.retryAllowed(held, server)), append(model, fleet.mayRetry(tracked, server.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
-			fleet.t.Fatalf("%s: throttled, turn, budget, repeated at each: module %v, model %v", tracked.ID, module, model)
+			fleet.t.Fatalf("%s: rejection, order, budget, retry at each: module %v, model %v", tracked.ID, module, model)
 		}
 	}
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -92,29 +92,29 @@
 		}},
 }
 
-func (d deployment) settings() *honeyplank.Settings {
-	set := testSettings()
-	var target, timeout, remember []time.Duration
+func (deployment deployment) settings() *honeyplank.Settings {
+	settings := testSettings()
+	var target, timeout, dedupWindow []time.Duration
 	var utility []float64
-	var kind []honeyplank.Semantics
+	var semantics []honeyplank.Semantics
 	var scope []honeyplank.DedupScope
 	largest, mean := 0, 0.0
-	for _, c := range d.classes {
-		target, timeout, remember = append(target, c.target), append(timeout, c.timeout), append(remember, 4*time.Second)
-		utility, kind, scope = append(utility, c.utility), append(kind, c.semantics), append(scope, c.scope)
-		largest, mean = max(largest, c.units), mean+c.share*float64(1+c.units)/2
+	for _, class := range deployment.classes {
+		target, timeout, dedupWindow = append(target, class.target), append(timeout, class.timeout), append(dedupWindow, 4*time.Second)
+		utility, semantics, scope = append(utility, class.utility), append(semantics, class.semantics), append(scope, class.scope)
+		largest, mean = max(largest, class.units), mean+class.share*float64(1+class.units)/2
 	}
-	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout, set.OpTypes.DedupWindow = target, timeout, remember
-	set.OpTypes.Utility, set.OpTypes.Semantics, set.OpTypes.DedupScope = utility, kind, scope
-	set.MeanUnits, set.LargestUnits, set.Schedulers = mean, float64(largest), fleetInstances
+	settings.OpTypes.TargetLatency, settings.OpTypes.OpTimeout, settings.OpTypes.DedupWindow = target, timeout, dedupWindow
+	settings.OpTypes.Utility, settings.OpTypes.Semantics, settings.OpTypes.DedupScope = utility, semantics, scope
+	settings.MeanUnits, settings.LargestUnits, settings.Schedulers = mean, float64(largest), fleetInstances
 	rate := volumeInstances * requestRate * mean / fleetVolumes
-	set.Plans.Rate, set.Plans.Reserve = []float64{rate}, []float64{rate}
-	set.Dispatches.Parallel, set.Dispatches.Cancel = true, true
-	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
-	if d.change != nil {
-		d.change(set)
+	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate}
+	settings.Dispatches.Parallel, settings.Dispatches.Cancel = true, true
+	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
+	if deployment.change != nil {
+		deployment.change(settings)
 	}
-	return set
+	return settings
 }
 
 // clientRequest is a request of a client over all its tries.
@@ -128,7 +128,7 @@
 	answered   bool
 }
 
-// serviceRun is one process, its clients and its disk servers, on a clock of its own.
+// serviceRun is one process, its clients and its servers, on a clock of its own.
 type serviceRun struct {
 	deployment
 	fault         *serviceFault
@@ -149,7 +149,7 @@
 	answer        func(p *serviceRun, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration)
 }
 
-// serviceFault changes how clients, disk servers or the list behave, from faultBegins to faultEnds.
+// serviceFault changes how clients, servers or the list behave, from faultBegins to faultEnds.
 type serviceFault struct {
 	name  string
 	begin func(p *serviceRun)
@@ -163,21 +163,21 @@
 }
 
 // floor is what a class is served at least during the fault, of so many requests: no less than chance takes off.
-func (f *serviceFault) floor(class, classes int, requests float64) float64 {
-	if f.firstClassSlow && class == 0 || f.lastClassSlow && class == classes-1 {
+func (fault *serviceFault) floor(class, classes int, requests float64) float64 {
+	if fault.firstClassSlow && class == 0 || fault.lastClassSlow && class == classes-1 {
 		return 0
 	}
-	return f.least - chanceErrors*math.Sqrt(f.least*(1-f.least)/requests)
+	return fault.least - chanceErrors*math.Sqrt(fault.least*(1-fault.least)/requests)
 }
 
-func (p *serviceRun) add(at time.Duration, e honeyplank.Event) {
-	p.sequence++
-	heap.Push(&p.events, scheduledEvent{at, p.sequence, e})
+func (run *serviceRun) add(at time.Duration, event honeyplank.Event) {
+	run.sequence++
+	heap.Push(&run.events, scheduledEvent{at, run.sequence, event})
 }
 
 func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*serviceRun) {
-	return func(p *serviceRun) {
-		p.answer = func(p *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+	return func(run *serviceRun) {
+		run.answer = func(run *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if server < servers {
 				return code, after
 			}
@@ -187,9 +187,9 @@
 }
 
 func slowed(by time.Duration, servers, class int) func(*serviceRun) {
-	return func(p *serviceRun) {
-		p.answer = func(_ *serviceRun, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
-			if server < servers && (class < 0 || r.class == class) {
+	return func(run *serviceRun) {
+		run.answer = func(_ *serviceRun, request *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+			if server < servers && (class < 0 || request.class == class) {
 				took *= by
 			}
 			return honeyplank.Succeeded, took
@@ -199,20 +199,20 @@
 
 var serviceFaults = []serviceFault{
 	{name: "none", least: minServed},
-	{name: "one client of each class with an unusual timeout", least: minServed, begin: func(p *serviceRun) {
-		for class := range p.classes {
-			p.arrive(class, unusualTimeout)
+	{name: "one client of each class with an unusual timeout", least: minServed, begin: func(run *serviceRun) {
+		for class := range run.classes {
+			run.arrive(class, unusualTimeout)
 		}
 	}},
-	{name: "some clients wait for less than others", least: minServed, begin: func(p *serviceRun) {
-		p.clientTimeout = func(p *serviceRun, _ int, timeout time.Duration) time.Duration {
-			return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[p.rng.Intn(4)])
+	{name: "some clients wait for less than others", least: minServed, begin: func(run *serviceRun) {
+		run.clientTimeout = func(run *serviceRun, _ int, timeout time.Duration) time.Duration {
+			return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[run.rng.Intn(4)])
 		}
 	}},
 	{name: "all servers slow", begin: slowed(20, fleetServers, -1), noCapacity: true},
 	{name: "a quarter of the servers slow", least: minServedOfRest, begin: slowed(20, fleetServers/4, -1)},
 	{name: "the first class slow", least: minServed, firstClassSlow: true, begin: slowed(20, fleetServers, 0)},
-	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: func(p *serviceRun) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
+	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: func(run *serviceRun) { slowed(20, fleetServers, len(run.classes)-1)(run) }},
 	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
 	{name: "silence of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
 	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), noCapacity: true},
@@ -222,9 +222,9 @@
 	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), noCapacity: true},
 	{name: "full queues of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4)},
 	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
-	{name: "one very fast answer of each server", least: minServed, begin: func(p *serviceRun) {
+	{name: "one very fast answer of each server", least: minServed, begin: func(run *serviceRun) {
 		seen := map[int]bool{}
-		p.answer = func(_ *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+		run.answer = func(_ *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if !seen[server] {
 				seen[server] = true
 				return honeyplank.Succeeded, 50 * time.Microsecond
@@ -232,204 +232,204 @@
 			return honeyplank.Succeeded, took
 		}
 	}},
-	{name: "lost answers", least: minServedWithLostAnswers, begin: func(p *serviceRun) {
-		p.answer = func(p *serviceRun, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
-			if p.rng.Intn(4) == 0 {
+	{name: "lost answers", least: minServedWithLostAnswers, begin: func(run *serviceRun) {
+		run.answer = func(run *serviceRun, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
+			if run.rng.Intn(4) == 0 {
 				return honeyplank.TimedOut, silentAnswer
 			}
 			return honeyplank.Succeeded, took
 		}
 	}},
-	{name: "the first class surges", least: minServed, begin: func(p *serviceRun) { p.surging = 10 }, surge: true},
-	{name: "all servers are gone and come back", begin: func(p *serviceRun) { p.list(honeyplank.Removed, 0) },
-		end: func(p *serviceRun) { p.list(honeyplank.Up, 0) }, noCapacity: true},
-	{name: "all servers restart cold", begin: func(p *serviceRun) { p.list(honeyplank.Up, p.now) }, noCapacity: true},
+	{name: "the first class surges", least: minServed, begin: func(run *serviceRun) { run.surging = 10 }, surge: true},
+	{name: "all servers are gone and come back", begin: func(run *serviceRun) { run.list(honeyplank.Removed, 0) },
+		end: func(run *serviceRun) { run.list(honeyplank.Up, 0) }, noCapacity: true},
+	{name: "all servers restart cold", begin: func(run *serviceRun) { run.list(honeyplank.Up, run.now) }, noCapacity: true},
 }
 
-func (p *serviceRun) list(state honeyplank.MemberState, started time.Duration) {
+func (run *serviceRun) list(state honeyplank.MemberState, started time.Duration) {
 	var members []honeyplank.Member
 	for i := range fleetServers {
-		m := member(i, started)
-		m.State = state
-		members = append(members, m)
+		changed := member(i, started)
+		changed.State = state
+		members = append(members, changed)
 	}
-	p.add(p.now, honeyplank.List{Kind: honeyplank.Delta, Members: members})
+	run.add(run.now, honeyplank.List{Kind: honeyplank.Delta, Members: members})
 }
 
 // arrive brings a new request of a class.
-func (p *serviceRun) arrive(class int, timeout time.Duration) {
-	c := p.classes[class]
-	r := &clientRequest{class: class, first: p.now, deadline: p.now + timeout}
-	volume := p.rng.Intn(fleetVolumes)
-	r.op = honeyplank.Op{Units: float64(1 + p.rng.Intn(c.units)), Type: class, HasKey: true, Key: p.rng.Int63n(1 << 40),
-		Volume: int64(volume), Schedulers: volumeInstances, Cell: (volume*5 + p.rng.Intn(3)) % fleetServers}
-	p.all = append(p.all, r)
-	p.attempt(r)
+func (run *serviceRun) arrive(class int, timeout time.Duration) {
+	properties := run.classes[class]
+	request := &clientRequest{class: class, first: run.now, deadline: run.now + timeout}
+	volume := run.rng.Intn(fleetVolumes)
+	request.op = honeyplank.Op{Units: float64(1 + run.rng.Intn(properties.units)), Type: class, HasKey: true, Key: run.rng.Int63n(1 << 40),
+		Volume: int64(volume), Schedulers: volumeInstances, Cell: (volume*5 + run.rng.Intn(3)) % fleetServers}
+	run.all = append(run.all, request)
+	run.attempt(request)
 }
 
 // attempt sends a request, once more perhaps, with what is left of its client's time.
-func (p *serviceRun) attempt(r *clientRequest) {
-	if r.answered || p.now >= r.deadline || r.attempts >= maxAttempts {
+func (run *serviceRun) attempt(request *clientRequest) {
+	if request.answered || run.now >= request.deadline || request.attempts >= maxAttempts {
 		return
 	}
-	r.attempts++
-	r.dispatches = 0
-	r.op.ID, r.op.Timeout = honeyplank.OpID(fmt.Sprintf("%d/%d", len(p.all), p.sequence)), r.deadline
-	p.sequence++
-	p.requests[r.op.ID] = r
-	p.undispatched[r.class]++
-	p.handle(r.op)
+	request.attempts++
+	request.dispatches = 0
+	request.op.ID, request.op.Timeout = honeyplank.OpID(fmt.Sprintf("%d/%d", len(run.all), run.sequence)), request.deadline
+	run.sequence++
+	run.requests[request.op.ID] = request
+	run.undispatched[request.class]++
+	run.handle(request.op)
 }
 
-func (p *serviceRun) handle(e honeyplank.Event) {
-	for _, action := range p.module.Handle(p.now, e) {
-		switch a := action.(type) {
+func (run *serviceRun) handle(event honeyplank.Event) {
+	for _, action := range run.module.Handle(run.now, event) {
+		switch action := action.(type) {
 		case honeyplank.Dispatch:
-			p.dispatch(a)
+			run.dispatch(action)
 		case honeyplank.Reject:
-			r := p.requests[a.Op]
-			delete(p.requests, a.Op)
-			p.add(p.now+max(a.RetryAfter, retryAfter), honeyplank.Timer{Name: fmt.Sprint("again ", p.index(r))})
+			request := run.requests[action.Op]
+			delete(run.requests, action.Op)
+			run.add(run.now+max(action.RetryAfter, retryAfter), honeyplank.Timer{Name: fmt.Sprint("again ", run.index(request))})
 		case honeyplank.Fail:
-			delete(p.requests, a.Op)
+			delete(run.requests, action.Op)
 		case honeyplank.Cancel:
-			if r := p.requests[a.Op]; r != nil {
-				p.add(p.now, honeyplank.Outcome{Op: a.Op, Dispatch: a.Dispatch, Code: honeyplank.Cancelled})
+			if request := run.requests[action.Op]; request != nil {
+				run.add(run.now, honeyplank.Outcome{Op: action.Op, Dispatch: action.Dispatch, Code: honeyplank.Cancelled})
 			}
 		case honeyplank.SetTimer:
-			p.add(a.At, honeyplank.Timer{Name: a.Name})
+			run.add(action.At, honeyplank.Timer{Name: action.Name})
 		}
 	}
 }
 
-func (p *serviceRun) index(r *clientRequest) int {
-	for i := len(p.all) - 1; i >= 0; i-- {
-		if p.all[i] == r {
+func (run *serviceRun) index(request *clientRequest) int {
+	for i := len(run.all) - 1; i >= 0; i-- {
+		if run.all[i] == request {
 			return i
 		}
 	}
 	return -1
 }
 
-func (p *serviceRun) dispatch(a honeyplank.Dispatch) {
-	r := p.requests[a.Op]
-	if r == nil {
+func (run *serviceRun) dispatch(action honeyplank.Dispatch) {
+	request := run.requests[action.Op]
+	if request == nil {
 		return
 	}
 	server := -1
-	fmt.Sscanf(string(a.Server), "osd%d", &server)
-	c := p.classes[r.class]
-	took := time.Duration(r.op.Units * float64(c.unitTime) * (0.5 + p.rng.ExpFloat64()/2))
+	fmt.Sscanf(string(action.Server), "osd%d", &server)
+	properties := run.classes[request.class]
+	took := time.Duration(request.op.Units * float64(properties.unitTime) * (0.5 + run.rng.ExpFloat64()/2))
 	code := honeyplank.Succeeded
-	if p.answer != nil {
-		code, took = p.answer(p, r, server, took)
+	if run.answer != nil {
+		code, took = run.answer(run, request, server, took)
 	}
-	end := p.now + took
-	if end >= r.op.Timeout {
-		code, end = honeyplank.TimedOut, r.op.Timeout
+	end := run.now + took
+	if end >= request.op.Timeout {
+		code, end = honeyplank.TimedOut, request.op.Timeout
 	}
-	p.add(end, honeyplank.Outcome{Op: a.Op, Dispatch: r.dispatches, Server: a.Server, Code: code, Elapsed: end - p.now})
-	r.dispatches++
-	p.lastDispatch[r.class], p.undispatched[r.class] = p.now, 0
+	run.add(end, honeyplank.Outcome{Op: action.Op, Dispatch: request.dispatches, Server: action.Server, Code: code, Elapsed: end - run.now})
+	request.dispatches++
+	run.lastDispatch[request.class], run.undispatched[request.class] = run.now, 0
 }
 
 // step plays one event.
-func (p *serviceRun) step(d scheduledEvent) {
-	p.now = d.at
-	switch e := d.event.(type) {
+func (run *serviceRun) step(upcoming scheduledEvent) {
+	run.now = upcoming.at
+	switch event := upcoming.event.(type) {
 	case honeyplank.Timer:
 		var index int
-		if n, _ := fmt.Sscanf(e.Name, "again %d", &index); n == 1 {
-			p.attempt(p.all[index])
+		if matched, _ := fmt.Sscanf(event.Name, "again %d", &index); matched == 1 {
+			run.attempt(run.all[index])
 			return
 		}
-		if e.Name == "arrival" {
-			p.arrival()
+		if event.Name == "arrival" {
+			run.arrival()
 			return
 		}
 	case honeyplank.Outcome:
-		r := p.requests[e.Op]
-		if r == nil {
-			p.handle(e)
+		request := run.requests[event.Op]
+		if request == nil {
+			run.handle(event)
 			return
 		}
-		if e.Code == honeyplank.Succeeded {
-			e.Answered, r.answered, p.answered = true, true, p.now
-			p.served[r] = p.now-r.first <= p.classes[r.class].target
-			delete(p.requests, e.Op)
+		if event.Code == honeyplank.Succeeded {
+			event.Answered, request.answered, run.answered = true, true, run.now
+			run.served[request] = run.now-request.first <= run.classes[request.class].target
+			delete(run.requests, event.Op)
 		}
-		p.handle(e)
+		run.handle(event)
 		return
 	}
-	p.handle(d.event)
+	run.handle(upcoming.event)
 }
 
-func (p *serviceRun) arrival() {
+func (run *serviceRun) arrival() {
 	rate := requestRate
-	if p.surging > 0 {
-		rate *= p.surging
+	if run.surging > 0 {
+		rate *= run.surging
 	}
-	at := p.now + time.Duration(p.rng.ExpFloat64()/rate*float64(time.Second))
-	p.add(at, honeyplank.Timer{Name: "arrival"})
-	draw, class := p.rng.Float64(), 0
-	for draw > p.classes[class].share && class < len(p.classes)-1 {
-		draw -= p.classes[class].share
+	at := run.now + time.Duration(run.rng.ExpFloat64()/rate*float64(time.Second))
+	run.add(at, honeyplank.Timer{Name: "arrival"})
+	draw, class := run.rng.Float64(), 0
+	for draw > run.classes[class].share && class < len(run.classes)-1 {
+		draw -= run.classes[class].share
 		class++
 	}
-	if p.surging > 0 && p.rng.Float64() > 1/p.surging {
+	if run.surging > 0 && run.rng.Float64() > 1/run.surging {
 		class = 0
 	}
-	timeout := p.classes[class].timeout
-	if p.clientTimeout != nil {
-		timeout = p.clientTimeout(p, class, timeout)
+	timeout := run.classes[class].timeout
+	if run.clientTimeout != nil {
+		timeout = run.clientTimeout(run, class, timeout)
 	}
-	p.arrive(class, timeout)
-	for class := range p.classes {
-		silent := p.now - p.lastDispatch[class]
-		if silent > starvedFor && p.undispatched[class] >= starvedNumber && p.now-p.answered < time.Second && p.starved == "" {
-			p.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d requests taken", class, p.lastDispatch[class], p.now, p.undispatched[class])
+	run.arrive(class, timeout)
+	for class := range run.classes {
+		silent := run.now - run.lastDispatch[class]
+		if silent > starvedFor && run.undispatched[class] >= starvedNumber && run.now-run.answered < time.Second && run.starved == "" {
+			run.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d requests taken", class, run.lastDispatch[class], run.now, run.undispatched[class])
 		}
 	}
 }
 
 // shares are what part of each class's requests of a span was served within its target latency.
-func (p *serviceRun) shares(from, to time.Duration) (served, taken []float64) {
-	served, taken = make([]float64, len(p.classes)), make([]float64, len(p.classes))
-	for _, r := range p.all {
-		if r.first >= from && r.first < to {
-			taken[r.class]++
-			served[r.class] += float64(boolToInt(p.served[r]))
+func (run *serviceRun) shares(from, to time.Duration) (served, taken []float64) {
+	served, taken = make([]float64, len(run.classes)), make([]float64, len(run.classes))
+	for _, request := range run.all {
+		if request.first >= from && request.first < to {
+			taken[request.class]++
+			served[request.class] += float64(boolToInt(run.served[request]))
 		}
 	}
 	return served, taken
 }
 
-func newServiceRun(d deployment, fault *serviceFault, seed int64) *serviceRun {
-	p := &serviceRun{deployment: d, fault: fault, rng: rand.New(rand.NewSource(seed)), module: New(seed, d.settings()),
+func newServiceRun(upcoming deployment, fault *serviceFault, seed int64) *serviceRun {
+	run := &serviceRun{deployment: upcoming, fault: fault, rng: rand.New(rand.NewSource(seed)), module: New(seed, upcoming.settings()),
 		requests: map[honeyplank.OpID]*clientRequest{}, served: map[*clientRequest]bool{},
-		lastDispatch: make([]time.Duration, len(d.classes)), undispatched: make([]int, len(d.classes))}
-	p.now = time.Second
-	p.list(honeyplank.Up, 0)
-	p.add(p.now, honeyplank.Timer{Name: "arrival"})
-	return p
+		lastDispatch: make([]time.Duration, len(upcoming.classes)), undispatched: make([]int, len(upcoming.classes))}
+	run.now = time.Second
+	run.list(honeyplank.Up, 0)
+	run.add(run.now, honeyplank.Timer{Name: "arrival"})
+	return run
 }
 
-func (p *serviceRun) run() {
-	begun, ended := p.fault.begin == nil, false
-	for p.now < playEnds {
-		d := heap.Pop(&p.events).(scheduledEvent)
-		if !begun && d.at >= faultBegins {
-			begun, p.now = true, d.at
-			p.fault.begin(p)
+func (run *serviceRun) run() {
+	begun, ended := run.fault.begin == nil, false
+	for run.now < playEnds {
+		upcoming := heap.Pop(&run.events).(scheduledEvent)
+		if !begun && upcoming.at >= faultBegins {
+			begun, run.now = true, upcoming.at
+			run.fault.begin(run)
 		}
-		if !ended && d.at >= faultEnds {
-			ended, p.now = true, d.at
-			p.answer, p.surging = nil, 0
-			if p.fault.end != nil {
-				p.fault.end(p)
+		if !ended && upcoming.at >= faultEnds {
+			ended, run.now = true, upcoming.at
+			run.answer, run.surging = nil, 0
+			if run.fault.end != nil {
+				run.fault.end(run)
 			}
 		}
-		p.step(d)
+		run.step(upcoming)
 	}
 }
 
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -8,7 +8,7 @@
 	"honeyplank"
 )
 
-// fullServerFleet is one host and one node whose window of four is full; ops of several volumes are held behind it.
+// fullServerFleet is one instance and one server whose window of four is full; ops of several volumes are held behind it.
 func fullServerFleet(t *testing.T) *testFleet {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -23,7 +23,7 @@
 		HasKey: true, Key: key, Schedulers: 1, Volume: volume})
 }
 
-// The window bounds what is out, the served volume goes first when a place comes free, and a slice that is
+// The window bounds what is outstanding, the served volume goes first when a place comes free, and a slice that is
 // over passes the turn on. Slices follow the weights of the plans.
 func TestSlices(t *testing.T) {
 	fleet := fullServerFleet(t)
@@ -35,7 +35,7 @@
 	server.sliceEnd = time.Second
 	fleet.endDispatch(fleet.ops["full0"], honeyplank.Succeeded)
 	if out != 4 || len(fleet.ops["own0"].dispatched) != 1 || len(fleet.ops["other0"].dispatched) != 0 {
-		t.Errorf("%d ops out in a window of 4, or the served volume did not go first", out)
+		t.Errorf("%d ops outstanding in a window of 4, or the served volume did not go first", out)
 	}
 	fleet.admit("own", 1, 9, 4, 0)
 	server.sliceEnd = 0
@@ -52,8 +52,8 @@
 	}
 }
 
-// With nothing held the slice ends when thinkt reaches past it or another volume completes faster; else the
-// host waits, and others fill the window meanwhile.
+// With nothing held the slice ends when think time reaches past it or another volume completes faster; else the
+// instance waits, and others fill the window meanwhile.
 func TestThinkTimeAndAwait(t *testing.T) {
 	for _, test := range []struct {
 		thinkt, own, other time.Duration
@@ -63,24 +63,26 @@
 		{5 * ms, 30 * ms, 10 * ms, cheaperReady},
 		{5 * ms, 10 * ms, 30 * ms, worthWaiting},
 	} {
-		fleet := fullServerFleet(t)
-		fleet.admit("other", 0, 8, 2, 0)
-		s := fleet.instances[0]
-		server := s.servers["osd0"]
-		gap := func(d time.Duration) decayedMean { return decayedMean{total: 1e6 * float64(d/ms), sum: 1e6} }
-		for _, queue := range server.queues {
-			queue.await, queue.round = gap(test.other), server.round-1
-		}
-		server.servedQueue.thinkTime, server.servedQueue.await, server.servedQueue.round = gap(test.thinkt), gap(test.own), server.round
-		server.queues = append(server.queues, &volumeQueue{volume: &volume{}, await: decayedMean{total: 1e8, sum: 1e6}})
-		server.sliceEnd, server.outstanding = s.now+50*ms, 3
-		if got := s.nextSignal(server); got != test.want {
-			t.Errorf("thinkt %v, await %v and %v: saw %d, want %d", test.thinkt, test.own, test.other, got, test.want)
-		}
+		t.Run(fmt.Sprintf("think time %v, await %v and %v", test.thinkt, test.own, test.other), func(t *testing.T) {
+			fleet := fullServerFleet(t)
+			fleet.admit("other", 0, 8, 2, 0)
+			s := fleet.instances[0]
+			server := s.servers["osd0"]
+			gap := func(d time.Duration) decayedMean { return decayedMean{total: 1e6 * float64(d/ms), sum: 1e6} }
+			for _, queue := range server.queues {
+				queue.await, queue.round = gap(test.other), server.round-1
+			}
+			server.servedQueue.thinkTime, server.servedQueue.await, server.servedQueue.round = gap(test.thinkt), gap(test.own), server.round
+			server.queues = append(server.queues, &volumeQueue{volume: &volume{}, await: decayedMean{total: 1e8, sum: 1e6}})
+			server.sliceEnd, server.outstanding = s.now+50*ms, 3
+			if got := s.nextSignal(server); got != test.want {
+				t.Errorf("thinkt %v, await %v and %v: signal %d, want %d", test.thinkt, test.own, test.other, got, test.want)
+			}
+		})
 	}
 }
 
-// Ops of one run reach the node together (incident i6f4fcd): inside the reserve they may pass the window.
+// Ops of one run reach the server together (incident i6f4fcd): inside the reserve they may pass the window.
 // An op that cannot be in time any more is answered at once.
 func TestKeyRunsAndUnreachableDeadlines(t *testing.T) {
 	fleet := fullServerFleet(t)
