--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -19,7 +19,7 @@
 	unitTime        time.Duration
 	target, timeout time.Duration
 	utility         float64
-	kind            honeyplank.Semantics
+	semantics       honeyplank.Semantics
 	scope           honeyplank.DedupScope
 }
 
@@ -32,28 +32,28 @@
 }
 
 const (
-	fleetHosts     = 300
-	fleetServers   = 12 // those that hold the data of this process's volumes
-	fleetVolumes   = 16
-	volumeHosts    = 2
-	requestRate    = 30.0 // a second
-	faultBegins    = 15 * time.Second
-	faultEnds      = 21 * time.Second
-	recoveryEnds   = 31 * time.Second // ten seconds after the fault service is back
-	playEnds       = 46 * time.Second
-	retryAfter     = 100 * ms
-	mostTries      = 3
-	leastServed    = 0.5             // of a class on a calm day
-	leastOfAll     = 0.9             // of a class during a fault that takes no capacity from it
-	leastOfRest    = 0.6             // of a class where a quarter of the servers serve nothing
-	leastOfLost    = 0.3             // of a class where a quarter of the answers get lost and hold their places
-	chanceErrors   = 3.0             // standard errors that chance may take off these
-	mostLost       = 0.1             // of a class's service before the fault, once it is over
-	starvedFor     = 5 * time.Second // with nothing dispatched of a class, while its servers answer others
-	starvedNumber  = 12              // and so many of its requests
-	playsOfEach    = 4
-	silentAnswer   = time.Hour
-	unusualTimeout = 1e9 * ms
+	fleetInstances           = 300
+	fleetServers             = 12 // those that hold the data of this process's volumes
+	fleetVolumes             = 16
+	volumeInstances          = 2
+	requestRate              = 30.0 // a second
+	faultBegins              = 15 * time.Second
+	faultEnds                = 21 * time.Second
+	recoveryEnds             = 31 * time.Second // ten seconds after the fault service is back
+	playEnds                 = 46 * time.Second
+	retryAfter               = 100 * ms
+	maxAttempts              = 3
+	minServedBefore          = 0.5             // of a class on a calm day
+	minServed                = 0.9             // of a class during a fault that takes no capacity from it
+	minServedOfRest          = 0.6             // of a class where a quarter of the servers serve nothing
+	minServedWithLostAnswers = 0.3             // of a class where a quarter of the answers get lost and hold their places
+	chanceErrors             = 3.0             // standard errors that chance may take off these
+	maxLossAfterwards        = 0.1             // of a class's service before the fault, once it is over
+	starvedFor               = 5 * time.Second // with nothing dispatched of a class, while its servers answer others
+	starvedNumber            = 12              // and so many of its requests
+	seedsOfEach              = 4
+	silentAnswer             = time.Hour
+	unusualTimeout           = 1e9 * ms
 )
 
 // deployments differ in effects, sizes, times, limits and rules; none is fitted to a site.
@@ -92,92 +92,92 @@
 		}},
 }
 
-func (d deployment) settings() *honeyplank.Settings {
-	set := figures()
-	var target, timeout, remember []time.Duration
+func (deployment deployment) settings() *honeyplank.Settings {
+	settings := testSettings()
+	var target, timeout, dedupWindow []time.Duration
 	var utility []float64
-	var kind []honeyplank.Semantics
+	var semantics []honeyplank.Semantics
 	var scope []honeyplank.DedupScope
 	largest, mean := 0, 0.0
-	for _, c := range d.classes {
-		target, timeout, remember = append(target, c.target), append(timeout, c.timeout), append(remember, 4*time.Second)
-		utility, kind, scope = append(utility, c.utility), append(kind, c.kind), append(scope, c.scope)
-		largest, mean = max(largest, c.units), mean+c.share*float64(1+c.units)/2
+	for _, class := range deployment.classes {
+		target, timeout, dedupWindow = append(target, class.target), append(timeout, class.timeout), append(dedupWindow, 4*time.Second)
+		utility, semantics, scope = append(utility, class.utility), append(semantics, class.semantics), append(scope, class.scope)
+		largest, mean = max(largest, class.units), mean+class.share*float64(1+class.units)/2
 	}
-	set.OpTypes.TargetLatency, set.OpTypes.OpTimeout, set.OpTypes.DedupWindow = target, timeout, remember
-	set.OpTypes.Utility, set.OpTypes.Semantics, set.OpTypes.DedupScope = utility, kind, scope
-	set.MeanUnits, set.LargestUnits, set.Schedulers = mean, float64(largest), fleetHosts
-	rate := volumeHosts * requestRate * mean / fleetVolumes
-	set.Plans.Rate, set.Plans.Reserve = []float64{rate}, []float64{rate}
-	set.Dispatches.Parallel, set.Dispatches.Cancel = true, true
-	set.SlowStart.From, set.SlowStart.Units, set.SlowStart.Time, set.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
-	if d.change != nil {
-		d.change(set)
+	settings.OpTypes.TargetLatency, settings.OpTypes.OpTimeout, settings.OpTypes.DedupWindow = target, timeout, dedupWindow
+	settings.OpTypes.Utility, settings.OpTypes.Semantics, settings.OpTypes.DedupScope = utility, semantics, scope
+	settings.MeanUnits, settings.LargestUnits, settings.Schedulers = mean, float64(largest), fleetInstances
+	rate := volumeInstances * requestRate * mean / fleetVolumes
+	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate}
+	settings.Dispatches.Parallel, settings.Dispatches.Cancel = true, true
+	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
+	if deployment.change != nil {
+		deployment.change(settings)
 	}
-	return set
+	return settings
 }
 
 // clientRequest is a request of a client over all its tries.
 type clientRequest struct {
-	class    int
-	first    time.Duration
-	deadline time.Duration
-	tries    int
-	op       honeyplank.Op
-	sends    int
-	ended    bool
+	class      int
+	first      time.Duration
+	deadline   time.Duration
+	attempts   int
+	op         honeyplank.Op
+	dispatches int
+	answered   bool
 }
 
-// servicePlay is one process, its clients and its disk servers, on a clock of its own.
-type servicePlay struct {
+// serviceRun is one process, its clients and its servers, on a clock of its own.
+type serviceRun struct {
 	deployment
-	fault    *serviceFault
-	rng      *rand.Rand
-	module   *Scheduler
-	now      time.Duration
-	events   agenda
-	number   int
-	requests map[honeyplank.OpID]*clientRequest
-	all      []*clientRequest
-	served   map[*clientRequest]bool
-	sent     []time.Duration // by class: the last dispatch, or the last time with nothing to send
-	unsent   []int           // by class: requests taken since
-	answered time.Duration
-	starved  string
-	surging  float64
-	patience func(p *servicePlay, class int, timeout time.Duration) time.Duration
-	answer   func(p *servicePlay, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration)
+	fault         *serviceFault
+	rng           *rand.Rand
+	module        *Scheduler
+	now           time.Duration
+	events        eventQueue
+	sequence      int
+	requests      map[honeyplank.OpID]*clientRequest
+	all           []*clientRequest
+	served        map[*clientRequest]bool
+	lastDispatch  []time.Duration // by class: the last dispatch, or the last time with nothing to send
+	undispatched  []int           // by class: requests taken since
+	answered      time.Duration
+	starved       string
+	surging       float64
+	clientTimeout func(p *serviceRun, class int, timeout time.Duration) time.Duration
+	answer        func(p *serviceRun, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration)
 }
 
-// serviceFault changes how clients, disk servers or the list behave, from faultBegins to faultEnds.
+// serviceFault changes how clients, servers or the list behave, from faultBegins to faultEnds.
 type serviceFault struct {
 	name  string
-	begin func(p *servicePlay)
-	end   func(p *servicePlay)
-	// whole: the fault leaves no capacity, so that nothing is asked of service until it is over.
-	whole bool
-	surge bool // it asks for more than a limit allows
+	begin func(p *serviceRun)
+	end   func(p *serviceRun)
+	// noCapacity: the fault leaves no capacity, so that nothing is asked of service until it is over.
+	noCapacity bool
+	surge      bool // it asks for more than a limit allows
 	// least is the part of each class that is served while it lasts; the class that is slow itself is left out.
-	least       float64
-	first, last bool // the first or the last class is slow itself
+	least                         float64
+	firstClassSlow, lastClassSlow bool // the first or the last class is slow itself
 }
 
 // floor is what a class is served at least during the fault, of so many requests: no less than chance takes off.
-func (f *serviceFault) floor(class, classes int, requests float64) float64 {
-	if f.first && class == 0 || f.last && class == classes-1 {
+func (fault *serviceFault) floor(class, classes int, requests float64) float64 {
+	if fault.firstClassSlow && class == 0 || fault.lastClassSlow && class == classes-1 {
 		return 0
 	}
-	return f.least - chanceErrors*math.Sqrt(f.least*(1-f.least)/requests)
+	return fault.least - chanceErrors*math.Sqrt(fault.least*(1-fault.least)/requests)
 }
 
-func (p *servicePlay) add(at time.Duration, e honeyplank.Event) {
-	p.number++
-	heap.Push(&p.events, due{at, p.number, e})
+func (run *serviceRun) add(at time.Duration, event honeyplank.Event) {
+	run.sequence++
+	heap.Push(&run.events, scheduledEvent{at, run.sequence, event})
 }
 
-func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*servicePlay) {
-	return func(p *servicePlay) {
-		p.answer = func(p *servicePlay, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*serviceRun) {
+	return func(run *serviceRun) {
+		run.answer = func(run *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if server < servers {
 				return code, after
 			}
@@ -186,10 +186,10 @@
 	}
 }
 
-func slowed(by time.Duration, servers, class int) func(*servicePlay) {
-	return func(p *servicePlay) {
-		p.answer = func(_ *servicePlay, r *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
-			if server < servers && (class < 0 || r.class == class) {
+func slowed(by time.Duration, servers, class int) func(*serviceRun) {
+	return func(run *serviceRun) {
+		run.answer = func(_ *serviceRun, request *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+			if server < servers && (class < 0 || request.class == class) {
 				took *= by
 			}
 			return honeyplank.Succeeded, took
@@ -198,33 +198,33 @@
 }
 
 var serviceFaults = []serviceFault{
-	{name: "none", least: leastOfAll},
-	{name: "one client of each class with an unusual timeout", least: leastOfAll, begin: func(p *servicePlay) {
-		for class := range p.classes {
-			p.arrive(class, unusualTimeout)
+	{name: "none", least: minServed},
+	{name: "one client of each class with an unusual timeout", least: minServed, begin: func(run *serviceRun) {
+		for class := range run.classes {
+			run.arrive(class, unusualTimeout)
 		}
 	}},
-	{name: "some clients wait for less than others", least: leastOfAll, begin: func(p *servicePlay) {
-		p.patience = func(p *servicePlay, _ int, timeout time.Duration) time.Duration {
-			return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[p.rng.Intn(4)])
+	{name: "some clients wait for less than others", least: minServed, begin: func(run *serviceRun) {
+		run.clientTimeout = func(run *serviceRun, _ int, timeout time.Duration) time.Duration {
+			return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[run.rng.Intn(4)])
 		}
 	}},
-	{name: "all servers slow", begin: slowed(20, fleetServers, -1), whole: true},
-	{name: "a quarter of the servers slow", least: leastOfRest, begin: slowed(20, fleetServers/4, -1)},
-	{name: "the first class slow", least: leastOfAll, first: true, begin: slowed(20, fleetServers, 0)},
-	{name: "the last class slow", least: leastOfAll, last: true, begin: func(p *servicePlay) { slowed(20, fleetServers, len(p.classes)-1)(p) }},
-	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), whole: true},
-	{name: "silence of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
-	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), whole: true},
-	{name: "errors of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
-	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), whole: true},
-	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), whole: true},
-	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), whole: true},
-	{name: "full queues of a quarter", least: leastOfRest, begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4)},
-	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), whole: true},
-	{name: "one very fast answer of each server", least: leastOfAll, begin: func(p *servicePlay) {
+	{name: "all servers slow", begin: slowed(20, fleetServers, -1), noCapacity: true},
+	{name: "a quarter of the servers slow", least: minServedOfRest, begin: slowed(20, fleetServers/4, -1)},
+	{name: "the first class slow", least: minServed, firstClassSlow: true, begin: slowed(20, fleetServers, 0)},
+	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: func(run *serviceRun) { slowed(20, fleetServers, len(run.classes)-1)(run) }},
+	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
+	{name: "silence of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4)},
+	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), noCapacity: true},
+	{name: "errors of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
+	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), noCapacity: true},
+	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), noCapacity: true},
+	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), noCapacity: true},
+	{name: "full queues of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4)},
+	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
+	{name: "one very fast answer of each server", least: minServed, begin: func(run *serviceRun) {
 		seen := map[int]bool{}
-		p.answer = func(_ *servicePlay, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+		run.answer = func(_ *serviceRun, _ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
 			if !seen[server] {
 				seen[server] = true
 				return honeyplank.Succeeded, 50 * time.Microsecond
@@ -232,204 +232,204 @@
 			return honeyplank.Succeeded, took
 		}
 	}},
-	{name: "lost answers", least: leastOfLost, begin: func(p *servicePlay) {
-		p.answer = func(p *servicePlay, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
-			if p.rng.Intn(4) == 0 {
+	{name: "lost answers", least: minServedWithLostAnswers, begin: func(run *serviceRun) {
+		run.answer = func(run *serviceRun, _ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
+			if run.rng.Intn(4) == 0 {
 				return honeyplank.TimedOut, silentAnswer
 			}
 			return honeyplank.Succeeded, took
 		}
 	}},
-	{name: "the first class surges", least: leastOfAll, begin: func(p *servicePlay) { p.surging = 10 }, surge: true},
-	{name: "all servers are gone and come back", begin: func(p *servicePlay) { p.list(honeyplank.Removed, 0) },
-		end: func(p *servicePlay) { p.list(honeyplank.Up, 0) }, whole: true},
-	{name: "all servers restart cold", begin: func(p *servicePlay) { p.list(honeyplank.Up, p.now) }, whole: true},
+	{name: "the first class surges", least: minServed, begin: func(run *serviceRun) { run.surging = 10 }, surge: true},
+	{name: "all servers are gone and come back", begin: func(run *serviceRun) { run.list(honeyplank.Removed, 0) },
+		end: func(run *serviceRun) { run.list(honeyplank.Up, 0) }, noCapacity: true},
+	{name: "all servers restart cold", begin: func(run *serviceRun) { run.list(honeyplank.Up, run.now) }, noCapacity: true},
 }
 
-func (p *servicePlay) list(state honeyplank.MemberState, started time.Duration) {
+func (run *serviceRun) list(state honeyplank.MemberState, started time.Duration) {
 	var members []honeyplank.Member
 	for i := range fleetServers {
-		m := member(i, started)
-		m.State = state
-		members = append(members, m)
+		changed := member(i, started)
+		changed.State = state
+		members = append(members, changed)
 	}
-	p.add(p.now, honeyplank.List{Kind: honeyplank.Delta, Members: members})
+	run.add(run.now, honeyplank.List{Kind: honeyplank.Delta, Members: members})
 }
 
 // arrive brings a new request of a class.
-func (p *servicePlay) arrive(class int, timeout time.Duration) {
-	c := p.classes[class]
-	r := &clientRequest{class: class, first: p.now, deadline: p.now + timeout}
-	volume := p.rng.Intn(fleetVolumes)
-	r.op = honeyplank.Op{Units: float64(1 + p.rng.Intn(c.units)), Type: class, HasKey: true, Key: p.rng.Int63n(1 << 40),
-		Volume: int64(volume), Schedulers: volumeHosts, Cell: (volume*5 + p.rng.Intn(3)) % fleetServers}
-	p.all = append(p.all, r)
-	p.try(r)
+func (run *serviceRun) arrive(class int, timeout time.Duration) {
+	properties := run.classes[class]
+	request := &clientRequest{class: class, first: run.now, deadline: run.now + timeout}
+	volume := run.rng.Intn(fleetVolumes)
+	request.op = honeyplank.Op{Units: float64(1 + run.rng.Intn(properties.units)), Type: class, HasKey: true, Key: run.rng.Int63n(1 << 40),
+		Volume: int64(volume), Schedulers: volumeInstances, Cell: (volume*5 + run.rng.Intn(3)) % fleetServers}
+	run.all = append(run.all, request)
+	run.attempt(request)
 }
 
-// try sends a request, once more perhaps, with what is left of its client's time.
-func (p *servicePlay) try(r *clientRequest) {
-	if r.ended || p.now >= r.deadline || r.tries >= mostTries {
+// attempt sends a request, once more perhaps, with what is left of its client's time.
+func (run *serviceRun) attempt(request *clientRequest) {
+	if request.answered || run.now >= request.deadline || request.attempts >= maxAttempts {
 		return
 	}
-	r.tries++
-	r.sends = 0
-	r.op.ID, r.op.Timeout = honeyplank.OpID(fmt.Sprintf("%d/%d", len(p.all), p.number)), r.deadline
-	p.number++
-	p.requests[r.op.ID] = r
-	p.unsent[r.class]++
-	p.tell(r.op)
+	request.attempts++
+	request.dispatches = 0
+	request.op.ID, request.op.Timeout = honeyplank.OpID(fmt.Sprintf("%d/%d", len(run.all), run.sequence)), request.deadline
+	run.sequence++
+	run.requests[request.op.ID] = request
+	run.undispatched[request.class]++
+	run.handle(request.op)
 }
 
-func (p *servicePlay) tell(e honeyplank.Event) {
-	for _, action := range p.module.Handle(p.now, e) {
-		switch a := action.(type) {
+func (run *serviceRun) handle(event honeyplank.Event) {
+	for _, action := range run.module.Handle(run.now, event) {
+		switch action := action.(type) {
 		case honeyplank.Dispatch:
-			p.dispatch(a)
+			run.dispatch(action)
 		case honeyplank.Reject:
-			r := p.requests[a.Op]
-			delete(p.requests, a.Op)
-			p.add(p.now+max(a.RetryAfter, retryAfter), honeyplank.Timer{Name: fmt.Sprint("again ", p.index(r))})
+			request := run.requests[action.Op]
+			delete(run.requests, action.Op)
+			run.add(run.now+max(action.RetryAfter, retryAfter), honeyplank.Timer{Name: fmt.Sprint("again ", run.index(request))})
 		case honeyplank.Fail:
-			delete(p.requests, a.Op)
+			delete(run.requests, action.Op)
 		case honeyplank.Cancel:
-			if r := p.requests[a.Op]; r != nil {
-				p.add(p.now, honeyplank.Outcome{Op: a.Op, Dispatch: a.Dispatch, Code: honeyplank.Cancelled})
+			if request := run.requests[action.Op]; request != nil {
+				run.add(run.now, honeyplank.Outcome{Op: action.Op, Dispatch: action.Dispatch, Code: honeyplank.Cancelled})
 			}
 		case honeyplank.SetTimer:
-			p.add(a.At, honeyplank.Timer{Name: a.Name})
+			run.add(action.At, honeyplank.Timer{Name: action.Name})
 		}
 	}
 }
 
-func (p *servicePlay) index(r *clientRequest) int {
-	for i := len(p.all) - 1; i >= 0; i-- {
-		if p.all[i] == r {
+func (run *serviceRun) index(request *clientRequest) int {
+	for i := len(run.all) - 1; i >= 0; i-- {
+		if run.all[i] == request {
 			return i
 		}
 	}
 	return -1
 }
 
-func (p *servicePlay) dispatch(a honeyplank.Dispatch) {
-	r := p.requests[a.Op]
-	if r == nil {
+func (run *serviceRun) dispatch(action honeyplank.Dispatch) {
+	request := run.requests[action.Op]
+	if request == nil {
 		return
 	}
 	server := -1
-	fmt.Sscanf(string(a.Server), "osd%d", &server)
-	c := p.classes[r.class]
-	took := time.Duration(r.op.Units * float64(c.unitTime) * (0.5 + p.rng.ExpFloat64()/2))
+	fmt.Sscanf(string(action.Server), "osd%d", &server)
+	properties := run.classes[request.class]
+	took := time.Duration(request.op.Units * float64(properties.unitTime) * (0.5 + run.rng.ExpFloat64()/2))
 	code := honeyplank.Succeeded
-	if p.answer != nil {
-		code, took = p.answer(p, r, server, took)
+	if run.answer != nil {
+		code, took = run.answer(run, request, server, took)
 	}
-	end := p.now + took
-	if end >= r.op.Timeout {
-		code, end = honeyplank.TimedOut, r.op.Timeout
+	end := run.now + took
+	if end >= request.op.Timeout {
+		code, end = honeyplank.TimedOut, request.op.Timeout
 	}
-	p.add(end, honeyplank.Outcome{Op: a.Op, Dispatch: r.sends, Server: a.Server, Code: code, Elapsed: end - p.now})
-	r.sends++
-	p.sent[r.class], p.unsent[r.class] = p.now, 0
+	run.add(end, honeyplank.Outcome{Op: action.Op, Dispatch: request.dispatches, Server: action.Server, Code: code, Elapsed: end - run.now})
+	request.dispatches++
+	run.lastDispatch[request.class], run.undispatched[request.class] = run.now, 0
 }
 
 // step plays one event.
-func (p *servicePlay) step(d due) {
-	p.now = d.at
-	switch e := d.event.(type) {
+func (run *serviceRun) step(upcoming scheduledEvent) {
+	run.now = upcoming.at
+	switch event := upcoming.event.(type) {
 	case honeyplank.Timer:
 		var index int
-		if n, _ := fmt.Sscanf(e.Name, "again %d", &index); n == 1 {
-			p.try(p.all[index])
+		if matched, _ := fmt.Sscanf(event.Name, "again %d", &index); matched == 1 {
+			run.attempt(run.all[index])
 			return
 		}
-		if e.Name == "arrival" {
-			p.arrival()
+		if event.Name == "arrival" {
+			run.arrival()
 			return
 		}
 	case honeyplank.Outcome:
-		r := p.requests[e.Op]
-		if r == nil {
-			p.tell(e)
+		request := run.requests[event.Op]
+		if request == nil {
+			run.handle(event)
 			return
 		}
-		if e.Code == honeyplank.Succeeded {
-			e.Answered, r.ended, p.answered = true, true, p.now
-			p.served[r] = p.now-r.first <= p.classes[r.class].target
-			delete(p.requests, e.Op)
+		if event.Code == honeyplank.Succeeded {
+			event.Answered, request.answered, run.answered = true, true, run.now
+			run.served[request] = run.now-request.first <= run.classes[request.class].target
+			delete(run.requests, event.Op)
 		}
-		p.tell(e)
+		run.handle(event)
 		return
 	}
-	p.tell(d.event)
+	run.handle(upcoming.event)
 }
 
-func (p *servicePlay) arrival() {
+func (run *serviceRun) arrival() {
 	rate := requestRate
-	if p.surging > 0 {
-		rate *= p.surging
+	if run.surging > 0 {
+		rate *= run.surging
 	}
-	at := p.now + time.Duration(p.rng.ExpFloat64()/rate*float64(time.Second))
-	p.add(at, honeyplank.Timer{Name: "arrival"})
-	draw, class := p.rng.Float64(), 0
-	for draw > p.classes[class].share && class < len(p.classes)-1 {
-		draw -= p.classes[class].share
+	at := run.now + time.Duration(run.rng.ExpFloat64()/rate*float64(time.Second))
+	run.add(at, honeyplank.Timer{Name: "arrival"})
+	draw, class := run.rng.Float64(), 0
+	for draw > run.classes[class].share && class < len(run.classes)-1 {
+		draw -= run.classes[class].share
 		class++
 	}
-	if p.surging > 0 && p.rng.Float64() > 1/p.surging {
+	if run.surging > 0 && run.rng.Float64() > 1/run.surging {
 		class = 0
 	}
-	timeout := p.classes[class].timeout
-	if p.patience != nil {
-		timeout = p.patience(p, class, timeout)
+	timeout := run.classes[class].timeout
+	if run.clientTimeout != nil {
+		timeout = run.clientTimeout(run, class, timeout)
 	}
-	p.arrive(class, timeout)
-	for class := range p.classes {
-		silent := p.now - p.sent[class]
-		if silent > starvedFor && p.unsent[class] >= starvedNumber && p.now-p.answered < time.Second && p.starved == "" {
-			p.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d requests taken", class, p.sent[class], p.now, p.unsent[class])
+	run.arrive(class, timeout)
+	for class := range run.classes {
+		silent := run.now - run.lastDispatch[class]
+		if silent > starvedFor && run.undispatched[class] >= starvedNumber && run.now-run.answered < time.Second && run.starved == "" {
+			run.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d requests taken", class, run.lastDispatch[class], run.now, run.undispatched[class])
 		}
 	}
 }
 
 // shares are what part of each class's requests of a span was served within its target latency.
-func (p *servicePlay) shares(from, to time.Duration) (served, taken []float64) {
-	served, taken = make([]float64, len(p.classes)), make([]float64, len(p.classes))
-	for _, r := range p.all {
-		if r.first >= from && r.first < to {
-			taken[r.class]++
-			served[r.class] += float64(boolToInt(p.served[r]))
+func (run *serviceRun) shares(from, to time.Duration) (served, taken []float64) {
+	served, taken = make([]float64, len(run.classes)), make([]float64, len(run.classes))
+	for _, request := range run.all {
+		if request.first >= from && request.first < to {
+			taken[request.class]++
+			served[request.class] += float64(boolToInt(run.served[request]))
 		}
 	}
 	return served, taken
 }
 
-func newServicePlay(d deployment, fault *serviceFault, seed int64) *servicePlay {
-	p := &servicePlay{deployment: d, fault: fault, rng: rand.New(rand.NewSource(seed)), module: New(seed, d.settings()),
+func newServiceRun(upcoming deployment, fault *serviceFault, seed int64) *serviceRun {
+	run := &serviceRun{deployment: upcoming, fault: fault, rng: rand.New(rand.NewSource(seed)), module: New(seed, upcoming.settings()),
 		requests: map[honeyplank.OpID]*clientRequest{}, served: map[*clientRequest]bool{},
-		sent: make([]time.Duration, len(d.classes)), unsent: make([]int, len(d.classes))}
-	p.now = time.Second
-	p.list(honeyplank.Up, 0)
-	p.add(p.now, honeyplank.Timer{Name: "arrival"})
-	return p
+		lastDispatch: make([]time.Duration, len(upcoming.classes)), undispatched: make([]int, len(upcoming.classes))}
+	run.now = time.Second
+	run.list(honeyplank.Up, 0)
+	run.add(run.now, honeyplank.Timer{Name: "arrival"})
+	return run
 }
 
-func (p *servicePlay) run() {
-	begun, ended := p.fault.begin == nil, false
-	for p.now < playEnds {
-		d := heap.Pop(&p.events).(due)
-		if !begun && d.at >= faultBegins {
-			begun, p.now = true, d.at
-			p.fault.begin(p)
+func (run *serviceRun) run() {
+	begun, ended := run.fault.begin == nil, false
+	for run.now < playEnds {
+		upcoming := heap.Pop(&run.events).(scheduledEvent)
+		if !begun && upcoming.at >= faultBegins {
+			begun, run.now = true, upcoming.at
+			run.fault.begin(run)
 		}
-		if !ended && d.at >= faultEnds {
-			ended, p.now = true, d.at
-			p.answer, p.surging = nil, 0
-			if p.fault.end != nil {
-				p.fault.end(p)
+		if !ended && upcoming.at >= faultEnds {
+			ended, run.now = true, upcoming.at
+			run.answer, run.surging = nil, 0
+			if run.fault.end != nil {
+				run.fault.end(run)
 			}
 		}
-		p.step(d)
+		run.step(upcoming)
 	}
 }
 
@@ -446,8 +446,8 @@
 				for k := range 2 {
 					before[k], during[k], after[k] = make([]float64, n), make([]float64, n), make([]float64, n)
 				}
-				for seed := range int64(playsOfEach) {
-					p := newServicePlay(d, fault, seed+1)
+				for seed := range int64(seedsOfEach) {
+					p := newServiceRun(d, fault, seed+1)
 					p.run()
 					for _, span := range []struct {
 						from, to time.Duration
@@ -460,7 +460,7 @@
 						}
 					}
 					// A surge uses up a limit: what is left of it goes to the class of more utility, until it is over.
-					noCapacity := fault.whole || p.limited && fault.surge
+					noCapacity := fault.noCapacity || p.limited && fault.surge
 					if p.starved != "" && !noCapacity {
 						t.Errorf("seed %d: %s", seed+1, p.starved)
 					}
@@ -469,13 +469,13 @@
 				for c := range n {
 					x, y, z := before[0][c]/before[1][c], during[0][c]/during[1][c], after[0][c]/after[1][c]
 					text += fmt.Sprintf(" class %d: %.2f %.2f %.2f;", c, x, y, z)
-					if x < leastServed {
+					if x < minServedBefore {
 						t.Errorf("class %d: served %.2f of its %v requests on a calm day", c, x, before[1][c])
 					}
 					if floor := fault.floor(c, n, during[1][c]); y < floor && !(d.limited && fault.surge) {
 						t.Errorf("class %d: served %.2f of its %v requests during the fault, at least %.2f expected", c, y, during[1][c], floor)
 					}
-					if z < x-mostLost {
+					if z < x-maxLossAfterwards {
 						t.Errorf("class %d: served %.2f of its requests before the fault, %.2f once it is over", c, x, z)
 					}
 				}
