--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -10,7 +10,10 @@
 
 // Bounds of what a client may have a scheduler keep. They are about connections; ops are the decision module's.
 const (
+	maxCommandLine  = 64                   // bytes of a line: the head of an array or of an argument
+	maxArguments    = 16                   // of a command
 	maxBody         = 64 << 10             // bytes of a command's body and of a value
+	maxOtherBytes   = 4096                 // of a command without its body
 	maxPending      = 32                   // commands of one connection without a reply; more wait unread
 	maxReplyBacklog = maxPending * maxBody // bytes of replies, due or not read by the client; beyond it no more is read
 
@@ -39,7 +42,14 @@
 	maxEvictionChecks = 8
 )
 
-var commandBounds = resp.Bounds{Line: 64, Bulk: maxBody, Items: 16, Depth: 1, Total: maxBody + 4096, Command: true}
+var commandBounds = resp.Bounds{
+	Line:    maxCommandLine,
+	Bulk:    maxBody,
+	Items:   maxArguments,
+	Depth:   1,
+	Total:   maxBody + maxOtherBytes,
+	Command: true,
+}
 
 // client is one connection of a client.
 type client struct {
--- /dev/null
+++ b/scheduler/client_test.go
@@ -0,0 +1,330 @@
+package scheduler
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"runtime"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	fakeresp "honeyplank/fake/resp"
+	"honeyplank/resp"
+)
+
+// TestUnreadAnswers: a client that sends all commands it may and reads nothing meanwhile gets every reply, whole and in
+// order, once it reads; until then no more is taken from it than the bounds allow.
+func TestUnreadAnswers(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	large := strings.Repeat("v", maxBody-8)
+	bed.disks[0].Apply(fakeresp.Faults{Large: large})
+	c := bed.dialClient()
+	const n = 4 * maxPending // of 64 KB each: more than the system holds on its way
+	go func() {
+		for i := range n {
+			c.Write(encodeCommand("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0)))
+		}
+	}()
+	bed.eventually("a full connection", func() (ok bool) {
+		bed.onLoop(func() {
+			for x := range bed.scheduler.clients {
+				ok = x.conn.UnsentBytes() > 0 && len(x.pending) == 0 && x.paused
+				if x.replyBacklog() > maxReplyBacklog+2*maxBody {
+					t.Errorf("%d bytes of replies are due", x.replyBacklog())
+				}
+			}
+		})
+		return ok
+	})
+	for i := range n {
+		if got := c.readReply(3 * time.Second); got != large {
+			t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
+		}
+	}
+}
+
+// TestEvictionSparesUnread: a connection with a request that is not read yet is not closed for another, nor as idle.
+func TestEvictionSparesUnread(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c, other := bed.dialClient(), bed.dialClient()
+	for i, client := range []*testClient{c, other} {
+		id := fmt.Sprint("first", i)
+		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+			t.Fatal(got)
+		}
+	}
+	bed.onLoop(func() { // the loop reads nothing before this ends
+		for x := range bed.scheduler.clients {
+			x.lastActivity = bed.scheduler.loop.Now() - 2*maxIdle
+		}
+		c.send("BLK.READ", objectKey, "second", opOptions("read", 390, 0))
+		for !bed.hasUnreadInput() {
+		}
+		bed.scheduler.checkClients()
+		for bed.scheduler.evictIdleClient() {
+		}
+	})
+	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "second")) {
+		t.Errorf("%q", got)
+	}
+	if got := other.readReply(time.Second); got != "closed" {
+		t.Errorf("%q", got)
+	}
+}
+
+// TestIdleWithPartialCommand: a client that has brought ops and writes its next command slowly is not closed as idle in
+// the middle of it.
+func TestIdleWithPartialCommand(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c := bed.dialClient()
+	c.do("BLK.READ", objectKey, "first", opOptions("read", 390, 0))
+	text := encodeCommand("BLK.READ", objectKey, "second", opOptions("read", 390, 0))
+	c.Write(text[:20])
+	bed.eventually("a half command", func() (ok bool) {
+		bed.onLoop(func() {
+			for x := range bed.scheduler.clients {
+				ok = x.commandStarted > 0
+				x.lastActivity = bed.scheduler.loop.Now() - maxIdle + time.Second // idle for longer than a crowd lets one be
+			}
+			if ok {
+				bed.scheduler.activeClients += bed.scheduler.config.Sockets
+				bed.scheduler.checkClients()
+				for bed.scheduler.evictIdleClient() {
+				}
+				bed.scheduler.activeClients -= bed.scheduler.config.Sockets
+			}
+		})
+		return ok
+	})
+	c.Write(text[20:])
+	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "second")) {
+		t.Errorf("%q", got)
+	}
+}
+
+// appendValues appends a value to the output of a connection n times.
+func (c *client) appendValues(n int, value string) {
+	for range n {
+		c.conn.Out = resp.AppendBulk(c.conn.Out, []byte(value))
+	}
+}
+
+// TestProtocolErrorBehindUnread: where input that does not follow the protocol comes behind replies that the client has
+// not read yet, more than the system buffers, these arrive whole before the error.
+func TestProtocolErrorBehindUnread(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c := bed.dialClient(4096)
+	c.do("PING")
+	large := strings.Repeat("v", maxBody)
+	const n = 200
+	bed.onLoop(func() {
+		for x := range bed.scheduler.clients {
+			x.appendValues(n, large)
+			x.protocolError(&resp.ProtocolError{Reason: "forced"})
+			if x.conn.UnsentBytes() == 0 {
+				t.Error("the system holds all of it")
+			}
+		}
+	})
+	for i := range n {
+		if got := c.readReply(time.Second); got != large {
+			t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
+		}
+	}
+	for _, want := range []string{"-ERR Protocol error: forced", "closed"} {
+		if got := c.readReply(2 * time.Second); got != want {
+			t.Errorf("%q, expected %q", got, want)
+		}
+	}
+}
+
+// TestUnreadCrowd: clients that never brought an op, send commands and read no replies hold no descriptors: one is
+// evicted for another at once, and the rest are closed in time.
+func TestUnreadCrowd(t *testing.T) {
+	bed := newTestbed(t, 1)
+	large := strings.Repeat("v", maxBody)
+	for i := range 2 {
+		c := bed.dialClient(4096)
+		go func() {
+			for {
+				if _, err := c.Write(encodeCommand("PING", large)); err != nil {
+					return
+				}
+			}
+		}()
+		bed.eventually("a connection of which no more is read", func() (ok bool) {
+			n := 0
+			bed.onLoop(func() {
+				for x := range bed.scheduler.clients {
+					if x.paused && x.conn.UnsentBytes() > 0 && !x.conn.Quiet() {
+						n++
+					}
+				}
+			})
+			return n == i+1
+		})
+	}
+	bed.onLoop(func() {
+		for x := range bed.scheduler.clients {
+			x.lastActivity = bed.scheduler.loop.Now() - commandTimeout - time.Millisecond
+		}
+		if !bed.scheduler.evictIdleClient() || len(bed.scheduler.clients) != 1 {
+			t.Errorf("none gives way: %d are left", len(bed.scheduler.clients))
+		}
+		for x := range bed.scheduler.clients {
+			x.lastActivity = bed.scheduler.loop.Now() - commandTimeout - time.Millisecond
+		}
+		bed.scheduler.checkClients()
+		if len(bed.scheduler.clients) != 0 {
+			t.Errorf("%d are left", len(bed.scheduler.clients))
+		}
+	})
+}
+
+// TestQuitBehindUnread: a client that quits and takes more than a second to begin reading gets all replies.
+func TestQuitBehindUnread(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c := bed.dialClient(4096)
+	c.do("PING")
+	large := strings.Repeat("v", maxBody)
+	const n = 200
+	closing := make(chan bool)
+	bed.onLoop(func() {
+		for x := range bed.scheduler.clients {
+			x.appendValues(n, large)
+			x.conn.CloseGracefully()
+			if x.conn.UnsentBytes() == 0 {
+				t.Error("the system holds all of it")
+			}
+		}
+		bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+1200*time.Millisecond, func() { close(closing) })
+	})
+	<-closing
+	for i := range n {
+		if got := c.readReply(time.Second); got != large {
+			t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
+		}
+	}
+	if got := c.readReply(time.Second); got != "closed" {
+		t.Errorf("%q", got)
+	}
+}
+
+// TestNoDescriptors: a client that connects while the process has no descriptor left is served once there is one.
+func TestNoDescriptors(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unix.Close(fd)
+	unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: 3})
+	to := netip.MustParseAddrPort(bed.scheduler.Address())
+	var taken []int
+	bed.onLoop(func() { // the listener is looked at once this ends
+		for {
+			x, err := unix.Dup(fd)
+			if err != nil {
+				break
+			}
+			taken = append(taken, x)
+		}
+		err = unix.Connect(fd, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()})
+	})
+	rounds := bed.scheduler.loop.Stats.Waits.Load()
+	bed.eventually("another round", func() bool { return bed.scheduler.loop.Stats.Waits.Load() > rounds+1 })
+	bed.onLoop(func() {
+		if len(bed.scheduler.clients) > 0 {
+			t.Error("it has been accepted")
+		}
+		for _, x := range taken {
+			unix.Close(x)
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := make([]byte, 16)
+	unix.Write(fd, encodeCommand("PING"))
+	if n, err := unix.Read(fd, b); string(b[:max(n, 0)]) != "+PONG\r\n" {
+		t.Errorf("%q, %v", b[:max(n, 0)], err)
+	}
+}
+
+// TestCrowd: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody else
+// from being served and take no connection from those that bring ops, also during the shutdown; hundreds of commands at
+// once all get their replies, in order.
+func TestCrowd(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c := bed.dialClient()
+	if got := c.do("BLK.READ", objectKey, "first", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "first")) {
+		t.Fatal(got)
+	}
+	crowd := func() {
+		for i := range 300 {
+			if x, err := net.Dial("tcp", bed.scheduler.Address()); err == nil {
+				t.Cleanup(func() { x.Close() })
+				if i%2 == 0 {
+					x.Write([]byte("*1\r\n$4\r\nPING\r\n"))
+				}
+			}
+		}
+	}
+	crowd()
+	if got := bed.dialClient().do("BLK.READ", objectKey, "new", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "new")) {
+		t.Fatal(got)
+	}
+	time.Sleep(700 * time.Millisecond)
+	bed.scheduler.Shutdown()
+	crowd()
+	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+		t.Fatal(got)
+	}
+	var open int
+	bed.onLoop(func() { open = bed.scheduler.clientConnCount })
+	if open > bed.scheduler.descriptorQuota(clientDescriptorShare) {
+		t.Errorf("%d connections of clients", open)
+	}
+	go func() {
+		for i := range 500 {
+			c.Write(resp.AppendCommand(nil, []byte("PING"), []byte(strconv.Itoa(i))))
+		}
+	}()
+	for i := range 500 {
+		if got := c.readReply(2 * time.Second); got != strconv.Itoa(i) {
+			t.Fatalf("answer %d is %q", i, got)
+		}
+	}
+}
+
+// TestNothingRetained: after many short-lived clients and servers nothing is left of them.
+func TestNothingRetained(t *testing.T) {
+	bed := newTestbed(t, 1)
+	before := runtime.NumGoroutine()
+	for i := range 200 {
+		c := bed.dialClient()
+		c.do("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 390, 0))
+		c.Close()
+		member := bed.member(0, "up")
+		member.ID, member.Cell = fmt.Sprint("t-", i), 7
+		bed.discovery.Change(member)
+		member.Phase = "removed"
+		bed.discovery.Change(member)
+	}
+	bed.eventually("the end of all", func() bool {
+		ok := false
+		bed.onLoop(func() {
+			ok = len(bed.scheduler.servers) == 1 && len(bed.scheduler.clients) == 0 && bed.scheduler.clientConnCount == 0 && bed.scheduler.tracker.Outstanding() == 0
+		})
+		return ok
+	})
+	if n := runtime.NumGoroutine(); n > before+20 {
+		t.Errorf("%d goroutines, %d before", n, before)
+	}
+}
--- /dev/null
+++ b/scheduler/conn_gate_test.go
@@ -0,0 +1,121 @@
+package scheduler
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"honeyplank"
+	fakeresp "honeyplank/fake/resp"
+)
+
+// connGate is a proxy before a disk server. Connections to it do not come up before acceptConns, and no bytes pass before
+// forwardBytes, so that a test decides what happens while they wait.
+type connGate struct {
+	t          *testing.T
+	fd         int
+	address    string
+	target     string
+	backlog    []net.Conn
+	forwarding chan bool // closed: bytes go through
+	once       sync.Once
+}
+
+// newConnGate makes a gate to which no connection comes up.
+func newConnGate(t *testing.T, target string) *connGate {
+	t.Helper()
+	gate := &connGate{t: t, target: target, forwarding: make(chan bool)}
+	var err error
+	if gate.fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0); err == nil {
+		unix.SetsockoptInt(gate.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 4096)
+		if err = unix.Bind(gate.fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err == nil {
+			err = unix.Listen(gate.fd, 0)
+		}
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	at, err := unix.Getsockname(gate.fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gate.address = fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	for { // until the listener's queue is full
+		c, err := net.DialTimeout("tcp", gate.address, 50*time.Millisecond)
+		if err != nil {
+			break
+		}
+		gate.backlog = append(gate.backlog, c)
+	}
+	t.Cleanup(func() {
+		gate.forwardBytes()
+		unix.Shutdown(gate.fd, unix.SHUT_RDWR)
+		unix.Close(gate.fd)
+		for _, c := range gate.backlog {
+			c.Close()
+		}
+	})
+	return gate
+}
+
+// acceptConns lets connections come up.
+func (g *connGate) acceptConns() {
+	unix.Listen(g.fd, 1024)
+	go func() {
+		for {
+			fd, _, err := unix.Accept(g.fd)
+			if err != nil {
+				return
+			}
+			f := os.NewFile(uintptr(fd), "gate")
+			conn, err := net.FileConn(f)
+			f.Close()
+			if err != nil {
+				return
+			}
+			go g.pipe(conn)
+		}
+	}()
+}
+
+// forwardBytes lets bytes pass from now on.
+func (g *connGate) forwardBytes() { g.once.Do(func() { close(g.forwarding) }) }
+
+// pipe forwards the bytes of a connection in both directions.
+func (g *connGate) pipe(client net.Conn) {
+	defer client.Close()
+	<-g.forwarding
+	server, err := net.Dial("tcp", g.target)
+	if err != nil {
+		return
+	}
+	defer server.Close()
+	go func() { io.Copy(client, server); client.Close() }()
+	io.Copy(server, client)
+}
+
+// gateServer puts a gate before the n-th disk server and returns the entry of the endpoint list that leads there.
+func (bed *testbed) gateServer(n int, phase string) (*connGate, fakeresp.Member) {
+	bed.t.Helper()
+	gate := newConnGate(bed.t, bed.disks[n].Address())
+	member := bed.member(n, phase)
+	member.Address = gate.address
+	return gate, member
+}
+
+// moveBehindGate puts a gate before the n-th disk server and has discovery name its address.
+func (bed *testbed) moveBehindGate(n int) *connGate {
+	bed.t.Helper()
+	gate, member := bed.gateServer(n, "up")
+	bed.discovery.Change(member)
+	bed.eventuallyOnLoop("the address", func() bool {
+		return bed.scheduler.servers[honeyplank.ServerID(member.ID)].address == gate.address
+	})
+	return gate
+}
--- a/scheduler/told_test.go
+++ b/scheduler/deadlines_test.go
@@ -7,49 +7,44 @@
 	"time"
 
 	"honeyplank"
-	standin "honeyplank/fake/resp"
+	fakeresp "honeyplank/fake/resp"
 )
 
-// sentTimeout is the time that a command tells its disk server.
-func sentTimeout(c standin.Command) (d time.Duration) {
+// sentTimeout is the timeout that a command names to its disk server.
+func sentTimeout(c fakeresp.Command) time.Duration {
 	var ms int64
 	fmt.Sscanf(c.Terms[strings.Index(c.Terms, ",d="):], ",d=%d", &ms)
 	return time.Duration(ms) * time.Millisecond
 }
 
-// TestToldLate: what waits behind a server that does not read tells the time that is left when it goes, and one of which a
-// part had left by then never arrives whole.
-func TestToldLate(t *testing.T) {
+// TestDeadlineOfDelayedCommand: a command that waits behind a disk server that does not read names the time that is
+// left when it is written, and one of which a part was written by then never arrives whole.
+func TestDeadlineOfDelayedCommand(t *testing.T) {
 	const n, waits = 100, 400 * time.Millisecond
 	bed := newTestbed(t, 1, withSlowConnect, func(m map[string]any) {
 		m["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = n
 	})
-	g, m := bed.gateServer(0, "up")
-	bed.discovery.Change(m)
-	bed.eventually("the address", func() (ok bool) {
-		bed.onLoop(func() { ok = bed.scheduler.servers["s-0"].address == g.address })
-		return ok
-	})
-	g.acceptConns()
+	gate := bed.moveBehindGate(0)
+	gate.acceptConns()
 	bed.onLoop(func() {
 		bed.module.Module = singleServerModule{"s-0"}
 		bed.scheduler.config.Sockets = 1024
 		bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
 	})
-	stuck := map[string]bool{} // those that have stood with a part sent
+	stuck := map[string]bool{} // those of which a part has been written for some time
 	bed.onLoop(func() {
-		var was uint64
+		var lastWritten uint64
 		var since time.Duration
 		var look func()
 		look = func() {
 			now := bed.scheduler.loop.Now()
 			for _, sc := range bed.scheduler.servers["s-0"].conns {
-				gone := sc.writtenBytes()
-				if gone != was {
-					was, since = gone, now
+				written := sc.writtenBytes()
+				if written != lastWritten {
+					lastWritten, since = written, now
 				}
 				for _, a := range sc.inFlight {
-					if a.firstByte < gone && a.endByte > gone && now-since > maxPartialAge/2 {
+					if a.firstByte < written && a.endByte > written && now-since > maxPartialAge/2 {
 						stuck[string(a.dispatch.Op())] = true
 					}
 				}
@@ -69,7 +64,7 @@
 		sent[id] = time.Now()
 		c.send("BLK.WRITE", objectKey, id, opOptions("write", 9000, 0), body)
 	}
-	bed.eventually("the commands", func() (ok bool) { bed.onLoop(func() { ok = bed.scheduler.tracker.Counts.Admitted == n }); return ok })
+	bed.eventuallyOnLoop("the commands", func() bool { return bed.scheduler.tracker.Counts.Admitted == n })
 	time.Sleep(waits)
 	unsent := map[string]bool{}
 	bed.onLoop(func() {
@@ -78,25 +73,25 @@
 				unsent[string(a.dispatch.Op())] = a.firstByte >= sc.writtenBytes()
 			}
 		}
-		g.forwardBytes()
+		gate.forwardBytes()
 	})
 	if len(stuck) == 0 {
-		t.Fatal("none has left in part")
+		t.Fatal("none is written in part")
 	}
-	bed.eventually("the end", func() (ok bool) { bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 0 }); return ok })
+	bed.eventuallyOnLoop("the end", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
 	for _, c := range bed.disks[0].Got() {
 		if stuck[c.ID] {
-			t.Errorf("%s, of which a part had left, has arrived", c.ID)
+			t.Errorf("%s, of which a part was written, has arrived", c.ID)
 		}
 		if left := 9*time.Second - c.At.Sub(sent[c.ID]); unsent[c.ID] && sentTimeout(c) > left+150*time.Millisecond {
-			t.Errorf("%s tells %v, %v are left", c.ID, sentTimeout(c), left)
+			t.Errorf("%s names %v, %v are left", c.ID, sentTimeout(c), left)
 		}
 	}
 }
 
-// TestReadLate: the time of a command that waited to be read, for a loop that was held up or behind others on its
-// connection, counts from when it may have come; that of one that comes later on the same connection does not.
-func TestReadLate(t *testing.T) {
+// TestTimeoutOfLateRead: the timeout of a command that waited to be read, for a loop that was held up or behind others
+// on its connection, counts from when it may have come; that of one that comes later on the same connection does not.
+func TestTimeoutOfLateRead(t *testing.T) {
 	const held, left = 120 * time.Millisecond, 2 * time.Second
 	for name, x := range map[string]struct {
 		first int                    // commands before it on its connection
@@ -110,7 +105,7 @@
 		}},
 		"behind others": {first: maxPending, delay: held, late: held, send: func(_ *testbed, send func()) { send() }},
 		"long after others": {first: maxPending, delay: held, send: func(bed *testbed, send func()) {
-			bed.eventually("their answers", func() (ok bool) { bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 0 }); return ok })
+			bed.eventuallyOnLoop("their answers", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
 			time.Sleep(2 * held)
 			send()
 		}},
@@ -127,17 +122,17 @@
 					}
 				}
 			})
-			bed.disks[0].Apply(standin.Faults{Delay: x.delay})
+			bed.disks[0].Apply(fakeresp.Faults{Delay: x.delay})
 			c := bed.dialClient()
 			c.do("PING")
 			for i := range x.first {
 				c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0))
 			}
 			if x.first > 0 {
-				bed.eventually("the others", func() (ok bool) { bed.onLoop(func() { ok = len(ops) == x.first }); return ok })
+				bed.eventuallyOnLoop("the others", func() bool { return len(ops) == x.first })
 			}
 			x.send(bed, func() { c.send("BLK.READ", objectKey, "late", opOptions("read", int(left.Milliseconds()), 0)) })
-			bed.eventually("it", func() (ok bool) { bed.onLoop(func() { ok = len(ops) == x.first+1 }); return ok })
+			bed.eventuallyOnLoop("it", func() bool { return len(ops) == x.first+1 })
 			bed.onLoop(func() {
 				last := len(ops) - 1
 				if got := ops[last].Timeout - at[last]; got > left-x.late*3/4 || x.late == 0 && got < left-held/2 {
@@ -148,28 +143,25 @@
 	}
 }
 
-// TestTimeOverHeldUp: an op whose time is over when a hold-up ends is answered and not sent, where its connection has come
-// up meanwhile or a connection is there for its retry.
-func TestTimeOverHeldUp(t *testing.T) {
+// TestTimeoutDuringHoldUp: an op whose time is over when a hold-up ends is answered and not sent, where its connection
+// has come up meanwhile or there is a connection for its retry.
+func TestTimeoutDuringHoldUp(t *testing.T) {
 	for _, waits := range []string{"for a connection", "for a timer"} {
 		t.Run(waits, func(t *testing.T) {
-			bed, g := newGatedTestbed(t, 5*time.Second, time.Second)
+			bed, gate := newGatedTestbed(t, 5*time.Second, time.Second)
 			if waits == "for a timer" {
-				g.acceptConns()
-				g.forwardBytes()
+				gate.acceptConns()
+				gate.forwardBytes()
 				bed.dialClient().do("BLK.READ", objectKey, "warm", opOptions("read", 9000, 0))
-				time.Sleep(2 * minConnRest)
+				time.Sleep(2 * reuseDelay)
 				bed.onLoop(func() { bed.module.Module = &delayedModule{delay: 40 * time.Millisecond} })
 			}
 			c := bed.dialClient()
 			c.send("BLK.READ", objectKey, "a", opOptions("read", 60, 0))
-			bed.eventually("the command", func() (ok bool) {
-				bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() > 0 || bed.scheduler.tracker.Counts.Failed > 0 })
-				return ok
-			})
+			bed.eventuallyOnLoop("the command", func() bool { return bed.scheduler.tracker.Unanswered() > 0 || bed.scheduler.tracker.Counts.Failed > 0 })
 			bed.onLoop(func() {
-				g.acceptConns()
-				g.forwardBytes()
+				gate.acceptConns()
+				gate.forwardBytes()
 				time.Sleep(maxHoldUp)
 			})
 			if got := c.readReply(time.Second); got != "-ERR failed" {
--- a/scheduler/fleet_cost_test.go
+++ b/scheduler/fleet_cost_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"honeyplank"
-	standin "honeyplank/fake/resp"
+	fakeresp "honeyplank/fake/resp"
 )
 
 // idleConnsInFleet is the number of disk servers to which a connection is idle in TestFleetCost.
@@ -18,11 +18,11 @@
 func newFleetTestbed(t *testing.T, n int) *testbed {
 	t.Helper()
 	bed := newTestbed(t, 1, func(config map[string]any) {
-		address := config["known"].(map[string]any)["members"].([]standin.Member)[0].Address
-		var members []standin.Member
+		address := config["known"].(map[string]any)["members"].([]fakeresp.Member)[0].Address
+		var members []fakeresp.Member
 		var peers []string
 		for i := range n {
-			members = append(members, standin.Member{ID: fmt.Sprint("s-", i), Address: address, Zone: "room", Model: "std", Cell: i, Phase: "up", Size: 1})
+			members = append(members, fakeresp.Member{ID: fmt.Sprint("s-", i), Address: address, Zone: "room", Model: "std", Cell: i, Phase: "up", Size: 1})
 			peers = append(peers, fmt.Sprintf("127.0.0.1:%d", 20000+i))
 		}
 		config["known"] = map[string]any{"revision": 1, "complete": true, "members": members}
@@ -33,7 +33,7 @@
 	for i := range idleConnsInFleet {
 		bed.onLoop(func() { bed.module.Module = singleServerModule{honeyplank.ServerID(fmt.Sprint("s-", i))} })
 		id := fmt.Sprint("op-", i)
-		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(standin.Value(objectKey, id)) {
+		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(fakeresp.Value(objectKey, id)) {
 			t.Fatal(got)
 		}
 	}
@@ -112,9 +112,9 @@
 func TestIdleConnOrder(t *testing.T) {
 	bed := newFleetTestbed(t, idleConnsInFleet)
 	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
-	time.Sleep(2 * minConnRest)
+	time.Sleep(2 * reuseDelay)
 	id := "again"
-	if got := bed.dialClient().do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(standin.Value(objectKey, id)) {
+	if got := bed.dialClient().do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(fakeresp.Value(objectKey, id)) {
 		t.Fatal(got)
 	}
 	bed.onLoop(func() {
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	standin "honeyplank/fake/resp"
+	fakeresp "honeyplank/fake/resp"
 )
 
 // floodPayloads are what bad clients send.
@@ -18,11 +18,11 @@
 	text  string
 	reads bool
 }{
-	"PINGs, not read":    {strings.Repeat(string(encodeCommand("PING")), 1000), false},
-	"PINGs, read":        {strings.Repeat(string(encodeCommand("PING")), 1000), true},
-	"large PINGs":        {string(encodeCommand("PING", strings.Repeat("v", maxBody))), true},
-	"what can't be read": {strings.Repeat("v", maxBody), false},
-	"errors":             {strings.Repeat(string(encodeCommand("BLK.READ", "x", "y", "z")), 1000), true},
+	"PINGs, not read": {strings.Repeat(string(encodeCommand("PING")), 1000), false},
+	"PINGs, read":     {strings.Repeat(string(encodeCommand("PING")), 1000), true},
+	"large PINGs":     {string(encodeCommand("PING", strings.Repeat("v", maxBody))), true},
+	"malformed input": {strings.Repeat("v", maxBody), false},
+	"errors":          {strings.Repeat(string(encodeCommand("BLK.READ", "x", "y", "z")), 1000), true},
 }
 
 // floodConns is how many bad clients there are.
@@ -74,48 +74,47 @@
 		process.Process.Kill()
 		process.Wait()
 	})
-	bed.eventually("the flood", func() (ok bool) {
-		bed.onLoop(func() { ok = len(bed.scheduler.clients) > floodConns/4 || bed.scheduler.protocolErrors > floodConns })
-		return ok
+	bed.eventuallyOnLoop("the flood", func() bool {
+		return len(bed.scheduler.clients) > floodConns/4 || bed.scheduler.protocolErrors > floodConns
 	})
 }
 
-// TestFinalAnswers: whatever ails disk servers or other clients do, each request has one final answer, half a second after
-// its time at the latest.
+// TestFinalAnswers: whatever ails disk servers or other clients do, each request has one final answer, half a second
+// after its timeout at the latest.
 func TestFinalAnswers(t *testing.T) {
 	large := strings.Repeat("v", maxBody)
 	for name, x := range map[string]struct {
-		faults standin.Faults
+		faults fakeresp.Faults
 		gate   bool // connections to the disk servers come up, and nothing is read
 		flood  string
 		served bool
 	}{
-		"they hang":               {faults: standin.Faults{Silent: true}},
+		"they hang":               {faults: fakeresp.Faults{Silent: true}},
 		"they never read":         {gate: true},
-		"they break":              {faults: standin.Faults{Break: true}},
-		"half an answer":          {faults: standin.Faults{Half: true}},
-		"answers that don't end":  {faults: standin.Faults{Spoilt: "*3\r\n$65536\r\nx"}},
-		"answers can't be read":   {faults: standin.Faults{Spoilt: "x"}},
-		"they turn away":          {faults: standin.Faults{Busy: true}},
-		"they fail":               {faults: standin.Faults{Fail: true}},
+		"they break":              {faults: fakeresp.Faults{Break: true}},
+		"half an answer":          {faults: fakeresp.Faults{Half: true}},
+		"answers that don't end":  {faults: fakeresp.Faults{Spoilt: "*3\r\n$65536\r\nx"}},
+		"answers cannot be read":  {faults: fakeresp.Faults{Spoilt: "x"}},
+		"they turn away":          {faults: fakeresp.Faults{Busy: true}},
+		"they fail":               {faults: fakeresp.Faults{Fail: true}},
 		"PINGs, not read":         {served: true, flood: "PINGs, not read"},
 		"PINGs, read":             {served: true, flood: "PINGs, read"},
 		"large PINGs":             {served: true, flood: "large PINGs"},
-		"what can't be read":      {served: true, flood: "what can't be read"},
+		"malformed input":         {served: true, flood: "malformed input"},
 		"errors":                  {served: true, flood: "errors"},
-		"PINGs, and servers hang": {faults: standin.Faults{Silent: true}, flood: "PINGs, read"},
+		"PINGs, and servers hang": {faults: fakeresp.Faults{Silent: true}, flood: "PINGs, read"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 2)
-			for i, d := range bed.disks {
-				d.Apply(x.faults)
+			for i, disk := range bed.disks {
+				disk.Apply(x.faults)
 				if x.gate {
-					g, m := bed.gateServer(i, "up")
-					g.acceptConns()
-					bed.discovery.Change(m)
+					gate, member := bed.gateServer(i, "up")
+					gate.acceptConns()
+					bed.discovery.Change(member)
 					bed.eventually("the address", func() (ok bool) {
 						bed.onLoop(func() {
-							ok = bed.scheduler.servers["s-0"].address != "" && (i == 0 || bed.scheduler.servers["s-1"].address == g.address)
+							ok = bed.scheduler.servers["s-0"].address != "" && (i == 0 || bed.scheduler.servers["s-1"].address == gate.address)
 						})
 						return ok
 					})
@@ -140,7 +139,7 @@
 				if got == "closed" || took > time.Duration(ms)*time.Millisecond+500*time.Millisecond {
 					t.Errorf("%s: %.40q after %v", id, got, took)
 				}
-				if got == string(standin.Value(objectKey, id)) {
+				if got == string(fakeresp.Value(objectKey, id)) {
 					served++
 				}
 			}
--- /dev/null
+++ b/scheduler/list_test.go
@@ -0,0 +1,195 @@
+package scheduler
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"honeyplank"
+	fakeresp "honeyplank/fake/resp"
+)
+
+// TestReloadShrinks: a configuration with fewer descriptors closes idle connections, of clients and to disk servers,
+// and keeps those in use.
+func TestReloadShrinks(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	bed.disks[0].Apply(fakeresp.Faults{Delay: 100 * time.Millisecond})
+	var clients []*testClient
+	for i := range 40 {
+		c := bed.dialClient()
+		c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0))
+		clients = append(clients, c)
+	}
+	for _, c := range clients {
+		c.readReply(time.Second)
+	}
+	bed.disks[0].Apply(fakeresp.Faults{Delay: time.Second})
+	clients[7].send("BLK.READ", objectKey, "b", opOptions("read", 9000, 0))
+	bed.eventually("the command", func() bool { return len(bed.disks[0].Got()) == 41 })
+	bed.config["limits"].(map[string]any)["sockets"] = minSockets
+	bed.reload()
+	bed.eventually("the lower limit", func() (ok bool) {
+		bed.onLoop(func() {
+			ok = bed.scheduler.clientConnCount <= bed.scheduler.descriptorQuota(clientDescriptorShare) && bed.scheduler.serverConnCount <= bed.scheduler.descriptorQuota(serverDescriptorShare)
+		})
+		return ok
+	})
+	if got := clients[7].readReply(2 * time.Second); got != string(fakeresp.Value(objectKey, "b")) {
+		t.Errorf("%q", got)
+	}
+}
+
+// TestReadyWithoutDiscovery: a scheduler that starts while discovery is down is ready at once and serves by the cached
+// list; idle clients that take all descriptors meanwhile leave discovery, the disk servers and those who bring ops what
+// they need.
+func TestReadyWithoutDiscovery(t *testing.T) {
+	discovery := newScriptedDiscovery(t)
+	bed := newTestbed(t, 2, discovery.configure)
+	c := bed.dialClient()
+	begun := time.Now()
+	if got := c.do("PING"); got != "PONG" || time.Since(begun) > 500*time.Millisecond {
+		t.Errorf("%q after %v", got, time.Since(begun))
+	}
+	for range 400 {
+		if x, err := net.Dial("tcp", bed.scheduler.Address()); err == nil {
+			t.Cleanup(func() { x.Close() })
+		}
+	}
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+		t.Errorf("%q", got)
+	}
+	bed.onLoop(func() {
+		if bed.scheduler.clientConnCount+bed.scheduler.serverConnCount+reservedDescriptors > bed.scheduler.config.Sockets {
+			t.Errorf("%d and %d connections", bed.scheduler.clientConnCount, bed.scheduler.serverConnCount)
+		}
+	})
+	discovery.nextCall(t, time.Second) // was made before discovery came back, and is never answered
+	answer := discovery.nextCall(t, 3*time.Second)
+	answer.sendHeader()
+	answer.sendChunk(listJSON(7, false, false, bed.member(1, "removed")))
+	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
+}
+
+// TestLists: changes of the list are applied: a server drains, its successor comes under a new id and address, the old
+// one is removed and nothing is left of it. Messages that cannot be read end a watch, which is repeated.
+func TestLists(t *testing.T) {
+	bed := newTestbed(t, 2)
+	c := bed.dialClient()
+	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
+	c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0))
+	next := bed.member(1, "up") // the second server takes over the first one's cell
+	next.ID, next.Cell = "s-9", 0
+	bed.discovery.Change(bed.member(0, "draining"), next)
+	bed.discovery.Say(`{"revision":2,"members":[{"id":"","phase":"up"},{"id":"x","phase":"odd","host_port":"127.0.0.1:1"},{"id":"y","phase":"up","host_port":"nowhere"}]}`)
+	bed.discovery.Say("no list")
+	bed.eventually("another watch", func() bool { return bed.discovery.Watches() >= 2 })
+	removed := bed.member(0, "removed")
+	removed.Address = ""
+	bed.discovery.Change(removed)
+	bed.eventually("the end of the old server", func() bool {
+		n := 0
+		bed.onLoop(func() {
+			n = len(bed.scheduler.servers)
+			if bed.scheduler.servers["s-0"] != nil {
+				n = -1
+			}
+		})
+		return n == 2
+	})
+	bed.eventually("the op at the new server", func() bool {
+		c.do("BLK.READ", objectKey, fmt.Sprint("b", time.Now().UnixNano()), opOptions("read", 390, 0))
+		return len(bed.disks[1].Got()) > 0
+	})
+	if now, _ := bed.disks[0].Connections(); now != 0 {
+		t.Errorf("%d connections to a server that is removed", now)
+	}
+}
+
+// TestListsOnRequest: where lists come only on request, the module's own watch brings them, and it is notified that its
+// watch is established, or has failed.
+func TestListsOnRequest(t *testing.T) {
+	bed := newTestbed(t, 2, func(m map[string]any) {
+		site := m["settings"].(map[string]any)
+		site["membership_mode"] = "subscribe"
+		site["rules"].(map[string]any)["ask_within_ms"] = 2000
+	})
+	received := make(chan honeyplank.List, 64)
+	bed.onLoop(func() {
+		bed.module.onEvent = func(e honeyplank.Event) {
+			if l, ok := e.(honeyplank.List); ok {
+				received <- l
+			}
+		}
+	})
+	bed.eventually("a watch", func() bool { return bed.discovery.Watches() == 1 })
+	bed.discovery.Change(bed.member(1, "removed"))
+	for l := range received {
+		if l.Kind == honeyplank.Delta && len(l.Members) == 1 {
+			break
+		}
+	}
+	bed.discovery.Stop()
+	for l := range received {
+		if l.Kind == honeyplank.WatchFailed {
+			break
+		}
+	}
+}
+
+// TestReload: discovery moves to another address, and its lists there are applied; a file that cannot be used changes
+// nothing.
+func TestReload(t *testing.T) {
+	bed := newTestbed(t, 2)
+	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
+	other, err := fakeresp.NewDiscovery(bed.member(0, "up"), bed.member(1, "up"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Stop()
+	bed.config["discovery"] = other.Address()
+	bed.writeConfig()
+	config, err := ReadConfig(bed.configFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	bed.scheduler.Reload(config)
+	bed.eventually("the watch there", func() bool { return other.Watches() == 1 })
+	bed.discovery.Stop()
+	other.Change(bed.member(1, "removed"))
+	bed.eventually("the change", func() bool { n := 0; bed.onLoop(func() { n = len(bed.scheduler.servers) }); return n == 1 })
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+		t.Error(got)
+	}
+}
+
+// TestConsecutiveReloads: of several new configurations within a moment the last one counts: there is one watch, at its
+// discovery, no message of the others is applied, and none of their watches is left.
+func TestConsecutiveReloads(t *testing.T) {
+	bed := newTestbed(t, 2)
+	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
+	first, last := newScriptedDiscovery(t), newScriptedDiscovery(t)
+	for i := range 9 {
+		if bed.config["discovery"] = first.address; i%2 == 0 {
+			bed.config["discovery"] = last.address
+		}
+		bed.reload()
+	}
+	answer := func(discovery *scriptedDiscovery, text string) {
+		for call := range discovery.calls { // some are given up before they are made
+			call.sendHeader()
+			call.sendChunk(text)
+		}
+	}
+	go answer(first, listJSON(9, false, false, bed.member(0, "removed")))
+	go answer(last, listJSON(7, false, false, bed.member(1, "removed")))
+	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
+	time.Sleep(50 * time.Millisecond)
+	if !bed.hasServer("s-0") {
+		t.Error("a watch that has ended is received")
+	}
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+		t.Error(got)
+	}
+}
--- /dev/null
+++ b/scheduler/message_reader_test.go
@@ -0,0 +1,106 @@
+package scheduler
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestMessageReader: messages come out whole, however they come in; anything else is an error.
+func TestMessageReader(t *testing.T) {
+	first, second := listJSON(41, true, true), `{"revision":42,"members":[{"id":"a}]\"{\\"}]}`
+	text := "\n\n" + first + "\r\n" + second + second + "\n"
+	for size := 1; size <= len(text); size++ {
+		var r messageReader
+		var got []string
+		for rest := text; rest != ""; {
+			n := min(size, len(rest))
+			list, err := r.feed(0, []byte(rest[:n]))
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, m := range list {
+				got = append(got, string(m))
+			}
+			rest = rest[n:]
+		}
+		if want := []string{strings.TrimSpace(first), second, second}; fmt.Sprint(got) != fmt.Sprint(want) || r.depth != 0 {
+			t.Fatalf("in pieces of %d: %q", size, got)
+		}
+	}
+	for text, want := range map[string]error{"no list": errNotJSON, "{}]": errNotJSON, "[]": errNotJSON,
+		`{"` + strings.Repeat("x", maxMessageBytes): errMessageTooLong} {
+		t.Run(fmt.Sprintf("%.10s", text), func(t *testing.T) {
+			var r messageReader
+			if _, err := r.feed(0, []byte(text)); !errors.Is(err, want) {
+				t.Errorf("%v, expected %v", err, want)
+			}
+		})
+	}
+}
+
+// TestMessageReaderDeadline: what puts the deadline of a watch off, and what does not.
+func TestMessageReaderDeadline(t *testing.T) {
+	const s = time.Second
+	for name, x := range map[string]struct {
+		pieces []string // one a second, the first at 1 s
+		want   time.Duration
+	}{
+		"nothing":              {nil, watchSilence},
+		"empty lines":          {[]string{"\n", "\n", "\n"}, 3*s + watchSilence},
+		"messages":             {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + watchSilence},
+		"half a message":       {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + watchSilence},
+		"lines inside one":     {[]string{"\n", "{\n", "\n", "\n"}, 2*s + watchSilence},
+		"a message in pieces":  {[]string{`{"a`, `":1}`}, 2*s + watchSilence},
+		"another half at once": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + watchSilence},
+		"no bytes":             {[]string{"\n", "", ""}, s + watchSilence},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var r messageReader
+			r.callStarted(0, headTimeout)
+			if r.deadline != headTimeout {
+				t.Errorf("%v for the head of a response", r.deadline)
+			}
+			r.headReceived(0)
+			for i, piece := range x.pieces {
+				r.feed(time.Duration(i+1)*s, []byte(piece))
+			}
+			if r.deadline != x.want {
+				t.Errorf("until %v, expected %v", r.deadline, x.want)
+			}
+		})
+	}
+	// One silence, one call that hangs and one more that is answered fit into notifiedWithin.
+	if watchSilence+watchRetryDelay+headTimeout+watchRetryDelay > 5*time.Second {
+		t.Error("a change is received too late after a silence")
+	}
+	// So do, where the module says when, a call that hangs, the longest it waits then, and the next call's turn.
+	text := "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":64,\"sockets\":256},\"settings\":" +
+		strings.Replace(testSettings, `"rules":{`, `"rules":{"ask_within_ms":60000,`, 1) + "}"
+	config, err := parseConfig("f", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if within := config.Site.Settings.Watch.Within; sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
+		t.Errorf("lists are asked for within %v", within)
+	}
+}
+
+// TestRevisionGuard: an older list is rejected, unless nothing newer comes for long.
+func TestRevisionGuard(t *testing.T) {
+	guard := revisionGuard{revision: 40}
+	for i, x := range []struct {
+		at       time.Duration
+		revision int64
+		want     bool
+	}{
+		{1, 40, true}, {2, 42, true}, {3, 41, false}, {3 + oldListTimeout - 1, 41, false}, {4 + oldListTimeout, 43, true},
+		{5 + oldListTimeout, 7, false}, {6 + 2*oldListTimeout, 8, true}, {7 + 2*oldListTimeout, 9, true},
+	} {
+		if got := guard.accept(x.at, &listMessage{Revision: x.revision}); got != x.want {
+			t.Errorf("%d: revision %d is accepted: %v", i, x.revision, got)
+		}
+	}
+}
--- a/scheduler/classes_test.go
+++ b/scheduler/op_types_test.go
@@ -1,13 +1,11 @@
 package scheduler
 
 import (
-	"fmt"
-	"strings"
 	"testing"
 	"time"
 
 	"honeyplank"
-	standin "honeyplank/fake/resp"
+	fakeresp "honeyplank/fake/resp"
 )
 
 const largeFleet = 300
@@ -18,26 +16,11 @@
 	conf["limits"] = map[string]any{"cores": 0.1, "memory_mb": 48, "sockets": 128}
 }
 
-// countServed sends commands of a class one after another and counts those that are served.
-func (c *testClient) countServed(class, name string, n, ms int) (served int) {
-	for i := range n {
-		args := []string{"BLK.READ", objectKey, fmt.Sprint(name, i), opOptions(class, ms, 0)}
-		if class == "write" {
-			args = append(args, "body")
-			args[0] = "BLK.WRITE"
-		}
-		if got := c.do(args...); got != "closed" && !strings.HasPrefix(got, "-") {
-			served++
-		}
-	}
-	return served
-}
-
-// TestUnusualTimeout: a client that waits for far longer than others changes nothing for them, and holds nothing for
-// longer than the settings let a client wait.
+// TestUnusualTimeout: a client that names a far longer timeout than others changes nothing for them, and holds nothing
+// for longer than the settings allow.
 func TestUnusualTimeout(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
-	bed.disks[0].Apply(standin.Faults{Delay: 60 * time.Millisecond})
+	bed.disks[0].Apply(fakeresp.Faults{Delay: 60 * time.Millisecond})
 	c := bed.dialClient()
 	c.countServed("read", "before", 8, 400)
 	longest := make(chan time.Duration, 1)
@@ -57,14 +40,14 @@
 	}
 }
 
-// TestOneClassSlow: a class whose answers come late does not keep another from being served.
-func TestOneClassSlow(t *testing.T) {
+// TestSlowOpType: a class whose answers come late does not keep another from being served.
+func TestSlowOpType(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
 	slow, quick := bed.dialClient(), bed.dialClient()
 	if served := quick.countServed("read", "before", 5, 400); served < 5 {
 		t.Fatalf("%d of 5 ops served before", served)
 	}
-	bed.disks[0].Apply(standin.Faults{Delay: 550 * time.Millisecond, Class: "write"})
+	bed.disks[0].Apply(fakeresp.Faults{Delay: 550 * time.Millisecond, Class: "write"})
 	slow.countServed("write", "slow", 6, 600)
 	if served := quick.countServed("read", "after", 20, 400); served < 18 {
 		t.Errorf("%d of 20 ops of the other class served", served)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	// minConnRest is how long a connection is idle before it carries the next op: what comes in the meantime is no answer to
+	// reuseDelay is how long a connection has been idle before it carries the next op: what comes in the meantime is no answer to
 	// that. It guards against disk servers that answer a second time some milliseconds late (1.2 to 3.9 were met), and
 	// costs connections.
-	minConnRest = 8 * time.Millisecond
+	reuseDelay = 8 * time.Millisecond
 	// A dial that could not begin is repeated after minRedialDelay, then after twice the delay before, up to maxRedialDelay,
 	// which maxRedialShift doublings give.
 	minRedialDelay = 10 * time.Millisecond
@@ -74,7 +74,7 @@
 func (ds *diskServer) takeIdleConn() *serverConn {
 	for len(ds.idle) > 0 {
 		sc := ds.idle[0]
-		if ds.scheduler.loop.Now()-sc.idleSince < minConnRest {
+		if ds.scheduler.loop.Now()-sc.idleSince < reuseDelay {
 			return nil
 		}
 		ds.idle = ds.idle[1:]
@@ -121,7 +121,7 @@
 		return
 	}
 	if len(ds.idle) > 0 {
-		at = ds.idle[0].idleSince + minConnRest
+		at = ds.idle[0].idleSince + reuseDelay
 	}
 	ds.wakeScheduled = true
 	ds.scheduler.loop.Schedule(at, ds.wakeWaiters)
--- /dev/null
+++ b/scheduler/pool_test.go
@@ -0,0 +1,179 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"honeyplank"
+	fakeresp "honeyplank/fake/resp"
+	"honeyplank/resp"
+)
+
+// TestWaitersOfOneDial: where no descriptor is left several attempts wait for one connection; if that does not come up,
+// all of them fail then, not at their op timeouts.
+func TestWaitersOfOneDial(t *testing.T) {
+	bed, _ := newGatedTestbed(t, 300*time.Millisecond, time.Second)
+	bed.onLoop(func() { bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 })
+	var clients []*testClient
+	begun := time.Now()
+	for i := range 3 {
+		c := bed.dialClient()
+		c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0))
+		clients = append(clients, c)
+	}
+	for i, c := range clients {
+		if got := c.readReply(3 * time.Second); got != "-ERR failed" || time.Since(begun) > time.Second {
+			t.Errorf("op %d: %q after %v", i, got, time.Since(begun))
+		}
+	}
+}
+
+// TestWaiterTakesIdleConn: an op that waits for a connection which does not come up takes one that becomes idle
+// meanwhile.
+func TestWaiterTakesIdleConn(t *testing.T) {
+	bed := newTestbed(t, 1, withSlowConnect)
+	gate := newConnGate(t, bed.disks[0].Address())
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	bed.disks[0].Apply(fakeresp.Faults{Delay: 100 * time.Millisecond})
+	one, other := bed.dialClient(), bed.dialClient()
+	one.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
+	bed.eventually("the command", func() bool { return len(bed.disks[0].Got()) == 1 })
+	bed.onLoop(func() { bed.scheduler.servers["s-0"].address = gate.address })
+	other.send("BLK.READ", objectKey, "b", opOptions("read", 9000, 0))
+	bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
+	for id, c := range map[string]*testClient{"a": one, "b": other} {
+		if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, id)) {
+			t.Errorf("%s: %q", id, got)
+		}
+	}
+}
+
+// TestConnRestsWithoutDescriptors: also where no descriptor is left for another connection, one that has just brought
+// an answer is idle for a moment before it carries the next op: a second answer, a moment late, must not be taken for
+// that op's.
+func TestConnRestsWithoutDescriptors(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
+	bed.disks[0].Apply(fakeresp.Faults{Late: second})
+	c := bed.dialClient()
+	bed.onLoop(func() { bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 })
+	for i := range 30 {
+		id := fmt.Sprint("a", i)
+		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+			t.Fatalf("op %d: %q", i, got)
+		}
+	}
+	bed.disks[0].Apply(fakeresp.Faults{})
+	for i := range 30 {
+		id := fmt.Sprint("b", i)
+		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+			t.Fatalf("op %d: %q", i, got)
+		}
+	}
+	if _, ever := bed.disks[0].Connections(); ever > 32 {
+		t.Errorf("%d connections", ever)
+	}
+}
+
+// TestIdleClosed: a connection that the server has closed while it was idle is not written to.
+func TestIdleClosed(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c := bed.dialClient()
+	for i := range 5 {
+		id := fmt.Sprintf("a%d", i)
+		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+			t.Fatalf("op %d: %q", i, got)
+		}
+		bed.disks[0].CutIdle()
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// TestOwnConnections: ops in flight together have a connection each, so that a short one does not wait for a long one's
+// answer; where descriptors are short they share, and all are still answered.
+func TestOwnConnections(t *testing.T) {
+	for sockets, most := range map[int]int{256: 24, minSockets: 9} {
+		t.Run(fmt.Sprint(sockets, " descriptors"), func(t *testing.T) {
+			bed := newTestbed(t, 1, func(m map[string]any) { m["limits"].(map[string]any)["sockets"] = sockets })
+			bed.disks[0].Apply(fakeresp.Faults{Delay: 20 * time.Millisecond})
+			c := bed.dialClient()
+			for i := range 24 {
+				c.send("BLK.READ", objectKey, fmt.Sprint(sockets, "-", i), opOptions("read", 390, 0))
+			}
+			for i := range 24 {
+				if got, ok := c.readValue(time.Second); !ok {
+					t.Fatalf("no answer to %d: %v", i, got)
+				}
+			}
+			if _, ever := bed.disks[0].Connections(); ever < 2 || ever > most {
+				t.Errorf("%d connections", ever)
+			}
+			bed.onLoop(func() {
+				if bed.scheduler.serverConnCount > bed.scheduler.descriptorQuota(serverDescriptorShare) {
+					t.Errorf("%d connections of %d", bed.scheduler.serverConnCount, bed.scheduler.descriptorQuota(serverDescriptorShare))
+				}
+			})
+		})
+	}
+}
+
+// TestIdleReset: after a quiet time, whatever disk servers have done with the idle connections, in that very round of
+// the loop too, the next write is served, or reported as one that may have run, and never reaches a server twice.
+func TestIdleReset(t *testing.T) {
+	for name, x := range map[string]struct {
+		idle   func(*fakeresp.Disk)
+		fails  bool
+		before bool // the loop has heard of it
+	}{
+		"closed":                   {idle: (*fakeresp.Disk).CutIdle, before: true},
+		"closed in the same round": {idle: (*fakeresp.Disk).CutIdle},
+		"reset":                    {idle: (*fakeresp.Disk).ResetIdle, before: true},
+		"reset in the same round":  {idle: (*fakeresp.Disk).ResetIdle},
+		"forgotten":                {idle: func(disk *fakeresp.Disk) { disk.Apply(fakeresp.Faults{Break: true}) }, fails: true}, // a reset is all that comes back
+	} {
+		t.Run(name, func(t *testing.T) {
+			bed := newTestbed(t, 1)
+			codes := bed.recordOutcomes()
+			bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+			c := bed.dialClient()
+			c.do("BLK.WRITE", objectKey, "first", opOptions("write", 9000, 0), "x")
+			time.Sleep(2 * reuseDelay)
+			act := func() {
+				x.idle(bed.disks[0])
+				for deadline := time.Now().Add(2 * time.Second); !x.fails && time.Now().Before(deadline); {
+					if now, _ := bed.disks[0].Connections(); now == 0 {
+						break
+					}
+					time.Sleep(time.Millisecond)
+				}
+			}
+			if x.before {
+				act()
+				bed.eventuallyOnLoop("the end", func() bool { return len(bed.scheduler.servers["s-0"].conns) == 0 })
+				c.send("BLK.WRITE", objectKey, "second", opOptions("write", 9000, 0), "x")
+			} else {
+				bed.onLoop(func() {
+					c.send("BLK.WRITE", objectKey, "second", opOptions("write", 9000, 0), "x")
+					act()
+				})
+			}
+			want := string(fakeresp.Value(objectKey, "second"))
+			if x.fails {
+				want = "-ERR failed"
+			}
+			if got := c.readReply(3 * time.Second); got != want {
+				t.Errorf("%q, expected %q", got, want)
+			}
+			if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[first second]" {
+				t.Errorf("%v have reached the disk server", ids)
+			}
+			bed.onLoop(func() {
+				if x.fails && (*codes)[len(*codes)-1] != honeyplank.Reset {
+					t.Errorf("outcomes %v", *codes)
+				}
+			})
+		})
+	}
+}
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -14,12 +14,20 @@
 
 const (
 	maxReplyLine = 4096     // bytes of a line: an error, or the head of a value
+	maxItems     = 8        // of an array: data, figures on quota, load report, and some that are not known yet
+	maxDepth     = 3        // of arrays in arrays
 	maxValue     = 64 << 10 // bytes of the longest value of the protocol
 	maxFigure    = 1e12     // of a load report; a larger one makes no sense
 	maxQuotaUsed = 1e9
 )
 
-var replyBounds = resp.Bounds{Line: maxReplyLine, Bulk: maxValue, Items: 8, Depth: 3, Total: maxValue + 2*maxReplyLine}
+var replyBounds = resp.Bounds{
+	Line:  maxReplyLine,
+	Bulk:  maxValue,
+	Items: maxItems,
+	Depth: maxDepth,
+	Total: maxValue + 2*maxReplyLine,
+}
 
 var errMalformedReply = errors.New("it is no answer to what was asked")
 
--- /dev/null
+++ b/scheduler/replies_test.go
@@ -0,0 +1,173 @@
+package scheduler
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"honeyplank"
+	fakeresp "honeyplank/fake/resp"
+	"honeyplank/resp"
+)
+
+// TestHalfAnswer: an answer that is cut counts as none, and the op may have run; the next op goes on another
+// connection.
+func TestHalfAnswer(t *testing.T) {
+	bed := newTestbed(t, 1)
+	codes := bed.recordOutcomes()
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	bed.disks[0].Apply(fakeresp.Faults{Half: true})
+	c := bed.dialClient()
+	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != "-ERR failed" {
+		t.Errorf("%q", got)
+	}
+	bed.disks[0].Apply(fakeresp.Faults{})
+	if got := c.do("BLK.READ", objectKey, "b", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "b")) {
+		t.Errorf("%q", got)
+	}
+	bed.onLoop(func() {
+		if fmt.Sprint(*codes) != fmt.Sprint([]honeyplank.Code{honeyplank.Reset, honeyplank.Succeeded}) {
+			t.Errorf("outcomes %v", *codes)
+		}
+	})
+}
+
+// TestMalformedReplies: an answer that cannot be read, or is no value, is an error for its client; no client ever gets
+// what was not made for its request, and the connection is used no more.
+func TestMalformedReplies(t *testing.T) {
+	for name, f := range map[string]fakeresp.Faults{
+		"noise":        {Spoilt: "\x00\xff\x13noise\r\n\r\n"},
+		"endless line": {Spoilt: "+" + strings.Repeat("x", 100000)},
+		"length":       {Spoilt: "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n"},
+		"huge":         {Spoilt: "*3\r\n$3000000000\r\n" + strings.Repeat("x", 1<<20)},
+		"negative":     {Spoilt: "*3\r\n$-7\r\n"},
+		"null":         {Spoilt: "*3\r\n$-1\r\n$-1\r\n$-1\r\n"},
+		"empty":        {Spoilt: "*0\r\n"},
+		"number":       {Spoilt: ":1\r\n"},
+		"line":         {Spoilt: "+OK\r\n"},
+		"deep":         {Spoilt: strings.Repeat("*1\r\n", 20)},
+		"1xx":          {Spoilt: "HTTP/1.1 100 Continue\r\n\r\n"},
+		"break":        {Break: true},
+		"failed":       {Fail: true},
+		"busy":         {Busy: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			bed := newTestbed(t, 1)
+			bed.disks[0].Apply(f)
+			c := bed.dialClient()
+			begun := time.Now()
+			if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); !strings.HasPrefix(got, "-") {
+				t.Errorf("%q", got)
+			}
+			if took := time.Since(begun); took > 300*time.Millisecond {
+				t.Errorf("answered after %v", took)
+			}
+			bed.disks[0].Apply(fakeresp.Faults{})
+			good := 0
+			for i := range 20 {
+				id := fmt.Sprintf("b%d", i)
+				if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got == string(fakeresp.Value(objectKey, id)) {
+					good++
+				} else if !strings.HasPrefix(got, "-") {
+					t.Errorf("%q", got)
+				}
+				time.Sleep(10 * time.Millisecond)
+			}
+			if good < 15 {
+				t.Errorf("%d of 20 are served once the server is sound", good)
+			}
+		})
+	}
+}
+
+// TestExtraReplyData: what comes behind a good answer, at once or a moment later, reaches no client.
+func TestExtraReplyData(t *testing.T) {
+	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
+	for name, f := range map[string]fakeresp.Faults{
+		"copy": {Behind: second}, "noise": {Behind: "\x01\x02"}, "late copy": {Late: second}, "late noise": {Late: "noise\r\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			bed := newTestbed(t, 1)
+			bed.disks[0].Apply(f)
+			c := bed.dialClient()
+			for i := range 30 {
+				id := fmt.Sprintf("a%d", i)
+				if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+					t.Fatalf("op %d: %q", i, got)
+				}
+			}
+		})
+	}
+}
+
+// TestLoadReports: a load report gets the module's names, and one that cannot be read counts as none.
+func TestLoadReports(t *testing.T) {
+	fields := []string{"util", "latency_ms"}
+	if got := parseLoadReport("util=0.61,latency_ms=12.5", fields); len(got) != 2 || got["util"] != 0.61 || got["latency"] != 12.5 {
+		t.Error(got)
+	}
+	for _, text := range []string{"", "util=0.61", "util=x,latency_ms=1", "util=NaN,latency_ms=1", "util=-1,latency_ms=1", "\xff=,=,,="} {
+		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
+			if got := parseLoadReport(text, fields); got != nil {
+				t.Error(got)
+			}
+		})
+	}
+	bed := newTestbed(t, 1)
+	bed.disks[0].Apply(fakeresp.Faults{Report: "\x00=\xff,util", Use: "used=x,,"})
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+		t.Error(got)
+	}
+}
+
+// TestSilentServer: where a server does not answer, the client has its answer in time, and the connection closes, which
+// lets the server drop the command.
+func TestSilentServer(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	c := bed.dialClient()
+	begun := time.Now()
+	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 200, 0)); !strings.HasPrefix(got, "-") {
+		t.Error(got)
+	}
+	if took := time.Since(begun); took > 255*time.Millisecond {
+		t.Errorf("answered after %v", took)
+	}
+	bed.eventually("the end of the connection", func() bool { n, _ := bed.disks[0].Connections(); return n == 0 })
+}
+
+// TestRefusingServer: a server that refuses connections is answered for at once, not at the op timeout.
+func TestRefusingServer(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.disks[0].Stop()
+	time.Sleep(20 * time.Millisecond)
+	begun := time.Now()
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); !strings.HasPrefix(got, "-") || time.Since(begun) > 250*time.Millisecond {
+		t.Errorf("%q after %v", got, time.Since(begun))
+	}
+}
+
+// TestProbe: a probe brings the load report, and that of a server that refuses connections fails to connect.
+func TestProbe(t *testing.T) {
+	bed := newTestbed(t, 1)
+	results := make(chan honeyplank.ProbeResult, 1)
+	bed.onLoop(func() {
+		bed.module.onEvent = func(e honeyplank.Event) {
+			if p, ok := e.(honeyplank.ProbeResult); ok {
+				results <- p
+			}
+		}
+	})
+	bed.disks[0].Apply(fakeresp.Faults{Report: "util=0.5,latency_ms=3"})
+	bed.onLoop(func() { bed.scheduler.execute(honeyplank.Probe{Server: "s-0"}) })
+	if p := <-results; p.Code != honeyplank.Succeeded || p.Load["latency"] != 3 {
+		t.Errorf("%+v", p)
+	}
+	bed.disks[0].Stop()
+	time.Sleep(20 * time.Millisecond)
+	bed.onLoop(func() { bed.scheduler.execute(honeyplank.Probe{Server: "s-0"}) })
+	if p := <-results; p.Code != honeyplank.ConnectFailed {
+		t.Errorf("%+v", p)
+	}
+}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -171,6 +171,7 @@
 		}
 		s.housekeep()
 	})
+	defer s.setWatch(false) // the loop has ended, and with it what else may use the watch
 	return s.loop.Run()
 }
 
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -3,36 +3,17 @@
 import (
 	"bytes"
 	"fmt"
-	"sync"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
-	"golang.org/x/sys/unix"
 
 	"honeyplank"
-	standin "honeyplank/fake/resp"
+	fakeresp "honeyplank/fake/resp"
 )
 
-// takeAllDescriptors takes all descriptors of the process; the function that it returns gives them back.
-func takeAllDescriptors() (back func()) {
-	var taken []int
-	for {
-		x, err := unix.Dup(2)
-		if err != nil {
-			break
-		}
-		taken = append(taken, x)
-	}
-	return sync.OnceFunc(func() {
-		for _, x := range taken {
-			unix.Close(x)
-		}
-	})
-}
-
-// TestNoDial: where this machine can't even begin a connection, requests are served once it can, or have their answer in
-// time; no server is blamed, the log says it once, and the tries are few.
+// TestNoDial: where this machine cannot even begin a connection, requests are served once it can, or have their answer
+// in time; no server is blamed, the log has one line, and the attempts are few.
 func TestNoDial(t *testing.T) {
 	for name, x := range map[string]struct {
 		short time.Duration // how long there is no descriptor
@@ -60,11 +41,11 @@
 					bed.scheduler.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
 				}
 			})
-			var callers []*testClient
+			var clients []*testClient
 			for range 5 {
 				c := bed.dialClient()
 				c.do("PING")
-				callers = append(callers, c)
+				clients = append(clients, c)
 			}
 			if x.way {
 				bed.onLoop(func() {
@@ -73,13 +54,13 @@
 					bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+x.short, back)
 				})
 			}
-			for i, c := range callers {
+			for i, c := range clients {
 				c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 390, 0))
 			}
-			for i, c := range callers {
+			for i, c := range clients {
 				want := x.want
 				if want == "" {
-					want = string(standin.Value(objectKey, fmt.Sprint("a", i)))
+					want = string(fakeresp.Value(objectKey, fmt.Sprint("a", i)))
 				}
 				if got := c.readReply(time.Second); got != want && (x.want == "" || got != "-ERR failed") {
 					t.Errorf("%q, expected %q", got, want)
@@ -99,8 +80,8 @@
 	}
 }
 
-// TestListensLate: a scheduler that lacks a descriptor at its start listens once there is one.
-func TestListensLate(t *testing.T) {
+// TestListenRetry: a scheduler that lacks a descriptor at its start listens once there is one.
+func TestListenRetry(t *testing.T) {
 	bed := newTestbed(t, 1)
 	config, err := ReadConfig(bed.configFile)
 	if err != nil {
@@ -123,7 +104,7 @@
 	bed := newTestbed(t, 1, withSlowConnect, func(config map[string]any) {
 		config["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = 1
 	})
-	bed.disks[0].Apply(standin.Faults{Silent: true})
+	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
 	results := make(chan honeyplank.ProbeResult, 1)
 	bed.onLoop(func() {
@@ -135,10 +116,7 @@
 		}
 	})
 	bed.dialClient().send("BLK.READ", objectKey, "first", opOptions("read", 9000, 0))
-	bed.eventually("the op", func() (ok bool) {
-		bed.onLoop(func() { ok = bed.scheduler.tracker.Unanswered() == 1 })
-		return ok
-	})
+	bed.eventuallyOnLoop("the op", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
 	bed.onLoop(func() {
 		s := bed.scheduler
 		s.tracker.Deliver(honeyplank.Timer{}) // the op opens a connection, and holds it once it is up
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -3,24 +3,16 @@
 import (
 	"fmt"
 	"io"
+	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
-	standin "honeyplank/fake/resp"
+	fakeresp "honeyplank/fake/resp"
 	"honeyplank/resp"
 )
 
-// withOpTimeout gives every class a time.
-func withOpTimeout(longest time.Duration) func(map[string]any) {
-	return func(m map[string]any) {
-		for _, c := range m["settings"].(map[string]any)["classes"].([]any) {
-			class := c.(map[string]any)
-			class["give_up_ms"], class["target_ms"] = float64(longest.Milliseconds()), float64(longest.Milliseconds())/2
-		}
-	}
-}
-
 // clientTraffic is what has crossed the socket of one client, as its scheduler saw it. It is touched on the loop.
 type clientTraffic struct {
 	reader   resp.Reader
@@ -52,31 +44,9 @@
 	}
 }
 
-// countReplies counts the whole answers until the connection ends, and tells how it does.
-func (c *testClient) countReplies() (n int, err error) {
-	c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	for b := make([]byte, 4096); err == nil; {
-		var got int
-		got, err = c.Read(b)
-		c.buffered = append(c.buffered, b[:got]...)
-		for {
-			used, _, whole, wrong := c.reader.Next(c.buffered)
-			c.buffered = c.buffered[used:]
-			if wrong != nil {
-				return n, wrong
-			}
-			if !whole {
-				break
-			}
-			n++
-		}
-	}
-	return n, err
-}
-
-// TestShutdownHeldUp: whatever the longest time of an op, while clients send on and a disk server hangs, each request that
-// was read has one whole answer some time before the kill, also where the scheduler is held up at a step of its end; what
-// was not read gets an end in order.
+// TestShutdownHeldUp: whatever the longest op timeout, while clients send on and a disk server hangs, each request that
+// was read has one whole reply some time before the kill, also where the scheduler is held up at a step of its
+// shutdown; what was not read gets a regular end of the connection.
 func TestShutdownHeldUp(t *testing.T) {
 	for _, longest := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []string{"none", "ops", "answers", "leave"} {
@@ -99,7 +69,7 @@
 					}
 					look()
 				})
-				bed.disks[0].Apply(standin.Faults{Silent: true})
+				bed.disks[0].Apply(fakeresp.Faults{Silent: true})
 				ms := int(longest.Milliseconds())
 				var ended sync.WaitGroup
 				var mu sync.Mutex
@@ -127,8 +97,8 @@
 						}
 					}()
 				}
-				first, second, half, rests := bed.dialClient(), bed.dialClient(), bed.dialClient(), bed.dialClient()
-				bed.eventually("the clients", func() (ok bool) { bed.onLoop(func() { ok = len(all) == 4 }); return ok })
+				first, second, half, idle := bed.dialClient(), bed.dialClient(), bed.dialClient(), bed.dialClient()
+				bed.eventuallyOnLoop("the clients", func() bool { return len(all) == 4 })
 				flood(first, time.Millisecond)
 				flood(second, 5*time.Millisecond)
 				half.Write([]byte("*4\r\n$8\r\nBLK.RE"))
@@ -138,8 +108,8 @@
 					}
 					half.Close()
 				})
-				follow(rests)
-				told := time.Now()
+				follow(idle)
+				notified := time.Now()
 				bed.scheduler.Shutdown()
 				var plan shutdownPlan
 				bed.onLoop(func() {
@@ -149,7 +119,7 @@
 						bed.scheduler.loop.Schedule(at-1, func() { time.Sleep(maxHoldUp); late -= maxHoldUp })
 					}
 				})
-				for time.Since(told) < 390*time.Millisecond {
+				for time.Since(notified) < 390*time.Millisecond {
 					n, shut := 0, true
 					bed.onLoop(func() { n, shut = len(all), bed.scheduler.intakeClosed })
 					if shut { // the machine is too busy
@@ -185,13 +155,124 @@
 	}
 }
 
-// TestLastTimes: each step of the end has more time than a hold-up, and so has SIGTERM on its way to the loop.
-func TestLastTimes(t *testing.T) {
-	const told = time.Minute
+// TestShutdownPlan: each step of the shutdown has more time than a hold-up, and so has SIGTERM on its way to the loop.
+func TestShutdownPlan(t *testing.T) {
+	const notified = time.Minute
 	for longest := 50 * time.Millisecond; longest <= 4*time.Second; longest += 10 * time.Millisecond {
-		x := planShutdown(told, longest)
-		if x.killTime != told+min(longest, maxKillWait)+killGrace || x.closeIntake < told+minIntakeTime || x.failRemaining < x.closeIntake || x.killTime-x.failRemaining < 2*maxHoldUp+flushMargin {
-			t.Fatalf("%v: no more ops after %v, the last answers after %v, the kill after %v", longest, x.closeIntake-told, x.failRemaining-told, x.killTime-told)
+		x := planShutdown(notified, longest)
+		if x.killTime != notified+min(longest, maxKillWait)+killGrace || x.closeIntake < notified+minIntakeTime || x.failRemaining < x.closeIntake || x.killTime-x.failRemaining < 2*maxHoldUp+flushMargin {
+			t.Fatalf("%v: no more ops after %v, the last answers after %v, the kill after %v", longest, x.closeIntake-notified, x.failRemaining-notified, x.killTime-notified)
+		}
+	}
+}
+
+// TestFailRemaining: with a server that hangs, ops without an answer fail in time, and the connection ends regularly
+// although its client goes on sending.
+func TestFailRemaining(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.onLoop(func() { bed.module.Module = singleServerModule{"s-0"} })
+	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	c, idle := bed.dialClient(), bed.dialClient()
+	idle.do("PING")
+	bed.scheduler.Shutdown()
+	bed.scheduler.Shutdown() // a second time changes nothing
+	c.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
+	bed.eventuallyOnLoop("the last part", func() bool { return bed.scheduler.intakeClosed })
+	for i := range 3 * maxPending { // more than is read at a time, none of which is taken any more
+		c.send("BLK.READ", objectKey, fmt.Sprint("b", i), opOptions("read", 9000, 0))
+	}
+	var last int64 // bytes read before the end of the loop
+	bed.onLoop(func() {
+		var look func()
+		look = func() {
+			atomic.StoreInt64(&last, bed.scheduler.loop.Stats.BytesIn.Load())
+			bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+time.Millisecond, look)
+		}
+		look()
+	})
+	before := atomic.LoadInt64(&last)
+	// The client reads only after the process has ended over what it sent on.
+	select {
+	case err := <-bed.served:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(2 * time.Second):
+		t.Error("it does not end")
+	}
+	if got := c.readReply(time.Second); got != "-ERR failed" {
+		t.Errorf("%q", got)
+	}
+	for _, client := range []*testClient{c, idle} {
+		client.SetReadDeadline(time.Now().Add(time.Second))
+		if _, err := client.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("the connection ends with %v", err)
 		}
+		client.Close()
+	}
+	if n := atomic.LoadInt64(&last) - before; n > 0 {
+		t.Errorf("%d bytes have been read past the last op that is taken", n)
+	}
+	if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[a]" {
+		t.Errorf("%v have reached the disk server", ids)
+	}
+}
+
+// TestConnectsWhileStopping: a client whose connection the system has accepted at the moment at which no client seemed
+// to be left is served.
+func TestConnectsWhileStopping(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.scheduler.Shutdown()
+	var c *testClient
+	bed.onLoop(func() { // in one round of the loop
+		c = bed.dialClient()
+		c.send("BLK.READ", objectKey, "a", opOptions("read", 390, 0))
+		bed.scheduler.graceElapsed = true
+		bed.scheduler.stopIfIdle()
+	})
+	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "a")) {
+		t.Errorf("%q", got)
+	}
+}
+
+// TestShutdown: a scheduler that shuts down serves on, on connections old and new, then ends by itself before it would
+// be killed, with every op answered.
+func TestShutdown(t *testing.T) {
+	bed := newTestbed(t, 1)
+	c := bed.dialClient()
+	c.do("PING")
+	begun := time.Now()
+	bed.scheduler.Shutdown()
+	time.Sleep(300 * time.Millisecond)
+	for i, client := range []*testClient{c, bed.dialClient()} {
+		id := fmt.Sprint("a", i)
+		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+			t.Errorf("connection %d: %q", i, got)
+		}
+	}
+	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	time.Sleep(time.Until(begun.Add(650 * time.Millisecond))) // of 1300: ops are taken up to 780
+	late := c.do("BLK.READ", objectKey, "late", opOptions("read", 390, 0))
+	if !strings.HasPrefix(late, "-") {
+		t.Errorf("%q", late)
+	}
+	select {
+	case err := <-bed.served:
+		if took := time.Since(begun); err != nil || took < killGrace || took > killGrace+600*time.Millisecond {
+			t.Errorf("%v after %v", err, took)
+		}
+	case <-time.After(3 * time.Second):
+		t.Error("it does not end")
+	}
+}
+
+// TestShutdownAlone: without clients nothing is waited for past the grace.
+func TestShutdownAlone(t *testing.T) {
+	bed := newTestbed(t, 1)
+	begun := time.Now()
+	bed.scheduler.Shutdown()
+	<-bed.served
+	if took := time.Since(begun); took > killGrace+200*time.Millisecond {
+		t.Errorf("%v", took)
 	}
 }
--- a/scheduler/starts_test.go
+++ b/scheduler/start_tracker_test.go
@@ -8,15 +8,15 @@
 	"honeyplank"
 )
 
-// TestStarts: whatever the wall clock does before and between lists, a start is never told as earlier than it can have been,
-// one incarnation has one start, and one that runs since long has none.
-func TestStarts(t *testing.T) {
+// TestStartsAcrossClockSteps: whatever the wall clock does before and between lists, a start is never earlier than it
+// can have been, one incarnation has one start, and a server that has run for long has none.
+func TestStartsAcrossClockSteps(t *testing.T) {
 	const hour, age = time.Hour, 300 * time.Millisecond
 	for _, before := range []time.Duration{-hour, -3 * time.Second, 0, 3 * time.Second, hour} { // a step since the process began
 		for _, between := range []time.Duration{-hour, -3 * time.Second, 0, 3 * time.Second, hour} {
 			t.Run(fmt.Sprint(before, " ", between), func(t *testing.T) {
 				bed := newTestbed(t, 2)
-				heard := map[honeyplank.ServerID]time.Duration{}
+				received := map[honeyplank.ServerID]time.Duration{}
 				lists := make(chan bool, 16)
 				step := before
 				var from time.Duration
@@ -26,18 +26,18 @@
 					bed.module.onEvent = func(e honeyplank.Event) {
 						if l, ok := e.(honeyplank.List); ok && len(l.Members) == 1 { // one that the test tells
 							for _, m := range l.Members {
-								heard[m.ID] = m.Started
+								received[m.ID] = m.Started
 							}
 							lists <- true
 						}
 					}
 				})
 				tell := func(id string, stamp int64) (started, now time.Duration) {
-					m := bed.member(1, "up")
-					m.ID, m.StartedM = id, stamp
-					bed.discovery.Change(m)
+					member := bed.member(1, "up")
+					member.ID, member.StartedM = id, stamp
+					bed.discovery.Change(member)
 					<-lists
-					bed.onLoop(func() { started, now = heard[honeyplank.ServerID(id)], bed.scheduler.loop.Now() })
+					bed.onLoop(func() { started, now = received[honeyplank.ServerID(id)], bed.scheduler.loop.Now() })
 					return started, now
 				}
 				stamp := time.Now().Add(step - age).UnixMilli()
@@ -48,7 +48,7 @@
 					t.Errorf("one that runs since long has started at %v", got)
 				}
 				var first, last time.Duration
-				bed.onLoop(func() { first, last = heard["s-9"], bed.scheduler.loop.Now() })
+				bed.onLoop(func() { first, last = received["s-9"], bed.scheduler.loop.Now() })
 				bed.onLoop(func() { step += between })
 				if got, _ := tell("s-9", stamp); got != first {
 					t.Errorf("it has started at %v, later at %v", first, got)
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestStartsKnown: to a process that begins, a server of the list as last had that names a start has just started, whatever
-// the wall clock did meanwhile, and that start stays when discovery names it again.
-func TestStartsKnown(t *testing.T) {
+// TestStartsOfCachedList: to a process that begins, a server of the cached list that names a start has just started,
+// whatever the wall clock did meanwhile, and that start stays when discovery names it again.
+func TestStartsOfCachedList(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			stamp := time.Now().Add(step - 10*time.Millisecond).UnixMilli()
@@ -97,9 +97,9 @@
 					}
 				}
 			})
-			m := bed.member(0, "up")
-			m.StartedM = stamp
-			bed.discovery.Change(m)
+			member := bed.member(0, "up")
+			member.StartedM = stamp
+			bed.discovery.Change(member)
 			if got := <-again; got != first {
 				t.Errorf("it has started at %v, later at %v", first, got)
 			}
--- /dev/null
+++ b/scheduler/test_client_test.go
@@ -0,0 +1,155 @@
+package scheduler
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"honeyplank/resp"
+)
+
+// objectKey is the key of all ops of these tests.
+const objectKey = "7f3a9c21e0b4d655"
+
+// opOptions is the list of names and values of an op of a class, with a timeout, whose data is held by the server of a cell.
+func opOptions(class string, timeoutMS, cell int) string {
+	return fmt.Sprintf("c=%s,t=gold,d=%d,volume=00000003b4d60021,units=2,shard=%d,hosts=1", class, timeoutMS, cell)
+}
+
+// testClient is one connection of a client.
+type testClient struct {
+	t *testing.T
+	net.Conn
+	reader   resp.Reader
+	buffered []byte
+}
+
+// dialClient connects a client. A receive buffer may be given in bytes, for one that leaves much unread.
+func (bed *testbed) dialClient(receiveBuffer ...int) *testClient {
+	bed.t.Helper()
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) {
+			for _, n := range receiveBuffer {
+				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, n)
+			}
+		})
+	}}
+	conn, err := dialer.Dial("tcp", bed.scheduler.Address())
+	if err != nil {
+		bed.t.Fatal(err)
+	}
+	bed.t.Cleanup(func() { conn.Close() })
+	return &testClient{t: bed.t, Conn: conn, reader: resp.Reader{Bounds: resp.Bounds{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}}}
+}
+
+// readValue waits for one value; false: the connection has ended, or nothing came in time.
+func (c *testClient) readValue(within time.Duration) (resp.Value, bool) {
+	c.t.Helper()
+	c.SetReadDeadline(time.Now().Add(within))
+	b := make([]byte, 4096)
+	for {
+		used, v, whole, err := c.reader.Next(c.buffered)
+		c.buffered = c.buffered[used:]
+		if err != nil {
+			c.t.Fatalf("the scheduler sends malformed RESP: %v", err)
+		}
+		if whole {
+			return v, true
+		}
+		n, err := c.Read(b)
+		if err != nil {
+			return v, false
+		}
+		c.buffered = append(c.buffered, b[:n]...)
+	}
+}
+
+// send sends a command.
+func (c *testClient) send(args ...string) {
+	c.t.Helper()
+	if _, err := c.Write(encodeCommand(args...)); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// encodeCommand gives the bytes of a command.
+func encodeCommand(args ...string) []byte {
+	var list [][]byte
+	for _, a := range args {
+		list = append(list, []byte(a))
+	}
+	return resp.AppendCommand(nil, list...)
+}
+
+// hasUnreadInput reports, on the loop, whether the scheduler has not read something that a client sent.
+func (bed *testbed) hasUnreadInput() bool {
+	for x := range bed.scheduler.clients {
+		if !x.conn.Quiet() {
+			return true
+		}
+	}
+	return false
+}
+
+// do sends a command and returns its reply as readReply does.
+func (c *testClient) do(args ...string) string {
+	c.t.Helper()
+	c.send(args...)
+	return c.readReply(3 * time.Second)
+}
+
+// readReply returns the next reply: a value's text, an error's line behind '-', or "closed" where none comes in time.
+func (c *testClient) readReply(within time.Duration) string {
+	c.t.Helper()
+	v, ok := c.readValue(within)
+	switch {
+	case !ok:
+		return "closed"
+	case v.Kind == resp.Error:
+		return "-" + string(v.Text)
+	}
+	return string(v.Text)
+}
+
+// countServed sends ops of a class one after another and counts those that succeed.
+func (c *testClient) countServed(class, name string, n, timeoutMS int) (succeeded int) {
+	c.t.Helper()
+	for i := range n {
+		args := []string{"BLK.READ", objectKey, fmt.Sprint(name, i), opOptions(class, timeoutMS, 0)}
+		if class == "write" {
+			args = append(args, "body")
+			args[0] = "BLK.WRITE"
+		}
+		if got := c.do(args...); got != "closed" && !strings.HasPrefix(got, "-") {
+			succeeded++
+		}
+	}
+	return succeeded
+}
+
+// countReplies counts the whole replies until the connection ends, and returns the error with which it does.
+func (c *testClient) countReplies() (n int, err error) {
+	c.SetReadDeadline(time.Now().Add(10 * time.Second))
+	for b := make([]byte, 4096); err == nil; {
+		var got int
+		got, err = c.Read(b)
+		c.buffered = append(c.buffered, b[:got]...)
+		for {
+			used, _, whole, wrong := c.reader.Next(c.buffered)
+			c.buffered = c.buffered[used:]
+			if wrong != nil {
+				return n, wrong
+			}
+			if !whole {
+				break
+			}
+			n++
+		}
+	}
+	return n, err
+}
