--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -177,3 +177,37 @@
 		})
 	}
 }
+
+// repeatingModule is a module that dispatches every op to one disk server twice, and fails it with the first outcome that
+// is no success.
+type repeatingModule struct{ server honeyplank.ServerID }
+
+func (m repeatingModule) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+	actions := singleServerModule{m.server}.Handle(now, e)
+	if op, ok := e.(honeyplank.Op); ok {
+		actions = append(actions, honeyplank.Dispatch{Op: op.ID, Server: m.server})
+	}
+	return actions
+}
+
+// TestSharedConnBreaks: where a connection that carries two dispatches of an op breaks, the op has its answer, and both
+// dispatches are reported as ones that may have run.
+func TestSharedConnBreaks(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.disks[0].Apply(fakeresp.Faults{Delay: 50 * time.Millisecond, Break: true})
+	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
+	codes := bed.recordOutcomes()
+	bed.onLoop(func() {
+		bed.module.Module = repeatingModule{"s-0"}
+		bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 // there are descriptors for one
+	})
+	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 9000, 0)); got != "-ERR failed" {
+		t.Errorf("%q", got)
+	}
+	bed.eventuallyOnLoop("both outcomes", func() bool { return len(*codes) == 2 })
+	bed.onLoop(func() {
+		if fmt.Sprint(*codes) != fmt.Sprint([]honeyplank.Code{honeyplank.Reset, honeyplank.Reset}) {
+			t.Errorf("outcomes %v", *codes)
+		}
+	})
+}
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -27,6 +27,7 @@
 	inFlight      []*attempt // in the order written, which is that of the answers
 	reader        resp.Reader
 	appendedBytes uint64        // bytes ever appended to the output, less those that were withdrawn
+	finalWritten  uint64        // writtenBytes at the close
 	idleSince     time.Duration // when inFlight became empty
 	idleLinks     idleLinks
 	connectTimer  *eventloop.Timer
@@ -38,8 +39,12 @@
 	errServerClosed   = errors.New("the disk server ended it")
 )
 
-// writtenBytes is how many bytes the system has taken, as a position in all that was appended.
+// writtenBytes is how many bytes the system has taken, as a position in all that was appended. It stays after the close:
+// while the outcomes of what the connection carried are reported one by one, the tracker asks for that of others.
 func (sc *serverConn) writtenBytes() uint64 {
+	if sc.conn == nil {
+		return sc.finalWritten
+	}
 	return sc.appendedBytes - uint64(sc.conn.UnsentBytes())
 }
 
@@ -261,6 +266,7 @@
 	}
 	ds, s := sc.server, sc.server.scheduler
 	s.loop.Cancel(sc.connectTimer)
+	sc.finalWritten = sc.writtenBytes()
 	if sc.conn.UnackedBytes() > 0 {
 		sc.conn.Abort()
 	} else {
