--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -59,7 +59,7 @@
 	dns    *dns.Client
 	ask    func() // starts asking DNS; nil: not a source
 	book   *membership.Ledger
-	starts [2]incarnation.Tracker // by belief.Source
+	starts [2]incarnation.Tracker // by membership.Source
 	ticker *eventloop.Timer       // for what time alone changes in the book
 	log    zerolog.Logger
 
