--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,23 +15,23 @@
 func TestReserveFirstOnSlowServers(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("spare", 0, 8, 2, 0)
-	fleet.admit("due", 0, 7, 3, 0)
+	fleet.admit("reserved", 0, 7, 3, 0)
 	s := fleet.instances[0]
 	server := s.servers["osd0"]
 	s.volumes[9].reserve, s.volumes[8].reserve, server.sliceEnd = 0, 0, 0
 	s.setServerLatency(server, 0.025)
 	fleet.endDispatch(fleet.ops["full0"], honeyplank.Succeeded)
-	if len(fleet.ops["due0"].dispatched) != 1 || len(fleet.ops["spare0"].dispatched) != 0 {
+	if len(fleet.ops["reserved0"].dispatched) != 1 || len(fleet.ops["spare0"].dispatched) != 0 {
 		t.Error("an op beyond its reserve left before one within")
 	}
 	s.volumes[8].reserve, server.outstanding = 0, 1
 	s.setServerLatency(server, 0.2)
 	if candidate := s.ops["spare0"]; candidate != nil && s.hasCapacity(server, candidate) {
-		t.Error("a crowded node still has room for ops beyond the reserve")
+		t.Error("a slow server still has capacity for ops beyond the reserve")
 	}
 }
 
-// New objects leave the first server in rank where latency leaves no room.
+// New objects leave the first server in rank where latency leaves no capacity.
 func TestNewObjectsLeaveSlowServers(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0))
@@ -66,7 +66,7 @@
 				got = append(got, s.hasCapacity(server, candidate))
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%d hosts: capacity for the median draw, a low one, a low one of a volume with high demand: %v", instances, got)
+				t.Errorf("%d instances: capacity for the median draw, a low one, a low one of a volume with high demand: %v", instances, got)
 			}
 		})
 	}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -17,18 +17,18 @@
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.settings.Watch.OnRequest, fleet.settings.Watch.Within = true, time.Second
 	fleet.instances[0].settings = readSettings(fleet.settings)
-	asks, last, due := 0, time.Duration(0), time.Duration(0)
+	requests, last, due := 0, time.Duration(0), time.Duration(0)
 	for ; fleet.now < 10*time.Second; fleet.now += 10 * ms {
 		timer := honeyplank.Timer{Name: []string{"sweep", "watch"}[boolToInt(fleet.now >= due)]}
 		for _, action := range fleet.handle(0, timer) {
 			if _, ok := action.(honeyplank.Watch); ok {
-				asks, last = asks+1, fleet.now
+				requests, last = requests+1, fleet.now
 				fleet.handle(0, honeyplank.List{Kind: honeyplank.WatchFailed})
 				due = fleet.timers[0]["watch"]
 			}
 		}
-		if fleet.now-last > time.Second || asks > 1000 {
-			t.Fatalf("%d asks until %v, the last at %v", asks, fleet.now, last)
+		if fleet.now-last > time.Second || requests > 1000 {
+			t.Fatalf("%d watch requests until %v, the last at %v", requests, fleet.now, last)
 		}
 	}
 }
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -123,7 +123,7 @@
 }
 
 // SavedEstimates returns what a later instance can use: the latency estimates of the servers, and
-// saved ones of servers that this instance has not been told of.
+// saved ones of servers that are not in the endpoint list yet.
 func (s *Scheduler) SavedEstimates() honeyplank.SavedEstimates {
 	usual := s.meanLatency()
 	estimates := honeyplank.SavedEstimates{TypicalLatency: usual}
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -51,7 +51,7 @@
 				out += len(fleet.order[i].dispatched)
 			}
 			if got := fleet.instances[0].SavedEstimates(); out != test.out || len(got.Servers) != test.known || got.TypicalLatency != 0.02 {
-				t.Errorf("learnt at %v, started at %v: %d ops leave at once, want %d; handed on %+v", test.at, test.started, out, test.out, got)
+				t.Errorf("estimate of %v, started at %v: %d ops leave at once, want %d; saved %+v", test.at, test.started, out, test.out, got)
 			}
 		})
 	}
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -31,18 +31,18 @@
 	settings.Plans.Limit, settings.Plans.Burst = []float64{1000}, []float64{2000}
 	fleet := &idleFleet{testFleet: newTestFleet(t, 3, settings), lastDispatch: map[honeyplank.ServerID]time.Duration{}}
 	fleet.longestDispatch, fleet.now = 30*ms, time.Second
-	fleet.onWatch = func(host int) {
+	fleet.onWatch = func(instance int) {
 		kind := honeyplank.Delta
 		if fleet.watchFails {
 			kind = honeyplank.WatchFailed
 		}
-		fleet.handle(host, honeyplank.List{Kind: kind})
+		fleet.handle(instance, honeyplank.List{Kind: kind})
 	}
 	fleet.members(honeyplank.Complete, 0, idleServers, honeyplank.Up, 0)
 	return fleet
 }
 
-// members tells of some servers.
+// members sends a list with some servers.
 func (fleet *idleFleet) members(kind honeyplank.ListKind, from, to int, state honeyplank.MemberState, started time.Duration) {
 	var members []honeyplank.Member
 	for i := from; i < to; i++ {
@@ -57,20 +57,20 @@
 func (fleet *idleFleet) idle(length time.Duration) {
 	fleet.serve(6*time.Second, 0, honeyplank.Succeeded)
 	for end := fleet.now + length; ; {
-		host, name, at := -1, "", end
+		instance, name, at := -1, "", end
 		for i, timers := range fleet.timers {
 			for _, n := range []string{"sweep", "watch"} {
-				if due, settings := timers[n]; settings && due < at {
-					host, name, at = i, n, due
+				if due, scheduled := timers[n]; scheduled && due < at {
+					instance, name, at = i, n, due
 				}
 			}
 		}
 		fleet.now = at
-		if host < 0 {
+		if instance < 0 {
 			return
 		}
-		delete(fleet.timers[host], name)
-		fleet.handle(host, honeyplank.Timer{Name: name})
+		delete(fleet.timers[instance], name)
+		fleet.handle(instance, honeyplank.Timer{Name: name})
 	}
 }
 
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -37,7 +37,7 @@
 type loadScenario struct {
 	servers, volumes int
 	load             float64
-	metered          bool // answers tell what a volume is served everywhere
+	metered          bool // answers report what a volume is served everywhere
 	keyRuns          bool // ops have keys, and come as runs of them
 }
 
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -37,7 +37,7 @@
 	ops          map[honeyplank.OpID]*trackedOp
 	order        []*trackedOp // as taken
 	servers      map[honeyplank.ServerID]honeyplank.Member
-	stoppedSince map[honeyplank.ServerID]time.Duration // since when a instance was notified that it drains or is gone
+	stoppedSince map[honeyplank.ServerID]time.Duration // since when an instance was notified that it drains or is gone
 	slowStart    map[honeyplank.ServerID][]slowStartDispatch
 	limitUsed    map[int64]float64 // out of the limit's bucket
 	limitUsedAt  map[int64]time.Duration
@@ -69,7 +69,7 @@
 	index int
 }
 
-// mayArrive tells whether a dispatch made since a time may reach its server at another one or later.
+// mayArrive reports whether a dispatch made since a time may reach its server at another one or later.
 func (sent slowStartDispatch) mayArrive(since, at time.Duration) bool {
 	dispatch := sent.op.dispatched[sent.index]
 	return dispatch.sentAt >= since && !dispatch.notArrived && (!dispatch.done || dispatch.endedAt >= at)
@@ -79,7 +79,7 @@
 	m.violations = append(m.violations, fmt.Sprintf("%v rule %d: ", m.now, rule)+fmt.Sprintf(format, a...))
 }
 
-// neverRan tells whether every dispatch of an op is known not to have run.
+// neverRan reports whether every dispatch of an op is known not to have run.
 func (op *trackedOp) neverRan() bool {
 	return !slices.ContainsFunc(op.dispatched, func(dispatch trackedDispatch) bool { return !dispatch.done || dispatch.mayHaveRun })
 }
@@ -211,7 +211,7 @@
 	dispatchEnds    map[honeyplank.OpID]time.Duration // when a dispatch that is outstanding ends
 	succeeded       int
 	longestDispatch time.Duration      // the most that a dispatch takes
-	onWatch         func(instance int) // a instance asks for the watch
+	onWatch         func(instance int) // an instance asks for the watch
 }
 
 func newTestFleet(t *testing.T, seed int64, settings *honeyplank.Settings) *testFleet {
@@ -226,7 +226,7 @@
 	return fleet
 }
 
-// sendList tells every instance of servers.
+// sendList sends a list to every instance.
 func (fleet *testFleet) sendList(kind honeyplank.ListKind, members ...honeyplank.Member) {
 	for _, member := range members {
 		if _, stopped := fleet.stoppedSince[member.ID]; member.State == honeyplank.Up {
@@ -272,7 +272,7 @@
 	return actions
 }
 
-// endDispatch ends the dispatch of an op that is outstanding and tells its instance.
+// endDispatch ends the dispatch of an op that is outstanding, and sends the outcome to its instance.
 func (fleet *testFleet) endDispatch(op *trackedOp, code honeyplank.Code) {
 	index := len(op.dispatched) - 1
 	dispatch := &op.dispatched[index]
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -6,7 +6,7 @@
 	"honeyplank"
 )
 
-// outcomeMeaning is what an outcome tells of a dispatch and of its server.
+// outcomeMeaning is what an outcome means for a dispatch and its server.
 type outcomeMeaning struct {
 	arrived     bool // the server may have received it
 	mayHaveRun  bool
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,7 +8,7 @@
 	"honeyplank"
 )
 
-// A instance's part of a reserve follows what the volume is served through it.
+// An instance's part of a reserve follows what the volume is served through it.
 func TestReserveShare(t *testing.T) {
 	for _, test := range []struct {
 		total, others float64
@@ -35,7 +35,7 @@
 	}
 }
 
-// A instance that has been up for long has its part of a limit ready for a volume that it meets for the first time or once
+// An instance that has been up for long has its part of a limit ready for a volume that it meets for the first time or once
 // more; one that has just started has none, since what it sent before is unknown.
 func TestLimitOfNewVolumes(t *testing.T) {
 	for up, want := range map[time.Duration]int{0: 0, 2 * time.Second: 4, time.Minute: 6} {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A volume whose record was dropped as idle has what its bucket has surely filled by since, not a whole one. A full
-// store lets an op go whose type should leave more than the store can hold.
+// A volume whose record was dropped as idle has what its bucket has been refilled with since for certain, not a whole one. A full
+// bucket allows an op whose type should leave more than the bucket can hold.
 func TestLimitAfterIdleExpiry(t *testing.T) {
 	settings := testSettings()
 	settings.Plans.Limit, settings.Plans.Burst = []float64{0.1}, []float64{8}
@@ -106,7 +106,7 @@
 	}
 }
 
-// What a server served others is told once, also with an error or by a rejection.
+// What a server served others is reported once, also with an error or by a rejection.
 func TestServedElsewhereInAnyAnswer(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -122,7 +122,7 @@
 }
 
 // TestLimitWithHoldUp: what is decided within a hold-up may arrive in one moment, and then takes no more from a limit's
-// store than that holds; one that holds little more than a largest op still lets it go.
+// bucket than that holds; one that holds little more than a largest op still lets it go.
 func TestLimitWithHoldUp(t *testing.T) {
 	for _, test := range []struct{ limit, burst, slack, units, least, most float64 }{
 		{20, 40, 0, 1, 36, 40}, {20, 40, 3, 1, 40, 43}, {200, 6, 0, 6, 6, 6 + 200*0.15}, {20, 40, 0, 5, 30, 40},
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -37,7 +37,7 @@
 	return list
 }
 
-// modelChoice is the choice as made over a whole ranking: the first with room, or else the one with least against its room.
+// modelChoice is the choice as made over a whole ranking: the first with capacity, or else the one with the least relative load.
 func modelChoice(s *Scheduler, op *op, list []*server) (home *server, hasCapacity bool) {
 	leastLoad := math.Inf(1)
 	for _, server := range list {
@@ -55,9 +55,9 @@
 	return home, false
 }
 
-// TestChoiceAsOverFullRanking: over random fleets that grow, shrink, restart cold, go down and fill up, a new object
-// goes where the whole ranking sends it. Only past the top servers may it differ: where no server of that has room
-// the least loaded of it is taken, though others further down may have room.
+// TestChoiceAsOverFullRanking: over random fleets that grow, shrink, restart, go down and fill up, a new object
+// goes where the whole ranking sends it. Only past the top servers may it differ: where none of these has capacity
+// the least loaded of it is taken, though others further down may have capacity.
 func TestChoiceAsOverFullRanking(t *testing.T) {
 	beyond, compared := 0, 0
 	for seed := range int64(60) {
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -23,7 +23,7 @@
 	scope           honeyplank.DedupScope
 }
 
-// deployment is what one process of a fleet of 300 is told and asked.
+// deployment is what one process of a fleet of 300 is configured with and asked for.
 type deployment struct {
 	name    string
 	classes []requestClass
@@ -46,7 +46,7 @@
 	minServedBefore          = 0.5             // of a class on a calm day
 	minServed                = 0.9             // of a class during a fault that takes no capacity from it
 	minServedOfRest          = 0.6             // of a class where a quarter of the servers serve nothing
-	minServedWithLostAnswers = 0.3             // of a class where a quarter of the answers get lost and hold their places
+	minServedWithLostAnswers = 0.3             // of a class where a quarter of the answers get lost and use up the window
 	chanceErrors             = 3.0             // standard errors that chance may take off these
 	maxLossAfterwards        = 0.1             // of a class's service before the fault, once it is over
 	starvedFor               = 5 * time.Second // with nothing dispatched of a class, while its servers answer others
@@ -243,7 +243,7 @@
 	{name: "the first class surges", least: minServed, begin: func(run *serviceRun) { run.surging = 10 }, surge: true},
 	{name: "all servers are gone and come back", begin: func(run *serviceRun) { run.list(honeyplank.Removed, 0) },
 		end: func(run *serviceRun) { run.list(honeyplank.Up, 0) }, noCapacity: true},
-	{name: "all servers restart cold", begin: func(run *serviceRun) { run.list(honeyplank.Up, run.now) }, noCapacity: true},
+	{name: "all servers restart", begin: func(run *serviceRun) { run.list(honeyplank.Up, run.now) }, noCapacity: true},
 }
 
 func (run *serviceRun) list(state honeyplank.MemberState, started time.Duration) {
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -23,8 +23,8 @@
 		HasKey: true, Key: key, Schedulers: 1, Volume: volume})
 }
 
-// The window bounds what is outstanding, the served volume goes first when a place comes free, and a slice that is
-// over passes the turn on. Slices follow the weights of the plans.
+// The window bounds what is outstanding, the served volume goes first when the window has capacity again, and a slice that is
+// over is followed by the next. Slices follow the weights of the plans.
 func TestSlices(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("other", 0, 8, 2, 0)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -15,7 +15,7 @@
 // slowStartFleet is many instances and one server among others that has just started.
 type slowStartFleet struct {
 	instances       int
-	budget          float64       // mean ops within the window that it always bears
+	budget          float64       // mean ops within the window that it takes right after the start
 	demand          float64       // mean ops within the window that clients want of it, in parts of that
 	otherDemand     float64       // the same of each other server
 	skewed          bool          // a tenth of the instances have half of the traffic
@@ -23,7 +23,7 @@
 	retries         bool          // what is not served comes again at once, up to three times
 	volumeInstances int           // instances through which a volume's ops come, seven volumes a server; 0: all
 	hotVolume       bool          // one volume has half of what is asked of the server in slow start
-	statedInstances int           // instances that the settings tell; 0: as many as run
+	statedInstances int           // instances that the settings state; 0: as many as run
 	burst           float64       // all that is asked grows by this factor a second after the start; 0: it does not
 	restarts        int           // servers that start at once, as a zone that comes back; 0: one
 	secondStart     time.Duration // after the first start the servers start once more; 0: they don't
@@ -71,7 +71,7 @@
 	failure honeyplank.Code
 }
 
-// play counts the most that reaches a server in slow start within any window, against what it bears then and what is put down
+// play counts the most that reaches a server in slow start within any window, over its overload threshold then: the budget and what is put down
 // to chance beyond it. What counts is when a dispatch arrives, not when it was decided: it waits for its connection.
 // A window with a third or more from instances that were not notified of the start is none of theirs. All is simulated.
 func (scenario slowStartFleet) play(seed int64) (worst float64, sent int) {
@@ -102,19 +102,19 @@
 	rng := rand.New(rand.NewSource(seed))
 	var events eventQueue
 	sequence := 0
-	add := func(at time.Duration, host int, event honeyplank.Event) {
+	add := func(at time.Duration, instance int, event honeyplank.Event) {
 		sequence++
-		heap.Push(&events, scheduledEvent{at, sequence, instanceEvent{event, host}})
+		heap.Push(&events, scheduledEvent{at, sequence, instanceEvent{event, instance}})
 	}
-	hosts := make([]*Scheduler, scenario.instances)
+	schedulers := make([]*Scheduler, scenario.instances)
 	var members []honeyplank.Member
 	for i := range servers {
 		members = append(members, member(i, 0))
 	}
 	now, begin := time.Second, 8*time.Second
 	end := begin + warm
-	for i := range hosts {
-		hosts[i] = New(seed+int64(i), settings)
+	for i := range schedulers {
+		schedulers[i] = New(seed+int64(i), settings)
 		at := now + time.Duration(rng.Int63n(int64(100*ms)))
 		add(at, i, honeyplank.List{Kind: honeyplank.Complete, Members: members})
 		// Each cold one comes in the place of another, under an id of its own, told within a part of a second.
@@ -213,7 +213,7 @@
 			add(now+took, received.instance, ended)
 			continue
 		}
-		for _, action := range hosts[received.instance].Handle(now, received.Event) {
+		for _, action := range schedulers[received.instance].Handle(now, received.Event) {
 			switch item := action.(type) {
 			case honeyplank.Dispatch:
 				op := ops[item.Op]
@@ -273,10 +273,10 @@
 }
 
 // TestSlowStartFleet: whatever a fleet is asked, all instances together send a server that has just started no more
-// than it bears and what is put down to chance: with few and with many instances, alike and unlike traffic, a hot
-// place, a crowd that comes again, and whatever the others are asked. It holds for what arrives, also where the first
+// than its budget and what is put down to chance: with few and with many instances, alike and skewed traffic, a hot
+// cell, retries of all clients, and whatever the others are asked. It holds for what arrives, also where the first
 // connections come up late, for servers that start twice or several at once, and where more or fewer instances run than the
-// settings tell: by a tenth more, since nothing tells a instance how many others run.
+// settings state: by a tenth more, since nothing shows an instance how many others run.
 func TestSlowStartFleet(t *testing.T) {
 	for _, scenario := range []slowStartFleet{
 		{instances: 4, budget: 60, demand: 3, otherDemand: 0.2},
@@ -334,7 +334,7 @@
 	}
 }
 
-// TestSlowStartBudgetIsUsed: a server that has just started is given a good part of what it always bears, also where its
+// TestSlowStartBudgetIsUsed: a server that has just started is given a good part of its budget, also where its
 // volumes come through a few of many instances: ops whose data lies there can't go elsewhere.
 func TestSlowStartBudgetIsUsed(t *testing.T) {
 	const least = 0.4
@@ -357,7 +357,7 @@
 	}
 }
 
-// A restarted server gets the mean part of what it always bears, not nothing, also
+// A restarted server gets the mean share of its budget, not nothing, also
 // where a hundred instances' parts are smaller than one op; those inside their reserves come first.
 func TestSlowStartRandomAdmission(t *testing.T) {
 	settings := testSettings()
@@ -378,12 +378,12 @@
 		t.Errorf("%v units a second on average, of seven eighths of a part of 0.2", sent)
 	}
 	server.respondedSinceStart = false // connections that come up late bring together what was sent until then
-	lots := 0.0
+	admitted := 0.0
 	for draw := 0.0005; draw < 1; draw += 0.001 {
-		lots += float64(boolToInt(s.slowStartAllows(server, 2, draw, true))) / 1000
+		admitted += float64(boolToInt(s.slowStartAllows(server, 2, draw, true))) / 1000
 	}
-	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(lots-want) > 0.002 {
-		t.Errorf("%v of the ops may leave before an answer, want %v", lots, want)
+	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(admitted-want) > 0.002 {
+		t.Errorf("%v of the ops may leave before an answer, want %v", admitted, want)
 	}
 	server.respondedSinceStart = true
 	for n := range 4 { // two mean ops a window, whatever their draws
