--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -41,7 +41,7 @@
 		return
 	}
 	s.shuttingDown = true
-	s.log.Info().Int("unanswered", s.tracker.Unanswered()).Msg("shutting down")
+	s.log.Info().Int("unanswered", s.tracker.Unanswered()).Msg("ending")
 	s.logCounters()
 	s.shutdown = planShutdown(notified, slices.Max(append([]time.Duration{0}, s.site().Settings.OpTypes.OpTimeout...)))
 	s.loop.Schedule(notified+killGrace, func() {
