--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -123,7 +123,7 @@
 	ping()
 	c.Process.Signal(syscall.SIGTERM)
 	c.Process.Signal(syscall.SIGTERM)
-	says(t, lines, "shutting down")
+	says(t, lines, "ending")
 	c.Process.Signal(syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
 		t.Error(err)
@@ -277,7 +277,7 @@
 			c.Process.Signal(syscall.SIGHUP)
 		}
 		c.Process.Signal(syscall.SIGTERM)
-		says(t, lines, "shutting down")
+		says(t, lines, "ending")
 		ends(t, c)
 	})
 	t.Run("no descriptor for a moment, and many in quick succession", func(t *testing.T) {
