--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -43,12 +43,12 @@
 )
 
 var commandBounds = resp.Limits{
-	Line:    maxCommandLine,
-	Bulk:    maxBody,
-	Items:   maxArguments,
-	Depth:   1,
-	Total:   maxBody + maxOtherBytes,
-	Command: true,
+	Line:         maxCommandLine,
+	Bulk:         maxBody,
+	Items:        maxArguments,
+	Depth:        1,
+	Total:        maxBody + maxOtherBytes,
+	CommandsOnly: true,
 }
 
 // client is one connection of a client.
