--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -71,34 +71,56 @@
 	failure honeyplank.Code
 }
 
-// play counts the most that reaches a server in slow start within any window, over its overload threshold then: the budget and what is put down
-// to chance beyond it. What counts is when a dispatch arrives, not when it was decided: it waits for its connection.
-// A window with a third or more from instances that were not notified of the start is none of theirs. All is simulated.
-func (scenario slowStartFleet) play(seed int64) (worst float64, sent int) {
-	const units, window, warm, from, servers = 2.0, time.Second, 5 * time.Second, 0.21, 20
+// Figures of every scenario: mean units of an op, servers, and the slow start.
+const (
+	slowStartMeanUnits  = 2.0
+	slowStartServers    = 20
+	slowStartTestWindow = time.Second
+	slowStartWarmUp     = 5 * time.Second
+	slowStartFrom       = 0.21
+	firstStart          = 8 * time.Second // the first start
+)
+
+// clientTimeout is how long clients wait. What waits for a connection may wait for it to the end.
+func (scenario slowStartFleet) clientTimeout() time.Duration {
+	if scenario.connectDelay > 0 {
+		return 5 * time.Second
+	}
+	return 1200 * ms
+}
+
+func (scenario slowStartFleet) settings() *honeyplank.Settings {
 	settings := testSettings()
 	settings.OpTypes.TargetLatency = []time.Duration{200 * ms, 200 * ms}
 	settings.OpTypes.OpTimeout = []time.Duration{1200 * ms, 1200 * ms}
-	settings.Schedulers, settings.MeanUnits, settings.LargestUnits = scenario.instances, units, 6.0
+	settings.Schedulers, settings.MeanUnits, settings.LargestUnits = scenario.instances, slowStartMeanUnits, 6.0
 	if scenario.statedInstances > 0 {
 		settings.Schedulers = scenario.statedInstances
 	}
 	settings.Dispatches.ConnectTimeout = scenario.connectTimeout
-	clientTimeout := 1200 * ms
-	if scenario.connectDelay > 0 { // what waits for a connection may wait for it to the end
-		clientTimeout = 5 * time.Second
+	if scenario.connectDelay > 0 {
+		clientTimeout := scenario.clientTimeout()
 		settings.OpTypes.OpTimeout = []time.Duration{clientTimeout, clientTimeout}
 		settings.OpTypes.TargetLatency = []time.Duration{200 * ms, 3 * time.Second}
 	}
 	if scenario.connectDelay > 0 && scenario.instances >= 300 { // fewer sweeps, to keep the test short
 		settings.Step = 50 * ms
 	}
-	settings.SlowStart.Units, settings.SlowStart.Window = scenario.budget*units, window
-	settings.SlowStart.Time, settings.SlowStart.From = warm, from
+	settings.SlowStart.Units, settings.SlowStart.Window = scenario.budget*slowStartMeanUnits, slowStartTestWindow
+	settings.SlowStart.Time, settings.SlowStart.From = slowStartWarmUp, slowStartFrom
 	settings.Plans.Rate, settings.Plans.Reserve = []float64{1000}, []float64{0}
 	if scenario.withinReserve {
 		settings.Plans.Reserve = []float64{1e6}
 	}
+	return settings
+}
+
+// play counts the most that reaches a server in slow start within any window, over its overload threshold then: the
+// budget and what is put down to chance beyond it. What counts is when a dispatch arrives, not when it was decided:
+// it waits for its connection. A window with a third or more from instances that were not notified of the start is
+// none of theirs. All is simulated.
+func (scenario slowStartFleet) play(seed int64) (worst float64, sent int) {
+	settings, clientTimeout := scenario.settings(), scenario.clientTimeout()
 	rng := rand.New(rand.NewSource(seed))
 	var events eventQueue
 	sequence := 0
@@ -108,19 +130,19 @@
 	}
 	schedulers := make([]*Scheduler, scenario.instances)
 	var members []honeyplank.Member
-	for i := range servers {
+	for i := range slowStartServers {
 		members = append(members, member(i, 0))
 	}
-	now, begin := time.Second, 8*time.Second
-	end := begin + warm
+	now := time.Second
+	end := firstStart + slowStartWarmUp
 	for i := range schedulers {
 		schedulers[i] = New(seed+int64(i), settings)
 		at := now + time.Duration(rng.Int63n(int64(100*ms)))
 		add(at, i, honeyplank.List{Kind: honeyplank.Complete, Members: members})
 		// Each cold one comes in the place of another, under an id of its own, told within a part of a second.
-		starts := []time.Duration{begin}
+		starts := []time.Duration{firstStart}
 		if scenario.secondStart > 0 {
-			starts = append(starts, begin+scenario.secondStart)
+			starts = append(starts, firstStart+scenario.secondStart)
 		}
 		for _, start := range starts {
 			at = start + time.Duration(rng.Int63n(int64(300*ms)))
@@ -133,12 +155,6 @@
 			add(at, i, honeyplank.List{Kind: honeyplank.Delta, Members: news})
 		}
 	}
-	started := func(at time.Duration) time.Duration {
-		if scenario.secondStart > 0 && at >= begin+scenario.secondStart {
-			return begin + scenario.secondStart
-		}
-		return begin
-	}
 	notifiedOf := make([]time.Duration, scenario.instances) // the start that each instance knows of
 	pick := func() int {
 		if scenario.skewed && rng.Intn(2) == 0 {
@@ -149,7 +165,7 @@
 	arrive := func(cell int, usual float64) {
 		for at := now; at < end; {
 			rate := usual
-			if scenario.burst > 0 && at > begin+time.Second {
+			if scenario.burst > 0 && at > firstStart+time.Second {
 				rate *= scenario.burst
 			}
 			at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -170,12 +186,12 @@
 			add(at, (7*cell+volume+rng.Intn(scenario.volumeInstances)*101)%scenario.instances, op)
 		}
 	}
-	for cell := range servers {
+	for cell := range slowStartServers {
 		rate := scenario.otherDemand
 		if cell < max(scenario.restarts, 1) {
 			rate = scenario.demand
 		}
-		arrive(cell, rate*scenario.budget/window.Seconds())
+		arrive(cell, rate*scenario.budget/slowStartTestWindow.Seconds())
 	}
 	type openOp struct {
 		honeyplank.Op
@@ -197,7 +213,7 @@
 			}
 		case honeyplank.List:
 			if event.Kind == honeyplank.Delta {
-				notifiedOf[received.instance] = started(now)
+				notifiedOf[received.instance] = scenario.startBefore(now)
 			}
 		case arrivalEvent:
 			ended := honeyplank.Outcome{Op: event.op, Dispatch: event.dispatch, Server: event.server, Code: honeyplank.Succeeded, Answered: true}
@@ -206,7 +222,7 @@
 				ended.Code, ended.Answered, took = event.failure, false, 0
 			} else if strings.HasPrefix(string(event.server), "cold") {
 				sent++
-				event.at, event.notified = now, notifiedOf[received.instance] == started(now)
+				event.at, event.notified = now, notifiedOf[received.instance] == scenario.startBefore(now)
 				logs[event.server] = append(logs[event.server], event.arrival)
 			}
 			ended.Elapsed = now + took - event.decided
@@ -222,7 +238,7 @@
 				op.dispatches++
 				connectedAt := now
 				if strings.HasPrefix(string(item.Server), "cold") {
-					connectedAt = max(now, started(now)+scenario.connectDelay)
+					connectedAt = max(now, scenario.startBefore(now)+scenario.connectDelay)
 				}
 				if within := now + scenario.connectTimeout; connectedAt > within && within < op.Timeout {
 					connectedAt, arriving.failure = within, honeyplank.ConnectFailed
@@ -245,25 +261,39 @@
 		}
 	}
 	for _, log := range logs {
-		first, sum, known := 0, 0.0, 0.0
-		for _, item := range log {
-			sum += item.units
-			known += item.units * float64(boolToInt(item.notified))
-			start := started(item.at)
-			for log[first].at < max(item.at-window, start) {
-				sum -= log[first].units
-				known -= log[first].units * float64(boolToInt(log[first].notified))
-				first++
-			}
-			budget := scenario.budget * min(1, from+(1-from)*float64(item.at-start)/float64(warm)) / from
-			if known > sum*2/3 {
-				worst = max(worst, sum/units/overloadThreshold(budget))
-			}
-		}
+		worst = max(worst, scenario.worstWindow(log))
 	}
 	return worst, sent
 }
 
+// startBefore is the latest start of the servers in slow start, as of a time.
+func (scenario slowStartFleet) startBefore(at time.Duration) time.Duration {
+	if scenario.secondStart > 0 && at >= firstStart+scenario.secondStart {
+		return firstStart + scenario.secondStart
+	}
+	return firstStart
+}
+
+// worstWindow is the most that reaches a server within any window of its log, over its overload threshold.
+func (scenario slowStartFleet) worstWindow(log []arrival) (worst float64) {
+	first, sum, known := 0, 0.0, 0.0
+	for _, item := range log {
+		sum += item.units
+		known += item.units * float64(boolToInt(item.notified))
+		start := scenario.startBefore(item.at)
+		for log[first].at < max(item.at-slowStartTestWindow, start) {
+			sum -= log[first].units
+			known -= log[first].units * float64(boolToInt(log[first].notified))
+			first++
+		}
+		budget := scenario.budget * min(1, slowStartFrom+(1-slowStartFrom)*float64(item.at-start)/float64(slowStartWarmUp)) / slowStartFrom
+		if known > sum*2/3 {
+			worst = max(worst, sum/slowStartMeanUnits/overloadThreshold(budget))
+		}
+	}
+	return worst
+}
+
 func restartedServer(k int) honeyplank.ServerID { return honeyplank.ServerID(fmt.Sprint("cold", k)) }
 
 // instanceEvent is an event of one of many instances.
