--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -186,39 +186,3 @@
 		})
 	}
 }
-
-// TestLearntAges has a switch to an instance whose wall clock has stepped since: what was learnt is told with its age,
-// or not at all where that can't be told.
-func TestLearntAges(t *testing.T) {
-	for name, x := range map[string]struct {
-		step time.Duration
-		ages []time.Duration // when it was learnt, before the switch
-		want []time.Duration // with what age it is told
-	}{
-		"steady":           {0, []time.Duration{time.Second, 20 * time.Hour}, []time.Duration{time.Second, 20 * time.Hour}},
-		"an hour ahead":    {time.Hour, []time.Duration{time.Second, 20 * time.Hour}, []time.Duration{time.Hour + time.Second, 21 * time.Hour}},
-		"an hour back":     {-time.Hour, []time.Duration{time.Second, 20 * time.Hour}, nil},
-		"5 s back":         {-5 * time.Second, []time.Duration{2 * time.Second, 25 * time.Hour}, nil},
-		"back, an old one": {-time.Hour, []time.Duration{24*time.Hour + time.Minute, time.Second}, nil},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			r := &estimates.Record{Unit: 16 << 10, TypicalLatency: 0.01}
-			for i, age := range x.ages { // as read from a file: without a monotonic reading
-				r.Servers = append(r.Servers, estimates.Server{ID: []string{"a:1", "b:1"}[i], At: time.Now().Add(-age).Round(0), BestPerUnit: 0.01, Latency: 0.01})
-			}
-			c := clock(start(t), x.step, r)
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if len(c.learnt) != len(x.want) {
-				t.Fatalf("told: %+v", c.learnt)
-			}
-			now := c.told[0].now
-			for i, k := range c.learnt {
-				if off := now - k.At - x.want[i]; off < -100*time.Millisecond || off > time.Minute {
-					t.Errorf("%s is told as %v old, not %v", k.Server, now-k.At, x.want[i])
-				}
-			}
-		})
-	}
-}
