--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -9,71 +9,91 @@
 	"honeyplank/target"
 )
 
-// op is a client's command that the books know of; it is answered through it.
+// op is a client's command that the tracker has admitted. The tracker answers the client through it.
 type op struct {
-	g       *Instance
-	id      honeyplank.OpID
-	command *target.Command
+	instance *Instance
+	id       honeyplank.OpID
+	command  *target.Command
 }
 
-// patience is how long a client waits, less what its answer needs on the way.
-func (g *Instance) patience(c *target.Command) time.Duration {
-	wait := time.Duration(c.Patience()) * time.Millisecond
-	if t := g.s.Type(c.Opcode() == nvme.Write, int64(c.Bytes)); t >= 0 {
-		if most := g.s.OpTypes[t].OpTimeout.D(); wait == 0 || wait > most {
-			wait = most
+// opTimeout returns how long after its arrival a command must be answered: the client's own timeout or the op type's,
+// whichever is shorter, less the time that the answer needs to reach the client.
+func (g *Instance) opTimeout(command *target.Command) time.Duration {
+	timeout := time.Duration(command.Patience()) * time.Millisecond
+	if opType := g.settings.Type(command.Opcode() == nvme.Write, int64(command.Bytes)); opType >= 0 {
+		if limit := g.settings.OpTypes[opType].OpTimeout.D(); timeout == 0 || timeout > limit {
+			timeout = limit
 		}
 	}
-	return wait - g.s.Rules.AnswerMargin.D()
+	return timeout - g.settings.Rules.AnswerMargin.D()
 }
 
-// Admit tells the module of a client's command.
-func (g *Instance) Admit(c *target.Command) {
-	if g.ending {
-		c.Complete(nvme.NotReady, 0, 0, nil)
-		g.server.Release(c.Data)
+// Admit implements target.Handler: it admits a client's command as an op, unless the instance drains.
+func (g *Instance) Admit(command *target.Command) {
+	if g.draining {
+		command.Complete(nvme.NotReady, 0, 0, nil)
+		g.server.Release(command.Data)
 		return
 	}
-	g.last++
-	v := g.volumes[c.NSID()]
-	p := &op{g: g, id: honeyplank.OpID(strconv.FormatUint(g.last, 36)), command: c}
-	c.User = p
-	extent := int64(c.SLBA()) * int64(g.s.Volumes.Block) / int64(g.s.Volumes.Extent)
-	write := c.Opcode() == nvme.Write
-	g.ops.Admit(honeyplank.Op{
-		ID: p.id, Units: float64(g.s.Units(int64(c.Bytes))), Timeout: c.Arrived + g.patience(c), Plan: v.plan,
-		Type: g.s.Type(write, int64(c.Bytes)), Key: int64(c.NSID())<<32 ^ extent, HasKey: true, Write: write,
-		Schedulers: v.hosts, Volume: int64(c.NSID()), Cell: v.cells[extent%int64(len(v.cells))],
-	}, p)
+	g.lastOpID++
+	o := &op{instance: g, id: honeyplank.OpID(strconv.FormatUint(g.lastOpID, 36)), command: command}
+	command.User = o
+	g.tracker.Admit(g.opEvent(o), o)
 }
 
-// ClientGone tells the books that a client has gone.
-func (g *Instance) ClientGone(c *target.Command) {
-	if p, ok := c.User.(*op); ok {
-		p.release()
-		g.ops.ClientGone(p.id)
+// opEvent describes an op to the module.
+func (g *Instance) opEvent(o *op) honeyplank.Op {
+	command, size := o.command, int64(o.command.Bytes)
+	namespace := int64(command.NSID())
+	v := g.volumes[command.NSID()]
+	extent := int64(command.SLBA()) * int64(g.settings.Volumes.Block) / int64(g.settings.Volumes.Extent)
+	write := command.Opcode() == nvme.Write
+	return honeyplank.Op{
+		ID:         o.id,
+		Units:      float64(g.settings.Units(size)),
+		Timeout:    command.Arrived + g.opTimeout(command),
+		Plan:       v.plan,
+		Type:       g.settings.Type(write, size),
+		Key:        namespace<<32 ^ extent,
+		HasKey:     true,
+		Write:      write,
+		Schedulers: v.hosts,
+		Volume:     namespace,
+		Cell:       v.cells[extent%int64(len(v.cells))],
 	}
 }
 
-// Log has no pages of the gateway's own.
+// ClientGone implements target.Handler: the client of a command has gone.
+func (g *Instance) ClientGone(command *target.Command) {
+	if o, ok := command.User.(*op); ok {
+		o.release()
+		g.tracker.ClientGone(o.id)
+	}
+}
+
+// Log implements target.Handler: the gateway has no log pages of its own.
 func (g *Instance) Log(uint8) ([]byte, bool) { return nil, false }
 
-func (p *op) Succeeded(data []byte) { p.answer(nvme.Success, 0, data) }
+// Succeeded implements inflight.Client.
+func (o *op) Succeeded(data []byte) { o.answer(nvme.Success, 0, data) }
 
-func (p *op) Failed() { p.answer(nvme.InternalError|nvme.DoNotRetry, 0, nil) }
+// Failed implements inflight.Client. The op may have run, so the client is told not to retry.
+func (o *op) Failed() { o.answer(nvme.InternalError|nvme.DoNotRetry, 0, nil) }
 
-func (p *op) Rejected(after time.Duration) {
-	p.g.log.Debug().Uint32("volume", p.command.NSID()).Dur("advice_ms", after).Msg("throttled")
-	p.answer(nvme.CommandInterrupted.WithDelay(p.g.delay(after)), uint32(after/time.Millisecond), nil)
+// Rejected implements inflight.Client. The client may retry after the given time; 0: no delay is given.
+func (o *op) Rejected(retryAfter time.Duration) {
+	o.instance.log.Debug().Uint32("volume", o.command.NSID()).Dur("advice_ms", retryAfter).Msg("throttled")
+	status := nvme.CommandInterrupted.WithDelay(o.instance.retryDelayIndex(retryAfter))
+	o.answer(status, uint32(retryAfter/time.Millisecond), nil)
 }
 
-func (p *op) answer(status nvme.Status, dw0 uint32, data []byte) {
-	p.command.Complete(status, dw0, 0, data)
-	p.release()
+func (o *op) answer(status nvme.Status, dw0 uint32, data []byte) {
+	o.command.Complete(status, dw0, 0, data)
+	o.release()
 }
 
-// release gives back the data of a Write.
-func (p *op) release() {
-	p.g.server.Release(p.command.Data)
-	p.command.Data = nil
+// release returns the buffer of a Write's data.
+func (o *op) release() {
+	o.instance.server.Release(o.command.Data)
+	o.command.Data = nil
 }
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -7,34 +7,43 @@
 	"honeyplank/inflight"
 )
 
-// Counts are what an instance has done so far.
+// Counts are what an instance has done since New, and what it has in flight.
 type Counts struct {
 	inflight.Counts
-	Open        int // ops owed an answer now
-	Out         int // dispatches without an outcome now
-	Held        int // bytes of write data held now
-	Connections int
-	CPU         time.Duration // used by the loop
+	Open        int           // admitted ops without an answer
+	Out         int           // dispatches without an outcome
+	Held        int           // bytes of write data in buffers
+	Connections int           // of clients
+	CPU         time.Duration // used by the event loop
 }
 
-// Stats counts what the instance's loop has done.
+// Stats returns the counters of the instance's event loop.
 func (g *Instance) Stats() *eventloop.Stats { return &g.loop.Stats }
 
-// Counts asks the loop what it has done; an instance that has ended answers nothing.
-func (g *Instance) Counts() (c Counts, ok bool) {
-	answer := make(chan Counts, 1)
-	if !g.loop.Post(func() {
-		c := Counts{Counts: g.ops.Counts, Open: g.ops.Unanswered(), Out: g.ops.Outstanding()}
-		c.Held, c.Connections = g.server.Buffers.InUse, g.server.Connections()
-		c.CPU = g.loop.CPU()
-		answer <- c
-	}) {
-		return c, false
+// Counts returns the instance's counts; ok is false if the instance has ended. It waits for the event loop.
+func (g *Instance) Counts() (counts Counts, ok bool) {
+	return query(g, func() Counts {
+		return Counts{
+			Counts:      g.tracker.Counts,
+			Open:        g.tracker.Unanswered(),
+			Out:         g.tracker.Outstanding(),
+			Held:        g.server.Buffers.InUse,
+			Connections: g.server.Connections(),
+			CPU:         g.loop.CPU(),
+		}
+	})
+}
+
+// query runs read on the event loop and returns its result; ok is false if the instance has ended.
+func query[T any](g *Instance, read func() T) (result T, ok bool) {
+	answer := make(chan T, 1)
+	if !g.loop.Post(func() { answer <- read() }) {
+		return result, false
 	}
 	select {
-	case c = <-answer:
-		return c, true
+	case result = <-answer:
+		return result, true
 	case <-g.done:
-		return c, false
+		return result, false
 	}
 }
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -5,53 +5,70 @@
 	"honeyplank/initiator"
 )
 
-// disk is the connection to one disk server, made when something is to be sent.
-type disk struct {
-	g       *Instance
-	id      honeyplank.ServerID
-	link    *initiator.Association
-	waiting []func(ready bool) // until the association stands
-	out     int
+// diskServer is the connection to one disk server. The association is made when something is to be sent.
+type diskServer struct {
+	instance    *Instance
+	id          honeyplank.ServerID
+	association *initiator.Association // nil: none, or closed
+	waiting     []func(ready bool)     // called when the association is ready or has failed
+	outstanding int                    // submitted commands without an outcome
 }
 
-func (g *Instance) disk(id honeyplank.ServerID) *disk {
-	d := g.disks[id]
+// diskServer returns the disk server with an ID, and makes it if there is none.
+func (g *Instance) diskServer(id honeyplank.ServerID) *diskServer {
+	d := g.diskServers[id]
 	if d == nil {
-		d = &disk{g: g, id: id}
-		g.disks[id] = d
+		d = &diskServer{instance: g, id: id}
+		g.diskServers[id] = d
 	}
 	return d
 }
 
-// when calls f once the association stands, or has failed.
-func (d *disk) when(f func(ready bool)) {
-	if d.link != nil && d.link.IsReady() {
+// isConnected tells whether the association takes commands.
+func (d *diskServer) isConnected() bool { return d.association != nil && d.association.IsReady() }
+
+// whenConnected calls f once the association is ready (at once, if it is) or has failed. It connects if needed.
+func (d *diskServer) whenConnected(f func(ready bool)) {
+	if d.isConnected() {
 		f(true)
 		return
 	}
 	d.waiting = append(d.waiting, f)
-	if d.link == nil || d.link.Over() {
-		t := &d.g.s.DiskServers
-		d.link = initiator.Dial(d.g.loop, initiator.Settings{Address: string(d.id), Subsystem: t.Subsystem, Host: d.g.s.Listen.Host,
-			HostID: [16]byte{byte(d.g.s.Scheduler.Ordinal), byte(d.g.s.Scheduler.Ordinal >> 8)}, Depth: t.Depth, MaxData: int(d.g.s.Limits.Transfer),
-			Digests: t.Digests, ConnectTimeout: t.ConnectWithin.D(), KeepAlive: t.KeepAlive.D()}, d)
+	if d.association == nil || d.association.Over() {
+		d.association = initiator.Dial(d.instance.loop, d.associationSettings(), d)
+	}
+}
+
+func (d *diskServer) associationSettings() initiator.Settings {
+	config := d.instance.settings
+	ordinal := config.Scheduler.Ordinal
+	return initiator.Settings{
+		Address:        string(d.id),
+		Subsystem:      config.DiskServers.Subsystem,
+		Host:           config.Listen.Host,
+		HostID:         [16]byte{byte(ordinal), byte(ordinal >> 8)},
+		Depth:          config.DiskServers.Depth,
+		MaxData:        int(config.Limits.Transfer),
+		Digests:        config.DiskServers.Digests,
+		ConnectTimeout: config.DiskServers.ConnectWithin.D(),
+		KeepAlive:      config.DiskServers.KeepAlive.D(),
 	}
 }
 
-// Ready is called when the association can take commands.
-func (d *disk) Ready(*initiator.Association) { d.release(true) }
+// Ready implements initiator.Handler: the association takes commands.
+func (d *diskServer) Ready(*initiator.Association) { d.notifyWaiting(true) }
 
-// Ended is called when the association has ended or could not be made.
-func (d *disk) Ended(link *initiator.Association, err error) {
-	if d.link != link { // an op that was out there has been sent anew already
+// Ended implements initiator.Handler: the association has ended or could not be made.
+func (d *diskServer) Ended(association *initiator.Association, err error) {
+	if d.association != association { // replaced by a retry of one of its commands, or closed
 		return
 	}
-	d.g.log.Info().Str("osd", string(d.id)).Err(err).Msg("no connection")
-	d.link = nil
-	d.release(false)
+	d.instance.log.Info().Str("osd", string(d.id)).Err(err).Msg("no connection")
+	d.association = nil
+	d.notifyWaiting(false)
 }
 
-func (d *disk) release(ready bool) {
+func (d *diskServer) notifyWaiting(ready bool) {
 	waiting := d.waiting
 	d.waiting = nil
 	for _, f := range waiting {
@@ -59,9 +76,10 @@
 	}
 }
 
-func (d *disk) closeIdle() {
-	if d.link != nil && d.out == 0 && len(d.waiting) == 0 {
-		d.link.Close()
-		d.link = nil
+// closeIdle closes the association if nothing is outstanding or waits for it.
+func (d *diskServer) closeIdle() {
+	if d.association != nil && d.outstanding == 0 && len(d.waiting) == 0 {
+		d.association.Close()
+		d.association = nil
 	}
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -7,85 +7,91 @@
 	"honeyplank/nvme"
 )
 
-// sender carries the dispatches of the books. A dispatch has its disk for Link and its command id for Tag once it
-// has been submitted.
+// sender implements inflight.Sender. Once a dispatch has been submitted, its SenderState is the *diskServer and its
+// SenderTag the command ID.
 type sender struct{ *Instance }
 
-func (s sender) Send(d *inflight.Dispatch) {
-	k := s.disk(d.Server)
-	if k.link != nil && k.link.IsReady() {
-		k.submit(d)
+// Send submits a dispatch to its disk server, once the connection is ready.
+func (s sender) Send(dispatch *inflight.Dispatch) {
+	server := s.diskServer(dispatch.Server)
+	if server.isConnected() {
+		server.submit(dispatch)
 		return
 	}
-	k.when(func(ready bool) {
+	server.whenConnected(func(ready bool) {
 		switch {
-		case d.Ended():
-		case d.Abandoned(): // its client went while the connection was made
-			d.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
+		case dispatch.Ended():
+		case dispatch.Abandoned(): // its client has gone while the connection was made
+			dispatch.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		case !ready:
-			d.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+			dispatch.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 		default:
-			k.submit(d)
+			server.submit(dispatch)
 		}
 	})
 }
 
-func (s sender) Written(d *inflight.Dispatch) bool { return d.SenderState != nil }
+// Written reports whether a dispatch has been submitted, so that the op may run.
+func (s sender) Written(dispatch *inflight.Dispatch) bool { return dispatch.SenderState != nil }
 
-func (s sender) Cancel(d *inflight.Dispatch) {
-	if k, ok := d.SenderState.(*disk); ok {
-		k.out--
-		if k.link != nil {
-			k.link.IO.Abandon(uint16(d.SenderTag))
-		}
+// Cancel abandons the command of a dispatch; its answer is discarded.
+func (s sender) Cancel(dispatch *inflight.Dispatch) {
+	server, submitted := dispatch.SenderState.(*diskServer)
+	if !submitted {
+		return
+	}
+	server.outstanding--
+	if server.association != nil {
+		server.association.IO.Abandon(uint16(dispatch.SenderTag))
 	}
 }
 
-// submit sends a dispatch on a connection that stands.
-func (d *disk) submit(dispatch *inflight.Dispatch) {
-	c := dispatch.Client().(*op).command
-	read, data := c.Bytes, c.Data
-	if len(data) > 0 {
-		read = 0
+// submit sends a dispatch on the association, which must be ready.
+func (d *diskServer) submit(dispatch *inflight.Dispatch) {
+	command := dispatch.Client().(*op).command
+	readBytes := command.Bytes
+	if len(command.Data) > 0 {
+		readBytes = 0
 	}
-	sqe := nvme.NewRW(c.Opcode(), c.NSID(), c.SLBA(), c.Blocks())
-	cid, ok := d.link.IO.Submit(sqe, data, read, (*call)(dispatch))
-	if !ok { // every command id is out there
+	sqe := nvme.NewRW(command.Opcode(), command.NSID(), command.SLBA(), command.Blocks())
+	commandID, ok := d.association.IO.Submit(sqe, command.Data, readBytes, (*submission)(dispatch))
+	if !ok { // every command ID is in use
 		dispatch.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
 		return
 	}
-	dispatch.SenderState, dispatch.SenderTag = d, uint64(cid)
-	d.out++
+	dispatch.SenderState, dispatch.SenderTag = d, uint64(commandID)
+	d.outstanding++
 }
 
-// call is a dispatch that has been submitted.
-type call inflight.Dispatch
+// submission is a dispatch that has been submitted.
+type submission inflight.Dispatch
 
-// Done is told how the command ended.
-func (c *call) Done(r initiator.Result) {
-	d := (*inflight.Dispatch)(c)
-	if d.Ended() {
+// Done implements initiator.Call: it finishes the dispatch with the outcome of its command.
+func (s *submission) Done(result initiator.Result) {
+	dispatch := (*inflight.Dispatch)(s)
+	if dispatch.Ended() {
 		return
 	}
-	d.SenderState.(*disk).out--
-	if r.Lost {
-		d.Finish(honeyplank.Reset, nil, inflight.Feedback{})
+	dispatch.SenderState.(*diskServer).outstanding--
+	if result.Lost {
+		dispatch.Finish(honeyplank.Reset, nil, inflight.Feedback{})
 		return
 	}
-	code, load := honeyplank.Failed, r.Load()
-	switch r.Status().Code() {
-	case nvme.Success:
-		code = honeyplank.Succeeded
-	case nvme.TurnedAway:
-		code = honeyplank.Rejected
-	}
-	d.Finish(code, r.Data, inflight.Feedback{QuotaUsed: int(load.Used), ServedElsewhere: float64(load.Elsewhere), Load: told(load)})
+	load := result.Load()
+	dispatch.Finish(outcome(result.Status()), result.Data, inflight.Feedback{
+		QuotaUsed:       int(load.Used),
+		ServedElsewhere: float64(load.Elsewhere),
+		Load:            loadMetrics(load),
+	})
 }
 
-// told names the figures of a load report as the module knows them.
-func told(l nvme.Load) map[string]float64 {
-	if l.Latency == 0 && l.Inflight == 0 {
-		return nil
+// outcome converts the status of a command's answer.
+func outcome(status nvme.Status) honeyplank.Code {
+	switch status.Code() {
+	case nvme.Success:
+		return honeyplank.Succeeded
+	case nvme.TurnedAway:
+		return honeyplank.Rejected
 	}
-	return map[string]float64{"latency": float64(l.Latency) / 10, "inflight": float64(l.Inflight)}
+	return honeyplank.Failed
 }
--- a/gateway/estimates.go
+++ b/gateway/estimates.go
@@ -7,41 +7,37 @@
 	"honeyplank/estimates"
 )
 
-// recall tells the module what an instance before had learnt, each figure with its age. The file has the wall clock's
-// time alone. Where it names a time to come, the clock has been set back since: no age in it can be told, and none of it
-// is believed. It guards against old figures that look fresh; it could harm where a clock is set back by a moment just
-// at a switch, which then begins as without the file.
-func (g *Instance) recall(r *estimates.Record) {
-	wall, now := g.o.Wall(), g.loop.Now()
-	for _, s := range r.Servers {
-		if s.At.After(wall) {
-			g.log.Warn().Str("osd", s.ID).Time("at", s.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
+// restoreEstimates delivers the estimates that an earlier instance saved to the module, each with its age.
+//
+// The record has times of the wall clock only. If one of them is in the future, the clock has been set back since and
+// no age can be computed, so the whole record is discarded: otherwise old estimates would look fresh. This could harm
+// if a clock is set back by a moment just at a restart; the instance then starts without estimates.
+func (g *Instance) restoreEstimates(record *estimates.Record) {
+	wall, now := g.options.Wall(), g.loop.Now()
+	for _, server := range record.Servers {
+		if server.At.After(wall) {
+			g.log.Warn().Str("osd", server.ID).Time("at", server.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
 			return
 		}
 	}
-	if unit := int64(g.s.Volumes.Unit); r.Unit != unit {
-		g.log.Warn().Int64("bytes", r.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
+	unit := int64(g.settings.Volumes.Unit)
+	if record.Unit != unit {
+		g.log.Warn().Int64("bytes", record.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
 	}
-	g.ops.Deliver(r.ToEvent(int64(g.s.Volumes.Unit), func(at time.Time) time.Duration { return now - wall.Sub(at) }))
+	g.tracker.Deliver(record.ToEvent(unit, func(at time.Time) time.Duration { return now - wall.Sub(at) }))
 }
 
-// Learnt asks the loop what the module knows of the disk servers; a module that doesn't tell, and an instance that has
-// ended, answer nothing.
-func (g *Instance) Learnt() (r *estimates.Record, ok bool) {
-	module, tells := g.module.(interface {
+// Learnt returns the module's estimates of the disk servers, to be saved for a later instance. ok is false if the
+// module has no SavedEstimates method or the instance has ended. It waits for the event loop.
+func (g *Instance) Learnt() (record *estimates.Record, ok bool) {
+	module, ok := g.module.(interface {
 		SavedEstimates() honeyplank.SavedEstimates
 	})
-	answer := make(chan *estimates.Record, 1)
-	if !tells || !g.loop.Post(func() {
-		start := g.o.Wall().Add(-g.loop.Now())
-		answer <- estimates.FromEvent(module.SavedEstimates(), int64(g.s.Volumes.Unit), start.Add)
-	}) {
-		return nil, false
-	}
-	select {
-	case r = <-answer:
-		return r, true
-	case <-g.done:
+	if !ok {
 		return nil, false
 	}
+	return query(g, func() *estimates.Record {
+		loopStart := g.options.Wall().Add(-g.loop.Now())
+		return estimates.FromEvent(module.SavedEstimates(), int64(g.settings.Volumes.Unit), loopStart.Add)
+	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway is honeyplank as a library: one Instance takes Reads and Writes from NVMe/TCP clients and
-// carries them to disk servers. New, then Serve, then Shutdown. It tells the decision module what happens and
-// does what the module says; it decides nothing. Instances share nothing that was not handed to both.
+// Package gateway is honeyplank as a library. An Instance admits Reads and Writes from NVMe/TCP clients and
+// dispatches them to disk servers: call New, then Serve, then Shutdown. It delivers events to the decision module and
+// executes the actions that the module returns; it takes no decisions itself. Instances share no state other than
+// what the caller hands to several of them.
 package gateway
 
 import (
@@ -28,137 +29,227 @@
 	"honeyplank/target"
 )
 
-// Module makes the decisions: policy.Scheduler, or a baseline to measure against.
+// Module takes the decisions: policy.Scheduler, or a baseline to measure against.
 type Module = inflight.DecisionModule
 
-// Tap sees the bytes of one connection, in order; sent tells which way.
+// Tap observes the bytes of one connection, in order; sent tells the direction.
 type Tap = func(sent bool, b []byte)
 
-// Options are what an instance is made of.
+// Options configure an instance. Settings is required.
 type Options struct {
 	Settings *settings.Gateway
 	Seed     int64
 	// Module makes the decision module; nil: policy.New.
 	Module func(seed int64, settings *honeyplank.Settings) Module
-	// Learnt is what an instance before this one knew of the disk servers; nil: nothing.
+	// Learnt holds the estimates of the disk servers that an earlier instance saved; nil: none.
 	Learnt *estimates.Record
-	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline goes by it.
+	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline depends on it.
 	Wall func() time.Time
 	Log  zerolog.Logger
 }
 
-// Instance is one running gateway.
+// Instance is one running gateway. All its state belongs to the goroutine that runs the event loop in Serve; other
+// goroutines reach it through loop.Post.
 type Instance struct {
-	o      Options
-	s      *settings.Gateway
-	loop   *eventloop.Loop
-	module Module
-	server *target.Server
-	etcd   *etcd.Client // nil: not a source
-	dns    *dns.Client
-	ask    func() // starts asking DNS; nil: not a source
-	book   *membership.Ledger
-	starts [2]incarnation.Tracker // by membership.Source
-	ticker *eventloop.Timer       // for what time alone changes in the book
-	log    zerolog.Logger
-
-	ops     *inflight.Tracker
-	last    uint64
-	disks   map[honeyplank.ServerID]*disk
-	volumes map[uint32]*volume
-	advice  []time.Duration // what CRDT1 to CRDT3 stand for
-	ending  bool
-	settled func() // called once no op is owed an answer
-	done    chan struct{}
+	options      Options
+	settings     *settings.Gateway
+	loop         *eventloop.Loop
+	module       Module
+	server       *target.Server
+	etcd         *etcd.Client // nil: not a source
+	dns          *dns.Client  // nil: not a source, or not started yet
+	startDNS     func()       // starts polling DNS; nil: not a source
+	ledger       *membership.Ledger
+	incarnations [2]incarnation.Tracker // by membership.Source
+	ledgerTimer  *eventloop.Timer       // for what changes in the ledger by the passing of time alone
+	log          zerolog.Logger
+
+	tracker     *inflight.Tracker
+	lastOpID    uint64
+	diskServers map[honeyplank.ServerID]*diskServer
+	volumes     map[uint32]*volume // by namespace ID
+	retryDelays []time.Duration    // what CRDT1 to CRDT3 stand for, ascending
+	draining    bool               // no more ops are admitted
+	onDrained   func()             // called once no op is owed an answer; nil: not draining, or called already
+	done        chan struct{}      // closed when Serve returns
 }
 
+// volume is what the settings say of one namespace.
 type volume struct {
 	plan, hosts int
 	cells       []int
 }
 
-// clockStart is the time of the loop's clock at New. 0 stands for never or long ago.
+// clockStart is the time of the loop's clock at New. It is not 0, which stands for never or long ago.
 const clockStart = time.Second
 
-// New makes an instance and listens. Nothing is served before Serve.
-func New(o Options) (*Instance, error) {
-	if o.Settings == nil {
+// queuesPerController is the largest number of I/O queues that a client may create.
+const queuesPerController = 64
+
+// New makes an instance and listens on the address in the settings. Nothing is served before Serve. It fails if there
+// are no settings, the event loop can't be made or the address can't be listened on.
+func New(options Options) (*Instance, error) {
+	if options.Settings == nil {
 		return nil, errors.New("gateway: no settings")
 	}
-	if o.Module == nil {
-		o.Module = func(seed int64, v *honeyplank.Settings) Module { return policy.New(seed, v) }
+	if options.Module == nil {
+		options.Module = func(seed int64, values *honeyplank.Settings) Module { return policy.New(seed, values) }
 	}
-	s := o.Settings
-	if o.Wall == nil {
-		o.Wall = time.Now
+	if options.Wall == nil {
+		options.Wall = time.Now
 	}
-	l, err := eventloop.New(clockStart)
+	loop, err := eventloop.New(clockStart)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	g := &Instance{o: o, s: s, loop: l, log: o.Log, module: o.Module(o.Seed, s.Module()),
-		disks: map[honeyplank.ServerID]*disk{}, volumes: map[uint32]*volume{}, done: make(chan struct{})}
-	g.ops = inflight.New(l, g.module, sender{g})
-	g.ops.OnAction, g.ops.OnIdle = g.act, g.check
-	offer := target.Settings{Subsystem: s.Listen.Subsystem, Serial: "HP" + strconv.Itoa(s.Scheduler.Ordinal),
-		MaxTransfer: int(s.Limits.Transfer), Capsule: int(s.Limits.Capsule), Piece: int(s.Limits.Piece),
-		Depth: s.Limits.Depth, Queues: 64, Handshake: s.Limits.Handshake.D(), Connections: s.Limits.Connections,
-		Unsent: int(s.Limits.Unsent), Held: int(s.Limits.Held)}
-	shift := uint8(0)
-	for 1<<shift < int(s.Volumes.Block) {
-		shift++
-	}
-	for i := range s.Volumes.List {
-		v := &s.Volumes.List[i]
-		g.volumes[v.NSID] = &volume{plan: s.Plan(v.Plan), hosts: v.Hosts, cells: v.CellList()}
-		id := sha256.Sum256([]byte(s.Listen.Subsystem + "/" + v.Name))
-		offer.Namespaces = append(offer.Namespaces, target.Namespace{ID: v.NSID, Blocks: uint64(v.Size) >> shift, Shift: shift, UUID: [16]byte(id[:16])})
-	}
-	slices.SortFunc(offer.Namespaces, func(a, b target.Namespace) int { return int(int64(a.ID) - int64(b.ID)) })
-	g.advice = g.delays()
-	for i, d := range g.advice {
-		offer.Delays[i] = uint16((d + crdtUnit - 1) / crdtUnit)
-	}
-	if g.server, err = target.Listen(l, s.Listen.Address, offer, g); err != nil {
-		l.Stop()
-		l.Run()
-		return nil, fmt.Errorf("gateway: %s: %w", s.Listen.Address, err)
-	}
-	if p := s.Limits.Peer; p != nil {
-		g.server.Guard = peerlimit.New(peerlimit.Settings{MaxConnections: p.Connections, MaxHandshakes: p.Handshakes, MaxCommands: p.Commands, MaxBytes: int(p.Bytes), PDUTimeout: p.PDU.D(),
-			BanThreshold: p.Breaches, ViolationWindow: p.Window.D(), InitialBan: p.Shut.D(), MaxBan: p.Most.D()})
-	}
-	g.server.Judged = func(peer, what string, span time.Duration) {
-		g.log.Warn().Str("peer", peer).Str("why", what).Dur("for_ms", span).Msg("a peer is turned away")
-	}
-	g.server.Patience = func(c *target.Command) time.Duration { return g.patience(c) }
-	terms := membership.Settings{MaxRemovedShare: 1} // one source alone is believed
-	if t := s.List.Believe; t != nil {
-		terms = membership.Settings{MaxRemovedShare: t.Vanish, ConfirmAfter: t.Confirm.D(), FlapWindow: t.Calm.D(), FlapThreshold: t.Flaps, FlapHold: t.Hold.D()}
-	}
-	g.book = membership.New(terms)
-	for i := range g.starts {
-		g.starts[i].MaxRemoved = s.List.Most
-	}
-	hear := func(from membership.Source) func(discovery.Update) {
-		return func(n discovery.Update) { l.Post(func() { g.news(from, n) }) }
-	}
-	if len(s.List.Etcd) > 0 {
+	config := options.Settings
+	g := &Instance{
+		options:     options,
+		settings:    config,
+		loop:        loop,
+		log:         options.Log,
+		module:      options.Module(options.Seed, config.Module()),
+		diskServers: map[honeyplank.ServerID]*diskServer{},
+		volumes:     makeVolumes(config),
+		done:        make(chan struct{}),
+	}
+	g.tracker = inflight.New(loop, g.module, sender{g})
+	g.tracker.OnAction = g.execute
+	g.tracker.OnIdle = g.checkDrained
+	g.retryDelays = possibleRetryDelays(config)
+	if err := g.listen(); err != nil {
+		loop.Stop()
+		loop.Run()
+		return nil, err
+	}
+	g.ledger = membership.New(membershipSettings(config))
+	for i := range g.incarnations {
+		g.incarnations[i].MaxRemoved = config.List.Most
+	}
+	g.configureDiscovery()
+	return g, nil
+}
+
+// makeVolumes returns the volumes of the settings by namespace ID.
+func makeVolumes(config *settings.Gateway) map[uint32]*volume {
+	volumes := map[uint32]*volume{}
+	for i := range config.Volumes.List {
+		v := &config.Volumes.List[i]
+		volumes[v.NSID] = &volume{plan: config.Plan(v.Plan), hosts: v.Hosts, cells: v.CellList()}
+	}
+	return volumes
+}
+
+// listen makes the NVMe/TCP target and listens.
+func (g *Instance) listen() error {
+	server, err := target.Listen(g.loop, g.settings.Listen.Address, g.targetSettings(), g)
+	if err != nil {
+		return fmt.Errorf("gateway: %s: %w", g.settings.Listen.Address, err)
+	}
+	g.server = server
+	if p := g.settings.Limits.Peer; p != nil {
+		server.Guard = peerlimit.New(peerlimit.Settings{
+			MaxConnections:  p.Connections,
+			MaxHandshakes:   p.Handshakes,
+			MaxCommands:     p.Commands,
+			MaxBytes:        int(p.Bytes),
+			PDUTimeout:      p.PDU.D(),
+			BanThreshold:    p.Breaches,
+			ViolationWindow: p.Window.D(),
+			InitialBan:      p.Shut.D(),
+			MaxBan:          p.Most.D(),
+		})
+	}
+	server.Judged = func(peer, reason string, duration time.Duration) {
+		g.log.Warn().Str("peer", peer).Str("why", reason).Dur("for_ms", duration).Msg("a peer is turned away")
+	}
+	server.Patience = g.opTimeout
+	return nil
+}
+
+// targetSettings returns what the instance offers to its clients.
+func (g *Instance) targetSettings() target.Settings {
+	config, limits := g.settings, &g.settings.Limits
+	offer := target.Settings{
+		Subsystem:   config.Listen.Subsystem,
+		Serial:      "HP" + strconv.Itoa(config.Scheduler.Ordinal),
+		MaxTransfer: int(limits.Transfer),
+		Capsule:     int(limits.Capsule),
+		Piece:       int(limits.Piece),
+		Depth:       limits.Depth,
+		Queues:      queuesPerController,
+		Handshake:   limits.Handshake.D(),
+		Connections: limits.Connections,
+		Unsent:      int(limits.Unsent),
+		Held:        int(limits.Held),
+		Namespaces:  namespaces(config),
+	}
+	for i, delay := range g.retryDelays {
+		offer.Delays[i] = uint16((delay + retryDelayUnit - 1) / retryDelayUnit)
+	}
+	return offer
+}
+
+// namespaces returns the volumes of the settings as namespaces, by ID.
+func namespaces(config *settings.Gateway) (list []target.Namespace) {
+	blockShift := uint8(0)
+	for 1<<blockShift < int(config.Volumes.Block) {
+		blockShift++
+	}
+	for i := range config.Volumes.List {
+		v := &config.Volumes.List[i]
+		id := sha256.Sum256([]byte(config.Listen.Subsystem + "/" + v.Name))
+		list = append(list, target.Namespace{
+			ID:     v.NSID,
+			Blocks: uint64(v.Size) >> blockShift,
+			Shift:  blockShift,
+			UUID:   [16]byte(id[:16]),
+		})
+	}
+	slices.SortFunc(list, func(a, b target.Namespace) int { return int(int64(a.ID) - int64(b.ID)) })
+	return list
+}
+
+// membershipSettings returns the settings of the ledger. Without any, each source alone is believed.
+func membershipSettings(config *settings.Gateway) membership.Settings {
+	b := config.List.Believe
+	if b == nil {
+		return membership.Settings{MaxRemovedShare: 1}
+	}
+	return membership.Settings{
+		MaxRemovedShare: b.Vanish,
+		ConfirmAfter:    b.Confirm.D(),
+		FlapWindow:      b.Calm.D(),
+		FlapThreshold:   b.Flaps,
+		FlapHold:        b.Hold.D(),
+	}
+}
+
+// configureDiscovery makes the etcd client and prepares the DNS client; DNS is polled from Serve on.
+func (g *Instance) configureDiscovery() {
+	list := &g.settings.List
+	if len(list.Etcd) > 0 {
 		var endpoints []string
-		for _, e := range s.List.Etcd {
+		for _, e := range list.Etcd {
 			endpoints = append(endpoints, e.Endpoint)
 		}
-		g.etcd = etcd.New(endpoints, s.List.Prefix, s.Listen.Host, s.List.AskWithin.D(), s.List.Most, hear(membership.Etcd))
+		g.etcd = etcd.New(endpoints, list.Prefix, g.settings.Listen.Host, list.AskWithin.D(), list.Most, g.updateHandler(membership.Etcd))
 	}
-	if d := s.List.DNS; d != nil {
-		terms := dns.Settings{Name: d.Name, MinInterval: d.Floor.D(), MaxInterval: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: o.Seed}
-		for _, x := range d.Servers {
-			terms.Servers = append(terms.Servers, x.Address)
+	if d := list.DNS; d != nil {
+		config := dns.Settings{Name: d.Name, MinInterval: d.Floor.D(), MaxInterval: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: g.options.Seed}
+		for _, server := range d.Servers {
+			config.Servers = append(config.Servers, server.Address)
 		}
-		g.ask = func() { g.dns = dns.New(terms, hear(membership.DNS)) }
+		g.startDNS = func() { g.dns = dns.New(config, g.updateHandler(membership.DNS)) }
+	}
+}
+
+// updateHandler returns the function that passes a source's updates to the loop; any goroutine may call it.
+func (g *Instance) updateHandler(source membership.Source) func(discovery.Update) {
+	return func(update discovery.Update) {
+		g.loop.Post(func() { g.handleUpdate(source, update) })
 	}
-	return g, nil
 }
 
-// Address is where the instance listens.
+// Address returns the address that the instance listens on.
 func (g *Instance) Address() string { return g.server.Address() }
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -6,19 +6,20 @@
 	"honeyplank"
 )
 
-// Serve runs the instance until Shutdown has ended it or the context is over; then what it has taken is
-// settled first, within the longest op timeout. It must be called once.
+// Serve runs the instance until Shutdown or Kill has ended it, or ctx is done. When ctx is done, the instance drains
+// first: every admitted op is answered, within the longest op timeout. Serve must be called exactly once; its error is
+// the event loop's.
 func (g *Instance) Serve(ctx context.Context) error {
 	defer close(g.done)
 	stop := context.AfterFunc(ctx, func() { g.loop.Post(func() { g.drain(g.loop.Stop) }) })
 	defer stop()
-	if r := g.o.Learnt; r != nil {
-		g.loop.Post(func() { g.recall(r) })
+	if record := g.options.Learnt; record != nil {
+		g.loop.Post(func() { g.restoreEstimates(record) })
 	}
-	// An empty list as last seen starts the module, which asks for the watch.
-	g.loop.Post(func() { g.ops.Deliver(honeyplank.List{Kind: honeyplank.Cached}) })
-	if g.ask != nil {
-		g.ask()
+	// An empty cached list starts the module, which then asks for the watch.
+	g.loop.Post(func() { g.tracker.Deliver(honeyplank.List{Kind: honeyplank.Cached}) })
+	if g.startDNS != nil {
+		g.startDNS()
 	}
 	err := g.loop.Run()
 	if g.etcd != nil {
@@ -30,8 +31,9 @@
 	return err
 }
 
-// Shutdown takes no more ops, waits until every op taken has its answer and is sent, and ends Serve. When
-// the context is over first, the rest are aborted at once. An instance that was never served must be.
+// Shutdown stops admitting ops, waits until every admitted op has been answered and its answer sent, and ends Serve.
+// If ctx is done first, the remaining ops are failed at once and the context's error is returned. Serve must have been
+// called, or be called later: without it Shutdown does not return.
 func (g *Instance) Shutdown(ctx context.Context) error {
 	if !g.loop.Post(func() { g.drain(g.loop.Stop) }) {
 		return nil
@@ -41,52 +43,54 @@
 		return nil
 	case <-ctx.Done():
 	}
-	g.loop.Post(func() {
-		g.ops.FailAll()
-	})
+	g.loop.Post(g.tracker.FailAll)
 	<-g.done
 	return ctx.Err()
 }
 
-// Kill ends the instance as the death of its process would: connections break, nothing is settled.
+// Kill ends the instance as the death of its process would: connections are cut and admitted ops get no answer. Like
+// Shutdown it needs Serve.
 func (g *Instance) Kill() {
 	g.loop.Post(func() {
 		g.server.Cut(true)
-		for _, d := range g.disks {
-			if d.link != nil {
-				d.link.Close()
-			}
-		}
+		g.closeAssociations()
 		g.loop.Stop()
 	})
 	<-g.done
 }
 
-// drain stops taking ops and calls then once all that were taken are settled and their answers are sent.
-func (g *Instance) drain(then func()) {
-	if g.ending {
+// closeAssociations closes the connections to all disk servers.
+func (g *Instance) closeAssociations() {
+	for _, d := range g.diskServers {
+		if d.association != nil {
+			d.association.Close()
+		}
+	}
+}
+
+// drain stops admitting ops and calls drained once every admitted op has been answered and its answer sent. Only the
+// first call counts.
+func (g *Instance) drain(drained func()) {
+	if g.draining {
 		return
 	}
-	g.ending = true
+	g.draining = true
 	g.server.Shut = true
-	g.log.Info().Int("open", g.ops.Unanswered()).Msg("no more ops are taken")
-	g.settled = func() {
-		g.settled = nil
+	g.log.Info().Int("open", g.tracker.Unanswered()).Msg("no more ops are taken")
+	g.onDrained = func() {
+		g.onDrained = nil
 		if g.etcd != nil {
 			g.etcd.Watch(false)
 		}
-		for _, d := range g.disks {
-			if d.link != nil {
-				d.link.Close()
-			}
-		}
-		g.server.Close(then)
+		g.closeAssociations()
+		g.server.Close(drained)
 	}
-	g.check()
+	g.checkDrained()
 }
 
-func (g *Instance) check() {
-	if g.settled != nil && g.ops.Unanswered() == 0 {
-		g.settled()
+// checkDrained calls onDrained if the instance drains and no op is owed an answer.
+func (g *Instance) checkDrained() {
+	if g.onDrained != nil && g.tracker.Unanswered() == 0 {
+		g.onDrained()
 	}
 }
--- a/gateway/nodes.go
+++ b/gateway/nodes.go
@@ -5,10 +5,12 @@
 	"slices"
 	"time"
 
+	"honeyplank"
 	"honeyplank/membership"
 )
 
-// Node is what is believed of a disk server, why, and what each source says. Times are ages.
+// Node is the state of a disk server in the membership ledger, its cause, and what each source reports. Since is a
+// duration up to now, rounded to seconds.
 type Node struct {
 	OSD      string `json:"osd"`
 	Cell     int    `json:"cell"`
@@ -19,36 +21,42 @@
 	DNS      string `json:"dns"`
 }
 
-// Nodes asks the loop what is believed of each disk server, by address.
+// Nodes returns the state of each disk server, sorted by address; ok is false if the instance has ended. It waits for
+// the event loop.
 func (g *Instance) Nodes() (list []Node, ok bool) {
-	answer := make(chan []Node, 1)
-	if !g.loop.Post(func() {
-		var list []Node
-		ids := g.book.Nodes()
+	return query(g, func() (list []Node) {
+		ids := g.ledger.Nodes()
 		slices.Sort(ids)
 		now := g.loop.Now()
 		for _, id := range ids {
-			v, _ := g.book.View(id)
-			says := func(s membership.Source) string {
-				if v.ReportedState[s] == membership.NeverListed {
-					return v.ReportedState[s].String()
-				}
-				text := fmt.Sprintf("%v for %v", v.ReportedState[s], (now - v.ReportedAt[s]).Round(time.Second))
-				if v.Unconfirmed[s] {
-					text += ", vanished"
-				}
-				return text
-			}
-			list = append(list, Node{string(id), v.Member.Cell, v.State.String(), v.Cause.String(), (now - v.Since).Round(time.Second).String(), says(membership.Etcd), says(membership.DNS)})
+			view, _ := g.ledger.View(id)
+			list = append(list, makeNode(now, id, view))
 		}
-		answer <- list
-	}) {
-		return nil, false
+		return list
+	})
+}
+
+func makeNode(now time.Duration, id honeyplank.ServerID, view membership.View) Node {
+	return Node{
+		OSD:      string(id),
+		Cell:     view.Member.Cell,
+		Believed: view.State.String(),
+		Cause:    view.Cause.String(),
+		Since:    (now - view.Since).Round(time.Second).String(),
+		Etcd:     sourceText(now, membership.Etcd, view),
+		DNS:      sourceText(now, membership.DNS, view),
+	}
+}
+
+// sourceText says what a source reports of a disk server, and for how long.
+func sourceText(now time.Duration, source membership.Source, view membership.View) string {
+	state := view.ReportedState[source]
+	if state == membership.NeverListed {
+		return state.String()
 	}
-	select {
-	case list = <-answer:
-		return list, true
-	case <-g.done:
-		return nil, false
+	text := fmt.Sprintf("%v for %v", state, (now - view.ReportedAt[source]).Round(time.Second))
+	if view.Unconfirmed[source] {
+		text += ", vanished"
 	}
+	return text
 }
--- /dev/null
+++ b/gateway/probe.go
@@ -0,0 +1,44 @@
+package gateway
+
+import (
+	"honeyplank"
+	"honeyplank/initiator"
+	"honeyplank/nvme"
+)
+
+// probe reads a disk server's load page and delivers the result to the module.
+func (g *Instance) probe(id honeyplank.ServerID) {
+	server, began := g.diskServer(id), g.loop.Now()
+	deliver := func(code honeyplank.Code, load nvme.Load) {
+		g.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: code, Elapsed: g.loop.Now() - began, Load: loadMetrics(load)})
+	}
+	pageRead := initiator.CallFunc(func(result initiator.Result) {
+		switch {
+		case result.Lost:
+			deliver(honeyplank.Reset, nvme.Load{})
+		case result.Status() != nvme.Success || len(result.Data) < nvme.LoadLen:
+			deliver(honeyplank.Failed, nvme.Load{})
+		default:
+			deliver(honeyplank.Succeeded, nvme.ParseLoad(result.Data))
+		}
+	})
+	server.whenConnected(func(ready bool) {
+		if !ready || !server.association.Page(nvme.LogLoad, nvme.LoadLen, pageRead) {
+			deliver(honeyplank.ConnectFailed, nvme.Load{})
+		}
+	})
+}
+
+// latencyUnitsPerMillisecond: a load report gives latency in tenths of a millisecond.
+const latencyUnitsPerMillisecond = 10
+
+// loadMetrics returns the metrics of a load report by the names that the module knows; nil if the report has none.
+func loadMetrics(load nvme.Load) map[string]float64 {
+	if load.Latency == 0 && load.Inflight == 0 {
+		return nil
+	}
+	return map[string]float64{
+		"latency":  float64(load.Latency) / latencyUnitsPerMillisecond,
+		"inflight": float64(load.Inflight),
+	}
+}
--- a/gateway/retrydelay.go
+++ b/gateway/retrydelay.go
@@ -3,36 +3,43 @@
 import (
 	"slices"
 	"time"
+
+	"honeyplank/settings"
 )
 
-// crdtUnit is the unit of CRDT1 to CRDT3 (Base 5.17.2.1).
-const crdtUnit = 100 * time.Millisecond
+// retryDelayUnit is the unit of CRDT1 to CRDT3 (Base 5.17.2.1).
+const retryDelayUnit = 100 * time.Millisecond
+
+// maxRetryDelays is the number of CRDT fields: CRDT1 to CRDT3.
+const maxRetryDelays = 3
 
-// delays are the advices that the module can give, by the settings: three at most.
-func (g *Instance) delays() (list []time.Duration) {
-	if g.s.Dispatches.AdviceMost <= 0 {
+// possibleRetryDelays returns the retry delays that the module can give by the settings, ascending. Where there are
+// more than maxRetryDelays, the shortest and the longest ones are kept.
+func possibleRetryDelays(config *settings.Gateway) (list []time.Duration) {
+	if config.Dispatches.AdviceMost <= 0 {
 		return nil
 	}
-	for _, t := range g.s.OpTypes {
-		list = append(list, min(t.TargetLatency.D(), g.s.Dispatches.AdviceMost.D()))
+	for _, opType := range config.OpTypes {
+		list = append(list, min(opType.TargetLatency.D(), config.Dispatches.AdviceMost.D()))
 	}
 	slices.Sort(list)
 	list = slices.Compact(list)
-	for len(list) > 3 {
+	for len(list) > maxRetryDelays {
 		list = slices.Delete(list, 1, 2)
 	}
 	return list
 }
 
-// delay is the CRD index whose time is the least that is not under the advice; 0: no advice.
-func (g *Instance) delay(advice time.Duration) int {
-	for i, d := range g.advice {
-		if advice > 0 && advice <= d {
+// retryDelayIndex returns the CRD value, 1 to 3, of the shortest configured delay that is at least retryAfter, or of the
+// longest one if all are shorter; 0 if retryAfter is 0 or no delay is configured.
+func (g *Instance) retryDelayIndex(retryAfter time.Duration) int {
+	if retryAfter <= 0 {
+		return 0
+	}
+	for i, delay := range g.retryDelays {
+		if retryAfter <= delay {
 			return i + 1
 		}
 	}
-	if advice > 0 {
-		return len(g.advice)
-	}
-	return 0
+	return len(g.retryDelays)
 }
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -8,94 +8,121 @@
 	"honeyplank/membership"
 )
 
-// news carries what a source heard to the book, and what the book makes of it to the module.
-func (g *Instance) news(from membership.Source, n discovery.Update) {
-	for _, text := range n.Skipped {
-		g.log.Warn().Stringer("source", from).Str("why", text).Msg("a list entry is passed over")
+// handleUpdate records a source's update in the ledger and delivers what the ledger makes of it to the module.
+func (g *Instance) handleUpdate(source membership.Source, update discovery.Update) {
+	for _, reason := range update.Skipped {
+		g.log.Warn().Stringer("source", source).Str("why", reason).Msg("a list entry is passed over")
 	}
-	wall, now := g.o.Wall(), g.loop.Now() // in this order: a halt between them makes starts later, not earlier
-	var all []membership.Report
-	for _, node := range n.Nodes {
-		all = append(all, g.statement(now, wall, from, node))
+	wall, now := g.options.Wall(), g.loop.Now() // in this order: a hold-up between them places starts later, not earlier
+	var reports []membership.Report
+	for _, node := range update.Nodes {
+		reports = append(reports, g.report(now, wall, source, node))
 	}
-	g.date(now, from, n)
+	g.recordCurrent(now, source, update)
 	var lists []honeyplank.List
-	switch n.Kind {
+	switch update.Kind {
 	case honeyplank.WatchFailed:
-		g.log.Warn().Stringer("source", from).Err(n.Err).Msg("the list can't be followed")
-		g.book.SourceFailed(now, from)
-		if from == membership.Etcd {
-			g.ops.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
-		}
+		g.handleSourceFailure(now, source, update.Err)
 		return
 	case honeyplank.Complete:
-		lists = g.book.Complete(now, from, all)
+		lists = g.ledger.Complete(now, source, reports)
 	default:
-		lists = g.book.Delta(now, from, all)
+		lists = g.ledger.Delta(now, source, reports)
 	}
-	if from == membership.Etcd && len(lists) == 0 { // nothing new, but the watch stands
+	if source == membership.Etcd && len(lists) == 0 { // no change, but the module learns that the watch works
 		lists = []honeyplank.List{{Kind: honeyplank.Delta}}
 	}
-	g.believe(lists, from == membership.Etcd || g.etcd == nil)
+	g.deliverLists(lists, source == membership.Etcd || g.etcd == nil)
 }
 
-// statement is what a node's entry says.
-func (g *Instance) statement(now time.Duration, wall time.Time, from membership.Source, node discovery.Node) membership.Report {
-	s := membership.Report{State: membership.Up, Member: honeyplank.Member{ID: honeyplank.ServerID(node.Address), Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell}}
+// handleSourceFailure records that a source can't be followed. The module is told of etcd's failures only: it retries
+// the watch, and DNS has none.
+func (g *Instance) handleSourceFailure(now time.Duration, source membership.Source, err error) {
+	g.log.Warn().Stringer("source", source).Err(err).Msg("the list can't be followed")
+	g.ledger.SourceFailed(now, source)
+	if source == membership.Etcd {
+		g.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
+	}
+}
+
+// report converts a node of an update to a report for the ledger, and records its incarnation.
+func (g *Instance) report(now time.Duration, wall time.Time, source membership.Source, node discovery.Node) membership.Report {
+	id := honeyplank.ServerID(node.Address)
+	report := membership.Report{
+		State:  membership.Up,
+		Member: honeyplank.Member{ID: id, Size: node.Size, Model: node.Model, Zone: node.Zone, Cell: node.Cell},
+	}
 	switch {
 	case node.Removed:
-		s.State = membership.Removed
-		g.starts[from].Removed(now, s.Member.ID)
-		return s
+		report.State = membership.Removed
+		g.incarnations[source].Removed(now, id)
+		return report
 	case node.State == "draining":
-		s.State = membership.Draining
+		report.State = membership.Draining
 	}
-	s.Member.Started, s.StartedAfter = g.started(now, wall, from, s.Member.ID, node.StartedMS)
-	return s
+	report.Member.Started, report.StartedAfter = g.startTime(now, wall, source, id, node.StartedMS)
+	return report
 }
 
-// started tells when a node that a source names has started, and what that surely came after. DNS names starts in whole
-// seconds: where the other source has named one of the same second before, it is the same.
-func (g *Instance) started(now time.Duration, wall time.Time, from membership.Source, id honeyplank.ServerID, upSinceMS int64) (started, after time.Duration) {
-	here, there := &g.starts[from], &g.starts[1-from]
-	if other, at, since, ok := there.Known(id); ok && upSinceMS > 0 && other/1000 == upSinceMS/1000 {
-		here.Adopt(id, upSinceMS, at, since)
+// startTime returns when a node has started, on the loop's clock, and a time that the start surely came after; 0 stands
+// for long ago and for no such time. upSinceMS is the start that the source gives, in Unix milliseconds. DNS gives starts
+// in whole seconds: where the other source has given one within the same second before, it is the same incarnation.
+func (g *Instance) startTime(now time.Duration, wall time.Time, source membership.Source, id honeyplank.ServerID, upSinceMS int64) (started, startedAfter time.Duration) {
+	const msPerSecond = 1000
+	own, other := &g.incarnations[source], &g.incarnations[1-source]
+	otherUpSinceMS, otherStarted, otherStartedAfter, ok := other.Known(id)
+	if ok && upSinceMS > 0 && otherUpSinceMS/msPerSecond == upSinceMS/msPerSecond {
+		own.Adopt(id, upSinceMS, otherStarted, otherStartedAfter)
 	}
-	started = here.Start(now, wall, id, upSinceMS)
-	_, _, after, _ = here.Known(id)
-	return started, after
+	started = own.Start(now, wall, id, upSinceMS)
+	_, _, startedAfter, _ = own.Known(id)
+	return started, startedAfter
 }
 
-// date tells what news says of the nodes that it doesn't name: starts that are named later came after it.
-func (g *Instance) date(now time.Duration, from membership.Source, n discovery.Update) {
+// recordCurrent records what an update implies for the nodes that it doesn't mention: a start that is reported later
+// came after this update.
+func (g *Instance) recordCurrent(now time.Duration, source membership.Source, update discovery.Update) {
 	switch {
-	case n.Kind == honeyplank.Complete:
-		ids := make([]honeyplank.ServerID, len(n.Nodes))
-		for i, node := range n.Nodes {
+	case update.Kind == honeyplank.Complete:
+		ids := make([]honeyplank.ServerID, len(update.Nodes))
+		for i, node := range update.Nodes {
 			ids[i] = honeyplank.ServerID(node.Address)
 		}
-		g.starts[from].Complete(now, ids)
-	case n.Current:
-		g.starts[from].Current(now)
+		g.incarnations[source].Complete(now, ids)
+	case update.Current:
+		g.incarnations[source].Current(now)
 	}
 }
 
-// believe tells the module of what has changed in the book; watch tells whether that speaks of the watch too.
-func (g *Instance) believe(lists []honeyplank.List, watch bool) {
-	for _, l := range lists {
-		if !watch {
-			l.Kind = honeyplank.OutOfBand
+// deliverLists delivers changes of the ledger to the module and schedules the ledger's next tick. fromWatch tells that
+// the lists also show that the watch works; the module takes others as out of band.
+func (g *Instance) deliverLists(lists []honeyplank.List, fromWatch bool) {
+	for _, list := range lists {
+		if !fromWatch {
+			list.Kind = honeyplank.OutOfBand
 		}
-		for _, m := range l.Members {
-			if v, _ := g.book.View(m.ID); m.State != honeyplank.Up || v.Cause != membership.Agreed {
-				g.log.Info().Str("osd", string(m.ID)).Stringer("believed", v.State).Stringer("cause", v.Cause).
-					Stringer("etcd", v.ReportedState[membership.Etcd]).Stringer("dns", v.ReportedState[membership.DNS]).Msg("the list of disk servers")
-			}
+		for _, member := range list.Members {
+			g.logMember(member)
 		}
-		g.ops.Deliver(l)
+		g.tracker.Deliver(list)
 	}
-	g.loop.Cancel(g.ticker)
-	if at := g.book.NextTick(); at > 0 {
-		g.ticker = g.loop.Schedule(at, func() { g.believe(g.book.Tick(g.loop.Now()), false) })
+	g.loop.Cancel(g.ledgerTimer)
+	if at := g.ledger.NextTick(); at > 0 {
+		g.ledgerTimer = g.loop.Schedule(at, func() { g.deliverLists(g.ledger.Tick(g.loop.Now()), false) })
+	}
+}
+
+// logMember logs a changed member, unless it is up and the sources agree.
+func (g *Instance) logMember(member honeyplank.Member) {
+	view, _ := g.ledger.View(member.ID)
+	if member.State == honeyplank.Up && view.Cause == membership.Agreed {
+		return
 	}
+	g.log.Info().
+		Str("osd", string(member.ID)).
+		Stringer("believed", view.State).
+		Stringer("cause", view.Cause).
+		Stringer("etcd", view.ReportedState[membership.Etcd]).
+		Stringer("dns", view.ReportedState[membership.DNS]).
+		Msg("the list of disk servers")
 }
