--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -21,68 +21,70 @@
 	"honeyplank/policy"
 )
 
-// told is a server as a module was told of it, and when.
-type told struct {
+// notification is a member as the module was notified of it, and when.
+type notification struct {
 	now time.Duration
 	honeyplank.Member
 }
 
-// tap is a module that notes what it is told of servers, and of what was learnt.
-type tap struct {
+// recordingModule is a module that records the members and estimates that it is notified of.
+type recordingModule struct {
 	gateway.Module
-	mu     *sync.Mutex
-	told   *[]told
-	learnt *[]honeyplank.ServerEstimate
+	mu            *sync.Mutex
+	notifications *[]notification
+	estimates     *[]honeyplank.ServerEstimate
 }
 
-func (m tap) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+func (m recordingModule) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 	m.mu.Lock()
 	switch e := e.(type) {
 	case honeyplank.List:
 		for _, x := range e.Members {
-			*m.told = append(*m.told, told{now, x})
+			*m.notifications = append(*m.notifications, notification{now, x})
 		}
 	case honeyplank.SavedEstimates:
-		*m.learnt = append(*m.learnt, e.Servers...)
+		*m.estimates = append(*m.estimates, e.Servers...)
 	}
 	m.mu.Unlock()
 	return m.Module.Handle(now, e)
 }
 
-// clocked is a world whose gateway reads a wall clock that a test steps.
-type clocked struct {
-	*world
-	step   atomic.Int64 // by which the wall clock is off, a time.Duration
-	mu     sync.Mutex
-	told   []told
-	learnt []honeyplank.ServerEstimate
+// clockHarness is a harness whose gateway reads a wall clock that a test steps.
+type clockHarness struct {
+	*harness
+	offset    atomic.Int64 // by which the wall clock is off, a time.Duration
+	mu        sync.Mutex
+	notified  []notification
+	estimates []honeyplank.ServerEstimate
 }
 
-func (c *clocked) wall() time.Time { return time.Now().Add(time.Duration(c.step.Load())) }
+func (c *clockHarness) wall() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
 
-// clock puts such a gateway in the place of the one of a world.
-func clock(w *world, step time.Duration, known *estimates.Record) *clocked {
-	w.t.Helper()
-	c := &clocked{world: w}
-	c.g.Kill()
-	c.step.Store(int64(step))
+// newClockHarness replaces the gateway of a harness by one whose wall clock is off by step.
+func newClockHarness(h *harness, step time.Duration, known *estimates.Record) *clockHarness {
+	h.t.Helper()
+	c := &clockHarness{harness: h}
+	c.gateway.Kill()
+	c.offset.Store(int64(step))
 	var err error
-	if c.g, err = gateway.New(gateway.Options{Settings: c.s, Seed: 2, Learnt: known, Log: zerolog.Nop(), Wall: c.wall,
+	if c.gateway, err = gateway.New(gateway.Options{Settings: c.settings, Seed: 2, Learnt: known, Log: zerolog.Nop(), Wall: c.wall,
 		Module: func(seed int64, v *honeyplank.Settings) gateway.Module {
-			return tap{policy.New(seed, v), &c.mu, &c.told, &c.learnt}
+			return recordingModule{policy.New(seed, v), &c.mu, &c.notified, &c.estimates}
 		}}); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	go c.g.Serve(context.Background())
-	c.eventually("the list", func() bool { return c.last(c.disks[0].Address()).now > 0 && c.last(c.disks[1].Address()).now > 0 })
+	go c.gateway.Serve(context.Background())
+	c.eventually("the list", func() bool {
+		return c.lastNotification(c.disks[0].Address()).now > 0 && c.lastNotification(c.disks[1].Address()).now > 0
+	})
 	return c
 }
 
-// of is all that the module was told of a server.
-func (c *clocked) of(address string) (list []told) {
+// notificationsOf returns all notifications of a server.
+func (c *clockHarness) notificationsOf(address string) (list []notification) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.told {
+	for _, x := range c.notified {
 		if x.ID == honeyplank.ServerID(address) {
 			list = append(list, x)
 		}
@@ -90,23 +92,23 @@
 	return list
 }
 
-func (c *clocked) last(address string) (x told) {
-	if list := c.of(address); len(list) > 0 {
+func (c *clockHarness) lastNotification(address string) (x notification) {
+	if list := c.notificationsOf(address); len(list) > 0 {
 		x = list[len(list)-1]
 	}
 	return x
 }
 
-// started lists a server and returns what the module is told of it; each call gives it another size.
-func (c *clocked) started(address string, size float64, at time.Time) told {
+// registerStart registers a server with a start and returns the module's notification; each call must give another size.
+func (c *clockHarness) registerStart(address string, size float64, at time.Time) notification {
 	c.t.Helper()
 	value, _ := json.Marshal(discovery.Record{State: "on", Size: size, Cell: 1, StartedMS: at.UnixMilli()})
 	c.etcd.Set("/honeyplank/nodes/"+address, value)
-	c.eventually("the module is told", func() bool { return c.last(address).Size == size })
-	return c.last(address)
+	c.eventually("the module is notified", func() bool { return c.lastNotification(address).Size == size })
+	return c.lastNotification(address)
 }
 
-// TestWallClockSteps has disk servers start while the wall clock steps: each start is told as a recent one, once.
+// TestWallClockSteps has disk servers start while the wall clock steps: the module is notified of each start as a recent one, once.
 func TestWallClockSteps(t *testing.T) {
 	for name, x := range map[string]struct{ before, between, after time.Duration }{
 		"steady":                    {},
@@ -120,30 +122,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := clock(start(t), x.before, nil)
+			c := newClockHarness(newHarness(t), x.before, nil)
 			address := c.disks[1].Address()
-			c.step.Store(int64(x.between))
+			c.offset.Store(int64(x.between))
 			at := c.wall()
-			c.step.Store(int64(x.after))
-			first := c.started(address, 2, at)
-			without := c.of(address)[0].now // when etcd told of it without this start
+			c.offset.Store(int64(x.after))
+			first := c.registerStart(address, 2, at)
+			without := c.notificationsOf(address)[0].now // when etcd listed it without this start
 			if first.Started < without-time.Second || first.Started <= 0 || first.Started > first.now {
-				t.Errorf("told at %v: started %v, at %v it had not", first.now, first.Started, without)
+				t.Errorf("notified at %v: started %v, at %v it had not", first.now, first.Started, without)
 			}
 			for size := 3.0; size < 6; size++ {
-				c.step.Store(-c.step.Load())
-				if again := c.started(address, size, at); again.Started != first.Started {
-					t.Errorf("mentioned again at %v: started %v, was %v", again.now, again.Started, first.Started)
+				c.offset.Store(-c.offset.Load())
+				if again := c.registerStart(address, size, at); again.Started != first.Started {
+					t.Errorf("listed again at %v: started %v, was %v", again.now, again.Started, first.Started)
 				}
 			}
-			if anew := c.started(address, 6, at.Add(-time.Minute)); anew.Started <= first.Started || anew.Started > anew.now {
-				t.Errorf("another start, told at %v: started %v, the one before %v", anew.now, anew.Started, first.Started)
+			if restarted := c.registerStart(address, 6, at.Add(-time.Minute)); restarted.Started <= first.Started || restarted.Started > restarted.now {
+				t.Errorf("another start, notified at %v: started %v, the one before %v", restarted.now, restarted.Started, first.Started)
 			}
 		})
 	}
 }
 
-// TestStartBeforeInstance has an instance begin with a server whose start two sources name. It can't be told how long
+// TestStartBeforeInstance has an instance begin with a server whose start two sources name. It can't be known how long
 // ago that was, whatever the wall clock says: it is taken as recent, and once only; but not as news that the source
 // which drains the server hasn't heard yet.
 func TestStartBeforeInstance(t *testing.T) {
@@ -158,29 +160,29 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(names.Close)
-			w, at := start(t), time.Now().Add(-time.Minute)
+			h, at := newHarness(t), time.Now().Add(-time.Minute)
 			value, _ := json.Marshal(discovery.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
-			address := w.disks[1].Address()
-			w.etcd.Set("/honeyplank/nodes/"+address, value)
+			address := h.disks[1].Address()
+			h.etcd.Set("/honeyplank/nodes/"+address, value)
 			port := netip.MustParseAddrPort(address).Port()
 			names.Set(1, []dns.Record{{Target: fmt.Sprintf("a--c1-t%d.x.", at.Unix()), IP: "127.0.0.1", Port: port, Weight: 1}})
-			asksDNS(w.s, names.Address())
-			c := clock(w, x.step, nil)
-			c.eventually("both sources have told of it, DNS again and again", func() bool {
-				nodes, _ := c.g.Nodes()
+			addDNS(h.settings, names.Address())
+			c := newClockHarness(h, x.step, nil)
+			c.eventually("both sources have reported it, DNS repeatedly", func() bool {
+				nodes, _ := c.gateway.Nodes()
 				i := slices.IndexFunc(nodes, func(n gateway.Node) bool { return n.OSD == address })
 				if i >= 0 && nodes[i].Believed != "never" && nodes[i].Believed != x.state {
-					t.Fatalf("believed to be %+v", nodes[i])
+					t.Fatalf("its state is %+v", nodes[i])
 				}
 				return i >= 0 && names.Queries() > 5 && nodes[i].DNS != "never" && nodes[i].Etcd != "never"
 			})
-			first := c.of(address)[0]
+			first := c.notificationsOf(address)[0]
 			if first.Started <= 0 || first.Started > first.now {
-				t.Errorf("told at %v: started %v", first.now, first.Started)
+				t.Errorf("notified at %v: started %v", first.now, first.Started)
 			}
-			for _, again := range c.of(address) {
+			for _, again := range c.notificationsOf(address) {
 				if again.Started != first.Started {
-					t.Errorf("told at %v: started %v, was %v", again.now, again.Started, first.Started)
+					t.Errorf("notified at %v: started %v, was %v", again.now, again.Started, first.Started)
 				}
 			}
 		})
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -9,17 +9,17 @@
 )
 
 // TestSilence has a disk server accept connections and answer nothing, from the handshake on or in service.
-// Every op has exactly one answer before its client gives up, and the other server's keep coming.
+// Every op has exactly one answer before its client gives up, and the other server's answers keep coming.
 func TestSilence(t *testing.T) {
 	for name, fault := range map[string]disk.Faults{"in service": {Silent: true}, "from the handshake on": {Mute: true}} {
 		t.Run(name, func(t *testing.T) {
-			w := start(t)
-			a := w.dial("client")
-			w.on(func() { w.disks[1].Apply(fault) })
-			var silent, sound []chan answer
+			h := newHarness(t)
+			a := h.connect("client")
+			h.onLoop(func() { h.disks[1].Apply(fault) })
+			var silent, healthy []chan answer
 			for i := range 30 {
-				silent = append(silent, w.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
-				sound = append(sound, w.submit(a, nvme.NewRW(nvme.Read, 1, uint64(i), 1), nil))
+				silent = append(silent, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
+				healthy = append(healthy, h.submit(a, nvme.NewRW(nvme.Read, 1, uint64(i), 1), nil))
 				time.Sleep(10 * time.Millisecond)
 			}
 			for i := range silent {
@@ -28,17 +28,17 @@
 					t.Errorf("op %d on the silent server: %#x after %v, lost %v", i, r.status, r.took, r.lost)
 				}
 				if r.dw0 == 0 || r.status.Delay() == 0 {
-					t.Errorf("op %d is throttled without advice", i)
+					t.Errorf("op %d is rejected without a retry delay", i)
 				}
-				if r := <-sound[i]; r.status != nvme.Success {
-					t.Errorf("op %d on the sound server: %#x", i, r.status)
+				if r := <-healthy[i]; r.status != nvme.Success {
+					t.Errorf("op %d on the healthy server: %#x", i, r.status)
 				}
 			}
-			w.eventually("nothing owed", func() bool { return w.counts().Open == 0 })
+			h.eventually("no answer is owed", func() bool { return h.counts().Open == 0 })
 			// It comes back; its late answers must not be taken for others'.
-			w.on(func() { w.disks[1].Apply(disk.Faults{}) })
-			w.eventually("served again", func() bool {
-				data, status := w.op(a, nvme.NewRW(nvme.Read, 2, 77, 1), nil)
+			h.onLoop(func() { h.disks[1].Apply(disk.Faults{}) })
+			h.eventually("served again", func() bool {
+				data, status := h.do(a, nvme.NewRW(nvme.Read, 2, 77, 1), nil)
 				if status == nvme.Success && data[8] != 77 {
 					t.Fatal("another op's data")
 				}
@@ -48,36 +48,36 @@
 	}
 }
 
-// TestOnceOnly loses the answers of once-only writes: they are aborted, since a throttle would promise that
-// they did not run.
+// TestOnceOnly loses the answers of at-most-once writes: they fail, since a rejection would promise that they did
+// not run.
 func TestOnceOnly(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
-	w.on(func() { w.disks[1].Apply(disk.Faults{Lose: 1}) })
-	r := <-w.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
+	h := newHarness(t)
+	a := h.connect("client")
+	h.onLoop(func() { h.disks[1].Apply(disk.Faults{Lose: 1}) })
+	r := <-h.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
 	if r.status != nvme.InternalError|nvme.DoNotRetry || r.took >= 800*time.Millisecond {
-		t.Errorf("once-only, answer lost: %#x after %v", r.status, r.took)
+		t.Errorf("at most once, answer lost: %#x after %v", r.status, r.took)
 	}
-	w.list(w.disks[1].Address(), 1, "draining") // never sent: a throttle is harmless
-	w.eventually("throttled unsent", func() bool {
-		r := <-w.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
+	h.register(h.disks[1].Address(), 1, "draining") // never sent: a rejection is harmless
+	h.eventually("rejected unsent", func() bool {
+		r := <-h.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
 		return r.status.Code() == nvme.CommandInterrupted
 	})
 }
 
-// TestTornAnswer has a disk server break off in the middle of a PDU: the op is tried again, and its client
-// sees one whole answer.
+// TestTornAnswer has a disk server close the connection in the middle of a PDU: the op is retried, and its client
+// gets one complete answer.
 func TestTornAnswer(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
+	h := newHarness(t)
+	a := h.connect("client")
 	for i := range 5 {
-		w.on(func() { w.disks[1].Apply(disk.Faults{Tear: true}) })
-		data, status := w.op(a, nvme.NewRW(nvme.Read, 2, uint64(100*i), 8), nil)
+		h.onLoop(func() { h.disks[1].Apply(disk.Faults{Tear: true}) })
+		data, status := h.do(a, nvme.NewRW(nvme.Read, 2, uint64(100*i), 8), nil)
 		if status != nvme.Success || data[8] != byte(100*i) {
 			t.Fatalf("read %d: %#x", i, status)
 		}
 	}
-	if c := w.counts(); c.Dispatches < c.Admitted+5 {
+	if c := h.counts(); c.Dispatches < c.Admitted+5 {
 		t.Errorf("%d dispatches of %d ops: nothing was torn", c.Dispatches, c.Admitted)
 	}
 }
--- a/gateway/estimates_test.go
+++ b/gateway/estimates_test.go
@@ -15,13 +15,13 @@
 	"honeyplank/nvme"
 )
 
-// TestLearntAges has a switch to an instance whose wall clock has stepped since: what was learnt is told with its age,
-// or not at all where that can't be told.
-func TestLearntAges(t *testing.T) {
+// TestEstimateAges restores estimates in an instance whose wall clock has stepped since they were saved: each is delivered
+// with its age, or not at all where the age can't be computed.
+func TestEstimateAges(t *testing.T) {
 	for name, x := range map[string]struct {
 		step time.Duration
-		ages []time.Duration // when it was learnt, before the switch
-		want []time.Duration // with what age it is told
+		ages []time.Duration // of the estimates, before the restart
+		want []time.Duration // the ages that the module is notified of
 	}{
 		"steady":           {0, []time.Duration{time.Second, 20 * time.Hour}, []time.Duration{time.Second, 20 * time.Hour}},
 		"an hour ahead":    {time.Hour, []time.Duration{time.Second, 20 * time.Hour}, []time.Duration{time.Hour + time.Second, 21 * time.Hour}},
@@ -35,39 +35,39 @@
 			for i, age := range x.ages { // as read from a file: without a monotonic reading
 				r.Servers = append(r.Servers, estimates.Server{ID: []string{"a:1", "b:1"}[i], At: time.Now().Add(-age).Round(0), BestPerUnit: 0.01, Latency: 0.01})
 			}
-			c := clock(start(t), x.step, r)
+			c := newClockHarness(newHarness(t), x.step, r)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if len(c.learnt) != len(x.want) {
-				t.Fatalf("told: %+v", c.learnt)
+			if len(c.estimates) != len(x.want) {
+				t.Fatalf("delivered: %+v", c.estimates)
 			}
-			now := c.told[0].now
-			for i, k := range c.learnt {
+			now := c.notified[0].now
+			for i, k := range c.estimates {
 				if off := now - k.At - x.want[i]; off < -100*time.Millisecond || off > time.Minute {
-					t.Errorf("%s is told as %v old, not %v", k.Server, now-k.At, x.want[i])
+					t.Errorf("%s: age %v, want %v", k.Server, now-k.At, x.want[i])
 				}
 			}
 		})
 	}
 }
 
-// TestSwitch hands what one instance has learnt to the next, as a planned stop and start does: it is known before the
-// first op, ops of the first second are served, and what was learnt of a server that has started since is not.
-func TestSwitch(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
+// TestEstimatesAcrossRestart restores one instance's estimates in the next, as a planned restart does: they are there
+// before the first op, ops of the first second are served, and the estimate of a server that has started since is gone.
+func TestEstimatesAcrossRestart(t *testing.T) {
+	h := newHarness(t)
+	a := h.connect("client")
 	for i := range 20 {
 		for cell := range 2 {
-			if _, status := w.op(a, nvme.NewRW(nvme.Read, 1, uint64(256*cell+i), 1), nil); status != nvme.Success {
-				t.Fatalf("before the switch: %#x", status)
+			if _, status := h.do(a, nvme.NewRW(nvme.Read, 1, uint64(256*cell+i), 1), nil); status != nvme.Success {
+				t.Fatalf("before the restart: %#x", status)
 			}
 		}
 	}
-	before, ok := w.g.Learnt()
+	before, ok := h.gateway.Learnt()
 	if !ok || len(before.Servers) != 2 || before.TypicalLatency <= 0 || before.Servers[0].BestPerUnit <= 0 || before.Servers[1].Latency <= 0 {
-		t.Fatalf("learnt: %+v, %v", before, ok)
+		t.Fatalf("estimates: %+v, %v", before, ok)
 	}
-	file := filepath.Join(t.TempDir(), "learnt")
+	file := filepath.Join(t.TempDir(), "estimates")
 	if err := before.Write(file); err != nil {
 		t.Fatal(err)
 	}
@@ -75,34 +75,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.g.Kill()
-	// The second one has started anew since.
+	h.gateway.Kill()
+	// The second disk server has restarted since.
 	value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: 1, StartedMS: time.Now().UnixMilli()})
-	w.etcd.Set("/honeyplank/nodes/"+w.disks[1].Address(), value)
-	if w.g, err = gateway.New(gateway.Options{Settings: w.s, Seed: 2, Learnt: kept, Log: zerolog.Nop()}); err != nil {
+	h.etcd.Set("/honeyplank/nodes/"+h.disks[1].Address(), value)
+	if h.gateway, err = gateway.New(gateway.Options{Settings: h.settings, Seed: 2, Learnt: kept, Log: zerolog.Nop()}); err != nil {
 		t.Fatal(err)
 	}
-	go w.g.Serve(context.Background())
-	w.eventually("what still holds is known before any op, and no more", func() bool {
-		now, ok := w.g.Learnt()
+	go h.gateway.Serve(context.Background())
+	h.eventually("only the estimate that still holds is restored, before any op", func() bool {
+		now, ok := h.gateway.Learnt()
 		if !ok || len(now.Servers) != 1 {
 			return false
 		}
 		was := before.Servers[0]
-		if was.ID != w.disks[0].Address() {
+		if was.ID != h.disks[0].Address() {
 			was = before.Servers[1]
 		}
 		is := now.Servers[0]
-		return w.counts().Admitted == 0 && is.ID == was.ID && is.BestPerUnit == was.BestPerUnit && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
+		return h.counts().Admitted == 0 && is.ID == was.ID && is.BestPerUnit == was.BestPerUnit && is.Latency == was.Latency && is.At.Sub(was.At).Abs() < time.Second
 	})
-	a = w.dial("client")
+	a = h.connect("client")
 	began := time.Now()
 	for i := range 40 {
-		if _, status := w.op(a, nvme.NewRW(nvme.Read, 1, uint64(256*(i%2)+i/2), 1), nil); status != nvme.Success {
-			t.Errorf("op %d, %v after the switch: %#x", i, time.Since(began), status)
+		if _, status := h.do(a, nvme.NewRW(nvme.Read, 1, uint64(256*(i%2)+i/2), 1), nil); status != nvme.Success {
+			t.Errorf("op %d, %v after the restart: %#x", i, time.Since(began), status)
 		}
 	}
-	if after, _ := w.g.Learnt(); len(after.Servers) != 2 {
-		t.Errorf("the server that started anew is not learnt afresh: %+v", after)
+	if after, _ := h.gateway.Learnt(); len(after.Servers) != 2 {
+		t.Errorf("the restarted server has no new estimate: %+v", after)
 	}
 }
--- a/gateway/world_test.go
+++ b/gateway/harness_test.go
@@ -19,18 +19,18 @@
 	"honeyplank/settings"
 )
 
-// world is a gateway with stand-ins, all on loopback.
-type world struct {
-	t     *testing.T
-	s     *settings.Gateway
-	loop  *eventloop.Loop
-	etcd  *etcd.Server
-	disks []*disk.Server
-	g     *gateway.Instance
+// harness is a gateway with fakes of etcd, disk servers and clients, all on loopback.
+type harness struct {
+	t        *testing.T
+	settings *settings.Gateway
+	loop     *eventloop.Loop
+	etcd     *etcd.Server
+	disks    []*disk.Server
+	gateway  *gateway.Instance
 }
 
-// volume 1 lies on cells 0 and 1 by turns of an extent of 256 blocks; volume 2 on cell 1.
-const text = `<honeyplank version="1">
+// volume 1 lies on cells 0 and 1 by turns, in extents of 256 blocks; volume 2 on cell 1.
+const testSettings = `<honeyplank version="1">
   <listen address="127.0.0.1:0" subsystem="nqn.2026-12.org.honeyplank:test" host="nqn.2026-12.org.honeyplank:gateway-0"/>
   <list prefix="/honeyplank/nodes/" ask-within="2s" most="20000"><etcd endpoint="127.0.0.1:1"/></list>
   <scheduler hosts="1" ordinal="0"/>
@@ -54,114 +54,114 @@
   </rehearsal>
 </honeyplank>`
 
-// start brings up a world whose settings a test may change first.
-func start(t *testing.T, change ...func(*settings.Gateway)) *world {
+// newHarness starts a harness whose settings a test may change first.
+func newHarness(t *testing.T, change ...func(*settings.Gateway)) *harness {
 	t.Helper()
-	s, err := settings.Parse("test", []byte(text))
+	s, err := settings.Parse("test", []byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range change {
 		f(s)
 	}
-	w := &world{t: t, s: s}
-	if w.loop, err = eventloop.New(time.Minute); err != nil {
+	h := &harness{t: t, settings: s}
+	if h.loop, err = eventloop.New(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	if w.etcd, err = etcd.New("127.0.0.1:0"); err != nil {
+	if h.etcd, err = etcd.New("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	for cell := range 2 {
-		w.add(cell)
+		h.addDisk(cell)
 	}
 	ended := make(chan struct{})
-	go func() { w.loop.Run(); close(ended) }()
-	s.List.Etcd[0].Endpoint = w.etcd.Address()
-	if w.g, err = gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop()}); err != nil {
+	go func() { h.loop.Run(); close(ended) }()
+	s.List.Etcd[0].Endpoint = h.etcd.Address()
+	if h.gateway, err = gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop()}); err != nil {
 		t.Fatal(err)
 	}
-	go w.g.Serve(context.Background())
+	go h.gateway.Serve(context.Background())
 	t.Cleanup(func() {
-		w.g.Kill()
-		w.loop.Post(w.loop.Stop)
+		h.gateway.Kill()
+		h.loop.Post(h.loop.Stop)
 		<-ended
-		w.etcd.Close()
+		h.etcd.Close()
 	})
-	w.eventually("the list has arrived", func() bool {
-		_, status := w.op(w.dial("probe"), nvme.NewRW(nvme.Read, 2, 0, 1), nil)
+	h.eventually("the list has arrived", func() bool {
+		_, status := h.do(h.connect("probe"), nvme.NewRW(nvme.Read, 2, 0, 1), nil)
 		return status == nvme.Success
 	})
-	return w
+	return h
 }
 
-// add brings up a stand-in for a cell; before the loop runs.
-func (w *world) add(cell int) *disk.Server {
-	d, err := disk.New(w.loop, "127.0.0.1:0", faulttest.Model(w.s), int64(cell))
+// addDisk brings up a fake disk server for a cell; before the loop runs.
+func (h *harness) addDisk(cell int) *disk.Server {
+	d, err := disk.New(h.loop, "127.0.0.1:0", faulttest.Model(h.settings), int64(cell))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.disks = append(w.disks, d)
-	w.list(d.Address(), cell, "on")
+	h.disks = append(h.disks, d)
+	h.register(d.Address(), cell, "on")
 	return d
 }
 
-func (w *world) list(address string, cell int, state string) {
+func (h *harness) register(address string, cell int, state string) {
 	value, _ := json.Marshal(discovery.Record{State: state, Size: 1, Cell: cell})
-	w.etcd.Set("/honeyplank/nodes/"+address, value)
+	h.etcd.Set("/honeyplank/nodes/"+address, value)
 }
 
-// on runs f on the stand-ins' and clients' loop.
-func (w *world) on(f func()) {
+// onLoop runs f on the loop of the fakes and clients.
+func (h *harness) onLoop(f func()) {
 	done := make(chan struct{})
-	w.loop.Post(func() { f(); close(done) })
+	h.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (w *world) eventually(what string, f func() bool) {
-	w.t.Helper()
+func (h *harness) eventually(what string, f func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("never: %s", what)
+			h.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (w *world) counts() gateway.Counts {
-	c, ok := w.g.Counts()
+func (h *harness) counts() gateway.Counts {
+	c, ok := h.gateway.Counts()
 	if !ok {
-		w.t.Fatal("the gateway has ended")
+		h.t.Fatal("the gateway has ended")
 	}
 	return c
 }
 
-// quiet waits until nothing is owed, out or held.
-func (w *world) quiet() {
-	w.t.Helper()
-	w.eventually("all settled", func() bool { c := w.counts(); return c.Open == 0 && c.Out == 0 && c.Held == 0 })
+// waitIdle waits until no op is unanswered, no dispatch outstanding and no buffer in use.
+func (h *harness) waitIdle() {
+	h.t.Helper()
+	h.eventually("idle", func() bool { c := h.counts(); return c.Open == 0 && c.Out == 0 && c.Held == 0 })
 }
 
-type waiter struct{ ready chan error }
+type associationWaiter struct{ ready chan error }
 
-func (h waiter) Ready(*initiator.Association) { h.ready <- nil }
+func (waiter associationWaiter) Ready(*initiator.Association) { waiter.ready <- nil }
 
-func (h waiter) Ended(_ *initiator.Association, err error) {
+func (waiter associationWaiter) Ended(_ *initiator.Association, err error) {
 	select {
-	case h.ready <- err:
+	case waiter.ready <- err:
 	default:
 	}
 }
 
-// dial makes a client.
-func (w *world) dial(name string) *initiator.Association {
-	w.t.Helper()
-	h := waiter{make(chan error, 2)}
+// connect makes a client.
+func (h *harness) connect(name string) *initiator.Association {
+	h.t.Helper()
+	waiter := associationWaiter{make(chan error, 2)}
 	var a *initiator.Association
-	w.on(func() {
-		a = initiator.Dial(w.loop, initiator.Settings{Address: w.g.Address(), Subsystem: w.s.Listen.Subsystem, Host: "nqn.2026-12.org.honeyplank:" + name,
-			Depth: 60, MaxData: 128 << 10, ConnectTimeout: time.Second, Digests: name == "digests"}, h)
+	h.onLoop(func() {
+		a = initiator.Dial(h.loop, initiator.Settings{Address: h.gateway.Address(), Subsystem: h.settings.Listen.Subsystem, Host: "nqn.2026-12.org.honeyplank:" + name,
+			Depth: 60, MaxData: 128 << 10, ConnectTimeout: time.Second, Digests: name == "digests"}, waiter)
 	})
-	if err := <-h.ready; err != nil {
-		w.t.Fatal(err)
+	if err := <-waiter.ready; err != nil {
+		h.t.Fatal(err)
 	}
 	return a
 }
@@ -175,13 +175,13 @@
 }
 
 // submit sends a Read or Write; its one answer comes on the channel.
-func (w *world) submit(a *initiator.Association, c nvme.Command, data []byte) chan answer {
+func (h *harness) submit(a *initiator.Association, c nvme.Command, data []byte) chan answer {
 	out := make(chan answer, 4)
 	read := 0
 	if c.Opcode() == nvme.Read {
 		read = c.Blocks() * 4096
 	}
-	w.on(func() {
+	h.onLoop(func() {
 		began := time.Now()
 		if _, ok := a.IO.Submit(c, data, read, initiator.CallFunc(func(r initiator.Result) {
 			out <- answer{append([]byte(nil), r.Data...), r.Status(), r.Lost, time.Since(began), r.DW0()}
@@ -192,12 +192,12 @@
 	return out
 }
 
-func (w *world) op(a *initiator.Association, c nvme.Command, data []byte) ([]byte, nvme.Status) {
-	r := <-w.submit(a, c, data)
+func (h *harness) do(a *initiator.Association, c nvme.Command, data []byte) ([]byte, nvme.Status) {
+	r := <-h.submit(a, c, data)
 	return r.data, r.status
 }
 
-// pattern is data that tells by itself where it belongs.
+// pattern is data that differs by seed and by 512-byte sector.
 func pattern(seed byte, blocks int) []byte {
 	b := make([]byte, blocks*4096)
 	for i := range b {
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -15,51 +15,51 @@
 	"honeyplank/nvme"
 )
 
-// TestShutdown stops a gateway with ops held, out and half received: all that were taken are settled, and
+// TestShutdown shuts down a gateway with ops queued, dispatched and half received: all admitted ops are answered, and
 // the answers arrive.
 func TestShutdown(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
-	half := rawConnect(t, w, "half")
+	h := newHarness(t)
+	a := h.connect("client")
+	half := connectRaw(t, h, "half")
 	half.write(half.command(9, nvme.Write, 1, 0, 16, nil))
 	half.expect(nvme.TypeR2T)
-	w.on(func() { w.disks[1].Freeze(300 * time.Millisecond) })
+	h.onLoop(func() { h.disks[1].Freeze(300 * time.Millisecond) })
 	var answers []chan answer
 	for i := range 40 {
-		answers = append(answers, w.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
+		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
 	}
-	w.eventually("held and out", func() bool { c := w.counts(); return c.Open == 40 && c.Out > 0 && c.Out < 40 })
+	h.eventually("queued and dispatched", func() bool { c := h.counts(); return c.Open == 40 && c.Out > 0 && c.Out < 40 })
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	if err := w.g.Shutdown(ctx); err != nil {
+	if err := h.gateway.Shutdown(ctx); err != nil {
 		t.Fatal(err)
 	}
-	acked := 0
+	succeeded := 0
 	for i, c := range answers {
 		r := <-c
 		if r.lost || r.status != nvme.Success && r.status.Code() != nvme.CommandInterrupted {
 			t.Errorf("op %d: lost %v, %#x", i, r.lost, r.status)
 		}
 		if r.status == nvme.Success {
-			acked++
+			succeeded++
 		}
 	}
-	if acked == 0 {
-		t.Error("nothing that was out was acked")
+	if succeeded == 0 {
+		t.Error("no dispatched op has succeeded")
 	}
 }
 
-// TestShutdownCut gives a stop no time: what is left is aborted at once, not dropped.
-func TestShutdownCut(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
-	w.on(func() { w.disks[1].Apply(disk.Faults{Silent: true}) })
-	answers := []chan answer{w.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil), w.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil)}
-	w.eventually("taken", func() bool { return w.counts().Open == 2 })
+// TestShutdownDeadline shuts down with a context that is done: remaining ops fail at once and are not dropped.
+func TestShutdownDeadline(t *testing.T) {
+	h := newHarness(t)
+	a := h.connect("client")
+	h.onLoop(func() { h.disks[1].Apply(disk.Faults{Silent: true}) })
+	answers := []chan answer{h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil), h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil)}
+	h.eventually("admitted", func() bool { return h.counts().Open == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := w.g.Shutdown(ctx); err == nil {
-		t.Error("a stop without time reports none")
+	if err := h.gateway.Shutdown(ctx); err == nil {
+		t.Error("Shutdown returns no error though its context was done")
 	}
 	for _, c := range answers {
 		if r := <-c; r.lost || r.status != nvme.InternalError|nvme.DoNotRetry {
@@ -68,12 +68,12 @@
 	}
 }
 
-// TestInstancesShareNothing runs several gateways in one process against the same stand-ins.
+// TestInstancesShareNothing runs several gateways in one process against the same fakes.
 func TestInstancesShareNothing(t *testing.T) {
-	w := start(t)
+	h := newHarness(t)
 	var group sync.WaitGroup
 	for n := range 3 {
-		s := *w.s
+		s := *h.settings
 		s.Listen.Host = fmt.Sprint(strings.TrimSuffix(s.Listen.Host, "0"), n+1)
 		g, err := gateway.New(gateway.Options{Settings: &s, Seed: int64(n), Log: zerolog.Nop()})
 		if err != nil {
@@ -82,7 +82,7 @@
 		group.Add(1)
 		go func() { defer group.Done(); g.Serve(context.Background()) }()
 		if c, ok := g.Counts(); !ok || c.Admitted != 0 {
-			t.Errorf("a fresh instance has taken %d ops", c.Admitted)
+			t.Errorf("a fresh instance has admitted %d ops", c.Admitted)
 		}
 		if n == 0 {
 			g.Kill()
@@ -91,7 +91,7 @@
 		}
 	}
 	group.Wait()
-	if _, status := w.op(w.dial("client"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
+	if _, status := h.do(h.connect("client"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
 		t.Errorf("the first instance after the others' end: %#x", status)
 	}
 }
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -11,20 +11,20 @@
 	"honeyplank/settings"
 )
 
-// guarded bounds what one peer may cost.
-func guarded(s *settings.Gateway) {
+// withPeerLimits sets limits per peer.
+func withPeerLimits(s *settings.Gateway) {
 	s.Limits.Connections = 2000
 	s.Limits.Peer = &settings.Peer{Connections: 40, Handshakes: 8, Bytes: 64 << 10, PDU: settings.Span(200 * time.Millisecond), Breaches: 3,
 		Window: settings.Span(2 * time.Second), Shut: settings.Span(400 * time.Millisecond), Most: settings.Span(time.Second)}
 }
 
-// TestShutOut has a peer break the protocol until it is shut out, come back on trial, and break it again; another
-// peer keeps its service.
-func TestShutOut(t *testing.T) {
-	w := start(t, guarded)
-	honest := w.dial("honest")
-	bad := func() bool { // one connection that says nonsense; false: it was turned away
-		c := rawFrom(t, "127.0.0.2", w.g.Address())
+// TestPeerBan has a peer violate the protocol until it is banned, return after the ban and violate it again; another
+// peer is served throughout.
+func TestPeerBan(t *testing.T) {
+	h := newHarness(t, withPeerLimits)
+	honest := h.connect("honest")
+	violate := func() bool { // one connection that sends no PDU; false: it was rejected
+		c := dialRawFrom(t, "127.0.0.2", h.gateway.Address())
 		if c == nil {
 			return false
 		}
@@ -34,37 +34,37 @@
 		return true
 	}
 	for i := range 3 {
-		if !bad() {
-			t.Fatalf("turned away at breach %d", i)
+		if !violate() {
+			t.Fatalf("rejected at violation %d", i)
 		}
 	}
-	if bad() {
-		t.Error("not shut out after three breaches")
+	if violate() {
+		t.Error("not banned after three violations")
 	}
-	if _, status := w.op(honest, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
+	if _, status := h.do(honest, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
 		t.Errorf("an honest client of another peer: %#x", status)
 	}
-	w.eventually("it comes back on trial", bad)
-	if bad() {
-		t.Error("a breach on trial was let pass")
+	h.eventually("the ban ends", violate)
+	if violate() {
+		t.Error("a violation after the ban was tolerated")
 	}
-	w.eventually("it comes back once more", func() bool { return rawFrom(t, "127.0.0.2", w.g.Address()) != nil })
+	h.eventually("the second ban ends", func() bool { return dialRawFrom(t, "127.0.0.2", h.gateway.Address()) != nil })
 }
 
-// TestHalfOpen has a peer open a thousand handshakes and complete none: they are bound, and others connect.
-func TestHalfOpen(t *testing.T) {
-	w := start(t, guarded)
+// TestHandshakeLimit has a peer open a thousand handshakes and complete none: their number is limited, and others connect.
+func TestHandshakeLimit(t *testing.T) {
+	h := newHarness(t, withPeerLimits)
 	var open []net.Conn
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.0.3")}}
 	for range 1000 {
-		if c, err := d.Dial("tcp", w.g.Address()); err == nil {
+		if c, err := d.Dial("tcp", h.gateway.Address()); err == nil {
 			open = append(open, c)
 		}
 	}
-	if n := w.counts().Connections; n > 8+4 {
-		t.Errorf("%d connections stand", n)
+	if n := h.counts().Connections; n > 8+4 {
+		t.Errorf("%d connections are open", n)
 	}
-	if _, status := w.op(w.dial("honest"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
+	if _, status := h.do(h.connect("honest"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
 		t.Errorf("an honest client: %#x", status)
 	}
 	for _, c := range open {
@@ -72,10 +72,10 @@
 	}
 }
 
-// TestSlowPeer has a peer send a byte now and then: its PDU is not waited for, in the handshake or in service.
-func TestSlowPeer(t *testing.T) {
-	w := start(t, guarded)
-	for name, c := range map[string]*raw{"in the handshake": rawDial(t, w.g.Address()), "in service": rawConnect(t, w, "slow")} {
+// TestPDUTimeout has a peer send a byte at long intervals: its incomplete PDU times out, in the handshake and in service.
+func TestPDUTimeout(t *testing.T) {
+	h := newHarness(t, withPeerLimits)
+	for name, c := range map[string]*rawClient{"in the handshake": dialRaw(t, h.gateway.Address()), "in service": connectRaw(t, h, "slow")} {
 		began := time.Now()
 		for {
 			if _, err := c.conn.Write([]byte{nvme.TypeCapsuleCmd}[:1]); err != nil {
@@ -86,36 +86,36 @@
 				break
 			}
 			if time.Since(began) > 3*time.Second {
-				t.Fatalf("%s: a byte now and then is waited for", name)
+				t.Fatalf("%s: an incomplete PDU does not time out", name)
 			}
 		}
 	}
 }
 
-// TestBytesOfOnePeer has a peer ask for many Writes and send the data of none: what is held for it is bound, and
+// TestBytesOfOnePeer has a peer ask for many Writes and send the data of none: the buffers reserved for it are limited, and
 // another peer's Writes go on.
 func TestBytesOfOnePeer(t *testing.T) {
-	w := start(t, guarded)
-	greedy := rawConnect(t, w, "greedy")
+	h := newHarness(t, withPeerLimits)
+	greedy := connectRaw(t, h, "greedy")
 	for id := range uint16(20) {
 		greedy.write(greedy.command(id, nvme.Write, 1, 0, 16, nil))
 	}
-	w.eventually("asked", func() bool { return w.counts().Held > 0 })
-	if held := w.counts().Held; held > 64<<10 {
-		t.Errorf("%d bytes are held for one peer", held)
+	h.eventually("data is requested", func() bool { return h.counts().Held > 0 })
+	if held := h.counts().Held; held > 64<<10 {
+		t.Errorf("%d bytes are reserved for one peer", held)
 	}
-	for range 20 { // each is answered all the same, when its data has not come in time
+	for range 20 { // each is answered when its data has timed out
 		if p := greedy.expectAny(nvme.TypeCapsuleResp); greedy.status(p) != nvme.DataTransferError {
 			t.Errorf("%#x", greedy.status(p))
 		}
 	}
 }
 
-// TestCommandsOfOnePeer has a peer keep more commands out than it may: those beyond are answered at once, the others
-// are served, and another peer notices nothing.
+// TestCommandsOfOnePeer has a peer keep more commands in flight than allowed: those beyond the limit are answered at once, the others
+// are served, and another peer is not affected.
 func TestCommandsOfOnePeer(t *testing.T) {
-	w := start(t, guarded, func(s *settings.Gateway) { s.Limits.Peer.Commands = 4 })
-	greedy := rawConnectFrom(t, w, "greedy", "127.0.0.2")
+	h := newHarness(t, withPeerLimits, func(s *settings.Gateway) { s.Limits.Peer.Commands = 4 })
+	greedy := connectRawFrom(t, h, "greedy", "127.0.0.2")
 	for id := range uint16(12) { // Writes whose data does not come
 		greedy.write(greedy.command(id, nvme.Write, 1, 0, 2, nil))
 	}
@@ -124,7 +124,7 @@
 			t.Errorf("%#x", greedy.status(p))
 		}
 	}
-	if _, status := w.op(w.dial("honest"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
+	if _, status := h.do(h.connect("honest"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
 		t.Errorf("an honest client of another peer: %#x", status)
 	}
 	for range 4 {
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -15,68 +15,68 @@
 	"honeyplank/settings"
 )
 
-// TestListReturns takes the list away and brings it back with a server replaced: ops held for the old one move.
-func TestListReturns(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
+// TestServerReplaced stops etcd and restarts it with a server replaced: ops queued for the old one move.
+func TestServerReplaced(t *testing.T) {
+	h := newHarness(t)
+	a := h.connect("client")
 	var fresh *disk.Server
-	w.on(func() {
-		w.disks[1].Die()
-		fresh = w.add(1)
-		w.etcd.Delete("/honeyplank/nodes/" + fresh.Address())
+	h.onLoop(func() {
+		h.disks[1].Die()
+		fresh = h.addDisk(1)
+		h.etcd.Delete("/honeyplank/nodes/" + fresh.Address())
 	})
-	w.etcd.Down(true)
-	held := w.submit(a, nvme.NewRW(nvme.Read, 2, 7, 1), nil)
-	w.etcd.Delete("/honeyplank/nodes/" + w.disks[1].Address())
-	w.list(fresh.Address(), 1, "on")
-	w.etcd.Down(false)
-	if r := <-held; r.lost {
-		t.Error("a held op was lost")
+	h.etcd.Down(true)
+	queued := h.submit(a, nvme.NewRW(nvme.Read, 2, 7, 1), nil)
+	h.etcd.Delete("/honeyplank/nodes/" + h.disks[1].Address())
+	h.register(fresh.Address(), 1, "on")
+	h.etcd.Down(false)
+	if r := <-queued; r.lost {
+		t.Error("a queued op was lost")
 	}
-	w.eventually("served by the replacement", func() bool {
-		data, status := w.op(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)
+	h.eventually("served by the replacement", func() bool {
+		data, status := h.do(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)
 		return status == nvme.Success && data[8] == 9
 	})
-	// An op that waits while its server is replaced moves: nobody holds cell 1 for a moment. It must be served where it is
-	// still owed once the gateway has heard of the replacement. One whose time was over by then shows nothing.
-	w.eventually("an op was held until the gateway heard of the replacement", func() bool {
-		w.etcd.Delete("/honeyplank/nodes/" + fresh.Address())
-		w.eventually("nobody holds the cell", func() bool { return (<-w.submit(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success })
-		moved := w.submit(a, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
-		w.eventually("the op waits", func() bool { return w.counts().Open > 0 || len(moved) > 0 })
-		w.list(fresh.Address(), 1, "on")
-		w.eventually("the replacement is believed", func() bool {
-			nodes, _ := w.g.Nodes()
+	// An op that waits while its server is replaced moves: no server holds cell 1 for a moment. It must be served if it is
+	// still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows nothing.
+	h.eventually("an op was queued until the gateway was notified of the replacement", func() bool {
+		h.etcd.Delete("/honeyplank/nodes/" + fresh.Address())
+		h.eventually("no server holds the cell", func() bool { return (<-h.submit(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success })
+		moved := h.submit(a, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
+		h.eventually("the op waits", func() bool { return h.counts().Open > 0 || len(moved) > 0 })
+		h.register(fresh.Address(), 1, "on")
+		h.eventually("the replacement is up", func() bool {
+			nodes, _ := h.gateway.Nodes()
 			return slices.ContainsFunc(nodes, func(n gateway.Node) bool { return n.OSD == fresh.Address() && n.Believed == "on" })
 		})
-		owed := w.counts().Open > 0
+		unanswered := h.counts().Open > 0
 		r := <-moved
 		served := r.status == nvme.Success && r.data[8] == 11
-		if owed && !served {
-			t.Errorf("the held op did not move: %#x", r.status)
+		if unanswered && !served {
+			t.Errorf("the queued op did not move: %#x", r.status)
 		}
-		return owed || served
+		return unanswered || served
 	})
 }
 
-// TestReregistered has a thousand nodes register anew within a second, twice; ops go on, and the list is right.
-func TestReregistered(t *testing.T) {
-	w := start(t)
-	a := w.dial("client")
+// TestMassReregistration has a thousand nodes register again within a second, twice; ops go on, and the list is right.
+func TestMassReregistration(t *testing.T) {
+	h := newHarness(t)
+	a := h.connect("client")
 	for round := range 2 {
 		began := time.Now()
 		for i := range 1000 {
-			w.list(fmt.Sprintf("127.0.9.%d:%d", i%250, 8000+i/250), 100+i, "on")
+			h.register(fmt.Sprintf("127.0.9.%d:%d", i%250, 8000+i/250), 100+i, "on")
 			if i%100 == 0 {
-				if _, status := w.op(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
+				if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
 					t.Errorf("op while %d nodes register: %#x", i, status)
 				}
 			}
 		}
 		t.Logf("round %d: a thousand registered in %v", round, time.Since(began))
 	}
-	w.eventually("all are believed on", func() bool {
-		list, _ := w.g.Nodes()
+	h.eventually("all are up", func() bool {
+		list, _ := h.gateway.Nodes()
 		on := 0
 		for _, n := range list {
 			if n.Believed == "on" {
@@ -87,8 +87,8 @@
 	})
 }
 
-// asksDNS has the settings ask a name server for _h._tcp.x. beside etcd, very often.
-func asksDNS(s *settings.Gateway, address string) {
+// addDNS adds a name server as a source beside etcd, polled for _h._tcp.x. at short intervals.
+func addDNS(s *settings.Gateway, address string) {
 	s.List.DNS = &settings.NameService{Name: "_h._tcp.x.", Floor: settings.Span(50 * time.Millisecond), Ceiling: settings.Span(100 * time.Millisecond), Timeout: settings.Span(time.Second)}
 	s.List.DNS.Servers = append(s.List.DNS.Servers, struct {
 		Address string `xml:"address,attr"`
@@ -96,26 +96,26 @@
 	s.List.Believe = &settings.Believe{Vanish: 0.4, Confirm: settings.Span(300 * time.Millisecond), Calm: settings.Span(time.Second), Flaps: 9}
 }
 
-// TestBulkLoss has every key in etcd go, one by one, as leases do that run out together, while DNS holds the
-// servers on: the fleet is not taken away. A drain told by DNS alone then takes one server out, and it alone.
-func TestBulkLoss(t *testing.T) {
+// TestMassRemoval has every key in etcd go, one by one, as leases do that run out together, while DNS holds the
+// servers on: no server is removed. A drain in DNS alone then takes out that server only.
+func TestMassRemoval(t *testing.T) {
 	names, err := dns.New("_h._tcp.x.")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer names.Close()
 	var records []dns.Record
-	w := start(t, func(s *settings.Gateway) {
-		asksDNS(s, names.Address())
+	h := newHarness(t, func(s *settings.Gateway) {
+		addDNS(s, names.Address())
 	})
-	for cell, d := range w.disks {
+	for cell, d := range h.disks {
 		at := netip.MustParseAddrPort(d.Address())
 		records = append(records, dns.Record{Target: fmt.Sprintf("a%d--c%d.x.", cell, cell), IP: "127.0.0.1", Port: at.Port(), Weight: 1})
 	}
 	names.Set(1, records)
-	believed := func() (text string) {
-		list, _ := w.g.Nodes()
-		for _, d := range w.disks {
+	states := func() (text string) {
+		list, _ := h.gateway.Nodes()
+		for _, d := range h.disks {
 			for _, n := range list {
 				if n.OSD == d.Address() {
 					text += n.Believed + " " + strings.SplitN(n.DNS, " ", 2)[0] + ";"
@@ -124,27 +124,27 @@
 		}
 		return text
 	}
-	w.eventually("both sources are heard", func() bool { return believed() == "on on;on on;" })
-	for _, d := range w.disks {
-		w.etcd.Delete("/honeyplank/nodes/" + d.Address())
+	h.eventually("both sources have reported", func() bool { return states() == "on on;on on;" })
+	for _, d := range h.disks {
+		h.etcd.Delete("/honeyplank/nodes/" + d.Address())
 	}
-	a := w.dial("client")
-	for i := range 60 { // for twice as long as it takes to confirm
-		if _, status := w.op(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
-			t.Fatalf("op %d after etcd emptied: %#x; %s", i, status, believed())
+	a := h.connect("client")
+	for i := range 60 { // for twice the time that confirms a removal
+		if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
+			t.Fatalf("op %d after etcd emptied: %#x; %s", i, status, states())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	for cell, d := range w.disks {
-		w.list(d.Address(), cell, "on")
+	for cell, d := range h.disks {
+		h.register(d.Address(), cell, "on")
 	}
 	records[1].Weight = 0
 	names.Set(1, records)
-	w.eventually("the drain told by DNS", func() bool { return believed() == "on on;draining draining;" })
-	if _, status := w.op(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status == nvme.Success {
+	h.eventually("the drain in DNS", func() bool { return states() == "on on;draining draining;" })
+	if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status == nvme.Success {
 		t.Error("work for a server that DNS drains")
 	}
-	if _, status := w.op(a, nvme.NewRW(nvme.Read, 1, 1, 1), nil); status != nvme.Success {
+	if _, status := h.do(a, nvme.NewRW(nvme.Read, 1, 1, 1), nil); status != nvme.Success {
 		t.Errorf("the other server: %#x", status)
 	}
 }
