--- a/gateway/clients_test.go
+++ b/gateway/clients_test.go
@@ -16,7 +16,7 @@
 		c := connectRaw(t, h, "half")
 		c.write(c.command(9, nvme.Write, 1, 0, 16, nil)) // an R2T comes, its data never does
 		c.expect(nvme.TypeR2T)
-		if held := h.counts().Held; held < 16*4096 {
+		if held := h.counts().Held; held < 16*blockBytes {
 			t.Errorf("%d bytes held, a write is under way", held)
 		}
 		c.conn.Close()
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -1,18 +1,13 @@
 package gateway_test
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
 	"net/netip"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"honeyplank"
 	"honeyplank/discovery"
 	"honeyplank/estimates"
@@ -66,14 +61,9 @@
 	c := &clockHarness{harness: h}
 	c.gateway.Kill()
 	c.offset.Store(int64(step))
-	var err error
-	if c.gateway, err = gateway.New(gateway.Options{Settings: c.settings, Seed: 2, Learnt: known, Log: zerolog.Nop(), Wall: c.wall,
-		Module: func(seed int64, v *honeyplank.Settings) gateway.Module {
-			return recordingModule{policy.New(seed, v), &c.mu, &c.notified, &c.estimates}
-		}}); err != nil {
-		h.t.Fatal(err)
-	}
-	go c.gateway.Serve(context.Background())
+	c.serve(gateway.Options{Seed: 2, Learnt: known, Wall: c.wall, Module: func(seed int64, values *honeyplank.Settings) gateway.Module {
+		return recordingModule{policy.New(seed, values), &c.mu, &c.notified, &c.estimates}
+	}})
 	c.eventually("the list", func() bool {
 		return c.lastNotification(c.disks[0].Address()).now > 0 && c.lastNotification(c.disks[1].Address()).now > 0
 	})
@@ -102,8 +92,7 @@
 // registerStart registers a server with a start and returns the module's notification; each call must give another size.
 func (c *clockHarness) registerStart(address string, size float64, at time.Time) notification {
 	c.t.Helper()
-	value, _ := json.Marshal(discovery.Record{State: "on", Size: size, Cell: 1, StartedMS: at.UnixMilli()})
-	c.etcd.Set("/honeyplank/nodes/"+address, value)
+	c.registerRecord(address, discovery.Record{State: "on", Size: size, Cell: 1, StartedMS: at.UnixMilli()})
 	c.eventually("the module is notified", func() bool { return c.lastNotification(address).Size == size })
 	return c.lastNotification(address)
 }
@@ -161,20 +150,18 @@
 			}
 			t.Cleanup(names.Close)
 			h, at := newHarness(t), time.Now().Add(-time.Minute)
-			value, _ := json.Marshal(discovery.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
 			address := h.disks[1].Address()
-			h.etcd.Set("/honeyplank/nodes/"+address, value)
+			h.registerRecord(address, discovery.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
 			port := netip.MustParseAddrPort(address).Port()
 			names.Set(1, []dns.Record{{Target: fmt.Sprintf("a--c1-t%d.x.", at.Unix()), IP: "127.0.0.1", Port: port, Weight: 1}})
 			addDNS(h.settings, names.Address())
 			c := newClockHarness(h, x.step, nil)
 			c.eventually("both sources have reported it, DNS repeatedly", func() bool {
-				nodes, _ := c.gateway.Nodes()
-				i := slices.IndexFunc(nodes, func(n gateway.Node) bool { return n.OSD == address })
-				if i >= 0 && nodes[i].Believed != "never" && nodes[i].Believed != x.state {
-					t.Fatalf("its state is %+v", nodes[i])
+				node, ok := c.node(address)
+				if ok && node.Believed != "never" && node.Believed != x.state {
+					t.Fatalf("its state is %+v", node)
 				}
-				return i >= 0 && names.Queries() > 5 && nodes[i].DNS != "never" && nodes[i].Etcd != "never"
+				return ok && names.Queries() > 5 && node.DNS != "never" && node.Etcd != "never"
 			})
 			first := c.notificationsOf(address)[0]
 			if first.Started <= 0 || first.Started > first.now {
--- a/gateway/data_test.go
+++ b/gateway/data_test.go
@@ -72,7 +72,7 @@
 	server := h.disks[1].Address()
 	proxy := byteByByteProxy(t, server)
 	h.register(proxy, 1, "on")
-	h.etcd.Delete("/honeyplank/nodes/" + server)
+	h.deregister(server)
 	a := h.connect("client")
 	h.eventually("served through the proxy", func() bool {
 		data, status := h.do(a, nvme.NewRW(nvme.Read, 2, 300, 1), nil)
--- a/gateway/estimates_test.go
+++ b/gateway/estimates_test.go
@@ -1,14 +1,10 @@
 package gateway_test
 
 import (
-	"context"
-	"encoding/json"
 	"path/filepath"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"honeyplank/discovery"
 	"honeyplank/estimates"
 	"honeyplank/gateway"
@@ -67,22 +63,11 @@
 	if !ok || len(before.Servers) != 2 || before.TypicalLatency <= 0 || before.Servers[0].BestPerUnit <= 0 || before.Servers[1].Latency <= 0 {
 		t.Fatalf("estimates: %+v, %v", before, ok)
 	}
-	file := filepath.Join(t.TempDir(), "estimates")
-	if err := before.Write(file); err != nil {
-		t.Fatal(err)
-	}
-	kept, err := estimates.Read(file)
-	if err != nil {
-		t.Fatal(err)
-	}
+	saved := writeAndRead(t, before)
 	h.gateway.Kill()
 	// The second disk server has restarted since.
-	value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: 1, StartedMS: time.Now().UnixMilli()})
-	h.etcd.Set("/honeyplank/nodes/"+h.disks[1].Address(), value)
-	if h.gateway, err = gateway.New(gateway.Options{Settings: h.settings, Seed: 2, Learnt: kept, Log: zerolog.Nop()}); err != nil {
-		t.Fatal(err)
-	}
-	go h.gateway.Serve(context.Background())
+	h.registerRecord(h.disks[1].Address(), discovery.Record{State: "on", Size: 1, Cell: 1, StartedMS: time.Now().UnixMilli()})
+	h.serve(gateway.Options{Seed: 2, Learnt: saved})
 	h.eventually("only the estimate that still holds is restored, before any op", func() bool {
 		now, ok := h.gateway.Learnt()
 		if !ok || len(now.Servers) != 1 {
@@ -106,3 +91,17 @@
 		t.Errorf("the restarted server has no new estimate: %+v", after)
 	}
 }
+
+// writeAndRead writes a record to a file and reads it back.
+func writeAndRead(t *testing.T, record *estimates.Record) *estimates.Record {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "estimates")
+	if err := record.Write(file); err != nil {
+		t.Fatal(err)
+	}
+	saved, err := estimates.Read(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return saved
+}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"slices"
 	"testing"
 	"time"
 
@@ -54,6 +55,12 @@
   </rehearsal>
 </honeyplank>`
 
+const (
+	blockBytes = 4096 // of the volumes in testSettings
+	nqnPrefix  = "nqn.2026-12.org.honeyplank:"
+	nodePrefix = "/honeyplank/nodes/" // of keys in etcd, as in testSettings
+)
+
 // newHarness starts a harness whose settings a test may change first.
 func newHarness(t *testing.T, change ...func(*settings.Gateway)) *harness {
 	t.Helper()
@@ -77,10 +84,7 @@
 	ended := make(chan struct{})
 	go func() { h.loop.Run(); close(ended) }()
 	s.List.Etcd[0].Endpoint = h.etcd.Address()
-	if h.gateway, err = gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop()}); err != nil {
-		t.Fatal(err)
-	}
-	go h.gateway.Serve(context.Background())
+	h.serve(gateway.Options{Seed: 1})
 	t.Cleanup(func() {
 		h.gateway.Kill()
 		h.loop.Post(h.loop.Stop)
@@ -105,9 +109,47 @@
 	return d
 }
 
+// serve makes a gateway with the harness's settings, which takes the place of the one before, and serves.
+func (h *harness) serve(options gateway.Options) {
+	h.t.Helper()
+	options.Settings, options.Log = h.settings, zerolog.Nop()
+	var err error
+	if h.gateway, err = gateway.New(options); err != nil {
+		h.t.Fatal(err)
+	}
+	go h.gateway.Serve(context.Background())
+}
+
+// register lists a disk server in etcd.
 func (h *harness) register(address string, cell int, state string) {
-	value, _ := json.Marshal(discovery.Record{State: state, Size: 1, Cell: cell})
-	h.etcd.Set("/honeyplank/nodes/"+address, value)
+	h.t.Helper()
+	h.registerRecord(address, discovery.Record{State: state, Size: 1, Cell: cell})
+}
+
+func (h *harness) registerRecord(address string, record discovery.Record) {
+	h.t.Helper()
+	value, err := json.Marshal(record)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.etcd.Set(nodePrefix+address, value)
+}
+
+// deregister deletes a disk server from etcd.
+func (h *harness) deregister(address string) { h.etcd.Delete(nodePrefix + address) }
+
+// node returns the gateway's state of a disk server; ok is false if it knows none.
+func (h *harness) node(address string) (node gateway.Node, ok bool) {
+	nodes, _ := h.gateway.Nodes()
+	return findNode(nodes, address)
+}
+
+func findNode(nodes []gateway.Node, address string) (node gateway.Node, ok bool) {
+	i := slices.IndexFunc(nodes, func(n gateway.Node) bool { return n.OSD == address })
+	if i < 0 {
+		return node, false
+	}
+	return nodes[i], true
 }
 
 // onLoop runs f on the loop of the fakes and clients.
@@ -117,6 +159,7 @@
 	<-done
 }
 
+// eventually waits until f is true, and fails the test after five seconds.
 func (h *harness) eventually(what string, f func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
@@ -140,6 +183,7 @@
 	h.eventually("idle", func() bool { c := h.counts(); return c.Open == 0 && c.Out == 0 && c.Held == 0 })
 }
 
+// associationWaiter receives nil once an association is ready, or the error with which it has ended.
 type associationWaiter struct{ ready chan error }
 
 func (waiter associationWaiter) Ready(*initiator.Association) { waiter.ready <- nil }
@@ -151,13 +195,13 @@
 	}
 }
 
-// connect makes a client.
+// connect connects a client; one by the name of "digests" uses digests.
 func (h *harness) connect(name string) *initiator.Association {
 	h.t.Helper()
 	waiter := associationWaiter{make(chan error, 2)}
 	var a *initiator.Association
 	h.onLoop(func() {
-		a = initiator.Dial(h.loop, initiator.Settings{Address: h.gateway.Address(), Subsystem: h.settings.Listen.Subsystem, Host: "nqn.2026-12.org.honeyplank:" + name,
+		a = initiator.Dial(h.loop, initiator.Settings{Address: h.gateway.Address(), Subsystem: h.settings.Listen.Subsystem, Host: nqnPrefix + name,
 			Depth: 60, MaxData: 128 << 10, ConnectTimeout: time.Second, Digests: name == "digests"}, waiter)
 	})
 	if err := <-waiter.ready; err != nil {
@@ -166,6 +210,7 @@
 	return a
 }
 
+// answer is what a client got for a command.
 type answer struct {
 	data   []byte
 	status nvme.Status
@@ -179,7 +224,7 @@
 	out := make(chan answer, 4)
 	read := 0
 	if c.Opcode() == nvme.Read {
-		read = c.Blocks() * 4096
+		read = c.Blocks() * blockBytes
 	}
 	h.onLoop(func() {
 		began := time.Now()
@@ -192,6 +237,7 @@
 	return out
 }
 
+// do sends a Read or Write and waits for its answer.
 func (h *harness) do(a *initiator.Association, c nvme.Command, data []byte) ([]byte, nvme.Status) {
 	r := <-h.submit(a, c, data)
 	return r.data, r.status
@@ -199,7 +245,7 @@
 
 // pattern is data that differs by seed and by 512-byte sector.
 func pattern(seed byte, blocks int) []byte {
-	b := make([]byte, blocks*4096)
+	b := make([]byte, blocks*blockBytes)
 	for i := range b {
 		b[i] = seed + byte(i>>9)*31 + byte(i)
 	}
--- a/gateway/rawclient_test.go
+++ b/gateway/rawclient_test.go
@@ -1,6 +1,7 @@
 package gateway_test
 
 import (
+	"bytes"
 	"errors"
 	"net"
 	"os"
@@ -67,53 +68,43 @@
 
 // expect reads the next PDU, which must be of a type.
 func (c *rawClient) expect(kind uint8) nvme.PDU {
+	c.t.Helper()
+	p := c.readPDU(kind)
+	if p.Type != kind {
+		c.t.Fatalf("PDU of type %d, want %d", p.Type, kind)
+	}
+	return p
+}
+
+// expectAny reads PDUs until one is of a type.
+func (c *rawClient) expectAny(kind uint8) nvme.PDU {
 	c.t.Helper()
 	for {
-		p, n, err := c.receiveFraming.Decode(c.unread)
-		if err != nil {
-			c.t.Fatal(err)
-		}
-		if n > 0 {
-			c.unread = append([]byte(nil), c.unread[n:]...)
-			if p.Type != kind {
-				c.t.Fatalf("PDU of type %d, want %d", p.Type, kind)
-			}
-			p.Header, p.Data = append([]byte(nil), p.Header...), append([]byte(nil), p.Data...)
+		if p := c.readPDU(kind); p.Type == kind {
 			return p
 		}
-		b := make([]byte, 1<<16)
-		k, err := c.conn.Read(b)
-		if err != nil {
-			c.t.Fatalf("while waiting for type %d: %v", kind, err)
-		}
-		c.unread = append(c.unread, b[:k]...)
 	}
 }
 
-// expectAny reads PDUs until one is of a type.
-func (c *rawClient) expectAny(kind uint8) nvme.PDU {
+// readPDU reads the next PDU, of any type; wanted is for the message of a failure.
+func (c *rawClient) readPDU(wanted uint8) nvme.PDU {
 	c.t.Helper()
+	b := make([]byte, 1<<16)
 	for {
-		for {
-			p, n, err := c.receiveFraming.Decode(c.unread)
-			if err != nil {
-				c.t.Fatal(err)
-			}
-			if n == 0 {
-				break
-			}
-			p.Header = append([]byte(nil), p.Header...)
+		p, n, err := c.receiveFraming.Decode(c.unread)
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		if n > 0 {
+			p.Header, p.Data = bytes.Clone(p.Header), bytes.Clone(p.Data)
 			c.unread = c.unread[n:]
-			if p.Type == kind {
-				return p
-			}
+			return p
 		}
-		b := make([]byte, 1<<16)
-		k, err := c.conn.Read(b)
+		read, err := c.conn.Read(b)
 		if err != nil {
-			c.t.Fatal(err)
+			c.t.Fatalf("while waiting for type %d: %v", wanted, err)
 		}
-		c.unread = append(c.unread, b[:k]...)
+		c.unread = append(c.unread, b[:read]...)
 	}
 }
 
@@ -131,7 +122,7 @@
 func (c *rawClient) command(id uint16, opcode uint8, nsid uint32, lba uint64, blocks int, data []byte) []byte {
 	sqe := nvme.NewRW(opcode, nsid, lba, blocks)
 	sqe.SetCID(id)
-	sqe.SetSGL(nvme.SGLTransport, blocks*4096)
+	sqe.SetSGL(nvme.SGLTransport, blocks*blockBytes)
 	if data != nil {
 		sqe.SetSGL(nvme.SGLInCapsule, len(data))
 	}
@@ -160,7 +151,7 @@
 
 func connectRawFrom(t *testing.T, h *harness, name, from string) *rawClient {
 	t.Helper()
-	host := "nqn.2026-12.org.honeyplank:" + name
+	host := nqnPrefix + name
 	admin, io := dialRawFrom(t, from, h.gateway.Address()), dialRawFrom(t, from, h.gateway.Address())
 	if admin == nil || io == nil {
 		t.Fatal("rejected")
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -3,14 +3,12 @@
 import (
 	"fmt"
 	"net/netip"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"honeyplank/fake/disk"
 	"honeyplank/fake/dns"
-	"honeyplank/gateway"
 	"honeyplank/nvme"
 	"honeyplank/settings"
 )
@@ -23,11 +21,11 @@
 	h.onLoop(func() {
 		h.disks[1].Die()
 		fresh = h.addDisk(1)
-		h.etcd.Delete("/honeyplank/nodes/" + fresh.Address())
+		h.deregister(fresh.Address())
 	})
 	h.etcd.Down(true)
 	queued := h.submit(a, nvme.NewRW(nvme.Read, 2, 7, 1), nil)
-	h.etcd.Delete("/honeyplank/nodes/" + h.disks[1].Address())
+	h.deregister(h.disks[1].Address())
 	h.register(fresh.Address(), 1, "on")
 	h.etcd.Down(false)
 	if r := <-queued; r.lost {
@@ -40,14 +38,14 @@
 	// An op that waits while its server is replaced moves: no server holds cell 1 for a moment. It must be served if it is
 	// still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows nothing.
 	h.eventually("an op was queued until the gateway was notified of the replacement", func() bool {
-		h.etcd.Delete("/honeyplank/nodes/" + fresh.Address())
+		h.deregister(fresh.Address())
 		h.eventually("no server holds the cell", func() bool { return (<-h.submit(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success })
 		moved := h.submit(a, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
 		h.eventually("the op waits", func() bool { return h.counts().Open > 0 || len(moved) > 0 })
 		h.register(fresh.Address(), 1, "on")
 		h.eventually("the replacement is up", func() bool {
-			nodes, _ := h.gateway.Nodes()
-			return slices.ContainsFunc(nodes, func(n gateway.Node) bool { return n.OSD == fresh.Address() && n.Believed == "on" })
+			node, ok := h.node(fresh.Address())
+			return ok && node.Believed == "on"
 		})
 		unanswered := h.counts().Open > 0
 		r := <-moved
@@ -114,19 +112,17 @@
 	}
 	names.Set(1, records)
 	states := func() (text string) {
-		list, _ := h.gateway.Nodes()
+		nodes, _ := h.gateway.Nodes()
 		for _, d := range h.disks {
-			for _, n := range list {
-				if n.OSD == d.Address() {
-					text += n.Believed + " " + strings.SplitN(n.DNS, " ", 2)[0] + ";"
-				}
+			if node, ok := findNode(nodes, d.Address()); ok {
+				text += node.Believed + " " + strings.SplitN(node.DNS, " ", 2)[0] + ";"
 			}
 		}
 		return text
 	}
 	h.eventually("both sources have reported", func() bool { return states() == "on on;on on;" })
 	for _, d := range h.disks {
-		h.etcd.Delete("/honeyplank/nodes/" + d.Address())
+		h.deregister(d.Address())
 	}
 	a := h.connect("client")
 	for i := range 60 { // for twice the time that confirms a removal
