--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -9,6 +9,7 @@
 
 	"honeyplank/fake/disk"
 	"honeyplank/fake/dns"
+	"honeyplank/initiator"
 	"honeyplank/nvme"
 	"honeyplank/settings"
 )
@@ -35,26 +36,34 @@
 		data, status := h.do(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)
 		return status == nvme.Success && data[8] == 9
 	})
-	// An op that waits while its server is replaced moves: no server holds cell 1 for a moment. It must be served if it is
-	// still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows nothing.
 	h.eventually("an op was queued until the gateway was notified of the replacement", func() bool {
-		h.deregister(fresh.Address())
-		h.eventually("no server holds the cell", func() bool { return (<-h.submit(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success })
-		moved := h.submit(a, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
-		h.eventually("the op waits", func() bool { return h.counts().Open > 0 || len(moved) > 0 })
-		h.register(fresh.Address(), 1, "on")
-		h.eventually("the replacement is up", func() bool {
-			node, ok := h.node(fresh.Address())
-			return ok && node.Believed == "on"
-		})
-		unanswered := h.counts().Open > 0
-		r := <-moved
-		served := r.status == nvme.Success && r.data[8] == 11
-		if unanswered && !served {
-			t.Errorf("the queued op did not move: %#x", r.status)
-		}
-		return unanswered || served
+		return queuedOpMoves(h, a, fresh.Address())
+	})
+}
+
+// queuedOpMoves sends an op while no server holds cell 1 and then registers a replacement. The op must be served if it is
+// still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows nothing: the
+// result is false.
+func queuedOpMoves(h *harness, client *initiator.Association, replacement string) bool {
+	h.t.Helper()
+	h.deregister(replacement)
+	h.eventually("no server holds the cell", func() bool {
+		return (<-h.submit(client, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success
+	})
+	moved := h.submit(client, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
+	h.eventually("the op waits", func() bool { return h.counts().Open > 0 || len(moved) > 0 })
+	h.register(replacement, 1, "on")
+	h.eventually("the replacement is up", func() bool {
+		node, ok := h.node(replacement)
+		return ok && node.Believed == "on"
 	})
+	unanswered := h.counts().Open > 0
+	r := <-moved
+	served := r.status == nvme.Success && r.data[8] == 11
+	if unanswered && !served {
+		h.t.Errorf("the queued op did not move: %#x", r.status)
+	}
+	return unanswered || served
 }
 
 // TestMassReregistration has a thousand nodes register again within a second, twice; ops go on, and the list is right.
@@ -111,15 +120,7 @@
 		records = append(records, dns.Record{Target: fmt.Sprintf("a%d--c%d.x.", cell, cell), IP: "127.0.0.1", Port: at.Port(), Weight: 1})
 	}
 	names.Set(1, records)
-	states := func() (text string) {
-		nodes, _ := h.gateway.Nodes()
-		for _, d := range h.disks {
-			if node, ok := findNode(nodes, d.Address()); ok {
-				text += node.Believed + " " + strings.SplitN(node.DNS, " ", 2)[0] + ";"
-			}
-		}
-		return text
-	}
+	states := func() string { return mergedAndDNSStates(h) }
 	h.eventually("both sources have reported", func() bool { return states() == "on on;on on;" })
 	for _, d := range h.disks {
 		h.deregister(d.Address())
@@ -144,3 +145,14 @@
 		t.Errorf("the other server: %#x", status)
 	}
 }
+
+// mergedAndDNSStates returns the merged state of each disk server and the one that DNS reports, of one moment.
+func mergedAndDNSStates(h *harness) (text string) {
+	nodes, _ := h.gateway.Nodes()
+	for _, d := range h.disks {
+		if node, ok := findNode(nodes, d.Address()); ok {
+			text += node.Believed + " " + strings.SplitN(node.DNS, " ", 2)[0] + ";"
+		}
+	}
+	return text
+}
