--- a/gateway/data_test.go
+++ b/gateway/data_test.go
@@ -8,8 +8,8 @@
 	"honeyplank/nvme"
 )
 
-// TestReadWrite writes and reads in capsules and by R2T, with and without digests, across extent
-// boundaries, and compares byte for byte.
+// TestReadWrite writes and reads in capsules and by R2T, with and without digests, in several
+// extents (no op crosses a boundary), and compares byte for byte.
 func TestReadWrite(t *testing.T) {
 	h := newHarness(t)
 	for n, name := range []string{"plain", "digests"} {
