--- /dev/null
+++ b/gateway/actions.go
@@ -0,0 +1,34 @@
+package gateway
+
+import "honeyplank"
+
+// execute executes the module's actions that concern neither ops nor timers.
+func (g *Instance) execute(action honeyplank.Action) {
+	switch a := action.(type) {
+	case honeyplank.Probe:
+		g.probe(a.Server)
+	case honeyplank.CloseIdle:
+		if d := g.diskServers[a.Server]; d != nil {
+			d.closeIdle()
+		}
+	case honeyplank.Log:
+		g.log.Warn().Msg(a.Text)
+	case honeyplank.Watch:
+		g.watch(a.Enabled)
+	case honeyplank.Fetch:
+		if g.etcd != nil {
+			g.etcd.Fetch()
+		}
+	}
+}
+
+// watch starts or stops etcd's watch. Without etcd there is none that could fail, since DNS is polled all the time: the
+// module is told at once that it works.
+func (g *Instance) watch(enabled bool) {
+	switch {
+	case g.etcd != nil:
+		g.etcd.Watch(enabled)
+	case enabled:
+		g.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta})
+	}
+}
--- /dev/null
+++ b/gateway/counts.go
@@ -0,0 +1,49 @@
+package gateway
+
+import (
+	"time"
+
+	"honeyplank/eventloop"
+	"honeyplank/inflight"
+)
+
+// Counts are what an instance has done since New, and what it has in flight.
+type Counts struct {
+	inflight.Counts
+	Open        int           // admitted ops without an answer
+	Out         int           // dispatches without an outcome
+	Held        int           // bytes of write data in buffers
+	Connections int           // of clients
+	CPU         time.Duration // used by the event loop
+}
+
+// Stats returns the counters of the instance's event loop.
+func (g *Instance) Stats() *eventloop.Stats { return &g.loop.Stats }
+
+// Counts returns the instance's counts; ok is false if the instance has ended. It waits for the event loop.
+func (g *Instance) Counts() (counts Counts, ok bool) {
+	return query(g, func() Counts {
+		return Counts{
+			Counts:      g.tracker.Counts,
+			Open:        g.tracker.Unanswered(),
+			Out:         g.tracker.Outstanding(),
+			Held:        g.server.Buffers.InUse,
+			Connections: g.server.Connections(),
+			CPU:         g.loop.CPU(),
+		}
+	})
+}
+
+// query runs read on the event loop and returns its result; ok is false if the instance has ended.
+func query[T any](g *Instance, read func() T) (result T, ok bool) {
+	answer := make(chan T, 1)
+	if !g.loop.Post(func() { answer <- read() }) {
+		return result, false
+	}
+	select {
+	case result = <-answer:
+		return result, true
+	case <-g.done:
+		return result, false
+	}
+}
--- /dev/null
+++ b/gateway/dispatch.go
@@ -0,0 +1,97 @@
+package gateway
+
+import (
+	"honeyplank"
+	"honeyplank/inflight"
+	"honeyplank/initiator"
+	"honeyplank/nvme"
+)
+
+// sender implements inflight.Sender. Once a dispatch has been submitted, its SenderState is the *diskServer and its
+// SenderTag the command ID.
+type sender struct{ *Instance }
+
+// Send submits a dispatch to its disk server, once the connection is ready.
+func (s sender) Send(dispatch *inflight.Dispatch) {
+	server := s.diskServer(dispatch.Server)
+	if server.isConnected() {
+		server.submit(dispatch)
+		return
+	}
+	server.whenConnected(func(ready bool) {
+		switch {
+		case dispatch.Ended():
+		case dispatch.Abandoned(): // its client has gone while the connection was made
+			dispatch.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
+		case !ready:
+			dispatch.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+		default:
+			server.submit(dispatch)
+		}
+	})
+}
+
+// Written reports whether a dispatch has been submitted, so that the op may run.
+func (s sender) Written(dispatch *inflight.Dispatch) bool { return dispatch.SenderState != nil }
+
+// Cancel abandons the command of a dispatch; its answer is discarded.
+func (s sender) Cancel(dispatch *inflight.Dispatch) {
+	server, submitted := dispatch.SenderState.(*diskServer)
+	if !submitted {
+		return
+	}
+	server.outstanding--
+	if server.association != nil {
+		server.association.IO.Abandon(uint16(dispatch.SenderTag))
+	}
+}
+
+// submit sends a dispatch on the association, which must be ready.
+func (d *diskServer) submit(dispatch *inflight.Dispatch) {
+	command := dispatch.Client().(*op).command
+	readBytes := command.Bytes
+	if len(command.Data) > 0 {
+		readBytes = 0
+	}
+	sqe := nvme.NewRW(command.Opcode(), command.NSID(), command.SLBA(), command.Blocks())
+	commandID, ok := d.association.IO.Submit(sqe, command.Data, readBytes, (*submission)(dispatch))
+	if !ok { // every command ID is in use
+		dispatch.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
+		return
+	}
+	dispatch.SenderState, dispatch.SenderTag = d, uint64(commandID)
+	d.outstanding++
+}
+
+// submission is a dispatch that has been submitted.
+type submission inflight.Dispatch
+
+// Done implements initiator.Call: it finishes the dispatch with the outcome of its command.
+func (s *submission) Done(result initiator.Result) {
+	dispatch := (*inflight.Dispatch)(s)
+	if dispatch.Ended() {
+		return
+	}
+	dispatch.SenderState.(*diskServer).outstanding--
+	if result.Lost {
+		dispatch.Finish(honeyplank.Reset, nil, inflight.Feedback{})
+		return
+	}
+	load := result.Load()
+	dispatch.Finish(outcome(result.Status()), result.Data, inflight.Feedback{
+		QuotaUsed:       int(load.Used),
+		ServedElsewhere: float64(load.Elsewhere),
+		Load:            loadMetrics(load),
+	})
+}
+
+// outcome converts the status of a command's answer.
+func outcome(status nvme.Status) honeyplank.Code {
+	switch status.Code() {
+	case nvme.Success:
+		return honeyplank.Succeeded
+	case nvme.TurnedAway:
+		return honeyplank.Rejected
+	}
+	return honeyplank.Failed
+}
--- /dev/null
+++ b/gateway/estimates.go
@@ -0,0 +1,43 @@
+package gateway
+
+import (
+	"time"
+
+	"honeyplank"
+	"honeyplank/estimates"
+)
+
+// restoreEstimates delivers the estimates that an earlier instance saved to the module, each with its age.
+//
+// The record has times of the wall clock only. If one of them is in the future, the clock has been set back since and
+// no age can be computed, so the whole record is discarded: otherwise old estimates would look fresh. This could harm
+// if a clock is set back by a moment just at a restart; the instance then starts without estimates.
+func (g *Instance) restoreEstimates(record *estimates.Record) {
+	wall, now := g.options.Wall(), g.loop.Now()
+	for _, server := range record.Servers {
+		if server.At.After(wall) {
+			g.log.Warn().Str("osd", server.ID).Time("at", server.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
+			return
+		}
+	}
+	unit := int64(g.settings.Volumes.Unit)
+	if record.Unit != unit {
+		g.log.Warn().Int64("bytes", record.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
+	}
+	g.tracker.Deliver(record.ToEvent(unit, func(at time.Time) time.Duration { return now - wall.Sub(at) }))
+}
+
+// Learnt returns the module's estimates of the disk servers, to be saved for a later instance. ok is false if the
+// module has no SavedEstimates method or the instance has ended. It waits for the event loop.
+func (g *Instance) Learnt() (record *estimates.Record, ok bool) {
+	module, ok := g.module.(interface {
+		SavedEstimates() honeyplank.SavedEstimates
+	})
+	if !ok {
+		return nil, false
+	}
+	return query(g, func() *estimates.Record {
+		loopStart := g.options.Wall().Add(-g.loop.Now())
+		return estimates.FromEvent(module.SavedEstimates(), int64(g.settings.Volumes.Unit), loopStart.Add)
+	})
+}
--- /dev/null
+++ b/gateway/harness_test.go
@@ -0,0 +1,253 @@
+package gateway_test
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"honeyplank/discovery"
+	"honeyplank/eventloop"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/etcd"
+	"honeyplank/faulttest"
+	"honeyplank/gateway"
+	"honeyplank/initiator"
+	"honeyplank/nvme"
+	"honeyplank/settings"
+)
+
+// harness is a gateway with fakes of etcd, disk servers and clients, all on loopback.
+type harness struct {
+	t        *testing.T
+	settings *settings.Gateway
+	loop     *eventloop.Loop
+	etcd     *etcd.Server
+	disks    []*disk.Server
+	gateway  *gateway.Instance
+}
+
+// volume 1 lies on cells 0 and 1 by turns, in extents of 256 blocks; volume 2 on cell 1.
+const testSettings = `<honeyplank version="1">
+  <listen address="127.0.0.1:0" subsystem="nqn.2026-12.org.honeyplank:test" host="nqn.2026-12.org.honeyplank:gateway-0"/>
+  <list prefix="/honeyplank/nodes/" ask-within="2s" most="20000"><etcd endpoint="127.0.0.1:1"/></list>
+  <scheduler hosts="1" ordinal="0"/>
+  <dispatches most="4" advice-most="400ms"/>
+  <op-types>
+    <op-type name="read" opcode="read" target-latency="300ms" op-timeout="800ms" utility="1" kind="replayable"/>
+    <op-type name="write" opcode="write" to="64KiB" target-latency="300ms" op-timeout="800ms" utility="1" kind="replayable"/>
+    <op-type name="once" opcode="write" from="68KiB" target-latency="300ms" op-timeout="800ms" utility="1" kind="once-only"/>
+  </op-types>
+  <plans><plan name="all" rate="1000" reserve="1000" weight="1"/></plans>
+  <volumes block="4KiB" unit="16KiB" extent="1MiB" mean-units="1">
+    <volume nsid="1" name="a" plan="all" size="1GiB" cells="0 1"/>
+    <volume nsid="2" name="b" plan="all" size="1GiB" cells="1"/>
+  </volumes>
+  <rules drain-grace="1s" answer-margin="100ms"/>
+  <limits connections="12" depth="64" transfer="128KiB" capsule="8KiB" piece="32KiB" held="1MiB" unsent="2MiB" handshake="300ms"/>
+  <disk-servers subsystem="nqn.2026-12.org.honeyplank:disk" connect-within="200ms" keep-alive="600ms" depth="64" digests="true"/>
+  <rehearsal gateways="1" length="1s" clients="1">
+    <fleet cores="2" queue="64" unit-time="2ms"/>
+    <traffic op-type="read" rate="1" bytes="4KiB"/>
+  </rehearsal>
+</honeyplank>`
+
+const (
+	blockBytes = 4096 // of the volumes in testSettings
+	nqnPrefix  = "nqn.2026-12.org.honeyplank:"
+	nodePrefix = "/honeyplank/nodes/" // of keys in etcd, as in testSettings
+)
+
+// newHarness starts a harness whose settings a test may change first.
+func newHarness(t *testing.T, change ...func(*settings.Gateway)) *harness {
+	t.Helper()
+	s, err := settings.Parse("test", []byte(testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range change {
+		f(s)
+	}
+	h := &harness{t: t, settings: s}
+	if h.loop, err = eventloop.New(time.Minute); err != nil {
+		t.Fatal(err)
+	}
+	if h.etcd, err = etcd.New("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	for cell := range 2 {
+		h.addDisk(cell)
+	}
+	ended := make(chan struct{})
+	go func() { h.loop.Run(); close(ended) }()
+	s.List.Etcd[0].Endpoint = h.etcd.Address()
+	h.serve(gateway.Options{Seed: 1})
+	t.Cleanup(func() {
+		h.gateway.Kill()
+		h.loop.Post(h.loop.Stop)
+		<-ended
+		h.etcd.Close()
+	})
+	h.eventually("the list has arrived", func() bool {
+		_, status := h.do(h.connect("probe"), nvme.NewRW(nvme.Read, 2, 0, 1), nil)
+		return status == nvme.Success
+	})
+	return h
+}
+
+// addDisk brings up a fake disk server for a cell; before the loop runs.
+func (h *harness) addDisk(cell int) *disk.Server {
+	d, err := disk.New(h.loop, "127.0.0.1:0", faulttest.Model(h.settings), int64(cell))
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.disks = append(h.disks, d)
+	h.register(d.Address(), cell, "on")
+	return d
+}
+
+// serve makes a gateway with the harness's settings, which takes the place of the one before, and serves.
+func (h *harness) serve(options gateway.Options) {
+	h.t.Helper()
+	options.Settings, options.Log = h.settings, zerolog.Nop()
+	var err error
+	if h.gateway, err = gateway.New(options); err != nil {
+		h.t.Fatal(err)
+	}
+	go h.gateway.Serve(context.Background())
+}
+
+// register lists a disk server in etcd.
+func (h *harness) register(address string, cell int, state string) {
+	h.t.Helper()
+	h.registerRecord(address, discovery.Record{State: state, Size: 1, Cell: cell})
+}
+
+func (h *harness) registerRecord(address string, record discovery.Record) {
+	h.t.Helper()
+	value, err := json.Marshal(record)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.etcd.Set(nodePrefix+address, value)
+}
+
+// deregister deletes a disk server from etcd.
+func (h *harness) deregister(address string) { h.etcd.Delete(nodePrefix + address) }
+
+// node returns the gateway's state of a disk server; ok is false if it knows none.
+func (h *harness) node(address string) (node gateway.Node, ok bool) {
+	nodes, _ := h.gateway.Nodes()
+	return findNode(nodes, address)
+}
+
+func findNode(nodes []gateway.Node, address string) (node gateway.Node, ok bool) {
+	i := slices.IndexFunc(nodes, func(n gateway.Node) bool { return n.OSD == address })
+	if i < 0 {
+		return node, false
+	}
+	return nodes[i], true
+}
+
+// onLoop runs f on the loop of the fakes and clients.
+func (h *harness) onLoop(f func()) {
+	done := make(chan struct{})
+	h.loop.Post(func() { f(); close(done) })
+	<-done
+}
+
+// eventually waits until f is true, and fails the test after five seconds.
+func (h *harness) eventually(what string, f func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			h.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+func (h *harness) counts() gateway.Counts {
+	c, ok := h.gateway.Counts()
+	if !ok {
+		h.t.Fatal("the gateway has ended")
+	}
+	return c
+}
+
+// waitIdle waits until no op is unanswered, no dispatch outstanding and no buffer in use.
+func (h *harness) waitIdle() {
+	h.t.Helper()
+	h.eventually("idle", func() bool { c := h.counts(); return c.Open == 0 && c.Out == 0 && c.Held == 0 })
+}
+
+// associationWaiter receives nil once an association is ready, or the error with which it has ended.
+type associationWaiter struct{ ready chan error }
+
+func (waiter associationWaiter) Ready(*initiator.Association) { waiter.ready <- nil }
+
+func (waiter associationWaiter) Ended(_ *initiator.Association, err error) {
+	select {
+	case waiter.ready <- err:
+	default:
+	}
+}
+
+// connect connects a client; one by the name of "digests" uses digests.
+func (h *harness) connect(name string) *initiator.Association {
+	h.t.Helper()
+	waiter := associationWaiter{make(chan error, 2)}
+	var a *initiator.Association
+	h.onLoop(func() {
+		a = initiator.Dial(h.loop, initiator.Settings{Address: h.gateway.Address(), Subsystem: h.settings.Listen.Subsystem, Host: nqnPrefix + name,
+			Depth: 60, MaxData: 128 << 10, ConnectTimeout: time.Second, Digests: name == "digests"}, waiter)
+	})
+	if err := <-waiter.ready; err != nil {
+		h.t.Fatal(err)
+	}
+	return a
+}
+
+// answer is what a client got for a command.
+type answer struct {
+	data   []byte
+	status nvme.Status
+	lost   bool
+	took   time.Duration
+	dw0    uint32
+}
+
+// submit sends a Read or Write; its one answer comes on the channel.
+func (h *harness) submit(a *initiator.Association, c nvme.Command, data []byte) chan answer {
+	out := make(chan answer, 4)
+	read := 0
+	if c.Opcode() == nvme.Read {
+		read = c.Blocks() * blockBytes
+	}
+	h.onLoop(func() {
+		began := time.Now()
+		if _, ok := a.IO.Submit(c, data, read, initiator.CallFunc(func(r initiator.Result) {
+			out <- answer{append([]byte(nil), r.Data...), r.Status(), r.Lost, time.Since(began), r.DW0()}
+		})); !ok {
+			out <- answer{lost: true}
+		}
+	})
+	return out
+}
+
+// do sends a Read or Write and waits for its answer.
+func (h *harness) do(a *initiator.Association, c nvme.Command, data []byte) ([]byte, nvme.Status) {
+	r := <-h.submit(a, c, data)
+	return r.data, r.status
+}
+
+// pattern is data that differs by seed and by 512-byte sector.
+func pattern(seed byte, blocks int) []byte {
+	b := make([]byte, blocks*blockBytes)
+	for i := range b {
+		b[i] = seed + byte(i>>9)*31 + byte(i)
+	}
+	return b
+}
--- /dev/null
+++ b/gateway/lifecycle_test.go
@@ -0,0 +1,97 @@
+package gateway_test
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"honeyplank/fake/disk"
+	"honeyplank/gateway"
+	"honeyplank/nvme"
+)
+
+// TestShutdown shuts down a gateway with ops queued, dispatched and half received: all admitted ops are answered, and
+// the answers arrive.
+func TestShutdown(t *testing.T) {
+	h := newHarness(t)
+	a := h.connect("client")
+	half := connectRaw(t, h, "half")
+	half.write(half.command(9, nvme.Write, 1, 0, 16, nil))
+	half.expect(nvme.TypeR2T)
+	h.onLoop(func() { h.disks[1].Freeze(300 * time.Millisecond) })
+	var answers []chan answer
+	for i := range 40 {
+		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
+	}
+	h.eventually("queued and dispatched", func() bool { c := h.counts(); return c.Open == 40 && c.Out > 0 && c.Out < 40 })
+	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+	defer cancel()
+	if err := h.gateway.Shutdown(ctx); err != nil {
+		t.Fatal(err)
+	}
+	succeeded := 0
+	for i, c := range answers {
+		r := <-c
+		if r.lost || r.status != nvme.Success && r.status.Code() != nvme.CommandInterrupted {
+			t.Errorf("op %d: lost %v, %#x", i, r.lost, r.status)
+		}
+		if r.status == nvme.Success {
+			succeeded++
+		}
+	}
+	if succeeded == 0 {
+		t.Error("no dispatched op has succeeded")
+	}
+}
+
+// TestShutdownDeadline shuts down with a context that is done: remaining ops fail at once and are not dropped.
+func TestShutdownDeadline(t *testing.T) {
+	h := newHarness(t)
+	a := h.connect("client")
+	h.onLoop(func() { h.disks[1].Apply(disk.Faults{Silent: true}) })
+	answers := []chan answer{h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil), h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil)}
+	h.eventually("admitted", func() bool { return h.counts().Open == 2 })
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if err := h.gateway.Shutdown(ctx); err == nil {
+		t.Error("Shutdown returns no error though its context was done")
+	}
+	for _, c := range answers {
+		if r := <-c; r.lost || r.status != nvme.InternalError|nvme.DoNotRetry {
+			t.Errorf("%#x, lost %v", r.status, r.lost)
+		}
+	}
+}
+
+// TestInstancesShareNothing runs several gateways in one process against the same fakes.
+func TestInstancesShareNothing(t *testing.T) {
+	h := newHarness(t)
+	var group sync.WaitGroup
+	for n := range 3 {
+		s := *h.settings
+		s.Listen.Host = fmt.Sprint(strings.TrimSuffix(s.Listen.Host, "0"), n+1)
+		g, err := gateway.New(gateway.Options{Settings: &s, Seed: int64(n), Log: zerolog.Nop()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		group.Add(1)
+		go func() { defer group.Done(); g.Serve(context.Background()) }()
+		if c, ok := g.Counts(); !ok || c.Admitted != 0 {
+			t.Errorf("a fresh instance has admitted %d ops", c.Admitted)
+		}
+		if n == 0 {
+			g.Kill()
+		} else if err := g.Shutdown(context.Background()); err != nil {
+			t.Error(err)
+		}
+	}
+	group.Wait()
+	if _, status := h.do(h.connect("client"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
+		t.Errorf("the first instance after the others' end: %#x", status)
+	}
+}
