--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,9 +32,6 @@
 // Module takes the decisions: policy.Scheduler, or a baseline to measure against.
 type Module = inflight.DecisionModule
 
-// Tap observes the bytes of one connection, in order; sent tells the direction.
-type Tap = func(sent bool, b []byte)
-
 // Options configure an instance. Settings is required.
 type Options struct {
 	Settings *settings.Gateway
