--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -44,8 +44,12 @@
 					lastWritten, since = written, now
 				}
 				for _, a := range sc.inFlight {
-					if a.firstByte < written && a.endByte > written && now-since > maxPartialAge {
-						stuck[string(a.dispatch.Op())] = true
+					id := string(a.dispatch.Op())
+					if a.firstByte < written && a.endByte > written && now-since > maxPartialAge/2 {
+						stuck[id] = true
+					}
+					if stuck[id] && a.endByte <= written && now-a.encodedAt <= maxPartialAge { // the rest was written in time
+						delete(stuck, id)
 					}
 				}
 			}
