--- a/audit/judge.go
+++ b/audit/judge.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		v.Checked++
-		timeout := t.OpTimeout.D()
+		timeout := t.OpTimeout.Duration()
 		if r.patience > 0 {
 			timeout = min(timeout, r.patience)
 		}
@@ -149,29 +149,29 @@
 					continue
 				}
 				a, b := l.servers[d.server], l.servers[later.server]
-				far := t.Scope == "zone" && a.Zone != b.Zone || t.Scope == "cell" && a.Cell != b.Cell
+				far := t.DedupScope == "zone" && a.Zone != b.Zone || t.DedupScope == "cell" && a.Cell != b.Cell
 				switch {
-				case t.Kind == "once-only":
+				case t.Semantics == "once-only":
 					v.breach("%v, once-only, was dispatched to %s after a dispatch to %s that may have run", r, later.server, d.server)
-				case t.Kind == "deduplicated" && (far || later.at-d.at > t.Remember.D()+slack):
+				case t.Semantics == "deduplicated" && (far || later.at-d.at > t.DedupWindow.Duration()+slack):
 					v.breach("%v was dispatched to %s, outside the group or time that drops repeats of the dispatch to %s", r, later.server, d.server)
 				}
 			}
 		}
 		at, status, ok := r.final()
-		if !ok || status.Code() != nvme.CommandInterrupted || t.Kind == "replayable" || t.Kind == "deduplicated" && (t.Scope == "" || t.Scope == "all") {
+		if !ok || status.Code() != nvme.CommandInterrupted || t.Semantics == "replayable" || t.Semantics == "deduplicated" && (t.DedupScope == "" || t.DedupScope == "all") {
 			continue
 		}
 		for _, d := range r.sends {
 			if !d.proves() && d.at < at {
-				v.breach("%v, %s, was throttled after a dispatch to %s that may have run", r, t.Kind, d.server)
+				v.breach("%v, %s, was throttled after a dispatch to %s that may have run", r, t.Semantics, d.server)
 			}
 		}
 	}
 }
 
 func (l *Log) drains(s *settings.Gateway, v *Verdict) {
-	grace := s.Rules.DrainGrace.D()
+	grace := s.Rules.DrainGrace.Duration()
 	told := map[string][]toldRecord{}
 	for _, t := range l.told {
 		told[fmt.Sprint(t.gateway, " ", t.server)] = append(told[fmt.Sprint(t.gateway, " ", t.server)], t)
@@ -210,7 +210,7 @@
 }
 
 func (l *Log) cold(s *settings.Gateway, v *Verdict) {
-	c := s.Rules.Cold
+	c := s.Rules.SlowStart
 	if c == nil {
 		return
 	}
@@ -225,10 +225,10 @@
 			from := 0
 			for i, d := range list {
 				age := d.at - start.at
-				if age < 0 || age > c.Time.D()+c.Window.D() {
+				if age < 0 || age > c.Time.Duration()+c.Window.Duration() {
 					continue
 				}
-				for list[from].at < d.at-c.Window.D() || list[from].at < start.at {
+				for list[from].at < d.at-c.Window.Duration() || list[from].at < start.at {
 					from++
 				}
 				v.Checked++
@@ -245,12 +245,12 @@
 						informed += u
 					}
 				}
-				most := c.Multiple * start.capacity(age) * c.Window.D().Seconds()
+				most := c.Multiple * start.capacity(age) * c.Window.Duration().Seconds()
 				if part := sum / most; part > nearest {
 					nearest, where = part, fmt.Sprintf("nearest: %.0f%% of what makes %s fall, %v after its start", 100*part, server, age.Round(time.Millisecond))
 				}
 				if sum > most && informed >= sum*2/3 {
-					v.breach("%s, %v after its start, had been sent %.0f units within %v, over %.1f times its capacity", server, age, sum, c.Window.D(), c.Multiple)
+					v.breach("%s, %v after its start, had been sent %.0f units within %v, over %.1f times its capacity", server, age, sum, c.Window.Duration(), c.Multiple)
 				}
 			}
 		}
@@ -291,7 +291,7 @@
 					v.breach("%v was dispatched while %v of the same key was out", d.op, e.op)
 				}
 				// A key rests after a dispatch that may be running still.
-				if ended := e.given(); ended > 0 && d.at < ended+s.Rules.OrderSettle.D()-slack && d.at > ended {
+				if ended := e.given(); ended > 0 && d.at < ended+s.Rules.OrderSettle.Duration()-slack && d.at > ended {
 					v.breach("%v was dispatched %v after a dispatch of the same key ended without an answer", d.op, d.at-ended)
 				}
 				// An op that its client sent clearly earlier, and that was not over, must not come after.
@@ -323,7 +323,7 @@
 }
 
 func (l *Log) budget(s *settings.Gateway, v *Verdict) {
-	b := s.Rules.Budget
+	b := s.Rules.RetryBudget
 	if b == nil {
 		return
 	}
@@ -342,17 +342,17 @@
 			v.Checked++
 			n, ops := 1, 0
 			for _, x := range list[:i] {
-				if x > at-b.Window.D()+slack {
+				if x > at-b.Window.Duration()+slack {
 					n++
 				}
 			}
 			for _, x := range taken[gateway] {
-				if x > at-b.Window.D()-slack && x <= at {
+				if x > at-b.Window.Duration()-slack && x <= at {
 					ops++
 				}
 			}
 			if float64(n) > b.Free+b.Share*float64(ops) {
-				v.breach("gateway %d sent %d further dispatches within %v of %d ops", gateway, n, b.Window.D(), ops)
+				v.breach("gateway %d sent %d further dispatches within %v of %d ops", gateway, n, b.Window.Duration(), ops)
 			}
 		}
 	}
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -107,7 +107,7 @@
 		registry.Set(s.List.Prefix+d.Address(), value)
 	}
 	own := *s
-	own.Rehearsal = nil
+	own.FaultTest = nil
 	own.List.Etcd[0].Endpoint = registry.Address()
 	if g, err = gateway.New(gateway.Options{Settings: &own, Seed: 1, Log: zerolog.Nop()}); err != nil {
 		return nil, nil, nil, err
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -70,8 +70,8 @@
 func Hostile(connections int, seconds float64) (*Hostility, error) {
 	r, g, fall, err := raise(func(s *settings.Gateway) {
 		s.Limits.Connections = 4 * connections
-		s.Limits.Peer = &settings.Peer{Connections: 64, Handshakes: 16, Bytes: 1 << 20, PDU: settings.Span(500 * time.Millisecond), Breaches: 5,
-			Window: settings.Span(5 * time.Second), Shut: settings.Span(time.Second), Most: settings.Span(10 * time.Second)}
+		s.Limits.Peer = &settings.Peer{Connections: 64, Handshakes: 16, Bytes: 1 << 20, PDUTimeout: settings.Span(500 * time.Millisecond), BanThreshold: 5,
+			ViolationWindow: settings.Span(5 * time.Second), InitialBan: settings.Span(time.Second), MaxBan: settings.Span(10 * time.Second)}
 	})
 	if err != nil {
 		return nil, err
--- a/bench/sources.go
+++ b/bench/sources.go
@@ -40,7 +40,7 @@
 
 // ear is the module with an ear for the list.
 type ear struct {
-	*policy.Scheduler
+	*policy.Engine
 	mu    sync.Mutex
 	heard map[honeyplank.ServerID]honeyplank.MemberState
 	wait  map[honeyplank.ServerID]waited
@@ -53,7 +53,7 @@
 }
 
 func (e *ear) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
-	out := e.Scheduler.Handle(now, event)
+	out := e.Engine.Handle(now, event)
 	if l, ok := event.(honeyplank.List); ok {
 		e.mu.Lock()
 		for _, m := range l.Members {
@@ -106,13 +106,13 @@
 		all[k] = value(i, "on")
 	}
 	registry.Apply(all)
-	s.Rehearsal = nil
+	s.FaultTest = nil
 	s.List.Etcd[0].Endpoint = registry.Address()
-	s.List.AskWithin = settings.Span(2 * time.Second)
+	s.List.WatchWithin = settings.Span(2 * time.Second)
 	e := &ear{heard: map[honeyplank.ServerID]honeyplank.MemberState{}, wait: map[honeyplank.ServerID]waited{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
 	before := heap()
-	g, err := gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop(), Module: func(seed int64, v *honeyplank.Settings) gateway.Module {
-		e.Scheduler = policy.New(seed, v)
+	g, err := gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop(), Module: func(seed int64, v *honeyplank.Settings) honeyplank.DecisionModule {
+		e.Engine = policy.New(seed, v)
 		return e
 	}})
 	if err != nil {
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	start := func(seed int64, settings *honeyplank.Settings) simwire.Handler {
+	start := func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule {
 		return policy.New(seed, settings)
 	}
 	if err := simwire.Serve(os.Stdin, os.Stdout, start); err != nil {
--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	if s.Rehearsal == nil {
+	if s.FaultTest == nil {
 		return usageError{fmt.Errorf("%s has no <rehearsal>", c.Script)}
 	}
 	l, err := eventloop.New(time.Minute)
--- a/cmd/honeyplank/faulttest.go
+++ b/cmd/honeyplank/faulttest.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	if script.Rehearsal == nil {
+	if script.FaultTest == nil {
 		return usageError{fmt.Errorf("%s has no <rehearsal>", c.Script)}
 	}
 	ctx, stop := signals()
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -50,7 +50,7 @@
 	}
 	if err := k.Run(log); err != nil {
 		fmt.Fprintln(os.Stderr, "honeyplank:", err)
-		var fault *settings.Fault
+		var fault *settings.Error
 		if errors.As(err, &fault) || errors.As(err, &usageError{}) {
 			os.Exit(2)
 		}
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -146,7 +146,7 @@
 	defer func() { l.Post(l.Stop); <-ended }()
 
 	own := *script
-	own.Rehearsal = nil
+	own.FaultTest = nil
 	own.List.Etcd[0].Endpoint = registry.Address()
 	var addresses []string
 	for n := range 2 {
--- a/cmd/honeyplank/read_test.go
+++ b/cmd/honeyplank/read_test.go
@@ -132,7 +132,7 @@
 		tries int
 	}{
 		{&os.PathError{Op: "open", Path: "x", Err: syscall.EMFILE}, 3}, {&os.PathError{Op: "read", Path: "x", Err: syscall.EIO}, 3},
-		{usageError{os.ErrNotExist}, 1}, {&settings.Fault{}, 1}, {errors.New("its checksum is wrong"), 1},
+		{usageError{os.ErrNotExist}, 1}, {&settings.Error{}, 1}, {errors.New("its checksum is wrong"), 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			tries := 0
--- a/cmd/honeyplank/serve.go
+++ b/cmd/honeyplank/serve.go
@@ -43,7 +43,7 @@
 // kept is closed then. Where the system itself doesn't come back from a call, it stays until the process ends.
 func (c *serveCommand) keep(ctx context.Context, g *gateway.Instance, log zerolog.Logger) (kept chan struct{}) {
 	kept = make(chan struct{})
-	r, ok := g.Learnt()
+	r, ok := g.Estimates()
 	if c.Learnt == "" || !ok {
 		close(kept)
 		return kept
@@ -70,7 +70,7 @@
 	if c.Seed == 0 {
 		c.Seed = time.Now().UnixNano()
 	}
-	g, err := gateway.New(gateway.Options{Settings: s, Seed: c.Seed, Learnt: c.learnt(log), Log: log})
+	g, err := gateway.New(gateway.Options{Settings: s, Seed: c.Seed, Estimates: c.learnt(log), Log: log})
 	if err != nil {
 		return err
 	}
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -90,11 +90,11 @@
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	s.every(m.PutOffEvery.D(), func() {
+	s.every(m.PutOffEvery.Duration(), func() {
 		s.frozen, s.debt = max(s.frozen, l.Now()+s.debt), 0
 	})
-	s.every(m.PauseEvery.D(), func() { s.frozen = max(s.frozen, l.Now()+m.Pause.D()) })
-	s.every(m.ReportsEvery.D(), func() {
+	s.every(m.PauseEvery.Duration(), func() { s.frozen = max(s.frozen, l.Now()+m.Pause.Duration()) })
+	s.every(m.ReportsEvery.Duration(), func() {
 		if !s.Faults.Stale {
 			s.report()
 		}
@@ -151,7 +151,7 @@
 
 // CapacityAt is what it can do so long after a start, in units a second.
 func (s *Server) CapacityAt(age time.Duration) float64 {
-	return float64(s.m.Cores) / s.m.UnitTime.D().Seconds() * s.part(age)
+	return float64(s.m.Cores) / s.m.UnitTime.Duration().Seconds() * s.part(age)
 }
 
 // part is how much of its capacity it has so long after a start.
@@ -251,7 +251,7 @@
 
 // cost is how long an op takes to serve.
 func (s *Server) cost(c *target.Command) time.Duration {
-	full := float64(s.m.UnitTime.D()) * s.units(c) * (1 + s.m.Spread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
+	full := float64(s.m.UnitTime.Duration()) * s.units(c) * (1 + s.m.Spread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
 	if s.Faults.Slow > 0 {
 		full *= s.Faults.Slow
 	}
--- a/faulttest/baseline.go
+++ b/faulttest/baseline.go
@@ -7,13 +7,12 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/gateway"
 	"honeyplank/settings"
 )
 
 // Arrival makes a baseline to measure against: every op is passed on at once in order of arrival, whatever
 // the node's state, and tried no second time. It keeps no rule but the first.
-func Arrival(_ int64, _ *honeyplank.Settings) gateway.Module {
+func Arrival(_ int64, _ *honeyplank.Settings) honeyplank.DecisionModule {
 	return &arrival{holders: map[int]honeyplank.ServerID{}}
 }
 
@@ -30,7 +29,7 @@
 	switch e := event.(type) {
 	case honeyplank.List:
 		if e.Kind == honeyplank.WatchFailed {
-			return append(out, honeyplank.SetTimer{At: now + time.Second, Name: "watch"})
+			return append(out, honeyplank.SetTimer{At: now + time.Second, ID: "watch"})
 		}
 		for _, m := range e.Members {
 			if m.State == honeyplank.Up {
@@ -55,7 +54,7 @@
 }
 
 // single are the troubles played one by one: each a bad stretch on an otherwise good day.
-var single = map[string][]settings.Trouble{
+var single = map[string][]settings.Fault{
 	"died":            {{Kind: "die", Count: 1}},
 	"silent":          {{Kind: "silent", Count: 1}},
 	"many-back-cold":  {{Kind: "die", Count: 3}},
@@ -89,7 +88,7 @@
 }
 
 // names are troubles of DNS, for scripts that have it.
-var names = map[string][]settings.Trouble{
+var names = map[string][]settings.Fault{
 	"dns-down":      {{Kind: "dns-down"}, {Kind: "die", Count: 1}},
 	"dns-empty":     {{Kind: "dns-empty"}},
 	"dns-lies":      {{Kind: "dns-lies"}, {Kind: "list-down"}, {Kind: "die", Count: 1}},
@@ -113,14 +112,14 @@
 	}
 	out := map[string]*settings.Gateway{}
 	for _, n := range list {
-		s, r := *script, *script.Rehearsal
-		s.Rehearsal, r.Length, r.Troubles = &r, settings.Span(9*time.Second), nil
+		s, r := *script, *script.FaultTest
+		s.FaultTest, r.Length, r.Faults = &r, settings.Span(9*time.Second), nil
 		for _, t := range all[n] {
 			t.At, t.For = settings.Span(2*time.Second), settings.Span(2500*time.Millisecond)
 			if t.Plan != "" && s.Plan(t.Plan) < 0 {
 				t.Plan = ""
 			}
-			r.Troubles = append(r.Troubles, t)
+			r.Faults = append(r.Faults, t)
 		}
 		out[n] = &s
 	}
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -52,7 +52,7 @@
 	Script *settings.Gateway
 	Seed   int64
 	// Module replaces the decision module of every gateway; nil: the product's own.
-	Module func(seed int64, settings *honeyplank.Settings) gateway.Module
+	Module func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
 	Log    zerolog.Logger
 }
 
@@ -124,7 +124,7 @@
 
 // Run plays a script.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	if o.Script == nil || o.Script.Rehearsal == nil {
+	if o.Script == nil || o.Script.FaultTest == nil {
 		return nil, fmt.Errorf("rehearse: the script has no <rehearsal>")
 	}
 	began := time.Now()
@@ -151,10 +151,10 @@
 		l.Run()
 		return nil, err
 	}
-	r := o.Script.Rehearsal
+	r := o.Script.FaultTest
 	finished := make(chan struct{})
 	l.Post(st.begin)
-	l.Schedule(l.Now()+r.Length.D()+settle, func() { st.load.Stop(func() { close(finished) }) })
+	l.Schedule(l.Now()+r.Length.Duration()+settle, func() { st.load.Stop(func() { close(finished) }) })
 	looped := make(chan error, 1)
 	go func() { looped <- l.Run() }()
 	looking := make(chan struct{})
@@ -210,7 +210,7 @@
 // patience is more than the longest op takes.
 func patience(s *settings.Gateway) (longest time.Duration) {
 	for _, t := range s.OpTypes {
-		longest = max(longest, t.OpTimeout.D())
+		longest = max(longest, t.OpTimeout.Duration())
 	}
 	return longest + time.Second
 }
@@ -241,7 +241,7 @@
 		}
 		st.log.Told(n, "etcd", strings.TrimPrefix(key, prefix), state, started)
 	}
-	for n := range s.Rehearsal.Gateways {
+	for n := range s.FaultTest.Gateways {
 		st.agents[hostNQN(s, n)] = n
 		if s.List.DNS != nil {
 			d, err := dns.New(s.List.DNS.Name)
@@ -265,14 +265,14 @@
 		st.list(cell, "on")
 	}
 	var targets []loadgen.Target
-	for n := range s.Rehearsal.Gateways {
+	for n := range s.FaultTest.Gateways {
 		st.gateways = append(st.gateways, nil)
 		if err := st.gateway(n, "127.0.0.1:0"); err != nil {
 			return err
 		}
 		targets = append(targets, loadgen.Target{Address: st.gateways[n].Address(), Subsystem: s.Listen.Subsystem, Wire: st.client(n), Left: func() { st.log.Left(n) }})
 	}
-	r := s.Rehearsal
+	r := s.FaultTest
 	var aside func(int) bool
 	if wired(s) {
 		aside = apart
@@ -309,7 +309,7 @@
 				lost++
 			}
 		}
-		if float64(lost) > st.script.List.Believe.Vanish*float64(len(before)) {
+		if float64(lost) > st.script.List.SourceTrust.MaxRemovedShare*float64(len(before)) {
 			return // doubted; what was held stays held
 		}
 		for address := range before {
@@ -356,8 +356,8 @@
 
 // Model is what the stand-in disk servers of a script are like.
 func Model(s *settings.Gateway) disk.Model {
-	m := disk.Model{Fleet: s.Rehearsal.Fleet, Block: int(s.Volumes.Block), Unit: int(s.Volumes.Unit), Extent: int64(s.Volumes.Extent),
-		Meter: &disk.Meter{Period: s.Rules.MeterPeriod.D(), Rate: func(nsid uint32) float64 {
+	m := disk.Model{Fleet: s.FaultTest.Fleet, Block: int(s.Volumes.Block), Unit: int(s.Volumes.Unit), Extent: int64(s.Volumes.Extent),
+		Meter: &disk.Meter{Period: s.Rules.MeterPeriod.Duration(), Rate: func(nsid uint32) float64 {
 			for _, v := range s.Volumes.List {
 				if v.NSID == nsid {
 					return s.Plans.List[s.Plan(v.Plan)].Rate
@@ -367,8 +367,8 @@
 		}},
 		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), Capsule: 8 << 10, Piece: 32 << 10,
 			Depth: 1024, Queues: 8, Handshake: time.Second, Connections: 1024, Unsent: 64 << 20, Held: 256 << 20}}
-	if c := s.Rules.Cold; c != nil {
-		m.ColdFrom, m.ColdTime, m.Window, m.Multiple = c.From, c.Time.D(), c.Window.D(), c.Multiple
+	if c := s.Rules.SlowStart; c != nil {
+		m.ColdFrom, m.ColdTime, m.Window, m.Multiple = c.From, c.Time.Duration(), c.Window.Duration(), c.Multiple
 	}
 	shift := uint8(0)
 	for 1<<shift < int(s.Volumes.Block) {
@@ -419,7 +419,7 @@
 func (st *stage) gateway(n int, address string) error {
 	s := *st.script
 	s.DiskServers.Digests = s.DiskServers.Digests || wired(st.script)
-	s.Rehearsal, s.Scheduler.Ordinal, s.Scheduler.Hosts = nil, n, s.Rehearsal.Gateways
+	s.FaultTest, s.Scheduler.Ordinal, s.Scheduler.Hosts = nil, n, s.FaultTest.Gateways
 	s.Listen.Address, s.Listen.Host = address, hostNQN(st.script, n)
 	s.List.Etcd = slices.Clone(s.List.Etcd[:1])
 	s.List.Etcd[0].Endpoint = st.etcd.Address()
@@ -443,9 +443,9 @@
 }
 
 func (st *stage) begin() {
-	for _, t := range st.script.Rehearsal.Troubles {
-		st.after(settle+t.At.D(), func() {
-			st.o.Log.Info().Str("kind", t.Kind).Dur("for_ms", t.For.D()).Msg("trouble")
+	for _, t := range st.script.FaultTest.Faults {
+		st.after(settle+t.At.Duration(), func() {
+			st.o.Log.Info().Str("kind", t.Kind).Dur("for_ms", t.For.Duration()).Msg("trouble")
 			troubles[t.Kind](st, t)
 		})
 	}
@@ -466,12 +466,12 @@
 }
 
 // afflict makes faults act on some servers for a time.
-func afflict(make func(t settings.Trouble) disk.Faults) func(*stage, settings.Trouble) {
-	return func(st *stage, t settings.Trouble) {
+func afflict(make func(t settings.Fault) disk.Faults) func(*stage, settings.Fault) {
+	return func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			d := st.cells[cell]
 			d.Apply(make(t))
-			st.after(t.For.D(), func() { d.Apply(disk.Faults{}) })
+			st.after(t.For.Duration(), func() { d.Apply(disk.Faults{}) })
 		}
 	}
 }
@@ -519,68 +519,68 @@
 }
 
 // troubles are what can go wrong, by their names in a script.
-var troubles = map[string]func(*stage, settings.Trouble){
-	"slow":           afflict(func(t settings.Trouble) disk.Faults { return disk.Faults{Slow: or(t.Times, 5)} }),
-	"fail":           afflict(func(t settings.Trouble) disk.Faults { return disk.Faults{Fail: or(t.Times, 0.6)} }),
-	"lose-answers":   afflict(func(t settings.Trouble) disk.Faults { return disk.Faults{Lose: or(t.Times, 0.3)} }),
-	"stale-reports":  afflict(func(settings.Trouble) disk.Faults { return disk.Faults{Stale: true} }),
-	"mute-handshake": afflict(func(settings.Trouble) disk.Faults { return disk.Faults{Mute: true} }),
-	"cut":            afflict(func(settings.Trouble) disk.Faults { return disk.Faults{Tear: true} }),
-	"pause": func(st *stage, t settings.Trouble) {
+var troubles = map[string]func(*stage, settings.Fault){
+	"slow":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Slow: or(t.Times, 5)} }),
+	"fail":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Fail: or(t.Times, 0.6)} }),
+	"lose-answers":   afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Lose: or(t.Times, 0.3)} }),
+	"stale-reports":  afflict(func(settings.Fault) disk.Faults { return disk.Faults{Stale: true} }),
+	"mute-handshake": afflict(func(settings.Fault) disk.Faults { return disk.Faults{Mute: true} }),
+	"cut":            afflict(func(settings.Fault) disk.Faults { return disk.Faults{Tear: true} }),
+	"pause": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.cells[cell].Freeze(t.For.D())
+			st.cells[cell].Freeze(t.For.Duration())
 		}
 	},
-	"die": func(st *stage, t settings.Trouble) {
+	"die": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.restart(cell, t.For.D())
+			st.restart(cell, t.For.Duration())
 		}
 	},
-	"silent": func(st *stage, t settings.Trouble) {
+	"silent": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			d := st.cells[cell]
 			d.Apply(disk.Faults{Silent: true})
-			st.after(t.For.D(), func() { st.restart(cell, listLag) })
+			st.after(t.For.Duration(), func() { st.restart(cell, listLag) })
 		}
 	},
-	"drain": func(st *stage, t settings.Trouble) {
+	"drain": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.replace(cell, t.For.D())
+			st.replace(cell, t.For.Duration())
 		}
 	},
-	"replace": func(st *stage, t settings.Trouble) {
+	"replace": func(st *stage, t settings.Fault) {
 		cells := st.pick(max(t.Count, 3))
 		for i, cell := range cells {
-			st.after(t.For.D()*time.Duration(i)/time.Duration(len(cells)), func() { st.replace(cell, t.For.D()/time.Duration(len(cells))) })
+			st.after(t.For.Duration()*time.Duration(i)/time.Duration(len(cells)), func() { st.replace(cell, t.For.Duration()/time.Duration(len(cells))) })
 		}
 	},
-	"surge": func(st *stage, t settings.Trouble) {
+	"surge": func(st *stage, t settings.Fault) {
 		list := st.script.Volumes.List
 		for _, i := range st.rng.Perm(len(list))[:min(max(t.Count, 1), len(list))] {
 			st.surge(list[i].NSID, t)
 		}
 	},
-	"plan-surge": func(st *stage, t settings.Trouble) {
+	"plan-surge": func(st *stage, t settings.Fault) {
 		for _, v := range st.script.Volumes.List {
 			if v.Plan == t.Plan || t.Plan == "" {
 				st.surge(v.NSID, t)
 			}
 		}
 	},
-	"hurry": func(st *stage, t settings.Trouble) {
+	"hurry": func(st *stage, t settings.Fault) {
 		st.load.Hurry = or(t.Times, 0.25)
-		st.after(t.For.D(), func() { st.load.Hurry = 0 })
+		st.after(t.For.Duration(), func() { st.load.Hurry = 0 })
 	},
-	"list-down": func(st *stage, t settings.Trouble) {
+	"list-down": func(st *stage, t settings.Fault) {
 		st.etcd.Down(true)
-		st.after(t.For.D(), func() { st.etcd.Down(false) })
+		st.after(t.For.Duration(), func() { st.etcd.Down(false) })
 	},
-	"list-late": func(st *stage, t settings.Trouble) {
+	"list-late": func(st *stage, t settings.Fault) {
 		st.etcd.Late(time.Duration(or(t.Times, 2) * float64(time.Second)))
-		st.after(t.For.D(), func() { st.etcd.Late(0) })
-		st.replace(st.pick(1)[0], t.For.D()/2)
+		st.after(t.For.Duration(), func() { st.etcd.Late(0) })
+		st.replace(st.pick(1)[0], t.For.Duration()/2)
 	},
-	"gateway-restart": func(st *stage, t settings.Trouble) {
+	"gateway-restart": func(st *stage, t settings.Fault) {
 		n := st.rng.Intn(len(st.gateways))
 		g := st.gateways[n]
 		st.log.Killed(n)
@@ -589,7 +589,7 @@
 			g.Kill()
 			st.loop.Post(func() {
 				st.log.Killed(n)
-				st.after(t.For.D(), func() {
+				st.after(t.For.Duration(), func() {
 					if err := st.gateway(n, address); err != nil {
 						st.failed = err
 					}
@@ -597,19 +597,19 @@
 			})
 		}()
 	},
-	"list-cut": func(st *stage, _ settings.Trouble) { st.etcd.Break() },
-	"list-compacted": func(st *stage, t settings.Trouble) {
+	"list-cut": func(st *stage, _ settings.Fault) { st.etcd.Break() },
+	"list-compacted": func(st *stage, t settings.Fault) {
 		st.etcd.Down(true)
 		for _, cell := range st.pick(t.Count) {
-			st.replace(cell, t.For.D()/4)
+			st.replace(cell, t.For.Duration()/4)
 		}
-		st.after(t.For.D(), func() { st.etcd.Forget(); st.etcd.Down(false) })
+		st.after(t.For.Duration(), func() { st.etcd.Forget(); st.etcd.Down(false) })
 	},
-	"list-mute": func(st *stage, t settings.Trouble) {
+	"list-mute": func(st *stage, t settings.Fault) {
 		st.etcd.Mute(true)
-		st.after(t.For.D(), func() { st.etcd.Mute(false) })
+		st.after(t.For.Duration(), func() { st.etcd.Mute(false) })
 	},
-	"re-register": func(st *stage, _ settings.Trouble) {
+	"re-register": func(st *stage, _ settings.Fault) {
 		for cell, d := range st.cells {
 			if d.Faults == (disk.Faults{}) && !d.Fell {
 				st.list(cell, "on")
@@ -620,29 +620,29 @@
 	"dns-empty":     misname(dns.Faults{Empty: true}, dns.Faults{None: true}),
 	"dns-lies":      misname(dns.Faults{Other: true}, dns.Faults{Malformed: true}, dns.Faults{WrongID: true}),
 	"dns-truncated": misname(dns.Faults{Truncate: true}, dns.Faults{Truncate: true, NoTCP: true}),
-	"dns-drain": func(st *stage, t settings.Trouble) {
+	"dns-drain": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			st.register(cell, 0)
-			st.after(t.For.D(), func() { st.register(cell, 1) })
+			st.after(t.For.Duration(), func() { st.register(cell, 1) })
 		}
 	},
-	"dns-stale": func(st *stage, t settings.Trouble) {
+	"dns-stale": func(st *stage, t settings.Fault) {
 		st.still = true
 		for _, cell := range st.pick(t.Count) {
-			st.replace(cell, t.For.D()/2)
+			st.replace(cell, t.For.Duration()/2)
 		}
-		st.after(t.For.D(), func() { st.still = false; st.publish() })
+		st.after(t.For.Duration(), func() { st.still = false; st.publish() })
 	},
 	"wire-flip": wire("wire-flip"), "wire-drop": wire("wire-drop"), "wire-delay": wire("wire-delay"),
 	"wire-cut": wire("wire-cut"), "wire-repeat": wire("wire-repeat"), "wire-lie": wire("wire-lie"),
-	"clients-leave": func(st *stage, t settings.Trouble) { st.load.Leave(max(t.Count, 1)) },
+	"clients-leave": func(st *stage, t settings.Fault) { st.load.Leave(max(t.Count, 1)) },
 }
 
 // misname has every name server go wrong in several ways, one after another.
-func misname(ways ...dns.Faults) func(*stage, settings.Trouble) {
-	return func(st *stage, t settings.Trouble) {
+func misname(ways ...dns.Faults) func(*stage, settings.Fault) {
+	return func(st *stage, t settings.Fault) {
 		for i, f := range append(ways, dns.Faults{}) {
-			st.after(t.For.D()*time.Duration(i)/time.Duration(len(ways)), func() {
+			st.after(t.For.Duration()*time.Duration(i)/time.Duration(len(ways)), func() {
 				for _, d := range st.names {
 					d.Fault(f)
 				}
@@ -651,9 +651,9 @@
 	}
 }
 
-func (st *stage) surge(nsid uint32, t settings.Trouble) {
+func (st *stage) surge(nsid uint32, t settings.Fault) {
 	st.load.Factor[nsid] = or(t.Times, 5)
-	st.after(t.For.D(), func() { delete(st.load.Factor, nsid) })
+	st.after(t.For.Duration(), func() { delete(st.load.Factor, nsid) })
 }
 
 func or(x, other float64) float64 {
@@ -678,7 +678,7 @@
 		for i, name := range st.load.Names() {
 			t := &st.load.ByType[i]
 			r := TypeReport{Name: name, Ops: t.Ops, Tries: t.Tries, Acked: t.Succeeded, InTime: t.InTime, Throttled: t.Rejected, Aborted: t.Failed,
-				Lost: t.Lost, Wrong: t.Wrong, Target: millis(st.script.OpTypes[i].TargetLatency.D()), P50: millis(t.Quantile(0.5)), P99: millis(t.Quantile(0.99))}
+				Lost: t.Lost, Wrong: t.Wrong, Target: millis(st.script.OpTypes[i].TargetLatency.Duration()), P50: millis(t.Quantile(0.5)), P99: millis(t.Quantile(0.99))}
 			if t.Due > 0 {
 				r.Service = t.Earned / t.Due
 			}
--- a/faulttest/sabotage_test.go
+++ b/faulttest/sabotage_test.go
@@ -8,36 +8,35 @@
 	"time"
 
 	"honeyplank"
-	"honeyplank/gateway"
 	"honeyplank/policy"
 	"honeyplank/settings"
 )
 
 // short is the bad day's fleet and traffic for some seconds, with some troubles.
-func short(t *testing.T, length time.Duration, troubles ...settings.Trouble) *settings.Gateway {
+func short(t *testing.T, length time.Duration, troubles ...settings.Fault) *settings.Gateway {
 	t.Helper()
 	s, err := settings.Parse("built-in script", BadDay)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Rehearsal.Length, s.Rehearsal.Troubles = settings.Span(length), troubles
+	s.FaultTest.Length, s.FaultTest.Faults = settings.Span(length), troubles
 	return s
 }
 
-func at(kind string, at, span time.Duration, count int, times float64) settings.Trouble {
-	return settings.Trouble{Kind: kind, At: settings.Span(at), For: settings.Span(span), Count: count, Times: times}
+func at(kind string, at, span time.Duration, count int, times float64) settings.Fault {
+	return settings.Fault{Kind: kind, At: settings.Span(at), For: settings.Span(span), Count: count, Times: times}
 }
 
 type change func(now time.Duration, event honeyplank.Event, out []honeyplank.Action) []honeyplank.Action
 
 // tamper is the module with its actions changed on their way to the loop.
 type tamper struct {
-	gateway.Module
+	honeyplank.DecisionModule
 	change change
 }
 
 func (x *tamper) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
-	return x.change(now, e, x.Module.Handle(now, e))
+	return x.change(now, e, x.DecisionModule.Handle(now, e))
 }
 
 // ops is what a saboteur knows of the ops under way.
@@ -47,20 +46,20 @@
 var sabotages = []struct {
 	name     string
 	rule     int
-	troubles []settings.Trouble
+	troubles []settings.Fault
 	make     func() change
 }{
-	{name: "an answer is dropped", rule: 1, troubles: []settings.Trouble{at("die", time.Second, time.Second, 2, 0)},
+	{name: "an answer is dropped", rule: 1, troubles: []settings.Fault{at("die", time.Second, time.Second, 2, 0)},
 		make: func() change {
 			return func(_ time.Duration, _ honeyplank.Event, out []honeyplank.Action) []honeyplank.Action {
 				return slices.DeleteFunc(out, func(a honeyplank.Action) bool { _, ok := a.(honeyplank.Reject); return ok })
 			}
 		}},
-	{name: "an answer comes late", rule: 1, troubles: []settings.Trouble{at("silent", time.Second, 3*time.Second, 3, 0)},
+	{name: "an answer comes late", rule: 1, troubles: []settings.Fault{at("silent", time.Second, 3*time.Second, 3, 0)},
 		make: func() change {
 			var kept []honeyplank.Action
 			return func(now time.Duration, e honeyplank.Event, out []honeyplank.Action) []honeyplank.Action {
-				if t, ok := e.(honeyplank.Timer); ok && t.Name == "late" {
+				if t, ok := e.(honeyplank.Timer); ok && t.ID == "late" {
 					out, kept = append(kept, out...), nil
 					return out
 				}
@@ -73,7 +72,7 @@
 					return ok
 				})
 				if len(kept) > n {
-					out = append(out, honeyplank.SetTimer{At: now + 2*time.Second, Name: "late"})
+					out = append(out, honeyplank.SetTimer{At: now + 2*time.Second, ID: "late"})
 				}
 				return out
 			}
@@ -89,7 +88,7 @@
 				return out
 			}
 		}},
-	{name: "a drained server is sent to", rule: 3, troubles: []settings.Trouble{at("drain", 500*time.Millisecond, 3*time.Second, 2, 0)},
+	{name: "a drained server is sent to", rule: 3, troubles: []settings.Fault{at("drain", 500*time.Millisecond, 3*time.Second, 2, 0)},
 		make: func() change {
 			first, known := map[int]honeyplank.ServerID{}, ops{}
 			return func(_ time.Duration, e honeyplank.Event, out []honeyplank.Action) []honeyplank.Action {
@@ -108,9 +107,9 @@
 				return out
 			}
 		}},
-	{name: "a cold server is flooded", rule: 4, troubles: []settings.Trouble{at("die", 500*time.Millisecond, 700*time.Millisecond, 2, 0), at("surge", 1500*time.Millisecond, 2*time.Second, 11, 6)}},
-	{name: "the order of a key is swapped", rule: 5, troubles: []settings.Trouble{at("slow", 200*time.Millisecond, 3*time.Second, 6, 4)}},
-	{name: "the budget is exceeded", rule: 6, troubles: []settings.Trouble{at("fail", 500*time.Millisecond, 3*time.Second, 6, 0.9)},
+	{name: "a cold server is flooded", rule: 4, troubles: []settings.Fault{at("die", 500*time.Millisecond, 700*time.Millisecond, 2, 0), at("surge", 1500*time.Millisecond, 2*time.Second, 11, 6)}},
+	{name: "the order of a key is swapped", rule: 5, troubles: []settings.Fault{at("slow", 200*time.Millisecond, 3*time.Second, 6, 4)}},
+	{name: "the budget is exceeded", rule: 6, troubles: []settings.Fault{at("fail", 500*time.Millisecond, 3*time.Second, 6, 0.9)},
 		make: func() change {
 			known := ops{}
 			return func(now time.Duration, e honeyplank.Event, out []honeyplank.Action) []honeyplank.Action {
@@ -124,7 +123,7 @@
 				return out
 			}
 		}},
-	{name: "a limit is exceeded", rule: 7, troubles: []settings.Trouble{at("surge", 200*time.Millisecond, 4*time.Second, 11, 8)}},
+	{name: "a limit is exceeded", rule: 7, troubles: []settings.Fault{at("surge", 200*time.Millisecond, 4*time.Second, 11, 8)}},
 }
 
 // TestSabotage has a gateway break each rule in its loop; the audit must tell which, from the sockets alone.
@@ -133,7 +132,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			o := Options{Script: short(t, 4*time.Second, x.troubles...), Seed: 3}
-			o.Module = func(seed int64, v *honeyplank.Settings) gateway.Module {
+			o.Module = func(seed int64, v *honeyplank.Settings) honeyplank.DecisionModule {
 				if x.make == nil { // the baseline keeps none of these
 					return Arrival(seed, v)
 				}
@@ -187,8 +186,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Rehearsal.Length = settings.Span(9 * time.Second)
-	s.Rehearsal.Troubles = []settings.Trouble{at("dns-drain", 500*time.Millisecond, 3*time.Second, 1, 0), at("dns-empty", time.Second, 2*time.Second, 0, 0),
+	s.FaultTest.Length = settings.Span(9 * time.Second)
+	s.FaultTest.Faults = []settings.Fault{at("dns-drain", 500*time.Millisecond, 3*time.Second, 1, 0), at("dns-empty", time.Second, 2*time.Second, 0, 0),
 		at("list-compacted", 1500*time.Millisecond, 2*time.Second, 1, 0), at("list-mute", 4*time.Second, 3*time.Second, 0, 0), at("dns-truncated", 4*time.Second, 2*time.Second, 0, 0),
 		at("drain", 4200*time.Millisecond, time.Second, 1, 0), at("gateway-restart", 5*time.Second, 300*time.Millisecond, 1, 0), at("dns-lies", 6*time.Second, 2*time.Second, 0, 0), at("die", 6500*time.Millisecond, time.Second, 1, 0)}
 	r, err := Run(context.Background(), Options{Script: s, Seed: 5})
@@ -208,10 +207,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Rehearsal.Length = settings.Span(9 * time.Second)
-	for i := range s.Rehearsal.Troubles {
-		s.Rehearsal.Troubles[i].At, s.Rehearsal.Troubles[i].For = settings.Span(time.Duration(i)*1500*time.Millisecond), settings.Span(1200*time.Millisecond)
-		s.Rehearsal.Troubles[i].Times = 0.06
+	s.FaultTest.Length = settings.Span(9 * time.Second)
+	for i := range s.FaultTest.Faults {
+		s.FaultTest.Faults[i].At, s.FaultTest.Faults[i].For = settings.Span(time.Duration(i)*1500*time.Millisecond), settings.Span(1200*time.Millisecond)
+		s.FaultTest.Faults[i].Times = 0.06
 	}
 	r, err := Run(context.Background(), Options{Script: s, Seed: 11})
 	if err != nil {
@@ -240,7 +239,7 @@
 	}
 	used := map[string]bool{}
 	for _, n := range names {
-		for _, x := range scripts[n].Rehearsal.Troubles {
+		for _, x := range scripts[n].FaultTest.Faults {
 			used[x.Kind] = true
 		}
 	}
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -29,18 +29,18 @@
 
 // wired has a script's wires go bad at times.
 func wired(s *settings.Gateway) bool {
-	return slices.ContainsFunc(s.Rehearsal.Troubles, func(t settings.Trouble) bool { return strings.HasPrefix(t.Kind, wireTrouble) })
+	return slices.ContainsFunc(s.FaultTest.Faults, func(t settings.Fault) bool { return strings.HasPrefix(t.Kind, wireTrouble) })
 }
 
 // wire makes a trouble of one kind: each time bytes cross, they are damaged or kept back with a chance of Times.
-func wire(kind string) func(*stage, settings.Trouble) {
-	return func(st *stage, t settings.Trouble) {
+func wire(kind string) func(*stage, settings.Fault) {
+	return func(st *stage, t settings.Fault) {
 		bad := badWires{kind: kind, share: or(t.Times, 0.03), disks: map[*disk.Server]bool{}}
 		for _, cell := range st.pick(t.Count) {
 			bad.disks[st.cells[cell]] = true
 		}
 		st.bad = bad
-		st.after(t.For.D(), func() { st.bad.kind = "" })
+		st.after(t.For.Duration(), func() { st.bad.kind = "" })
 	}
 }
 
--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -5,14 +5,20 @@
 // execute executes the module's actions that concern neither ops nor timers.
 func (g *Instance) execute(action honeyplank.Action) {
 	switch a := action.(type) {
-	case honeyplank.Probe:
+	case honeyplank.HealthCheck:
 		g.probe(a.Server)
 	case honeyplank.CloseIdle:
 		if d := g.diskServers[a.Server]; d != nil {
 			d.closeIdle()
 		}
-	case honeyplank.Log:
-		g.log.Warn().Msg(a.Text)
+	case honeyplank.LogHealth:
+		g.log.Warn().
+			Str("server", string(a.Server)).
+			Stringer("health", a.Health).
+			Stringer("previous_health", a.Previous).
+			Msg("disk server health changed")
+	case honeyplank.LogEstimateIgnored:
+		g.log.Warn().Str("server", string(a.Server)).Str("reason", a.Reason).Msg("saved estimate ignored")
 	case honeyplank.Watch:
 		g.watch(a.Enabled)
 	case honeyplank.Fetch:
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -24,7 +24,7 @@
 
 // recordingModule is a module that records the members and estimates that it is notified of.
 type recordingModule struct {
-	gateway.Module
+	honeyplank.DecisionModule
 	mu            *sync.Mutex
 	notifications *[]notification
 	estimates     *[]honeyplank.ServerEstimate
@@ -41,7 +41,7 @@
 		*m.estimates = append(*m.estimates, e.Servers...)
 	}
 	m.mu.Unlock()
-	return m.Module.Handle(now, e)
+	return m.DecisionModule.Handle(now, e)
 }
 
 // clockHarness is a harness whose gateway reads a wall clock that a test steps.
@@ -61,7 +61,7 @@
 	c := &clockHarness{harness: h}
 	c.gateway.Kill()
 	c.offset.Store(int64(step))
-	c.serve(gateway.Options{Seed: 2, Learnt: known, Wall: c.wall, Module: func(seed int64, values *honeyplank.Settings) gateway.Module {
+	c.serve(gateway.Options{Seed: 2, Estimates: known, Wall: c.wall, Module: func(seed int64, values *honeyplank.Settings) honeyplank.DecisionModule {
 		return recordingModule{policy.New(seed, values), &c.mu, &c.notified, &c.estimates}
 	}})
 	c.eventually("the list", func() bool {
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -21,11 +21,11 @@
 func (g *Instance) opTimeout(command *target.Command) time.Duration {
 	timeout := time.Duration(command.Patience()) * time.Millisecond
 	if opType := g.settings.Type(command.Opcode() == nvme.Write, int64(command.Bytes)); opType >= 0 {
-		if limit := g.settings.OpTypes[opType].OpTimeout.D(); timeout == 0 || timeout > limit {
+		if limit := g.settings.OpTypes[opType].OpTimeout.Duration(); timeout == 0 || timeout > limit {
 			timeout = limit
 		}
 	}
-	return timeout - g.settings.Rules.AnswerMargin.D()
+	return timeout - g.settings.Rules.AnswerMargin.Duration()
 }
 
 // Admit implements target.Handler: it admits a client's command as an op, unless the instance drains.
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -50,8 +50,8 @@
 		Depth:          config.DiskServers.Depth,
 		MaxData:        int(config.Limits.Transfer),
 		Digests:        config.DiskServers.Digests,
-		ConnectTimeout: config.DiskServers.ConnectWithin.D(),
-		KeepAlive:      config.DiskServers.KeepAlive.D(),
+		ConnectTimeout: config.DiskServers.ConnectWithin.Duration(),
+		KeepAlive:      config.DiskServers.KeepAlive.Duration(),
 	}
 }
 
--- a/gateway/estimates.go
+++ b/gateway/estimates.go
@@ -27,9 +27,9 @@
 	g.tracker.Deliver(record.ToEvent(unit, func(at time.Time) time.Duration { return now - wall.Sub(at) }))
 }
 
-// Learnt returns the module's estimates of the disk servers, to be saved for a later instance. ok is false if the
+// Estimates returns the module's estimates of the disk servers, to be saved for a later instance. ok is false if the
 // module has no SavedEstimates method or the instance has ended. It waits for the event loop.
-func (g *Instance) Learnt() (record *estimates.Record, ok bool) {
+func (g *Instance) Estimates() (record *estimates.Record, ok bool) {
 	module, ok := g.module.(interface {
 		SavedEstimates() honeyplank.SavedEstimates
 	})
--- a/gateway/estimates_test.go
+++ b/gateway/estimates_test.go
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	before, ok := h.gateway.Learnt()
+	before, ok := h.gateway.Estimates()
 	if !ok || len(before.Servers) != 2 || before.TypicalLatency <= 0 || before.Servers[0].BestPerUnit <= 0 || before.Servers[1].Latency <= 0 {
 		t.Fatalf("estimates: %+v, %v", before, ok)
 	}
@@ -67,9 +67,9 @@
 	h.gateway.Kill()
 	// The second disk server has restarted since.
 	h.registerRecord(h.disks[1].Address(), discovery.Record{State: "on", Size: 1, Cell: 1, StartedMS: time.Now().UnixMilli()})
-	h.serve(gateway.Options{Seed: 2, Learnt: saved})
+	h.serve(gateway.Options{Seed: 2, Estimates: saved})
 	h.eventually("only the estimate that still holds is restored, before any op", func() bool {
-		now, ok := h.gateway.Learnt()
+		now, ok := h.gateway.Estimates()
 		if !ok || len(now.Servers) != 1 {
 			return false
 		}
@@ -87,7 +87,7 @@
 			t.Errorf("op %d, %v after the restart: %#x", i, time.Since(began), status)
 		}
 	}
-	if after, _ := h.gateway.Learnt(); len(after.Servers) != 2 {
+	if after, _ := h.gateway.Estimates(); len(after.Servers) != 2 {
 		t.Errorf("the restarted server has no new estimate: %+v", after)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -29,17 +29,14 @@
 	"honeyplank/target"
 )
 
-// Module takes the decisions: policy.Scheduler, or a baseline to measure against.
-type Module = inflight.DecisionModule
-
 // Options configure an instance. Settings is required.
 type Options struct {
 	Settings *settings.Gateway
 	Seed     int64
 	// Module makes the decision module; nil: policy.New.
-	Module func(seed int64, settings *honeyplank.Settings) Module
-	// Learnt holds the estimates of the disk servers that an earlier instance saved; nil: none.
-	Learnt *estimates.Record
+	Module func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
+	// Estimates holds the estimates of the disk servers that an earlier instance saved; nil: none.
+	Estimates *estimates.Record
 	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline depends on it.
 	Wall func() time.Time
 	Log  zerolog.Logger
@@ -51,7 +48,7 @@
 	options      Options
 	settings     *settings.Gateway
 	loop         *eventloop.Loop
-	module       Module
+	module       honeyplank.DecisionModule
 	server       *target.Server
 	etcd         *etcd.Client // nil: not a source
 	dns          *dns.Client  // nil: not a source, or not started yet
@@ -90,7 +87,9 @@
 		return nil, errors.New("gateway: no settings")
 	}
 	if options.Module == nil {
-		options.Module = func(seed int64, values *honeyplank.Settings) Module { return policy.New(seed, values) }
+		options.Module = func(seed int64, values *honeyplank.Settings) honeyplank.DecisionModule {
+			return policy.New(seed, values)
+		}
 	}
 	if options.Wall == nil {
 		options.Wall = time.Now
@@ -121,7 +120,7 @@
 	}
 	g.ledger = membership.New(membershipSettings(config))
 	for i := range g.incarnations {
-		g.incarnations[i].MaxRemoved = config.List.Most
+		g.incarnations[i].MaxRemoved = config.List.MaxServers
 	}
 	g.configureDiscovery()
 	return g, nil
@@ -150,11 +149,11 @@
 			MaxHandshakes:   p.Handshakes,
 			MaxCommands:     p.Commands,
 			MaxBytes:        int(p.Bytes),
-			PDUTimeout:      p.PDU.D(),
-			BanThreshold:    p.Breaches,
-			ViolationWindow: p.Window.D(),
-			InitialBan:      p.Shut.D(),
-			MaxBan:          p.Most.D(),
+			PDUTimeout:      p.PDUTimeout.Duration(),
+			BanThreshold:    p.BanThreshold,
+			ViolationWindow: p.ViolationWindow.Duration(),
+			InitialBan:      p.InitialBan.Duration(),
+			MaxBan:          p.MaxBan.Duration(),
 		})
 	}
 	server.Judged = func(peer, reason string, duration time.Duration) {
@@ -175,10 +174,10 @@
 		Piece:       int(limits.Piece),
 		Depth:       limits.Depth,
 		Queues:      queuesPerController,
-		Handshake:   limits.Handshake.D(),
+		Handshake:   limits.Handshake.Duration(),
 		Connections: limits.Connections,
-		Unsent:      int(limits.Unsent),
-		Held:        int(limits.Held),
+		Unsent:      int(limits.MaxUnsent),
+		Held:        int(limits.MaxBuffered),
 		Namespaces:  namespaces(config),
 	}
 	for i, delay := range g.retryDelays {
@@ -209,16 +208,16 @@
 
 // membershipSettings returns the settings of the ledger. Without any, each source alone is believed.
 func membershipSettings(config *settings.Gateway) membership.Settings {
-	b := config.List.Believe
+	b := config.List.SourceTrust
 	if b == nil {
 		return membership.Settings{MaxRemovedShare: 1}
 	}
 	return membership.Settings{
-		MaxRemovedShare: b.Vanish,
-		ConfirmAfter:    b.Confirm.D(),
-		FlapWindow:      b.Calm.D(),
-		FlapThreshold:   b.Flaps,
-		FlapHold:        b.Hold.D(),
+		MaxRemovedShare: b.MaxRemovedShare,
+		ConfirmAfter:    b.ConfirmAfter.Duration(),
+		FlapWindow:      b.FlapWindow.Duration(),
+		FlapThreshold:   b.FlapThreshold,
+		FlapHold:        b.FlapHold.Duration(),
 	}
 }
 
@@ -230,10 +229,10 @@
 		for _, e := range list.Etcd {
 			endpoints = append(endpoints, e.Endpoint)
 		}
-		g.etcd = etcd.New(endpoints, list.Prefix, g.settings.Listen.Host, list.AskWithin.D(), list.Most, g.updateHandler(membership.Etcd))
+		g.etcd = etcd.New(endpoints, list.Prefix, g.settings.Listen.Host, list.WatchWithin.Duration(), list.MaxServers, g.updateHandler(membership.Etcd))
 	}
 	if d := list.DNS; d != nil {
-		config := dns.Settings{Name: d.Name, MinInterval: d.Floor.D(), MaxInterval: d.Ceiling.D(), Timeout: d.Timeout.D(), Seed: g.options.Seed}
+		config := dns.Settings{Name: d.Name, MinInterval: d.MinInterval.Duration(), MaxInterval: d.MaxInterval.Duration(), Timeout: d.Timeout.Duration(), Seed: g.options.Seed}
 		for _, server := range d.Servers {
 			config.Servers = append(config.Servers, server.Address)
 		}
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -13,7 +13,7 @@
 	defer close(g.done)
 	stop := context.AfterFunc(ctx, func() { g.loop.Post(func() { g.drain(g.loop.Stop) }) })
 	defer stop()
-	if record := g.options.Learnt; record != nil {
+	if record := g.options.Estimates; record != nil {
 		g.loop.Post(func() { g.restoreEstimates(record) })
 	}
 	// An empty cached list starts the module, which then asks for the watch.
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -14,8 +14,8 @@
 // withPeerLimits sets limits per peer.
 func withPeerLimits(s *settings.Gateway) {
 	s.Limits.Connections = 2000
-	s.Limits.Peer = &settings.Peer{Connections: 40, Handshakes: 8, Bytes: 64 << 10, PDU: settings.Span(200 * time.Millisecond), Breaches: 3,
-		Window: settings.Span(2 * time.Second), Shut: settings.Span(400 * time.Millisecond), Most: settings.Span(time.Second)}
+	s.Limits.Peer = &settings.Peer{Connections: 40, Handshakes: 8, Bytes: 64 << 10, PDUTimeout: settings.Span(200 * time.Millisecond), BanThreshold: 3,
+		ViolationWindow: settings.Span(2 * time.Second), InitialBan: settings.Span(400 * time.Millisecond), MaxBan: settings.Span(time.Second)}
 }
 
 // TestPeerBan has a peer violate the protocol until it is banned, return after the ban and violate it again; another
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -10,7 +10,7 @@
 func (g *Instance) probe(id honeyplank.ServerID) {
 	server, began := g.diskServer(id), g.loop.Now()
 	deliver := func(code honeyplank.Code, load nvme.Load) {
-		g.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: code, Elapsed: g.loop.Now() - began, Load: loadMetrics(load)})
+		g.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: code, Elapsed: g.loop.Now() - began, Load: loadMetrics(load)})
 	}
 	pageRead := initiator.CallFunc(func(result initiator.Result) {
 		switch {
--- a/gateway/retrydelay.go
+++ b/gateway/retrydelay.go
@@ -16,11 +16,11 @@
 // possibleRetryDelays returns the retry delays that the module can give by the settings, ascending. Where there are
 // more than maxRetryDelays, the shortest and the longest ones are kept.
 func possibleRetryDelays(config *settings.Gateway) (list []time.Duration) {
-	if config.Dispatches.AdviceMost <= 0 {
+	if config.Dispatches.MaxRetryAfter <= 0 {
 		return nil
 	}
 	for _, opType := range config.OpTypes {
-		list = append(list, min(opType.TargetLatency.D(), config.Dispatches.AdviceMost.D()))
+		list = append(list, min(opType.TargetLatency.Duration(), config.Dispatches.MaxRetryAfter.Duration()))
 	}
 	slices.Sort(list)
 	list = slices.Compact(list)
--- a/honeyplank.go
+++ b/honeyplank.go
@@ -33,10 +33,10 @@
 	ScopeCell                   // those of one cell
 )
 
-// Code tells how a dispatch or a probe ended. The zero value is none.
+// Code tells how a dispatch or a health check ended. The zero value is none.
 type Code int
 
-// The outcomes of a dispatch or a probe.
+// The outcomes of a dispatch or a health check.
 const (
 	Succeeded     Code = 1 + iota // it was served
 	Failed                        // an error came back; the op may have run
@@ -84,7 +84,32 @@
 // NewObject as Op.Cell tells that any disk server may take the op.
 const NewObject = -1
 
-// Event is what a decision module is told. It is one of List, Op, Outcome, ResponseStarted, Timer, ProbeResult, PeerMessage,
+// DecisionModule decides what happens to ops: policy.Engine, or another one in tests and as a baseline to measure against.
+// It does no I/O and reads no clock. It is not safe for concurrent use.
+type DecisionModule interface {
+	// Handle takes one event and returns the actions that follow from it, in order. now is the time on the clock of the
+	// instance; it must not go back between calls.
+	Handle(now time.Duration, event Event) []Action
+}
+
+// TimerID tells the timers of a decision module apart. Its values are chosen by the module.
+type TimerID string
+
+// Health is the health of a disk server as one instance sees it.
+type Health int
+
+// The states of health, the healthiest first.
+const (
+	HealthUp       Health = iota
+	HealthSuspect         // one piece of evidence against it
+	HealthDown            // nothing is sent to it until its backoff has elapsed
+	HealthHalfOpen        // one op at a time is sent to it, until it responds
+)
+
+// String returns the state as it stands in log lines.
+func (h Health) String() string { return [...]string{"up", "suspect", "down", "half-open"}[h] }
+
+// Event is what a decision module is told. It is one of List, Op, Outcome, ResponseStarted, Timer, HealthCheckResult, PeerMessage,
 // ClientGone and SavedEstimates.
 type Event interface{ event() }
 
@@ -130,12 +155,12 @@
 		Elapsed  time.Duration // since the Dispatch action
 	}
 	// Timer tells that a timer of SetTimer is due.
-	Timer struct{ Name string }
-	// ProbeResult ends a Probe.
-	ProbeResult struct {
+	Timer struct{ ID TimerID }
+	// HealthCheckResult ends a HealthCheck.
+	HealthCheckResult struct {
 		Server  ServerID
 		Code    Code
-		Elapsed time.Duration      // since the Probe action
+		Elapsed time.Duration      // since the HealthCheck action
 		Load    map[string]float64 // the disk server's load report by name; nil: none
 	}
 	// PeerMessage is a message from another instance, sent by its Gossip action.
@@ -160,17 +185,17 @@
 	}
 )
 
-func (List) event()            {}
-func (Op) event()              {}
-func (Outcome) event()         {}
-func (ResponseStarted) event() {}
-func (Timer) event()           {}
-func (ProbeResult) event()     {}
-func (PeerMessage) event()     {}
-func (ClientGone) event()      {}
-func (SavedEstimates) event()  {}
-
-// Action is what a decision module orders. It is one of Dispatch, Reject, Fail, Cancel, Probe, CloseIdle, Gossip, Log, Watch,
+func (List) event()              {}
+func (Op) event()                {}
+func (Outcome) event()           {}
+func (ResponseStarted) event()   {}
+func (Timer) event()             {}
+func (HealthCheckResult) event() {}
+func (PeerMessage) event()       {}
+func (ClientGone) event()        {}
+func (SavedEstimates) event()    {}
+
+// Action is what a decision module orders. It is one of Dispatch, Reject, Fail, Cancel, HealthCheck, CloseIdle, Gossip, LogHealth, LogEstimateIgnored, Watch,
 // Fetch and SetTimer.
 type Action interface{ action() }
 
@@ -193,8 +218,8 @@
 		Op       OpID
 		Dispatch int // number of the dispatch among those of the op, from 0
 	}
-	// Probe checks the health of a disk server. Its ProbeResult follows.
-	Probe struct{ Server ServerID }
+	// HealthCheck checks the health of a disk server. Its HealthCheckResult follows.
+	HealthCheck struct{ Server ServerID }
 	// CloseIdle closes the idle connections to a disk server.
 	CloseIdle struct{ Server ServerID }
 	// Gossip sends a message to another instance, or to all.
@@ -202,30 +227,39 @@
 		To   int // number of the receiver among the instances, from 0, or AllPeers
 		Data []byte
 	}
-	// Log writes a line to the operators' log.
-	Log struct{ Text string }
+	// LogHealth logs that the health of a disk server has changed.
+	LogHealth struct {
+		Server           ServerID
+		Health, Previous Health
+	}
+	// LogEstimateIgnored logs that the saved estimate of a disk server is not used.
+	LogEstimateIgnored struct {
+		Server ServerID
+		Reason string
+	}
 	// Watch starts or ends the watch of the endpoint list.
 	Watch struct{ Enabled bool }
 	// Fetch asks for a complete endpoint list, once.
 	Fetch struct{}
 	// SetTimer asks for a Timer event.
 	SetTimer struct {
-		At   time.Duration // the clock time of the event
-		Name string
+		At time.Duration // the clock time of the event
+		ID TimerID       // of the event
 	}
 )
 
 // AllPeers as Gossip.To addresses all other instances.
 const AllPeers = -1
 
-func (Dispatch) action()  {}
-func (Reject) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Gossip) action()    {}
-func (Log) action()       {}
-func (Watch) action()     {}
-func (Fetch) action()     {}
-func (SetTimer) action()  {}
+func (Dispatch) action()           {}
+func (Reject) action()             {}
+func (Fail) action()               {}
+func (Cancel) action()             {}
+func (HealthCheck) action()        {}
+func (CloseIdle) action()          {}
+func (Gossip) action()             {}
+func (LogHealth) action()          {}
+func (LogEstimateIgnored) action() {}
+func (Watch) action()              {}
+func (Fetch) action()              {}
+func (SetTimer) action()           {}
--- a/inflight/tracker.go
+++ b/inflight/tracker.go
@@ -19,12 +19,6 @@
 	"honeyplank/eventloop"
 )
 
-// DecisionModule makes the decisions: policy.Scheduler, or a baseline to measure against.
-type DecisionModule interface {
-	// Handle returns the actions that follow from an event. The time is on the clock of the event loop.
-	Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action
-}
-
 // Client receives the final answer of an op. One of its methods is called for each op admitted, once, and none after
 // Tracker.ClientGone.
 type Client interface {
@@ -65,7 +59,7 @@
 	OnIdle func()
 
 	loop            *eventloop.Loop
-	module          DecisionModule
+	module          honeyplank.DecisionModule
 	sender          Sender
 	events          []honeyplank.Event // not handled yet
 	delivering      bool               // Deliver runs
@@ -88,7 +82,7 @@
 }
 
 // New returns a Tracker without ops.
-func New(loop *eventloop.Loop, module DecisionModule, sender Sender) *Tracker {
+func New(loop *eventloop.Loop, module honeyplank.DecisionModule, sender Sender) *Tracker {
 	return &Tracker{
 		loop:     loop,
 		module:   module,
@@ -190,7 +184,7 @@
 			o.dispatches[a.Dispatch].cancel(honeyplank.Cancelled)
 		}
 	case honeyplank.SetTimer:
-		t.loop.Schedule(a.At, func() { t.Deliver(honeyplank.Timer{Name: a.Name}) })
+		t.loop.Schedule(a.At, func() { t.Deliver(honeyplank.Timer{ID: a.ID}) })
 	default:
 		t.OnAction(action)
 	}
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/hex"
+	"fmt"
 
 	"honeyplank"
 )
@@ -34,7 +35,7 @@
 		m.Op, m.Job = "respond_error", string(a.Op)
 	case honeyplank.Cancel:
 		m.Op, m.Job, m.Leg = "call_off", string(a.Op), &a.Dispatch
-	case honeyplank.Probe:
+	case honeyplank.HealthCheck:
 		m.Op, m.Server = "test", string(a.Server)
 	case honeyplank.CloseIdle:
 		m.Op, m.Server = "release", string(a.Server)
@@ -44,15 +45,17 @@
 		if a.To == honeyplank.AllPeers {
 			m.Addressee = "*"
 		}
-	case honeyplank.Log:
-		m.Op, m.Text = "print", a.Text
+	case honeyplank.LogHealth:
+		m.Op, m.Text = "print", fmt.Sprintf("server %s: %s, was %s", a.Server, a.Health, a.Previous)
+	case honeyplank.LogEstimateIgnored:
+		m.Op, m.Text = "print", fmt.Sprintf("server %s: saved estimate ignored: %s", a.Server, a.Reason)
 	case honeyplank.Watch:
 		m.Op, m.Enable = "track", &a.Enabled
 	case honeyplank.Fetch:
 		m.Op = "read_list"
 	case honeyplank.SetTimer:
 		at := millis(a.At)
-		m.Op, m.DueAt, m.Ref = "sleep", &at, a.Name
+		m.Op, m.DueAt, m.Ref = "sleep", &at, string(a.ID)
 	}
 	return m
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -168,7 +168,7 @@
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return nil, err
 	}
-	return honeyplank.Timer{Name: m.Ref}, nil
+	return honeyplank.Timer{ID: honeyplank.TimerID(m.Ref)}, nil
 }
 
 func decodeProbed(raw []byte, fields []string) (honeyplank.Event, error) {
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return honeyplank.ProbeResult{Server: honeyplank.ServerID(m.Server), Code: code,
+	return honeyplank.HealthCheckResult{Server: honeyplank.ServerID(m.Server), Code: code,
 		Elapsed: span(m.Elapsed), Load: report(m.Load, fields)}, nil
 }
 
--- a/internal/simwire/fuzz_test.go
+++ b/internal/simwire/fuzz_test.go
@@ -23,7 +23,7 @@
 		var out bytes.Buffer
 		var err error
 		n := heap.Bytes(func() {
-			err = Serve(strings.NewReader(in), &out, func(int64, *honeyplank.Settings) Handler { return idle{} })
+			err = Serve(strings.NewReader(in), &out, func(int64, *honeyplank.Settings) honeyplank.DecisionModule { return idle{} })
 		})
 		if n > uint64(4<<20+1000*len(in)) {
 			t.Fatalf("%d bytes are allocated for an input of %d", n, len(in))
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -14,13 +14,8 @@
 	"honeyplank"
 )
 
-// Handler is one instance of the decision module.
-type Handler interface {
-	Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action
-}
-
 // Start makes an instance from its seed and settings.
-type Start func(seed int64, settings *honeyplank.Settings) Handler
+type Start func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
 
 type batch struct {
 	WallMS *float64          `json:"wall_ms"`
@@ -41,7 +36,7 @@
 // instance is one scheduler with what is needed to translate for it.
 type instance struct {
 	name   string
-	module Handler
+	module honeyplank.DecisionModule
 	fields []string // names of the values of a load report
 	failed bool
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -17,14 +17,14 @@
 		return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "a:1", Timeout: 80 * time.Millisecond},
 			honeyplank.Gossip{To: 0, Data: []byte("hi")}, honeyplank.Watch{}, honeyplank.Cancel{Op: e.ID}}
 	case honeyplank.Timer:
-		panic(e.Name)
+		panic(string(e.ID))
 	}
 	return nil
 }
 
 func serve(lines ...string) (string, error) {
 	var out strings.Builder
-	start := func(int64, *honeyplank.Settings) Handler { return echo{} }
+	start := func(int64, *honeyplank.Settings) honeyplank.DecisionModule { return echo{} }
 	err := Serve(strings.NewReader(strings.Join(lines, "\n")), &out, start)
 	return out.String(), err
 }
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -319,7 +319,7 @@
 	if value == 0 {
 		value = 1
 	}
-	return o.g.o.Settings.OpTypes[o.typ].Utility * value * o.units / o.g.o.Settings.Volumes.Mean
+	return o.g.o.Settings.OpTypes[o.typ].Utility * value * o.units / o.g.o.Settings.Volumes.MeanUnits
 }
 
 func (o *try) send() {
@@ -331,7 +331,7 @@
 		return
 	}
 	c := nvme.NewRW(o.opcode, o.volume.NSID, o.lba, o.blocks)
-	patience := t.OpTimeout.D()
+	patience := t.OpTimeout.Duration()
 	if o.g.Hurry > 0 {
 		patience = time.Duration(float64(patience) * o.g.Hurry)
 		c.SetPatience(uint32(patience / time.Millisecond))
@@ -407,7 +407,7 @@
 		tally.Succeeded++
 		tally.latency.RecordValue(max(int64(took/time.Microsecond), 1))
 		worth := o.worth(o.g.o.Settings.Plans.List[o.g.o.Settings.Plan(o.volume.Plan)])
-		if took <= t.TargetLatency.D() {
+		if took <= t.TargetLatency.Duration() {
 			tally.InTime++
 		} else {
 			worth *= t.LateUtility
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -37,7 +37,7 @@
 }
 
 // admit takes in a new op: it is assigned to a server, and dispatched, held or given up at once.
-func (s *Scheduler) admit(event honeyplank.Op) {
+func (s *Engine) admit(event honeyplank.Op) {
 	if s.ops[event.ID] != nil {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // openVolume appends an op to the held ones and links it to the record of its volume.
-func (s *Scheduler) openVolume(op *op) {
+func (s *Engine) openVolume(op *op) {
 	record := s.volumes[op.Volume]
 	if record == nil {
 		record = &volume{plan: op.Plan, refilledAt: s.noDispatchSince(), reserve: math.Inf(1)}
@@ -84,7 +84,7 @@
 
 // alreadyWaited is how long the client of an op has waited since its first attempt: the time that
 // the op has less than an earlier one of the same identity that failed.
-func (s *Scheduler) alreadyWaited(op *op) time.Duration {
+func (s *Engine) alreadyWaited(op *op) time.Duration {
 	total := valueAt(s.settings.opTimeout, op.Type)
 	if !op.HasKey || total <= 0 {
 		return 0
@@ -101,7 +101,7 @@
 
 // assignServer enqueues a held op at the server of its data, or for a new object at the one that
 // chooseNewServer returns. Where there is none the op stays unassigned.
-func (s *Scheduler) assignServer(op *op) {
+func (s *Engine) assignServer(op *op) {
 	var home *server
 	if op.Cell == honeyplank.NewObject {
 		home = s.chooseNewServer(op)
@@ -119,7 +119,7 @@
 
 // healthiestOfCell is the healthiest server that holds a cell's data, of equal ones the one that
 // started first.
-func (s *Scheduler) healthiestOfCell(cell int) (healthiest *server) {
+func (s *Engine) healthiestOfCell(cell int) (healthiest *server) {
 	for _, server := range s.serversByCell[cell] {
 		if healthiest == nil || server.health < healthiest.health ||
 			server.health == healthiest.health && server.Started < healthiest.Started {
@@ -132,7 +132,7 @@
 // chooseNewServer returns the server for a new object: the first of the volume's top-ranked servers
 // with a relative load below 1, else the least loaded of them. All servers are searched only where
 // none of those may get new objects.
-func (s *Scheduler) chooseNewServer(op *op) (home *server) {
+func (s *Engine) chooseNewServer(op *op) (home *server) {
 	if !s.mayDispatchAnywhere(op) {
 		return nil
 	}
@@ -155,7 +155,7 @@
 
 // leastLoadedAccepting searches all servers that accept new objects, in no order of rank: it
 // returns the first in rank of those with a relative load below 1, else of the least loaded ones.
-func (s *Scheduler) leastLoadedAccepting(op *op, withinReserve bool) (home *server) {
+func (s *Engine) leastLoadedAccepting(op *op, withinReserve bool) (home *server) {
 	hash, leastLoad, firstRank := volumeHash(op.Volume), math.Inf(1), uint64(0)
 	for _, server := range s.acceptingServers() {
 		s.serversVisited++
@@ -173,7 +173,7 @@
 
 // relativeLoad is the number of ops outstanding and held at a server, with a new object added, over
 // its concurrency limit for new objects; infinite where the op may not go.
-func (s *Scheduler) relativeLoad(op *op, server *server, withinReserve bool) float64 {
+func (s *Engine) relativeLoad(op *op, server *server, withinReserve bool) float64 {
 	if !s.acceptsNewObjects(server) || !s.mayDispatchTo(op, server, withinReserve) {
 		return math.Inf(1)
 	}
@@ -185,8 +185,8 @@
 // low, and its slow start would allow an op beyond the reserve with a median admission draw. It
 // guards against servers whose errors, resets or rejections come back fast, which would look like
 // free capacity. It could harm when most servers fail at once.
-func (s *Scheduler) acceptsNewObjects(server *server) bool {
-	live := server.health == up || server.health == halfOpen && server.outstanding == 0
+func (s *Engine) acceptsNewObjects(server *server) bool {
+	live := server.health == honeyplank.HealthUp || server.health == honeyplank.HealthHalfOpen && server.outstanding == 0
 	return live && s.failureRate(server) < maxFailureRate &&
 		s.slowStartAllows(server, 1, medianAdmissionDraw, false)
 }
@@ -195,9 +195,9 @@
 // server's latency leaves, less for ops beyond the reserve. It guards against windows of many
 // instances that add up to more than a server serves in time, whatever slows it. It could harm
 // where ops that take long are the rule.
-func (s *Scheduler) hasCapacity(server *server, op *op) bool {
+func (s *Engine) hasCapacity(server *server, op *op) bool {
 	clientGone := s.now+s.earliestAnswer(server, op.Type) >= op.Timeout
-	if server.health == down || s.halfOpenBusy(server) || clientGone {
+	if server.health == honeyplank.HealthDown || s.halfOpenBusy(server) || clientGone {
 		return false
 	}
 	limit, excess := s.concurrencyLimit(server, op.Type, reserveLatencyShare), 1.0
@@ -213,7 +213,7 @@
 // successProbability estimates how likely an op with little time left is answered in time. It
 // guards crowded servers against attempts that their clients are about to give up. It could harm
 // where the latency estimate is out of date.
-func (s *Scheduler) successProbability(server *server, op *op) float64 {
+func (s *Engine) successProbability(server *server, op *op) float64 {
 	left := max(min(op.Timeout, op.target)-s.now, 0)
 	part := min(1, left.Seconds()/max(s.expectedLatency(server, op.Type), 1e-9))
 	return part * part
@@ -222,7 +222,7 @@
 // demandExcess is a volume's demand at a server over its share by weight, as seen by this instance.
 // It takes the place of the slices where an instance has so few ops at a server that no queue
 // forms.
-func (s *Scheduler) demandExcess(op *op) float64 {
+func (s *Engine) demandExcess(op *op) float64 {
 	usual := s.relativeWeight(op.Plan) * s.settings.meanRate / float64(op.volume.schedulers)
 	if usual <= 0 || op.queue == nil {
 		return 1
@@ -235,7 +235,7 @@
 // the whole window. Below one op it falls with the power 1.5, but not below an even share among the
 // instances of what the server serves within twice the shortest target latency, two at a time: with
 // few instances, one op of each always fits.
-func (s *Scheduler) concurrencyLimit(server *server, opType int, latencyShare float64) float64 {
+func (s *Engine) concurrencyLimit(server *server, opType int, latencyShare float64) float64 {
 	latency, target := s.expectedLatency(server, opType), s.settings.shortestTarget.Seconds()
 	if latency <= 0 || target <= 0 {
 		return server.window
@@ -250,7 +250,7 @@
 }
 
 // largestConcurrencyLimit is the largest concurrency limit of a server over all op types.
-func (s *Scheduler) largestConcurrencyLimit(server *server, withinReserve bool) (largest float64) {
+func (s *Engine) largestConcurrencyLimit(server *server, withinReserve bool) (largest float64) {
 	for opType := range s.settings.targetLatency {
 		largest = max(largest, s.concurrencyLimit(server, opType, spareLatencyShare))
 		if withinReserve {
@@ -262,12 +262,12 @@
 
 // mayDispatch reports whether the rules allow a dispatch to a server: attempts, semantics,
 // draining, slow start, order, retry budget and limit.
-func (s *Scheduler) mayDispatch(op *op, server *server) bool {
+func (s *Engine) mayDispatch(op *op, server *server) bool {
 	return s.mayDispatchAnywhere(op) && s.mayDispatchTo(op, server, s.withinReserve(op))
 }
 
 // mayDispatchAnywhere checks the rules that do not depend on the server.
-func (s *Scheduler) mayDispatchAnywhere(op *op) bool {
+func (s *Engine) mayDispatchAnywhere(op *op) bool {
 	isRetry := len(op.dispatches) > 0
 	if op.responseStarted || op.Timeout <= s.now || isRetry && !s.retryBudgetAllows() {
 		return false
@@ -281,7 +281,7 @@
 }
 
 // mayDispatchTo checks the rules that depend on the server.
-func (s *Scheduler) mayDispatchTo(op *op, server *server, withinReserve bool) bool {
+func (s *Engine) mayDispatchTo(op *op, server *server, withinReserve bool) bool {
 	holdsData := op.Cell == honeyplank.NewObject || op.Cell == server.Cell
 	if !holdsData || server.State != honeyplank.Up {
 		return false
@@ -296,7 +296,7 @@
 // would be over before an early answer, or the client is about to give up. It guards against late
 // answers, which cost a server as much as timely ones. It could harm after a short pause of a
 // server: some ops are given up too early.
-func (s *Scheduler) deadlineUnreachable(op *op) bool {
+func (s *Engine) deadlineUnreachable(op *op) bool {
 	earliest := s.now
 	if op.server != nil {
 		earliest += s.earliestAnswer(op.server, op.Type)
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -38,7 +38,7 @@
 // recordDemand adds an op to the demand on its cell and on all; ops for new objects have no cell
 // and are left out. The demand on all is remembered for no longer than a slow-start window, where
 // there is one, so that it shows a burst within it.
-func (s *Scheduler) recordDemand(op *op, withinReserve bool) {
+func (s *Engine) recordDemand(op *op, withinReserve bool) {
 	if op.Cell == honeyplank.NewObject {
 		return
 	}
@@ -66,7 +66,7 @@
 
 // recordResample adds a held op with a new admission draw to the demand on its server: for random
 // admission it counts as another op.
-func (s *Scheduler) recordResample(op *op) {
+func (s *Engine) recordResample(op *op) {
 	if op.queue != nil {
 		i := reserveIndex(s.withinReserve(op))
 		op.server.resampledDemand[i].add(s.now, op.Units, s.settings.shortestTarget)
@@ -75,7 +75,7 @@
 
 // resampleRate is the recent rate, in units a second, at which ops held for a server got new
 // admission draws.
-func (s *Scheduler) resampleRate(server *server, i int) float64 {
+func (s *Engine) resampleRate(server *server, i int) float64 {
 	if server.resampledDemand[i].time == 0 {
 		return 0
 	}
@@ -86,7 +86,7 @@
 // demandSplit is the demand of this instance on a server within a window: that on a mean server, or
 // on the server's cell where that is more, scaled up by a current surge, and what held ops add by
 // new admission draws.
-func (s *Scheduler) demandSplit(server *server, window time.Duration) windowDemand {
+func (s *Engine) demandSplit(server *server, window time.Duration) windowDemand {
 	var units [reserveIndices]float64
 	surge := 1.0
 	if s.cellBoundDemand.time > 0 {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -23,7 +23,7 @@
 	wasListedUp bool // before the complete list that is being read
 	active      bool // visited by sweeps
 
-	health      health
+	health      honeyplank.Health
 	healthSince time.Duration
 	backoff     time.Duration // for which it gets nothing once it is down
 
@@ -68,7 +68,7 @@
 }
 
 // applyList takes in news of the endpoint list, and dispatches what may be sent after it.
-func (s *Scheduler) applyList(list honeyplank.List) {
+func (s *Engine) applyList(list honeyplank.List) {
 	switch list.Kind {
 	case honeyplank.WatchFailed:
 		s.backOffWatch()
@@ -96,7 +96,7 @@
 
 // backOffWatch sets the timer of the next watch request, later with each failure, with random
 // jitter. It does not rely on any sign that a watch is still active.
-func (s *Scheduler) backOffWatch() {
+func (s *Engine) backOffWatch() {
 	s.watchActive = false
 	longest := s.settings.watchDeadline / longestWatchBackoff
 	shortest := max(longest/shortestWatchBackoff, s.sweepInterval())
@@ -106,13 +106,13 @@
 }
 
 // requestWatch asks for changes of the endpoint list from now on.
-func (s *Scheduler) requestWatch() {
+func (s *Engine) requestWatch() {
 	s.watchRequested = s.now
 	s.emit(honeyplank.Watch{Enabled: true})
 }
 
 // applyMember takes in an entry of the endpoint list and returns the server's record.
-func (s *Scheduler) applyMember(member honeyplank.Member) *server {
+func (s *Engine) applyMember(member honeyplank.Member) *server {
 	known := s.servers[member.ID]
 	if known == nil {
 		known = s.addServer(member)
@@ -127,7 +127,7 @@
 
 // addServer makes the record of a server. What an earlier instance sent to it is unknown: for slow
 // start that counts as infinitely many units, sent when this instance started.
-func (s *Scheduler) addServer(member honeyplank.Member) *server {
+func (s *Engine) addServer(member honeyplank.Member) *server {
 	added := &server{
 		Member:      member,
 		window:      minWindow,
@@ -142,7 +142,7 @@
 
 // updateMember takes over an entry of the endpoint list into a server's record, the number of
 // servers that are up, and the servers of its cell. Its work does not grow with the fleet.
-func (s *Scheduler) updateMember(server *server, member honeyplank.Member) {
+func (s *Engine) updateMember(server *server, member honeyplank.Member) {
 	wasUp := server.listedUp || server.wasListedUp
 	if server.listedUp {
 		s.serversUp--
@@ -160,7 +160,7 @@
 }
 
 // markAllRemoved marks all servers as removed, before a complete list is read.
-func (s *Scheduler) markAllRemoved() {
+func (s *Engine) markAllRemoved() {
 	for _, server := range s.serversByID {
 		server.wasListedUp = server.listedUp
 		member := server.Member
@@ -170,7 +170,7 @@
 }
 
 // unassignStopped takes the held ops from those servers of a list that are not up.
-func (s *Scheduler) unassignStopped(list []*server) {
+func (s *Engine) unassignStopped(list []*server) {
 	for _, server := range list {
 		if !server.listedUp {
 			s.unassignAll(server)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -19,12 +19,12 @@
 	fleet.instances[0].settings = readSettings(fleet.settings)
 	requests, last, due := 0, time.Duration(0), time.Duration(0)
 	for ; fleet.now < 10*time.Second; fleet.now += 10 * ms {
-		timer := honeyplank.Timer{Name: []string{"sweep", "watch"}[boolToInt(fleet.now >= due)]}
+		timer := honeyplank.Timer{ID: []honeyplank.TimerID{sweepTimer, watchTimer}[boolToInt(fleet.now >= due)]}
 		for _, action := range fleet.handle(0, timer) {
 			if _, ok := action.(honeyplank.Watch); ok {
 				requests, last = requests+1, fleet.now
 				fleet.handle(0, honeyplank.List{Kind: honeyplank.WatchFailed})
-				due = fleet.timers[0]["watch"]
+				due = fleet.timers[0][watchTimer]
 			}
 		}
 		if fleet.now-last > time.Second || requests > 1000 {
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -33,7 +33,7 @@
 }
 
 // meanLatency is the mean latency, in seconds, of the op types that had answers; 0 where none had.
-func (s *Scheduler) meanLatency() float64 {
+func (s *Engine) meanLatency() float64 {
 	sum, known := 0.0, 0
 	for _, typical := range s.latencyByType {
 		if typical.mean > 0 {
@@ -46,7 +46,7 @@
 // estimateValid reports whether a saved estimate may be used for a server that started at a time:
 // it is neither too old nor from the future, where no start could be newer, and the server has not
 // started since.
-func (s *Scheduler) estimateValid(saved honeyplank.ServerEstimate, started time.Duration) bool {
+func (s *Engine) estimateValid(saved honeyplank.ServerEstimate, started time.Duration) bool {
 	return saved.At <= s.now && s.now-saved.At < estimateLifetime && started <= max(saved.At, 0)
 }
 
@@ -55,7 +55,7 @@
 // each sees few answers of one server. It guards against estimates that outlive their cause, and
 // against taking a server for slow because of ops that take long. It could harm where one server
 // alone stays slow: it gets ops again too soon.
-func (s *Scheduler) expectedLatency(server *server, opType int) float64 {
+func (s *Engine) expectedLatency(server *server, opType int) float64 {
 	usual := s.typicalLatency(opType)
 	if server.slowness <= 0 {
 		return usual
@@ -66,7 +66,7 @@
 // typicalLatency is the recent latency of an op type over all servers, in seconds. Without answers
 // it decays to the fastest ones: it guards against rejecting a type because of old answers, after
 // which it would get no newer ones.
-func (s *Scheduler) typicalLatency(opType int) float64 {
+func (s *Engine) typicalLatency(opType int) float64 {
 	typical := valueAt(s.latencyByType, opType)
 	if typical.mean == 0 {
 		return cmp.Or(s.meanLatency(), spareLatencyShare*s.settings.shortestTarget.Seconds())
@@ -77,13 +77,13 @@
 }
 
 // decay is the weight left to an observation made at a time.
-func (s *Scheduler) decay(at time.Duration) float64 {
+func (s *Engine) decay(at time.Duration) float64 {
 	return math.Exp(-float64(s.now-at) / float64(max(s.settings.longestTarget, s.sweepInterval())))
 }
 
 // recordLatency takes in the latency, in seconds, of an answer from a server: for the server's
 // slowness, and with ofAllServers for the typical latency of the op type too.
-func (s *Scheduler) recordLatency(server *server, opType int, took float64, ofAllServers bool) {
+func (s *Engine) recordLatency(server *server, opType int, took float64, ofAllServers bool) {
 	latency := took
 	if server.slowness > 0 {
 		weight := max(ewmaWeight, 1-s.decay(server.slownessAt))
@@ -95,7 +95,7 @@
 	server.slowness, server.slownessAt = latency/max(s.typicalLatency(opType), minSeconds), s.now
 }
 
-func (s *Scheduler) recordTypicalLatency(opType int, took float64) {
+func (s *Engine) recordTypicalLatency(opType int, took float64) {
 	typical := &s.latencyByType[opType]
 	if typical.mean > 0 {
 		typical.mean = s.typicalLatency(opType)
@@ -109,12 +109,12 @@
 
 // earliestAnswer is the time after which an answer of a server may come: many come in half of the
 // mean latency.
-func (s *Scheduler) earliestAnswer(server *server, opType int) time.Duration {
+func (s *Engine) earliestAnswer(server *server, opType int) time.Duration {
 	return time.Duration(s.expectedLatency(server, opType) / 2 * float64(time.Second))
 }
 
 // earliestAnswerOfAnyType is the least earliestAnswer over all op types.
-func (s *Scheduler) earliestAnswerOfAnyType(server *server) time.Duration {
+func (s *Engine) earliestAnswerOfAnyType(server *server) time.Duration {
 	earliest := time.Duration(math.MaxInt64)
 	for opType := range s.settings.targetLatency {
 		earliest = min(earliest, s.earliestAnswer(server, opType))
@@ -124,7 +124,7 @@
 
 // SavedEstimates returns what a later instance can use: the latency estimates of the servers, and
 // saved ones of servers that are not in the endpoint list yet.
-func (s *Scheduler) SavedEstimates() honeyplank.SavedEstimates {
+func (s *Engine) SavedEstimates() honeyplank.SavedEstimates {
 	usual := s.meanLatency()
 	estimates := honeyplank.SavedEstimates{TypicalLatency: usual}
 	for _, id := range slices.Sorted(maps.Keys(s.savedEstimates)) {
@@ -145,7 +145,7 @@
 
 // restoreEstimates takes in the estimates that an earlier instance saved, and logs those that are
 // not valid.
-func (s *Scheduler) restoreEstimates(estimates honeyplank.SavedEstimates) {
+func (s *Engine) restoreEstimates(estimates honeyplank.SavedEstimates) {
 	for i := range s.latencyByType {
 		typical := estimates.TypicalLatency
 		s.latencyByType[i] = typeLatency{mean: typical, fastest: typical, updatedAt: s.now}
@@ -154,7 +154,7 @@
 		if s.estimateValid(saved, 0) {
 			s.savedEstimates[saved.Server] = saved
 		} else {
-			s.logf("osd %s: saved estimate ignored: too old, or from the future", saved.Server)
+			s.emit(honeyplank.LogEstimateIgnored{Server: saved.Server, Reason: "too old, or from the future"})
 		}
 	}
 }
@@ -162,7 +162,7 @@
 // applySavedEstimate uses the saved estimate for a new record of a server, unless the server has
 // started since. It guards the first seconds of an instance. It could harm where a machine was
 // replaced under the same address.
-func (s *Scheduler) applySavedEstimate(server *server) {
+func (s *Engine) applySavedEstimate(server *server) {
 	saved, ok := s.savedEstimates[server.ID]
 	if ok && s.estimateValid(saved, server.Started) {
 		server.bestPerUnit, server.slownessAt = saved.BestPerUnit, saved.At
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -58,13 +58,13 @@
 }
 
 // setTypicalLatency has all types answered in a time as recently, in seconds.
-func (s *Scheduler) setTypicalLatency(seconds float64) {
+func (s *Engine) setTypicalLatency(seconds float64) {
 	for i := range s.latencyByType {
 		s.latencyByType[i] = typeLatency{mean: seconds, fastest: seconds, updatedAt: s.now}
 	}
 }
 
 // setServerLatency has a server take a time for an op of the first type, in seconds.
-func (s *Scheduler) setServerLatency(server *server, seconds float64) {
+func (s *Engine) setServerLatency(server *server, seconds float64) {
 	server.slowness, server.slownessAt = seconds/s.typicalLatency(0), s.now
 }
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -8,7 +8,7 @@
 )
 
 // evictIdle drops the records that have been idle for a time, or have expired.
-func (s *Scheduler) evictIdle(idle time.Duration) {
+func (s *Engine) evictIdle(idle time.Duration) {
 	for _, server := range s.serversByID {
 		s.evictIdleQueues(server, idle)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func (s *Scheduler) evictIdleQueues(server *server, idle time.Duration) {
+func (s *Engine) evictIdleQueues(server *server, idle time.Duration) {
 	kept := server.queues[:0]
 	for _, queue := range server.queues {
 		if len(queue.held) > 0 || queue == server.servedQueue || s.now-queue.lastSeen < idle {
--- a/policy/health.go
+++ b/policy/health.go
@@ -15,18 +15,6 @@
 // maxFailureRate is the share of failed dispatches from which a server gets no new objects.
 const maxFailureRate = 0.2
 
-// health is the health state of a server, the healthiest first.
-type health int
-
-const (
-	up       health = iota
-	suspect         // one piece of evidence against it
-	down            // nothing is sent to it until its backoff has elapsed
-	halfOpen        // one op at a time is sent to it, until it responds
-)
-
-func (h health) String() string { return [...]string{"up", "suspect", "down", "half-open"}[h] }
-
 // healthEvent is what a health state depends on.
 type healthEvent int
 
@@ -41,42 +29,42 @@
 // healthTransitions is the table of applyHealthEvent; a pair that is missing changes nothing. It
 // guards against servers that died, are silent or are cut off from this instance. It could harm
 // where a server merely pauses for long: it then gets one op at a time until it answers.
-var healthTransitions = map[health]map[healthEvent]struct {
-	next   health
-	effect func(*Scheduler, *server)
+var healthTransitions = map[honeyplank.Health]map[healthEvent]struct {
+	next   honeyplank.Health
+	effect func(*Engine, *server)
 }{
-	up: {
-		unresponsive: {suspect, resetWindow},
-		restarted:    {up, resetWindow},
+	honeyplank.HealthUp: {
+		unresponsive: {honeyplank.HealthSuspect, resetWindow},
+		restarted:    {honeyplank.HealthUp, resetWindow},
 	},
-	suspect: {
-		responded:    {up, nil},
-		unresponsive: {down, (*Scheduler).backOff},
-		restarted:    {up, resetWindow},
+	honeyplank.HealthSuspect: {
+		responded:    {honeyplank.HealthUp, nil},
+		unresponsive: {honeyplank.HealthDown, (*Engine).backOff},
+		restarted:    {honeyplank.HealthUp, resetWindow},
 	},
-	down: {
-		responded:      {up, resetWindow},
-		backoffElapsed: {halfOpen, nil},
-		restarted:      {up, resetWindow},
+	honeyplank.HealthDown: {
+		responded:      {honeyplank.HealthUp, resetWindow},
+		backoffElapsed: {honeyplank.HealthHalfOpen, nil},
+		restarted:      {honeyplank.HealthUp, resetWindow},
 	},
-	halfOpen: {
-		responded:    {up, resetWindow},
-		unresponsive: {down, (*Scheduler).backOff},
-		restarted:    {up, resetWindow},
+	honeyplank.HealthHalfOpen: {
+		responded:    {honeyplank.HealthUp, resetWindow},
+		unresponsive: {honeyplank.HealthDown, (*Engine).backOff},
+		restarted:    {honeyplank.HealthUp, resetWindow},
 	},
 }
 
 // applyHealthEvent moves a server to its next health state, and logs a change from or to down.
-func (s *Scheduler) applyHealthEvent(server *server, event healthEvent) {
+func (s *Engine) applyHealthEvent(server *server, event healthEvent) {
 	transition, ok := healthTransitions[server.health][event]
 	if !ok {
 		return
 	}
-	if server.health != transition.next && (server.health == down || transition.next == down) {
-		s.logf("osd %s: %s, was %s", server.ID, transition.next, server.health)
+	if server.health != transition.next && (server.health == honeyplank.HealthDown || transition.next == honeyplank.HealthDown) {
+		s.emit(honeyplank.LogHealth{Server: server.ID, Health: transition.next, Previous: server.health})
 	}
 	server.health, server.healthSince = transition.next, s.now
-	if server.health == down { // the sweep has to see the end of its backoff
+	if server.health == honeyplank.HealthDown { // the sweep has to see the end of its backoff
 		s.markActive(server)
 	}
 	if transition.effect != nil {
@@ -85,42 +73,42 @@
 }
 
 // checkHealth is a sweep's part of the health of a server: silence, and the end of its backoff.
-func (s *Scheduler) checkHealth(server *server) {
+func (s *Engine) checkHealth(server *server) {
 	silence := s.settings.longestTarget / 2
 	if server.fullDeadlineDispatches > 0 && s.now-server.unansweredSince > silence {
 		s.applyHealthEvent(server, unresponsive)
 		server.unansweredSince = s.now
 	}
-	if server.health == down && s.now-server.healthSince >= server.backoff {
+	if server.health == honeyplank.HealthDown && s.now-server.healthSince >= server.backoff {
 		s.applyHealthEvent(server, backoffElapsed)
 	}
 }
 
 // halfOpenBusy reports whether a half-open server has its one op outstanding, for no longer than
 // its backoff.
-func (s *Scheduler) halfOpenBusy(server *server) bool {
-	return server.health == halfOpen && server.outstanding > 0 && s.now-server.unansweredSince <= server.backoff
+func (s *Engine) halfOpenBusy(server *server) bool {
+	return server.health == honeyplank.HealthHalfOpen && server.outstanding > 0 && s.now-server.unansweredSince <= server.backoff
 }
 
-func resetWindow(_ *Scheduler, server *server) { server.window, server.backoff = minWindow, 0 }
+func resetWindow(_ *Engine, server *server) { server.window, server.backoff = minWindow, 0 }
 
 func halveWindow(server *server) { server.window = max(minWindow, server.window/2) }
 
 // backOff doubles the time for which a server that is down gets nothing, up to the longest target
 // latency.
-func (s *Scheduler) backOff(server *server) {
+func (s *Engine) backOff(server *server) {
 	doubled := time.Duration(farPastBest * float64(server.backoff))
 	server.backoff = min(max(doubled, s.settings.shortestTarget/2), s.settings.longestTarget)
 }
 
 // recordFailure counts a dispatch that failed.
-func (s *Scheduler) recordFailure(server *server, _ *op, _ honeyplank.Outcome) {
+func (s *Engine) recordFailure(server *server, _ *op, _ honeyplank.Outcome) {
 	rate := s.failureRate(server)
 	server.failureShare, server.failedAt = rate+ewmaWeight*(1-rate), s.now
 }
 
 // failureRate is the recent share of failed dispatches to a server. It decays over time: an
 // instance whose clients only write new objects would never send to the server again.
-func (s *Scheduler) failureRate(server *server) float64 {
+func (s *Engine) failureRate(server *server) float64 {
 	return server.failureShare * s.decay(server.failedAt)
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -11,14 +11,14 @@
 // Silence takes a server down after two spells, a trial brings it back (incident i9adade: time-outs).
 func TestSilenceAndRecovery(t *testing.T) {
 	fleet := fullServerFleet(t)
-	server, seen := fleet.instances[0].servers["osd0"], map[health]bool{}
+	server, seen := fleet.instances[0].servers["osd0"], map[honeyplank.Health]bool{}
 	for fleet.now < 4*time.Second {
 		fleet.now += 10 * ms
-		fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+		fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 		seen[server.health] = true
 	}
 	fleet.instances[0].applyHealthEvent(server, responded)
-	if !seen[suspect] || !seen[down] || !seen[halfOpen] || server.health != up || server.window != minWindow {
+	if !seen[honeyplank.HealthSuspect] || !seen[honeyplank.HealthDown] || !seen[honeyplank.HealthHalfOpen] || server.health != honeyplank.HealthUp || server.window != minWindow {
 		t.Errorf("states seen: %v; after an answer %v", seen, server.health)
 	}
 }
@@ -37,7 +37,7 @@
 					fleet.endDispatch(fleet.order[i], code)
 				}
 				fleet.now += 20 * ms
-				fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 			}
 			if s.acceptsNewObjects(server) || !s.acceptsNewObjects(s.servers["osd1"]) {
 				t.Errorf("%v: osd0 accepts new objects: %v, the other: %v", code, s.acceptsNewObjects(server), s.acceptsNewObjects(s.servers["osd1"]))
@@ -45,7 +45,7 @@
 			if other := s.expectedLatency(s.servers["osd1"], 0); other > 0.03 {
 				t.Errorf("%v: expected latency of the other %v s", code, other)
 			}
-			server.health = up
+			server.health = honeyplank.HealthUp
 			if s.now += time.Minute; !s.acceptsNewObjects(server) {
 				t.Errorf("%v: not tried again", code)
 			}
@@ -56,7 +56,7 @@
 // TestSilenceToShortTimeouts: ops with less time than a usual answer takes may be dropped without a word, which says
 // nothing of the server; silence to ops with time does.
 func TestSilenceToShortTimeouts(t *testing.T) {
-	for left, want := range map[time.Duration]health{30 * ms: up, 400 * ms: down} {
+	for left, want := range map[time.Duration]honeyplank.Health{30 * ms: honeyplank.HealthUp, 400 * ms: honeyplank.HealthDown} {
 		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
 			settings := testSettings()
 			settings.Plans.Reserve = []float64{1e6}
@@ -66,7 +66,7 @@
 			for i := range 250 {
 				s.setTypicalLatency(0.04)
 				fleet.now += 10 * ms
-				fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 				for _, tracked := range fleet.order {
 					if n := len(tracked.dispatched); n > 0 && !tracked.dispatched[n-1].done && fleet.now >= tracked.Timeout {
 						fleet.endDispatch(tracked, honeyplank.TimedOut)
@@ -75,7 +75,7 @@
 				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + left, Schedulers: 1})
 				sent += len(fleet.order[i].dispatched)
 			}
-			if got := s.servers["osd0"].health; sent < 4 || (got == up) != (want == up) {
+			if got := s.servers["osd0"].health; sent < 4 || (got == honeyplank.HealthUp) != (want == honeyplank.HealthUp) {
 				t.Errorf("%v left: %d sent, the server counts as %v", left, sent, got)
 			}
 		})
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -57,9 +57,9 @@
 func (fleet *idleFleet) idle(length time.Duration) {
 	fleet.serve(6*time.Second, 0, honeyplank.Succeeded)
 	for end := fleet.now + length; ; {
-		instance, name, at := -1, "", end
+		instance, name, at := -1, honeyplank.TimerID(""), end
 		for i, timers := range fleet.timers {
-			for _, n := range []string{"sweep", "watch"} {
+			for _, n := range []honeyplank.TimerID{sweepTimer, watchTimer} {
 				if due, scheduled := timers[n]; scheduled && due < at {
 					instance, name, at = i, n, due
 				}
@@ -70,7 +70,7 @@
 			return
 		}
 		delete(fleet.timers[instance], name)
-		fleet.handle(instance, honeyplank.Timer{Name: name})
+		fleet.handle(instance, honeyplank.Timer{ID: name})
 	}
 }
 
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -112,7 +112,7 @@
 			case honeyplank.Reject:
 				delete(open, action.Op)
 			case honeyplank.SetTimer:
-				add(action.At, honeyplank.Timer{Name: action.Name})
+				add(action.At, honeyplank.Timer{ID: action.ID})
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // heldOps is how many ops are held.
-func (s *Scheduler) heldOps() (n int) {
+func (s *Engine) heldOps() (n int) {
 	for p := s.firstHeld; p != nil; p = p.nextHeld {
 		n++
 	}
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -206,8 +206,8 @@
 	*ruleModel
 	t               *testing.T
 	rng             *rand.Rand
-	instances       []*Scheduler
-	timers          []map[string]time.Duration
+	instances       []*Engine
+	timers          []map[honeyplank.TimerID]time.Duration
 	dispatchEnds    map[honeyplank.OpID]time.Duration // when a dispatch that is outstanding ends
 	succeeded       int
 	longestDispatch time.Duration      // the most that a dispatch takes
@@ -221,7 +221,7 @@
 		limitUsed: map[int64]float64{}, limitUsedAt: map[int64]time.Duration{}, retries: map[int][]time.Duration{}}}
 	for i := range max(settings.Schedulers, 1) {
 		fleet.instances = append(fleet.instances, New(seed+int64(i), settings))
-		fleet.timers = append(fleet.timers, map[string]time.Duration{})
+		fleet.timers = append(fleet.timers, map[honeyplank.TimerID]time.Duration{})
 	}
 	return fleet
 }
@@ -264,7 +264,7 @@
 				op.dispatched[action.Dispatch].cancelRequested, fleet.dispatchEnds[action.Op] = true, fleet.now
 			}
 		case honeyplank.SetTimer:
-			fleet.timers[i][action.Name] = action.At
+			fleet.timers[i][action.ID] = action.At
 		case honeyplank.Watch:
 			fleet.onWatch(i)
 		}
@@ -292,10 +292,10 @@
 func (fleet *testFleet) advance(codes []honeyplank.Code) {
 	fleet.now += fleet.settings.Step
 	for i := range fleet.instances {
-		for _, name := range []string{"sweep", "watch"} {
+		for _, name := range []honeyplank.TimerID{sweepTimer, watchTimer} {
 			if at, set := fleet.timers[i][name]; set && at <= fleet.now {
 				delete(fleet.timers[i], name)
-				fleet.handle(i, honeyplank.Timer{Name: name})
+				fleet.handle(i, honeyplank.Timer{ID: name})
 			}
 		}
 	}
--- a/policy/ops.go
+++ b/policy/ops.go
@@ -65,7 +65,7 @@
 
 // finishOp ends an op. Its record stays while a dispatch has no outcome, since the next op of its
 // key waits for that.
-func (s *Scheduler) finishOp(op *op) {
+func (s *Engine) finishOp(op *op) {
 	op.dequeue()
 	s.removeHeld(op)
 	op.answered = true
@@ -80,7 +80,7 @@
 }
 
 // joinKeyQueue appends an op to its key's queue.
-func (s *Scheduler) joinKeyQueue(op *op) {
+func (s *Engine) joinKeyQueue(op *op) {
 	queue := s.keyQueues[op.Key]
 	if queue == nil {
 		queue = &keyQueue{}
@@ -91,7 +91,7 @@
 }
 
 // isNextOfKey reports whether the order of an op's key allows its dispatch.
-func (s *Scheduler) isNextOfKey(op *op) bool {
+func (s *Engine) isNextOfKey(op *op) bool {
 	queue := op.keyQueue
 	if queue == nil {
 		return true
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -12,29 +12,29 @@
 	mayHaveRun  bool
 	mayStillRun bool
 	evidence    healthEvent
-	effect      func(*Scheduler, *server, *op, honeyplank.Outcome)
+	effect      func(*Engine, *server, *op, honeyplank.Outcome)
 }
 
 // outcomeMeanings is the table of handleOutcome.
 var outcomeMeanings = map[honeyplank.Code]outcomeMeaning{
 	honeyplank.Succeeded: {
-		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Scheduler).recordSuccess,
+		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Engine).recordSuccess,
 	},
 	honeyplank.Failed: {
-		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Scheduler).recordFailure,
+		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Engine).recordFailure,
 	},
 	honeyplank.Rejected: {
-		arrived: true, evidence: responded, effect: (*Scheduler).recordTimeout,
+		arrived: true, evidence: responded, effect: (*Engine).recordTimeout,
 	},
 	honeyplank.TimedOut: {
-		arrived: true, mayHaveRun: true, mayStillRun: true, effect: (*Scheduler).recordTimeout,
+		arrived: true, mayHaveRun: true, mayStillRun: true, effect: (*Engine).recordTimeout,
 	},
 	honeyplank.ConnectFailed: {
-		evidence: unresponsive, effect: (*Scheduler).recordFailure,
+		evidence: unresponsive, effect: (*Engine).recordFailure,
 	},
 	honeyplank.Reset: {
 		arrived: true, mayHaveRun: true, mayStillRun: true, evidence: unresponsive,
-		effect: (*Scheduler).recordFailure,
+		effect: (*Engine).recordFailure,
 	},
 	honeyplank.Cancelled: {
 		arrived: true, mayHaveRun: true, mayStillRun: true,
@@ -43,7 +43,7 @@
 }
 
 // dispatch sends an op to a server, and takes its units from its volume's buckets.
-func (s *Scheduler) dispatch(op *op, server *server) {
+func (s *Engine) dispatch(op *op, server *server) {
 	volume := op.volume
 	if len(op.dispatches) > 0 {
 		s.retries = append(s.retries, s.now)
@@ -56,7 +56,7 @@
 	}
 	// A server may drop an op with little time left without an answer: its silence is no evidence.
 	shortDeadline := op.Timeout-s.now < 2*s.earliestAnswer(server, op.Type)
-	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == halfOpen {
+	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == honeyplank.HealthHalfOpen {
 		server.unansweredSince = s.now
 	}
 	s.recordDispatch(op, server, shortDeadline)
@@ -64,7 +64,7 @@
 }
 
 // recordDispatch notes a dispatch in the records of the op and the server.
-func (s *Scheduler) recordDispatch(op *op, server *server, shortDeadline bool) {
+func (s *Engine) recordDispatch(op *op, server *server, shortDeadline bool) {
 	op.dequeue()
 	s.removeHeld(op)
 	op.server, op.isRetry = server, false
@@ -83,7 +83,7 @@
 
 // handleOutcome takes in the end of a dispatch: it updates the records, answers or retries the op,
 // and dispatches what may be sent now.
-func (s *Scheduler) handleOutcome(outcome honeyplank.Outcome) {
+func (s *Engine) handleOutcome(outcome honeyplank.Outcome) {
 	server, op, meaning := s.servers[outcome.Server], s.ops[outcome.Op], outcomeMeanings[outcome.Code]
 	if server == nil || op == nil || !s.closeDispatch(op, outcome.Dispatch, meaning) {
 		return
@@ -112,7 +112,7 @@
 
 // closeDispatch records the end of an op's dispatch; it returns false where that was known or there
 // is none.
-func (s *Scheduler) closeDispatch(op *op, index int, meaning outcomeMeaning) bool {
+func (s *Engine) closeDispatch(op *op, index int, meaning outcomeMeaning) bool {
 	if index < 0 || index >= len(op.dispatches) || op.dispatches[index].done {
 		return false
 	}
@@ -133,7 +133,7 @@
 
 // recordResponse updates what a server's record knows of outstanding dispatches after the end of
 // one.
-func (s *Scheduler) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
+func (s *Engine) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
 	server.outstanding--
 	server.fullDeadlineDispatches -= boolToInt(!dispatch.shortDeadline)
 	if meaning.evidence == responded {
@@ -144,7 +144,7 @@
 }
 
 // runSlicesOfNextInKey dispatches what may be sent where the next op of an op's key is held.
-func (s *Scheduler) runSlicesOfNextInKey(op *op) {
+func (s *Engine) runSlicesOfNextInKey(op *op) {
 	queue := op.keyQueue
 	if queue != nil && len(queue.ops) > 0 && queue.ops[0].server != nil {
 		s.runSlices(queue.ops[0].server)
@@ -152,7 +152,7 @@
 }
 
 // recordSuccess updates the records with a successful answer.
-func (s *Scheduler) recordSuccess(server *server, op *op, outcome honeyplank.Outcome) {
+func (s *Engine) recordSuccess(server *server, op *op, outcome honeyplank.Outcome) {
 	server.retryCredit = min(server.retryCredit+1, maxRetryCredit)
 	server.failureShare -= ewmaWeight * server.failureShare
 	s.lostShare -= lostShareWeight * s.lostShare
@@ -192,7 +192,7 @@
 // latency (past that it may be lost rather than late), and a rejection for one with the longest
 // target latency, for that server alone. It guards the other servers against one that rejects
 // everything. It could harm where all are full at once.
-func (s *Scheduler) recordTimeout(server *server, op *op, outcome honeyplank.Outcome) {
+func (s *Engine) recordTimeout(server *server, op *op, outcome honeyplank.Outcome) {
 	rejected := outcome.Code == honeyplank.Rejected
 	latency := min(outcome.Elapsed, s.settings.shortestTarget)
 	if rejected {
@@ -207,7 +207,7 @@
 
 // rejectIsSafe reports whether an op may be answered as rejected: another attempt of the client
 // must do no harm.
-func (s *Scheduler) rejectIsSafe(op *op) bool {
+func (s *Engine) rejectIsSafe(op *op) bool {
 	semantics := valueAt(s.settings.semantics, op.Type)
 	dedupEverywhere := valueAt(s.settings.dedupScope, op.Type) == honeyplank.ScopeAll
 	return semantics == honeyplank.Idempotent ||
@@ -216,7 +216,7 @@
 }
 
 // giveUp answers an op without success: as rejected where that is safe, else as failed.
-func (s *Scheduler) giveUp(op *op) {
+func (s *Engine) giveUp(op *op) {
 	if s.rejectIsSafe(op) {
 		retryAfter := min(valueAt(s.settings.targetLatency, op.Type), s.settings.maxRetryAfter)
 		s.emit(honeyplank.Reject{Op: op.ID, RetryAfter: retryAfter})
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -85,7 +85,7 @@
 }
 
 // appendHeld appends an op to the list of held ops; those without a server are counted.
-func (s *Scheduler) appendHeld(op *op) {
+func (s *Engine) appendHeld(op *op) {
 	s.serial++
 	op.heldSerial, op.previousHeld, op.nextHeld = s.serial, s.lastHeld, nil
 	if s.lastHeld != nil {
@@ -98,7 +98,7 @@
 }
 
 // removeHeld takes an op out of the list of held ops, if it is in it.
-func (s *Scheduler) removeHeld(op *op) {
+func (s *Engine) removeHeld(op *op) {
 	if op.heldSerial == 0 {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // unassignAll empties the queues of a server; their ops stay held, without a server.
-func (s *Scheduler) unassignAll(server *server) {
+func (s *Engine) unassignAll(server *server) {
 	for _, queue := range server.queues {
 		for _, op := range queue.held {
 			op.server, op.queue = nil, nil
@@ -147,7 +147,7 @@
 
 // assignAllHeld assigns held ops without a server, and dispatches what may be sent to any active
 // server.
-func (s *Scheduler) assignAllHeld() {
+func (s *Engine) assignAllHeld() {
 	for op := s.firstHeld; op != nil && s.unassigned > 0; op = op.nextHeld {
 		if op.server == nil {
 			s.assignServer(op)
@@ -163,7 +163,7 @@
 // assignHeld assigns held ops without a server, and dispatches what may be sent to the changed
 // servers and to those that got an op here. Only these can have changed; the others are visited by
 // the next sweep.
-func (s *Scheduler) assignHeld(changed []*server) {
+func (s *Engine) assignHeld(changed []*server) {
 	for op := s.firstHeld; op != nil && s.unassigned > 0; op = op.nextHeld {
 		if op.server == nil {
 			s.assignServer(op)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -28,11 +28,11 @@
 
 // noDispatchSince is the time since when nothing was dispatched for a volume without a record, as
 // far as is certain.
-func (s *Scheduler) noDispatchSince() time.Duration { return max(s.startedAt, s.now-idleExpiry) }
+func (s *Engine) noDispatchSince() time.Duration { return max(s.startedAt, s.now-idleExpiry) }
 
 // refillBuckets brings a volume's buckets up to now. The limit's bucket fills at an even share
 // among the volume's instances, the reserve's at the share of reserveRefillRate.
-func (s *Scheduler) refillBuckets(volume *volume) {
+func (s *Engine) refillBuckets(volume *volume) {
 	elapsed, instances := (s.now - volume.refilledAt).Seconds(), float64(volume.schedulers)
 	volume.refilledAt = s.now
 	reserve, limit := valueAt(s.settings.reserve, volume.plan), valueAt(s.settings.limit, volume.plan)
@@ -44,7 +44,7 @@
 // reserveRefillRate is this instance's share of a volume's reserve, in units a second: its share of
 // what the volume is served, and an even one at least. It is known from the usage meter's total, or
 // without a meter from what servers report to have served through other instances.
-func (s *Scheduler) reserveRefillRate(volume *volume, reserve float64) float64 {
+func (s *Engine) reserveRefillRate(volume *volume, reserve float64) float64 {
 	evenShare := reserve / float64(volume.schedulers)
 	if volume.servedEverywhere > 0 {
 		volume.servedHere.add(s.now, 0, s.usageMemory())
@@ -63,7 +63,7 @@
 // dispatched from a full bucket may be delayed by holdUp and arrive together with what refilled it
 // since: the capacity is less by that, unless the limit's slack covers it. It still holds one op of
 // the largest size if the whole bucket does.
-func (s *Scheduler) bucketCapacity(plan, instances int) float64 {
+func (s *Engine) bucketCapacity(plan, instances int) float64 {
 	burst := valueAt(s.settings.burst, plan)
 	margin := max(0, holdUp.Seconds()*valueAt(s.settings.limit, plan)-valueAt(s.settings.slack, plan))
 	burst, margin = burst/float64(instances), margin/float64(instances)
@@ -71,13 +71,13 @@
 }
 
 // usageMemory is the time constant of the rates at which a volume is served.
-func (s *Scheduler) usageMemory() time.Duration {
+func (s *Engine) usageMemory() time.Duration {
 	return 2 * cmp.Or(s.settings.meterPeriod, s.settings.longestTarget)
 }
 
 // withinReserve reports whether an op is before its target latency and its volume's bucket of the
 // reserve covers it.
-func (s *Scheduler) withinReserve(op *op) bool {
+func (s *Engine) withinReserve(op *op) bool {
 	s.refillBuckets(op.volume)
 	return op.target > s.now && op.volume.reserve >= op.Units
 }
@@ -86,7 +86,7 @@
 // is kept for op types of more utility, though a full bucket allows any op. It guards against
 // surges of large ops of little utility that use up a limit which others then lack. It could harm
 // where ops of more utility never come.
-func (s *Scheduler) limitHeadroom(op *op) float64 {
+func (s *Engine) limitHeadroom(op *op) float64 {
 	capacity := s.bucketCapacity(op.Plan, op.volume.schedulers)
 	kept := limitHeadroomShare * valueAt(s.settings.utilityDeficit, op.Type) * capacity
 	return max(op.Units, min(op.Units+kept, capacity))
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -92,14 +92,14 @@
 	}
 	fleet.now = time.Hour
 	for range 3 { // unseen for long: as much as the time that idle records are kept gives
-		fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+		fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 		fleet.now += time.Minute
 	}
 	if give(0, 4) != 0 || give(1, 1) != 1 {
 		t.Error("a volume met late lacks what half a minute refills")
 	}
 	fleet.now += 3 * time.Minute
-	fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+	fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 	fleet.instances[0].volumes[0] = &volume{schedulers: 1, limit: 8, refilledAt: fleet.now}
 	if give(2, 7) != 1 {
 		t.Error("a full bucket does not let an op go")
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -56,7 +56,7 @@
 // topRanked returns the first servers of a volume's ranking that are up, in order: exactly those of
 // a ranking of all servers, in which ones that came up are inserted and ones that left are deleted.
 // When few are left it is made anew.
-func (s *Scheduler) topRanked(volume *volume, id int64) []rankedServer {
+func (s *Engine) topRanked(volume *volume, id int64) []rankedServer {
 	volume.topServers = slices.DeleteFunc(volume.topServers, func(candidate rankedServer) bool {
 		return !candidate.server.listedUp
 	})
@@ -97,7 +97,7 @@
 }
 
 // joinRankings notes that a server came up, for the rankings that exist.
-func (s *Scheduler) joinRankings(server *server) {
+func (s *Engine) joinRankings(server *server) {
 	if len(s.joinedServers) > 2*len(s.serversByID)+maxTopServers { // most rankings have taken in most of them
 		s.joinedServers, s.rankingEpoch = nil, s.rankingEpoch+1
 	}
@@ -105,7 +105,7 @@
 }
 
 // acceptingServers returns the servers that accepted new objects at most a sweep ago.
-func (s *Scheduler) acceptingServers() []*server {
+func (s *Engine) acceptingServers() []*server {
 	if s.now-s.acceptingAt >= s.sweepInterval() || s.acceptingAt == 0 {
 		s.acceptingAt, s.acceptingCache = s.now, s.acceptingCache[:0]
 		for _, server := range s.serversByID {
@@ -119,7 +119,7 @@
 }
 
 // markActive adds a server to those that sweeps visit.
-func (s *Scheduler) markActive(server *server) {
+func (s *Engine) markActive(server *server) {
 	if !server.active {
 		server.active = true
 		s.activeServers = insertByID(s.activeServers, server)
@@ -128,9 +128,9 @@
 
 // deactivateIdle removes servers without outstanding or held ops from those that sweeps visit, but
 // for those that are down.
-func (s *Scheduler) deactivateIdle() {
+func (s *Engine) deactivateIdle() {
 	s.activeServers = slices.DeleteFunc(s.activeServers, func(server *server) bool {
-		server.active = server.outstanding > 0 || server.heldCount > 0 || server.health == down
+		server.active = server.outstanding > 0 || server.heldCount > 0 || server.health == honeyplank.HealthDown
 		return !server.active
 	})
 	s.serversVisited += len(s.activeServers)
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -27,7 +27,7 @@
 }
 
 // modelRanking is the slow model: all servers that are on, sorted.
-func modelRanking(s *Scheduler, volume int64) (list []*server) {
+func modelRanking(s *Engine, volume int64) (list []*server) {
 	for _, server := range s.serversByID {
 		if server.State == honeyplank.Up {
 			list = append(list, server)
@@ -38,7 +38,7 @@
 }
 
 // modelChoice is the choice as made over a whole ranking: the first with capacity, or else the one with the least relative load.
-func modelChoice(s *Scheduler, op *op, list []*server) (home *server, hasCapacity bool) {
+func modelChoice(s *Engine, op *op, list []*server) (home *server, hasCapacity bool) {
 	leastLoad := math.Inf(1)
 	for _, server := range list {
 		if !s.acceptsNewObjects(server) || !s.mayDispatch(op, server) {
@@ -112,8 +112,8 @@
 			case 5:
 				part := rng.Float64()
 				for _, server := range s.serversByID {
-					if server.health = up; rng.Float64() < part {
-						server.health = down
+					if server.health = honeyplank.HealthUp; rng.Float64() < part {
+						server.health = honeyplank.HealthDown
 					}
 				}
 			}
@@ -157,7 +157,7 @@
 }
 
 // largeFleet is one process with so many servers, of whose volumes new objects come.
-func largeFleet(servers int) *Scheduler {
+func largeFleet(servers int) *Engine {
 	settings := testSettings()
 	settings.Plans.Reserve = []float64{1e6}
 	s := New(1, settings)
@@ -171,7 +171,7 @@
 
 // playNewObjects plays so many new objects of 200 volumes, each answered after 5 ms, with a sweep every 10 ms, and servers
 // that are replaced one after another.
-func playNewObjects(s *Scheduler, from, n int, replace bool) {
+func playNewObjects(s *Engine, from, n int, replace bool) {
 	servers := len(s.serversByID)
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
@@ -183,7 +183,7 @@
 			}
 		}
 		if i%2 == 0 {
-			s.Handle(now+4*ms, honeyplank.Timer{Name: "sweep"})
+			s.Handle(now+4*ms, honeyplank.Timer{ID: sweepTimer})
 		}
 		if replace && i%50 == 0 {
 			gone, fresh := member(i/50, 0), member(servers+i, 0)
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -33,7 +33,7 @@
 // drop repeats for a time that runs from the first dispatch at the earliest, and the new one has to
 // run within it, though it may be delayed, wait for its connection and be queued at the server. It
 // could harm where the settings state less time than that: such ops are never sent twice.
-func (s *Scheduler) retryAllowed(op *op, server *server) bool {
+func (s *Engine) retryAllowed(op *op, server *server) bool {
 	semantics, scope := valueAt(s.settings.semantics, op.Type), valueAt(s.settings.dedupScope, op.Type)
 	runsAt := s.now + s.settings.maxArrivalDelay + 2*s.earliestAnswer(server, op.Type)
 	for _, dispatch := range op.dispatches {
@@ -56,7 +56,7 @@
 // retryBudgetAllows reports whether the sliding window of the retry budget allows one more retry.
 // Each dispatch may be delayed by holdUp: an earlier retry may be seen later than it was counted,
 // and by then some admissions lie outside of the window.
-func (s *Scheduler) retryBudgetAllows() bool {
+func (s *Engine) retryBudgetAllows() bool {
 	if !s.settings.retryBudgetLimited {
 		return true
 	}
@@ -70,7 +70,7 @@
 // retry holds an op again after a dispatch without an answer, or gives it up. The servers' credit
 // bounds retries: it guards against retries to a server that answers few ops. It could harm where a
 // healthy server has not answered yet.
-func (s *Scheduler) retry(op *op, server *server) {
+func (s *Engine) retry(op *op, server *server) {
 	if len(op.dispatches) < s.settings.maxDispatches && s.retryAllowed(op, server) && s.now < op.target {
 		op.isRetry, op.server = true, nil
 		s.appendHeld(op)
@@ -85,7 +85,7 @@
 // a while ago, and they take far longer than usual there. It guards against answers that never
 // come, which use up the window until the op timeout. It could harm where a server delays some ops
 // for long while it serves others.
-func (s *Scheduler) cancelOverdue(server *server) {
+func (s *Engine) cancelOverdue(server *server) {
 	factor := time.Duration(overdueFactor)
 	if s.lostShare > highLostShare {
 		factor = overdueFactor * overdueReduction
@@ -103,14 +103,14 @@
 
 // overdue reports whether a dispatch was overtaken longer ago than the usual latency, and takes
 // longer than a factor of that.
-func (s *Scheduler) overdue(server *server, dispatch *outstandingDispatch, factor time.Duration) bool {
+func (s *Engine) overdue(server *server, dispatch *outstandingDispatch, factor time.Duration) bool {
 	expected := s.expectedLatency(server, dispatch.op.Type)
 	usual := time.Duration(max(expected, server.perUnit*dispatch.op.Units) * float64(time.Second))
 	overtaken := dispatch.overtakenAt > 0 && s.now-dispatch.overtakenAt > usual
 	return overtaken && s.now-dispatch.sentAt > factor*usual
 }
 
-func (s *Scheduler) mayCancel(dispatch *outstandingDispatch) bool {
+func (s *Engine) mayCancel(dispatch *outstandingDispatch) bool {
 	atMostOnce := valueAt(s.settings.semantics, dispatch.op.Type) == honeyplank.AtMostOnce
 	return !dispatch.cancelRequested && !dispatch.op.responseStarted && !atMostOnce
 }
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -83,7 +83,7 @@
 			fleet.now += ms
 			for range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
 				answer()
-				fleet.handle(0, honeyplank.Timer{Name: "sweep"})
+				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 				if s := fleet.ops["lost0"]; s.dispatched[0].cancelRequested && !s.dispatched[0].done {
 					fleet.endDispatch(s, honeyplank.Cancelled)
 				}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -90,7 +90,7 @@
 			case 4: // nothing of an unknown op, server or timer may do harm, nor a garbled message
 				fleet.handle(0, honeyplank.Outcome{Op: "none", Server: "osd1", Code: 1})
 				fleet.handle(0, honeyplank.Outcome{Server: "none", Code: 6})
-				fleet.handle(0, honeyplank.Timer{Name: "none"})
+				fleet.handle(0, honeyplank.Timer{ID: "none"})
 				fleet.handle(0, honeyplank.PeerMessage{From: -1})
 			case 5: // a stream begins
 				tracked := fleet.order[rng.Intn(len(fleet.order))]
@@ -132,7 +132,7 @@
 	for i := range 300 {
 		for _, tracked := range []honeyplank.Event{honeyplank.List{Members: []honeyplank.Member{member(0, 0), member(1, 0), member(2, 0)}},
 			honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 2, Timeout: 2 * time.Second, Volume: int64(i % 9), Cell: i%4 - 1},
-			honeyplank.Timer{Name: "sweep"}} {
+			honeyplank.Timer{ID: sweepTimer}} {
 			if now := time.Duration(i) * ms; !reflect.DeepEqual(a.Handle(now, tracked), b.Handle(now, tracked)) {
 				t.Fatalf("two instances differ at %v on %+v", now, tracked)
 			}
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -6,7 +6,6 @@
 package policy
 
 import (
-	"fmt"
 	"math/rand"
 	"time"
 
@@ -20,14 +19,14 @@
 // writing: a dispatch may leave that much later than it was decided.
 const holdUp = 150 * time.Millisecond
 
-// Names of the timers that the module sets.
+// The timers that the module sets.
 const (
-	sweepTimer = "sweep"
-	watchTimer = "watch"
+	sweepTimer honeyplank.TimerID = "sweep"
+	watchTimer honeyplank.TimerID = "watch"
 )
 
-// Scheduler is one instance of the decision module. It is not safe for concurrent use.
-type Scheduler struct {
+// Engine is one instance of the decision module. It is not safe for concurrent use.
+type Engine struct {
 	settings  *schedulerSettings
 	rng       *rand.Rand
 	now       time.Duration // of the event that is being handled
@@ -81,8 +80,8 @@
 }
 
 // New returns an instance that has seen no event. The settings must not change afterwards.
-func New(seed int64, settings *honeyplank.Settings) *Scheduler {
-	return &Scheduler{
+func New(seed int64, settings *honeyplank.Settings) *Engine {
+	return &Engine{
 		settings:        readSettings(settings),
 		rng:             rand.New(rand.NewSource(seed)),
 		servers:         map[honeyplank.ServerID]*server{},
@@ -100,7 +99,7 @@
 
 // Handle takes the event of a clock time and returns the actions to carry out at once, in their
 // order.
-func (s *Scheduler) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
+func (s *Engine) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 	s.now, s.actions = now, nil
 	if !s.started {
 		s.start()
@@ -117,7 +116,7 @@
 			op.responseStarted = true
 		}
 	case honeyplank.Timer:
-		s.handleTimer(event.Name)
+		s.handleTimer(event.ID)
 	case honeyplank.SavedEstimates:
 		s.restoreEstimates(event)
 	case honeyplank.ClientGone:
@@ -128,7 +127,7 @@
 	return s.actions
 }
 
-func (s *Scheduler) start() {
+func (s *Engine) start() {
 	s.started, s.startedAt = true, s.now
 	s.setTimer(s.now+s.sweepInterval(), sweepTimer)
 	if s.settings.watchOnRequest {
@@ -136,23 +135,23 @@
 	}
 }
 
-func (s *Scheduler) handleTimer(name string) {
+func (s *Engine) handleTimer(id honeyplank.TimerID) {
 	switch {
-	case name == sweepTimer:
+	case id == sweepTimer:
 		s.sweep()
-	case name == watchTimer && !s.watchActive:
+	case id == watchTimer && !s.watchActive:
 		s.requestWatch()
 	}
 }
 
 // sweepInterval is the time between two sweeps.
-func (s *Scheduler) sweepInterval() time.Duration {
+func (s *Engine) sweepInterval() time.Duration {
 	return max(time.Duration(sweepShare*float64(s.settings.shortestTarget)), s.settings.step, time.Millisecond)
 }
 
 // sweep does what depends on time alone: health, lost answers, new admission draws, dispatches of
 // held ops, ops that can no longer be answered in time, the watch, and idle records.
-func (s *Scheduler) sweep() {
+func (s *Engine) sweep() {
 	s.setTimer(s.now+s.sweepInterval(), sweepTimer)
 	s.deactivateIdle()
 	mayCancel := s.settings.cancelAllowed && s.settings.hedgingAllowed // a cancelled dispatch may run on
@@ -177,7 +176,7 @@
 // resampleHeld draws new admission draws for ops that have been held for a shortest target latency
 // since the last one, as for a new attempt of the client: an op with a high draw would be held in
 // vain.
-func (s *Scheduler) resampleHeld() {
+func (s *Engine) resampleHeld() {
 	for op := s.firstHeld; op != nil; op = op.nextHeld {
 		if s.now-op.sampledAt >= s.settings.shortestTarget {
 			op.sampledAt, op.admissionDraw = s.now, s.rng.Float64()
@@ -186,7 +185,7 @@
 	}
 }
 
-func (s *Scheduler) giveUpUnreachable() {
+func (s *Engine) giveUpUnreachable() {
 	for op := s.firstHeld; op != nil; {
 		next := op.nextHeld
 		if s.deadlineUnreachable(op) {
@@ -196,12 +195,8 @@
 	}
 }
 
-func (s *Scheduler) emit(action honeyplank.Action) { s.actions = append(s.actions, action) }
+func (s *Engine) emit(action honeyplank.Action) { s.actions = append(s.actions, action) }
 
-func (s *Scheduler) setTimer(at time.Duration, name string) {
-	s.emit(honeyplank.SetTimer{At: at, Name: name})
-}
-
-func (s *Scheduler) logf(format string, arguments ...any) {
-	s.emit(honeyplank.Log{Text: fmt.Sprintf(format, arguments...)})
+func (s *Engine) setTimer(at time.Duration, id honeyplank.TimerID) {
+	s.emit(honeyplank.SetTimer{At: at, ID: id})
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -133,7 +133,7 @@
 	deployment
 	fault         *serviceFault
 	rng           *rand.Rand
-	module        *Scheduler
+	module        *Engine
 	now           time.Duration
 	events        eventQueue
 	sequence      int
@@ -289,7 +289,7 @@
 		case honeyplank.Reject:
 			request := run.requests[action.Op]
 			delete(run.requests, action.Op)
-			run.add(run.now+max(action.RetryAfter, retryAfter), honeyplank.Timer{Name: fmt.Sprint("again ", run.index(request))})
+			run.add(run.now+max(action.RetryAfter, retryAfter), honeyplank.Timer{ID: honeyplank.TimerID(fmt.Sprint("again ", run.index(request)))})
 		case honeyplank.Fail:
 			delete(run.requests, action.Op)
 		case honeyplank.Cancel:
@@ -297,7 +297,7 @@
 				run.add(run.now, honeyplank.Outcome{Op: action.Op, Dispatch: action.Dispatch, Code: honeyplank.Cancelled})
 			}
 		case honeyplank.SetTimer:
-			run.add(action.At, honeyplank.Timer{Name: action.Name})
+			run.add(action.At, honeyplank.Timer{ID: action.ID})
 		}
 	}
 }
@@ -339,11 +339,11 @@
 	switch event := upcoming.event.(type) {
 	case honeyplank.Timer:
 		var index int
-		if matched, _ := fmt.Sscanf(event.Name, "again %d", &index); matched == 1 {
+		if matched, _ := fmt.Sscanf(string(event.ID), "again %d", &index); matched == 1 {
 			run.attempt(run.all[index])
 			return
 		}
-		if event.Name == "arrival" {
+		if event.ID == "arrival" {
 			run.arrival()
 			return
 		}
@@ -370,7 +370,7 @@
 		rate *= run.surging
 	}
 	at := run.now + time.Duration(run.rng.ExpFloat64()/rate*float64(time.Second))
-	run.add(at, honeyplank.Timer{Name: "arrival"})
+	run.add(at, honeyplank.Timer{ID: "arrival"})
 	draw, class := run.rng.Float64(), 0
 	for draw > run.classes[class].share && class < len(run.classes)-1 {
 		draw -= run.classes[class].share
@@ -410,7 +410,7 @@
 		lastDispatch: make([]time.Duration, len(upcoming.classes)), undispatched: make([]int, len(upcoming.classes))}
 	run.now = time.Second
 	run.list(honeyplank.Up, 0)
-	run.add(run.now, honeyplank.Timer{Name: "arrival"})
+	run.add(run.now, honeyplank.Timer{ID: "arrival"})
 	return run
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -144,7 +144,7 @@
 }
 
 // relativeWeight is the weight of a plan over the mean weight; 1 where it has none.
-func (s *Scheduler) relativeWeight(plan int) float64 {
+func (s *Engine) relativeWeight(plan int) float64 {
 	weight := valueAt(s.settings.weight, plan) / s.settings.meanWeight
 	if weight > 0 {
 		return weight
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"honeyplank"
 )
 
 // sliceShare is the length of a round of slices, as a share of the shortest target latency.
@@ -34,29 +36,29 @@
 // sliceTransitions is the table of runSlices; a pair that is missing ends its loop.
 var sliceTransitions = map[sliceState]map[sliceSignal]struct {
 	next   sliceState
-	effect func(*Scheduler, *server)
+	effect func(*Engine, *server)
 }{
-	sliceIdle: {othersReady: {sliceServing, (*Scheduler).beginSlice}},
+	sliceIdle: {othersReady: {sliceServing, (*Engine).beginSlice}},
 	sliceServing: {
-		servedReady:      {sliceServing, (*Scheduler).sendFromServed},
-		reserveWaiting:   {sliceIdle, (*Scheduler).endSlice},
-		sliceExpired:     {sliceIdle, (*Scheduler).endSlice},
-		thinkTimeTooLong: {sliceIdle, (*Scheduler).endSlice},
-		cheaperReady:     {sliceServing, (*Scheduler).handOverSlice},
-		worthWaiting:     {sliceWaiting, (*Scheduler).idleWait},
+		servedReady:      {sliceServing, (*Engine).sendFromServed},
+		reserveWaiting:   {sliceIdle, (*Engine).endSlice},
+		sliceExpired:     {sliceIdle, (*Engine).endSlice},
+		thinkTimeTooLong: {sliceIdle, (*Engine).endSlice},
+		cheaperReady:     {sliceServing, (*Engine).handOverSlice},
+		worthWaiting:     {sliceWaiting, (*Engine).idleWait},
 	},
 	sliceWaiting: {
-		servedReady:      {sliceServing, (*Scheduler).sendFromServed},
-		reserveWaiting:   {sliceIdle, (*Scheduler).endSlice},
-		sliceExpired:     {sliceIdle, (*Scheduler).endSlice},
-		thinkTimeTooLong: {sliceIdle, (*Scheduler).endSlice},
-		cheaperReady:     {sliceServing, (*Scheduler).handOverSlice},
-		worthWaiting:     {sliceWaiting, (*Scheduler).sendFromOthers},
+		servedReady:      {sliceServing, (*Engine).sendFromServed},
+		reserveWaiting:   {sliceIdle, (*Engine).endSlice},
+		sliceExpired:     {sliceIdle, (*Engine).endSlice},
+		thinkTimeTooLong: {sliceIdle, (*Engine).endSlice},
+		cheaperReady:     {sliceServing, (*Engine).handOverSlice},
+		worthWaiting:     {sliceWaiting, (*Engine).sendFromOthers},
 	},
 }
 
 // runSlices dispatches the held ops of a server that may be sent now, in the order of the slices.
-func (s *Scheduler) runSlices(server *server) {
+func (s *Engine) runSlices(server *server) {
 	for {
 		transition, ok := sliceTransitions[server.sliceState][s.nextSignal(server)]
 		if !ok {
@@ -68,7 +70,7 @@
 }
 
 // nextSignal is the paper's algorithm 1, with the reserve before it.
-func (s *Scheduler) nextSignal(server *server) sliceSignal {
+func (s *Engine) nextSignal(server *server) sliceSignal {
 	var served *op
 	if server.sliceState != sliceIdle {
 		served = s.chooseOp(server, server.servedQueue)
@@ -98,7 +100,7 @@
 // cheaperQueue is the paper's await test: the first queue not served this round whose await is no
 // longer than the served queue's. The mean await of the server takes the place of the longest seek
 // as an upper bound.
-func (s *Scheduler) cheaperQueue(server *server) *volumeQueue {
+func (s *Engine) cheaperQueue(server *server) *volumeQueue {
 	longest, servedAwait := server.meanAwait(), server.servedQueue.await.value()
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
 		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
@@ -113,7 +115,7 @@
 
 // nextQueue is the queue whose slice comes next, in ring order: one with an op within its reserve
 // goes first, then one not served this round.
-func (s *Scheduler) nextQueue(server *server) (next *volumeQueue) {
+func (s *Engine) nextQueue(server *server) (next *volumeQueue) {
 	lowestClass := math.MaxInt
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
 		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
@@ -131,7 +133,7 @@
 
 // beginSlice starts the slice of the next queue, and a new round where all have been served in this
 // one.
-func (s *Scheduler) beginSlice(server *server) {
+func (s *Engine) beginSlice(server *server) {
 	queue := s.nextQueue(server)
 	if queue.round >= server.round {
 		server.round++
@@ -141,27 +143,27 @@
 
 // startSlice starts a queue's slice: the queues with held ops share a round by the weights of their
 // volumes.
-func (s *Scheduler) startSlice(server *server, queue *volumeQueue) {
+func (s *Engine) startSlice(server *server, queue *volumeQueue) {
 	weight := s.relativeWeight(queue.volume.plan)
 	length := weight * sliceShare * float64(s.settings.shortestTarget) / float64(max(server.busyVolumes(), 1))
 	server.servedQueue, queue.round = queue, server.round
 	server.sliceEnd = s.now + max(time.Duration(length), s.sweepInterval())
 }
 
-func (s *Scheduler) endSlice(server *server) { server.servedQueue = nil }
+func (s *Engine) endSlice(server *server) { server.servedQueue = nil }
 
-func (s *Scheduler) handOverSlice(server *server) { s.startSlice(server, s.cheaperQueue(server)) }
+func (s *Engine) handOverSlice(server *server) { s.startSlice(server, s.cheaperQueue(server)) }
 
-func (s *Scheduler) sendFromServed(server *server) {
+func (s *Engine) sendFromServed(server *server) {
 	s.dispatch(s.chooseOp(server, server.servedQueue), server)
 }
 
-func (s *Scheduler) sendFromOthers(server *server) {
+func (s *Engine) sendFromOthers(server *server) {
 	s.dispatch(s.chooseOp(server, s.nextQueue(server)), server)
 }
 
 // idleWait starts the wait for the served queue's next op. Other queues use the window meanwhile.
-func (s *Scheduler) idleWait(server *server) {
+func (s *Engine) idleWait(server *server) {
 	server.waitEnd = min(s.now+server.servedQueue.thinkTime.value(), server.sliceEnd)
 	s.sendFromOthers(server)
 }
@@ -169,7 +171,7 @@
 // chooseOp is the op of a queue to dispatch next: a retry, then one with the key of the last op
 // sent, then the one whose target latency is over first. It is nil where none may be dispatched
 // now.
-func (s *Scheduler) chooseOp(server *server, queue *volumeQueue) (chosen *op) {
+func (s *Engine) chooseOp(server *server, queue *volumeQueue) (chosen *op) {
 	if s.nothingCanLeave(server, queue) {
 		return nil
 	}
@@ -205,8 +207,8 @@
 // nothingCanLeave reports, without a check of each op, that chooseOp would find none in a queue:
 // the server gets nothing, the clients would be gone, or the window or the limit is used up for
 // all.
-func (s *Scheduler) nothingCanLeave(server *server, queue *volumeQueue) bool {
-	if len(queue.held) == 0 || server.health == down || s.halfOpenBusy(server) {
+func (s *Engine) nothingCanLeave(server *server, queue *volumeQueue) bool {
+	if len(queue.held) == 0 || server.health == honeyplank.HealthDown || s.halfOpenBusy(server) {
 		return true
 	}
 	if s.allClientsGone(server, queue) {
@@ -226,7 +228,7 @@
 
 // allClientsGone reports whether no client of a queue's ops would wait for the earliest answer of a
 // server. The op held last mostly has the most time left.
-func (s *Scheduler) allClientsGone(server *server, queue *volumeQueue) bool {
+func (s *Engine) allClientsGone(server *server, queue *volumeQueue) bool {
 	earliest := s.now + s.earliestAnswerOfAnyType(server)
 	for i := len(queue.held) - 1; i >= 0; i-- {
 		if earliest < queue.held[i].Timeout {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -28,13 +28,13 @@
 }
 
 // inSlowStart reports whether a server started so recently that its budget binds.
-func (s *Scheduler) inSlowStart(server *server) bool {
+func (s *Engine) inSlowStart(server *server) bool {
 	window := s.settings.slowStartWindow
 	return server.Started > 0 && window > 0 && s.now < server.Started+s.settings.slowStartTime+window
 }
 
 // slowStartBudget is what a server that is warming up can take by now within a window, in units.
-func (s *Scheduler) slowStartBudget(server *server) float64 {
+func (s *Engine) slowStartBudget(server *server) float64 {
 	from, growth, warmUp := s.settings.slowStartFrom, 1.0, s.settings.slowStartTime
 	if age := s.now - server.Started; from > 0 && from < 1 && age > 0 && warmUp > 0 {
 		growth = (from + (1-from)*min(1, float64(age)/float64(warmUp))) / from
@@ -47,7 +47,7 @@
 // below fewBudgetOps); the mean and some standard deviations stay below that. What many instances
 // admit independently has the variance of a Poisson count of ops of several sizes: the mean times
 // the ratio of the mean square of the sizes to the square of their mean.
-func (s *Scheduler) slowStartShare(budget float64) float64 {
+func (s *Engine) slowStartShare(budget float64) float64 {
 	if s.settings.meanUnits <= 0 || s.unitsAdmitted <= 0 || budget <= 0 {
 		return slowStartTarget
 	}
@@ -69,7 +69,7 @@
 // reserves first. It guards against overloading a server that is warming up. It could harm service
 // where instances with little traffic can't use their shares or answers take long, and would not
 // hold where a server's data comes into demand within that window.
-func (s *Scheduler) slowStartAllows(server *server, units, admissionDraw float64, withinReserve bool) bool {
+func (s *Engine) slowStartAllows(server *server, units, admissionDraw float64, withinReserve bool) bool {
 	window := s.settings.slowStartWindow
 	server.trimSentLog(s.now - window)
 	if !s.inSlowStart(server) {
@@ -98,7 +98,7 @@
 // trafficShare is this instance's share of all demand on a server, an even one at least. The demand
 // through others is estimated from what this instance is asked of a mean server, and from the
 // number of instances that the volumes with ops at this server come through.
-func (s *Scheduler) trafficShare(server *server) float64 {
+func (s *Engine) trafficShare(server *server) float64 {
 	// The settings may lag behind what the volumes report.
 	instances := float64(max(s.settings.schedulers, s.maxSchedulersSeen, 1))
 	mean := s.cellBoundDemand.rate() / float64(max(s.serversUp, 1))
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -128,7 +128,7 @@
 		sequence++
 		heap.Push(&events, scheduledEvent{at, sequence, instanceEvent{event, instance}})
 	}
-	schedulers := make([]*Scheduler, scenario.instances)
+	schedulers := make([]*Engine, scenario.instances)
 	var members []honeyplank.Member
 	for i := range slowStartServers {
 		members = append(members, member(i, 0))
@@ -256,7 +256,7 @@
 					add(at, received.instance, retried.Op)
 				}
 			case honeyplank.SetTimer:
-				add(item.At, received.instance, honeyplank.Timer{Name: item.Name})
+				add(item.At, received.instance, honeyplank.Timer{ID: item.ID})
 			}
 		}
 	}
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -90,7 +90,7 @@
 	}
 	s := a.server.scheduler
 	s.loop.Cancel(a.timer)
-	s.tracker.Deliver(honeyplank.ProbeResult{Server: a.server.id, Code: code, Elapsed: s.loop.Now() - a.started, Load: feedback.Load})
+	s.tracker.Deliver(honeyplank.HealthCheckResult{Server: a.server.id, Code: code, Elapsed: s.loop.Now() - a.started, Load: feedback.Load})
 }
 
 // fail reports an outcome without an answer.
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -14,7 +14,6 @@
 
 	"honeyplank"
 	fakeresp "honeyplank/fake/resp"
-	"honeyplank/inflight"
 	"honeyplank/policy"
 )
 
@@ -33,7 +32,7 @@
 
 // recordingModule calls onEvent with each event before the module handles it. It is used on the loop.
 type recordingModule struct {
-	inflight.DecisionModule
+	honeyplank.DecisionModule
 	onEvent func(honeyplank.Event)
 }
 
@@ -249,7 +248,7 @@
 			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "s-0"}}
 		}
 		m.lastOp = e.ID
-		return []honeyplank.Action{honeyplank.SetTimer{Name: "dispatch", At: now + m.delay}}
+		return []honeyplank.Action{honeyplank.SetTimer{ID: "dispatch", At: now + m.delay}}
 	case honeyplank.Timer:
 		return []honeyplank.Action{honeyplank.Dispatch{Op: m.lastOp, Server: "s-0"}}
 	case honeyplank.Outcome:
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -151,22 +151,22 @@
 // TestProbe: a probe brings the load report, and that of a server that refuses connections fails to connect.
 func TestProbe(t *testing.T) {
 	bed := newTestbed(t, 1)
-	results := make(chan honeyplank.ProbeResult, 1)
+	results := make(chan honeyplank.HealthCheckResult, 1)
 	bed.onLoop(func() {
 		bed.module.onEvent = func(e honeyplank.Event) {
-			if p, ok := e.(honeyplank.ProbeResult); ok {
+			if p, ok := e.(honeyplank.HealthCheckResult); ok {
 				results <- p
 			}
 		}
 	})
 	bed.disks[0].Apply(fakeresp.Faults{Report: "util=0.5,latency_ms=3"})
-	bed.onLoop(func() { bed.scheduler.execute(honeyplank.Probe{Server: "s-0"}) })
+	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
 	if p := <-results; p.Code != honeyplank.Succeeded || p.Load["latency"] != 3 {
 		t.Errorf("%+v", p)
 	}
 	bed.disks[0].Stop()
 	time.Sleep(20 * time.Millisecond)
-	bed.onLoop(func() { bed.scheduler.execute(honeyplank.Probe{Server: "s-0"}) })
+	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
 	if p := <-results; p.Code != honeyplank.ConnectFailed {
 		t.Errorf("%+v", p)
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -95,7 +95,7 @@
 }
 
 // newWithModule makes a scheduler with a decision module.
-func newWithModule(config *Config, module inflight.DecisionModule, log zerolog.Logger) (*Scheduler, error) {
+func newWithModule(config *Config, module honeyplank.DecisionModule, log zerolog.Logger) (*Scheduler, error) {
 	settings := config.Site.Settings
 	// The loop's clock begins late enough for a disk server to have started before it.
 	origin := settings.Watch.Within + 2*(settings.SlowStart.Time+settings.SlowStart.Window)
@@ -119,7 +119,7 @@
 }
 
 // listen makes a scheduler and opens its sockets.
-func listen(config *Config, module inflight.DecisionModule, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
+func listen(config *Config, module honeyplank.DecisionModule, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
 	loop, err := eventloop.New(origin)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
@@ -227,7 +227,7 @@
 // execute executes the actions of the module that the tracker does not: those that concern no op and no timer.
 func (s *Scheduler) execute(action honeyplank.Action) {
 	switch a := action.(type) {
-	case honeyplank.Probe:
+	case honeyplank.HealthCheck:
 		s.probe(a.Server)
 	case honeyplank.CloseIdle:
 		if ds := s.servers[a.Server]; ds != nil {
@@ -235,8 +235,14 @@
 		}
 	case honeyplank.Gossip:
 		s.sendGossip(a)
-	case honeyplank.Log:
-		s.log.Info().Msg(a.Text)
+	case honeyplank.LogHealth:
+		s.log.Info().
+			Str("server", string(a.Server)).
+			Stringer("health", a.Health).
+			Stringer("previous_health", a.Previous).
+			Msg("disk server health changed")
+	case honeyplank.LogEstimateIgnored:
+		s.log.Info().Str("server", string(a.Server)).Str("reason", a.Reason).Msg("saved estimate ignored")
 	case honeyplank.Watch:
 		s.setWatch(a.Enabled)
 	case honeyplank.Fetch:
@@ -248,14 +254,14 @@
 func (s *Scheduler) probe(id honeyplank.ServerID) {
 	ds := s.servers[id]
 	if ds == nil || !s.site().Probes {
-		s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.NotSent})
+		s.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: honeyplank.NotSent})
 		return
 	}
 	a := &attempt{server: ds, started: s.loop.Now()}
 	a.timer = s.loop.Schedule(a.started+s.site().ConnectWithin, func() {
 		if !a.finished {
 			a.cancel()
-			s.tracker.Deliver(honeyplank.ProbeResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - a.started})
+			s.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - a.started})
 		}
 	})
 	ds.assignConn(a)
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -106,11 +106,11 @@
 	})
 	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
-	results := make(chan honeyplank.ProbeResult, 1)
+	results := make(chan honeyplank.HealthCheckResult, 1)
 	bed.onLoop(func() {
 		bed.module.DecisionModule = &delayedModule{delay: time.Hour}
 		bed.module.onEvent = func(e honeyplank.Event) {
-			if result, ok := e.(honeyplank.ProbeResult); ok {
+			if result, ok := e.(honeyplank.HealthCheckResult); ok {
 				results <- result
 			}
 		}
@@ -125,7 +125,7 @@
 			t.Errorf("%d connections are being opened", ds.dialing)
 		}
 		ds.address = "255.255.255.255:9"
-		s.execute(honeyplank.Probe{Server: "s-0"}) // no dial can begin: it waits for that connection
+		s.execute(honeyplank.HealthCheck{Server: "s-0"}) // no dial can begin: it waits for that connection
 	})
 	select {
 	case result := <-results:
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -19,15 +19,15 @@
 //go:embed honeyplank.xsd
 var Schema []byte
 
-// Fault is what is wrong with a file, where, and what would be right.
-type Fault struct {
+// Error is what is wrong with a file, where, and what would be right.
+type Error struct {
 	File  string
 	Line  int
 	Wrong string
 	Right string
 }
 
-func (f *Fault) Error() string {
+func (f *Error) Error() string {
 	s := fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Wrong)
 	if f.Right != "" {
 		s += "; " + f.Right
@@ -132,7 +132,7 @@
 	count := 0
 	start := 1 // line where the token begins
 	line := func() int { return start }
-	fault := func(wrong, right string) error { return &Fault{file, line(), wrong, right} }
+	fault := func(wrong, right string) error { return &Error{file, line(), wrong, right} }
 	if len(text) > sizeMost {
 		return nil, fault("the file is too large", fmt.Sprintf("at most %d bytes", sizeMost))
 	}
@@ -144,7 +144,7 @@
 		}
 		if err != nil {
 			if e, ok := err.(*xml.SyntaxError); ok {
-				return nil, &Fault{file, e.Line, "not well-formed XML: " + e.Msg, ""}
+				return nil, &Error{file, e.Line, "not well-formed XML: " + e.Msg, ""}
 			}
 			return nil, fault("not well-formed XML: "+err.Error(), "")
 		}
@@ -192,7 +192,7 @@
 // check holds a file against the schema.
 func (s *schema) check(file string, root *node) error {
 	if root.name != s.root.Name {
-		return &Fault{file, root.line, fmt.Sprintf("root element <%s>", root.name), fmt.Sprintf("it must be <%s>", s.root.Name)}
+		return &Error{file, root.line, fmt.Sprintf("root element <%s>", root.name), fmt.Sprintf("it must be <%s>", s.root.Name)}
 	}
 	if err := s.element(file, root, &s.root); err != nil {
 		return err
@@ -202,7 +202,7 @@
 
 func (s *schema) element(file string, n *node, e *schemaElement) error {
 	fault := func(line int, right, wrong string, a ...any) error {
-		return &Fault{file, line, fmt.Sprintf(wrong, a...), right}
+		return &Error{file, line, fmt.Sprintf(wrong, a...), right}
 	}
 	known := map[string]bool{}
 	var names []string
@@ -369,7 +369,7 @@
 				v = i.String()
 			}
 			if held[k.Name][v] {
-				return &Fault{file, n.line, fmt.Sprintf("%s=%q of <%s> stands twice", field, v, n.name), "each must be its own"}
+				return &Error{file, n.line, fmt.Sprintf("%s=%q of <%s> stands twice", field, v, n.name), "each must be its own"}
 			}
 			held[k.Name][v] = true
 		}
@@ -382,7 +382,7 @@
 				for name := range held[k.Refer] {
 					names = append(names, name)
 				}
-				return &Fault{file, n.line, fmt.Sprintf("%s=%q of <%s> is not defined", field, v, n.name), "defined are " + strings.Join(sorted(names), ", ")}
+				return &Error{file, n.line, fmt.Sprintf("%s=%q of <%s> is not defined", field, v, n.name), "defined are " + strings.Join(sorted(names), ", ")}
 			}
 		}
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -34,8 +34,8 @@
 // MarshalText writes the time in that form.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the span as the standard library has it.
-func (s Span) D() time.Duration { return time.Duration(s) }
+// Duration is the span as the standard library has it.
+func (s Span) Duration() time.Duration { return time.Duration(s) }
 
 var unitShifts = []struct {
 	name  string
@@ -80,11 +80,11 @@
 		Etcd []struct {
 			Endpoint string `xml:"endpoint,attr"`
 		} `xml:"etcd"`
-		DNS       *NameService `xml:"dns"`
-		Believe   *Believe     `xml:"believe"`
-		Prefix    string       `xml:"prefix,attr"`
-		AskWithin Span         `xml:"ask-within,attr"`
-		Most      int          `xml:"most,attr"`
+		DNS         *DNSSource   `xml:"dns"`
+		SourceTrust *SourceTrust `xml:"believe"`
+		Prefix      string       `xml:"prefix,attr"`
+		WatchWithin Span         `xml:"ask-within,attr"`
+		MaxServers  int          `xml:"most,attr"`
 	} `xml:"list"`
 	Scheduler struct {
 		Hosts   int  `xml:"hosts,attr"`
@@ -93,9 +93,9 @@
 		Step    Span `xml:"step,attr,omitempty"`
 	} `xml:"scheduler"`
 	Dispatches struct {
-		Most       int  `xml:"most,attr"`
-		Parallel   bool `xml:"parallel,attr,omitempty"`
-		AdviceMost Span `xml:"advice-most,attr,omitempty"`
+		Max           int  `xml:"most,attr"`
+		Parallel      bool `xml:"parallel,attr,omitempty"`
+		MaxRetryAfter Span `xml:"advice-most,attr,omitempty"`
 	} `xml:"dispatches"`
 	OpTypes []OpType `xml:"op-types>op-type"`
 	Plans   struct {
@@ -104,51 +104,51 @@
 		Spare       float64 `xml:"spare,attr,omitempty"`
 	} `xml:"plans"`
 	Volumes struct {
-		List   []Volume `xml:"volume"`
-		Block  Bytes    `xml:"block,attr"`
-		Unit   Bytes    `xml:"unit,attr"`
-		Extent Bytes    `xml:"extent,attr"`
-		Mean   float64  `xml:"mean-units,attr"`
+		List      []Volume `xml:"volume"`
+		Block     Bytes    `xml:"block,attr"`
+		Unit      Bytes    `xml:"unit,attr"`
+		Extent    Bytes    `xml:"extent,attr"`
+		MeanUnits float64  `xml:"mean-units,attr"`
 	} `xml:"volumes"`
 	Rules       Rules       `xml:"rules"`
 	Limits      Limits      `xml:"limits"`
 	DiskServers DiskServers `xml:"disk-servers"`
-	Rehearsal   *Rehearsal  `xml:"rehearsal"`
+	FaultTest   *FaultTest  `xml:"rehearsal"`
 }
 
-// NameService is the list in DNS: docs/dns.md.
-type NameService struct {
+// DNSSource is the list in DNS: docs/dns.md.
+type DNSSource struct {
 	Servers []struct {
 		Address string `xml:"address,attr"`
 	} `xml:"server"`
-	Name    string `xml:"name,attr"`
-	Floor   Span   `xml:"floor,attr"`
-	Ceiling Span   `xml:"ceiling,attr"`
-	Timeout Span   `xml:"timeout,attr"`
+	Name        string `xml:"name,attr"`
+	MinInterval Span   `xml:"floor,attr"`
+	MaxInterval Span   `xml:"ceiling,attr"`
+	Timeout     Span   `xml:"timeout,attr"`
 }
 
-// Believe holds the figures of the rule whom to believe: docs/sources.md.
-type Believe struct {
-	Vanish  float64 `xml:"vanish,attr"`
-	Confirm Span    `xml:"confirm,attr"`
-	Calm    Span    `xml:"calm,attr"`
-	Flaps   int     `xml:"flaps,attr"`
-	Hold    Span    `xml:"hold,attr"`
+// SourceTrust holds the figures of the rule whom to believe: docs/sources.md.
+type SourceTrust struct {
+	MaxRemovedShare float64 `xml:"vanish,attr"`
+	ConfirmAfter    Span    `xml:"confirm,attr"`
+	FlapWindow      Span    `xml:"calm,attr"`
+	FlapThreshold   int     `xml:"flaps,attr"`
+	FlapHold        Span    `xml:"hold,attr"`
 }
 
 // OpType is an op type, and which commands are of it: opcode and a range of lengths, From to To included.
 type OpType struct {
 	Name          string  `xml:"name,attr"`
 	Opcode        string  `xml:"opcode,attr"`
-	From          Bytes   `xml:"from,attr,omitempty"`
-	To            Bytes   `xml:"to,attr,omitempty"`
+	MinBytes      Bytes   `xml:"from,attr,omitempty"`
+	MaxBytes      Bytes   `xml:"to,attr,omitempty"`
 	TargetLatency Span    `xml:"target-latency,attr"`
 	OpTimeout     Span    `xml:"op-timeout,attr"`
 	Utility       float64 `xml:"utility,attr"`
 	LateUtility   float64 `xml:"late-utility,attr,omitempty"`
-	Kind          string  `xml:"kind,attr"`
-	Scope         string  `xml:"scope,attr,omitempty"`
-	Remember      Span    `xml:"remember,attr,omitempty"`
+	Semantics     string  `xml:"kind,attr"`
+	DedupScope    string  `xml:"scope,attr,omitempty"`
+	DedupWindow   Span    `xml:"remember,attr,omitempty"`
 	Ordered       bool    `xml:"ordered,attr,omitempty"`
 }
 
@@ -185,14 +185,14 @@
 
 // Rules are the figures of the seven rules.
 type Rules struct {
-	Cold *struct {
+	SlowStart *struct {
 		From     float64 `xml:"from,attr"`
 		Time     Span    `xml:"time,attr"`
 		Window   Span    `xml:"window,attr"`
 		Units    float64 `xml:"units,attr"`
 		Multiple float64 `xml:"multiple,attr"`
 	} `xml:"cold"`
-	Budget *struct {
+	RetryBudget *struct {
 		Free   float64 `xml:"free,attr"`
 		Share  float64 `xml:"share,attr"`
 		Window Span    `xml:"window,attr"`
@@ -212,22 +212,22 @@
 	Transfer    Bytes `xml:"transfer,attr"`
 	Capsule     Bytes `xml:"capsule,attr"`
 	Piece       Bytes `xml:"piece,attr"`
-	Held        Bytes `xml:"held,attr"`
-	Unsent      Bytes `xml:"unsent,attr"`
+	MaxBuffered Bytes `xml:"held,attr"`
+	MaxUnsent   Bytes `xml:"unsent,attr"`
 	Handshake   Span  `xml:"handshake,attr"`
 }
 
 // Peer bounds what one peer may cost: docs/peers.md.
 type Peer struct {
-	Connections int   `xml:"connections,attr"`
-	Handshakes  int   `xml:"handshakes,attr"`
-	Commands    int   `xml:"commands,attr,omitempty"`
-	Bytes       Bytes `xml:"bytes,attr"`
-	PDU         Span  `xml:"pdu,attr"`
-	Breaches    int   `xml:"breaches,attr"`
-	Window      Span  `xml:"window,attr"`
-	Shut        Span  `xml:"shut,attr"`
-	Most        Span  `xml:"most,attr"`
+	Connections     int   `xml:"connections,attr"`
+	Handshakes      int   `xml:"handshakes,attr"`
+	Commands        int   `xml:"commands,attr,omitempty"`
+	Bytes           Bytes `xml:"bytes,attr"`
+	PDUTimeout      Span  `xml:"pdu,attr"`
+	BanThreshold    int   `xml:"breaches,attr"`
+	ViolationWindow Span  `xml:"window,attr"`
+	InitialBan      Span  `xml:"shut,attr"`
+	MaxBan          Span  `xml:"most,attr"`
 }
 
 // DiskServers says how to talk to them.
@@ -239,15 +239,15 @@
 	Digests       bool   `xml:"digests,attr,omitempty"`
 }
 
-// Rehearsal is a script: a fleet of stand-ins, traffic, and what goes wrong when.
-type Rehearsal struct {
+// FaultTest is a script: a fleet of stand-ins, traffic, and what goes wrong when.
+type FaultTest struct {
 	Gateways int       `xml:"gateways,attr"`
 	Length   Span      `xml:"length,attr"`
 	Clients  int       `xml:"clients,attr"`
 	Retries  int       `xml:"retries,attr,omitempty"`
 	Fleet    Fleet     `xml:"fleet"`
 	Traffic  []Traffic `xml:"traffic"`
-	Troubles []Trouble `xml:"trouble"`
+	Faults   []Fault   `xml:"trouble"`
 }
 
 // Fleet is what each stand-in disk server is like.
@@ -274,8 +274,8 @@
 	Run    int     `xml:"run,attr,omitempty"`
 }
 
-// Trouble goes wrong At for a time, with Count servers, gateways or clients, or Times as much.
-type Trouble struct {
+// Fault goes wrong At for a time, with Count servers, gateways or clients, or Times as much.
+type Fault struct {
 	Kind  string  `xml:"kind,attr"`
 	At    Span    `xml:"at,attr"`
 	For   Span    `xml:"for,attr"`
@@ -308,7 +308,7 @@
 	}
 	g := &Gateway{}
 	if err := xml.Unmarshal(text, g); err != nil {
-		return nil, &Fault{file, root.line, err.Error(), ""}
+		return nil, &Error{file, root.line, err.Error(), ""}
 	}
 	if err := g.agree(file, root); err != nil {
 		return nil, err
@@ -342,21 +342,21 @@
 		{l.Piece >= 4<<10 && l.Piece%4 == 0 && l.Piece <= 1<<20, limits, "piece is not a multiple of 4 from 4KiB to 1MiB", "such as 128KiB"},
 		{l.Capsule >= 1<<10 && l.Capsule%16 == 0 && l.Capsule <= l.Piece, limits, "capsule is not a multiple of 16 from 1KiB to piece", "such as 8KiB"},
 		{l.Depth >= 2 && l.Depth <= 1024, limits, "depth is not from 2 to 1024", "such as 128"},
-		{l.Held >= l.Transfer, limits, "held is under transfer", "at least one transfer must fit"},
-		{l.Unsent >= 4*l.Transfer, limits, "unsent is under four times transfer", "room for some answers"},
+		{l.MaxBuffered >= l.Transfer, limits, "held is under transfer", "at least one transfer must fit"},
+		{l.MaxUnsent >= 4*l.Transfer, limits, "unsent is under four times transfer", "room for some answers"},
 		{l.Handshake > 0, limits, "handshake is 0", "such as 1s"},
 		{g.DiskServers.Depth >= 2 && g.DiskServers.Depth <= 1024, disks, "depth is not from 2 to 1024", "such as 256"},
 		{g.DiskServers.ConnectWithin > 0, disks, "connect-within is 0", "such as 250ms"},
 		{g.Scheduler.Ordinal < g.Scheduler.Hosts, one("scheduler"), "ordinal is not below hosts", "schedulers count from 0"},
-		{g.Rules.Cold == nil || g.Rules.Cold.From > 0 && g.Rules.Cold.Window > 0, rules, "cold has from or window 0", "leave the element out where servers start warm"},
-		{g.Rules.Budget == nil || g.Rules.Budget.Window > 0, rules, "budget has window 0", "leave the element out where there is no budget"},
-		{g.List.AskWithin > 0, one("list"), "ask-within is 0", "such as 10s"},
-		{g.List.Most > 0, one("list"), "most is 0", "more than the fleet will ever have, such as 20000"},
-		{l.Peer == nil || l.Peer.Connections >= 2 && l.Peer.Window > 0 && l.Peer.Shut > 0 && l.Peer.Most >= l.Peer.Shut && l.Peer.Bytes >= l.Transfer, limits,
+		{g.Rules.SlowStart == nil || g.Rules.SlowStart.From > 0 && g.Rules.SlowStart.Window > 0, rules, "cold has from or window 0", "leave the element out where servers start warm"},
+		{g.Rules.RetryBudget == nil || g.Rules.RetryBudget.Window > 0, rules, "budget has window 0", "leave the element out where there is no budget"},
+		{g.List.WatchWithin > 0, one("list"), "ask-within is 0", "such as 10s"},
+		{g.List.MaxServers > 0, one("list"), "most is 0", "more than the fleet will ever have, such as 20000"},
+		{l.Peer == nil || l.Peer.Connections >= 2 && l.Peer.ViolationWindow > 0 && l.Peer.InitialBan > 0 && l.Peer.MaxBan >= l.Peer.InitialBan && l.Peer.Bytes >= l.Transfer, limits,
 			"peer has under 2 connections, bytes under transfer, window or shut 0, or most under shut", "a host needs two connections, and one transfer must fit"},
 		{len(g.List.Etcd) > 0 || g.List.DNS != nil, one("list"), "the list has no source", "etcd, dns, or both"},
-		{g.List.DNS == nil || g.List.Believe != nil, one("list"), "dns stands without a believe", "with two sources the rule needs its figures"},
-		{g.List.DNS == nil || g.List.DNS.Floor > 0 && g.List.DNS.Floor <= g.List.DNS.Ceiling && g.List.DNS.Timeout > 0, one("list"), "dns has floor or timeout 0, or a floor over its ceiling", "such as floor 1s, ceiling 30s, timeout 500ms"},
+		{g.List.DNS == nil || g.List.SourceTrust != nil, one("list"), "dns stands without a believe", "with two sources the rule needs its figures"},
+		{g.List.DNS == nil || g.List.DNS.MinInterval > 0 && g.List.DNS.MinInterval <= g.List.DNS.MaxInterval && g.List.DNS.Timeout > 0, one("list"), "dns has floor or timeout 0, or a floor over its ceiling", "such as floor 1s, ceiling 30s, timeout 500ms"},
 	}
 	addresses := append([]*node{one("listen")}, root.pick("list/etcd")...)
 	addresses = append(addresses, root.pick("list/dns/server")...)
@@ -368,18 +368,18 @@
 	cover := map[string][][2]int64{}
 	for i, t := range g.OpTypes {
 		n := root.pick("op-types/op-type")[i]
-		to := int64(t.To)
-		if t.To == 0 {
+		to := int64(t.MaxBytes)
+		if t.MaxBytes == 0 {
 			to = int64(max(l.Transfer, 1))
 		}
 		for _, o := range cover[t.Opcode] {
-			checks = append(checks, check{to < o[0] || int64(t.From) > o[1], n, fmt.Sprintf("the lengths of %q overlap another op type's", t.Name), "each length of an opcode belongs to one op type"})
+			checks = append(checks, check{to < o[0] || int64(t.MinBytes) > o[1], n, fmt.Sprintf("the lengths of %q overlap another op type's", t.Name), "each length of an opcode belongs to one op type"})
 		}
-		cover[t.Opcode] = append(cover[t.Opcode], [2]int64{int64(t.From), to})
+		cover[t.Opcode] = append(cover[t.Opcode], [2]int64{int64(t.MinBytes), to})
 		checks = append(checks,
 			check{t.TargetLatency > 0 && t.TargetLatency <= t.OpTimeout, n, fmt.Sprintf("the target latency of %q is 0 or over its op timeout", t.Name), "an answer is wanted before the client gives up"},
 			check{g.Rules.AnswerMargin < t.OpTimeout/2, rules, fmt.Sprintf("answer-margin is half of the op timeout of %q or more", t.Name), "it is the time an answer needs to the client"},
-			check{t.Kind != "deduplicated" || t.Remember > 0, n, fmt.Sprintf("%q is deduplicated without a time", t.Name), "remember tells how long repeats are known"})
+			check{t.Semantics != "deduplicated" || t.DedupWindow > 0, n, fmt.Sprintf("%q is deduplicated without a time", t.Name), "remember tells how long repeats are known"})
 	}
 	for _, op := range []string{"read", "write"} {
 		list := cover[op]
@@ -406,7 +406,7 @@
 	}
 	for _, c := range checks {
 		if !c.ok {
-			return &Fault{file, c.at.line, c.wrong, c.right}
+			return &Error{file, c.at.line, c.wrong, c.right}
 		}
 	}
 	return nil
@@ -419,33 +419,33 @@
 // Module returns the settings of the decision module.
 func (g *Gateway) Module() *honeyplank.Settings {
 	m := &honeyplank.Settings{
-		Step:         g.Scheduler.Step.D(),
+		Step:         g.Scheduler.Step.Duration(),
 		Schedulers:   g.Scheduler.Hosts,
 		Ordinal:      g.Scheduler.Ordinal,
-		MeanUnits:    g.Volumes.Mean,
+		MeanUnits:    g.Volumes.MeanUnits,
 		LargestUnits: float64(g.Units(int64(g.Limits.Transfer))),
-		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.List.AskWithin.D()},
-		Dispatches: honeyplank.DispatchSettings{Max: g.Dispatches.Most, Parallel: g.Dispatches.Parallel, Cancel: true,
-			ConnectTimeout: g.DiskServers.ConnectWithin.D()},
-		RetryAfter:  honeyplank.RetryAfterSettings{Allowed: g.Dispatches.AdviceMost > 0, Max: g.Dispatches.AdviceMost.D()},
-		Usage:       honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.D(), Elsewhere: g.Rules.Elsewhere},
-		DrainGrace:  g.Rules.DrainGrace.D(),
-		OrderSettle: g.Rules.OrderSettle.D(),
+		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.List.WatchWithin.Duration()},
+		Dispatches: honeyplank.DispatchSettings{Max: g.Dispatches.Max, Parallel: g.Dispatches.Parallel, Cancel: true,
+			ConnectTimeout: g.DiskServers.ConnectWithin.Duration()},
+		RetryAfter:  honeyplank.RetryAfterSettings{Allowed: g.Dispatches.MaxRetryAfter > 0, Max: g.Dispatches.MaxRetryAfter.Duration()},
+		Usage:       honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.Duration(), Elsewhere: g.Rules.Elsewhere},
+		DrainGrace:  g.Rules.DrainGrace.Duration(),
+		OrderSettle: g.Rules.OrderSettle.Duration(),
 	}
-	if c := g.Rules.Cold; c != nil {
-		m.SlowStart = honeyplank.SlowStartSettings{Window: c.Window.D(), Time: c.Time.D(), From: c.From, Units: c.Units}
+	if c := g.Rules.SlowStart; c != nil {
+		m.SlowStart = honeyplank.SlowStartSettings{Window: c.Window.Duration(), Time: c.Time.Duration(), From: c.From, Units: c.Units}
 	}
-	if b := g.Rules.Budget; b != nil {
-		m.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: b.Free, Share: b.Share, Window: b.Window.D()}
+	if b := g.Rules.RetryBudget; b != nil {
+		m.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: b.Free, Share: b.Share, Window: b.Window.Duration()}
 	}
 	for _, t := range g.OpTypes {
 		types := &m.OpTypes
-		types.TargetLatency = append(types.TargetLatency, t.TargetLatency.D())
-		types.OpTimeout = append(types.OpTimeout, t.OpTimeout.D())
+		types.TargetLatency = append(types.TargetLatency, t.TargetLatency.Duration())
+		types.OpTimeout = append(types.OpTimeout, t.OpTimeout.Duration())
 		types.Utility = append(types.Utility, t.Utility)
-		types.Semantics = append(types.Semantics, kinds[t.Kind])
-		types.DedupScope = append(types.DedupScope, scopes[t.Scope])
-		types.DedupWindow = append(types.DedupWindow, t.Remember.D())
+		types.Semantics = append(types.Semantics, kinds[t.Semantics])
+		types.DedupScope = append(types.DedupScope, scopes[t.DedupScope])
+		types.DedupWindow = append(types.DedupWindow, t.DedupWindow.Duration())
 		types.Ordered = append(types.Ordered, t.Ordered)
 	}
 	for _, p := range g.Plans.List {
@@ -470,7 +470,7 @@
 // Type is the op type of a command by its length, -1 where there is none.
 func (g *Gateway) Type(write bool, bytes int64) int {
 	for i, t := range g.OpTypes {
-		if (t.Opcode == "write") == write && bytes >= int64(t.From) && (t.To == 0 || bytes <= int64(t.To)) {
+		if (t.Opcode == "write") == write && bytes >= int64(t.MinBytes) && (t.MaxBytes == 0 || bytes <= int64(t.MaxBytes)) {
 			return i
 		}
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -84,7 +84,7 @@
 			t.Errorf("%s: %v, right is %v", c.name, err, c.right)
 			continue
 		}
-		var fault *Fault
+		var fault *Error
 		if err != nil && (!errors.As(err, &fault) || fault.File != "x.xml" || fault.Line != c.line || fault.Wrong == "") {
 			t.Errorf("%s: %v, want line %d", c.name, err, c.line)
 		}
@@ -122,7 +122,7 @@
 		{"huge", `size="2GiB"`, `size="999999999TiB"`, "too large"},
 	} {
 		_, err := Parse("x.xml", []byte(change(t, example(t), c.from, c.to)))
-		var fault *Fault
+		var fault *Error
 		if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.says)
 		}
@@ -159,7 +159,7 @@
 	if v.LargestUnits != 8.0 || v.RetryBudget.Share != 0.25 || v.SlowStart.Window != time.Second || v.Plans.Value[1] != 1 {
 		t.Error("figures", v)
 	}
-	if got, want := v.Dispatches.ConnectTimeout, g.DiskServers.ConnectWithin.D(); got != want || got <= 0 {
+	if got, want := v.Dispatches.ConnectTimeout, g.DiskServers.ConnectWithin.Duration(); got != want || got <= 0 {
 		t.Errorf("connect timeout %v, want %v", got, want)
 	}
 	// Disk servers count for other hosts only where the settings say so.
