--- a/cmd/honeyplank/nodes.go
+++ b/cmd/honeyplank/nodes.go
@@ -43,7 +43,7 @@
 		list, _ := g.Nodes()
 		key := ""
 		for _, n := range list {
-			key += n.OSD + n.Believed + n.Cause
+			key += n.Server + n.State + n.Cause
 		}
 		if key == seen && !first {
 			continue
@@ -57,7 +57,7 @@
 		}
 		fmt.Printf("%-22s %5s %-9s %-20s %-8s %-28s %s\n", "disk server", "cell", "believed", "cause", "since", "etcd says", "dns says")
 		for _, n := range list {
-			fmt.Printf("%-22s %5d %-9s %-20s %-8s %-28s %s\n", n.OSD, n.Cell, n.Believed, n.Cause, n.Since, n.Etcd, n.DNS)
+			fmt.Printf("%-22s %5d %-9s %-20s %-8s %-28s %s\n", n.Server, n.Cell, n.State, n.Cause, n.Since, n.Etcd, n.DNS)
 		}
 	}
 	return nil
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -199,7 +199,7 @@
 			for _, n := range nodes {
 				st.looks++
 				sound := strings.HasPrefix(n.Etcd, "on") && strings.HasPrefix(n.DNS, "on") && !strings.HasSuffix(n.Etcd+n.DNS, "vanished")
-				if sound && n.Believed != "on" && n.Cause != "held back" {
+				if sound && n.State != "on" && n.Cause != "held back" {
 					st.wrong++
 				}
 			}
@@ -669,7 +669,7 @@
 	for _, g := range st.gateways {
 		c, _ := g.Counts()
 		out.Gateways = append(out.Gateways, c)
-		out.Held += c.Open + c.Out + c.Held
+		out.Held += c.Unanswered + c.Outstanding + c.BufferedBytes
 	}
 	done := make(chan struct{})
 	st.loop.Post(func() {
--- a/gateway/clients_test.go
+++ b/gateway/clients_test.go
@@ -16,7 +16,7 @@
 		c := connectRaw(t, h, "half")
 		c.write(c.command(9, nvme.Write, 1, 0, 16, nil)) // an R2T comes, its data never does
 		c.expect(nvme.TypeR2T)
-		if held := h.counts().Held; held < 16*blockBytes {
+		if held := h.counts().BufferedBytes; held < 16*blockBytes {
 			t.Errorf("%d bytes held, a write is under way", held)
 		}
 		c.conn.Close()
@@ -29,15 +29,15 @@
 		for i := range 40 { // more than the window: some are dispatched, some queued
 			answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
 		}
-		h.eventually("some out", func() bool { c := h.counts(); return c.Out > 0 && c.Open > c.Out })
+		h.eventually("some out", func() bool { c := h.counts(); return c.Outstanding > 0 && c.Unanswered > c.Outstanding })
 		h.onLoop(a.Close)
-		h.eventually("no answer is owed", func() bool { return h.counts().Open == 0 })
+		h.eventually("no answer is owed", func() bool { return h.counts().Unanswered == 0 })
 		for _, c := range answers {
 			if r := <-c; !r.lost {
 				t.Error("an answer after the connection was closed")
 			}
 		}
-		if c := h.counts(); c.Out == 0 {
+		if c := h.counts(); c.Outstanding == 0 {
 			t.Error("the disk server has answered already; nothing was tested")
 		}
 		h.waitIdle()
@@ -65,7 +65,7 @@
 			t.Errorf("another client's op %d: %#x", i, status)
 		}
 	}
-	h.eventually("the client's ops are over", func() bool { return h.counts().Open == 0 })
+	h.eventually("the client's ops are over", func() bool { return h.counts().Unanswered == 0 })
 	h.waitIdle()
 }
 
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -158,7 +158,7 @@
 			c := newClockHarness(h, x.step, nil)
 			c.eventually("both sources have reported it, DNS repeatedly", func() bool {
 				node, ok := c.node(address)
-				if ok && node.Believed != "never" && node.Believed != x.state {
+				if ok && node.State != "never" && node.State != x.state {
 					t.Fatalf("its state is %+v", node)
 				}
 				return ok && names.Queries() > 5 && node.DNS != "never" && node.Etcd != "never"
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -10,11 +10,11 @@
 // Counts are what an instance has done since New, and what it has in flight.
 type Counts struct {
 	inflight.Counts
-	Open        int           // admitted ops without an answer
-	Out         int           // dispatches without an outcome
-	Held        int           // bytes of write data in buffers
-	Connections int           // of clients
-	CPU         time.Duration // used by the event loop
+	Unanswered    int           // admitted ops without an answer
+	Outstanding   int           // dispatches without an outcome
+	BufferedBytes int           // bytes of write data in buffers
+	Connections   int           // of clients
+	CPU           time.Duration // used by the event loop
 }
 
 // Stats returns the counters of the instance's event loop.
@@ -24,12 +24,12 @@
 func (g *Instance) Counts() (counts Counts, ok bool) {
 	return query(g, func() Counts {
 		return Counts{
-			Counts:      g.tracker.Counts,
-			Open:        g.tracker.Unanswered(),
-			Out:         g.tracker.Outstanding(),
-			Held:        g.server.Buffers.InUse,
-			Connections: g.server.Connections(),
-			CPU:         g.loop.CPU(),
+			Counts:        g.tracker.Counts,
+			Unanswered:    g.tracker.Unanswered(),
+			Outstanding:   g.tracker.Outstanding(),
+			BufferedBytes: g.server.Buffers.InUse,
+			Connections:   g.server.Connections(),
+			CPU:           g.loop.CPU(),
 		}
 	})
 }
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -34,7 +34,7 @@
 					t.Errorf("op %d on the healthy server: %#x", i, r.status)
 				}
 			}
-			h.eventually("no answer is owed", func() bool { return h.counts().Open == 0 })
+			h.eventually("no answer is owed", func() bool { return h.counts().Unanswered == 0 })
 			// It comes back; its late answers must not be taken for others'.
 			h.onLoop(func() { h.disks[1].Apply(disk.Faults{}) })
 			h.eventually("served again", func() bool {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -145,7 +145,7 @@
 }
 
 func findNode(nodes []gateway.Node, address string) (node gateway.Node, ok bool) {
-	i := slices.IndexFunc(nodes, func(n gateway.Node) bool { return n.OSD == address })
+	i := slices.IndexFunc(nodes, func(n gateway.Node) bool { return n.Server == address })
 	if i < 0 {
 		return node, false
 	}
@@ -180,7 +180,7 @@
 // waitIdle waits until no op is unanswered, no dispatch outstanding and no buffer in use.
 func (h *harness) waitIdle() {
 	h.t.Helper()
-	h.eventually("idle", func() bool { c := h.counts(); return c.Open == 0 && c.Out == 0 && c.Held == 0 })
+	h.eventually("idle", func() bool { c := h.counts(); return c.Unanswered == 0 && c.Outstanding == 0 && c.BufferedBytes == 0 })
 }
 
 // associationWaiter receives nil once an association is ready, or the error with which it has ended.
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -28,7 +28,7 @@
 	for i := range 40 {
 		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
 	}
-	h.eventually("queued and dispatched", func() bool { c := h.counts(); return c.Open == 40 && c.Out > 0 && c.Out < 40 })
+	h.eventually("queued and dispatched", func() bool { c := h.counts(); return c.Unanswered == 40 && c.Outstanding > 0 && c.Outstanding < 40 })
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if err := h.gateway.Shutdown(ctx); err != nil {
@@ -55,7 +55,7 @@
 	a := h.connect("client")
 	h.onLoop(func() { h.disks[1].Apply(disk.Faults{Silent: true}) })
 	answers := []chan answer{h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil), h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil)}
-	h.eventually("admitted", func() bool { return h.counts().Open == 2 })
+	h.eventually("admitted", func() bool { return h.counts().Unanswered == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := h.gateway.Shutdown(ctx); err == nil {
--- a/gateway/nodes.go
+++ b/gateway/nodes.go
@@ -12,13 +12,13 @@
 // Node is the state of a disk server in the membership ledger, its cause, and what each source reports. Since is a
 // duration up to now, rounded to seconds.
 type Node struct {
-	OSD      string `json:"osd"`
-	Cell     int    `json:"cell"`
-	Believed string `json:"believed"`
-	Cause    string `json:"cause"`
-	Since    string `json:"since"`
-	Etcd     string `json:"etcd"`
-	DNS      string `json:"dns"`
+	Server string `json:"osd"`
+	Cell   int    `json:"cell"`
+	State  string `json:"believed"`
+	Cause  string `json:"cause"`
+	Since  string `json:"since"`
+	Etcd   string `json:"etcd"`
+	DNS    string `json:"dns"`
 }
 
 // Nodes returns the state of each disk server, sorted by address; ok is false if the instance has ended. It waits for
@@ -38,13 +38,13 @@
 
 func makeNode(now time.Duration, id honeyplank.ServerID, view membership.View) Node {
 	return Node{
-		OSD:      string(id),
-		Cell:     view.Member.Cell,
-		Believed: view.State.String(),
-		Cause:    view.Cause.String(),
-		Since:    (now - view.Since).Round(time.Second).String(),
-		Etcd:     sourceText(now, membership.Etcd, view),
-		DNS:      sourceText(now, membership.DNS, view),
+		Server: string(id),
+		Cell:   view.Member.Cell,
+		State:  view.State.String(),
+		Cause:  view.Cause.String(),
+		Since:  (now - view.Since).Round(time.Second).String(),
+		Etcd:   sourceText(now, membership.Etcd, view),
+		DNS:    sourceText(now, membership.DNS, view),
 	}
 }
 
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -100,8 +100,8 @@
 	for id := range uint16(20) {
 		greedy.write(greedy.command(id, nvme.Write, 1, 0, 16, nil))
 	}
-	h.eventually("data is requested", func() bool { return h.counts().Held > 0 })
-	if held := h.counts().Held; held > 64<<10 {
+	h.eventually("data is requested", func() bool { return h.counts().BufferedBytes > 0 })
+	if held := h.counts().BufferedBytes; held > 64<<10 {
 		t.Errorf("%d bytes are reserved for one peer", held)
 	}
 	for range 20 { // each is answered when its data has timed out
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -51,13 +51,13 @@
 		return (<-h.submit(client, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success
 	})
 	moved := h.submit(client, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
-	h.eventually("the op waits", func() bool { return h.counts().Open > 0 || len(moved) > 0 })
+	h.eventually("the op waits", func() bool { return h.counts().Unanswered > 0 || len(moved) > 0 })
 	h.register(replacement, 1, "on")
 	h.eventually("the replacement is up", func() bool {
 		node, ok := h.node(replacement)
-		return ok && node.Believed == "on"
+		return ok && node.State == "on"
 	})
-	unanswered := h.counts().Open > 0
+	unanswered := h.counts().Unanswered > 0
 	r := <-moved
 	served := r.status == nvme.Success && r.data[8] == 11
 	if unanswered && !served {
@@ -86,7 +86,7 @@
 		list, _ := h.gateway.Nodes()
 		on := 0
 		for _, n := range list {
-			if n.Believed == "on" {
+			if n.State == "on" {
 				on++
 			}
 		}
@@ -151,7 +151,7 @@
 	nodes, _ := h.gateway.Nodes()
 	for _, d := range h.disks {
 		if node, ok := findNode(nodes, d.Address()); ok {
-			text += node.Believed + " " + strings.SplitN(node.DNS, " ", 2)[0] + ";"
+			text += node.State + " " + strings.SplitN(node.DNS, " ", 2)[0] + ";"
 		}
 	}
 	return text
