--- a/eventloop/alloc_test.go
+++ b/eventloop/alloc_test.go
@@ -14,7 +14,7 @@
 	if e.onInput != nil {
 		e.onInput(c)
 	} else {
-		c.Out = append(c.Out, b...)
+		c.Output = append(c.Output, b...)
 	}
 	return len(b)
 }
@@ -38,7 +38,7 @@
 	}
 	go func() { ended <- loop.Run() }()
 	send := func() {
-		client.Out = append(client.Out, "ping"...)
+		client.Output = append(client.Output, "ping"...)
 		client.Send()
 	}
 	roundTrip := func() {
--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -44,7 +44,7 @@
 // Reset ends the connection as a reset by the other end does.
 func (c *Conn) Reset() { c.fail(unix.ECONNRESET) }
 
-// CloseGracefully ends the connection in order: Out is written, then the sending ends, and the socket is closed once the
+// CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed once the
 // other end has closed too, or after a second. To close at once would have the kernel answer what still comes with a reset,
 // which can take from the other end what it has not read yet. Nothing more is read: a request that crosses the end stays
 // unread, so that its sender may send it again. Handler.Closed is not called.
@@ -59,7 +59,7 @@
 	c.closeAfterOutput(gracefulCloseTimeout, unreadCloseTimeout)
 }
 
-// CloseAfterFlush ends a connection whose further input is of no use: Out is written, nothing more is read, and the socket
+// CloseAfterFlush ends a connection whose further input is of no use: Output is written, nothing more is read, and the socket
 // is closed after a delay in which the other end can read the output, or a second later where it has not. Handler.Closed is
 // not called.
 func (c *Conn) CloseAfterFlush(delay time.Duration) {
@@ -69,7 +69,7 @@
 	c.closeAfterOutput(delay, gracefulCloseTimeout+delay)
 }
 
-// closeAfterOutput closes the socket when Out is written and a delay has passed, and by a timeout from now in any case.
+// closeAfterOutput closes the socket when Output is written and a delay has passed, and by a timeout from now in any case.
 func (c *Conn) closeAfterOutput(delay, timeout time.Duration) {
 	c.closing, c.input, c.closeDelay = true, nil, delay
 	c.Pause()
--- a/eventloop/close_test.go
+++ b/eventloop/close_test.go
@@ -45,7 +45,7 @@
 			reads = loop.Stats.BytesIn.Load()
 			close(closed)
 		}
-		c.Out = append(c.Out, sent...)
+		c.Output = append(c.Output, sent...)
 		peer.Write([]byte("crosses"))
 		if peerCloses == "half" {
 			peer.CloseWrite()
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -25,16 +25,16 @@
 // FaultFilter changes bytes on their way, for fault injection. What it holds back it returns from a later call, see
 // Conn.FlushFilter.
 type FaultFilter interface {
-	// In returns what the handler gets in place of received bytes.
-	In(b []byte) []byte
-	// Out returns what is written in place of bytes of Conn.Out.
-	Out(b []byte) []byte
+	// FilterInput returns what the handler gets in place of received bytes.
+	FilterInput(b []byte) []byte
+	// FilterOutput returns what is written in place of bytes of Conn.FilterOutput.
+	FilterOutput(b []byte) []byte
 }
 
 // Conn is a TCP connection on a loop. Its fields and methods must be used on the loop only.
 type Conn struct {
-	// Out is the output: append to it and call Send.
-	Out []byte
+	// Output is the output: append to it and call Send.
+	Output []byte
 	// Tap, where set, sees the bytes that cross the socket, in order; sent tells their direction. It is called without
 	// bytes when the socket is closed.
 	Tap func(sent bool, b []byte)
@@ -42,9 +42,9 @@
 	FaultFilter FaultFilter
 	// RemoteIP is the address of the client of an accepted connection; it is not set on a dialled one.
 	RemoteIP netip.Addr
-	// MaxRead, where positive, is the most that one read takes, in bytes.
-	MaxRead int
-	// BeforeWrite, where set, is called before bytes of Out are written, and may change what is unsent.
+	// MaxReadBytes, where positive, is the most that one read takes, in bytes.
+	MaxReadBytes int
+	// BeforeWrite, where set, is called before bytes of Output are written, and may change what is unsent.
 	BeforeWrite func()
 	// OnClosed, where set, is called once the socket is closed, by whichever end.
 	OnClosed func()
@@ -57,8 +57,8 @@
 	handler Handler
 
 	input    []byte // read, and not used by the handler yet
-	written  int    // bytes of Out that are written already
-	filtered int    // bytes of Out that FaultFilter has passed
+	written  int    // bytes of Output that are written already
+	filtered int    // bytes of Output that FaultFilter has passed
 	arrival  arrival
 
 	interest    uint32 // events that epoll watches
@@ -68,8 +68,8 @@
 	writeQueued bool   // it is in loop.pendingWrites
 
 	closed      bool          // the socket is closed
-	closing     bool          // the socket is closed once Out is written
-	writeClosed bool          // Out is written, and the other end has been told that nothing follows
+	closing     bool          // the socket is closed once Output is written
+	writeClosed bool          // Output is written, and the other end has been told that nothing follows
 	closeDelay  time.Duration // from then until the close, after CloseAfterFlush and CloseGracefully
 }
 
@@ -123,18 +123,18 @@
 // Loop is the loop that serves the connection.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// UnsentBytes is the number of bytes of Out that are not written to the socket yet.
-func (c *Conn) UnsentBytes() int { return len(c.Out) - c.written }
+// UnsentBytes is the number of bytes of Output that are not written to the socket yet.
+func (c *Conn) UnsentBytes() int { return len(c.Output) - c.written }
 
 // DiscardUnsent removes a range of the unsent bytes; from and to count from the first unsent byte. It must not be used
 // together with FaultFilter.
 func (c *Conn) DiscardUnsent(from, to int) {
-	c.Out = slices.Delete(c.Out, c.written+from, c.written+to)
+	c.Output = slices.Delete(c.Output, c.written+from, c.written+to)
 }
 
-// Send has Out written at the end of the round.
+// Send has Output written at the end of the round.
 func (c *Conn) Send() {
-	if !c.writeQueued && !c.closed && !c.dialing && c.written < len(c.Out) {
+	if !c.writeQueued && !c.closed && !c.dialing && c.written < len(c.Output) {
 		c.writeQueued = true
 		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
 	}
@@ -170,7 +170,7 @@
 // FlushFilter has FaultFilter return what it holds back.
 func (c *Conn) FlushFilter() {
 	if c.FaultFilter != nil && !c.closed && !c.dialing {
-		c.offerInput(c.FaultFilter.In(nil))
+		c.offerInput(c.FaultFilter.FilterInput(nil))
 		c.write()
 	}
 }
@@ -242,7 +242,7 @@
 	if c.NotifyHalfClose && !c.closing || c.writeClosed {
 		events |= unix.EPOLLRDHUP
 	}
-	if c.dialing || c.written < len(c.Out) && !c.writeQueued {
+	if c.dialing || c.written < len(c.Output) && !c.writeQueued {
 		events |= unix.EPOLLOUT
 	}
 	return events
@@ -310,8 +310,8 @@
 func (c *Conn) read() {
 	c.loop.Stats.Reads.Add(1)
 	buffer := c.loop.readBuffer
-	if c.MaxRead > 0 {
-		buffer = buffer[:min(c.MaxRead, len(buffer))]
+	if c.MaxReadBytes > 0 {
+		buffer = buffer[:min(c.MaxReadBytes, len(buffer))]
 	}
 	n, err := c.loop.sys.Read(c.fd, buffer)
 	switch {
@@ -333,7 +333,7 @@
 		c.Tap(false, b)
 	}
 	if c.FaultFilter != nil {
-		b = c.FaultFilter.In(b)
+		b = c.FaultFilter.FilterInput(b)
 	}
 	c.offerInput(b)
 }
@@ -364,7 +364,7 @@
 	c.Send()
 }
 
-// write writes as much of Out as the socket takes.
+// write writes as much of Output as the socket takes.
 func (c *Conn) write() {
 	if c.closed { // its descriptor may be another's
 		return
@@ -372,7 +372,7 @@
 	if c.FaultFilter != nil {
 		c.filterOutput()
 	}
-	if c.BeforeWrite != nil && !c.closed && c.written < len(c.Out) {
+	if c.BeforeWrite != nil && !c.closed && c.written < len(c.Output) {
 		c.BeforeWrite()
 	}
 	c.writeUnsent()
@@ -383,19 +383,19 @@
 	c.updateInterest()
 }
 
-// filterOutput passes what is new in Out through FaultFilter.
+// filterOutput passes what is new in Output through FaultFilter.
 func (c *Conn) filterOutput() {
-	c.filtered = min(c.filtered, len(c.Out))
-	unfiltered := append([]byte(nil), c.Out[c.filtered:]...)
-	c.Out = append(c.Out[:c.filtered], c.FaultFilter.Out(unfiltered)...)
-	c.filtered = len(c.Out)
+	c.filtered = min(c.filtered, len(c.Output))
+	unfiltered := append([]byte(nil), c.Output[c.filtered:]...)
+	c.Output = append(c.Output[:c.filtered], c.FaultFilter.FilterOutput(unfiltered)...)
+	c.filtered = len(c.Output)
 }
 
 // writeUnsent writes until all is written, the socket takes no more or the connection fails.
 func (c *Conn) writeUnsent() {
-	for !c.closed && c.written < len(c.Out) {
+	for !c.closed && c.written < len(c.Output) {
 		c.loop.Stats.Writes.Add(1)
-		n, err := c.loop.sys.Write(c.fd, c.Out[c.written:])
+		n, err := c.loop.sys.Write(c.fd, c.Output[c.written:])
 		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll reports when to go on
 			return
 		}
@@ -404,7 +404,7 @@
 			return
 		}
 		if c.Tap != nil {
-			c.Tap(true, c.Out[c.written:c.written+n])
+			c.Tap(true, c.Output[c.written:c.written+n])
 		}
 		c.loop.Stats.BytesOut.Add(int64(n))
 		c.written += n
@@ -414,14 +414,14 @@
 // releaseWritten frees the room of what is written, and goes on with a close that waits for it.
 func (c *Conn) releaseWritten() {
 	switch {
-	case c.written == len(c.Out):
-		c.Out, c.written, c.filtered = c.Out[:0], 0, 0
-		if cap(c.Out) > readSize {
-			c.Out = nil
+	case c.written == len(c.Output):
+		c.Output, c.written, c.filtered = c.Output[:0], 0, 0
+		if cap(c.Output) > readSize {
+			c.Output = nil
 		}
 		c.outputWritten()
 	case c.written > readSize:
-		c.Out = append(c.Out[:0], c.Out[c.written:]...)
+		c.Output = append(c.Output[:0], c.Output[c.written:]...)
 		c.filtered, c.written = max(0, c.filtered-c.written), 0
 	}
 }
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -346,7 +346,7 @@
 func TestClosedDescriptorIsLeftAlone(t *testing.T) {
 	cases := map[string]func(*fixture, *Conn) Handler{
 		"refused with output": func(f *fixture, c *Conn) Handler {
-			c.Out = append(c.Out, "busy"...)
+			c.Output = append(c.Output, "busy"...)
 			c.Send()
 			return nil
 		},
@@ -365,7 +365,7 @@
 		},
 		"closed between CloseGracefully and the end of the round": func(f *fixture, c *Conn) Handler {
 			f.loop.Schedule(0, func() {
-				c.Out = append(c.Out, "bye"...)
+				c.Output = append(c.Output, "bye"...)
 				c.Send()
 				c.CloseGracefully()
 				c.Close()
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -39,7 +39,7 @@
 func (e *endpoint) Opened(c *Conn) {
 	defer e.enter()()
 	e.opened = true
-	c.Out = append(c.Out, e.send...)
+	c.Output = append(c.Output, e.send...)
 }
 
 func (e *endpoint) Input(c *Conn, b []byte) int {
@@ -48,7 +48,7 @@
 		e.input(c)
 	}
 	if e.send == nil {
-		c.Out = append(c.Out, b...)
+		c.Output = append(c.Output, b...)
 		return len(b)
 	}
 	e.received = append(e.received, b...)
--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -217,7 +217,7 @@
 		}
 		if f.Late != "" {
 			c.c.Loop().Schedule(c.c.Loop().Now()+2*time.Millisecond, func() {
-				c.c.Out = append(c.c.Out, f.Late...)
+				c.c.Output = append(c.c.Output, f.Late...)
 				c.c.Send()
 			})
 		}
@@ -240,13 +240,13 @@
 // ready sends what is ready, in the order of commands.
 func (c *conn) ready(n int, answer []byte) {
 	if c.d.now().Half {
-		c.c.Out = append(c.c.Out, answer[:len(answer)/2]...)
+		c.c.Output = append(c.c.Output, answer[:len(answer)/2]...)
 		c.c.CloseGracefully()
 		return
 	}
 	c.due[n-c.base] = answer
 	for len(c.due) > 0 && c.due[0] != nil {
-		c.c.Out = append(c.c.Out, c.due[0]...)
+		c.c.Output = append(c.c.Output, c.due[0]...)
 		c.due = c.due[1:]
 		c.base++
 	}
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -59,8 +59,8 @@
 	until [2]time.Duration
 }
 
-func (b *bend) In(p []byte) []byte  { return b.pass(0, p) }
-func (b *bend) Out(p []byte) []byte { return b.pass(1, p) }
+func (b *bend) FilterInput(p []byte) []byte  { return b.pass(0, p) }
+func (b *bend) FilterOutput(p []byte) []byte { return b.pass(1, p) }
 
 func (b *bend) pass(way int, p []byte) []byte {
 	now := b.st.loop.Now()
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -90,7 +90,7 @@
 	if q.n == 1 {
 		depth, most = q.a.terms.Depth, max(q.a.terms.MaxData, nvme.IdentifyLen)
 	}
-	q.a.sessions[q.n] = newSession(depth, most, q.a.terms.Digests, &q.a.Buffers, &c.Out, c.Send, func() { q.a.join(q.n) })
+	q.a.sessions[q.n] = newSession(depth, most, q.a.terms.Digests, &q.a.Buffers, &c.Output, c.Send, func() { q.a.join(q.n) })
 }
 
 func (q *queue) Input(_ *eventloop.Conn, b []byte) int {
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -76,7 +76,7 @@
 	s.clientConnCount++
 	now := s.loop.Now()
 	c := &client{scheduler: s, conn: conn, reader: resp.Reader{Limits: commandBounds}, lastActivity: now}
-	conn.NotifyHalfClose, conn.MaxRead = true, initialReadSize
+	conn.NotifyHalfClose, conn.MaxReadBytes = true, initialReadSize
 	conn.OnClosed = func() {
 		s.clientConnCount--
 		if c.hasSentOp {
@@ -272,7 +272,7 @@
 		return
 	}
 	c.closing = true
-	c.conn.Out = resp.AppendError(c.conn.Out, text)
+	c.conn.Output = resp.AppendError(c.conn.Output, text)
 	c.conn.CloseAfterFlush(errorReadTime)
 }
 
@@ -280,7 +280,7 @@
 // last one was its last.
 func (c *client) flushReplies() {
 	for len(c.pending) > 0 && c.pending[0].done {
-		c.conn.Out = append(c.conn.Out, c.pending[0].reply...)
+		c.conn.Output = append(c.conn.Output, c.pending[0].reply...)
 		c.pending[0] = nil
 		c.pending = c.pending[1:]
 	}
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -110,7 +110,7 @@
 // appendValues appends a value to the output of a connection n times.
 func (c *client) appendValues(n int, value string) {
 	for range n {
-		c.conn.Out = resp.AppendBulk(c.conn.Out, []byte(value))
+		c.conn.Output = resp.AppendBulk(c.conn.Output, []byte(value))
 	}
 }
 
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -92,7 +92,7 @@
 		return
 	}
 	if !c.hasSentOp {
-		c.hasSentOp, c.conn.MaxRead = true, 0
+		c.hasSentOp, c.conn.MaxReadBytes = true, 0
 		c.scheduler.activeClients++
 	}
 }
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -81,14 +81,14 @@
 // encode appends the command of an attempt to the output, with the time that is left to it now.
 func (sc *serverConn) encode(a *attempt) {
 	a.encodedAt = sc.server.scheduler.loop.Now()
-	before := len(sc.conn.Out)
+	before := len(sc.conn.Output)
 	a.firstByte = sc.appendedBytes
 	if a.dispatch == nil {
-		sc.conn.Out = resp.AppendCommand(sc.conn.Out, []byte("INFO"), []byte("load"))
+		sc.conn.Output = resp.AppendCommand(sc.conn.Output, []byte("INFO"), []byte("load"))
 	} else {
-		sc.conn.Out = a.dispatch.Client().(*request).appendCommand(sc.conn.Out, a.dispatch.Deadline-a.encodedAt)
+		sc.conn.Output = a.dispatch.Client().(*request).appendCommand(sc.conn.Output, a.dispatch.Deadline-a.encodedAt)
 	}
-	sc.appendedBytes += uint64(len(sc.conn.Out) - before)
+	sc.appendedBytes += uint64(len(sc.conn.Output) - before)
 	a.endByte = sc.appendedBytes
 }
 
--- a/target/server.go
+++ b/target/server.go
@@ -121,7 +121,7 @@
 		s.Judged(c.peer, v.String(), 0)
 		return nil
 	}
-	c.session = &Session{tear: c.tear, offer: &s.offer, subs: &s.subs, handler: s.handler, buffers: &s.Buffers, out: &raw.Out,
+	c.session = &Session{tear: c.tear, offer: &s.offer, subs: &s.subs, handler: s.handler, buffers: &s.Buffers, out: &raw.Output,
 		flush: c.flush, end: func() { c.stop(true) }, await: c.await,
 		ask:    func(n int) bool { return s.Guard.ReserveBytes(s.loop.Now(), c.peer, n) },
 		begin:  func() bool { return s.Guard.BeginCommand(s.loop.Now(), c.peer) },
@@ -183,7 +183,7 @@
 
 // tear sends half of what is unsent and breaks the connection in the middle of a PDU.
 func (c *conn) tear() {
-	c.Out = c.Out[:len(c.Out)-c.UnsentBytes()/2]
+	c.Output = c.Output[:len(c.Output)-c.UnsentBytes()/2]
 	c.gone()
 	c.CloseGracefully()
 }
