--- a/cmd/honeyplank/faulttest.go
+++ b/cmd/honeyplank/faulttest.go
@@ -42,36 +42,36 @@
 	}
 	ctx, stop := signals()
 	defer stop()
-	scripts := map[string]*settings.Gateway{"": script}
-	names := []string{""}
+	scenarios := []faulttest.Scenario{{Script: script}}
 	if c.Trouble != "" {
-		if scripts, names, err = faulttest.Troubles(script, c.Trouble); err != nil {
+		if scenarios, err = faulttest.Scenarios(script, c.Trouble); err != nil {
 			return usageError{err}
 		}
 	}
-	reports := make([]*faulttest.Report, len(names))
-	errs := make([]error, len(names))
+	reports := make([]*faulttest.Report, len(scenarios))
+	errs := make([]error, len(scenarios))
 	var group sync.WaitGroup
 	slots := make(chan struct{}, 3) // so many play at a time
-	for i, name := range names {
+	for i, scenario := range scenarios {
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			o := faulttest.Options{Script: scripts[name], Seed: c.Seed, Log: zerolog.Nop()}
+			o := faulttest.Options{Script: scenario.Script, Seed: c.Seed, Log: zerolog.Nop()}
 			if c.Verbose {
 				o.Log = log
 			}
 			if c.Baseline {
-				o.Module = faulttest.Arrival
+				o.Module = faulttest.NewBaseline
 			}
 			reports[i], errs[i] = faulttest.Run(ctx, o)
 		}()
 	}
 	group.Wait()
 	kept := true
-	for i, name := range names {
+	for i, scenario := range scenarios {
+		name := scenario.Name
 		if errs[i] != nil {
 			return fmt.Errorf("%s: %w", name, errs[i])
 		}
--- /dev/null
+++ b/faulttest/fleet.go
@@ -0,0 +1,299 @@
+package faulttest
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"honeyplank/audit"
+	"honeyplank/fake/disk"
+	"honeyplank/fake/dns"
+	"honeyplank/fake/etcd"
+	"honeyplank/gateway"
+	"honeyplank/loadgen"
+	"honeyplank/settings"
+	"honeyplank/target"
+)
+
+const (
+	// zones is the number of zones that cells are spread over.
+	zones = 3
+	// anyPort is an address to listen on.
+	anyPort = "127.0.0.1:0"
+	// listLag is how long the endpoint list takes to notice that a process died.
+	listLag = 300 * time.Millisecond
+)
+
+// Limits of the fake disk servers, in bytes where nothing else is said.
+const (
+	diskCapsule     = 8 << 10
+	diskPiece       = 32 << 10
+	diskDepth       = 1024 // commands in a queue
+	diskQueues      = 8    // queues of an association
+	diskConnections = 1024
+	diskUnsent      = 64 << 20
+	diskBuffered    = 256 << 20
+	diskHandshake   = time.Second
+)
+
+// build starts etcd, the name servers, the disk servers, the gateways and the clients, in this order.
+func (r *run) build() error {
+	var err error
+	if r.etcd, err = etcd.New(anyPort); err != nil {
+		return err
+	}
+	r.etcd.Told = r.recordEtcdNotice
+	for n := range r.script.FaultTest.Gateways {
+		r.gatewaysByNQN[hostNQN(r.script, n)] = n
+		if err := r.startNameServer(n); err != nil {
+			return err
+		}
+	}
+	r.diskModel = Model(r.script)
+	for _, cell := range cellsOf(r.script) {
+		if _, err := r.startDiskServer(cell); err != nil {
+			return err
+		}
+		r.list(cell, stateOn)
+	}
+	for n := range r.script.FaultTest.Gateways {
+		r.gateways = append(r.gateways, nil)
+		if err := r.startGateway(n, anyPort); err != nil {
+			return err
+		}
+	}
+	options := r.loadOptions()
+	r.loop.Schedule(0, func() { r.load = loadgen.Start(r.loop, options) })
+	return nil
+}
+
+// cellsOf returns the cells of all volumes, each once, in order.
+func cellsOf(s *settings.Gateway) []int {
+	var cells []int
+	for i := range s.Volumes.List {
+		cells = append(cells, s.Volumes.List[i].CellList()...)
+	}
+	slices.Sort(cells)
+	return slices.Compact(cells)
+}
+
+// startNameServer starts the name server of a gateway, if the script has DNS.
+func (r *run) startNameServer(n int) error {
+	if r.script.List.DNS == nil {
+		return nil
+	}
+	server, err := dns.New(r.script.List.DNS.Name)
+	if err != nil {
+		return err
+	}
+	server.Told = r.dnsNoticeRecorder(n)
+	r.nameServers = append(r.nameServers, server)
+	return nil
+}
+
+// loadOptions are the clients of all gateways.
+func (r *run) loadOptions() loadgen.Options {
+	script := r.script.FaultTest
+	options := loadgen.Options{
+		Settings: r.script,
+		Traffic:  script.Traffic,
+		Clients:  script.Clients,
+		Retries:  script.Retries,
+		Seed:     r.options.Seed,
+		Expect:   disk.Fill,
+		Digests:  hasWireFaults(r.script),
+	}
+	if hasWireFaults(r.script) {
+		options.Apart = isBehindFaultyWire
+	}
+	for n, g := range r.gateways {
+		options.Targets = append(options.Targets, loadgen.Target{
+			Address:   g.Address(),
+			Subsystem: r.script.Listen.Subsystem,
+			Wire:      r.clientWire(n),
+			Left:      func() { r.log.Left(n) },
+		})
+	}
+	return options
+}
+
+// startDiskServer starts a disk server that serves a cell from now on, warm.
+func (r *run) startDiskServer(cell int) (*disk.Server, error) {
+	var server *disk.Server
+	model := r.diskModel
+	model.Tap = r.log.Disk(func() string { return server.Address() }, r.gatewaysByNQN)
+	model.Wire = r.diskWire(func() *disk.Server { return server })
+	server, err := disk.New(r.loop, anyPort, model, r.rng.Int63())
+	if err != nil {
+		return nil, err
+	}
+	r.serverOfCell[cell] = server
+	r.servers = append(r.servers, server)
+	r.log.Server(server.Address(), audit.Place{Zone: zoneOf(cell), Cell: cell})
+	return server, nil
+}
+
+func zoneOf(cell int) int { return cell % zones }
+
+func hostNQN(s *settings.Gateway, ordinal int) string {
+	return fmt.Sprintf("%s-%d", s.Listen.Host, ordinal)
+}
+
+// startGateway starts a gateway that listens on an address: after a restart, the one that it had before.
+func (r *run) startGateway(n int, address string) error {
+	g, err := gateway.New(gateway.Options{
+		Settings: r.gatewaySettings(n, address),
+		Seed:     r.options.Seed + int64(n),
+		Module:   r.options.Module,
+		Log:      r.options.Log.With().Int("gateway", n).Logger(),
+	})
+	if err != nil {
+		return err
+	}
+	r.gateways[n] = g
+	r.serving.Add(1)
+	go func() {
+		defer r.serving.Done()
+		_ = g.Serve(context.Background()) // its loop's error: the audit sees the ops that have no answer
+	}()
+	return nil
+}
+
+// gatewaySettings are the script's settings for one gateway.
+func (r *run) gatewaySettings(n int, address string) *settings.Gateway {
+	s := *r.script
+	s.DiskServers.Digests = s.DiskServers.Digests || hasWireFaults(r.script)
+	s.FaultTest = nil
+	s.Scheduler.Ordinal = n
+	s.Scheduler.Hosts = r.script.FaultTest.Gateways
+	s.Listen.Address = address
+	s.Listen.Host = hostNQN(r.script, n)
+	s.List.Etcd = slices.Clone(s.List.Etcd[:1])
+	s.List.Etcd[0].Endpoint = r.etcd.Address()
+	if s.List.DNS != nil {
+		source := *s.List.DNS
+		source.Servers = slices.Clone(source.Servers[:1])
+		source.Servers[0].Address = r.nameServers[n].Address()
+		s.List.DNS = &source
+	}
+	return &s
+}
+
+// pick chooses count disk servers, at least one, of those that serve a cell without a fault, and returns their cells.
+func (r *run) pick(count int) []int {
+	var cells []int
+	for cell, server := range r.serverOfCell {
+		if isSound(server) {
+			cells = append(cells, cell)
+		}
+	}
+	slices.Sort(cells)
+	r.rng.Shuffle(len(cells), func(i, j int) { cells[i], cells[j] = cells[j], cells[i] })
+	return cells[:min(max(count, 1), len(cells))]
+}
+
+// isSound reports whether a disk server has no fault now.
+func isSound(server *disk.Server) bool { return server.Faults == (disk.Faults{}) && !server.Fell }
+
+// restart ends the disk server of a cell as the death of its process, and starts it again after a time, cold. The
+// endpoint list notices both with a lag; a restart within twice the lag it does not notice.
+func (r *run) restart(cell int, downtime time.Duration) {
+	server := r.serverOfCell[cell]
+	server.Die()
+	server.Faults.Silent = true // not to be picked meanwhile
+	if downtime > 2*listLag {
+		r.after(listLag, func() { r.unlist(server.Address()) })
+	}
+	r.after(downtime, func() {
+		if err := server.Start(); err != nil {
+			r.injected = err
+			return
+		}
+		r.recordStart(server)
+		r.after(listLag, func() { r.list(cell, stateOn) })
+	})
+}
+
+// recordStart tells the audit of a start, with the capacity by age: the server may start again before the audit
+// judges.
+func (r *run) recordStart(server *disk.Server) { r.log.Started(server.Address(), server.CapacityAt) }
+
+// replace drains the disk server of a cell for a time, ends it, and has a cold one take its place.
+func (r *run) replace(cell int, notice time.Duration) {
+	server := r.serverOfCell[cell]
+	server.Faults.Draining = true
+	r.list(cell, stateDraining)
+	r.after(notice, func() {
+		server.Die()
+		former := *server
+		replacement, err := r.startDiskServer(cell)
+		if err != nil {
+			r.injected = err
+			return
+		}
+		replacement.Adopt(&former)
+		r.recordStart(replacement)
+		r.unlist(former.Address())
+		r.list(cell, stateOn)
+	})
+}
+
+// Model is what the fake disk servers of a script are like.
+func Model(s *settings.Gateway) disk.Model {
+	model := disk.Model{
+		Fleet:  s.FaultTest.Fleet,
+		Block:  int(s.Volumes.Block),
+		Unit:   int(s.Volumes.Unit),
+		Extent: int64(s.Volumes.Extent),
+		Meter:  &disk.Meter{Period: s.Rules.MeterPeriod.Duration(), Rate: volumeRates(s)},
+		Offer: target.Settings{
+			Subsystem:   s.DiskServers.Subsystem,
+			Serial:      "standin",
+			MaxTransfer: int(s.Limits.Transfer),
+			Capsule:     diskCapsule,
+			Piece:       diskPiece,
+			Depth:       diskDepth,
+			Queues:      diskQueues,
+			Handshake:   diskHandshake,
+			Connections: diskConnections,
+			Unsent:      diskUnsent,
+			Held:        diskBuffered,
+			Namespaces:  diskNamespaces(s),
+		},
+	}
+	if slowStart := s.Rules.SlowStart; slowStart != nil {
+		model.ColdFrom = slowStart.From
+		model.ColdTime = slowStart.Time.Duration()
+		model.Window = slowStart.Window.Duration()
+		model.Multiple = slowStart.Multiple
+	}
+	return model
+}
+
+// volumeRates returns the expected rate of a volume by its namespace id, in units a second.
+func volumeRates(s *settings.Gateway) func(nsid uint32) float64 {
+	return func(nsid uint32) float64 {
+		for _, v := range s.Volumes.List {
+			if v.NSID == nsid {
+				return s.Plans.List[s.Plan(v.Plan)].Rate
+			}
+		}
+		return 0
+	}
+}
+
+// diskNamespaces are the volumes of the settings as namespaces of a disk server, by id.
+func diskNamespaces(s *settings.Gateway) []target.Namespace {
+	shift := uint8(0)
+	for 1<<shift < int(s.Volumes.Block) {
+		shift++
+	}
+	var namespaces []target.Namespace
+	for _, v := range s.Volumes.List {
+		namespaces = append(namespaces, target.Namespace{ID: v.NSID, Blocks: uint64(v.Size) >> shift, Shift: shift})
+	}
+	slices.SortFunc(namespaces, func(a, b target.Namespace) int { return cmp.Compare(a.ID, b.ID) })
+	return namespaces
+}
--- /dev/null
+++ b/faulttest/scenarios.go
@@ -0,0 +1,111 @@
+package faulttest
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"honeyplank/settings"
+)
+
+// Times of a scenario.
+const (
+	scenarioLength = 9 * time.Second
+	faultAt        = 2 * time.Second
+	faultFor       = 2500 * time.Millisecond
+)
+
+// AllScenarios as a name stands for all scenarios.
+const AllScenarios = "all"
+
+// ErrUnknownScenario is the error of Scenarios for a name that it does not know.
+var ErrUnknownScenario = errors.New("no trouble has this name")
+
+// scenarios are the faults that are played one by one, each during an otherwise undisturbed day.
+var scenarios = map[string][]settings.Fault{
+	"died":            {{Kind: "die", Count: 1}},
+	"silent":          {{Kind: "silent", Count: 1}},
+	"many-back-cold":  {{Kind: "die", Count: 3}},
+	"short-notice":    {{Kind: "drain", Count: 2}},
+	"answers-lost":    {{Kind: "lose-answers", Count: 4, Times: 0.3}},
+	"hurry":           {{Kind: "hurry", Times: 0.2}},
+	"release":         {{Kind: "replace", Count: 3}},
+	"fails-fast":      {{Kind: "fail", Count: 1, Times: 0.7}},
+	"slow":            {{Kind: "slow", Count: 1, Times: 6}},
+	"pauses":          {{Kind: "pause", Count: 3}},
+	"surge":           {{Kind: "surge", Count: 2, Times: 8}},
+	"overload":        {{Kind: "surge", Count: 1000, Times: 6}}, // with the built-in fleet: twice its capacity
+	"plan-surge":      {{Kind: "plan-surge", Plan: "standard", Times: 4}},
+	"list-stale":      {{Kind: "list-late", Times: 2}},
+	"list-down":       {{Kind: "list-down"}, {Kind: "die", Count: 1}},
+	"reports-late":    {{Kind: "stale-reports", Count: 6}},
+	"gateway-restart": {{Kind: "gateway-restart"}},
+	"list-cut":        {{Kind: "list-cut"}, {Kind: "drain", Count: 1}},
+	"list-compacted":  {{Kind: "list-compacted", Count: 1}},
+	"list-mute":       {{Kind: "list-mute"}, {Kind: "drain", Count: 1}},
+	"re-register":     {{Kind: "re-register"}},
+	"clients-leave":   {{Kind: "clients-leave", Count: 3}},
+	"mute-handshake":  {{Kind: "mute-handshake", Count: 1}},
+	"cut":             {{Kind: "cut", Count: 6}},
+	"wire-flip":       {{Kind: "wire-flip", Count: 2}},
+	"wire-drop":       {{Kind: "wire-drop", Count: 2}},
+	"wire-delay":      {{Kind: "wire-delay", Count: 2}},
+	"wire-cut":        {{Kind: "wire-cut", Count: 2}},
+	"wire-repeat":     {{Kind: "wire-repeat", Count: 2}},
+	"wire-lie":        {{Kind: "wire-lie", Count: 2}},
+}
+
+// dnsScenarios are those of scripts with DNS.
+var dnsScenarios = map[string][]settings.Fault{
+	"dns-down":      {{Kind: "dns-down"}, {Kind: "die", Count: 1}},
+	"dns-empty":     {{Kind: "dns-empty"}},
+	"dns-lies":      {{Kind: "dns-lies"}, {Kind: "list-down"}, {Kind: "die", Count: 1}},
+	"dns-truncated": {{Kind: "dns-truncated"}, {Kind: "drain", Count: 1}},
+	"dns-drain":     {{Kind: "dns-drain", Count: 2}},
+	"dns-stale":     {{Kind: "dns-stale", Count: 1}},
+}
+
+// A Scenario is a script with the faults of one kind.
+type Scenario struct {
+	Name   string
+	Script *settings.Gateway
+}
+
+// Scenarios makes a script for one kind of fault, with the fleet and traffic of a script, or for each kind; sorted by
+// name. Its error is ErrUnknownScenario.
+func Scenarios(script *settings.Gateway, name string) ([]Scenario, error) {
+	known := maps.Clone(scenarios)
+	if script.List.DNS != nil {
+		maps.Copy(known, dnsScenarios)
+	}
+	names := slices.Sorted(maps.Keys(known))
+	if name != AllScenarios {
+		if known[name] == nil {
+			return nil, fmt.Errorf("%w: %q; there are %s, %v", ErrUnknownScenario, name, AllScenarios, names)
+		}
+		names = []string{name}
+	}
+	var list []Scenario
+	for _, n := range names {
+		list = append(list, Scenario{Name: n, Script: withFaults(script, known[n])})
+	}
+	return list, nil
+}
+
+// withFaults returns a script with these faults in place of its own.
+func withFaults(script *settings.Gateway, faults []settings.Fault) *settings.Gateway {
+	copied, faultTest := *script, *script.FaultTest
+	copied.FaultTest = &faultTest
+	faultTest.Length = settings.Span(scenarioLength)
+	faultTest.Faults = nil
+	for _, f := range faults {
+		f.At, f.For = settings.Span(faultAt), settings.Span(faultFor)
+		if f.Plan != "" && script.Plan(f.Plan) < 0 {
+			f.Plan = "" // all plans, where the script has not this one
+		}
+		faultTest.Faults = append(faultTest.Faults, f)
+	}
+	return &copied
+}
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -1,6 +1,7 @@
 package faulttest
 
 import (
+	"cmp"
 	"encoding/binary"
 	"slices"
 	"strings"
@@ -13,141 +14,207 @@
 	"honeyplank/settings"
 )
 
-// wireTrouble begins the names of troubles of the wire between.
-const wireTrouble = "wire-"
+// Kinds of faults that damage what crosses a connection. Each time bytes cross, they do so with the chance that the
+// script gives as times.
+const (
+	wireFlip   = "wire-flip"   // a bit is flipped
+	wireDrop   = "wire-drop"   // some bytes are lost
+	wireDelay  = "wire-delay"  // all that crosses is delayed
+	wireCut    = "wire-cut"    // the connection is reset within it
+	wireRepeat = "wire-repeat" // some bytes, or all, cross twice
+	wireLie    = "wire-lie"    // a PDU has a wrong length under a correct header digest
 
-// badWires is what goes wrong on the way, for the connections of some clients and disk servers. The others' are
-// sound all the time.
-type badWires struct {
-	kind  string // "": nothing now
-	share float64
-	disks map[*disk.Server]bool
+	wireFaultPrefix = "wire-"
+)
+
+const (
+	defaultDamageChance = 0.03
+	maxDamagedBytes     = 64
+	// maxWireDelay is below any reader's timeout for a PDU: past it a delay would be a cut.
+	maxWireDelay = 400 * time.Millisecond
+	// faultyWireShare is how many clients there are for each one behind a faulty wire.
+	faultyWireShare = 3
+	// queuesOfAssociation is the number of connections of a client's association: admin queue and I/O queue.
+	queuesOfAssociation = 2
+)
+
+// wireFaults is how the connections of some clients and disk servers are damaged now. All others are sound all the
+// time.
+type wireFaults struct {
+	kind   string // "": none
+	chance float64
+	disks  map[*disk.Server]bool
 }
 
-// apart tells which clients stand behind the bad wire: every third.
-func apart(client int) bool { return client%3 == 0 }
+// isBehindFaultyWire reports whether a client's connections are damaged in scripts with wire faults.
+func isBehindFaultyWire(client int) bool { return client%faultyWireShare == 0 }
 
-// wired has a script's wires go bad at times.
-func wired(s *settings.Gateway) bool {
-	return slices.ContainsFunc(s.FaultTest.Faults, func(t settings.Fault) bool { return strings.HasPrefix(t.Kind, wireTrouble) })
+// hasWireFaults reports whether a script damages connections at times.
+func hasWireFaults(s *settings.Gateway) bool {
+	return slices.ContainsFunc(s.FaultTest.Faults, func(f settings.Fault) bool {
+		return strings.HasPrefix(f.Kind, wireFaultPrefix)
+	})
 }
 
-// wire makes a trouble of one kind: each time bytes cross, they are damaged or kept back with a chance of Times.
-func wire(kind string) func(*stage, settings.Fault) {
-	return func(st *stage, t settings.Fault) {
-		bad := badWires{kind: kind, share: or(t.Times, 0.03), disks: map[*disk.Server]bool{}}
-		for _, cell := range st.pick(t.Count) {
-			bad.disks[st.cells[cell]] = true
+// wireFault damages the connections of some disk servers, and those of the clients behind faulty wires, for a time.
+func wireFault(kind string) injector {
+	return func(r *run, f settings.Fault) {
+		faults := wireFaults{kind: kind, chance: cmp.Or(f.Times, defaultDamageChance), disks: map[*disk.Server]bool{}}
+		for _, cell := range r.pick(f.Count) {
+			faults.disks[r.serverOfCell[cell]] = true
 		}
-		st.bad = bad
-		st.after(t.For.Duration(), func() { st.bad.kind = "" })
+		r.wireFaults = faults
+		r.after(f.For.Duration(), func() { r.wireFaults.kind = "" })
 	}
 }
 
-// longest is how long a wire keeps bytes back at most: longer than any reader's patience with one PDU would be of no
-// use, since then it is a cut.
-const longest = 400 * time.Millisecond
-
-// bend is one end of a wire, at a client or at a disk server.
-type bend struct {
-	st    *stage
-	c     *eventloop.Conn
-	bad   func() bool
-	spoil func()
-	lies  bool // it may change what a length field says
-	held  [2][]byte
-	until [2]time.Duration
+// faultyWire is an eventloop.FaultFilter that damages what crosses one connection, as the run's wireFaults say.
+type faultyWire struct {
+	run      *run
+	conn     *eventloop.Conn
+	isFaulty func() bool // whether the connection is one of those that are damaged
+	onDamage func()      // called before the damaged bytes are passed on
+	in, out  delayedBytes
 }
 
-func (b *bend) FilterInput(p []byte) []byte  { return b.pass(0, p) }
-func (b *bend) FilterOutput(p []byte) []byte { return b.pass(1, p) }
+// delayedBytes are bytes that are kept back until a time.
+type delayedBytes struct {
+	bytes []byte
+	until time.Duration
+}
+
+// FilterInput implements eventloop.FaultFilter.
+func (w *faultyWire) FilterInput(b []byte) []byte { return w.pass(&w.in, b) }
+
+// FilterOutput implements eventloop.FaultFilter.
+func (w *faultyWire) FilterOutput(b []byte) []byte { return w.pass(&w.out, b) }
 
-func (b *bend) pass(way int, p []byte) []byte {
-	now := b.st.loop.Now()
-	if len(b.held[way]) > 0 {
-		p = append(b.held[way], p...)
-		b.held[way] = nil
-		if now < b.until[way] {
-			b.held[way] = p
+// pass returns what crosses in one direction when b is to.
+func (w *faultyWire) pass(delayed *delayedBytes, b []byte) []byte {
+	now := w.run.loop.Now()
+	if len(delayed.bytes) > 0 {
+		b = append(delayed.bytes, b...)
+		delayed.bytes = nil
+		if now < delayed.until {
+			delayed.bytes = b
 			return nil
 		}
-		return p
+		return b
 	}
-	rng := b.st.rng
-	if len(p) == 0 || b.st.bad.kind == "" || !b.bad() || rng.Float64() >= b.st.bad.share {
-		return p
+	faults := w.run.wireFaults
+	if len(b) == 0 || faults.kind == "" || !w.isFaulty() || w.run.rng.Float64() >= faults.chance {
+		return b
 	}
-	p = slices.Clone(p)
-	from := rng.Intn(len(p))
-	to := from + 1 + rng.Intn(min(len(p)-from, 64))
-	switch b.st.bad.kind {
-	case "wire-delay":
-		b.held[way], b.until[way] = p, now+time.Duration(rng.Float64()*float64(longest))
-		b.st.loop.Schedule(b.until[way], b.c.FlushFilter)
+	return w.damage(faults.kind, delayed, slices.Clone(b))
+}
+
+// damage returns what crosses of b under a fault.
+func (w *faultyWire) damage(kind string, delayed *delayedBytes, b []byte) []byte {
+	rng := w.run.rng
+	from := rng.Intn(len(b))
+	to := from + 1 + rng.Intn(min(len(b)-from, maxDamagedBytes))
+	switch kind {
+	case wireDelay:
+		delayed.bytes = b
+		delayed.until = w.run.loop.Now() + time.Duration(rng.Float64()*float64(maxWireDelay))
+		w.run.loop.Schedule(delayed.until, w.conn.FlushFilter)
 		return nil
-	case "wire-cut":
-		b.spoil()
-		b.st.loop.Schedule(0, b.c.Reset)
-		return p[:from]
-	case "wire-flip":
-		p[from] ^= 1 << rng.Intn(8)
-	case "wire-drop":
-		p = slices.Delete(p, from, to)
-	case "wire-repeat":
-		if rng.Intn(2) == 0 { // all that crossed at once: whole PDUs
-			from, to = 0, len(p)
+	case wireCut:
+		w.onDamage()
+		w.run.loop.Schedule(0, w.conn.Reset)
+		return b[:from]
+	case wireFlip:
+		b[from] ^= 1 << rng.Intn(8)
+	case wireDrop:
+		b = slices.Delete(b, from, to)
+	case wireRepeat:
+		if rng.Intn(2) == 0 { // all that crossed at once: complete PDUs
+			from, to = 0, len(b)
 		}
-		p = slices.Insert(p, to, slices.Clone(p[from:to])...)
-	case "wire-lie":
-		if way == 0 || !b.lies || !lie(p, rng.Intn(6)) {
-			return p
+		b = slices.Insert(b, to, slices.Clone(b[from:to])...)
+	case wireLie:
+		if delayed != &w.out || !tamperLength(b, rng.Intn(len(wrongLengths))) {
+			return b
 		}
 	}
-	b.spoil()
-	return p
+	w.onDamage()
+	return b
+}
+
+// wrongLengths make a wrong PDU length from the right one.
+var wrongLengths = [...]func(length uint32) uint32{
+	func(uint32) uint32 { return 0 },
+	func(uint32) uint32 { return 1 },
+	func(length uint32) uint32 { return length - 1 },
+	func(length uint32) uint32 { return length + 1 },
+	func(length uint32) uint32 { return length + 4096 },
+	func(uint32) uint32 { return 1 << 31 },
 }
 
-// lie changes the length of the PDU that p begins with, its header digest being right all the same.
-func lie(p []byte, how int) bool {
-	if len(p) < 28 || int(p[2])+4 > len(p) {
+// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), and its least length with a command.
+const (
+	flagsOffset        = 1
+	headerLengthOffset = 2
+	pduLengthOffset    = 4
+	minTamperedBytes   = 28
+	digestBytes        = 4
+)
+
+// tamperLength changes the length of the PDU that b begins with and makes its header digest right again. It reports
+// whether b begins with a PDU that is long enough.
+func tamperLength(b []byte, how int) bool {
+	if len(b) < minTamperedBytes || int(b[headerLengthOffset])+digestBytes > len(b) {
 		return false
 	}
-	length := binary.LittleEndian.Uint32(p[4:])
-	binary.LittleEndian.PutUint32(p[4:], [...]uint32{0, 1, length - 1, length + 1, length + 4096, 1 << 31}[how])
-	if p[1]&nvme.FlagHeaderDigest != 0 {
-		binary.LittleEndian.PutUint32(p[p[2]:], nvme.CRC32C(p[:p[2]]))
+	length := binary.LittleEndian.Uint32(b[pduLengthOffset:])
+	binary.LittleEndian.PutUint32(b[pduLengthOffset:], wrongLengths[how](length))
+	if b[flagsOffset]&nvme.FlagHeaderDigest != 0 {
+		header := b[:b[headerLengthOffset]]
+		binary.LittleEndian.PutUint32(b[len(header):], nvme.CRC32C(header))
 	}
 	return true
 }
 
-// client is the wire of a client's connection to a gateway. What damages one connection of an association ends both,
-// admin queue and I/O queue (TCP 3.5), so both are spoiled.
-func (st *stage) client(gateway int) func(client int, c *eventloop.Conn) {
-	link := st.log.Client(gateway, int(st.script.Volumes.Block))
+// clientWire returns what connects a client's connections to a gateway with the audit, and with faults. What damages
+// one connection of an association ends both, admin queue and I/O queue (NVMe/TCP 3.5), so the audit is told for
+// both.
+func (r *run) clientWire(gateway int) func(client int, c *eventloop.Conn) {
+	newLink := r.log.Client(gateway, int(r.script.Volumes.Block))
 	associations := map[int][]audit.Link{}
 	return func(client int, c *eventloop.Conn) {
-		l := link()
-		c.Tap = l.Tap
-		if len(associations[client]) == 2 {
+		link := newLink()
+		c.Tap = link.Tap
+		if len(associations[client]) == queuesOfAssociation {
 			associations[client] = nil
 		}
-		associations[client] = append(associations[client], l)
-		spoil := func() {
-			for _, l := range associations[client] {
-				l.Spoil()
-			}
+		associations[client] = append(associations[client], link)
+		if !hasWireFaults(r.script) || !isBehindFaultyWire(client) {
+			return
 		}
-		if wired(st.script) && apart(client) {
-			c.FaultFilter = &bend{st: st, c: c, spoil: spoil, lies: true, bad: func() bool { return true }}
+		c.FaultFilter = &faultyWire{
+			run:      r,
+			conn:     c,
+			isFaulty: func() bool { return true },
+			onDamage: func() {
+				for _, l := range associations[client] {
+					l.Spoil()
+				}
+			},
 		}
 	}
 }
 
-// disk is the wire of a gateway's connection at a disk server.
-func (st *stage) disk(d func() *disk.Server) func(c *eventloop.Conn) {
+// diskWire returns what gives a gateway's connections at a disk server their faults.
+func (r *run) diskWire(server func() *disk.Server) func(c *eventloop.Conn) {
 	return func(c *eventloop.Conn) {
-		if wired(st.script) {
-			c.FaultFilter = &bend{st: st, c: c, spoil: func() {}, lies: true, bad: func() bool { return st.bad.disks[d()] }}
+		if !hasWireFaults(r.script) {
+			return
+		}
+		c.FaultFilter = &faultyWire{
+			run:      r,
+			conn:     c,
+			isFaulty: func() bool { return r.wireFaults.disks[server()] },
+			onDamage: func() {}, // the gateway's retries are to hide it
 		}
 	}
 }
