--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -144,13 +144,13 @@
 
 func (c *conn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
-		n, v, whole, err := c.in.Next(b[used:])
-		used += n
+		frame, err := c.in.Next(b[used:])
+		used += frame.Used
 		if err != nil {
 			c.c.Close()
 			return len(b)
 		}
-		if whole && !c.command(v.List) {
+		if frame.Complete && !c.command(frame.Value.List) {
 			return len(b)
 		}
 	}
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -1,10 +1,11 @@
 // Package resp reads and writes RESP2, the serialization protocol of Redis: lines, integers, bulk strings and arrays.
 //
-// A Reader takes bytes as they are received and keeps what is not complete. It guards against hostile input: each length is
-// checked against a limit before anything is read for it, and memory is allocated as bytes arrive, never by what a length
-// claims. It would harm a peer whose values are larger than the limits: the Reader refuses them with a ProtocolError.
+// A Reader takes bytes as they are received and buffers an incomplete value. It guards against hostile input: each
+// length is checked against a limit before anything is read for it, and memory is allocated as bytes arrive, never by
+// what a length claims. A value that exceeds the limits is rejected with a ProtocolError.
 //
-// The package does no I/O.
+// The package does no I/O, starts no goroutine and knows no command. A Reader belongs to one goroutine: here the event
+// loop of the connection that it reads.
 package resp
 
 import (
@@ -19,7 +20,7 @@
 // The kinds of RESP2.
 const (
 	Simple  Kind = '+' // a line
-	Error   Kind = '-' // a line that tells of an error
+	Error   Kind = '-' // a line with an error message
 	Integer Kind = ':' // a signed number of 64 bits
 	Bulk    Kind = '$' // any bytes, after their number
 	Array   Kind = '*' // values, after their number
@@ -45,7 +46,7 @@
 	CommandsOnly bool
 }
 
-// ProtocolError is the error of input that is not RESP2 or exceeds a limit. What follows that input cannot be read either.
+// ProtocolError is the error of input that is not RESP2 or exceeds a limit. Input behind it cannot be read either.
 type ProtocolError struct{ Reason string }
 
 func (e *ProtocolError) Error() string { return "resp: " + e.Reason }
@@ -63,43 +64,50 @@
 type Reader struct {
 	Limits Limits
 
-	line     []byte // of a line that has not ended
-	bulk     []byte // of a bulk string that has not ended
-	bulkSize int    // of that with its line end, in bytes; 0: none has begun
-	total    int    // bytes of the value that has begun
-	open     []openArray
+	line     []byte      // the unfinished line
+	bulk     []byte      // the unfinished bulk string
+	bulkSize int         // bytes of the whole bulk string with its line end; 0: none has begun
+	total    int         // bytes of the unfinished value
+	open     []openArray // the unfinished arrays, outermost first
 }
 
-// openArray is an array of which values are missing.
+// openArray is an unfinished array.
 type openArray struct {
 	value   Value
-	missing int
+	missing int // values that have not been read
 }
 
-// Idle tells that no value has begun: the next byte is the first of one.
+// Idle reports whether no value has begun: the next byte is the first of one.
 func (r *Reader) Idle() bool { return len(r.open) == 0 && r.bulkSize == 0 && len(r.line) == 0 }
 
-// BufferedBytes is the number of bytes that the value which has begun takes up so far.
+// BufferedBytes is how many bytes of the unfinished value have been read.
 func (r *Reader) BufferedBytes() int { return r.total + len(r.line) + len(r.bulk) }
 
-// Next reads from b. It returns how many bytes it has used, and a value once one is complete; otherwise it has used all of b
-// and needs more. An error is a *ProtocolError.
-func (r *Reader) Next(b []byte) (used int, value Value, complete bool, err error) {
+// Frame is what a Reader has read of the bytes that it was given.
+type Frame struct {
+	Used     int   // bytes read
+	Complete bool  // Value is complete; otherwise all bytes were read and the Reader needs more
+	Value    Value // zero unless Complete
+}
+
+// Next reads b up to the end of a value or of b. An error is a *ProtocolError; Used counts the bytes read before it.
+func (r *Reader) Next(b []byte) (Frame, error) {
+	used := 0
 	for {
-		item, n, ok, err := r.readItem(b[used:])
-		used += n
-		if !ok || err != nil {
-			return used, Value{}, false, err
+		item, err := r.readItem(b[used:])
+		used += item.Used
+		if !item.Complete || err != nil {
+			return Frame{Used: used}, err
 		}
-		if value, ok := r.addItem(item); ok {
+		if value, ok := r.addItem(item.Value); ok {
 			r.total = 0
-			return used, value, true, nil
+			return Frame{Used: used, Complete: true, Value: value}, nil
 		}
 	}
 }
 
-// addItem adds a complete value to the array to which it belongs. It reports true, and the outermost value, once that is
-// complete.
+// addItem adds a complete value to the innermost open array. Once the outermost value is complete, it returns that and
+// true.
 func (r *Reader) addItem(item Value) (Value, bool) {
 	for len(r.open) > 0 {
 		array := &r.open[len(r.open)-1]
@@ -115,38 +123,40 @@
 }
 
 // readItem reads a value that is not an array with values, and the heads of the arrays before it.
-func (r *Reader) readItem(b []byte) (item Value, used int, complete bool, err error) {
+func (r *Reader) readItem(b []byte) (Frame, error) {
+	used := 0
 	for {
 		if r.bulkSize > 0 {
-			item, n, complete, err := r.readBulk(b[used:])
-			return item, used + n, complete, err
+			bulk, err := r.readBulk(b[used:])
+			bulk.Used += used
+			return bulk, err
 		}
 		line, n, err := r.readLine(b[used:])
 		used += n
 		if line == nil || err != nil {
-			return Value{}, used, false, err
+			return Frame{Used: used}, err
 		}
-		item, complete, err := r.parseLine(line)
+		value, complete, err := r.parseLine(line)
 		r.line = r.line[:0]
 		if complete || err != nil {
-			return item, used, complete, err
+			return Frame{Used: used, Complete: complete, Value: value}, err
 		}
 	}
 }
 
 // readBulk reads the bytes of a bulk string.
-func (r *Reader) readBulk(b []byte) (item Value, used int, complete bool, err error) {
-	used = min(r.bulkSize-len(r.bulk), len(b))
+func (r *Reader) readBulk(b []byte) (Frame, error) {
+	used := min(r.bulkSize-len(r.bulk), len(b))
 	r.bulk = append(r.bulk, b[:used]...)
 	if len(r.bulk) < r.bulkSize {
-		return Value{}, used, false, nil
+		return Frame{Used: used}, nil
 	}
 	text := r.bulk[:r.bulkSize-len(lineEnd)]
 	if !bytes.HasSuffix(r.bulk, lineEnd) {
-		return Value{}, used, false, protocolError("a bulk string of %d bytes does not end there", len(text))
+		return Frame{Used: used}, protocolError("a bulk string of %d bytes does not end there", len(text))
 	}
 	r.bulk, r.bulkSize = nil, 0
-	return Value{Kind: Bulk, Text: text}, used, true, nil
+	return Frame{Used: used, Complete: true, Value: Value{Kind: Bulk, Text: text}}, nil
 }
 
 // readLine returns a line without its line end, or nil while it has not ended.
@@ -179,7 +189,7 @@
 	return r.line[:len(r.line)-len(lineEnd)], used, nil
 }
 
-// checkKind tells whether a value may begin with a byte.
+// checkKind returns an error if no value may begin with this byte.
 func (r *Reader) checkKind(first byte) error {
 	kind := Kind(first)
 	switch {
@@ -201,7 +211,7 @@
 	return r.Limits.Line
 }
 
-// addToTotal counts bytes of the value that has begun.
+// addToTotal counts bytes of the unfinished value.
 func (r *Reader) addToTotal(n int) error {
 	r.total += n
 	if r.total > r.Limits.Total {
@@ -210,7 +220,7 @@
 	return nil
 }
 
-// parseLine returns the value that a line holds. It reports false where the line is the head of one.
+// parseLine returns the value that a line holds, or false if the line only begins one.
 func (r *Reader) parseLine(line []byte) (Value, bool, error) {
 	kind, text := Kind(line[0]), line[1:]
 	if err := r.addToTotal(len(line)); err != nil {
@@ -250,14 +260,14 @@
 	return nil
 }
 
-// beginArray begins an array of n values; one of none is complete.
+// beginArray begins an array of n values; an empty one is complete.
 func (r *Reader) beginArray(n int64) (Value, bool, error) {
-	atLeast := int64(0)
+	minItems := int64(0)
 	if r.Limits.CommandsOnly {
-		atLeast = 1
+		minItems = 1
 	}
-	if n < atLeast || n > int64(r.Limits.Items) {
-		return Value{}, false, protocolError("invalid multibulk length %d, expected %d to %d", n, atLeast, r.Limits.Items)
+	if n < minItems || n > int64(r.Limits.Items) {
+		return Value{}, false, protocolError("invalid multibulk length %d, expected %d to %d", n, minItems, r.Limits.Items)
 	}
 	if len(r.open) >= r.Limits.Depth {
 		return Value{}, false, protocolError("arrays are more than %d deep", r.Limits.Depth)
@@ -302,15 +312,15 @@
 // AppendSimple appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendSimple(b []byte, text string) []byte { return appendLine(b, Simple, text) }
 
-// AppendError appends a line that tells of an error. Bytes of text that are not printable ASCII are replaced by '?'.
+// AppendError appends an error message. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendError(b []byte, text string) []byte { return appendLine(b, Error, text) }
 
 func appendHead(b []byte, kind Kind, n int) []byte {
 	return append(strconv.AppendInt(append(b, byte(kind)), int64(n), 10), lineEnd...)
 }
 
-// appendLine replaces what is not printable. It guards against text with a line end inside, which an error that quotes a
-// client's input could have: the reader would take the rest for another value.
+// appendLine replaces bytes that are not printable. It guards against a line end in text, as in an error that quotes a
+// client's input: a reader would parse what follows it as another value.
 func appendLine(b []byte, kind Kind, text string) []byte {
 	b = append(b, byte(kind))
 	for i := range len(text) {
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -23,13 +23,13 @@
 		piece := text[:min(size, len(text))]
 		text = text[len(piece):]
 		for len(piece) > 0 {
-			used, value, complete, err := r.Next(piece)
+			frame, err := r.Next(piece)
 			if err != nil {
 				return list, err
 			}
-			piece = piece[used:]
-			if complete {
-				list = append(list, value)
+			piece = piece[frame.Used:]
+			if frame.Complete {
+				list = append(list, frame.Value)
 			} else if len(piece) > 0 {
 				return list, errors.New("bytes are left and no value is complete")
 			}
@@ -38,7 +38,7 @@
 	return list, nil
 }
 
-// TestCommands reads commands, and input that is none.
+// TestCommands: commands are read, and input that is no command is rejected.
 func TestCommands(t *testing.T) {
 	for text, want := range map[string]string{
 		"*2\r\n$4\r\nPING\r\n$0\r\n\r\n":        `[[PING ]]`,
@@ -60,9 +60,11 @@
 		"*1\n":                        "resp: a line does not end in CR LF",
 		"*" + strings.Repeat("1", 40): "resp: a line is longer than 32 bytes",
 	} {
-		if got := readCommands(text); got != want {
-			t.Errorf("%q: %s, want %s", text, got, want)
-		}
+		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
+			if got := readCommands(text); got != want {
+				t.Errorf("%s, want %s", got, want)
+			}
+		})
 	}
 }
 
@@ -87,24 +89,39 @@
 	return fmt.Sprint(commands)
 }
 
-// TestReplies reads values of all kinds, and input that is no value or exceeds a limit.
+// TestReplies: values of all kinds are read, and input that is no value or exceeds a limit is rejected.
 func TestReplies(t *testing.T) {
-	list, err := readAll(replyLimits, []byte("*3\r\n$1\r\nx\r\n$-1\r\n*2\r\n:-7\r\n*0\r\n-ERR failed\r\n+PONG\r\n*-1\r\n"), 1)
+	text := "*3\r\n$1\r\nx\r\n$-1\r\n*2\r\n:-7\r\n*0\r\n" + "-ERR failed\r\n" + "+PONG\r\n" + "*-1\r\n"
+	list, err := readAll(replyLimits, []byte(text), 1)
 	want := []Value{
-		{Kind: Array, List: []Value{{Kind: Bulk, Text: []byte("x")}, {Kind: Bulk, Null: true}, {Kind: Array, List: []Value{{Kind: Integer, Int: -7}, {Kind: Array}}}}},
-		{Kind: Error, Text: []byte("ERR failed")}, {Kind: Simple, Text: []byte("PONG")}, {Kind: Array, Null: true},
+		{Kind: Array, List: []Value{
+			{Kind: Bulk, Text: []byte("x")},
+			{Kind: Bulk, Null: true},
+			{Kind: Array, List: []Value{{Kind: Integer, Int: -7}, {Kind: Array}}},
+		}},
+		{Kind: Error, Text: []byte("ERR failed")},
+		{Kind: Simple, Text: []byte("PONG")},
+		{Kind: Array, Null: true},
 	}
 	if err != nil || !reflect.DeepEqual(list, want) {
 		t.Errorf("%+v, %v", list, err)
 	}
-	for _, text := range []string{"*1\r\n*1\r\n*1\r\n*1\r\n", "HTTP/1.1 100 Continue\r\n", "$3000000000\r\n", "+a\rb\r\n", "+" + strings.Repeat("x", 64)} {
-		if _, err := readAll(replyLimits, []byte(text), 3); err == nil {
-			t.Errorf("%q is read", text)
-		}
+	for _, text := range []string{
+		"*1\r\n*1\r\n*1\r\n*1\r\n",
+		"HTTP/1.1 100 Continue\r\n",
+		"$3000000000\r\n",
+		"+a\rb\r\n",
+		"+" + strings.Repeat("x", 64),
+	} {
+		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
+			if _, err := readAll(replyLimits, []byte(text), 3); err == nil {
+				t.Error("it is read")
+			}
+		})
 	}
 }
 
-// TestAppend reads back what is appended; the text of an error cannot end its line early.
+// TestAppend: what is appended is read back, and the text of an error cannot end its line early.
 func TestAppend(t *testing.T) {
 	b := AppendCommand(nil, []byte("BLK.WRITE"), []byte("a\r\nb"), nil)
 	list, err := readAll(commandLimits, b, 1)
@@ -117,8 +134,8 @@
 	}
 }
 
-// FuzzReader compares the Reader, which gets its input in pieces, with a model that has all of it at once. What the Reader
-// allocates is bounded by the input, not by what lengths claim.
+// FuzzReader compares the Reader, which gets its input in pieces, with a model that has all of it at once. What the
+// Reader allocates is bounded by the input, not by what lengths claim.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("*2\r\n$4\r\nPING\r\n$0\r\n\r\n"), 3, true)
 	f.Add([]byte("*3\r\n$1\r\nx\r\n$-1\r\n$14\r\nutil=0.1,a=2.5\r\n-BUSY\r\n"), 1, false)
@@ -164,11 +181,11 @@
 	m := &model{limits: limits, text: text}
 	for len(m.text) > 0 {
 		m.total = 0
-		v, err := m.value(0)
+		value, err := m.value(0)
 		if err != nil {
-			return list, err == errMalformed
+			return list, errors.Is(err, errMalformed)
 		}
-		list = append(list, v)
+		list = append(list, value)
 	}
 	return list, false
 }
@@ -206,6 +223,7 @@
 	return m.array(n, depth)
 }
 
+// allowed reports whether a value inside depth arrays may be of a kind.
 func (m *model) allowed(kind Kind, depth int) bool {
 	if m.limits.CommandsOnly {
 		return kind == Array && depth == 0 || kind == Bulk && depth > 0
@@ -234,6 +252,7 @@
 	return line, nil
 }
 
+// bulk takes the n bytes of a bulk string.
 func (m *model) bulk(n int64) (Value, error) {
 	if n < 0 || n > int64(m.limits.Bulk) {
 		return Value{}, errMalformed
@@ -247,22 +266,23 @@
 	if string(m.text[n:n+2]) != "\r\n" {
 		return Value{}, errMalformed
 	}
-	v := Value{Kind: Bulk, Text: m.text[:n:n]}
+	value := Value{Kind: Bulk, Text: m.text[:n:n]}
 	m.text = m.text[n+2:]
-	return v, nil
+	return value, nil
 }
 
+// array takes the n values of an array.
 func (m *model) array(n int64, depth int) (Value, error) {
 	if n < 0 || n > int64(m.limits.Items) || n == 0 && m.limits.CommandsOnly || depth >= m.limits.Depth {
 		return Value{}, errMalformed
 	}
-	v := Value{Kind: Array}
+	array := Value{Kind: Array}
 	for range n {
 		item, err := m.value(depth + 1)
 		if err != nil {
 			return Value{}, err
 		}
-		v.List = append(v.List, item)
+		array.List = append(array.List, item)
 	}
-	return v, nil
+	return array, nil
 }
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -203,19 +203,19 @@
 			c.conn.Pause()
 			break
 		}
-		n, command, whole, err := c.reader.Next(b[used:])
-		used += n
+		frame, err := c.reader.Next(b[used:])
+		used += frame.Used
 		if err != nil {
 			return used, commands, err
 		}
-		if !whole {
+		if !frame.Complete {
 			if c.commandStarted == 0 {
 				c.commandStarted = now
 			}
 			break
 		}
 		c.commandStarted, c.lastActivity = 0, now
-		c.handleCommand(min(c.conn.ReceivedAfter(), now), command.List)
+		c.handleCommand(min(c.conn.ReceivedAfter(), now), frame.Value.List)
 		commands++
 	}
 	return used, commands, nil
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -45,14 +45,14 @@
 			sc.failWith(errUnexpectedData)
 			return len(b)
 		}
-		n, value, whole, err := sc.reader.Next(b[used:])
-		used += n
-		if err == nil && !whole {
+		frame, err := sc.reader.Next(b[used:])
+		used += frame.Used
+		if err == nil && !frame.Complete {
 			continue
 		}
 		var reply serverReply
 		if err == nil {
-			reply, err = sc.inFlight[0].parseReply(&value)
+			reply, err = sc.inFlight[0].parseReply(&frame.Value)
 		}
 		if err != nil {
 			sc.failMalformed(err)
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -33,10 +33,10 @@
 				x.lastSent = bed.scheduler.loop.Now()
 			}
 			for !sent && len(b) > 0 {
-				used, _, whole, err := x.reader.Next(b)
-				if b = b[used:]; whole {
+				frame, err := x.reader.Next(b)
+				if b = b[frame.Used:]; frame.Complete {
 					x.commands++
-				} else if used == 0 || err != nil {
+				} else if frame.Used == 0 || err != nil {
 					return
 				}
 			}
--- a/scheduler/test_client_test.go
+++ b/scheduler/test_client_test.go
@@ -53,17 +53,17 @@
 	c.SetReadDeadline(time.Now().Add(within))
 	b := make([]byte, 4096)
 	for {
-		used, v, whole, err := c.reader.Next(c.buffered)
-		c.buffered = c.buffered[used:]
+		frame, err := c.reader.Next(c.buffered)
+		c.buffered = c.buffered[frame.Used:]
 		if err != nil {
 			c.t.Fatalf("the scheduler sends malformed RESP: %v", err)
 		}
-		if whole {
-			return v, true
+		if frame.Complete {
+			return frame.Value, true
 		}
 		n, err := c.Read(b)
 		if err != nil {
-			return v, false
+			return resp.Value{}, false
 		}
 		c.buffered = append(c.buffered, b[:n]...)
 	}
@@ -140,12 +140,12 @@
 		got, err = c.Read(b)
 		c.buffered = append(c.buffered, b[:got]...)
 		for {
-			used, _, whole, wrong := c.reader.Next(c.buffered)
-			c.buffered = c.buffered[used:]
-			if wrong != nil {
-				return n, wrong
+			frame, malformed := c.reader.Next(c.buffered)
+			c.buffered = c.buffered[frame.Used:]
+			if malformed != nil {
+				return n, malformed
 			}
-			if !whole {
+			if !frame.Complete {
 				break
 			}
 			n++
