--- a/discovery/etcd/client_test.go
+++ b/discovery/etcd/client_test.go
@@ -21,7 +21,14 @@
 		t.Fatal(err)
 	}
 	out := make(chan discovery.Update, 100)
-	c := New([]string{s.Address()}, prefix, "test", 400*time.Millisecond, 20000, func(n discovery.Update) { out <- n })
+	settings := Settings{
+		Endpoints: []string{s.Address()},
+		UserAgent: "test",
+		Prefix:    prefix,
+		MaxNodes:  20000,
+		Timeout:   400 * time.Millisecond,
+	}
+	c := New(settings, func(n discovery.Update) { out <- n })
 	t.Cleanup(func() { c.Close(); s.Close() })
 	return s, c, out
 }
@@ -51,7 +58,7 @@
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1000+i), []byte(`{"state":"on","cell":3,"started_ms":5}`))
 	}
 	s.Set("/honeyplank/other", []byte("not of the list"))
-	c.Watch(true)
+	c.Watch()
 	if n := next(t, updates, honeyplank.Complete); len(n.Nodes) != 2500 || n.Nodes[0].Cell != 3 || n.Nodes[0].StartedMS != 5 {
 		t.Fatalf("%d nodes", len(n.Nodes))
 	}
@@ -70,7 +77,7 @@
 	}
 	s.Set(prefix+a, []byte(`{"state":"on","cell":9}`)) // nobody watches
 	s.Delete(prefix + "127.0.0.1:1001")
-	c.Watch(true)
+	c.Watch()
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Removed {
 		t.Errorf("after the break, from the revision passed on last: %+v", n)
 	}
@@ -80,7 +87,7 @@
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":8}`))
 	s.Forget() // the drain and the loss are history that is gone
-	c.Watch(true)
+	c.Watch()
 	if n := next(t, updates, honeyplank.Complete); len(n.Nodes) != 2498 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
 		t.Errorf("after compaction: %d nodes, the first %+v", len(n.Nodes), n.Nodes[0])
 	}
@@ -90,7 +97,7 @@
 	}
 	c.Fetch()
 	next(t, updates, honeyplank.Complete)
-	c.Watch(false)
+	c.StopWatch()
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
 	select {
 	case n := <-updates:
@@ -107,7 +114,7 @@
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 2+i), []byte(value))
 	}
 	s.Set(prefix+"no address", []byte(`{"state":"on"}`))
-	c.Watch(true)
+	c.Watch()
 	if n := next(t, updates, honeyplank.Complete); len(n.Nodes) != 1 || len(n.Skipped) != 6 {
 		t.Errorf("%d nodes, %d skipped", len(n.Nodes), len(n.Skipped))
 	}
@@ -122,11 +129,11 @@
 	s, c, updates := watch(t)
 	s.Down(true)
 	for range 3 {
-		c.Watch(true)
+		c.Watch()
 		next(t, updates, honeyplank.WatchFailed)
 	}
 	s.Close()
-	c.Watch(true)
+	c.Watch()
 	next(t, updates, honeyplank.WatchFailed)
 }
 
@@ -134,7 +141,7 @@
 // comes with the next.
 func TestSilentWatch(t *testing.T) {
 	s, c, updates := watch(t)
-	c.Watch(true)
+	c.Watch()
 	next(t, updates, honeyplank.Complete)
 	time.Sleep(time.Second) // a watch without events that answers is not broken
 	s.Mute(true)
@@ -143,13 +150,13 @@
 		t.Error("no reason")
 	}
 	s.Mute(false)
-	c.Watch(true)
+	c.Watch()
 	if n := next(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
 		t.Errorf("%+v", n)
 	}
 }
 
-// TestWatchNotCreated has the next endpoint take a call and not create a watch: that is broken after askWithin, and the
+// TestWatchNotCreated has the next endpoint take a call and not create a watch: that is broken after Settings.Timeout, and the
 // endpoint after it is asked.
 func TestWatchNotCreated(t *testing.T) {
 	for name, newEndpoint := range map[string]func(t *testing.T, s *fakeetcd.Server) string{
@@ -168,18 +175,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, c, updates := watch(t)
-			c.Watch(true)
+			c.Watch()
 			next(t, updates, honeyplank.Complete)
 			s.Set(prefix+"127.0.0.1:2", []byte(`{"state":"on"}`))
 			next(t, updates, honeyplank.Delta) // the watch is created
 			s.Break()
 			next(t, updates, honeyplank.WatchFailed)
-			c.endpoints = append(c.endpoints, newEndpoint(t, s))
-			c.Watch(true)
+			c.settings.Endpoints = append(c.settings.Endpoints, newEndpoint(t, s))
+			c.Watch()
 			next(t, updates, honeyplank.WatchFailed)
 			s.Withhold(false)
 			s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
-			c.Watch(true)
+			c.Watch()
 			if n := next(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
 				t.Errorf("%+v", n)
 			}
@@ -190,7 +197,7 @@
 // TestDelayedEvents has events delivered late, while the watch is asked for its progress: none is missed.
 func TestDelayedEvents(t *testing.T) {
 	s, c, updates := watch(t)
-	c.Watch(true)
+	c.Watch()
 	next(t, updates, honeyplank.Complete)
 	s.Late(600 * time.Millisecond) // three times as long as the watch may be without responses before it is asked
 	for i := range 3 {
@@ -205,7 +212,7 @@
 // the present revision in its header. None may be taken for one that was passed on before.
 func TestLongHistory(t *testing.T) {
 	s, c, updates := watch(t)
-	c.Watch(true)
+	c.Watch()
 	next(t, updates, honeyplank.Complete)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
 	next(t, updates, honeyplank.Delta) // the watch is created
@@ -214,7 +221,7 @@
 	for i := range 3500 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1000+i), []byte(`{"state":"on"}`))
 	}
-	c.Watch(true)
+	c.Watch()
 	received := 0
 	for received < 3500 {
 		received += len(next(t, updates, honeyplank.Delta).Nodes)
--- a/discovery/etcd/list.go
+++ b/discovery/etcd/list.go
@@ -12,10 +12,10 @@
 	"honeyplank/discovery"
 )
 
-// maxHeldFactor is how many times the maximum of nodes may be held of one response or complete list, as nodes and
-// skipped entries. It guards against a response without an end; it could harm where one response really has more changes
-// than that, which only costs reading the complete list.
-const maxHeldFactor = 2
+// maxPendingFactor is how many times the maximum of nodes may be pending of one response or complete list, as nodes
+// and skipped entries. It guards against a response without an end; it could harm where one response really has more
+// changes than that, which only costs reading the complete list.
+const maxPendingFactor = 2
 
 // Why a complete list is given up.
 var (
@@ -26,7 +26,7 @@
 )
 
 // list is what has been passed on of the list in etcd, and the state of its watch. It does no I/O: pages and responses
-// go in, updates and errors come out. Whatever comes, it holds a bounded number of nodes.
+// go in, updates and errors come out. Whatever comes, it keeps a bounded number of nodes.
 type list struct {
 	prefix   string
 	maxNodes int
@@ -35,44 +35,48 @@
 
 	state        watchState
 	lastRevision int64 // of the last event taken
-	heldChanges
+	pendingChanges
 }
 
-// heldChanges are the changes of a response whose last fragment has not come.
-type heldChanges struct {
-	held    []discovery.Node // in order
-	latest  map[string]int   // the last index of an address in held
-	growth  int              // by how much held changes the number of nodes
+// pendingChanges are the changes of a response whose last fragment has not come.
+type pendingChanges struct {
+	pending []discovery.Node // in order
+	latest  map[string]int   // the last index of an address in pending
+	growth  int              // by how much pending changes the number of nodes
 	events  int
 	skipped []string
 }
 
-func (l *list) dropHeld() { l.heldChanges = heldChanges{latest: map[string]int{}} }
+func (l *list) dropPending() { l.pendingChanges = pendingChanges{latest: map[string]int{}} }
 
-// hold takes the events of a response or fragment. Those that were passed on before are ignored.
-func (l *list) hold(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
+// collect takes the events of a response or fragment. Those that were passed on before are ignored.
+func (l *list) collect(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	for _, e := range r.Events {
 		if e.Kv.ModRevision <= l.revision {
 			continue
 		}
 		l.events++
-		if e.Kv.ModRevision < l.lastRevision || l.events > maxHeldFactor*l.maxNodes {
-			return nil, errHistoryLost // revisions that decrease between fragments; more than a complete list holds
+		if e.Kv.ModRevision < l.lastRevision || l.events > maxPendingFactor*l.maxNodes {
+			return nil, errHistoryLost // revisions that decrease between fragments; more than a complete list has
 		}
 		l.lastRevision = e.Kv.ModRevision
-		l.holdPair(e.Kv, e.Type == mvccpb.DELETE)
+		if e.Type == mvccpb.DELETE {
+			l.addDeletion(e.Kv)
+		} else {
+			l.addPut(e.Kv)
+		}
 	}
 	return nil, nil
 }
 
-// release takes the last events of a response and passes on all that is held: the changes of one revision belong
+// commit takes the last events of a response and passes on all that is pending: the changes of one revision belong
 // together.
-func (l *list) release(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
-	if _, err := l.hold(r); err != nil {
+func (l *list) commit(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
+	if _, err := l.collect(r); err != nil {
 		return nil, err
 	}
-	update := &discovery.Update{Kind: honeyplank.Delta, Nodes: l.held, Skipped: l.skipped}
-	l.dropHeld()
+	update := &discovery.Update{Kind: honeyplank.Delta, Nodes: l.pending, Skipped: l.skipped}
+	l.dropPending()
 	l.revision = max(l.revision, l.lastRevision)
 	if len(update.Nodes)+len(update.Skipped) == 0 {
 		return nil, nil
@@ -86,45 +90,59 @@
 	return update, nil
 }
 
-// holdPair holds the change that a pair is. Only its deletion removes a node: a value that is not valid changes nothing,
-// and neither does the deletion of a node that is not there. Once there are as many nodes as the maximum no new one is
-// taken, while changes of the others, such as that they drain, are.
-func (l *list) holdPair(pair *mvccpb.KeyValue, deleted bool) {
-	address, ok := strings.CutPrefix(string(pair.Key), l.prefix)
+// addPut adds the change that a pair was set. A value that is not valid changes nothing. Once there are as many nodes
+// as the maximum, new ones are skipped; changes of the others, for example that one drains, are not.
+func (l *list) addPut(pair *mvccpb.KeyValue) {
+	address, ok := l.address(pair)
 	if !ok {
-		l.skip("the key %.80q is not of the list", pair.Key)
 		return
 	}
-	n, listed := l.node(address)
-	if !listed && deleted {
+	record, err := discovery.ParseRecord(address, pair.Value)
+	if err != nil {
+		l.skipped = append(l.skipped, err.Error())
 		return
 	}
-	if !deleted {
-		record, err := discovery.ParseRecord(address, pair.Value)
-		if err != nil {
-			l.skipped = append(l.skipped, err.Error())
+	if _, listed := l.node(address); !listed {
+		if len(l.nodes)+l.growth >= l.maxNodes {
+			l.skip("%s would be node %d, list most is %d", address, l.maxNodes+1, l.maxNodes)
 			return
 		}
-		n.Record = record
+		l.growth++
 	}
-	switch {
-	case deleted:
-		l.growth--
-	case !listed && len(l.nodes)+l.growth >= l.maxNodes:
-		l.skip("%s would be node %d, list most is %d", address, l.maxNodes+1, l.maxNodes)
+	l.addChange(discovery.Node{Record: record, Address: address})
+}
+
+// addDeletion adds the change that a pair was deleted. It changes nothing where the node is not listed.
+func (l *list) addDeletion(pair *mvccpb.KeyValue) {
+	address, ok := l.address(pair)
+	if !ok {
 		return
-	case !listed:
-		l.growth++
 	}
-	n.Address, n.Removed = address, deleted
-	l.latest[address] = len(l.held)
-	l.held = append(l.held, n)
+	if n, listed := l.node(address); listed {
+		n.Removed = true
+		l.growth--
+		l.addChange(n)
+	}
+}
+
+func (l *list) addChange(n discovery.Node) {
+	l.latest[n.Address] = len(l.pending)
+	l.pending = append(l.pending, n)
+}
+
+// address is the address that a pair's key has after the prefix. Without the prefix the pair is skipped: ok is false.
+func (l *list) address(pair *mvccpb.KeyValue) (address string, ok bool) {
+	address, ok = strings.CutPrefix(string(pair.Key), l.prefix)
+	if !ok {
+		l.skip("the key %.80q is not of the list", pair.Key)
+	}
+	return address, ok
 }
 
-// node is a node by its address, with the changes that are held.
+// node is a node by its address, with the changes that are pending.
 func (l *list) node(address string) (n discovery.Node, listed bool) {
 	if i, ok := l.latest[address]; ok {
-		return l.held[i], !l.held[i].Removed
+		return l.pending[i], !l.pending[i].Removed
 	}
 	n, listed = l.nodes[address]
 	return n, listed
@@ -134,7 +152,7 @@
 	l.skipped = append(l.skipped, fmt.Sprintf("discovery: "+format, a...))
 }
 
-// listRead is a complete list that is read page by page, all at the revision of the first.
+// listRead is a complete list that is read page by page, all of them at the revision of the first.
 type listRead struct {
 	list
 	nextKey []byte // where the next page begins
@@ -143,11 +161,11 @@
 // newRead begins to read the complete list.
 func (l *list) newRead() *listRead {
 	r := &listRead{list: list{prefix: l.prefix, maxNodes: l.maxNodes}, nextKey: []byte(l.prefix)}
-	r.dropHeld()
+	r.dropPending()
 	return r
 }
 
-// addPage takes in a page and reports whether there are more.
+// addPage adds a page and reports whether there are more.
 func (r *listRead) addPage(p *etcdserverpb.RangeResponse) (more bool, err error) {
 	if p.GetHeader() == nil || p.Header.Revision < 1 {
 		return false, errNoRevision
@@ -160,10 +178,10 @@
 			return false, errKeyOrder
 		}
 		r.nextKey = append(append(r.nextKey[:0], pair.Key...), 0)
-		if len(r.held)+len(r.skipped) >= maxHeldFactor*r.maxNodes {
+		if len(r.pending)+len(r.skipped) >= maxPendingFactor*r.maxNodes {
 			return false, errTooManyKeys
 		}
-		r.holdPair(pair, false)
+		r.addPut(pair)
 	}
 	if p.More && len(p.Kvs) == 0 {
 		return false, errEmptyPage
@@ -176,9 +194,9 @@
 	if r.revision < l.revision && (l.state == watching || l.state == receivingFragments) {
 		return &discovery.Update{Kind: honeyplank.Delta}
 	}
-	l.nodes, l.revision = make(map[string]discovery.Node, len(r.held)), r.revision
-	for _, n := range r.held {
+	l.nodes, l.revision = make(map[string]discovery.Node, len(r.pending)), r.revision
+	for _, n := range r.pending {
 		l.nodes[n.Address] = n
 	}
-	return &discovery.Update{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.held, Skipped: r.skipped}
+	return &discovery.Update{Kind: honeyplank.Complete, Revision: r.revision, Nodes: r.pending, Skipped: r.skipped}
 }
--- a/discovery/etcd/rpc.go
+++ b/discovery/etcd/rpc.go
@@ -15,38 +15,49 @@
 )
 
 const (
-	// pagesOfFullList is into how many pages a list of the maximum length is cut.
+	// pagesOfFullList is the number of pages in which a list of the maximum length is read.
 	pagesOfFullList = 20
-	// keepalivePeriods is after how many times askWithin without traffic the connection is checked.
+	// keepalivePeriods is how many times Settings.Timeout a connection may be without traffic before it is checked.
 	keepalivePeriods = 2
-	// progressChecks is how often within askWithin a watch without responses is looked at: the first time it is asked for
-	// its progress, the next it is broken.
+	// progressChecks is how often within Settings.Timeout a watch is checked for responses: at the first check without
+	// any, its progress is requested; at the next, the watch has failed.
 	progressChecks = 2
 )
 
-// Why a watch is broken that etcd has not ended. Update.Err wraps them.
+// Why a watch has failed that etcd has not ended. Update.Err wraps them.
 var (
-	// ErrNotCreated means that the watch was not created in time: neither a connection that isn't made nor an endpoint that
-	// takes a call and leaves it there has reported anything.
+	// ErrNotCreated means that etcd did not confirm the watch in time: there is no connection, or the endpoint accepted
+	// the call and did not answer it.
 	ErrNotCreated = errors.New("the watch was not created in time")
 	// ErrSilent means that nothing came on the watch, not even the progress that was asked for.
 	ErrSilent = errors.New("nothing came on the watch in time")
 )
 
-// run carries out a watch, or a fetch, until it ends.
-func (s session) run(ctx context.Context, watch bool) error {
-	conn, err := grpc.NewClient("passthrough:///"+s.endpoint, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithUserAgent(s.userAgent),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepalivePeriods * s.askWithin, Timeout: s.askWithin}))
+// connect runs a session on a connection to its endpoint.
+func (s session) connect(ctx context.Context, run func(session, context.Context, *grpc.ClientConn) error) error {
+	conn, err := grpc.NewClient("passthrough:///"+s.endpoint,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithUserAgent(s.settings.UserAgent),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{
+			Time:    keepalivePeriods * s.settings.Timeout,
+			Timeout: s.settings.Timeout,
+		}))
 	if err != nil {
-		return err
+		return fmt.Errorf("discovery: connection to %s: %w", s.endpoint, err)
 	}
 	defer conn.Close()
-	if watch && s.hasRevision() {
+	return run(s, ctx, conn)
+}
+
+// follow watches from the last revision passed on. Where there is none, or etcd has lost the history since, it reads
+// the complete list first.
+func (s session) follow(ctx context.Context, conn *grpc.ClientConn) error {
+	if s.hasRevision() {
 		if err := s.watch(ctx, conn); !errors.Is(err, errHistoryLost) {
 			return err
 		}
 	}
-	if err := s.readList(ctx, conn); err != nil || !watch {
+	if err := s.readList(ctx, conn); err != nil {
 		return err
 	}
 	return s.watch(ctx, conn)
@@ -59,14 +70,11 @@
 	return s.list.revision > 0
 }
 
-// readList reads the complete list, page by page.
+// readList reads the complete list, page by page, and passes it on.
 func (s session) readList(ctx context.Context, conn *grpc.ClientConn) error {
-	kv, end, read := etcdserverpb.NewKVClient(conn), prefixEnd(s.list.prefix), s.list.newRead()
-	pageSize := int64(max(1, s.list.maxNodes/pagesOfFullList))
+	kv, read := etcdserverpb.NewKVClient(conn), s.list.newRead()
 	for more := true; more; {
-		callCtx, cancel := context.WithTimeout(ctx, s.askWithin)
-		page, err := kv.Range(callCtx, &etcdserverpb.RangeRequest{Key: read.nextKey, RangeEnd: end, Limit: pageSize, Revision: read.revision})
-		cancel()
+		page, err := s.readPage(ctx, kv, read)
 		if err == nil {
 			more, err = read.addPage(page)
 		}
@@ -77,7 +85,21 @@
 	return s.apply(func(l *list) (*discovery.Update, error) { return l.replace(read), nil })
 }
 
-// watch watches from after the revision passed on last until the watch breaks. It returns errHistoryLost where the
+// readPage requests the next page of a complete list.
+func (s session) readPage(
+	ctx context.Context, kv etcdserverpb.KVClient, read *listRead,
+) (*etcdserverpb.RangeResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.settings.Timeout)
+	defer cancel()
+	return kv.Range(ctx, &etcdserverpb.RangeRequest{
+		Key:      read.nextKey,
+		RangeEnd: prefixEnd(s.settings.Prefix),
+		Limit:    int64(max(1, s.settings.MaxNodes/pagesOfFullList)),
+		Revision: read.revision,
+	})
+}
+
+// watch watches from after the last revision passed on until the watch fails. It returns errHistoryLost where the
 // complete list is needed.
 func (s session) watch(ctx context.Context, conn *grpc.ClientConn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -94,16 +116,12 @@
 
 // receive creates a watch and applies its responses until there is an error, which it returns.
 func (s session) receive(ctx context.Context, cancel context.CancelCauseFunc, conn *grpc.ClientConn) error {
-	from := int64(0)
-	if err := s.apply(func(l *list) (*discovery.Update, error) { l.beginWatch(); from = l.revision; return nil, nil }); err != nil {
+	from, err := s.beginWatch()
+	if err != nil {
 		return err
 	}
-	created := func() {}
-	if s.askWithin > 0 {
-		timer := time.AfterFunc(s.askWithin, func() { cancel(fmt.Errorf("%w: %v", ErrNotCreated, s.askWithin)) })
-		defer timer.Stop()
-		created = func() { timer.Stop() }
-	}
+	created := s.limitCreation(cancel)
+	defer created()
 	stream, err := s.create(ctx, conn, from)
 	if err != nil {
 		return err
@@ -125,26 +143,58 @@
 	}
 }
 
+// beginWatch prepares the list for a watch. It returns the revision after which the watch is to begin.
+func (s session) beginWatch() (from int64, err error) {
+	err = s.apply(func(l *list) (*discovery.Update, error) {
+		l.beginWatch()
+		from = l.revision
+		return nil, nil
+	})
+	return from, err
+}
+
+// limitCreation cancels the watch after Settings.Timeout, unless the function that it returns is called before.
+func (s session) limitCreation(cancel context.CancelCauseFunc) (created func()) {
+	if s.settings.Timeout <= 0 {
+		return func() {}
+	}
+	timer := time.AfterFunc(s.settings.Timeout, func() {
+		cancel(fmt.Errorf("%w: %v", ErrNotCreated, s.settings.Timeout))
+	})
+	return func() { timer.Stop() }
+}
+
 // create asks for a watch from after a revision.
-func (s session) create(ctx context.Context, conn *grpc.ClientConn, from int64) (etcdserverpb.Watch_WatchClient, error) {
+func (s session) create(
+	ctx context.Context, conn *grpc.ClientConn, from int64,
+) (etcdserverpb.Watch_WatchClient, error) {
 	stream, err := etcdserverpb.NewWatchClient(conn).Watch(ctx)
 	if err != nil {
 		return nil, err
 	}
-	request := &etcdserverpb.WatchCreateRequest{Key: []byte(s.list.prefix), RangeEnd: prefixEnd(s.list.prefix), StartRevision: from + 1, ProgressNotify: true, Fragment: true}
-	return stream, stream.Send(&etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_CreateRequest{CreateRequest: request}})
+	request := &etcdserverpb.WatchCreateRequest{
+		Key:            []byte(s.settings.Prefix),
+		RangeEnd:       prefixEnd(s.settings.Prefix),
+		StartRevision:  from + 1,
+		ProgressNotify: true,
+		Fragment:       true,
+	}
+	return stream, stream.Send(&etcdserverpb.WatchRequest{
+		RequestUnion: &etcdserverpb.WatchRequest_CreateRequest{CreateRequest: request},
+	})
 }
 
-// handle applies a response, and reports on active one that keeps up the watch.
+// handle applies a response, and reports on active one that shows that the watch works.
 func (s session) handle(response *etcdserverpb.WatchResponse, active chan<- struct{}) error {
-	keepsUp := true
+	works := true
 	err := s.apply(func(l *list) (*discovery.Update, error) {
 		update, err := l.handle(response)
-		// A progress response keeps up a complete watch, not one of which a fragment or its creation is awaited.
-		keepsUp = l.state == watching || len(response.Events) > 0
+		// A progress response says nothing of a watch that is not created, or of a response whose fragments are
+		// awaited.
+		works = l.state == watching || len(response.Events) > 0
 		return update, err
 	})
-	if keepsUp {
+	if works {
 		select {
 		case active <- struct{}{}:
 		default:
@@ -153,33 +203,44 @@
 	return err
 }
 
-// checkProgress asks a watch without responses for its progress and ends one that does not answer. It guards against a
-// watch that stays open and delivers nothing; it could harm where askWithin is shorter than a slow etcd takes.
-func (s session) checkProgress(ctx context.Context, cancel context.CancelCauseFunc, stream etcdserverpb.Watch_WatchClient, active <-chan struct{}) {
-	if s.askWithin <= 0 {
+// checkProgress requests the progress of a watch without responses and cancels one that does not answer. It guards
+// against a watch that stays open and delivers nothing; it could harm where a slow etcd takes longer than
+// Settings.Timeout.
+func (s session) checkProgress(
+	ctx context.Context, cancel context.CancelCauseFunc, stream etcdserverpb.Watch_WatchClient, active <-chan struct{},
+) {
+	timeout := s.settings.Timeout
+	if timeout <= 0 {
 		return
 	}
-	progress := &etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_ProgressRequest{ProgressRequest: &etcdserverpb.WatchProgressRequest{}}}
-	for asked := false; ; {
-		timer := time.NewTimer(s.askWithin / progressChecks)
+	for requested := false; ; {
+		timer := time.NewTimer(timeout / progressChecks)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-active:
 			timer.Stop()
-			asked = false
+			requested = false
 		case <-timer.C:
-			if asked {
-				cancel(fmt.Errorf("%w: %v", ErrSilent, s.askWithin))
+			if requested {
+				cancel(fmt.Errorf("%w: %v", ErrSilent, timeout))
 				return
 			}
-			asked = true
-			stream.Send(progress) // an error shows in Recv
+			requested = true
+			_ = stream.Send(progressRequest()) // receive returns the error of a stream that has failed
 		}
 	}
 }
 
+func progressRequest() *etcdserverpb.WatchRequest {
+	return &etcdserverpb.WatchRequest{
+		RequestUnion: &etcdserverpb.WatchRequest_ProgressRequest{
+			ProgressRequest: &etcdserverpb.WatchProgressRequest{},
+		},
+	}
+}
+
 // prefixEnd is the key after all that begin with a prefix, by etcd's convention for ranges.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
--- a/discovery/etcd/watch.go
+++ b/discovery/etcd/watch.go
@@ -22,7 +22,7 @@
 const (
 	awaitingCreated    watchState = iota // the response that the watch is created is awaited
 	watching                             // the watch is created and no response is incomplete
-	receivingFragments                   // fragments of a response are held, and more are awaited
+	receivingFragments                   // fragments of a response are pending, and more are awaited
 	ended                                // no response is taken
 )
 
@@ -55,28 +55,28 @@
 		inputProgress:  {awaitingCreated, ignore}, // of another watch on the stream
 	},
 	watching: {
-		inputFragment:  {receivingFragments, (*list).hold},
-		inputEvents:    {watching, (*list).release},
+		inputFragment:  {receivingFragments, (*list).collect},
+		inputEvents:    {watching, (*list).commit},
 		inputProgress:  {watching, (*list).progress},
 		inputCompacted: {ended, (*list).loseHistory},
 		inputCancelled: {ended, (*list).cancelled},
 	},
 	receivingFragments: {
-		inputFragment:  {receivingFragments, (*list).hold},
-		inputEvents:    {watching, (*list).release},
+		inputFragment:  {receivingFragments, (*list).collect},
+		inputEvents:    {watching, (*list).commit},
 		inputProgress:  {receivingFragments, ignore}, // says nothing of the events in fragments
 		inputCompacted: {ended, (*list).loseHistory},
 		inputCancelled: {ended, (*list).cancelled},
 	},
 }
 
-// beginWatch drops what is held of the watch before and awaits a new one, from after the revision passed on.
+// beginWatch drops what is pending of the watch before and awaits a new one, from after the last revision passed on.
 func (l *list) beginWatch() {
 	l.state, l.lastRevision = awaitingCreated, l.revision
-	l.dropHeld()
+	l.dropPending()
 }
 
-// handle takes in a response. The update is nil where there is nothing to pass on. After an error the watch has ended;
+// handle applies a response. The update is nil where there is nothing to pass on. After an error the watch has ended;
 // errHistoryLost asks for the complete list.
 func (l *list) handle(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	t, ok := transitions[l.state][l.classify(r)]
@@ -87,12 +87,12 @@
 	update, err := t.action(l, r)
 	if err != nil {
 		l.state = ended
-		l.dropHeld()
+		l.dropPending()
 	}
 	return update, err
 }
 
-// classify is the input that a response is.
+// classify returns the kind of input that a response is.
 func (l *list) classify(r *etcdserverpb.WatchResponse) watchInput {
 	switch {
 	case r.GetHeader() == nil:
@@ -124,13 +124,13 @@
 // ignore does nothing.
 func ignore(*list, *etcdserverpb.WatchResponse) (*discovery.Update, error) { return nil, nil }
 
-// created takes in that the watch is created. Where etcd's revision is below the one passed on, its history is another
-// one, and the complete list is needed.
+// created handles the confirmation of the watch. Where etcd's revision is below the last one passed on, etcd has
+// another history, and the complete list is needed.
 func (l *list) created(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	if r.Header.Revision < l.revision {
 		return nil, errHistoryLost
 	}
-	// Passed on without nodes, as no event may come for long.
+	// An update without nodes, since it may take long until an event comes.
 	return &discovery.Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
@@ -142,8 +142,8 @@
 	return nil, fmt.Errorf("%w: %.200s", errCancelled, r.CancelReason)
 }
 
-// progress takes in that no event up to a revision is missing. A response with events does not mean that: etcd sends a
-// long history in several, each with the current revision in its header.
+// progress handles the notification that no event up to a revision is missing. A response with events does not mean
+// that: etcd sends a long history in several, each with the current revision in its header.
 func (l *list) progress(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	l.revision = max(l.revision, r.Header.Revision)
 	l.lastRevision = max(l.lastRevision, l.revision)
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -211,8 +211,8 @@
 			if want := m.known(); !maps.Equal(l.nodes, want) || !maps.Equal(received, want) {
 				t.Fatalf("nodes %v\nreceived %v\nmodel %v", l.nodes, received, want)
 			}
-			if len(l.nodes) > testMaxNodes || len(l.held)+len(l.skipped) > 2*testMaxNodes {
-				t.Fatalf("%d nodes, %d held, %d skipped", len(l.nodes), len(l.held), len(l.skipped))
+			if len(l.nodes) > testMaxNodes || len(l.pending)+len(l.skipped) > 2*testMaxNodes {
+				t.Fatalf("%d nodes, %d pending, %d skipped", len(l.nodes), len(l.pending), len(l.skipped))
 			}
 		}
 	})
@@ -242,7 +242,7 @@
 	for ; err == nil && n < 100; n++ {
 		_, err = r.addPage(&etcdserverpb.RangeResponse{Header: head, Kvs: []*mvccpb.KeyValue{pair(n + 1)}, More: true})
 	}
-	if !errors.Is(err, errTooManyKeys) || n > 2*testMaxNodes+1 || len(r.held) != testMaxNodes {
-		t.Errorf("a list without an end: %v after %d pages, %d held", err, n, len(r.held))
+	if !errors.Is(err, errTooManyKeys) || n > 2*testMaxNodes+1 || len(r.pending) != testMaxNodes {
+		t.Errorf("a list without an end: %v after %d pages, %d pending", err, n, len(r.pending))
 	}
 }
--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -20,7 +20,11 @@
 	case honeyplank.LogEstimateIgnored:
 		g.log.Warn().Str("server", string(a.Server)).Str("reason", a.Reason).Msg("saved estimate ignored")
 	case honeyplank.Watch:
-		g.watch(a.Enabled)
+		if a.Enabled {
+			g.startWatch()
+		} else {
+			g.stopWatch()
+		}
 	case honeyplank.Fetch:
 		if g.etcd != nil {
 			g.etcd.Fetch()
@@ -28,13 +32,19 @@
 	}
 }
 
-// watch starts or stops etcd's watch. Without etcd there is none that could fail, since DNS is polled all the time: the
+// startWatch starts etcd's watch. Without etcd there is none that could fail, since DNS is polled all the time: the
 // module is told at once that it works.
-func (g *Instance) watch(enabled bool) {
-	switch {
-	case g.etcd != nil:
-		g.etcd.Watch(enabled)
-	case enabled:
+func (g *Instance) startWatch() {
+	if g.etcd == nil {
 		g.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta})
+		return
+	}
+	g.etcd.Watch()
+}
+
+// stopWatch ends etcd's watch, if there is one.
+func (g *Instance) stopWatch() {
+	if g.etcd != nil {
+		g.etcd.StopWatch()
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -225,11 +225,16 @@
 func (g *Instance) configureDiscovery() {
 	list := &g.settings.List
 	if len(list.Etcd) > 0 {
-		var endpoints []string
+		config := etcd.Settings{
+			UserAgent: g.settings.Listen.Host,
+			Prefix:    list.Prefix,
+			MaxNodes:  list.MaxServers,
+			Timeout:   list.WatchWithin.Duration(),
+		}
 		for _, e := range list.Etcd {
-			endpoints = append(endpoints, e.Endpoint)
+			config.Endpoints = append(config.Endpoints, e.Endpoint)
 		}
-		g.etcd = etcd.New(endpoints, list.Prefix, g.settings.Listen.Host, list.WatchWithin.Duration(), list.MaxServers, g.updateHandler(membership.Etcd))
+		g.etcd = etcd.New(config, g.updateHandler(membership.Etcd))
 	}
 	if d := list.DNS; d != nil {
 		config := dns.Settings{Name: d.Name, MinInterval: d.MinInterval.Duration(), MaxInterval: d.MaxInterval.Duration(), Timeout: d.Timeout.Duration(), Seed: g.options.Seed}
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -79,9 +79,7 @@
 	g.log.Info().Int("open", g.tracker.Unanswered()).Msg("no more ops are taken")
 	g.onDrained = func() {
 		g.onDrained = nil
-		if g.etcd != nil {
-			g.etcd.Watch(false)
-		}
+		g.stopWatch()
 		g.closeAssociations()
 		g.server.Close(drained)
 	}
