--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -49,17 +49,17 @@
 	extent := int64(command.SLBA()) * int64(g.settings.Volumes.Block) / int64(g.settings.Volumes.Extent)
 	write := command.Opcode() == nvme.Write
 	return honeyplank.Op{
-		ID:         o.id,
-		Units:      float64(g.settings.Units(size)),
-		Timeout:    command.Arrived + g.opTimeout(command),
-		Plan:       v.plan,
-		Type:       g.settings.Type(write, size),
-		Key:        namespace<<32 ^ extent,
-		HasKey:     true,
-		Write:      write,
-		Schedulers: v.hosts,
-		Volume:     namespace,
-		Cell:       v.cells[extent%int64(len(v.cells))],
+		ID:        o.id,
+		Units:     float64(g.settings.Units(size)),
+		Timeout:   command.Arrived + g.opTimeout(command),
+		Plan:      v.plan,
+		Type:      g.settings.Type(write, size),
+		Key:       namespace<<32 ^ extent,
+		HasKey:    true,
+		Write:     write,
+		Instances: v.hosts,
+		Volume:    namespace,
+		Cell:      v.cells[extent%int64(len(v.cells))],
 	}
 }
 
--- a/honeyplank.go
+++ b/honeyplank.go
@@ -122,18 +122,18 @@
 	}
 	// Op is a client's op, which must have one final answer from now on: the first Outcome with code Succeeded, Reject or Fail.
 	Op struct {
-		ID         OpID
-		Units      float64       // its size
-		Timeout    time.Duration // the clock time at which the client gives up
-		Plan       int           // number of the volume's plan, see PlanSettings
-		Type       int           // number of the op type, see OpTypeSettings
-		Key        int64         // number of the object that is read or written, if HasKey
-		HasKey     bool          // ops of an ordered type are ordered by Key
-		Write      bool          // it changes data
-		Schedulers int           // number of instances through which the volume's ops come
-		Retry      bool          // the client has tried it before
-		Volume     int64         // number of the volume
-		Cell       int           // number of the cell that holds the data, or NewObject
+		ID        OpID
+		Units     float64       // its size
+		Timeout   time.Duration // the clock time at which the client gives up
+		Plan      int           // number of the volume's plan, see PlanSettings
+		Type      int           // number of the op type, see OpTypeSettings
+		Key       int64         // number of the object that is read or written, if HasKey
+		HasKey    bool          // ops of an ordered type are ordered by Key
+		Write     bool          // it changes data
+		Instances int           // number of instances through which the ops of the volume come
+		Retry     bool          // the client has tried it before
+		Volume    int64         // number of the volume
+		Cell      int           // number of the cell that holds the data, or NewObject
 	}
 	// Outcome ends a dispatch. Each dispatch has one.
 	Outcome struct {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -85,7 +85,7 @@
 	}
 	op := honeyplank.Op{
 		ID: honeyplank.OpID(m.Job), Units: m.Units, Timeout: span(m.Deadline), Plan: m.Tier,
-		Type: m.Priority, HasKey: m.Chunk != nil, Write: m.IsWrite, Schedulers: int(m.SetSize),
+		Type: m.Priority, HasKey: m.Chunk != nil, Write: m.IsWrite, Instances: int(m.SetSize),
 		Retry: m.Retry, Volume: m.Share,
 	}
 	if m.Chunk != nil {
@@ -130,8 +130,8 @@
 	return honeyplank.Code(code), nil
 }
 
-// FieldName is the module's name of a value of a load report: the simulator's less its unit.
-func FieldName(f string) string { return strings.TrimSuffix(f, "_ms") }
+// LoadFieldName is the module's name of a value of a load report: the simulator's less its unit.
+func LoadFieldName(f string) string { return strings.TrimSuffix(f, "_ms") }
 
 // report names the values of a load report.
 func report(values []float64, fields []string) map[string]float64 {
@@ -141,7 +141,7 @@
 	named := map[string]float64{}
 	for i, f := range fields {
 		if i < len(values) {
-			named[FieldName(f)] = values[i]
+			named[LoadFieldName(f)] = values[i]
 		}
 	}
 	return named
--- a/internal/simwire/provision.go
+++ b/internal/simwire/provision.go
@@ -16,16 +16,16 @@
 // siteFigures are the settings as the wire words them.
 type siteFigures struct {
 	Caps struct {
-		Cancel        bool    `json:"cancel"`
-		MaxAttempts   int     `json:"max_attempts"`
-		MaxRetryAfter float64 `json:"max_retry_after_ms"`
-		MayDuplicate  bool    `json:"may_duplicate"`
-		Peers         bool    `json:"peer_messages"`
-		Probes        bool    `json:"probes"`
-		RetryAfter    bool    `json:"retry_after"`
-		Keepalive     float64 `json:"keepalive_ms"`
-		Connect       float64 `json:"connect_timeout_ms"`
-		Streams       int     `json:"streams_per_conn"`
+		Cancel         bool    `json:"cancel"`
+		MaxAttempts    int     `json:"max_attempts"`
+		MaxRetryAfter  float64 `json:"max_retry_after_ms"`
+		MayDuplicate   bool    `json:"may_duplicate"`
+		Peers          bool    `json:"peer_messages"`
+		Probes         bool    `json:"probes"`
+		RetryAfter     bool    `json:"retry_after"`
+		Keepalive      float64 `json:"keepalive_ms"`
+		Connect        float64 `json:"connect_timeout_ms"`
+		StreamsPerConn int     `json:"streams_per_conn"`
 	} `json:"caps"`
 	Classes []struct {
 		Name      string  `json:"name"`
@@ -96,15 +96,15 @@
 
 // Site is what the settings say, for whoever meets the site elsewhere than on the simulator's wire.
 type Site struct {
-	Settings       *honeyplank.Settings
-	Fields         []string // names of the values of a load report
-	OpTypes, Plans []string // names, in the order of the lists in Values
-	Models, Zones  []string
-	Idle           time.Duration // idle connections are closed after this long
-	ConnectWithin  time.Duration
-	Streams        int // dispatches that one connection carries
-	Ask            bool
-	Probes, Peers  bool
+	Settings             *honeyplank.Settings
+	LoadFields           []string // names of the values of a load report
+	OpTypes, Plans       []string // names, in the order of the lists in Values
+	Models, Zones        []string
+	IdleTimeout          time.Duration // idle connections are closed after this long
+	ConnectTimeout       time.Duration
+	StreamsPerConn       int // dispatches that one connection carries
+	WatchOnRequest       bool
+	HealthChecks, Gossip bool
 }
 
 // ReadSite reads the settings as the simulator's first message holds them.
@@ -117,9 +117,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{Settings: values, Fields: f.Report.Fields, Models: f.Models, Zones: f.Zones, Idle: span(f.Caps.Keepalive),
-		ConnectWithin: span(f.Caps.Connect), Streams: f.Caps.Streams, Ask: f.Membership == "subscribe",
-		Probes: f.Caps.Probes, Peers: f.Caps.Peers}
+	s := &Site{Settings: values, LoadFields: f.Report.Fields, Models: f.Models, Zones: f.Zones, IdleTimeout: span(f.Caps.Keepalive),
+		ConnectTimeout: span(f.Caps.Connect), StreamsPerConn: f.Caps.StreamsPerConn, WatchOnRequest: f.Membership == "subscribe",
+		HealthChecks: f.Caps.Probes, Gossip: f.Caps.Peers}
 	for _, c := range f.Classes {
 		s.OpTypes = append(s.OpTypes, c.Name)
 	}
@@ -158,9 +158,9 @@
 		slack = append(slack, p.Slack)
 	}
 	v := &honeyplank.Settings{
-		Step:       span(f.Step),
-		Schedulers: f.Peers,
-		Ordinal:    f.Ordinal,
+		Step:      span(f.Step),
+		Instances: f.Peers,
+		Ordinal:   f.Ordinal,
 		OpTypes: honeyplank.OpTypeSettings{TargetLatency: target, OpTimeout: timeout, Utility: utility, Semantics: kind,
 			DedupScope: scope, DedupWindow: remember, Ordered: ordered},
 		Plans: honeyplank.PlanSettings{Rate: rate, Reserve: reserve, Weight: weight, Value: value, Limit: limit, Burst: burst,
@@ -168,7 +168,7 @@
 		MeanUnits:    f.Family.UnitMean,
 		LargestUnits: f.Family.Largest,
 		Watch:        honeyplank.WatchSettings{OnRequest: f.Membership == "subscribe", Within: span(f.Rules.AskWithin)},
-		Dispatches: honeyplank.DispatchSettings{Max: f.Caps.MaxAttempts, Parallel: f.Caps.MayDuplicate, Cancel: f.Caps.Cancel,
+		Dispatches: honeyplank.DispatchSettings{Max: f.Caps.MaxAttempts, HedgingAllowed: f.Caps.MayDuplicate, CancelAllowed: f.Caps.Cancel,
 			ConnectTimeout: span(f.Caps.Connect)},
 		RetryAfter: honeyplank.RetryAfterSettings{Allowed: f.Caps.RetryAfter, Max: span(f.Caps.MaxRetryAfter)},
 		SlowStart: honeyplank.SlowStartSettings{Window: span(f.Rules.Fall), Time: span(f.Rules.Cold), From: f.Rules.ColdFrom,
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -85,8 +85,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := site.Settings.Dispatches.ConnectTimeout; got != want || site.ConnectWithin != want {
-			t.Errorf("%s: %v to the module, %v to the network, want %v", raw, got, site.ConnectWithin, want)
+		if got := site.Settings.Dispatches.ConnectTimeout; got != want || site.ConnectTimeout != want {
+			t.Errorf("%s: %v to the module, %v to the network, want %v", raw, got, site.ConnectTimeout, want)
 		}
 	}
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -72,7 +72,7 @@
 		record = &volume{plan: op.Plan, refilledAt: s.noDispatchSince(), reserve: math.Inf(1)}
 		s.volumes[op.Volume] = record
 	}
-	record.schedulers, record.lastSeen = op.Schedulers, s.now
+	record.schedulers, record.lastSeen = op.Instances, s.now
 	if record.schedulers < 1 {
 		record.schedulers = max(s.settings.schedulers, 1)
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -52,7 +52,7 @@
 	for instances, want := range map[int][]bool{3: {true, true, true}, 200: {false, true, false}} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			fleet := fullServerFleet(t)
-			fleet.settings.Schedulers, fleet.settings.MeanUnits = instances, 2.0
+			fleet.settings.Instances, fleet.settings.MeanUnits = instances, 2.0
 			s := fleet.instances[0]
 			s.settings = readSettings(fleet.settings)
 			server := s.servers["osd0"]
@@ -77,7 +77,7 @@
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	fleet.admit("patient", 0, 8, 1, 0)
-	fleet.handle(0, honeyplank.Op{ID: "hurry", Units: 1, Timeout: fleet.now + 60*ms, Schedulers: 1, Volume: 7})
+	fleet.handle(0, honeyplank.Op{ID: "hurry", Units: 1, Timeout: fleet.now + 60*ms, Instances: 1, Volume: 7})
 	if candidate := fleet.instances[0].ops["hurry"]; candidate == nil || len(candidate.dispatches) != 1 || candidate.target != fleet.now+60*ms {
 		t.Errorf("%+v", candidate)
 	}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -72,7 +72,7 @@
 						fleet.endDispatch(tracked, honeyplank.TimedOut)
 					}
 				}
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + left, Schedulers: 1})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + left, Instances: 1})
 				sent += len(fleet.order[i].dispatched)
 			}
 			if got := s.servers["osd0"].health; sent < 4 || (got == honeyplank.HealthUp) != (want == honeyplank.HealthUp) {
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -24,7 +24,7 @@
 
 func newIdleFleet(t *testing.T) *idleFleet {
 	settings := testSettings()
-	settings.Schedulers, settings.Step, settings.Watch.OnRequest, settings.Watch.Within = 2, 5*ms, true, 2*time.Second
+	settings.Instances, settings.Step, settings.Watch.OnRequest, settings.Watch.Within = 2, 5*ms, true, 2*time.Second
 	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.3, 40.0, 2*time.Second, 500*ms
 	settings.MeanUnits, settings.Plans.Reserve, settings.Dispatches.ConnectTimeout = 1.5, []float64{1e3}, 200*ms
 	settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: 3.0, Share: 0.2, Window: 5 * time.Second}
@@ -83,7 +83,7 @@
 			fleet.opCount++
 			cell := fleet.rng.Intn(idleServers+2) - 2
 			opType := fleet.rng.Intn(2)
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(fleet.opCount)), Units: float64(1 + fleet.rng.Intn(2)), Type: opType, Schedulers: 2,
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(fleet.opCount)), Units: float64(1 + fleet.rng.Intn(2)), Type: opType, Instances: 2,
 				Timeout: fleet.now + valueAt(fleet.settings.OpTypes.OpTimeout, opType), Volume: fleet.rng.Int63n(9), Cell: max(cell, honeyplank.NewObject)}
 			fleet.handle(fleet.rng.Intn(2), op)
 			admitted = append(admitted, fleet.order[len(fleet.order)-1])
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -83,7 +83,7 @@
 				key = rng.Int63n(1000)
 			}
 			ops++
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(scenario.volumes)), Cell: rng.Intn(scenario.servers), Schedulers: 1}
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(scenario.volumes)), Cell: rng.Intn(scenario.servers), Instances: 1}
 			if scenario.keyRuns {
 				op.HasKey, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
 			}
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -25,7 +25,7 @@
 		},
 		Plans: honeyplank.PlanSettings{Rate: []float64{20}, Reserve: []float64{10}, Weight: []float64{1},
 			Limit: []float64{0}, Burst: []float64{0}, Slack: []float64{0}},
-		Schedulers: 1, Step: 2 * ms, Dispatches: honeyplank.DispatchSettings{Max: 4}, LargestUnits: 6,
+		Instances: 1, Step: 2 * ms, Dispatches: honeyplank.DispatchSettings{Max: 4}, LargestUnits: 6,
 		AnswerGrace: 8 * ms, DrainGrace: 250 * ms,
 	}
 }
@@ -92,7 +92,7 @@
 		drops := []bool{true, earlier.Zone == later.Zone, earlier.Cell == later.Cell}[scope] &&
 			m.now+after-dispatch.sentAt < valueAt(m.settings.OpTypes.DedupWindow, op.Type)
 		allowed := semantics == honeyplank.Idempotent || semantics == honeyplank.Deduplicated && drops
-		if !dispatch.done && !m.settings.Dispatches.Parallel || (!dispatch.done || dispatch.mayHaveRun) && !allowed {
+		if !dispatch.done && !m.settings.Dispatches.HedgingAllowed || (!dispatch.done || dispatch.mayHaveRun) && !allowed {
 			return false
 		}
 	}
@@ -219,7 +219,7 @@
 		settings: settings, ops: map[honeyplank.OpID]*trackedOp{}, servers: map[honeyplank.ServerID]honeyplank.Member{},
 		stoppedSince: map[honeyplank.ServerID]time.Duration{}, slowStart: map[honeyplank.ServerID][]slowStartDispatch{},
 		limitUsed: map[int64]float64{}, limitUsedAt: map[int64]time.Duration{}, retries: map[int][]time.Duration{}}}
-	for i := range max(settings.Schedulers, 1) {
+	for i := range max(settings.Instances, 1) {
 		fleet.instances = append(fleet.instances, New(seed+int64(i), settings))
 		fleet.timers = append(fleet.timers, map[honeyplank.TimerID]time.Duration{})
 	}
@@ -258,7 +258,7 @@
 			fleet.recordAnswer(action.Op, false)
 		case honeyplank.Cancel:
 			op := fleet.ops[action.Op]
-			if op == nil || action.Dispatch < 0 || action.Dispatch >= len(op.dispatched) || !fleet.settings.Dispatches.Cancel {
+			if op == nil || action.Dispatch < 0 || action.Dispatch >= len(op.dispatched) || !fleet.settings.Dispatches.CancelAllowed {
 				fleet.violate(0, "%s: dispatch %d is cancelled, which was never made or may not be", action.Op, action.Dispatch)
 			} else if action.Dispatch == len(op.dispatched)-1 {
 				op.dispatched[action.Dispatch].cancelRequested, fleet.dispatchEnds[action.Op] = true, fleet.now
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -47,7 +47,7 @@
 			fleet.now += up
 			sent := 0
 			for i := range 10 {
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 2})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + time.Second, Instances: 1, Cell: i % 2})
 				sent += len(fleet.order[i].dispatched)
 			}
 			if sent != want {
@@ -69,7 +69,7 @@
 			fleet.now = 10 * time.Hour
 			sent := 0
 			for i := range 16 {
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: opType, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 4})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: opType, Timeout: fleet.now + time.Second, Instances: 1, Cell: i % 4})
 				sent += len(fleet.order[i].dispatched)
 			}
 			if sent != want {
@@ -87,7 +87,7 @@
 	fleet := newTestFleet(t, 1, settings)
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	give := func(n int, units float64) int {
-		fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n)), Units: units, Type: 1, Timeout: fleet.now + 5*time.Second, Schedulers: 1})
+		fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n)), Units: units, Type: 1, Timeout: fleet.now + 5*time.Second, Instances: 1})
 		return len(fleet.order[n].dispatched)
 	}
 	fleet.now = time.Hour
@@ -139,7 +139,7 @@
 			sent, begin := 0.0, time.Hour
 			for i := range 150 {
 				fleet.now = begin + time.Duration(i)*ms
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: test.units, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 50})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: test.units, Timeout: fleet.now + time.Second, Instances: 1, Cell: i % 50})
 				sent += test.units * float64(len(fleet.order[i].dispatched))
 			}
 			if sent < test.least || sent > test.most {
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -120,7 +120,7 @@
 			s.now = now
 			s.acceptingAt = 0 // the list of servers that accept new objects may be a sweep old: made anew here
 			id := int64(rng.Intn(4))
-			candidate := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Schedulers: 1, Cell: honeyplank.NewObject},
+			candidate := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Instances: 1, Cell: honeyplank.NewObject},
 				admissionDraw: rng.Float64(), target: now + 200*ms}
 			s.openVolume(candidate)
 			list := modelRanking(s, id)
@@ -176,7 +176,7 @@
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
 		id := honeyplank.OpID(fmt.Sprint(i))
-		out := s.Handle(now, honeyplank.Op{ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Schedulers: 1, Cell: honeyplank.NewObject})
+		out := s.Handle(now, honeyplank.Op{ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Instances: 1, Cell: honeyplank.NewObject})
 		for _, action := range out {
 			if dispatch, ok := action.(honeyplank.Dispatch); ok {
 				s.Handle(now+4*ms, honeyplank.Outcome{Op: id, Server: dispatch.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: 4 * ms})
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -23,12 +23,12 @@
 		{"once-only", func(settings *honeyplank.Settings) {
 			settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.AtMostOnce, honeyplank.AtMostOnce}
 		}, true, 1},
-		{"not allowed", func(settings *honeyplank.Settings) { settings.Dispatches.Cancel = false }, true, 1},
-		{"one at a time", func(settings *honeyplank.Settings) { settings.Dispatches.Parallel = false }, true, 1},
+		{"not allowed", func(settings *honeyplank.Settings) { settings.Dispatches.CancelAllowed = false }, true, 1},
+		{"one at a time", func(settings *honeyplank.Settings) { settings.Dispatches.HedgingAllowed = false }, true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Dispatches.Cancel, settings.Dispatches.Parallel = true, true
+			settings.Dispatches.CancelAllowed, settings.Dispatches.HedgingAllowed = true, true
 			test.change(settings)
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -65,7 +65,7 @@
 	for lost, want := range map[float64]int{0: 1, 0.05: 2} {
 		t.Run(fmt.Sprintf("share of %v lost", lost), func(t *testing.T) {
 			settings := testSettings()
-			settings.Dispatches.Cancel, settings.Dispatches.Parallel = true, true
+			settings.Dispatches.CancelAllowed, settings.Dispatches.HedgingAllowed = true, true
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
 			quick := 0
@@ -113,7 +113,7 @@
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
 			fleet.instances[0].setTypicalLatency(0.001)
-			fleet.handle(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Schedulers: 1})
+			fleet.handle(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Instances: 1})
 			fleet.now += test.after
 			fleet.endDispatch(fleet.ops["a"], honeyplank.Reset)
 			if n := len(fleet.ops["a"].dispatched); n != test.want || len(fleet.violations) > 0 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -17,9 +17,9 @@
 	settings.OpTypes.DedupScope = []honeyplank.DedupScope{honeyplank.DedupScope(rng.Intn(3)), honeyplank.DedupScope(rng.Intn(3))}
 	settings.OpTypes.Ordered = []bool{rng.Intn(2) == 0, rng.Intn(2) == 0}
 	settings.OpTypes.DedupWindow = []time.Duration{time.Duration(rng.Intn(600)) * ms, time.Second}
-	settings.Dispatches.Parallel, settings.Dispatches.Max = rng.Intn(2) == 0, rng.Intn(5)
-	settings.Dispatches.Cancel = rng.Intn(4) > 0
-	settings.Schedulers, settings.OrderSettle = 1+rng.Intn(3), time.Duration(rng.Intn(150))*ms
+	settings.Dispatches.HedgingAllowed, settings.Dispatches.Max = rng.Intn(2) == 0, rng.Intn(5)
+	settings.Dispatches.CancelAllowed = rng.Intn(4) > 0
+	settings.Instances, settings.OrderSettle = 1+rng.Intn(3), time.Duration(rng.Intn(150))*ms
 	if rng.Intn(2) == 0 {
 		settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: float64(rng.Intn(3)), Share: 0.1, Window: 500 * ms}
 	}
@@ -33,7 +33,7 @@
 	odd := []func(){
 		func() { settings.OpTypes.TargetLatency = nil }, func() { settings.OpTypes.Utility = nil }, func() { settings.Plans.Weight = nil },
 		func() { settings.Plans.Reserve = nil }, func() { settings.Plans.Rate = nil }, func() { settings.LargestUnits = 0 },
-		func() { settings.OpTypes.Semantics = nil }, func() { settings.Schedulers = 0 },
+		func() { settings.OpTypes.Semantics = nil }, func() { settings.Instances = 0 },
 	}
 	for i := range rng.Intn(2) * rng.Intn(4) { // odd but legal: absent
 		odd[(i+rng.Intn(8))%8]()
@@ -67,7 +67,7 @@
 				left := valueAt(fleet.settings.OpTypes.OpTimeout, opType) / time.Duration(1+rng.Intn(20))
 				fleet.handle(rng.Intn(len(fleet.instances)), honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n, fleet.rng.Int63())),
 					Units: float64(1 + rng.Intn(6)), Timeout: fleet.now + left, Type: opType, HasKey: true,
-					Key: int64(rng.Intn(6)), Schedulers: len(fleet.instances), Volume: int64(rng.Intn(5)), Cell: rng.Intn(5) - 1})
+					Key: int64(rng.Intn(6)), Instances: len(fleet.instances), Volume: int64(rng.Intn(5)), Cell: rng.Intn(5) - 1})
 			}
 			kind := rng.Intn(150)
 			if len(fleet.order) == 0 {
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -67,7 +67,7 @@
 		{0.23, 2, 12 * ms, 250 * ms, 1500 * ms, 5, honeyplank.AtMostOnce, 0},
 		{0.22, 3, 20 * ms, 800 * ms, 2500 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell}},
 		change: func(set *honeyplank.Settings) {
-			set.Dispatches.Parallel, set.Dispatches.Max = false, 2
+			set.Dispatches.HedgingAllowed, set.Dispatches.Max = false, 2
 			set.RetryAfter.Allowed, set.RetryAfter.Max = true, 300*ms
 		}},
 	{name: "nothing withdrawn", classes: []requestClass{
@@ -75,7 +75,7 @@
 		{0.27, 2, 10 * ms, 150 * ms, 600 * ms, 6, honeyplank.Deduplicated, honeyplank.ScopeAll},
 		{0.3, 3, 12 * ms, 400 * ms, 900 * ms, 2, honeyplank.Idempotent, 0},
 		{0.08, 3, 12 * ms, 500 * ms, 2000 * ms, 3, honeyplank.AtMostOnce, 0}},
-		change: func(set *honeyplank.Settings) { set.Dispatches.Cancel, set.Dispatches.Max = false, 6 }},
+		change: func(set *honeyplank.Settings) { set.Dispatches.CancelAllowed, set.Dispatches.Max = false, 6 }},
 	{name: "far apart", classes: []requestClass{
 		{0.6, 1, 10 * ms, 80 * ms, 300 * ms, 2, honeyplank.Idempotent, 0},
 		{0.4, 6, 60 * ms, 5000 * ms, 15000 * ms, 1, honeyplank.Idempotent, 0}}},
@@ -106,10 +106,10 @@
 	}
 	settings.OpTypes.TargetLatency, settings.OpTypes.OpTimeout, settings.OpTypes.DedupWindow = target, timeout, dedupWindow
 	settings.OpTypes.Utility, settings.OpTypes.Semantics, settings.OpTypes.DedupScope = utility, semantics, scope
-	settings.MeanUnits, settings.LargestUnits, settings.Schedulers = mean, float64(largest), fleetInstances
+	settings.MeanUnits, settings.LargestUnits, settings.Instances = mean, float64(largest), fleetInstances
 	rate := volumeInstances * requestRate * mean / fleetVolumes
 	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate}
-	settings.Dispatches.Parallel, settings.Dispatches.Cancel = true, true
+	settings.Dispatches.HedgingAllowed, settings.Dispatches.CancelAllowed = true, true
 	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.21, 21.0, 8*time.Second, 2*time.Second
 	if deployment.change != nil {
 		deployment.change(settings)
@@ -262,7 +262,7 @@
 	request := &clientRequest{class: class, first: run.now, deadline: run.now + timeout}
 	volume := run.rng.Intn(fleetVolumes)
 	request.op = honeyplank.Op{Units: float64(1 + run.rng.Intn(properties.units)), Type: class, HasKey: true, Key: run.rng.Int63n(1 << 40),
-		Volume: int64(volume), Schedulers: volumeInstances, Cell: (volume*5 + run.rng.Intn(3)) % fleetServers}
+		Volume: int64(volume), Instances: volumeInstances, Cell: (volume*5 + run.rng.Intn(3)) % fleetServers}
 	run.all = append(run.all, request)
 	run.attempt(request)
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -71,7 +71,7 @@
 	opTypes, plans, slowStart := settings.OpTypes, settings.Plans, settings.SlowStart
 	return &schedulerSettings{
 		step:       settings.Step,
-		schedulers: settings.Schedulers,
+		schedulers: settings.Instances,
 
 		targetLatency: opTypes.TargetLatency,
 		opTimeout:     opTypes.OpTimeout,
@@ -95,8 +95,8 @@
 		meterPeriod:            settings.Usage.Period,
 		reportsServedElsewhere: settings.Usage.Elsewhere,
 
-		hedgingAllowed:     settings.Dispatches.Parallel,
-		cancelAllowed:      settings.Dispatches.Cancel,
+		hedgingAllowed:     settings.Dispatches.HedgingAllowed,
+		cancelAllowed:      settings.Dispatches.CancelAllowed,
 		maxDispatches:      settings.Dispatches.Max,
 		retryBudgetLimited: settings.RetryBudget.Limited,
 		retryBudgetWindow:  settings.RetryBudget.Window,
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -20,7 +20,7 @@
 
 func (fleet *testFleet) admit(name string, i int, volume, key int64, opType int) {
 	fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(name, i)), Units: 1, Timeout: fleet.now + time.Second, Type: opType,
-		HasKey: true, Key: key, Schedulers: 1, Volume: volume})
+		HasKey: true, Key: key, Instances: 1, Volume: volume})
 }
 
 // The window bounds what is outstanding, the served volume goes first when the window has capacity again, and a slice that is
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -93,9 +93,9 @@
 	settings := testSettings()
 	settings.OpTypes.TargetLatency = []time.Duration{200 * ms, 200 * ms}
 	settings.OpTypes.OpTimeout = []time.Duration{1200 * ms, 1200 * ms}
-	settings.Schedulers, settings.MeanUnits, settings.LargestUnits = scenario.instances, slowStartMeanUnits, 6.0
+	settings.Instances, settings.MeanUnits, settings.LargestUnits = scenario.instances, slowStartMeanUnits, 6.0
 	if scenario.statedInstances > 0 {
-		settings.Schedulers = scenario.statedInstances
+		settings.Instances = scenario.statedInstances
 	}
 	settings.Dispatches.ConnectTimeout = scenario.connectTimeout
 	if scenario.connectDelay > 0 {
@@ -169,7 +169,7 @@
 				rate *= scenario.burst
 			}
 			at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(cell, "/", sequence)), Schedulers: scenario.instances, Cell: cell,
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(cell, "/", sequence)), Instances: scenario.instances, Cell: cell,
 				Units: 1 + float64(rng.Intn(3)), Timeout: at + clientTimeout, Volume: rng.Int63n(50)}
 			if scenario.connectDelay > 0 { // a class with time to wait for its connection
 				op.Type = 1
@@ -182,7 +182,7 @@
 			if scenario.hotVolume && cell == 0 && rng.Intn(2) == 0 {
 				volume = 0
 			}
-			op.Schedulers, op.Volume = scenario.volumeInstances, int64(7*cell+volume)
+			op.Instances, op.Volume = scenario.volumeInstances, int64(7*cell+volume)
 			add(at, (7*cell+volume+rng.Intn(scenario.volumeInstances)*101)%scenario.instances, op)
 		}
 	}
@@ -392,7 +392,7 @@
 func TestSlowStartRandomAdmission(t *testing.T) {
 	settings := testSettings()
 	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
-	settings.Schedulers, settings.MeanUnits = 100, 2.0
+	settings.Instances, settings.MeanUnits = 100, 2.0
 	s := New(1, settings)
 	s.now, s.serversUp = time.Minute, 20
 	s.demand = [2]decayedRate{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 servers
--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -83,7 +83,7 @@
 func (s *Scheduler) closeIdleServerConns() {
 	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may allow for fewer
 	}
-	now, keepalive := s.loop.Now(), s.site().Idle
+	now, keepalive := s.loop.Now(), s.site().IdleTimeout
 	for keepalive > 0 {
 		sc := s.longestIdleConn()
 		if sc == nil || now-sc.idleSince <= keepalive/2 {
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -37,7 +37,7 @@
 // callTimeout is how long discovery may take to begin a response. Where all instances share one discovery, calls wait in a
 // queue: one that is given up before its turn has been for nothing and is repeated, which makes the queue longer.
 func (s *Scheduler) callTimeout() time.Duration {
-	if s.site().Ask {
+	if s.site().WatchOnRequest {
 		return sharedHeadTimeout
 	}
 	return headTimeout
@@ -55,7 +55,7 @@
 func (s *Scheduler) watchEstablished(ctx context.Context) func() {
 	return func() {
 		s.loop.Post(func() {
-			if ctx.Err() == nil && s.site().Ask {
+			if ctx.Err() == nil && s.site().WatchOnRequest {
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta, Version: s.revisionGuard.revision})
 			}
 		})
@@ -93,7 +93,7 @@
 	return func(err error) {
 		s.loop.Post(func() {
 			switch {
-			case call == fetchCall && s.site().Ask: // an established watch goes on
+			case call == fetchCall && s.site().WatchOnRequest: // an established watch goes on
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 			case call == watchCall && ctx.Err() == nil:
 				s.watchFailed(err)
@@ -107,7 +107,7 @@
 func (s *Scheduler) watchFailed(err error) {
 	s.log.Info().Err(err).Msg("watch of discovery failed")
 	s.setWatch(false)
-	if s.site().Ask {
+	if s.site().WatchOnRequest {
 		s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 	} else {
 		s.loop.Schedule(s.loop.Now()+watchRetryDelay, func() { s.setWatch(!s.stopping) })
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -89,7 +89,7 @@
 
 // leastLoadedConn is the connection that carries the fewest attempts, of those that may carry one more; nil: there is none.
 func (ds *diskServer) leastLoadedConn() *serverConn {
-	most := max(ds.scheduler.site().Streams, 1)
+	most := max(ds.scheduler.site().StreamsPerConn, 1)
 	var least *serverConn
 	for _, sc := range ds.conns {
 		load := len(sc.inFlight)
@@ -201,7 +201,7 @@
 	s.serverConnCount++
 	ds.conns = append(ds.conns, sc)
 	ds.dialing++
-	sc.connectTimer = s.loop.Schedule(s.loop.Now()+s.site().ConnectWithin, func() { sc.Closed(conn, errConnectTimeout) })
+	sc.connectTimer = s.loop.Schedule(s.loop.Now()+s.site().ConnectTimeout, func() { sc.Closed(conn, errConnectTimeout) })
 	return nil
 }
 
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -94,7 +94,7 @@
 // parseError reads an error, the last word of which may be a load report.
 func (a *attempt) parseError(text string) serverReply {
 	s := a.server.scheduler
-	feedback := inflight.Feedback{Load: parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], s.site().Fields)}
+	feedback := inflight.Feedback{Load: parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], s.site().LoadFields)}
 	if text == "BUSY" || strings.HasPrefix(text, "BUSY ") {
 		return serverReply{code: honeyplank.Rejected, feedback: feedback}
 	}
@@ -109,7 +109,7 @@
 	if value.Kind != resp.Bulk || value.Null {
 		return serverReply{}, errMalformedReply
 	}
-	load := parseLoadReport(string(value.Text), a.server.scheduler.site().Fields)
+	load := parseLoadReport(string(value.Text), a.server.scheduler.site().LoadFields)
 	return serverReply{code: honeyplank.Succeeded, feedback: inflight.Feedback{Load: load}}, nil
 }
 
@@ -123,7 +123,7 @@
 		reply.feedback.QuotaUsed, reply.feedback.ServedElsewhere = parseUsage(string(value.List[1].Text))
 	}
 	if len(value.List) > 2 && value.List[2].Kind == resp.Bulk {
-		reply.feedback.Load = parseLoadReport(string(value.List[2].Text), a.server.scheduler.site().Fields)
+		reply.feedback.Load = parseLoadReport(string(value.List[2].Text), a.server.scheduler.site().LoadFields)
 	}
 	return reply, nil
 }
@@ -148,7 +148,7 @@
 		if !ok {
 			return nil
 		}
-		load[simwire.FieldName(field)] = x
+		load[simwire.LoadFieldName(field)] = x
 	}
 	return load
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -196,7 +196,7 @@
 	case "shard":
 		op.Cell, err = parseInteger(name, value, honeyplank.NewObject)
 	case "hosts":
-		op.Schedulers, err = parseInteger(name, value, 1)
+		op.Instances, err = parseInteger(name, value, 1)
 	}
 	return err
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -148,7 +148,7 @@
 	if s.listener, err = s.loop.Listen(s.config.Listen, s.accept); err != nil {
 		return err
 	}
-	if s.config.PeerListen != "" && s.site().Peers {
+	if s.config.PeerListen != "" && s.site().Gossip {
 		s.peers, err = s.loop.ListenUDP(s.config.PeerListen, s.receiveGossip)
 	}
 	return err
@@ -166,7 +166,7 @@
 		}
 		s.revisionGuard.revision = list.Revision
 		s.applyList(list, honeyplank.Cached, s.loop.Now())
-		if !s.site().Ask {
+		if !s.site().WatchOnRequest {
 			s.setWatch(true)
 		}
 		s.housekeep()
@@ -253,12 +253,12 @@
 // probe asks a disk server for its load report.
 func (s *Scheduler) probe(id honeyplank.ServerID) {
 	ds := s.servers[id]
-	if ds == nil || !s.site().Probes {
+	if ds == nil || !s.site().HealthChecks {
 		s.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: honeyplank.NotSent})
 		return
 	}
 	a := &attempt{server: ds, started: s.loop.Now()}
-	a.timer = s.loop.Schedule(a.started+s.site().ConnectWithin, func() {
+	a.timer = s.loop.Schedule(a.started+s.site().ConnectTimeout, func() {
 		if !a.finished {
 			a.cancel()
 			s.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - a.started})
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -67,7 +67,7 @@
 // is being opened.
 func (sc *serverConn) takesWaiter() bool {
 	ds := sc.server
-	return len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().Streams
+	return len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().StreamsPerConn
 }
 
 // send writes the command of an attempt.
--- a/settings.go
+++ b/settings.go
@@ -7,8 +7,8 @@
 type Settings struct {
 	// Step is the shortest time between two timers of the module.
 	Step time.Duration
-	// Schedulers is the number of instances of the deployment.
-	Schedulers int
+	// Instances is the number of instances of the deployment.
+	Instances int
 	// Ordinal is the number of this instance among them, from 0.
 	Ordinal int
 
@@ -67,9 +67,9 @@
 
 // DispatchSettings bound the dispatches of an op.
 type DispatchSettings struct {
-	Max      int  // dispatches of an op in all; 0: one
-	Parallel bool // several may be outstanding at once (hedged requests)
-	Cancel   bool // an outstanding one may be cancelled
+	Max            int  // dispatches of an op in all; 0: one
+	HedgingAllowed bool // several may be outstanding at once (hedged requests)
+	CancelAllowed  bool // an outstanding one may be cancelled
 	// ConnectTimeout is how long it may take to establish a connection.
 	ConnectTimeout time.Duration
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -420,12 +420,12 @@
 func (g *Gateway) Module() *honeyplank.Settings {
 	m := &honeyplank.Settings{
 		Step:         g.Scheduler.Step.Duration(),
-		Schedulers:   g.Scheduler.Hosts,
+		Instances:    g.Scheduler.Hosts,
 		Ordinal:      g.Scheduler.Ordinal,
 		MeanUnits:    g.Volumes.MeanUnits,
 		LargestUnits: float64(g.Units(int64(g.Limits.Transfer))),
 		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.List.WatchWithin.Duration()},
-		Dispatches: honeyplank.DispatchSettings{Max: g.Dispatches.Max, Parallel: g.Dispatches.Parallel, Cancel: true,
+		Dispatches: honeyplank.DispatchSettings{Max: g.Dispatches.Max, HedgingAllowed: g.Dispatches.Parallel, CancelAllowed: true,
 			ConnectTimeout: g.DiskServers.ConnectWithin.Duration()},
 		RetryAfter:  honeyplank.RetryAfterSettings{Allowed: g.Dispatches.MaxRetryAfter > 0, Max: g.Dispatches.MaxRetryAfter.Duration()},
 		Usage:       honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.Duration(), Elsewhere: g.Rules.Elsewhere},
