--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -16,17 +16,17 @@
 	fleet := fullServerFleet(t)
 	fleet.admit("spare", 0, 8, 2, 0)
 	fleet.admit("reserved", 0, 7, 3, 0)
-	s := fleet.instances[0]
-	server := s.servers["osd0"]
-	s.volumes[9].reserve, s.volumes[8].reserve, server.sliceEnd = 0, 0, 0
-	s.setServerLatency(server, 0.025)
+	engine := fleet.instances[0]
+	server := engine.servers["osd0"]
+	engine.volumes[9].reserve, engine.volumes[8].reserve, server.sliceEnd = 0, 0, 0
+	engine.setServerLatency(server, 0.025)
 	fleet.endDispatch(fleet.ops["full0"], honeyplank.Succeeded)
 	if len(fleet.ops["reserved0"].dispatched) != 1 || len(fleet.ops["spare0"].dispatched) != 0 {
 		t.Error("an op beyond its reserve left before one within")
 	}
-	s.volumes[8].reserve, server.outstanding = 0, 1
-	s.setServerLatency(server, 0.2)
-	if candidate := s.ops["spare0"]; candidate != nil && s.hasCapacity(server, candidate) {
+	engine.volumes[8].reserve, server.outstanding = 0, 1
+	engine.setServerLatency(server, 0.2)
+	if candidate := engine.ops["spare0"]; candidate != nil && engine.hasCapacity(server, candidate) {
 		t.Error("a slow server still has capacity for ops beyond the reserve")
 	}
 }
@@ -53,17 +53,17 @@
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			fleet := fullServerFleet(t)
 			fleet.settings.Instances, fleet.settings.MeanUnits = instances, 2.0
-			s := fleet.instances[0]
-			s.settings = readSettings(fleet.settings)
-			server := s.servers["osd0"]
+			engine := fleet.instances[0]
+			engine.settings = readSettings(fleet.settings)
+			server := engine.servers["osd0"]
 			server.outstanding, server.bestPerUnit = 0, 0.02
-			s.setTypicalLatency(0.2)
-			s.setServerLatency(server, 0.2)
-			candidate := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{schedulers: 1}, admissionDraw: 0.5}
-			got := []bool{s.hasCapacity(server, candidate)}
+			engine.setTypicalLatency(0.2)
+			engine.setServerLatency(server, 0.2)
+			candidate := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{instances: 1}, admissionDraw: 0.5}
+			got := []bool{engine.hasCapacity(server, candidate)}
 			for _, asked := range []float64{1, 4000} {
 				candidate.admissionDraw, candidate.queue = 0.01, &volumeQueue{demand: decayedRate{units: asked, time: 1}}
-				got = append(got, s.hasCapacity(server, candidate))
+				got = append(got, engine.hasCapacity(server, candidate))
 			}
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("%d instances: capacity for the median draw, a low one, a low one of a volume with high demand: %v", instances, got)
@@ -85,17 +85,17 @@
 
 // Where a server is crowded, an op with less time left than answers take is thinned by the square of what it lacks.
 func TestSuccessProbability(t *testing.T) {
-	s := New(1, testSettings())
+	engine := New(1, testSettings())
 	server := &server{}
-	s.now = time.Second
-	s.setTypicalLatency(0.4)
-	s.setServerLatency(server, 0.4)
+	engine.now = time.Second
+	engine.setTypicalLatency(0.4)
+	engine.setServerLatency(server, 0.4)
 	for left, want := range map[time.Duration]float64{time.Second: 1, 400 * ms: 1, 200 * ms: 0.25, 0: 0, -time.Second: 0} {
 		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
-			in, gone := &op{target: s.now + left}, &op{target: time.Hour}
-			in.Timeout, gone.Timeout = time.Hour, s.now+left
+			in, gone := &op{target: engine.now + left}, &op{target: time.Hour}
+			in.Timeout, gone.Timeout = time.Hour, engine.now+left
 			for _, candidate := range []*op{in, gone} {
-				if got := s.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
+				if got := engine.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
 					t.Errorf("%v left: %v, want %v", left, got, want)
 				}
 			}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -50,12 +50,12 @@
 	// Slow start.
 	sentLog             []sentUnits // dispatches that ended within the window and may have arrived
 	respondedSinceStart bool
-	resampledDemand     [reserveIndices]decayedRate // units of held ops that got new admission draws
+	resampledDemand     ratesByClass // units of queued ops that got new admission draws
 
-	// Held ops.
-	heldCount     int
+	// Queued ops.
+	queuedCount   int
 	queues        []*volumeQueue // in ring order
-	nonEmpty      []*volumeQueue // those with held ops, in ring order
+	nonEmpty      []*volumeQueue // those with queued ops, in ring order
 	queueByVolume map[*volume]*volumeQueue
 	queueSerial   int // of the newest queue
 
@@ -68,112 +68,112 @@
 }
 
 // applyList takes in news of the endpoint list, and dispatches what may be sent after it.
-func (s *Engine) applyList(list honeyplank.List) {
+func (e *Engine) applyList(list honeyplank.List) {
 	switch list.Kind {
 	case honeyplank.WatchFailed:
-		s.backOffWatch()
+		e.backOffWatch()
 		return
 	case honeyplank.Delta, honeyplank.Complete:
-		s.watchActive, s.backoff = true, 0
+		e.watchActive, e.backoff = true, 0
 	}
 	complete := list.Kind != honeyplank.Delta && list.Kind != honeyplank.OutOfBand
 	if complete { // servers that are not in it are removed
-		s.markAllRemoved()
+		e.markAllRemoved()
 	}
 	changed := make([]*server, 0, len(list.Members))
 	for _, member := range list.Members {
-		changed = append(changed, s.applyMember(member))
+		changed = append(changed, e.applyMember(member))
 	}
 	if complete {
-		changed = s.serversByID
-		for _, server := range s.serversByID {
+		changed = e.serversByID
+		for _, server := range e.serversByID {
 			server.wasListedUp = false
 		}
 	}
-	s.unassignStopped(changed)
-	s.assignHeld(changed)
+	e.unassignStopped(changed)
+	e.assignQueued(changed)
 }
 
 // backOffWatch sets the timer of the next watch request, later with each failure, with random
 // jitter. It does not rely on any sign that a watch is still active.
-func (s *Engine) backOffWatch() {
-	s.watchActive = false
-	longest := s.settings.watchDeadline / longestWatchBackoff
-	shortest := max(longest/shortestWatchBackoff, s.sweepInterval())
-	s.backoff = min(max(2*s.backoff, shortest), max(longest, s.sweepInterval()))
-	jitter := time.Duration(s.rng.Int63n(int64(s.backoff/2) + 1))
-	s.setTimer(s.now+s.backoff/2+jitter, watchTimer)
+func (e *Engine) backOffWatch() {
+	e.watchActive = false
+	longest := e.settings.Watch.Within / longestWatchBackoff
+	shortest := max(longest/shortestWatchBackoff, e.sweepInterval())
+	e.backoff = min(max(2*e.backoff, shortest), max(longest, e.sweepInterval()))
+	jitter := time.Duration(e.rng.Int63n(int64(e.backoff/2) + 1))
+	e.setTimer(e.now+e.backoff/2+jitter, watchTimer)
 }
 
 // requestWatch asks for changes of the endpoint list from now on.
-func (s *Engine) requestWatch() {
-	s.watchRequested = s.now
-	s.emit(honeyplank.Watch{Enabled: true})
+func (e *Engine) requestWatch() {
+	e.watchRequested = e.now
+	e.emit(honeyplank.Watch{Enabled: true})
 }
 
 // applyMember takes in an entry of the endpoint list and returns the server's record.
-func (s *Engine) applyMember(member honeyplank.Member) *server {
-	known := s.servers[member.ID]
+func (e *Engine) applyMember(member honeyplank.Member) *server {
+	known := e.servers[member.ID]
 	if known == nil {
-		known = s.addServer(member)
+		known = e.addServer(member)
 	}
 	if member.Started > known.Started {
 		known.respondedSinceStart = false
-		s.applyHealthEvent(known, restarted)
+		e.applyHealthEvent(known, restarted)
 	}
-	s.updateMember(known, member)
+	e.updateMember(known, member)
 	return known
 }
 
 // addServer makes the record of a server. What an earlier instance sent to it is unknown: for slow
 // start that counts as infinitely many units, sent when this instance started.
-func (s *Engine) addServer(member honeyplank.Member) *server {
+func (e *Engine) addServer(member honeyplank.Member) *server {
 	added := &server{
 		Member:      member,
 		window:      minWindow,
 		retryCredit: maxRetryCredit,
-		sentLog:     []sentUnits{{s.startedAt, math.Inf(1)}},
+		sentLog:     []sentUnits{{e.startedAt, math.Inf(1)}},
 	}
-	s.servers[added.ID] = added
-	s.serversByID = insertByID(s.serversByID, added)
-	s.applySavedEstimate(added)
+	e.servers[added.ID] = added
+	e.serversByID = insertByID(e.serversByID, added)
+	e.applySavedEstimate(added)
 	return added
 }
 
 // updateMember takes over an entry of the endpoint list into a server's record, the number of
 // servers that are up, and the servers of its cell. Its work does not grow with the fleet.
-func (s *Engine) updateMember(server *server, member honeyplank.Member) {
+func (e *Engine) updateMember(server *server, member honeyplank.Member) {
 	wasUp := server.listedUp || server.wasListedUp
 	if server.listedUp {
-		s.serversUp--
-		s.serversByCell[server.Cell] = without(s.serversByCell[server.Cell], server)
+		e.serversUp--
+		e.serversByCell[server.Cell] = without(e.serversByCell[server.Cell], server)
 	}
 	server.Member, server.listedUp = member, member.State == honeyplank.Up
 	if !server.listedUp {
 		return
 	}
-	s.serversUp++
-	s.serversByCell[server.Cell] = insertByID(s.serversByCell[server.Cell], server)
+	e.serversUp++
+	e.serversByCell[server.Cell] = insertByID(e.serversByCell[server.Cell], server)
 	if !wasUp {
-		s.joinRankings(server)
+		e.joinRankings(server)
 	}
 }
 
 // markAllRemoved marks all servers as removed, before a complete list is read.
-func (s *Engine) markAllRemoved() {
-	for _, server := range s.serversByID {
+func (e *Engine) markAllRemoved() {
+	for _, server := range e.serversByID {
 		server.wasListedUp = server.listedUp
 		member := server.Member
 		member.State = honeyplank.Removed
-		s.updateMember(server, member)
+		e.updateMember(server, member)
 	}
 }
 
-// unassignStopped takes the held ops from those servers of a list that are not up.
-func (s *Engine) unassignStopped(list []*server) {
+// unassignStopped takes the queued ops from those servers of a list that are not up.
+func (e *Engine) unassignStopped(list []*server) {
 	for _, server := range list {
 		if !server.listedUp {
-			s.unassignAll(server)
+			e.unassignAll(server)
 		}
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -19,7 +19,10 @@
 	fleet.instances[0].settings = readSettings(fleet.settings)
 	requests, last, due := 0, time.Duration(0), time.Duration(0)
 	for ; fleet.now < 10*time.Second; fleet.now += 10 * ms {
-		timer := honeyplank.Timer{ID: []honeyplank.TimerID{sweepTimer, watchTimer}[boolToInt(fleet.now >= due)]}
+		timer := honeyplank.Timer{ID: sweepTimer}
+		if fleet.now >= due {
+			timer.ID = watchTimer
+		}
 		for _, action := range fleet.handle(0, timer) {
 			if _, ok := action.(honeyplank.Watch); ok {
 				requests, last = requests+1, fleet.now
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,8 +1,16 @@
-// Package policy is the decision module: it decides every op of one scheduler. New makes an
-// instance from a seed and the settings, and Handle takes one event after another and returns the
-// actions to carry out. Events, actions and settings are defined in package honeyplank. The package
-// has no clock and does no I/O. docs/design.md describes the mechanism, iShare, and what was
-// changed in it.
+// Package policy is the decision module: it makes every decision on the ops of one instance. New
+// makes an Engine from a seed and the settings; its method Handle takes one event after another and
+// returns the actions to carry out. Events, actions and settings are defined in package honeyplank.
+//
+// The package does no I/O, reads no clock, starts no goroutine and keeps no package state that
+// changes: the same seed, settings and events give the same actions. It knows neither protocols nor
+// connections.
+//
+// An Engine belongs to the goroutine of the event loop of its instance, on which package inflight
+// calls Handle and package gateway SavedEstimates. In the simulator's adapter, package simwire calls
+// Handle on the only goroutine.
+//
+// docs/design.md describes the mechanism, iShare, and what was changed in it.
 package policy
 
 import (
@@ -25,13 +33,13 @@
 	watchTimer honeyplank.TimerID = "watch"
 )
 
-// Engine is one instance of the decision module. It is not safe for concurrent use.
+// Engine is the decision module of one instance. It is not safe for concurrent use.
 type Engine struct {
-	settings  *schedulerSettings
+	settings  *engineSettings
 	rng       *rand.Rand
-	now       time.Duration // of the event that is being handled
-	started   bool
-	startedAt time.Duration
+	now       time.Duration       // of the event that is being handled
+	started   bool                // it has handled an event
+	startedAt time.Duration       // when it handled the first one
 	actions   []honeyplank.Action // returned for that event
 	evictedAt time.Duration
 
@@ -54,10 +62,10 @@
 
 	// Ops.
 	ops             map[honeyplank.OpID]*op
-	firstHeld       *op // list of the held ops in the order held, unassigned ones included
-	lastHeld        *op
-	serial          int // of the op held last
-	unassigned      int // held ops without a server
+	firstQueued     *op // list of the queued ops in the order queued, unassigned ones included
+	lastQueued      *op
+	serial          int // of the op queued last
+	unassigned      int // queued ops without a server
 	volumes         map[int64]*volume
 	keyQueues       map[int64]*keyQueue
 	earlierAttempts map[requestIdentity]*earlierAttempt
@@ -66,11 +74,11 @@
 	lostShare       float64         // recent share of dispatches that were cancelled as lost
 
 	// Demand, in units.
-	demand               [reserveIndices]decayedRate // of ops that have a cell
-	cellBoundDemand      decayedRate                 // the same over a longer time
-	fleetDemand          decayedRate                 // of all instances, for the volumes that this one sees
+	demand               ratesByClass // of ops that have a cell
+	cellBoundDemand      decayedRate  // the same over a longer time
+	fleetDemand          decayedRate  // of all instances, for the volumes that this one sees
 	demandByCell         map[int]*cellDemand
-	maxSchedulersSeen    int     // largest number of instances that a volume came through
+	maxInstancesSeen     int     // largest number of instances that a volume came through
 	unitsAdmitted        float64 // sum over all ops
 	unitsSquaredAdmitted float64 // sum of the squares
 
@@ -79,7 +87,8 @@
 	savedEstimates map[honeyplank.ServerID]honeyplank.ServerEstimate // of servers not listed so far
 }
 
-// New returns an instance that has seen no event. The settings must not change afterwards.
+// New returns an engine that has handled no event. All its random numbers follow from the seed. The
+// settings must not change afterwards.
 func New(seed int64, settings *honeyplank.Settings) *Engine {
 	return &Engine{
 		settings:        readSettings(settings),
@@ -97,106 +106,112 @@
 	}
 }
 
-// Handle takes the event of a clock time and returns the actions to carry out at once, in their
-// order.
-func (s *Engine) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
-	s.now, s.actions = now, nil
-	if !s.started {
-		s.start()
+// Handle takes an event and returns the actions to carry out at once, in their order. now is the
+// time on the clock of the instance; it must not go back between calls.
+func (e *Engine) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
+	e.now, e.actions = now, nil
+	if !e.started {
+		e.start()
 	}
 	switch event := event.(type) {
 	case honeyplank.List:
-		s.applyList(event)
+		e.applyList(event)
 	case honeyplank.Op:
-		s.admit(event)
+		e.admit(event)
 	case honeyplank.Outcome:
-		s.handleOutcome(event)
+		e.handleOutcome(event)
 	case honeyplank.ResponseStarted:
-		if op := s.ops[event.Op]; op != nil {
+		if op := e.ops[event.Op]; op != nil {
 			op.responseStarted = true
 		}
 	case honeyplank.Timer:
-		s.handleTimer(event.ID)
+		e.handleTimer(event.ID)
 	case honeyplank.SavedEstimates:
-		s.restoreEstimates(event)
+		e.restoreEstimates(event)
 	case honeyplank.ClientGone:
-		if op := s.ops[event.Op]; op != nil && !op.answered {
-			s.finishOp(op)
+		if op := e.ops[event.Op]; op != nil && !op.answered {
+			e.finishOp(op)
 		}
 	}
-	return s.actions
+	return e.actions
 }
 
-func (s *Engine) start() {
-	s.started, s.startedAt = true, s.now
-	s.setTimer(s.now+s.sweepInterval(), sweepTimer)
-	if s.settings.watchOnRequest {
-		s.requestWatch()
+// start sets the timer of the first sweep, and asks for the watch where that is to be asked for.
+func (e *Engine) start() {
+	e.started, e.startedAt = true, e.now
+	e.setTimer(e.now+e.sweepInterval(), sweepTimer)
+	if e.settings.Watch.OnRequest {
+		e.requestWatch()
 	}
 }
 
-func (s *Engine) handleTimer(id honeyplank.TimerID) {
+// handleTimer handles a timer that is due.
+func (e *Engine) handleTimer(id honeyplank.TimerID) {
 	switch {
 	case id == sweepTimer:
-		s.sweep()
-	case id == watchTimer && !s.watchActive:
-		s.requestWatch()
+		e.sweep()
+	case id == watchTimer && !e.watchActive:
+		e.requestWatch()
 	}
 }
 
 // sweepInterval is the time between two sweeps.
-func (s *Engine) sweepInterval() time.Duration {
-	return max(time.Duration(sweepShare*float64(s.settings.shortestTarget)), s.settings.step, time.Millisecond)
+func (e *Engine) sweepInterval() time.Duration {
+	return max(time.Duration(sweepShare*float64(e.settings.shortestTarget)), e.settings.Step, time.Millisecond)
 }
 
 // sweep does what depends on time alone: health, lost answers, new admission draws, dispatches of
-// held ops, ops that can no longer be answered in time, the watch, and idle records.
-func (s *Engine) sweep() {
-	s.setTimer(s.now+s.sweepInterval(), sweepTimer)
-	s.deactivateIdle()
-	mayCancel := s.settings.cancelAllowed && s.settings.hedgingAllowed // a cancelled dispatch may run on
-	for _, server := range s.activeServers {
-		s.checkHealth(server)
+// queued ops, ops that can no longer be answered in time, the watch, and idle records.
+func (e *Engine) sweep() {
+	e.setTimer(e.now+e.sweepInterval(), sweepTimer)
+	e.deactivateIdle()
+	// A cancelled dispatch may run on.
+	mayCancel := e.settings.Dispatches.CancelAllowed && e.settings.Dispatches.HedgingAllowed
+	for _, server := range e.activeServers {
+		e.checkHealth(server)
 		if mayCancel {
-			s.cancelOverdue(server)
+			e.cancelOverdue(server)
 		}
 	}
-	s.resampleHeld()
-	s.assignAllHeld()
-	s.giveUpUnreachable()
-	if s.settings.watchOnRequest && !s.watchActive && s.now-s.watchRequested > s.settings.watchDeadline/2 {
-		s.requestWatch()
+	e.resampleQueued()
+	e.assignAllQueued()
+	e.giveUpUnreachable()
+	if e.settings.Watch.OnRequest && !e.watchActive && e.now-e.watchRequested > e.settings.Watch.Within/2 {
+		e.requestWatch()
 	}
-	if s.now-s.evictedAt >= evictInterval {
-		s.evictedAt = s.now
-		s.evictIdle(idleExpiry)
+	if e.now-e.evictedAt >= evictInterval {
+		e.evictedAt = e.now
+		e.evictIdle(idleExpiry)
 	}
 }
 
-// resampleHeld draws new admission draws for ops that have been held for a shortest target latency
-// since the last one, as for a new attempt of the client: an op with a high draw would be held in
-// vain.
-func (s *Engine) resampleHeld() {
-	for op := s.firstHeld; op != nil; op = op.nextHeld {
-		if s.now-op.sampledAt >= s.settings.shortestTarget {
-			op.sampledAt, op.admissionDraw = s.now, s.rng.Float64()
-			s.recordResample(op)
+// resampleQueued draws new admission draws for ops that have been queued for a shortest target
+// latency since the last one, as for a new attempt of the client: an op with a high draw would wait
+// in vain.
+func (e *Engine) resampleQueued() {
+	for op := e.firstQueued; op != nil; op = op.nextQueued {
+		if e.now-op.sampledAt >= e.settings.shortestTarget {
+			op.sampledAt, op.admissionDraw = e.now, e.rng.Float64()
+			e.recordResample(op)
 		}
 	}
 }
 
-func (s *Engine) giveUpUnreachable() {
-	for op := s.firstHeld; op != nil; {
-		next := op.nextHeld
-		if s.deadlineUnreachable(op) {
-			s.giveUp(op)
+// giveUpUnreachable gives up the queued ops that can no longer be answered in time.
+func (e *Engine) giveUpUnreachable() {
+	for op := e.firstQueued; op != nil; {
+		next := op.nextQueued
+		if e.deadlineUnreachable(op) {
+			e.giveUp(op)
 		}
 		op = next
 	}
 }
 
-func (s *Engine) emit(action honeyplank.Action) { s.actions = append(s.actions, action) }
+// emit appends an action to those that Handle returns.
+func (e *Engine) emit(action honeyplank.Action) { e.actions = append(e.actions, action) }
 
-func (s *Engine) setTimer(at time.Duration, id honeyplank.TimerID) {
-	s.emit(honeyplank.SetTimer{At: at, ID: id})
+// setTimer has a timer's event come at a clock time.
+func (e *Engine) setTimer(at time.Duration, id honeyplank.TimerID) {
+	e.emit(honeyplank.SetTimer{At: at, ID: id})
 }
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -33,9 +33,9 @@
 }
 
 // meanLatency is the mean latency, in seconds, of the op types that had answers; 0 where none had.
-func (s *Engine) meanLatency() float64 {
+func (e *Engine) meanLatency() float64 {
 	sum, known := 0.0, 0
-	for _, typical := range s.latencyByType {
+	for _, typical := range e.latencyByType {
 		if typical.mean > 0 {
 			sum, known = sum+typical.mean, known+1
 		}
@@ -46,8 +46,8 @@
 // estimateValid reports whether a saved estimate may be used for a server that started at a time:
 // it is neither too old nor from the future, where no start could be newer, and the server has not
 // started since.
-func (s *Engine) estimateValid(saved honeyplank.ServerEstimate, started time.Duration) bool {
-	return saved.At <= s.now && s.now-saved.At < estimateLifetime && started <= max(saved.At, 0)
+func (e *Engine) estimateValid(saved honeyplank.ServerEstimate, started time.Duration) bool {
+	return saved.At <= e.now && e.now-saved.At < estimateLifetime && started <= max(saved.At, 0)
 }
 
 // expectedLatency is the expected latency of a server for ops of a type, in seconds: the typical
@@ -55,52 +55,69 @@
 // each sees few answers of one server. It guards against estimates that outlive their cause, and
 // against taking a server for slow because of ops that take long. It could harm where one server
 // alone stays slow: it gets ops again too soon.
-func (s *Engine) expectedLatency(server *server, opType int) float64 {
-	usual := s.typicalLatency(opType)
+func (e *Engine) expectedLatency(server *server, opType int) float64 {
+	usual := e.typicalLatency(opType)
 	if server.slowness <= 0 {
 		return usual
 	}
-	return usual * (1 + (server.slowness-1)*s.decay(server.slownessAt))
+	return usual * (1 + (server.slowness-1)*e.decay(server.slownessAt))
 }
 
 // typicalLatency is the recent latency of an op type over all servers, in seconds. Without answers
 // it decays to the fastest ones: it guards against rejecting a type because of old answers, after
 // which it would get no newer ones.
-func (s *Engine) typicalLatency(opType int) float64 {
-	typical := valueAt(s.latencyByType, opType)
+func (e *Engine) typicalLatency(opType int) float64 {
+	typical := valueAt(e.latencyByType, opType)
 	if typical.mean == 0 {
-		return cmp.Or(s.meanLatency(), spareLatencyShare*s.settings.shortestTarget.Seconds())
+		return cmp.Or(e.meanLatency(), spareLatencyShare*e.settings.shortestTarget.Seconds())
 	}
-	timeConstant := float64(max(typicalLatencyDecay*s.settings.longestTarget, s.sweepInterval()))
-	weight := math.Exp(-float64(s.now-typical.updatedAt) / timeConstant)
+	timeConstant := float64(max(typicalLatencyDecay*e.settings.longestTarget, e.sweepInterval()))
+	weight := math.Exp(-float64(e.now-typical.updatedAt) / timeConstant)
 	return typical.fastest + (typical.mean-typical.fastest)*weight
 }
 
 // decay is the weight left to an observation made at a time.
-func (s *Engine) decay(at time.Duration) float64 {
-	return math.Exp(-float64(s.now-at) / float64(max(s.settings.longestTarget, s.sweepInterval())))
+func (e *Engine) decay(at time.Duration) float64 {
+	return math.Exp(-float64(e.now-at) / float64(max(e.settings.longestTarget, e.sweepInterval())))
 }
 
-// recordLatency takes in the latency, in seconds, of an answer from a server: for the server's
-// slowness, and with ofAllServers for the typical latency of the op type too.
-func (s *Engine) recordLatency(server *server, opType int, took float64, ofAllServers bool) {
-	latency := took
-	if server.slowness > 0 {
-		weight := max(ewmaWeight, 1-s.decay(server.slownessAt))
-		latency = ewma(s.expectedLatency(server, opType), took, weight)
-	}
-	if ofAllServers && opType >= 0 && opType < len(s.latencyByType) {
-		s.recordTypicalLatency(opType, took)
+// recordLatency takes in the latency, in seconds, of an answer from a server: for the typical
+// latency of the op type, and for the server's slowness, which is relative to that.
+func (e *Engine) recordLatency(server *server, opType int, took float64) {
+	latency := e.smoothedLatency(server, opType, took)
+	e.recordTypicalLatency(opType, took)
+	e.setSlowness(server, opType, latency)
+}
+
+// recordServerLatency takes in a latency, in seconds, for a server's slowness alone.
+func (e *Engine) recordServerLatency(server *server, opType int, took float64) {
+	e.setSlowness(server, opType, e.smoothedLatency(server, opType, took))
+}
+
+// smoothedLatency is a server's mean latency with a new one, in seconds, taken in.
+func (e *Engine) smoothedLatency(server *server, opType int, took float64) float64 {
+	if server.slowness <= 0 {
+		return took
 	}
-	server.slowness, server.slownessAt = latency/max(s.typicalLatency(opType), minSeconds), s.now
+	weight := max(ewmaWeight, 1-e.decay(server.slownessAt))
+	return ewma(e.expectedLatency(server, opType), took, weight)
+}
+
+// setSlowness has a server's slowness follow from its mean latency, in seconds, for an op type.
+func (e *Engine) setSlowness(server *server, opType int, latency float64) {
+	server.slowness, server.slownessAt = latency/max(e.typicalLatency(opType), minSeconds), e.now
 }
 
-func (s *Engine) recordTypicalLatency(opType int, took float64) {
-	typical := &s.latencyByType[opType]
+// recordTypicalLatency takes in the latency, in seconds, of an answer to an op of a type.
+func (e *Engine) recordTypicalLatency(opType int, took float64) {
+	if opType < 0 || opType >= len(e.latencyByType) {
+		return
+	}
+	typical := &e.latencyByType[opType]
 	if typical.mean > 0 {
-		typical.mean = s.typicalLatency(opType)
+		typical.mean = e.typicalLatency(opType)
 	}
-	typical.mean, typical.updatedAt = ewma(typical.mean, took, ewmaWeight), s.now
+	typical.mean, typical.updatedAt = ewma(typical.mean, took, ewmaWeight), e.now
 	if typical.fastest == 0 || took < typical.fastest {
 		typical.fastest = took
 	}
@@ -109,28 +126,28 @@
 
 // earliestAnswer is the time after which an answer of a server may come: many come in half of the
 // mean latency.
-func (s *Engine) earliestAnswer(server *server, opType int) time.Duration {
-	return time.Duration(s.expectedLatency(server, opType) / 2 * float64(time.Second))
+func (e *Engine) earliestAnswer(server *server, opType int) time.Duration {
+	return time.Duration(e.expectedLatency(server, opType) / 2 * float64(time.Second))
 }
 
 // earliestAnswerOfAnyType is the least earliestAnswer over all op types.
-func (s *Engine) earliestAnswerOfAnyType(server *server) time.Duration {
+func (e *Engine) earliestAnswerOfAnyType(server *server) time.Duration {
 	earliest := time.Duration(math.MaxInt64)
-	for opType := range s.settings.targetLatency {
-		earliest = min(earliest, s.earliestAnswer(server, opType))
+	for opType := range e.settings.OpTypes.TargetLatency {
+		earliest = min(earliest, e.earliestAnswer(server, opType))
 	}
 	return earliest
 }
 
 // SavedEstimates returns what a later instance can use: the latency estimates of the servers, and
 // saved ones of servers that are not in the endpoint list yet.
-func (s *Engine) SavedEstimates() honeyplank.SavedEstimates {
-	usual := s.meanLatency()
+func (e *Engine) SavedEstimates() honeyplank.SavedEstimates {
+	usual := e.meanLatency()
 	estimates := honeyplank.SavedEstimates{TypicalLatency: usual}
-	for _, id := range slices.Sorted(maps.Keys(s.savedEstimates)) {
-		estimates.Servers = append(estimates.Servers, s.savedEstimates[id])
+	for _, id := range slices.Sorted(maps.Keys(e.savedEstimates)) {
+		estimates.Servers = append(estimates.Servers, e.savedEstimates[id])
 	}
-	for _, server := range s.serversByID {
+	for _, server := range e.serversByID {
 		if server.slowness > 0 && server.Started <= max(server.slownessAt, 0) {
 			estimates.Servers = append(estimates.Servers, honeyplank.ServerEstimate{
 				Server:      server.ID,
@@ -145,16 +162,16 @@
 
 // restoreEstimates takes in the estimates that an earlier instance saved, and logs those that are
 // not valid.
-func (s *Engine) restoreEstimates(estimates honeyplank.SavedEstimates) {
-	for i := range s.latencyByType {
+func (e *Engine) restoreEstimates(estimates honeyplank.SavedEstimates) {
+	for i := range e.latencyByType {
 		typical := estimates.TypicalLatency
-		s.latencyByType[i] = typeLatency{mean: typical, fastest: typical, updatedAt: s.now}
+		e.latencyByType[i] = typeLatency{mean: typical, fastest: typical, updatedAt: e.now}
 	}
 	for _, saved := range estimates.Servers {
-		if s.estimateValid(saved, 0) {
-			s.savedEstimates[saved.Server] = saved
+		if e.estimateValid(saved, 0) {
+			e.savedEstimates[saved.Server] = saved
 		} else {
-			s.emit(honeyplank.LogEstimateIgnored{Server: saved.Server, Reason: "too old, or from the future"})
+			e.emit(honeyplank.LogEstimateIgnored{Server: saved.Server, Reason: "too old, or from the future"})
 		}
 	}
 }
@@ -162,11 +179,11 @@
 // applySavedEstimate uses the saved estimate for a new record of a server, unless the server has
 // started since. It guards the first seconds of an instance. It could harm where a machine was
 // replaced under the same address.
-func (s *Engine) applySavedEstimate(server *server) {
-	saved, ok := s.savedEstimates[server.ID]
-	if ok && s.estimateValid(saved, server.Started) {
+func (e *Engine) applySavedEstimate(server *server) {
+	saved, ok := e.savedEstimates[server.ID]
+	if ok && e.estimateValid(saved, server.Started) {
 		server.bestPerUnit, server.slownessAt = saved.BestPerUnit, saved.At
-		server.slowness = saved.Latency / max(s.meanLatency(), minSeconds)
+		server.slowness = saved.Latency / max(e.meanLatency(), minSeconds)
 	}
-	delete(s.savedEstimates, server.ID)
+	delete(e.savedEstimates, server.ID)
 }
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -11,19 +11,19 @@
 // What was seen of a server long ago gives way to what is seen everywhere; time-outs count up to the shortest
 // target latency and rejections past the longest (incident i65239e: servers whose ops all ran out looked well).
 func TestLatencyEstimate(t *testing.T) {
-	s := fullServerFleet(t).instances[0]
-	server := s.servers["osd0"]
-	s.setTypicalLatency(0.05)
-	s.setServerLatency(server, 1)
-	s.now = 10 * time.Second
+	engine := fullServerFleet(t).instances[0]
+	server := engine.servers["osd0"]
+	engine.setTypicalLatency(0.05)
+	engine.setServerLatency(server, 1)
+	engine.now = 10 * time.Second
 	for _, test := range []struct {
 		code    honeyplank.Code
 		elapsed time.Duration
 		least   float64
 	}{{honeyplank.TimedOut, 10 * ms, 0.04}, {honeyplank.TimedOut, 5 * time.Second, 0.15}, {honeyplank.Rejected, 0, 0.3}} {
 		t.Run(fmt.Sprintf("code %d after %v", test.code, test.elapsed), func(t *testing.T) {
-			s.recordTimeout(server, &op{}, honeyplank.Outcome{Code: test.code, Elapsed: test.elapsed})
-			if got := s.expectedLatency(server, 0); got < test.least || got > 2*test.least {
+			engine.recordTimeout(server, &op{}, honeyplank.Outcome{Code: test.code, Elapsed: test.elapsed})
+			if got := engine.expectedLatency(server, 0); got < test.least || got > 2*test.least {
 				t.Errorf("%v s after %+v", got, test)
 			}
 		})
@@ -58,13 +58,13 @@
 }
 
 // setTypicalLatency has all types answered in a time as recently, in seconds.
-func (s *Engine) setTypicalLatency(seconds float64) {
-	for i := range s.latencyByType {
-		s.latencyByType[i] = typeLatency{mean: seconds, fastest: seconds, updatedAt: s.now}
+func (e *Engine) setTypicalLatency(seconds float64) {
+	for i := range e.latencyByType {
+		e.latencyByType[i] = typeLatency{mean: seconds, fastest: seconds, updatedAt: e.now}
 	}
 }
 
 // setServerLatency has a server take a time for an op of the first type, in seconds.
-func (s *Engine) setServerLatency(server *server, seconds float64) {
-	server.slowness, server.slownessAt = seconds/s.typicalLatency(0), s.now
+func (e *Engine) setServerLatency(server *server, seconds float64) {
+	server.slowness, server.slownessAt = seconds/e.typicalLatency(0), e.now
 }
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -8,36 +8,36 @@
 )
 
 // evictIdle drops the records that have been idle for a time, or have expired.
-func (s *Engine) evictIdle(idle time.Duration) {
-	for _, server := range s.serversByID {
-		s.evictIdleQueues(server, idle)
+func (e *Engine) evictIdle(idle time.Duration) {
+	for _, server := range e.serversByID {
+		e.evictIdleQueues(server, idle)
 	}
-	for id, volume := range s.volumes {
-		if volume.openOps == 0 && s.now-volume.lastSeen >= idle {
-			delete(s.volumes, id)
+	for id, volume := range e.volumes {
+		if volume.openOps == 0 && e.now-volume.lastSeen >= idle {
+			delete(e.volumes, id)
 		}
 	}
-	for cell, demand := range s.demandByCell {
-		if s.now-demand.requested[withinReserveIndex].last >= idle {
-			delete(s.demandByCell, cell)
+	for cell, demand := range e.demandByCell {
+		if e.now-demand.requested[reserveDemand].last >= idle {
+			delete(e.demandByCell, cell)
 		}
 	}
-	for identity, attempt := range s.earlierAttempts {
-		if s.now >= attempt.expires {
-			delete(s.earlierAttempts, identity)
+	for identity, attempt := range e.earlierAttempts {
+		if e.now >= attempt.expires {
+			delete(e.earlierAttempts, identity)
 		}
 	}
-	for key, queue := range s.keyQueues {
-		if len(queue.ops) == 0 && s.now >= queue.settledAt {
-			delete(s.keyQueues, key)
+	for key, queue := range e.keyQueues {
+		if len(queue.ops) == 0 && e.now >= queue.settledAt {
+			delete(e.keyQueues, key)
 		}
 	}
 }
 
-func (s *Engine) evictIdleQueues(server *server, idle time.Duration) {
+func (e *Engine) evictIdleQueues(server *server, idle time.Duration) {
 	kept := server.queues[:0]
 	for _, queue := range server.queues {
-		if len(queue.held) > 0 || queue == server.servedQueue || s.now-queue.lastSeen < idle {
+		if len(queue.ops) > 0 || queue == server.servedQueue || e.now-queue.lastSeen < idle {
 			kept = append(kept, queue)
 		} else {
 			delete(server.queueByVolume, queue.volume)
--- a/policy/health.go
+++ b/policy/health.go
@@ -21,18 +21,21 @@
 const (
 	noEvidence     healthEvent = iota
 	responded                  // any answer
-	unresponsive               // no connection, a reset, or silence
+	unresponsive               // no connection, a reset, or no answer for long
 	restarted                  // the endpoint list shows a newer start
 	backoffElapsed             // the time for which a server that is down gets nothing
 )
 
+// healthTransition is a row of healthTransitions.
+type healthTransition struct {
+	next   honeyplank.Health
+	effect func(*Engine, *server) // nil: none
+}
+
 // healthTransitions is the table of applyHealthEvent; a pair that is missing changes nothing. It
 // guards against servers that died, are silent or are cut off from this instance. It could harm
 // where a server merely pauses for long: it then gets one op at a time until it answers.
-var healthTransitions = map[honeyplank.Health]map[healthEvent]struct {
-	next   honeyplank.Health
-	effect func(*Engine, *server)
-}{
+var healthTransitions = map[honeyplank.Health]map[healthEvent]healthTransition{
 	honeyplank.HealthUp: {
 		unresponsive: {honeyplank.HealthSuspect, resetWindow},
 		restarted:    {honeyplank.HealthUp, resetWindow},
@@ -55,60 +58,65 @@
 }
 
 // applyHealthEvent moves a server to its next health state, and logs a change from or to down.
-func (s *Engine) applyHealthEvent(server *server, event healthEvent) {
+func (e *Engine) applyHealthEvent(server *server, event healthEvent) {
 	transition, ok := healthTransitions[server.health][event]
 	if !ok {
 		return
 	}
-	if server.health != transition.next && (server.health == honeyplank.HealthDown || transition.next == honeyplank.HealthDown) {
-		s.emit(honeyplank.LogHealth{Server: server.ID, Health: transition.next, Previous: server.health})
+	fromOrToDown := server.health == honeyplank.HealthDown || transition.next == honeyplank.HealthDown
+	if server.health != transition.next && fromOrToDown {
+		e.emit(honeyplank.LogHealth{Server: server.ID, Health: transition.next, Previous: server.health})
 	}
-	server.health, server.healthSince = transition.next, s.now
+	server.health, server.healthSince = transition.next, e.now
 	if server.health == honeyplank.HealthDown { // the sweep has to see the end of its backoff
-		s.markActive(server)
+		e.markActive(server)
 	}
 	if transition.effect != nil {
-		transition.effect(s, server)
+		transition.effect(e, server)
 	}
 }
 
-// checkHealth is a sweep's part of the health of a server: silence, and the end of its backoff.
-func (s *Engine) checkHealth(server *server) {
-	silence := s.settings.longestTarget / 2
-	if server.fullDeadlineDispatches > 0 && s.now-server.unansweredSince > silence {
-		s.applyHealthEvent(server, unresponsive)
-		server.unansweredSince = s.now
+// checkHealth is a sweep's part of the health of a server: no answer for long, and the end of its
+// backoff.
+func (e *Engine) checkHealth(server *server) {
+	silence := e.settings.longestTarget / 2
+	if server.fullDeadlineDispatches > 0 && e.now-server.unansweredSince > silence {
+		e.applyHealthEvent(server, unresponsive)
+		server.unansweredSince = e.now
 	}
-	if server.health == honeyplank.HealthDown && s.now-server.healthSince >= server.backoff {
-		s.applyHealthEvent(server, backoffElapsed)
+	if server.health == honeyplank.HealthDown && e.now-server.healthSince >= server.backoff {
+		e.applyHealthEvent(server, backoffElapsed)
 	}
 }
 
 // halfOpenBusy reports whether a half-open server has its one op outstanding, for no longer than
 // its backoff.
-func (s *Engine) halfOpenBusy(server *server) bool {
-	return server.health == honeyplank.HealthHalfOpen && server.outstanding > 0 && s.now-server.unansweredSince <= server.backoff
+func (e *Engine) halfOpenBusy(server *server) bool {
+	busy := server.health == honeyplank.HealthHalfOpen && server.outstanding > 0
+	return busy && e.now-server.unansweredSince <= server.backoff
 }
 
+// resetWindow starts a server's concurrency window and its backoff from the least.
 func resetWindow(_ *Engine, server *server) { server.window, server.backoff = minWindow, 0 }
 
+// halveWindow halves a server's concurrency window, to the least one at most.
 func halveWindow(server *server) { server.window = max(minWindow, server.window/2) }
 
 // backOff doubles the time for which a server that is down gets nothing, up to the longest target
 // latency.
-func (s *Engine) backOff(server *server) {
+func (e *Engine) backOff(server *server) {
 	doubled := time.Duration(farPastBest * float64(server.backoff))
-	server.backoff = min(max(doubled, s.settings.shortestTarget/2), s.settings.longestTarget)
+	server.backoff = min(max(doubled, e.settings.shortestTarget/2), e.settings.longestTarget)
 }
 
 // recordFailure counts a dispatch that failed.
-func (s *Engine) recordFailure(server *server, _ *op, _ honeyplank.Outcome) {
-	rate := s.failureRate(server)
-	server.failureShare, server.failedAt = rate+ewmaWeight*(1-rate), s.now
+func (e *Engine) recordFailure(server *server, _ *op, _ honeyplank.Outcome) {
+	rate := e.failureRate(server)
+	server.failureShare, server.failedAt = rate+ewmaWeight*(1-rate), e.now
 }
 
 // failureRate is the recent share of failed dispatches to a server. It decays over time: an
 // instance whose clients only write new objects would never send to the server again.
-func (s *Engine) failureRate(server *server) float64 {
-	return server.failureShare * s.decay(server.failedAt)
+func (e *Engine) failureRate(server *server) float64 {
+	return server.failureShare * e.decay(server.failedAt)
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -29,8 +29,8 @@
 		t.Run(fmt.Sprint("code ", code), func(t *testing.T) {
 			fleet := newTestFleet(t, 1, testSettings())
 			fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0))
-			s, server := fleet.instances[0], fleet.instances[0].servers["osd0"]
-			s.setTypicalLatency(0.02)
+			engine, server := fleet.instances[0], fleet.instances[0].servers["osd0"]
+			engine.setTypicalLatency(0.02)
 			for i := range 8 {
 				fleet.admit("a", i, 1, int64(i), 0)
 				if n := len(fleet.order[i].dispatched); n == 1 {
@@ -39,14 +39,14 @@
 				fleet.now += 20 * ms
 				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 			}
-			if s.acceptsNewObjects(server) || !s.acceptsNewObjects(s.servers["osd1"]) {
-				t.Errorf("%v: osd0 accepts new objects: %v, the other: %v", code, s.acceptsNewObjects(server), s.acceptsNewObjects(s.servers["osd1"]))
+			if engine.acceptsNewObjects(server) || !engine.acceptsNewObjects(engine.servers["osd1"]) {
+				t.Errorf("%v: osd0 accepts new objects: %v, the other: %v", code, engine.acceptsNewObjects(server), engine.acceptsNewObjects(engine.servers["osd1"]))
 			}
-			if other := s.expectedLatency(s.servers["osd1"], 0); other > 0.03 {
+			if other := engine.expectedLatency(engine.servers["osd1"], 0); other > 0.03 {
 				t.Errorf("%v: expected latency of the other %v s", code, other)
 			}
 			server.health = honeyplank.HealthUp
-			if s.now += time.Minute; !s.acceptsNewObjects(server) {
+			if engine.now += time.Minute; !engine.acceptsNewObjects(server) {
 				t.Errorf("%v: not tried again", code)
 			}
 		})
@@ -62,9 +62,9 @@
 			settings.Plans.Reserve = []float64{1e6}
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
-			s, sent := fleet.instances[0], 0
+			engine, sent := fleet.instances[0], 0
 			for i := range 250 {
-				s.setTypicalLatency(0.04)
+				engine.setTypicalLatency(0.04)
 				fleet.now += 10 * ms
 				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 				for _, tracked := range fleet.order {
@@ -75,7 +75,7 @@
 				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + left, Instances: 1})
 				sent += len(fleet.order[i].dispatched)
 			}
-			if got := s.servers["osd0"].health; sent < 4 || (got == honeyplank.HealthUp) != (want == honeyplank.HealthUp) {
+			if got := engine.servers["osd0"].health; sent < 4 || (got == honeyplank.HealthUp) != (want == honeyplank.HealthUp) {
 				t.Errorf("%v left: %d sent, the server counts as %v", left, sent, got)
 			}
 		})
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -173,7 +173,9 @@
 				served := 0
 				for _, op := range last {
 					n := len(op.dispatched)
-					served += boolToInt(n > 0 && op.dispatched[n-1].done && op.dispatched[n-1].mayHaveRun)
+					if n > 0 && op.dispatched[n-1].done && op.dispatched[n-1].mayHaveRun {
+						served++
+					}
 				}
 				if float64(served) < 0.9*float64(len(last)) {
 					t.Errorf("%d of %d ops served once the trouble was over", served, len(last))
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -139,13 +139,13 @@
 			var spent time.Duration
 			ops, held, events := 0, 0, 0
 			for b.Loop() {
-				s := New(5, scenario.settings())
+				engine := New(5, scenario.settings())
 				ops += scenario.play(5, 500*ms, func(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 					began := time.Now()
-					out := s.Handle(now, e)
+					out := engine.Handle(now, e)
 					spent += time.Since(began)
 					if events++; events%1000 == 0 {
-						held = max(held, s.heldOps())
+						held = max(held, engine.queuedOps())
 					}
 					return out
 				})
@@ -157,9 +157,9 @@
 	}
 }
 
-// heldOps is how many ops are held.
-func (s *Engine) heldOps() (n int) {
-	for p := s.firstHeld; p != nil; p = p.nextHeld {
+// queuedOps is how many ops are held.
+func (e *Engine) queuedOps() (n int) {
+	for p := e.firstQueued; p != nil; p = p.nextQueued {
 		n++
 	}
 	return n
--- a/policy/means.go
+++ b/policy/means.go
@@ -80,18 +80,12 @@
 }
 
 // mean is the arithmetic mean of a list, 0 for an empty one.
-func mean(list []float64) (mean float64) {
+func mean(list []float64) float64 {
+	average := 0.0
 	for _, value := range list {
-		mean += value / float64(len(list))
+		average += value / float64(len(list))
 	}
-	return mean
-}
-
-func boolToInt(condition bool) int {
-	if condition {
-		return 1
-	}
-	return 0
+	return average
 }
 
 // dropBefore drops the times before one from a sorted list.
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -133,7 +133,9 @@
 	}
 	from, admitted := m.now-m.settings.RetryBudget.Window, 0.0
 	for _, op := range m.order {
-		admitted += float64(boolToInt(op.instance == instance && op.admittedAt >= from+longestHoldUp))
+		if op.instance == instance && op.admittedAt >= from+longestHoldUp {
+			admitted++
+		}
 	}
 	return float64(1+len(dropBefore(m.retries[instance], from-longestHoldUp))) <= m.settings.RetryBudget.Free+m.settings.RetryBudget.Share*admitted
 }
@@ -182,7 +184,9 @@
 	}
 	sum, from := 0.0, m.settings.SlowStart.From
 	for _, sent := range m.slowStart[server.ID] {
-		sum += sent.op.Units * float64(boolToInt(sent.mayArrive(server.Started, m.now-window)))
+		if sent.mayArrive(server.Started, m.now-window) {
+			sum += sent.op.Units
+		}
 	}
 	budget := (from + (1-from)*float64(age)/float64(warmUp)) / from * m.settings.SlowStart.Units
 	if sum > budget+1e-9 {
@@ -282,7 +286,10 @@
 		op.settledAt = fleet.now + fleet.settings.OrderSettle
 	}
 	if code == honeyplank.Succeeded || op.responseStarted {
-		fleet.succeeded, op.answered = fleet.succeeded+boolToInt(!op.answered), true
+		if !op.answered {
+			fleet.succeeded++
+		}
+		op.answered = true
 	}
 	fleet.handle(op.instance, honeyplank.Outcome{Op: op.ID, Dispatch: index, Server: dispatch.server, Code: code, Answered: op.answered,
 		Elapsed: fleet.now - dispatch.sentAt, QuotaUsed: fleet.rng.Intn(200), ServedElsewhere: float64(len(fleet.order) % 4), Load: map[string]float64{"latency": 30}})
--- a/policy/ops.go
+++ b/policy/ops.go
@@ -17,13 +17,13 @@
 	responseStarted bool
 	answered        bool // answered, or its client has gone; kept while a dispatch has no outcome
 	volume          *volume
-	server          *server      // where it is held or was last dispatched
-	queue           *volumeQueue // that holds it; nil while it is dispatched or unassigned
+	server          *server      // where it is queued or was last dispatched
+	queue           *volumeQueue // that it is in; nil while it is dispatched or unassigned
 	keyQueue        *keyQueue    // of an ordered type; else nil
-	heldSerial      int          // order of the list of held ops; 0: not in it
-	previousHeld    *op          // neighbours in the list of held ops
-	nextHeld        *op
-	isRetry         bool // held for another dispatch: it goes before others of its volume
+	queuedSerial    int          // order of the list of queued ops; 0: not in it
+	previousQueued  *op          // neighbours in the list of queued ops
+	nextQueued      *op
+	isRetry         bool // queued for another dispatch: it goes before others of its volume
 }
 
 // opDispatch is one dispatch of an op.
@@ -65,14 +65,14 @@
 
 // finishOp ends an op. Its record stays while a dispatch has no outcome, since the next op of its
 // key waits for that.
-func (s *Engine) finishOp(op *op) {
+func (e *Engine) finishOp(op *op) {
 	op.dequeue()
-	s.removeHeld(op)
+	e.removeQueued(op)
 	op.answered = true
 	if op.isOutstanding() {
 		return
 	}
-	delete(s.ops, op.ID)
+	delete(e.ops, op.ID)
 	op.volume.openOps--
 	if op.keyQueue != nil {
 		op.keyQueue.ops = without(op.keyQueue.ops, op)
@@ -80,21 +80,21 @@
 }
 
 // joinKeyQueue appends an op to its key's queue.
-func (s *Engine) joinKeyQueue(op *op) {
-	queue := s.keyQueues[op.Key]
+func (e *Engine) joinKeyQueue(op *op) {
+	queue := e.keyQueues[op.Key]
 	if queue == nil {
 		queue = &keyQueue{}
-		s.keyQueues[op.Key] = queue
+		e.keyQueues[op.Key] = queue
 	}
 	queue.ops = append(queue.ops, op)
 	op.keyQueue = queue
 }
 
 // isNextOfKey reports whether the order of an op's key allows its dispatch.
-func (s *Engine) isNextOfKey(op *op) bool {
+func (e *Engine) isNextOfKey(op *op) bool {
 	queue := op.keyQueue
 	if queue == nil {
 		return true
 	}
-	return queue.ops[0] == op && (s.now >= queue.settledAt || queue.settlingOp == op.ID)
+	return queue.ops[0] == op && (e.now >= queue.settledAt || queue.settlingOp == op.ID)
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -43,10 +43,10 @@
 }
 
 // dispatch sends an op to a server, and takes its units from its volume's buckets.
-func (s *Engine) dispatch(op *op, server *server) {
+func (e *Engine) dispatch(op *op, server *server) {
 	volume := op.volume
 	if len(op.dispatches) > 0 {
-		s.retries = append(s.retries, s.now)
+		e.retries = append(e.retries, e.now)
 		server.retryCredit--
 	} else {
 		volume.limit -= op.Units
@@ -55,26 +55,28 @@
 		volume.reserve -= op.Units
 	}
 	// A server may drop an op with little time left without an answer: its silence is no evidence.
-	shortDeadline := op.Timeout-s.now < 2*s.earliestAnswer(server, op.Type)
+	shortDeadline := op.Timeout-e.now < 2*e.earliestAnswer(server, op.Type)
 	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == honeyplank.HealthHalfOpen {
-		server.unansweredSince = s.now
+		server.unansweredSince = e.now
 	}
-	s.recordDispatch(op, server, shortDeadline)
-	s.emit(honeyplank.Dispatch{Op: op.ID, Server: server.ID})
+	e.recordDispatch(op, opDispatch{server: server, sentAt: e.now, shortDeadline: shortDeadline})
+	e.emit(honeyplank.Dispatch{Op: op.ID, Server: server.ID})
 }
 
-// recordDispatch notes a dispatch in the records of the op and the server.
-func (s *Engine) recordDispatch(op *op, server *server, shortDeadline bool) {
+// recordDispatch adds a dispatch to the records of the op and the server.
+func (e *Engine) recordDispatch(op *op, sent opDispatch) {
+	server := sent.server
 	op.dequeue()
-	s.removeHeld(op)
+	e.removeQueued(op)
 	op.server, op.isRetry = server, false
-	outstanding := outstandingDispatch{op: op, index: len(op.dispatches), sentAt: s.now}
+	outstanding := outstandingDispatch{op: op, index: len(op.dispatches), sentAt: sent.sentAt}
 	server.dispatches = append(server.dispatches, outstanding)
-	sent := opDispatch{server: server, sentAt: s.now, shortDeadline: shortDeadline}
 	op.dispatches = append(op.dispatches, sent)
 	server.outstanding++
-	server.fullDeadlineDispatches += boolToInt(!shortDeadline)
-	s.markActive(server)
+	if !sent.shortDeadline {
+		server.fullDeadlineDispatches++
+	}
+	e.markActive(server)
 	server.unitsOutstanding += op.Units
 	if op.HasKey {
 		server.lastKey = op.Key
@@ -83,36 +85,36 @@
 
 // handleOutcome takes in the end of a dispatch: it updates the records, answers or retries the op,
 // and dispatches what may be sent now.
-func (s *Engine) handleOutcome(outcome honeyplank.Outcome) {
-	server, op, meaning := s.servers[outcome.Server], s.ops[outcome.Op], outcomeMeanings[outcome.Code]
-	if server == nil || op == nil || !s.closeDispatch(op, outcome.Dispatch, meaning) {
+func (e *Engine) handleOutcome(outcome honeyplank.Outcome) {
+	server, op, meaning := e.servers[outcome.Server], e.ops[outcome.Op], outcomeMeanings[outcome.Code]
+	if server == nil || op == nil || !e.closeDispatch(op, outcome.Dispatch, meaning) {
 		return
 	}
-	s.recordResponse(server, op.dispatches[outcome.Dispatch], meaning)
-	s.applyHealthEvent(server, meaning.evidence)
+	e.recordResponse(server, op.dispatches[outcome.Dispatch], meaning)
+	e.applyHealthEvent(server, meaning.evidence)
 	// Any answer may report what was served elsewhere, each time for once.
-	op.volume.servedElsewhere.add(s.now, outcome.ServedElsewhere, s.usageMemory())
+	op.volume.servedElsewhere.add(e.now, outcome.ServedElsewhere, e.usageMemory())
 	if meaning.effect != nil {
-		meaning.effect(s, server, op, outcome)
+		meaning.effect(e, server, op, outcome)
 	}
 	if op.keyQueue != nil && meaning.mayStillRun {
-		op.keyQueue.settledAt, op.keyQueue.settlingOp = s.now+s.settings.orderSettle, op.ID
+		op.keyQueue.settledAt, op.keyQueue.settlingOp = e.now+e.settings.OrderSettle, op.ID
 	}
 	if outcome.Code == honeyplank.Succeeded {
-		delete(s.earlierAttempts, identityOf(op))
+		delete(e.earlierAttempts, identityOf(op))
 	}
 	if op.answered || outcome.Answered {
-		s.finishOp(op)
+		e.finishOp(op)
 	} else if !op.isOutstanding() && op.queue == nil {
-		s.retry(op, server)
+		e.retry(op, server)
 	}
-	s.runSlicesOfNextInKey(op)
-	s.runSlices(server)
+	e.runSlicesOfNextInKey(op)
+	e.runSlices(server)
 }
 
 // closeDispatch records the end of an op's dispatch; it returns false where that was known or there
 // is none.
-func (s *Engine) closeDispatch(op *op, index int, meaning outcomeMeaning) bool {
+func (e *Engine) closeDispatch(op *op, index int, meaning outcomeMeaning) bool {
 	if index < 0 || index >= len(op.dispatches) || op.dispatches[index].done {
 		return false
 	}
@@ -125,46 +127,48 @@
 	if len(server.dispatches) == 0 { // no rounding error is kept
 		server.unitsOutstanding = 0
 	}
-	if meaning.arrived && s.inSlowStart(server) {
-		server.sentLog = append(server.sentLog, sentUnits{s.now, op.Units})
+	if meaning.arrived && e.inSlowStart(server) {
+		server.sentLog = append(server.sentLog, sentUnits{e.now, op.Units})
 	}
 	return true
 }
 
 // recordResponse updates what a server's record knows of outstanding dispatches after the end of
 // one.
-func (s *Engine) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
+func (e *Engine) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
 	server.outstanding--
-	server.fullDeadlineDispatches -= boolToInt(!dispatch.shortDeadline)
+	if !dispatch.shortDeadline {
+		server.fullDeadlineDispatches--
+	}
 	if meaning.evidence == responded {
-		server.unansweredSince = s.now
+		server.unansweredSince = e.now
 		server.respondedSinceStart = server.respondedSinceStart || dispatch.sentAt >= server.Started
-		server.markOvertaken(dispatch.sentAt, s.now)
+		server.markOvertaken(dispatch.sentAt, e.now)
 	}
 }
 
-// runSlicesOfNextInKey dispatches what may be sent where the next op of an op's key is held.
-func (s *Engine) runSlicesOfNextInKey(op *op) {
+// runSlicesOfNextInKey dispatches what may be sent where the next op of an op's key is queued.
+func (e *Engine) runSlicesOfNextInKey(op *op) {
 	queue := op.keyQueue
 	if queue != nil && len(queue.ops) > 0 && queue.ops[0].server != nil {
-		s.runSlices(queue.ops[0].server)
+		e.runSlices(queue.ops[0].server)
 	}
 }
 
 // recordSuccess updates the records with a successful answer.
-func (s *Engine) recordSuccess(server *server, op *op, outcome honeyplank.Outcome) {
+func (e *Engine) recordSuccess(server *server, op *op, outcome honeyplank.Outcome) {
 	server.retryCredit = min(server.retryCredit+1, maxRetryCredit)
 	server.failureShare -= ewmaWeight * server.failureShare
-	s.lostShare -= lostShareWeight * s.lostShare
-	s.recordLatency(server, op.Type, outcome.Elapsed.Seconds(), true)
+	e.lostShare -= lostShareWeight * e.lostShare
+	e.recordLatency(server, op.Type, outcome.Elapsed.Seconds())
 	server.recordLatencyPerUnit(outcome.Elapsed.Seconds() / max(op.Units, 1))
 	queue := server.queueOf(op.volume)
-	queue.await.observe(s.now)
-	queue.lastSeen = s.now
-	op.volume.servedHere.add(s.now, op.Units, s.usageMemory())
+	queue.await.observe(e.now)
+	queue.lastSeen = e.now
+	op.volume.servedHere.add(e.now, op.Units, e.usageMemory())
 	if outcome.QuotaUsed > 0 {
 		share := float64(outcome.QuotaUsed-1) / 100
-		op.volume.servedEverywhere = share * valueAt(s.settings.rate, op.Plan)
+		op.volume.servedEverywhere = share * valueAt(e.settings.Plans.Rate, op.Plan)
 	}
 }
 
@@ -192,36 +196,41 @@
 // latency (past that it may be lost rather than late), and a rejection for one with the longest
 // target latency, for that server alone. It guards the other servers against one that rejects
 // everything. It could harm where all are full at once.
-func (s *Engine) recordTimeout(server *server, op *op, outcome honeyplank.Outcome) {
+func (e *Engine) recordTimeout(server *server, op *op, outcome honeyplank.Outcome) {
 	rejected := outcome.Code == honeyplank.Rejected
-	latency := min(outcome.Elapsed, s.settings.shortestTarget)
+	latency := min(outcome.Elapsed, e.settings.shortestTarget)
 	if rejected {
-		latency = s.settings.longestTarget
+		latency = e.settings.longestTarget
 		halveWindow(server)
-		s.recordFailure(server, op, outcome)
+		e.recordFailure(server, op, outcome)
+	}
+	if latency.Seconds() <= e.expectedLatency(server, op.Type) {
+		return
 	}
-	if latency.Seconds() > s.expectedLatency(server, op.Type) {
-		s.recordLatency(server, op.Type, latency.Seconds(), !rejected)
+	if rejected {
+		e.recordServerLatency(server, op.Type, latency.Seconds())
+	} else {
+		e.recordLatency(server, op.Type, latency.Seconds())
 	}
 }
 
 // rejectIsSafe reports whether an op may be answered as rejected: another attempt of the client
 // must do no harm.
-func (s *Engine) rejectIsSafe(op *op) bool {
-	semantics := valueAt(s.settings.semantics, op.Type)
-	dedupEverywhere := valueAt(s.settings.dedupScope, op.Type) == honeyplank.ScopeAll
+func (e *Engine) rejectIsSafe(op *op) bool {
+	semantics := valueAt(e.settings.OpTypes.Semantics, op.Type)
+	dedupEverywhere := valueAt(e.settings.OpTypes.DedupScope, op.Type) == honeyplank.ScopeAll
 	return semantics == honeyplank.Idempotent ||
 		semantics == honeyplank.Deduplicated && dedupEverywhere ||
 		op.neverRan()
 }
 
 // giveUp answers an op without success: as rejected where that is safe, else as failed.
-func (s *Engine) giveUp(op *op) {
-	if s.rejectIsSafe(op) {
-		retryAfter := min(valueAt(s.settings.targetLatency, op.Type), s.settings.maxRetryAfter)
-		s.emit(honeyplank.Reject{Op: op.ID, RetryAfter: retryAfter})
+func (e *Engine) giveUp(op *op) {
+	if e.rejectIsSafe(op) {
+		retryAfter := min(valueAt(e.settings.OpTypes.TargetLatency, op.Type), e.settings.maxRetryAfter)
+		e.emit(honeyplank.Reject{Op: op.ID, RetryAfter: retryAfter})
 	} else {
-		s.emit(honeyplank.Fail{Op: op.ID})
+		e.emit(honeyplank.Fail{Op: op.ID})
 	}
-	s.finishOp(op)
+	e.finishOp(op)
 }
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -12,11 +12,11 @@
 	await         decayedMean   // times between completions (the paper's await)
 	thinkTime     decayedMean   // times between arrivals (the paper's thinkt)
 	demand        decayedRate   // units that arrived
-	held          []*op         // in the order of orderedBefore
+	ops           []*op         // in the order of orderedBefore
 	serial        int           // position in the server's ring of queues
-	opsByKey      map[int64]int // number of held ops for each key
-	smallestUnits float64       // lower bound of the held ops' units
-	retryCount    int           // held ops that have been dispatched before
+	opsByKey      map[int64]int // number of queued ops for each key
+	smallestUnits float64       // lower bound of the queued ops' units
+	retryCount    int           // queued ops that have been dispatched before
 	round         int           // in which it was last served
 	lastSeen      time.Duration
 }
@@ -38,11 +38,11 @@
 // enqueue puts an op into its volume's queue for a server.
 func (server *server) enqueue(op *op) {
 	op.server, op.queue = server, server.queueOf(op.volume)
-	if len(op.queue.held) == 0 {
+	if len(op.queue.ops) == 0 {
 		server.nonEmpty = slices.Insert(server.nonEmpty, server.indexAfterSerial(op.queue.serial), op.queue)
 	}
 	op.queue.insert(op)
-	server.heldCount++
+	server.queuedCount++
 }
 
 // dequeue takes an op out of its queue, if it is in one.
@@ -51,30 +51,34 @@
 		return
 	}
 	op.queue.remove(op)
-	if len(op.queue.held) == 0 {
+	if len(op.queue.ops) == 0 {
 		i := op.server.indexAfterSerial(op.queue.serial - 1)
 		op.server.nonEmpty = slices.Delete(op.server.nonEmpty, i, i+1)
 	}
-	op.server.heldCount--
+	op.server.queuedCount--
 	op.queue = nil
 }
 
 func (queue *volumeQueue) insert(op *op) {
-	if len(queue.held) == 0 || op.Units < queue.smallestUnits {
+	if len(queue.ops) == 0 || op.Units < queue.smallestUnits {
 		queue.smallestUnits = op.Units
 	}
-	i := sort.Search(len(queue.held), func(i int) bool { return orderedBefore(op, queue.held[i]) })
-	queue.held = slices.Insert(queue.held, i, op)
-	queue.retryCount += boolToInt(len(op.dispatches) > 0)
+	i := sort.Search(len(queue.ops), func(i int) bool { return orderedBefore(op, queue.ops[i]) })
+	queue.ops = slices.Insert(queue.ops, i, op)
+	if len(op.dispatches) > 0 {
+		queue.retryCount++
+	}
 	if op.HasKey {
 		queue.opsByKey[op.Key]++
 	}
 }
 
 func (queue *volumeQueue) remove(op *op) {
-	i := sort.Search(len(queue.held), func(i int) bool { return !orderedBefore(queue.held[i], op) })
-	queue.held = slices.Delete(queue.held, i, i+1)
-	queue.retryCount -= boolToInt(len(op.dispatches) > 0)
+	i := sort.Search(len(queue.ops), func(i int) bool { return !orderedBefore(queue.ops[i], op) })
+	queue.ops = slices.Delete(queue.ops, i, i+1)
+	if len(op.dispatches) > 0 {
+		queue.retryCount--
+	}
 	if !op.HasKey {
 		return
 	}
@@ -84,49 +88,53 @@
 	}
 }
 
-// appendHeld appends an op to the list of held ops; those without a server are counted.
-func (s *Engine) appendHeld(op *op) {
-	s.serial++
-	op.heldSerial, op.previousHeld, op.nextHeld = s.serial, s.lastHeld, nil
-	if s.lastHeld != nil {
-		s.lastHeld.nextHeld = op
+// appendQueued appends an op to the list of queued ops; those without a server are counted.
+func (e *Engine) appendQueued(op *op) {
+	e.serial++
+	op.queuedSerial, op.previousQueued, op.nextQueued = e.serial, e.lastQueued, nil
+	if e.lastQueued != nil {
+		e.lastQueued.nextQueued = op
 	} else {
-		s.firstHeld = op
+		e.firstQueued = op
+	}
+	e.lastQueued = op
+	if op.server == nil {
+		e.unassigned++
 	}
-	s.lastHeld = op
-	s.unassigned += boolToInt(op.server == nil)
 }
 
-// removeHeld takes an op out of the list of held ops, if it is in it.
-func (s *Engine) removeHeld(op *op) {
-	if op.heldSerial == 0 {
+// removeQueued takes an op out of the list of queued ops, if it is in it.
+func (e *Engine) removeQueued(op *op) {
+	if op.queuedSerial == 0 {
 		return
 	}
-	if op.previousHeld != nil {
-		op.previousHeld.nextHeld = op.nextHeld
+	if op.previousQueued != nil {
+		op.previousQueued.nextQueued = op.nextQueued
 	} else {
-		s.firstHeld = op.nextHeld
+		e.firstQueued = op.nextQueued
 	}
-	if op.nextHeld != nil {
-		op.nextHeld.previousHeld = op.previousHeld
+	if op.nextQueued != nil {
+		op.nextQueued.previousQueued = op.previousQueued
 	} else {
-		s.lastHeld = op.previousHeld
+		e.lastQueued = op.previousQueued
+	}
+	if op.server == nil {
+		e.unassigned--
 	}
-	s.unassigned -= boolToInt(op.server == nil)
-	op.heldSerial, op.previousHeld, op.nextHeld = 0, nil, nil
+	op.queuedSerial, op.previousQueued, op.nextQueued = 0, nil, nil
 }
 
-// unassignAll empties the queues of a server; their ops stay held, without a server.
-func (s *Engine) unassignAll(server *server) {
+// unassignAll empties the queues of a server; their ops stay queued, without a server.
+func (e *Engine) unassignAll(server *server) {
 	for _, queue := range server.queues {
-		for _, op := range queue.held {
+		for _, op := range queue.ops {
 			op.server, op.queue = nil, nil
 		}
-		s.unassigned += len(queue.held)
-		queue.held, queue.retryCount = nil, 0
+		e.unassigned += len(queue.ops)
+		queue.ops, queue.retryCount = nil, 0
 		clear(queue.opsByKey)
 	}
-	server.servedQueue, server.sliceState, server.heldCount, server.nonEmpty = nil, sliceIdle, 0, nil
+	server.servedQueue, server.sliceState, server.queuedCount, server.nonEmpty = nil, sliceIdle, 0, nil
 }
 
 // indexAfterSerial is the index in nonEmpty of the first queue with a greater serial.
@@ -142,44 +150,44 @@
 	return server.indexAfterSerial(server.servedQueue.serial)
 }
 
-// busyVolumes is the number of volumes with held ops.
+// busyVolumes is the number of volumes with queued ops.
 func (server *server) busyVolumes() int { return len(server.nonEmpty) }
 
-// assignAllHeld assigns held ops without a server, and dispatches what may be sent to any active
-// server.
-func (s *Engine) assignAllHeld() {
-	for op := s.firstHeld; op != nil && s.unassigned > 0; op = op.nextHeld {
+// assignAllQueued assigns queued ops without a server, and dispatches what may be sent to any
+// active server.
+func (e *Engine) assignAllQueued() {
+	for op := e.firstQueued; op != nil && e.unassigned > 0; op = op.nextQueued {
 		if op.server == nil {
-			s.assignServer(op)
+			e.assignServer(op)
 		}
 	}
-	for _, server := range s.activeServers {
-		if server.heldCount > 0 {
-			s.runSlices(server)
+	for _, server := range e.activeServers {
+		if server.queuedCount > 0 {
+			e.runSlices(server)
 		}
 	}
 }
 
-// assignHeld assigns held ops without a server, and dispatches what may be sent to the changed
+// assignQueued assigns queued ops without a server, and dispatches what may be sent to the changed
 // servers and to those that got an op here. Only these can have changed; the others are visited by
 // the next sweep.
-func (s *Engine) assignHeld(changed []*server) {
-	for op := s.firstHeld; op != nil && s.unassigned > 0; op = op.nextHeld {
+func (e *Engine) assignQueued(changed []*server) {
+	for op := e.firstQueued; op != nil && e.unassigned > 0; op = op.nextQueued {
 		if op.server == nil {
-			s.assignServer(op)
-			if op.server != nil && len(changed) < len(s.serversByID) {
+			e.assignServer(op)
+			if op.server != nil && len(changed) < len(e.serversByID) {
 				changed = append(changed, op.server)
 			}
 		}
 	}
 	for _, server := range changed {
-		if server.heldCount > 0 {
-			s.runSlices(server)
+		if server.queuedCount > 0 {
+			e.runSlices(server)
 		}
 	}
 }
 
-// orderedBefore is the order of a queue: retries first, then by target, then in the order held.
+// orderedBefore is the order of a queue: retries first, then by target, then in the order queued.
 func orderedBefore(op, other *op) bool {
 	if op.isRetry != other.isRetry {
 		return op.isRetry
@@ -187,5 +195,5 @@
 	if op.target != other.target {
 		return op.target < other.target
 	}
-	return op.heldSerial < other.heldSerial
+	return op.queuedSerial < other.queuedSerial
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -11,7 +11,7 @@
 // volume is the record of a volume: what this instance may send for it, and its ranking of servers.
 type volume struct {
 	plan             int
-	schedulers       int     // instances through which its ops come
+	instances        int     // instances through which its ops come
 	reserve          float64 // units in this instance's bucket of the reserve
 	limit            float64 // units in this instance's bucket of the limit
 	refilledAt       time.Duration
@@ -28,31 +28,32 @@
 
 // noDispatchSince is the time since when nothing was dispatched for a volume without a record, as
 // far as is certain.
-func (s *Engine) noDispatchSince() time.Duration { return max(s.startedAt, s.now-idleExpiry) }
+func (e *Engine) noDispatchSince() time.Duration { return max(e.startedAt, e.now-idleExpiry) }
 
 // refillBuckets brings a volume's buckets up to now. The limit's bucket fills at an even share
 // among the volume's instances, the reserve's at the share of reserveRefillRate.
-func (s *Engine) refillBuckets(volume *volume) {
-	elapsed, instances := (s.now - volume.refilledAt).Seconds(), float64(volume.schedulers)
-	volume.refilledAt = s.now
-	reserve, limit := valueAt(s.settings.reserve, volume.plan), valueAt(s.settings.limit, volume.plan)
-	refillRate := s.reserveRefillRate(volume, reserve)
-	volume.reserve = min(volume.reserve+elapsed*refillRate, reserve+s.settings.largestUnits)
-	volume.limit = min(volume.limit+elapsed*limit/instances, s.bucketCapacity(volume.plan, volume.schedulers))
+func (e *Engine) refillBuckets(volume *volume) {
+	elapsed, instances := (e.now - volume.refilledAt).Seconds(), float64(volume.instances)
+	volume.refilledAt = e.now
+	reserve := valueAt(e.settings.Plans.Reserve, volume.plan)
+	limit := valueAt(e.settings.Plans.Limit, volume.plan)
+	refillRate := e.reserveRefillRate(volume, reserve)
+	volume.reserve = min(volume.reserve+elapsed*refillRate, reserve+e.settings.LargestUnits)
+	volume.limit = min(volume.limit+elapsed*limit/instances, e.bucketCapacity(volume.plan, volume.instances))
 }
 
 // reserveRefillRate is this instance's share of a volume's reserve, in units a second: its share of
 // what the volume is served, and an even one at least. It is known from the usage meter's total, or
 // without a meter from what servers report to have served through other instances.
-func (s *Engine) reserveRefillRate(volume *volume, reserve float64) float64 {
-	evenShare := reserve / float64(volume.schedulers)
+func (e *Engine) reserveRefillRate(volume *volume, reserve float64) float64 {
+	evenShare := reserve / float64(volume.instances)
 	if volume.servedEverywhere > 0 {
-		volume.servedHere.add(s.now, 0, s.usageMemory())
+		volume.servedHere.add(e.now, 0, e.usageMemory())
 		return max(evenShare, reserve*min(1, volume.servedHere.rate()/volume.servedEverywhere))
 	}
-	if s.settings.reportsServedElsewhere && s.settings.meterPeriod == 0 && volume.servedHere.units > 0 {
-		volume.servedHere.add(s.now, 0, s.usageMemory())
-		volume.servedElsewhere.add(s.now, 0, s.usageMemory())
+	if e.settings.Usage.Elsewhere && e.settings.Usage.Period == 0 && volume.servedHere.units > 0 {
+		volume.servedHere.add(e.now, 0, e.usageMemory())
+		volume.servedElsewhere.add(e.now, 0, e.usageMemory())
 		here, elsewhere := volume.servedHere.units, volume.servedElsewhere.units
 		return max(evenShare, reserve*here/(here+elsewhere))
 	}
@@ -63,31 +64,31 @@
 // dispatched from a full bucket may be delayed by holdUp and arrive together with what refilled it
 // since: the capacity is less by that, unless the limit's slack covers it. It still holds one op of
 // the largest size if the whole bucket does.
-func (s *Engine) bucketCapacity(plan, instances int) float64 {
-	burst := valueAt(s.settings.burst, plan)
-	margin := max(0, holdUp.Seconds()*valueAt(s.settings.limit, plan)-valueAt(s.settings.slack, plan))
+func (e *Engine) bucketCapacity(plan, instances int) float64 {
+	burst := valueAt(e.settings.Plans.Burst, plan)
+	margin := max(0, holdUp.Seconds()*valueAt(e.settings.Plans.Limit, plan)-valueAt(e.settings.Plans.Slack, plan))
 	burst, margin = burst/float64(instances), margin/float64(instances)
-	return max(burst-margin, min(burst, s.settings.largestUnits))
+	return max(burst-margin, min(burst, e.settings.LargestUnits))
 }
 
 // usageMemory is the time constant of the rates at which a volume is served.
-func (s *Engine) usageMemory() time.Duration {
-	return 2 * cmp.Or(s.settings.meterPeriod, s.settings.longestTarget)
+func (e *Engine) usageMemory() time.Duration {
+	return 2 * cmp.Or(e.settings.Usage.Period, e.settings.longestTarget)
 }
 
 // withinReserve reports whether an op is before its target latency and its volume's bucket of the
 // reserve covers it.
-func (s *Engine) withinReserve(op *op) bool {
-	s.refillBuckets(op.volume)
-	return op.target > s.now && op.volume.reserve >= op.Units
+func (e *Engine) withinReserve(op *op) bool {
+	e.refillBuckets(op.volume)
+	return op.target > e.now && op.volume.reserve >= op.Units
 }
 
 // limitHeadroom is how many units the limit's bucket must hold for an op to be dispatched: a part
 // is kept for op types of more utility, though a full bucket allows any op. It guards against
 // surges of large ops of little utility that use up a limit which others then lack. It could harm
 // where ops of more utility never come.
-func (s *Engine) limitHeadroom(op *op) float64 {
-	capacity := s.bucketCapacity(op.Plan, op.volume.schedulers)
-	kept := limitHeadroomShare * valueAt(s.settings.utilityDeficit, op.Type) * capacity
+func (e *Engine) limitHeadroom(op *op) float64 {
+	capacity := e.bucketCapacity(op.Plan, op.volume.instances)
+	kept := limitHeadroomShare * valueAt(e.settings.utilityDeficit, op.Type) * capacity
 	return max(op.Units, min(op.Units+kept, capacity))
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -21,14 +21,14 @@
 			if test.total > 0 {
 				settings.Usage.Period = time.Second
 			}
-			s := New(1, settings)
-			record := &volume{schedulers: 10, reserve: -1.5, servedEverywhere: test.total}
+			engine := New(1, settings)
+			record := &volume{instances: 10, reserve: -1.5, servedEverywhere: test.total}
 			for range 10 {
-				s.now += 100 * ms
-				record.servedHere.add(s.now, 1, 2*time.Second)
-				record.servedElsewhere.add(s.now, test.others, 2*time.Second)
+				engine.now += 100 * ms
+				record.servedHere.add(engine.now, 1, 2*time.Second)
+				record.servedElsewhere.add(engine.now, test.others, 2*time.Second)
 			}
-			if got := s.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
+			if got := engine.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
 				t.Errorf("%+v: within the reserve: %v", test, got)
 			}
 		})
@@ -100,7 +100,7 @@
 	}
 	fleet.now += 3 * time.Minute
 	fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
-	fleet.instances[0].volumes[0] = &volume{schedulers: 1, limit: 8, refilledAt: fleet.now}
+	fleet.instances[0].volumes[0] = &volume{instances: 1, limit: 8, refilledAt: fleet.now}
 	if give(2, 7) != 1 {
 		t.Error("a full bucket does not let an op go")
 	}
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -56,24 +56,24 @@
 // topRanked returns the first servers of a volume's ranking that are up, in order: exactly those of
 // a ranking of all servers, in which ones that came up are inserted and ones that left are deleted.
 // When few are left it is made anew.
-func (s *Engine) topRanked(volume *volume, id int64) []rankedServer {
+func (e *Engine) topRanked(volume *volume, id int64) []rankedServer {
 	volume.topServers = slices.DeleteFunc(volume.topServers, func(candidate rankedServer) bool {
 		return !candidate.server.listedUp
 	})
 	hash := volumeHash(id)
-	if volume.rankingEpoch != s.rankingEpoch || !volume.topComplete && len(volume.topServers) < minTopServers {
+	if volume.rankingEpoch != e.rankingEpoch || !volume.topComplete && len(volume.topServers) < minTopServers {
 		volume.topServers, volume.topComplete = volume.topServers[:0], true
-		for _, server := range s.serversByID {
+		for _, server := range e.serversByID {
 			volume.insertRanked(server, hash)
 		}
-		s.serversVisited += len(s.serversByID)
+		e.serversVisited += len(e.serversByID)
 	} else {
-		for _, server := range s.joinedServers[volume.joinedSeen:] {
+		for _, server := range e.joinedServers[volume.joinedSeen:] {
 			volume.insertRanked(server, hash)
 		}
-		s.serversVisited += len(s.joinedServers) - volume.joinedSeen
+		e.serversVisited += len(e.joinedServers) - volume.joinedSeen
 	}
-	volume.rankingEpoch, volume.joinedSeen = s.rankingEpoch, len(s.joinedServers)
+	volume.rankingEpoch, volume.joinedSeen = e.rankingEpoch, len(e.joinedServers)
 	return volume.topServers
 }
 
@@ -97,41 +97,41 @@
 }
 
 // joinRankings notes that a server came up, for the rankings that exist.
-func (s *Engine) joinRankings(server *server) {
-	if len(s.joinedServers) > 2*len(s.serversByID)+maxTopServers { // most rankings have taken in most of them
-		s.joinedServers, s.rankingEpoch = nil, s.rankingEpoch+1
+func (e *Engine) joinRankings(server *server) {
+	if len(e.joinedServers) > 2*len(e.serversByID)+maxTopServers { // most rankings have taken in most of them
+		e.joinedServers, e.rankingEpoch = nil, e.rankingEpoch+1
 	}
-	s.joinedServers = append(s.joinedServers, server)
+	e.joinedServers = append(e.joinedServers, server)
 }
 
 // acceptingServers returns the servers that accepted new objects at most a sweep ago.
-func (s *Engine) acceptingServers() []*server {
-	if s.now-s.acceptingAt >= s.sweepInterval() || s.acceptingAt == 0 {
-		s.acceptingAt, s.acceptingCache = s.now, s.acceptingCache[:0]
-		for _, server := range s.serversByID {
-			if server.listedUp && s.acceptsNewObjects(server) {
-				s.acceptingCache = append(s.acceptingCache, server)
+func (e *Engine) acceptingServers() []*server {
+	if e.now-e.acceptingAt >= e.sweepInterval() || e.acceptingAt == 0 {
+		e.acceptingAt, e.acceptingCache = e.now, e.acceptingCache[:0]
+		for _, server := range e.serversByID {
+			if server.listedUp && e.acceptsNewObjects(server) {
+				e.acceptingCache = append(e.acceptingCache, server)
 			}
 		}
-		s.serversVisited += len(s.serversByID)
+		e.serversVisited += len(e.serversByID)
 	}
-	return s.acceptingCache
+	return e.acceptingCache
 }
 
 // markActive adds a server to those that sweeps visit.
-func (s *Engine) markActive(server *server) {
+func (e *Engine) markActive(server *server) {
 	if !server.active {
 		server.active = true
-		s.activeServers = insertByID(s.activeServers, server)
+		e.activeServers = insertByID(e.activeServers, server)
 	}
 }
 
-// deactivateIdle removes servers without outstanding or held ops from those that sweeps visit, but
-// for those that are down.
-func (s *Engine) deactivateIdle() {
-	s.activeServers = slices.DeleteFunc(s.activeServers, func(server *server) bool {
-		server.active = server.outstanding > 0 || server.heldCount > 0 || server.health == honeyplank.HealthDown
+// deactivateIdle removes servers without outstanding or queued ops from those that sweeps visit,
+// but for those that are down.
+func (e *Engine) deactivateIdle() {
+	e.activeServers = slices.DeleteFunc(e.activeServers, func(server *server) bool {
+		server.active = server.outstanding > 0 || server.queuedCount > 0 || server.health == honeyplank.HealthDown
 		return !server.active
 	})
-	s.serversVisited += len(s.activeServers)
+	e.serversVisited += len(e.activeServers)
 }
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -27,8 +27,8 @@
 }
 
 // modelRanking is the slow model: all servers that are on, sorted.
-func modelRanking(s *Engine, volume int64) (list []*server) {
-	for _, server := range s.serversByID {
+func modelRanking(engine *Engine, volume int64) (list []*server) {
+	for _, server := range engine.serversByID {
 		if server.State == honeyplank.Up {
 			list = append(list, server)
 		}
@@ -38,13 +38,13 @@
 }
 
 // modelChoice is the choice as made over a whole ranking: the first with capacity, or else the one with the least relative load.
-func modelChoice(s *Engine, op *op, list []*server) (home *server, hasCapacity bool) {
+func modelChoice(engine *Engine, op *op, list []*server) (home *server, hasCapacity bool) {
 	leastLoad := math.Inf(1)
 	for _, server := range list {
-		if !s.acceptsNewObjects(server) || !s.mayDispatch(op, server) {
+		if !engine.acceptsNewObjects(server) || !engine.mayDispatch(op, server) {
 			continue
 		}
-		load := float64(1+server.outstanding+server.heldCount) / s.concurrencyLimit(server, op.Type, spareLatencyShare)
+		load := float64(1+server.outstanding+server.queuedCount) / engine.concurrencyLimit(server, op.Type, spareLatencyShare)
 		if load < leastLoad {
 			home, leastLoad = server, load
 		}
@@ -65,11 +65,11 @@
 		settings := testSettings()
 		settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
 		settings.Plans.Limit, settings.Plans.Burst = []float64{float64(rng.Intn(2)) * 50}, []float64{100}
-		s := New(seed, settings)
+		engine := New(seed, settings)
 		size := []int{1, 5, 40, maxTopServers, maxTopServers + 1, 200, 700}[seed%7]
 		now, next := time.Minute, 0
 		sendList := func(kind honeyplank.ListKind, members ...honeyplank.Member) {
-			s.Handle(now, honeyplank.List{Kind: kind, Members: members})
+			engine.Handle(now, honeyplank.List{Kind: kind, Members: members})
 		}
 		fresh := func() honeyplank.Member {
 			next++
@@ -102,33 +102,33 @@
 				gone.State = honeyplank.Draining
 				sendList(honeyplank.Delta, gone)
 				if rng.Intn(2) == 0 {
-					s.topRanked(&volume{}, 1)
+					engine.topRanked(&volume{}, 1)
 				}
 				sendList(honeyplank.Delta, all[i])
 			case 4:
-				for _, server := range s.serversByID {
+				for _, server := range engine.serversByID {
 					server.outstanding = rng.Intn(2) * rng.Intn(40)
 				}
 			case 5:
 				part := rng.Float64()
-				for _, server := range s.serversByID {
+				for _, server := range engine.serversByID {
 					if server.health = honeyplank.HealthUp; rng.Float64() < part {
 						server.health = honeyplank.HealthDown
 					}
 				}
 			}
-			s.now = now
-			s.acceptingAt = 0 // the list of servers that accept new objects may be a sweep old: made anew here
+			engine.now = now
+			engine.acceptingAt = 0 // the list of servers that accept new objects may be a sweep old: made anew here
 			id := int64(rng.Intn(4))
 			candidate := &op{Op: honeyplank.Op{Units: 1, Timeout: now + time.Second, Volume: id, Instances: 1, Cell: honeyplank.NewObject},
 				admissionDraw: rng.Float64(), target: now + 200*ms}
-			s.openVolume(candidate)
-			list := modelRanking(s, id)
-			want, hasCapacity := modelChoice(s, candidate, list)
-			got := s.chooseNewServer(candidate)
-			s.removeHeld(candidate)
-			s.unassigned = 0
-			top := s.topRanked(candidate.volume, id)
+			engine.openVolume(candidate)
+			list := modelRanking(engine, id)
+			want, hasCapacity := modelChoice(engine, candidate, list)
+			got := engine.chooseNewServer(candidate)
+			engine.removeQueued(candidate)
+			engine.unassigned = 0
+			top := engine.topRanked(candidate.volume, id)
 			for k, ranked := range top {
 				if ranked.server != list[k] {
 					t.Fatalf("seed %d, step %d: rank %d of the ranking is %s, want %s", seed, step, k, ranked.server.ID, list[k].ID)
@@ -141,13 +141,15 @@
 			if inList := slices.Index(list, want) < len(top); want != got && (inList && hasCapacity || len(list) <= minTopServers) {
 				t.Fatalf("seed %d, step %d: %v, want %v", seed, step, got, want)
 			}
-			if first, _ := modelChoice(s, candidate, list[:len(top)]); first != nil {
+			if first, _ := modelChoice(engine, candidate, list[:len(top)]); first != nil {
 				want = first
 			}
 			if want != got {
 				t.Fatalf("seed %d, step %d: %v, want %v past the top servers", seed, step, got, want)
 			}
-			beyond += boolToInt(got != nil && slices.Index(list, got) >= len(top))
+			if got != nil && slices.Index(list, got) >= len(top) {
+				beyond++
+			}
 		}
 	}
 	if beyond == 0 {
@@ -160,35 +162,35 @@
 func largeFleet(servers int) *Engine {
 	settings := testSettings()
 	settings.Plans.Reserve = []float64{1e6}
-	s := New(1, settings)
+	engine := New(1, settings)
 	var members []honeyplank.Member
 	for i := range servers {
 		members = append(members, member(i, 0))
 	}
-	s.Handle(time.Second, honeyplank.List{Kind: honeyplank.Complete, Members: members})
-	return s
+	engine.Handle(time.Second, honeyplank.List{Kind: honeyplank.Complete, Members: members})
+	return engine
 }
 
 // playNewObjects plays so many new objects of 200 volumes, each answered after 5 ms, with a sweep every 10 ms, and servers
 // that are replaced one after another.
-func playNewObjects(s *Engine, from, n int, replace bool) {
-	servers := len(s.serversByID)
+func playNewObjects(engine *Engine, from, n int, replace bool) {
+	servers := len(engine.serversByID)
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
 		id := honeyplank.OpID(fmt.Sprint(i))
-		out := s.Handle(now, honeyplank.Op{ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Instances: 1, Cell: honeyplank.NewObject})
+		out := engine.Handle(now, honeyplank.Op{ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Instances: 1, Cell: honeyplank.NewObject})
 		for _, action := range out {
 			if dispatch, ok := action.(honeyplank.Dispatch); ok {
-				s.Handle(now+4*ms, honeyplank.Outcome{Op: id, Server: dispatch.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: 4 * ms})
+				engine.Handle(now+4*ms, honeyplank.Outcome{Op: id, Server: dispatch.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: 4 * ms})
 			}
 		}
 		if i%2 == 0 {
-			s.Handle(now+4*ms, honeyplank.Timer{ID: sweepTimer})
+			engine.Handle(now+4*ms, honeyplank.Timer{ID: sweepTimer})
 		}
 		if replace && i%50 == 0 {
 			gone, fresh := member(i/50, 0), member(servers+i, 0)
 			gone.State = honeyplank.Removed
-			s.Handle(now+4*ms, honeyplank.List{Kind: honeyplank.Delta, Members: []honeyplank.Member{gone, fresh}})
+			engine.Handle(now+4*ms, honeyplank.List{Kind: honeyplank.Delta, Members: []honeyplank.Member{gone, fresh}})
 		}
 	}
 }
@@ -200,16 +202,16 @@
 		t.Run(fmt.Sprint("replaced ", replace), func(t *testing.T) {
 			work, held, allocations := map[int]float64{}, map[int]int{}, map[int]float64{}
 			for _, servers := range []int{200, 3200} {
-				s := largeFleet(servers)
-				playNewObjects(s, 0, 200, false) // each volume has its list
-				s.serversVisited = 0
+				engine := largeFleet(servers)
+				playNewObjects(engine, 0, 200, false) // each volume has its list
+				engine.serversVisited = 0
 				const objects = 4000
 				var before, after runtime.MemStats
 				runtime.ReadMemStats(&before)
-				playNewObjects(s, 200, objects, replace)
+				playNewObjects(engine, 200, objects, replace)
 				runtime.ReadMemStats(&after)
-				work[servers], allocations[servers] = float64(s.serversVisited)/objects, float64(after.Mallocs-before.Mallocs)/objects
-				for _, record := range s.volumes {
+				work[servers], allocations[servers] = float64(engine.serversVisited)/objects, float64(after.Mallocs-before.Mallocs)/objects
+				for _, record := range engine.volumes {
 					held[servers] += cap(record.topServers)
 				}
 			}
@@ -225,10 +227,10 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			s := largeFleet(servers)
+			engine := largeFleet(servers)
 			n := 0
 			for b.Loop() {
-				playNewObjects(s, n, 100, false)
+				playNewObjects(engine, n, 100, false)
 				n += 100
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(n), "us/object")
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -84,8 +84,8 @@
 			for range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
 				answer()
 				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
-				if s := fleet.ops["lost0"]; s.dispatched[0].cancelRequested && !s.dispatched[0].done {
-					fleet.endDispatch(s, honeyplank.Cancelled)
+				if lost := fleet.ops["lost0"]; lost.dispatched[0].cancelRequested && !lost.dispatched[0].done {
+					fleet.endDispatch(lost, honeyplank.Cancelled)
 				}
 			}
 			if n := len(fleet.ops["lost0"].dispatched); n != want {
@@ -136,15 +136,15 @@
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			settings := testSettings()
 			settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: test.free, Share: test.share, Window: time.Second}
-			s := New(1, settings)
-			s.now = time.Minute
+			engine := New(1, settings)
+			engine.now = time.Minute
 			if test.taken > 0 {
-				s.admissions = []time.Duration{s.now - test.taken}
+				engine.admissions = []time.Duration{engine.now - test.taken}
 			}
 			if test.extra > 0 {
-				s.retries = []time.Duration{s.now - test.extra}
+				engine.retries = []time.Duration{engine.now - test.extra}
 			}
-			if got := s.retryBudgetAllows(); got != test.want {
+			if got := engine.retryBudgetAllows(); got != test.want {
 				t.Errorf("%+v: allowed: %v", test, got)
 			}
 		})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -110,15 +110,15 @@
 
 func (fleet *testFleet) compareRules() {
 	for _, tracked := range fleet.order {
-		s, held := fleet.instances[tracked.instance], fleet.instances[tracked.instance].ops[tracked.ID]
+		engine, held := fleet.instances[tracked.instance], fleet.instances[tracked.instance].ops[tracked.ID]
 		if tracked.answered || tracked.responseStarted || held == nil {
 			continue
 		}
-		s.now = fleet.now
-		module, model := []bool{s.rejectIsSafe(held), s.isNextOfKey(held), s.retryBudgetAllows()}, []bool{fleet.mayReject(tracked), fleet.isNextOfKey(tracked), fleet.withinRetryBudget(tracked.instance)}
-		for _, server := range s.serversByID {
-			after := fleet.settings.Dispatches.ConnectTimeout + longestHoldUp + time.Duration(s.expectedLatency(server, held.Type)*float64(time.Second))
-			module, model = append(module, s.retryAllowed(held, server)), append(model, fleet.mayRetry(tracked, server.ID, after))
+		engine.now = fleet.now
+		module, model := []bool{engine.rejectIsSafe(held), engine.isNextOfKey(held), engine.retryBudgetAllows()}, []bool{fleet.mayReject(tracked), fleet.isNextOfKey(tracked), fleet.withinRetryBudget(tracked.instance)}
+		for _, server := range engine.serversByID {
+			after := fleet.settings.Dispatches.ConnectTimeout + longestHoldUp + time.Duration(engine.expectedLatency(server, held.Type)*float64(time.Second))
+			module, model = append(module, engine.retryAllowed(held, server)), append(model, fleet.mayRetry(tracked, server.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
 			fleet.t.Fatalf("%s: rejection, order, budget, retry at each: module %v, model %v", tracked.ID, module, model)
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -398,7 +398,9 @@
 	for _, request := range run.all {
 		if request.first >= from && request.first < to {
 			taken[request.class]++
-			served[request.class] += float64(boolToInt(run.served[request]))
+			if run.served[request] {
+				served[request.class]++
+			}
 		}
 	}
 	return served, taken
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -33,11 +33,14 @@
 	worthWaiting                        // the served queue has none, and its next is worth the wait
 )
 
-// sliceTransitions is the table of runSlices; a pair that is missing ends its loop.
-var sliceTransitions = map[sliceState]map[sliceSignal]struct {
+// sliceTransition is a row of sliceTransitions.
+type sliceTransition struct {
 	next   sliceState
 	effect func(*Engine, *server)
-}{
+}
+
+// sliceTransitions is the table of runSlices; a pair that is missing ends its loop.
+var sliceTransitions = map[sliceState]map[sliceSignal]sliceTransition{
 	sliceIdle: {othersReady: {sliceServing, (*Engine).beginSlice}},
 	sliceServing: {
 		servedReady:      {sliceServing, (*Engine).sendFromServed},
@@ -57,41 +60,41 @@
 	},
 }
 
-// runSlices dispatches the held ops of a server that may be sent now, in the order of the slices.
-func (s *Engine) runSlices(server *server) {
+// runSlices dispatches the queued ops of a server that may be sent now, in the order of the slices.
+func (e *Engine) runSlices(server *server) {
 	for {
-		transition, ok := sliceTransitions[server.sliceState][s.nextSignal(server)]
+		transition, ok := sliceTransitions[server.sliceState][e.nextSignal(server)]
 		if !ok {
 			return
 		}
 		server.sliceState = transition.next
-		transition.effect(s, server)
+		transition.effect(e, server)
 	}
 }
 
 // nextSignal is the paper's algorithm 1, with the reserve before it.
-func (s *Engine) nextSignal(server *server) sliceSignal {
+func (e *Engine) nextSignal(server *server) sliceSignal {
 	var served *op
 	if server.sliceState != sliceIdle {
-		served = s.chooseOp(server, server.servedQueue)
+		served = e.chooseOp(server, server.servedQueue)
 	}
-	other := s.nextQueue(server)
+	other := e.nextQueue(server)
 	switch {
 	case served == nil && other == nil:
 		return nothingReady
 	case server.sliceState == sliceIdle:
 		return othersReady
-	case served != nil && other != nil && !s.withinReserve(served) && s.withinReserve(s.chooseOp(server, other)):
+	case served != nil && other != nil && !e.withinReserve(served) && e.withinReserve(e.chooseOp(server, other)):
 		return reserveWaiting
-	case other != nil && s.now >= server.sliceEnd:
+	case other != nil && e.now >= server.sliceEnd:
 		return sliceExpired
 	case served != nil:
 		return servedReady
-	case server.servedQueue.thinkTime.value() >= server.sliceEnd-s.now:
+	case server.servedQueue.thinkTime.value() >= server.sliceEnd-e.now:
 		return thinkTimeTooLong
-	case s.cheaperQueue(server) != nil:
+	case e.cheaperQueue(server) != nil:
 		return cheaperReady
-	case server.outstanding == 0 || server.sliceState == sliceWaiting && s.now >= server.waitEnd:
+	case server.outstanding == 0 || server.sliceState == sliceWaiting && e.now >= server.waitEnd:
 		return thinkTimeTooLong
 	}
 	return worthWaiting
@@ -100,13 +103,13 @@
 // cheaperQueue is the paper's await test: the first queue not served this round whose await is no
 // longer than the served queue's. The mean await of the server takes the place of the longest seek
 // as an upper bound.
-func (s *Engine) cheaperQueue(server *server) *volumeQueue {
+func (e *Engine) cheaperQueue(server *server) *volumeQueue {
 	longest, servedAwait := server.meanAwait(), server.servedQueue.await.value()
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
 		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
 		await := queue.await.value()
 		eligible := queue != server.servedQueue && queue.round < server.round
-		if eligible && await <= servedAwait && await < longest && s.chooseOp(server, queue) != nil {
+		if eligible && await <= servedAwait && await < longest && e.chooseOp(server, queue) != nil {
 			return queue
 		}
 	}
@@ -115,72 +118,85 @@
 
 // nextQueue is the queue whose slice comes next, in ring order: one with an op within its reserve
 // goes first, then one not served this round.
-func (s *Engine) nextQueue(server *server) (next *volumeQueue) {
-	lowestClass := math.MaxInt
+func (e *Engine) nextQueue(server *server) (next *volumeQueue) {
+	lowestRank := math.MaxInt
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
 		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
-		op := s.chooseOp(server, queue)
+		op := e.chooseOp(server, queue)
 		if queue == server.servedQueue || op == nil {
 			continue
 		}
-		class := 2*boolToInt(!s.withinReserve(op)) + boolToInt(queue.round >= server.round)
-		if class < lowestClass {
-			next, lowestClass = queue, class
+		if rank := e.sliceRank(server, queue, op); rank < lowestRank {
+			next, lowestRank = queue, rank
 		}
 	}
 	return next
 }
 
+// sliceRank orders the queues for the next slice, the lowest first, by their next op and by whether
+// they have been served this round.
+func (e *Engine) sliceRank(server *server, queue *volumeQueue, next *op) int {
+	const servedThisRound, beyondReserve = 1, 2
+	rank := 0
+	if queue.round >= server.round {
+		rank += servedThisRound
+	}
+	if !e.withinReserve(next) {
+		rank += beyondReserve
+	}
+	return rank
+}
+
 // beginSlice starts the slice of the next queue, and a new round where all have been served in this
 // one.
-func (s *Engine) beginSlice(server *server) {
-	queue := s.nextQueue(server)
+func (e *Engine) beginSlice(server *server) {
+	queue := e.nextQueue(server)
 	if queue.round >= server.round {
 		server.round++
 	}
-	s.startSlice(server, queue)
+	e.startSlice(server, queue)
 }
 
-// startSlice starts a queue's slice: the queues with held ops share a round by the weights of their
-// volumes.
-func (s *Engine) startSlice(server *server, queue *volumeQueue) {
-	weight := s.relativeWeight(queue.volume.plan)
-	length := weight * sliceShare * float64(s.settings.shortestTarget) / float64(max(server.busyVolumes(), 1))
+// startSlice starts a queue's slice: the queues that are not empty share a round by the weights of
+// their volumes.
+func (e *Engine) startSlice(server *server, queue *volumeQueue) {
+	weight := e.relativeWeight(queue.volume.plan)
+	length := weight * sliceShare * float64(e.settings.shortestTarget) / float64(max(server.busyVolumes(), 1))
 	server.servedQueue, queue.round = queue, server.round
-	server.sliceEnd = s.now + max(time.Duration(length), s.sweepInterval())
+	server.sliceEnd = e.now + max(time.Duration(length), e.sweepInterval())
 }
 
-func (s *Engine) endSlice(server *server) { server.servedQueue = nil }
+func (e *Engine) endSlice(server *server) { server.servedQueue = nil }
 
-func (s *Engine) handOverSlice(server *server) { s.startSlice(server, s.cheaperQueue(server)) }
+func (e *Engine) handOverSlice(server *server) { e.startSlice(server, e.cheaperQueue(server)) }
 
-func (s *Engine) sendFromServed(server *server) {
-	s.dispatch(s.chooseOp(server, server.servedQueue), server)
+func (e *Engine) sendFromServed(server *server) {
+	e.dispatch(e.chooseOp(server, server.servedQueue), server)
 }
 
-func (s *Engine) sendFromOthers(server *server) {
-	s.dispatch(s.chooseOp(server, s.nextQueue(server)), server)
+func (e *Engine) sendFromOthers(server *server) {
+	e.dispatch(e.chooseOp(server, e.nextQueue(server)), server)
 }
 
 // idleWait starts the wait for the served queue's next op. Other queues use the window meanwhile.
-func (s *Engine) idleWait(server *server) {
-	server.waitEnd = min(s.now+server.servedQueue.thinkTime.value(), server.sliceEnd)
-	s.sendFromOthers(server)
+func (e *Engine) idleWait(server *server) {
+	server.waitEnd = min(e.now+server.servedQueue.thinkTime.value(), server.sliceEnd)
+	e.sendFromOthers(server)
 }
 
 // chooseOp is the op of a queue to dispatch next: a retry, then one with the key of the last op
 // sent, then the one whose target latency is over first. It is nil where none may be dispatched
 // now.
-func (s *Engine) chooseOp(server *server, queue *volumeQueue) (chosen *op) {
-	if s.nothingCanLeave(server, queue) {
+func (e *Engine) chooseOp(server *server, queue *volumeQueue) (chosen *op) {
+	if e.nothingCanLeave(server, queue) {
 		return nil
 	}
 	continuesRun := queue.opsByKey[server.lastKey] > 0
-	for _, op := range queue.held {
+	for _, op := range queue.ops {
 		if chosen != nil && !continuesRun { // without a run the queue is sorted already
 			break
 		}
-		if goesBefore(server, op, chosen) && s.hasCapacity(server, op) && s.mayDispatch(op, server) {
+		if goesBefore(server, op, chosen) && e.hasCapacity(server, op) && e.mayDispatch(op, server) {
 			chosen = op
 		}
 	}
@@ -207,31 +223,34 @@
 // nothingCanLeave reports, without a check of each op, that chooseOp would find none in a queue:
 // the server gets nothing, the clients would be gone, or the window or the limit is used up for
 // all.
-func (s *Engine) nothingCanLeave(server *server, queue *volumeQueue) bool {
-	if len(queue.held) == 0 || server.health == honeyplank.HealthDown || s.halfOpenBusy(server) {
+func (e *Engine) nothingCanLeave(server *server, queue *volumeQueue) bool {
+	if len(queue.ops) == 0 || server.health == honeyplank.HealthDown || e.halfOpenBusy(server) {
 		return true
 	}
-	if s.allClientsGone(server, queue) {
+	if e.allClientsGone(server, queue) {
 		return true
 	}
-	s.refillBuckets(queue.volume)
+	e.refillBuckets(queue.volume)
 	volume := queue.volume
 	if server.outstanding > 0 {
-		withinReserve := volume.reserve >= queue.smallestUnits
-		if float64(server.outstanding) >= s.largestConcurrencyLimit(server, withinReserve) {
+		class := spareDemand
+		if volume.reserve >= queue.smallestUnits {
+			class = reserveDemand
+		}
+		if float64(server.outstanding) >= e.largestConcurrencyLimit(server, class) {
 			return true
 		}
 	}
-	limited := valueAt(s.settings.limit, volume.plan) > 0
+	limited := valueAt(e.settings.Plans.Limit, volume.plan) > 0
 	return limited && queue.retryCount == 0 && volume.limit < queue.smallestUnits
 }
 
 // allClientsGone reports whether no client of a queue's ops would wait for the earliest answer of a
-// server. The op held last mostly has the most time left.
-func (s *Engine) allClientsGone(server *server, queue *volumeQueue) bool {
-	earliest := s.now + s.earliestAnswerOfAnyType(server)
-	for i := len(queue.held) - 1; i >= 0; i-- {
-		if earliest < queue.held[i].Timeout {
+// server. The op queued last mostly has the most time left.
+func (e *Engine) allClientsGone(server *server, queue *volumeQueue) bool {
+	earliest := e.now + e.earliestAnswerOfAnyType(server)
+	for i := len(queue.ops) - 1; i >= 0; i-- {
+		if earliest < queue.ops[i].Timeout {
 			return false
 		}
 	}
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -29,8 +29,8 @@
 	fleet := fullServerFleet(t)
 	fleet.admit("other", 0, 8, 2, 0)
 	fleet.admit("own", 0, 9, 3, 0)
-	s := fleet.instances[0]
-	server := s.servers["osd0"]
+	engine := fleet.instances[0]
+	server := engine.servers["osd0"]
 	out := server.outstanding
 	server.sliceEnd = time.Second
 	fleet.endDispatch(fleet.ops["full0"], honeyplank.Succeeded)
@@ -43,11 +43,11 @@
 		t.Error("the slice did not end")
 	}
 	fleet.settings.Plans.Weight = []float64{1, 3}
-	s.settings = readSettings(fleet.settings)
-	s.startSlice(server, &volumeQueue{volume: &volume{plan: 0}})
-	light := server.sliceEnd - s.now
-	s.startSlice(server, &volumeQueue{volume: &volume{plan: 1}})
-	if heavy := server.sliceEnd - s.now; heavy < 2*light {
+	engine.settings = readSettings(fleet.settings)
+	engine.startSlice(server, &volumeQueue{volume: &volume{plan: 0}})
+	light := server.sliceEnd - engine.now
+	engine.startSlice(server, &volumeQueue{volume: &volume{plan: 1}})
+	if heavy := server.sliceEnd - engine.now; heavy < 2*light {
 		t.Errorf("slices of %v and %v for weights 1 and 3", light, heavy)
 	}
 }
@@ -66,16 +66,16 @@
 		t.Run(fmt.Sprintf("think time %v, await %v and %v", test.thinkt, test.own, test.other), func(t *testing.T) {
 			fleet := fullServerFleet(t)
 			fleet.admit("other", 0, 8, 2, 0)
-			s := fleet.instances[0]
-			server := s.servers["osd0"]
+			engine := fleet.instances[0]
+			server := engine.servers["osd0"]
 			gap := func(d time.Duration) decayedMean { return decayedMean{total: 1e6 * float64(d/ms), sum: 1e6} }
 			for _, queue := range server.queues {
 				queue.await, queue.round = gap(test.other), server.round-1
 			}
 			server.servedQueue.thinkTime, server.servedQueue.await, server.servedQueue.round = gap(test.thinkt), gap(test.own), server.round
 			server.queues = append(server.queues, &volumeQueue{volume: &volume{}, await: decayedMean{total: 1e8, sum: 1e6}})
-			server.sliceEnd, server.outstanding = s.now+50*ms, 3
-			if got := s.nextSignal(server); got != test.want {
+			server.sliceEnd, server.outstanding = engine.now+50*ms, 3
+			if got := engine.nextSignal(server); got != test.want {
 				t.Errorf("thinkt %v, await %v and %v: signal %d, want %d", test.thinkt, test.own, test.other, got, test.want)
 			}
 		})
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -28,18 +28,18 @@
 }
 
 // inSlowStart reports whether a server started so recently that its budget binds.
-func (s *Engine) inSlowStart(server *server) bool {
-	window := s.settings.slowStartWindow
-	return server.Started > 0 && window > 0 && s.now < server.Started+s.settings.slowStartTime+window
+func (e *Engine) inSlowStart(server *server) bool {
+	window := e.settings.SlowStart.Window
+	return server.Started > 0 && window > 0 && e.now < server.Started+e.settings.SlowStart.Time+window
 }
 
 // slowStartBudget is what a server that is warming up can take by now within a window, in units.
-func (s *Engine) slowStartBudget(server *server) float64 {
-	from, growth, warmUp := s.settings.slowStartFrom, 1.0, s.settings.slowStartTime
-	if age := s.now - server.Started; from > 0 && from < 1 && age > 0 && warmUp > 0 {
+func (e *Engine) slowStartBudget(server *server) float64 {
+	from, growth, warmUp := e.settings.SlowStart.From, 1.0, e.settings.SlowStart.Time
+	if age := e.now - server.Started; from > 0 && from < 1 && age > 0 && warmUp > 0 {
 		growth = (from + (1-from)*min(1, float64(age)/float64(warmUp))) / from
 	}
-	return growth * s.settings.slowStartUnits
+	return growth * e.settings.SlowStart.Units
 }
 
 // slowStartShare is the share of a server's budget that random admission may use in the mean. A
@@ -47,16 +47,16 @@
 // below fewBudgetOps); the mean and some standard deviations stay below that. What many instances
 // admit independently has the variance of a Poisson count of ops of several sizes: the mean times
 // the ratio of the mean square of the sizes to the square of their mean.
-func (s *Engine) slowStartShare(budget float64) float64 {
-	if s.settings.meanUnits <= 0 || s.unitsAdmitted <= 0 || budget <= 0 {
+func (e *Engine) slowStartShare(budget float64) float64 {
+	if e.settings.MeanUnits <= 0 || e.unitsAdmitted <= 0 || budget <= 0 {
 		return slowStartTarget
 	}
-	budgetOps := budget / s.settings.meanUnits
+	budgetOps := budget / e.settings.MeanUnits
 	overloadOps := budgetOps + 2*math.Sqrt(budgetOps) + 2
 	if budgetOps < fewBudgetOps {
 		overloadOps = budgetOps + 3*math.Sqrt(budgetOps) + 3
 	}
-	deviation := slowStartDeviations * math.Sqrt(s.unitsSquaredAdmitted/s.unitsAdmitted/s.settings.meanUnits)
+	deviation := slowStartDeviations * math.Sqrt(e.unitsSquaredAdmitted/e.unitsAdmitted/e.settings.MeanUnits)
 	root := (math.Sqrt(deviation*deviation+4*overloadOps) - deviation) / 2
 	return min(slowStartTarget, root*root/budgetOps)
 }
@@ -69,46 +69,46 @@
 // reserves first. It guards against overloading a server that is warming up. It could harm service
 // where instances with little traffic can't use their shares or answers take long, and would not
 // hold where a server's data comes into demand within that window.
-func (s *Engine) slowStartAllows(server *server, units, admissionDraw float64, withinReserve bool) bool {
-	window := s.settings.slowStartWindow
-	server.trimSentLog(s.now - window)
-	if !s.inSlowStart(server) {
+func (e *Engine) slowStartAllows(server *server, units, admissionDraw float64, class demandClass) bool {
+	window := e.settings.SlowStart.Window
+	server.trimSentLog(e.now - window)
+	if !e.inSlowStart(server) {
 		return true
 	}
-	budget := s.slowStartBudget(server)
-	share, used := budget*s.trafficShare(server), server.sentInWindow()
-	if share >= max(s.settings.meanUnits, s.settings.largestUnits) {
+	budget := e.slowStartBudget(server)
+	share, used := budget*e.trafficShare(server), server.sentInWindow()
+	if share >= max(e.settings.MeanUnits, e.settings.LargestUnits) {
 		return used+units <= share
 	}
-	if used > share+slowStartMaxOps*s.settings.meanUnits {
+	if used > share+slowStartMaxOps*e.settings.MeanUnits {
 		return false
 	}
 	// Until a response shows that connections are set up, those of many instances may be late and
 	// arrive together.
-	delay := s.settings.maxArrivalDelay
-	if !server.respondedSinceStart && s.now < server.Started+delay+window {
+	delay := e.settings.maxArrivalDelay
+	if !server.respondedSinceStart && e.now < server.Started+delay+window {
 		window += delay
 	}
-	share *= s.slowStartShare(budget)
-	demand := s.demandSplit(server, window)
-	return withinReserve && admissionDraw*demand.withinReserve < share ||
-		admissionDraw*demand.beyondReserve < share-demand.withinReserve
+	share *= e.slowStartShare(budget)
+	demand := e.demandSplit(server, window)
+	return class == reserveDemand && admissionDraw*demand[reserveDemand] < share ||
+		admissionDraw*demand[spareDemand] < share-demand[reserveDemand]
 }
 
 // trafficShare is this instance's share of all demand on a server, an even one at least. The demand
 // through others is estimated from what this instance is asked of a mean server, and from the
 // number of instances that the volumes with ops at this server come through.
-func (s *Engine) trafficShare(server *server) float64 {
+func (e *Engine) trafficShare(server *server) float64 {
 	// The settings may lag behind what the volumes report.
-	instances := float64(max(s.settings.schedulers, s.maxSchedulersSeen, 1))
-	mean := s.cellBoundDemand.rate() / float64(max(s.serversUp, 1))
+	instances := float64(max(e.settings.Instances, e.maxInstancesSeen, 1))
+	mean := e.cellBoundDemand.rate() / float64(max(e.serversUp, 1))
 	if !(mean > 0) {
 		return 1 / instances
 	}
-	fleetMean := s.fleetDemand.rate() / float64(max(s.serversUp, 1))
+	fleetMean := e.fleetDemand.rate() / float64(max(e.serversUp, 1))
 	here, fleetHere := mean, fleetMean
-	if cell := s.demandByCell[server.Cell]; cell != nil && cell.requested[0].time > 0 {
-		here = max(here, cell.requested[0].rate()+cell.requested[1].rate())
+	if cell := e.demandByCell[server.Cell]; cell != nil && cell.requested[reserveDemand].time > 0 {
+		here = max(here, cell.requested[reserveDemand].rate()+cell.requested[spareDemand].rate())
 		fleetHere = max(fleetHere, cell.fleet.rate())
 	}
 	return max(1/instances, here/(instances*mean+fleetHere-fleetMean))
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -279,11 +279,15 @@
 	first, sum, known := 0, 0.0, 0.0
 	for _, item := range log {
 		sum += item.units
-		known += item.units * float64(boolToInt(item.notified))
+		if item.notified {
+			known += item.units
+		}
 		start := scenario.startBefore(item.at)
 		for log[first].at < max(item.at-slowStartTestWindow, start) {
 			sum -= log[first].units
-			known -= log[first].units * float64(boolToInt(log[first].notified))
+			if log[first].notified {
+				known -= log[first].units
+			}
 			first++
 		}
 		budget := scenario.budget * min(1, slowStartFrom+(1-slowStartFrom)*float64(item.at-start)/float64(slowStartWarmUp)) / slowStartFrom
@@ -393,14 +397,14 @@
 	settings := testSettings()
 	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.2, 20.0, time.Minute, time.Second
 	settings.Instances, settings.MeanUnits = 100, 2.0
-	s := New(1, settings)
-	s.now, s.serversUp = time.Minute, 20
-	s.demand = [2]decayedRate{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 servers
-	server, sent := &server{Member: member(0, s.now), respondedSinceStart: true}, [2]float64{}
+	engine := New(1, settings)
+	engine.now, engine.serversUp = time.Minute, 20
+	engine.demand = ratesByClass{{units: 10, time: 1}, {units: 30, time: 1}} // units a second for 20 servers
+	server, sent := &server{Member: member(0, engine.now), respondedSinceStart: true}, [2]float64{}
 	for draw := 0.0005; draw < 1; draw += 0.001 {
 		for i := range sent {
-			if s.slowStartAllows(server, 2, draw, i == 0) {
-				sent[i] += s.demand[i].units / 20 / 1000
+			if engine.slowStartAllows(server, 2, draw, demandClass(i)) {
+				sent[i] += engine.demand[i].units / 20 / 1000
 			}
 		}
 	}
@@ -410,19 +414,21 @@
 	server.respondedSinceStart = false // connections that come up late bring together what was sent until then
 	admitted := 0.0
 	for draw := 0.0005; draw < 1; draw += 0.001 {
-		admitted += float64(boolToInt(s.slowStartAllows(server, 2, draw, true))) / 1000
+		if engine.slowStartAllows(server, 2, draw, reserveDemand) {
+			admitted += 1.0 / 1000
+		}
 	}
 	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(admitted-want) > 0.002 {
 		t.Errorf("%v of the ops may leave before an answer, want %v", admitted, want)
 	}
 	server.respondedSinceStart = true
 	for n := range 4 { // two mean ops a window, whatever their draws
-		if got := s.slowStartAllows(server, 2, 0, true); got != (n < 2) {
+		if got := engine.slowStartAllows(server, 2, 0, reserveDemand); got != (n < 2) {
 			t.Errorf("op %d of a window may leave: %v", n+1, got)
 		}
 		server.sentLog = append(server.sentLog, struct {
 			at    time.Duration
 			units float64
-		}{s.now, 2})
+		}{engine.now, 2})
 	}
 }
