--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -83,7 +83,7 @@
 				key = rng.Int63n(1000)
 			}
 			ops++
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(scenario.volumes)), Cell: rng.Intn(scenario.servers), Schedulers: 1}
+			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(scenario.volumes)), Cell: rng.Intn(scenario.servers), Instances: 1}
 			if scenario.keyRuns {
 				op.HasKey, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
 			}
@@ -139,13 +139,13 @@
 			var spent time.Duration
 			ops, held, events := 0, 0, 0
 			for b.Loop() {
-				s := New(5, scenario.settings())
+				engine := New(5, scenario.settings())
 				ops += scenario.play(5, 500*ms, func(now time.Duration, e honeyplank.Event) []honeyplank.Action {
 					began := time.Now()
-					out := s.Handle(now, e)
+					out := engine.Handle(now, e)
 					spent += time.Since(began)
 					if events++; events%1000 == 0 {
-						held = max(held, s.heldOps())
+						held = max(held, engine.queuedOps())
 					}
 					return out
 				})
@@ -157,9 +157,9 @@
 	}
 }
 
-// heldOps is how many ops are held.
-func (s *Engine) heldOps() (n int) {
-	for p := s.firstHeld; p != nil; p = p.nextHeld {
+// queuedOps is how many ops are held.
+func (e *Engine) queuedOps() (n int) {
+	for p := e.firstQueued; p != nil; p = p.nextQueued {
 		n++
 	}
 	return n
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -21,14 +21,14 @@
 			if test.total > 0 {
 				settings.Usage.Period = time.Second
 			}
-			s := New(1, settings)
-			record := &volume{schedulers: 10, reserve: -1.5, servedEverywhere: test.total}
+			engine := New(1, settings)
+			record := &volume{instances: 10, reserve: -1.5, servedEverywhere: test.total}
 			for range 10 {
-				s.now += 100 * ms
-				record.servedHere.add(s.now, 1, 2*time.Second)
-				record.servedElsewhere.add(s.now, test.others, 2*time.Second)
+				engine.now += 100 * ms
+				record.servedHere.add(engine.now, 1, 2*time.Second)
+				record.servedElsewhere.add(engine.now, test.others, 2*time.Second)
 			}
-			if got := s.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
+			if got := engine.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
 				t.Errorf("%+v: within the reserve: %v", test, got)
 			}
 		})
@@ -47,7 +47,7 @@
 			fleet.now += up
 			sent := 0
 			for i := range 10 {
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 2})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Timeout: fleet.now + time.Second, Instances: 1, Cell: i % 2})
 				sent += len(fleet.order[i].dispatched)
 			}
 			if sent != want {
@@ -69,7 +69,7 @@
 			fleet.now = 10 * time.Hour
 			sent := 0
 			for i := range 16 {
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: opType, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 4})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 1, Type: opType, Timeout: fleet.now + time.Second, Instances: 1, Cell: i % 4})
 				sent += len(fleet.order[i].dispatched)
 			}
 			if sent != want {
@@ -87,7 +87,7 @@
 	fleet := newTestFleet(t, 1, settings)
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	give := func(n int, units float64) int {
-		fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n)), Units: units, Type: 1, Timeout: fleet.now + 5*time.Second, Schedulers: 1})
+		fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n)), Units: units, Type: 1, Timeout: fleet.now + 5*time.Second, Instances: 1})
 		return len(fleet.order[n].dispatched)
 	}
 	fleet.now = time.Hour
@@ -100,7 +100,7 @@
 	}
 	fleet.now += 3 * time.Minute
 	fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
-	fleet.instances[0].volumes[0] = &volume{schedulers: 1, limit: 8, refilledAt: fleet.now}
+	fleet.instances[0].volumes[0] = &volume{instances: 1, limit: 8, refilledAt: fleet.now}
 	if give(2, 7) != 1 {
 		t.Error("a full bucket does not let an op go")
 	}
@@ -139,7 +139,7 @@
 			sent, begin := 0.0, time.Hour
 			for i := range 150 {
 				fleet.now = begin + time.Duration(i)*ms
-				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: test.units, Timeout: fleet.now + time.Second, Schedulers: 1, Cell: i % 50})
+				fleet.handle(0, honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: test.units, Timeout: fleet.now + time.Second, Instances: 1, Cell: i % 50})
 				sent += test.units * float64(len(fleet.order[i].dispatched))
 			}
 			if sent < test.least || sent > test.most {
