--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -270,7 +270,7 @@
 		if err := st.gateway(n, "127.0.0.1:0"); err != nil {
 			return err
 		}
-		targets = append(targets, loadgen.Target{Address: st.gateways[n].Address(), Subsystem: s.Listen.Subsystem, Wire: st.client(n), Left: func() { st.log.Left(n) }})
+		targets = append(targets, loadgen.Target{Address: st.gateways[n].Address(), Subsystem: s.Listen.Subsystem, OnConnection: st.client(n), BeforeClose: func() { st.log.Left(n) }})
 	}
 	r := s.FaultTest
 	var aside func(int) bool
@@ -278,7 +278,7 @@
 		aside = apart
 	}
 	st.loop.Schedule(0, func() {
-		st.load = loadgen.Start(st.loop, loadgen.Options{Settings: s, Targets: targets, Traffic: r.Traffic, Clients: r.Clients, Retries: r.Retries, Seed: st.o.Seed, Expect: disk.Fill, Digests: wired(s), Apart: aside})
+		st.load = loadgen.Start(st.loop, loadgen.Options{Settings: s, Targets: targets, Traffic: r.Traffic, Clients: r.Clients, Retries: r.Retries, Seed: st.o.Seed, Expect: disk.Fill, Digests: wired(s), CountedSeparately: aside})
 	})
 	return nil
 }
@@ -568,8 +568,8 @@
 		}
 	},
 	"hurry": func(st *stage, t settings.Fault) {
-		st.load.Hurry = or(t.Times, 0.25)
-		st.after(t.For.Duration(), func() { st.load.Hurry = 0 })
+		st.load.TimeoutFactor = or(t.Times, 0.25)
+		st.after(t.For.Duration(), func() { st.load.TimeoutFactor = 0 })
 	},
 	"list-down": func(st *stage, t settings.Fault) {
 		st.etcd.Down(true)
@@ -635,7 +635,7 @@
 	},
 	"wire-flip": wire("wire-flip"), "wire-drop": wire("wire-drop"), "wire-delay": wire("wire-delay"),
 	"wire-cut": wire("wire-cut"), "wire-repeat": wire("wire-repeat"), "wire-lie": wire("wire-lie"),
-	"clients-leave": func(st *stage, t settings.Fault) { st.load.Leave(max(t.Count, 1)) },
+	"clients-leave": func(st *stage, t settings.Fault) { st.load.Disconnect(max(t.Count, 1)) },
 }
 
 // misname has every name server go wrong in several ways, one after another.
@@ -675,10 +675,10 @@
 	st.loop.Post(func() {
 		defer close(done)
 		var due, earned float64
-		for i, name := range st.load.Names() {
+		for i, name := range st.load.OpTypes() {
 			t := &st.load.ByType[i]
-			r := TypeReport{Name: name, Ops: t.Ops, Tries: t.Tries, Acked: t.Succeeded, InTime: t.InTime, Throttled: t.Rejected, Aborted: t.Failed,
-				Lost: t.Lost, Wrong: t.Wrong, Target: millis(st.script.OpTypes[i].TargetLatency.Duration()), P50: millis(t.Quantile(0.5)), P99: millis(t.Quantile(0.99))}
+			r := TypeReport{Name: name, Ops: t.Ops, Tries: t.Attempts, Acked: t.Succeeded, InTime: t.InTime, Throttled: t.Rejected, Aborted: t.Failed,
+				Lost: t.Lost, Wrong: t.Mismatches, Target: millis(st.script.OpTypes[i].TargetLatency.Duration()), P50: millis(t.Quantile(0.5)), P99: millis(t.Quantile(0.99))}
 			if t.Due > 0 {
 				r.Service = t.Earned / t.Due
 			}
@@ -688,7 +688,7 @@
 		if due > 0 {
 			out.Service = earned / due
 		}
-		if a := st.load.Apart; a.Due > 0 {
+		if a := st.load.CountedSeparately; a.Due > 0 {
 			out.Apart, out.Honest = a.Earned/a.Due, (earned-a.Earned)/(due-a.Due)
 		}
 		for _, d := range st.all {
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -27,8 +27,8 @@
 	Retries  int
 	Seed     int64
 	Digests  bool // of headers and data
-	// Apart tells which clients' utility is counted apart too; nil: none.
-	Apart func(client int) bool
+	// CountedSeparately tells which clients' utility is counted apart too; nil: none.
+	CountedSeparately func(client int) bool
 	// Expect fills a block that was never written, to check what is read; nil: reads are not checked.
 	Expect func(block []byte, nsid uint32, lba uint64)
 }
@@ -37,18 +37,18 @@
 type Target struct {
 	Address   string
 	Subsystem string
-	Wire      func(client int, c *eventloop.Conn) // where set, is handed each new connection
-	Left      func()                              // where set, hears before a client breaks its connection
+	OnConnection      func(client int, c *eventloop.Conn) // where set, is handed each new connection
+	BeforeClose      func()                              // where set, hears before a client breaks its connection
 }
 
 // Tally is what became of the ops of one type. A client's retries belong to its first try.
 type Tally struct {
-	Tries, Ops                        int
+	Attempts, Ops                        int
 	Succeeded, Rejected, Failed, Lost int // by the last try
 	InTime                            int // acked within the target latency
 	Due, Earned                       float64
-	Wrong                             int // reads that brought other bytes than were there
-	Late                              int // tries without an answer at the op timeout
+	Mismatches                             int // reads that brought other bytes than were there
+	TimedOut                              int // tries without an answer at the op timeout
 	latency                           *hdrhistogram.Histogram
 }
 
@@ -66,12 +66,12 @@
 type Generator struct {
 	// Factor multiplies the rate of a volume, by its nsid; absent: 1.
 	Factor map[uint32]float64
-	// Hurry is the part of the op timeout that clients wait; 0: all of it.
-	Hurry float64
+	// TimeoutFactor is the part of the op timeout that clients wait; 0: all of it.
+	TimeoutFactor float64
 	// ByType are the results, by op type.
 	ByType []Tally
-	// Apart is the utility of the clients that are counted apart, which ByType holds too.
-	Apart struct{ Due, Earned float64 }
+	// CountedSeparately is the utility of the clients that are counted apart, which ByType holds too.
+	CountedSeparately struct{ Due, Earned float64 }
 
 	o       Options
 	loop    *eventloop.Loop
@@ -164,13 +164,13 @@
 	}
 }
 
-// Leave breaks n clients' connections in the midst of their ops; they come back later.
-func (g *Generator) Leave(n int) {
+// Disconnect breaks n clients' connections in the midst of their ops; they come back later.
+func (g *Generator) Disconnect(n int) {
 	for _, i := range g.rng.Perm(len(g.clients))[:min(n, len(g.clients))] {
 		c := g.clients[i]
 		if c.link != nil {
-			if c.at.Left != nil {
-				c.at.Left()
+			if c.at.BeforeClose != nil {
+				c.at.BeforeClose()
 			}
 			c.link.Close()
 			c.Ended(c.link, nil)
@@ -196,8 +196,8 @@
 	c.link = initiator.Dial(c.g.loop, initiator.Settings{Address: c.at.Address, Subsystem: c.at.Subsystem, Host: host, HostID: [16]byte{byte(c.n), 1},
 		Depth: depth, MaxData: int(c.g.o.Settings.Limits.Transfer), ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
 		Wire: func(conn *eventloop.Conn) {
-			if c.at.Wire != nil {
-				c.at.Wire(c.n, conn)
+			if c.at.OnConnection != nil {
+				c.at.OnConnection(c.n, conn)
 			}
 		}}, c)
 }
@@ -294,8 +294,8 @@
 	tally.Ops++
 	plan := s.Plans.List[s.Plan(o.volume.Plan)]
 	tally.Due += o.worth(plan)
-	if g.o.Apart != nil && g.o.Apart(o.client.n) {
-		g.Apart.Due += o.worth(plan)
+	if g.o.CountedSeparately != nil && g.o.CountedSeparately(o.client.n) {
+		g.CountedSeparately.Due += o.worth(plan)
 	}
 	g.pending++
 	o.send()
@@ -324,7 +324,7 @@
 
 func (o *try) send() {
 	t := &o.g.o.Settings.OpTypes[o.typ]
-	o.g.ByType[o.typ].Tries++
+	o.g.ByType[o.typ].Attempts++
 	if !o.client.live {
 		o.g.ByType[o.typ].Lost++
 		o.g.settle(-1)
@@ -332,8 +332,8 @@
 	}
 	c := nvme.NewRW(o.opcode, o.volume.NSID, o.lba, o.blocks)
 	patience := t.OpTimeout.Duration()
-	if o.g.Hurry > 0 {
-		patience = time.Duration(float64(patience) * o.g.Hurry)
+	if o.g.TimeoutFactor > 0 {
+		patience = time.Duration(float64(patience) * o.g.TimeoutFactor)
 		c.SetPatience(uint32(patience / time.Millisecond))
 	}
 	read := 0
@@ -352,7 +352,7 @@
 	o.giveUp = o.g.loop.Schedule(o.g.loop.Now()+patience, func() {
 		if !o.ended {
 			link.IO.Abandon(o.cid)
-			o.g.ByType[o.typ].Late++
+			o.g.ByType[o.typ].TimedOut++
 			o.end(nvme.InternalError, true)
 		}
 	})
@@ -366,7 +366,7 @@
 		return
 	}
 	if r.Status() == nvme.Success && o.opcode == nvme.Read && o.g.o.Expect != nil && !o.right(r.Data) {
-		o.g.ByType[o.typ].Wrong++
+		o.g.ByType[o.typ].Mismatches++
 	}
 	if r.Status().Code() == nvme.CommandInterrupted && o.left > 0 && o.want == nil && !o.g.stopped {
 		o.left--
@@ -413,8 +413,8 @@
 			worth *= t.LateUtility
 		}
 		tally.Earned += worth
-		if o.g.o.Apart != nil && o.g.o.Apart(o.client.n) {
-			o.g.Apart.Earned += worth
+		if o.g.o.CountedSeparately != nil && o.g.o.CountedSeparately(o.client.n) {
+			o.g.CountedSeparately.Earned += worth
 		}
 		if o.opcode == nvme.Write && len(o.g.written) < 1000 {
 			o.g.written = append(o.g.written, region{o.volume.NSID, o.lba, o.data})
@@ -427,8 +427,8 @@
 	o.g.settle(-1)
 }
 
-// Names lists the op types in order, with what became of each.
-func (g *Generator) Names() (names []string) {
+// OpTypes lists the op types in order, with what became of each.
+func (g *Generator) OpTypes() (names []string) {
 	for _, t := range g.o.Settings.OpTypes {
 		names = append(names, t.Name)
 	}
