--- a/bench/sources.go
+++ b/bench/sources.go
@@ -105,7 +105,7 @@
 		k, _ := key(i)
 		all[k] = value(i, "on")
 	}
-	registry.Apply(all)
+	registry.PutAll(all)
 	s.FaultTest = nil
 	s.List.Etcd[0].Endpoint = registry.Address()
 	s.List.WatchWithin = settings.Span(2 * time.Second)
@@ -172,17 +172,17 @@
 	m.P50, m.P99 = float64(e.hist.ValueAtQuantile(50))/1000, float64(e.hist.ValueAtQuantile(99))/1000
 	drained := map[int]bool{}
 	for k, into := range []*float64{&m.Broken, &m.Compact} {
-		registry.Down(true)
+		registry.SetUnavailable(true)
 		changes := map[string][]byte{}
 		for i := k; i < n; i += 10 {
 			key, _ := key(i)
 			changes[key], drained[i] = value(i, "draining"), true
 		}
-		registry.Apply(changes)
+		registry.PutAll(changes)
 		if k == 1 {
-			registry.Forget()
+			registry.CompactHistory()
 		}
-		registry.Down(false)
+		registry.SetUnavailable(false)
 		back := time.Now()
 		if err := right(func(i int) bool { return drained[i] }); err != nil {
 			return nil, err
@@ -214,7 +214,7 @@
 		return 0, 0, err
 	}
 	defer s.Close()
-	s.Set(life, []dns.Record{{Target: "a--c0.storage.example.", IP: "127.0.0.1", Port: 7000, Weight: 1}})
+	s.SetRecords(life, []dns.Record{{Target: "a--c0.storage.example.", IP: "127.0.0.1", Port: 7000, Weight: 1}})
 	var group []*discoverydns.Client
 	for i := range schedulers {
 		group = append(group, discoverydns.New(discoverydns.Settings{Servers: []string{s.Address()}, Name: "_honeyplank._tcp.storage.example.",
--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -48,11 +48,11 @@
 	if err != nil {
 		return err
 	}
-	d.Apply(disk.Faults{Slow: c.Slow, Fail: c.Fail, Lose: c.Lose})
+	d.SetFaults(disk.Faults{SlowFactor: c.Slow, FailShare: c.Fail, LoseShare: c.Lose})
 	if c.Silent > 0 {
 		l.Schedule(l.Now()+c.Silent, func() {
 			log.Warn().Msg("silent from now on")
-			d.Apply(disk.Faults{Silent: true})
+			d.SetFaults(disk.Faults{Silent: true})
 		})
 	}
 	fmt.Println(d.Address())
@@ -113,8 +113,8 @@
 		}
 		list = append(list, r)
 	}
-	s.Set(c.Lifetime, list)
-	s.Fault(dns.Faults{Truncate: c.Truncate, Empty: c.Empty, Rcode: c.Rcode})
+	s.SetRecords(c.Lifetime, list)
+	s.SetFaults(dns.Faults{Truncate: c.Truncate, Empty: c.Empty, Rcode: c.Rcode})
 	fmt.Println(s.Address())
 	ctx, stop := signals()
 	defer stop()
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -132,12 +132,12 @@
 	defer registry.Close()
 	model := faulttest.Model(script)
 	model.Spread, model.Pause, model.PauseEvery, model.PutOffEvery, model.UnitTime = 0, 0, 0, 0, settings.Span(time.Millisecond)
-	for cell, faults := range map[int]disk.Faults{0: {}, 1: {Fail: 1}, 4: {Draining: true}} {
+	for cell, faults := range map[int]disk.Faults{0: {}, 1: {FailShare: 1}, 4: {Draining: true}} {
 		d, err := disk.New(l, "127.0.0.1:0", model, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Apply(faults)
+		d.SetFaults(faults)
 		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
 		registry.Set(script.List.Prefix+d.Address(), value)
 	}
--- a/discovery/dns/client_test.go
+++ b/discovery/dns/client_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		s.Set(0, nodes(3))
+		s.SetRecords(0, nodes(3))
 		servers, settings.Servers = append(servers, s), append(settings.Servers, s.Address())
 	}
 	if change != nil {
@@ -58,18 +58,18 @@
 	}{
 		{"correct", fakedns.Faults{}, 3, ""},
 		{"truncated over UDP", fakedns.Faults{Truncate: true}, 3, ""},
-		{"without addresses", fakedns.Faults{Bare: true}, 3, ""},
+		{"without addresses", fakedns.Faults{NoAdditional: true}, 3, ""},
 		{"truncated over UDP, no TCP", fakedns.Faults{Truncate: true, NoTCP: true}, 0, "over tcp"},
 		{"SERVFAIL", fakedns.Faults{Rcode: mdns.RcodeServerFailure}, 0, "SERVFAIL"},
 		{"REFUSED", fakedns.Faults{Rcode: mdns.RcodeRefused}, 0, "REFUSED"},
 		{"silent", fakedns.Faults{Silent: true}, 0, "over udp"},
 		{"malformed", fakedns.Faults{Malformed: true}, 0, "another question"}, // what could be read of it
 		{"another id", fakedns.Faults{WrongID: true}, 0, "over udp"},
-		{"another question", fakedns.Faults{Other: true}, 0, "another question"},
+		{"another question", fakedns.Faults{OtherQuestion: true}, 0, "another question"},
 		{"no records, without an SOA", fakedns.Faults{Empty: true}, 0, "without an SOA"},
-		{"no records, with an SOA", fakedns.Faults{None: true}, 0, ""},
+		{"no records, with an SOA", fakedns.Faults{NameError: true}, 0, ""},
 	} {
-		s.Fault(c.faults)
+		s.SetFaults(c.faults)
 		for range 2 { // queries under way when the fault was set
 			select {
 			case <-updates:
@@ -91,7 +91,7 @@
 func TestConvention(t *testing.T) {
 	servers, updates := resolve(t, 1, nil)
 	<-updates
-	servers[0].Set(1, []fakedns.Record{
+	servers[0].SetRecords(1, []fakedns.Record{
 		{Target: "a--c4-z2-t1700000000.x.", IP: "127.0.0.1", Port: 1, Weight: 3},
 		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // not listed, as a has a lower priority
 		{Target: "c--c5.x.", IP: "127.0.0.1", Port: 3, Weight: 0},              // draining
@@ -102,7 +102,7 @@
 		{Target: "e--c6.x.", Port: 6, Weight: 1}, // has no address
 		{Target: "f--c7.x.", IP: "::1", Port: 7, Weight: 1},
 	})
-	servers[0].Fault(fakedns.Faults{Bare: true}) // A, then AAAA are asked for
+	servers[0].SetFaults(fakedns.Faults{NoAdditional: true}) // A, then AAAA are asked for
 	var n discovery.Update
 	for range 4 {
 		n = <-updates
@@ -121,7 +121,7 @@
 func TestPreferredServer(t *testing.T) {
 	servers, updates := resolve(t, 2, nil)
 	<-updates
-	servers[0].Fault(fakedns.Faults{Rcode: mdns.RcodeServerFailure})
+	servers[0].SetFaults(fakedns.Faults{Rcode: mdns.RcodeServerFailure})
 	for range 5 {
 		if n := <-updates; n.Err != nil {
 			t.Fatal(n.Err)
@@ -140,7 +140,7 @@
 func TestLifetimes(t *testing.T) {
 	for ttl, want := range map[uint32][2]time.Duration{0: {35 * time.Millisecond, 50 * time.Millisecond}, 7 * 24 * 3600: {300 * time.Millisecond, 400 * time.Millisecond}} {
 		servers, updates := resolve(t, 1, nil)
-		servers[0].Set(ttl, nodes(2))
+		servers[0].SetRecords(ttl, nodes(2))
 		<-updates
 		<-updates
 		seen := map[time.Duration]bool{}
--- a/discovery/etcd/client_test.go
+++ b/discovery/etcd/client_test.go
@@ -64,7 +64,7 @@
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 1 || !n[0].Removed || n[0].Cell != 3 {
 		t.Errorf("%+v", n)
 	}
-	s.Break()
+	s.BreakWatches()
 	if n := next(t, updates, honeyplank.WatchFailed); n.Err == nil || len(n.Nodes) > 0 {
 		t.Errorf("%+v", n)
 	}
@@ -74,17 +74,17 @@
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Removed {
 		t.Errorf("after the break, from the revision passed on last: %+v", n)
 	}
-	s.Break()
+	s.BreakWatches()
 	next(t, updates, honeyplank.WatchFailed)
 	s.Delete(prefix + "127.0.0.1:1002")
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
 	s.Set(prefix+a, []byte(`{"state":"draining","cell":8}`))
-	s.Forget() // the drain and the loss are history that is gone
+	s.CompactHistory() // the drain and the loss are history that is gone
 	c.Watch(true)
 	if n := next(t, updates, honeyplank.Complete); len(n.Nodes) != 2498 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
 		t.Errorf("after compaction: %d nodes, the first %+v", len(n.Nodes), n.Nodes[0])
 	}
-	s.Apply(map[string][]byte{prefix + "127.0.0.1:1003": nil, prefix + "127.0.0.1:1004": []byte(`{"state":"draining"}`), prefix + "127.0.0.1:1005": nil})
+	s.PutAll(map[string][]byte{prefix + "127.0.0.1:1003": nil, prefix + "127.0.0.1:1004": []byte(`{"state":"draining"}`), prefix + "127.0.0.1:1005": nil})
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 3 {
 		t.Errorf("of one revision, %d changes came together", len(n))
 	}
@@ -120,7 +120,7 @@
 // TestUnreachable watches where calls are refused, and where nobody listens: each Watch ends in an update.
 func TestUnreachable(t *testing.T) {
 	s, c, updates := watch(t)
-	s.Down(true)
+	s.SetUnavailable(true)
 	for range 3 {
 		c.Watch(true)
 		next(t, updates, honeyplank.WatchFailed)
@@ -137,12 +137,12 @@
 	c.Watch(true)
 	next(t, updates, honeyplank.Complete)
 	time.Sleep(time.Second) // a watch without events that answers is not broken
-	s.Mute(true)
+	s.SetSilent(true)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
 	if n := next(t, updates, honeyplank.WatchFailed); n.Err == nil {
 		t.Error("no reason")
 	}
-	s.Mute(false)
+	s.SetSilent(false)
 	c.Watch(true)
 	if n := next(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
 		t.Errorf("%+v", n)
@@ -162,7 +162,7 @@
 			return l.Addr().String()
 		},
 		"never created": func(t *testing.T, s *fakeetcd.Server) string {
-			s.Withhold(true)
+			s.SetWithholdWatches(true)
 			return s.Address()
 		},
 	} {
@@ -172,12 +172,12 @@
 			next(t, updates, honeyplank.Complete)
 			s.Set(prefix+"127.0.0.1:2", []byte(`{"state":"on"}`))
 			next(t, updates, honeyplank.Delta) // the watch is created
-			s.Break()
+			s.BreakWatches()
 			next(t, updates, honeyplank.WatchFailed)
 			c.endpoints = append(c.endpoints, newEndpoint(t, s))
 			c.Watch(true)
 			next(t, updates, honeyplank.WatchFailed)
-			s.Withhold(false)
+			s.SetWithholdWatches(false)
 			s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
 			c.Watch(true)
 			if n := next(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
@@ -192,7 +192,7 @@
 	s, c, updates := watch(t)
 	c.Watch(true)
 	next(t, updates, honeyplank.Complete)
-	s.Late(600 * time.Millisecond) // three times as long as the watch may be without responses before it is asked
+	s.SetWatchDelay(600 * time.Millisecond) // three times as long as the watch may be without responses before it is asked
 	for i := range 3 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1+i), []byte(`{"state":"on"}`))
 		if n := next(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
@@ -209,7 +209,7 @@
 	next(t, updates, honeyplank.Complete)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
 	next(t, updates, honeyplank.Delta) // the watch is created
-	s.Break()
+	s.BreakWatches()
 	next(t, updates, honeyplank.WatchFailed)
 	for i := range 3500 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1000+i), []byte(`{"state":"on"}`))
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -18,36 +18,36 @@
 // Model is what a stand-in is like.
 type Model struct {
 	settings.Fleet
-	Block    int
-	Unit     int
-	Extent   int64
-	ColdFrom float64 // part of its capacity at a start
-	ColdTime time.Duration
-	Window   time.Duration // it falls over when sent Multiple of its capacity for so long
-	Multiple float64
-	Meter    *Meter
-	Offer    target.Settings
-	Tap      func() func(sent bool, b []byte)
-	Wire     func(*eventloop.Conn)
+	Block          int
+	Unit           int
+	Extent         int64
+	ColdCapacity   float64 // part of its capacity at a start
+	ColdTime       time.Duration
+	OverloadWindow time.Duration // it falls over when sent Multiple of its capacity for so long
+	OverloadFactor float64
+	Meter          *Meter
+	Target         target.Settings
+	Tap            func() func(sent bool, b []byte)
+	OnConnection   func(*eventloop.Conn)
 }
 
 // Faults are what is wrong with a server now.
 type Faults struct {
-	Silent   bool    // hears and answers nothing, though connections are accepted
-	Mute     bool    // new connections get no handshake
-	Slow     float64 // times the service time; 0: as usual
-	Fail     float64 // share of ops that fail at once
-	Lose     float64 // share of answers that never leave
-	Tear     bool    // the next answer with data breaks off in its middle
-	Stale    bool    // load reports stand still
-	Draining bool    // turns new ops away
+	Silent       bool    // hears and answers nothing, though connections are accepted
+	NoHandshake  bool    // new connections get no handshake
+	SlowFactor   float64 // times the service time; 0: as usual
+	FailShare    float64 // share of ops that fail at once
+	LoseShare    float64 // share of answers that never leave
+	Truncate     bool    // the next answer with data breaks off in its middle
+	StaleReports bool    // load reports stand still
+	Draining     bool    // turns new ops away
 }
 
 // Server is one stand-in. Its fields may be used on its loop only.
 type Server struct {
-	Faults  Faults
-	Fell    bool          // pushed over when cold
-	Started time.Duration // last start, by the loop's clock; 0: long ago
+	Faults     Faults
+	Overloaded bool          // pushed over when cold
+	Started    time.Duration // last start, by the loop's clock; 0: long ago
 
 	m       Model
 	loop    *eventloop.Loop
@@ -95,7 +95,7 @@
 	})
 	s.every(m.PauseEvery.Duration(), func() { s.frozen = max(s.frozen, l.Now()+m.Pause.Duration()) })
 	s.every(m.ReportsEvery.Duration(), func() {
-		if !s.Faults.Stale {
+		if !s.Faults.StaleReports {
 			s.report()
 		}
 	})
@@ -103,8 +103,8 @@
 }
 
 func (s *Server) listen() (err error) {
-	if s.server, err = target.Listen(s.loop, s.address, s.m.Offer, s); err == nil {
-		s.address, s.server.Tap, s.server.Wire = s.server.Address(), s.m.Tap, s.m.Wire
+	if s.server, err = target.Listen(s.loop, s.address, s.m.Target, s); err == nil {
+		s.address, s.server.Tap, s.server.Wire = s.server.Address(), s.m.Tap, s.m.OnConnection
 	}
 	return err
 }
@@ -113,15 +113,15 @@
 func (s *Server) every(span time.Duration, f func()) {
 	if span > 0 {
 		next := time.Duration(float64(span) * (0.75 + s.rng.Float64()/2))
-		s.loop.Schedule(s.loop.Now()+next, func() { f(); s.start(); s.every(span, f) })
+		s.loop.Schedule(s.loop.Now()+next, func() { f(); s.dispatchQueued(); s.every(span, f) })
 	}
 }
 
 // Address is where it listens, the same over all its starts.
 func (s *Server) Address() string { return s.address }
 
-// Die ends the server as the death of its process; what it keeps on disk stays.
-func (s *Server) Die() {
+// Kill ends the server as the death of its process; what it keeps on disk stays.
+func (s *Server) Kill() {
 	s.server.Cut(true)
 	s.life++
 	s.queue, s.busy, s.got, s.debt, s.frozen = nil, 0, nil, 0, 0
@@ -136,17 +136,17 @@
 // Adopt makes a new server the replacement of one that is dead: it holds the same data and starts cold now.
 func (s *Server) Adopt(old *Server) { s.blocks, s.Started = old.blocks, s.loop.Now() }
 
-// Freeze has nothing start for a time.
-func (s *Server) Freeze(span time.Duration) { s.frozen = max(s.frozen, s.loop.Now()+span) }
+// Stall has nothing start for a time.
+func (s *Server) Stall(span time.Duration) { s.frozen = max(s.frozen, s.loop.Now()+span) }
 
-// Apply makes faults act.
-func (s *Server) Apply(f Faults) {
+// SetFaults makes faults act.
+func (s *Server) SetFaults(f Faults) {
 	s.Faults = f
-	s.server.DeafAll, s.server.Deaf = f.Silent, f.Mute
-	if f.Mute {
+	s.server.DeafAll, s.server.Deaf = f.Silent, f.NoHandshake
+	if f.NoHandshake {
 		s.server.Cut(false)
 	}
-	s.start()
+	s.dispatchQueued()
 }
 
 // CapacityAt is what it can do so long after a start, in units a second.
@@ -156,7 +156,7 @@
 
 // part is how much of its capacity it has so long after a start.
 func (s *Server) part(age time.Duration) float64 {
-	return s.m.ColdFrom + (1-s.m.ColdFrom)*min(1, max(0, float64(age)/float64(s.m.ColdTime)))
+	return s.m.ColdCapacity + (1-s.m.ColdCapacity)*min(1, max(0, float64(age)/float64(s.m.ColdTime)))
 }
 
 func (s *Server) warm(at time.Duration) float64 {
@@ -174,37 +174,37 @@
 func (s *Server) Admit(c *target.Command) {
 	now := s.loop.Now()
 	if s.cold(now, s.units(c)) {
-		s.Fell = true
-		s.Die()
+		s.Overloaded = true
+		s.Kill()
 		return
 	}
 	switch {
 	case s.Faults.Draining || len(s.queue) >= s.m.Queue:
 		c.Complete(nvme.TurnedAway, 0, 0, nil)
 		s.server.Release(c.Data)
-	case s.rng.Float64() < s.Faults.Fail:
+	case s.rng.Float64() < s.Faults.FailShare:
 		c.Complete(nvme.InternalError, 0, 0, nil)
 		s.server.Release(c.Data)
 	default:
 		s.queue = append(s.queue, c)
-		s.start()
+		s.dispatchQueued()
 	}
 }
 
 // cold tells whether units more push a cold server over.
 func (s *Server) cold(now time.Duration, units float64) bool {
-	if s.Started == 0 || s.m.Multiple <= 0 || now > s.Started+s.m.ColdTime+s.m.Window {
+	if s.Started == 0 || s.m.OverloadFactor <= 0 || now > s.Started+s.m.ColdTime+s.m.OverloadWindow {
 		return false
 	}
 	s.got = append(s.got, arrival{now, units})
-	for s.got[0].at < now-s.m.Window {
+	for s.got[0].at < now-s.m.OverloadWindow {
 		s.got = s.got[1:]
 	}
 	sum := 0.0
 	for _, a := range s.got {
 		sum += a.units
 	}
-	return sum > s.m.Multiple*s.CapacityAt(now-s.Started)*s.m.Window.Seconds()
+	return sum > s.m.OverloadFactor*s.CapacityAt(now-s.Started)*s.m.OverloadWindow.Seconds()
 }
 
 // ClientGone drops an op whose connection has gone, if it still waits.
@@ -223,8 +223,8 @@
 	return nvme.AppendLoad(nil, s.load), true
 }
 
-// start has free cores begin what waits, in turn of arrival.
-func (s *Server) start() {
+// dispatchQueued has free cores begin what waits, in turn of arrival.
+func (s *Server) dispatchQueued() {
 	now := s.loop.Now()
 	for !s.Faults.Silent && now >= s.frozen && s.busy < s.m.Cores && len(s.queue) > 0 {
 		c := s.queue[0]
@@ -235,7 +235,7 @@
 			if s.life == life {
 				s.busy--
 				s.finish(c, took)
-				s.start()
+				s.dispatchQueued()
 			}
 		})
 	}
@@ -243,7 +243,7 @@
 		life := s.life
 		s.loop.Schedule(s.frozen, func() {
 			if s.life == life {
-				s.start()
+				s.dispatchQueued()
 			}
 		})
 	}
@@ -252,8 +252,8 @@
 // cost is how long an op takes to serve.
 func (s *Server) cost(c *target.Command) time.Duration {
 	full := float64(s.m.UnitTime.Duration()) * s.units(c) * (1 + s.m.Spread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
-	if s.Faults.Slow > 0 {
-		full *= s.Faults.Slow
+	if s.Faults.SlowFactor > 0 {
+		full *= s.Faults.SlowFactor
 	}
 	extent := uint64(c.NSID())<<40 | uint64(int64(c.SLBA())*int64(s.m.Block)/s.m.Extent)
 	if i := slices.Index(s.near, extent); i >= 0 {
@@ -305,9 +305,9 @@
 		used = s.m.Meter.Serve(s.loop.Now(), c.NSID(), units)
 	}
 	switch {
-	case s.Faults.Silent || s.rng.Float64() < s.Faults.Lose:
-	case s.Faults.Tear && len(data) > 0:
-		s.Faults.Tear = false
+	case s.Faults.Silent || s.rng.Float64() < s.Faults.LoseShare:
+	case s.Faults.Truncate && len(data) > 0:
+		s.Faults.Truncate = false
 		c.Tear(data)
 	default:
 		l := s.load
--- a/fake/dns/dns.go
+++ b/fake/dns/dns.go
@@ -22,22 +22,22 @@
 
 // Faults are what is wrong with a server now.
 type Faults struct {
-	Truncate  bool // over UDP, nothing but the flag
-	NoTCP     bool // TCP connections are closed at once
-	Silent    bool
-	Rcode     int  // instead of an answer
-	Empty     bool // NOERROR without records or an SOA: an answer empty by mistake
-	None      bool // NXDOMAIN with its SOA: truly nothing
-	Other     bool // answers another question
-	WrongID   bool
-	Bare      bool // no addresses in the additional section
-	Malformed bool
+	Truncate      bool // over UDP, nothing but the flag
+	NoTCP         bool // TCP connections are closed at once
+	Silent        bool
+	Rcode         int  // instead of an answer
+	Empty         bool // NOERROR without records or an SOA: an answer empty by mistake
+	NameError     bool // NXDOMAIN with its SOA: truly nothing
+	OtherQuestion bool // answers another question
+	WrongID       bool
+	NoAdditional  bool // no addresses in the additional section
+	Malformed     bool
 }
 
 // Server is one stand-in. Its methods may be called from any goroutine.
 type Server struct {
-	// Told, where set before the first query, hears of each sound answer to the list's question.
-	Told func([]Record)
+	// OnAnswer, where set before the first query, hears of each sound answer to the list's question.
+	OnAnswer func([]Record)
 
 	mu      sync.Mutex
 	name    string
@@ -78,15 +78,15 @@
 	s.tcp.Shutdown()
 }
 
-// Set gives it records and their lifetime in seconds; Fault what is wrong with it.
-func (s *Server) Set(ttl uint32, records []Record) {
+// SetRecords gives it records and their lifetime in seconds; Fault what is wrong with it.
+func (s *Server) SetRecords(ttl uint32, records []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ttl, s.records = ttl, slices.Clone(records) // the caller may change its own
 }
 
-// Fault sets what goes wrong with answers from now on.
-func (s *Server) Fault(f Faults) {
+// SetFaults sets what goes wrong with answers from now on.
+func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -122,15 +122,15 @@
 	case f.Rcode != 0:
 		m.Rcode = f.Rcode
 	case f.Empty:
-	case f.None:
+	case f.NameError:
 		m.Rcode, m.Ns = dns.RcodeNameError, []dns.RR{soa}
 	default:
-		s.fill(m, q.Question[0], f.Bare)
+		s.fill(m, q.Question[0], f.NoAdditional)
 		if len(m.Answer) == 0 {
 			m.Ns = []dns.RR{soa}
 		}
 	}
-	if f.Other {
+	if f.OtherQuestion {
 		m.Question[0].Name = "other." + m.Question[0].Name
 	}
 	if f.WrongID {
@@ -142,12 +142,12 @@
 		}
 		m.Truncate(size)
 	}
-	if sound := !m.Truncated && !f.Other && !f.WrongID && !f.Empty && m.Rcode != dns.RcodeServerFailure; sound && s.Told != nil && q.Question[0].Qtype == dns.TypeSRV {
+	if sound := !m.Truncated && !f.OtherQuestion && !f.WrongID && !f.Empty && m.Rcode != dns.RcodeServerFailure; sound && s.OnAnswer != nil && q.Question[0].Qtype == dns.TypeSRV {
 		records := s.records
-		if f.None {
+		if f.NameError {
 			records = nil
 		}
-		s.Told(records)
+		s.OnAnswer(records)
 	}
 	w.WriteMsg(m)
 }
--- a/fake/etcd/client_test.go
+++ b/fake/etcd/client_test.go
@@ -57,7 +57,7 @@
 	if last := events[3]; last.Type != clientv3.EventTypeDelete || string(last.Kv.Key) != "/n/b" || !events[0].IsCreate() {
 		t.Errorf("events: %v", events)
 	}
-	s.Break() // the client goes on by itself from the revision it has
+	s.BreakWatches() // the client goes on by itself from the revision it has
 	if _, err := c.Put(ctx, "/n/d", "3"); err != nil {
 		t.Fatal(err)
 	}
--- a/fake/etcd/etcd.go
+++ b/fake/etcd/etcd.go
@@ -23,9 +23,9 @@
 
 // Server is one stand-in. Its methods may be called from any goroutine.
 type Server struct {
-	// Told, where set before the first call, hears what a client, by its user agent, was told of a key: before
+	// OnNotify, where set before the first call, hears what a client, by its user agent, was told of a key: before
 	// it is sent. No value: deleted.
-	Told func(agent, key string, value []byte)
+	OnNotify func(agent, key string, value []byte)
 
 	etcdserverpb.UnimplementedKVServer
 	etcdserverpb.UnimplementedWatchServer
@@ -106,8 +106,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Down refuses every call and breaks all watches, until told otherwise.
-func (s *Server) Down(down bool) {
+// SetUnavailable refuses every call and breaks all watches, until told otherwise.
+func (s *Server) SetUnavailable(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -116,8 +116,8 @@
 	}
 }
 
-// Break ends all watches once.
-func (s *Server) Break() {
+// BreakWatches ends all watches once.
+func (s *Server) BreakWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut()
@@ -128,8 +128,8 @@
 	s.breaks = make(chan struct{})
 }
 
-// Forget drops the history before the present revision; watches that want it are cancelled.
-func (s *Server) Forget() {
+// CompactHistory drops the history before the present revision; watches that want it are cancelled.
+func (s *Server) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compact(s.revision)
@@ -148,8 +148,8 @@
 	s.events = append([]*mvccpb.Event(nil), s.events[i:]...)
 }
 
-// Mute has watches stay open and say nothing.
-func (s *Server) Mute(mute bool) {
+// SetSilent has watches stay open and say nothing.
+func (s *Server) SetSilent(mute bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mute = mute
@@ -157,15 +157,15 @@
 	s.changed = make(chan struct{})
 }
 
-// Withhold has watches that are asked for from now on not created; their streams stand, and answer for progress.
-func (s *Server) Withhold(withheld bool) {
+// SetWithholdWatches has watches that are asked for from now on not created; their streams stand, and answer for progress.
+func (s *Server) SetWithholdWatches(withheld bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.withheld = withheld
 }
 
-// Apply puts (or, without a value, deletes) many keys in one revision, as a transaction does.
-func (s *Server) Apply(values map[string][]byte) {
+// PutAll puts (or, without a value, deletes) many keys in one revision, as a transaction does.
+func (s *Server) PutAll(values map[string][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.revision
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Late has watches tell each change so much later.
-func (s *Server) Late(by time.Duration) {
+// SetWatchDelay has watches tell each change so much later.
+func (s *Server) SetWatchDelay(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late = by
@@ -217,9 +217,9 @@
 }
 
 func (s *Server) told(ctx context.Context, key, value []byte) {
-	if md, _ := metadata.FromIncomingContext(ctx); s.Told != nil && len(md.Get("user-agent")) > 0 {
+	if md, _ := metadata.FromIncomingContext(ctx); s.OnNotify != nil && len(md.Get("user-agent")) > 0 {
 		agent, _, _ := strings.Cut(md.Get("user-agent")[0], " ")
-		s.Told(agent, string(key), value)
+		s.OnNotify(agent, string(key), value)
 	}
 }
 
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -224,7 +224,7 @@
 		return err
 	}
 	prefix := s.List.Prefix
-	st.etcd.Told = func(agent, key string, value []byte) {
+	st.etcd.OnNotify = func(agent, key string, value []byte) {
 		st.mu.Lock()
 		n, known := st.agents[agent]
 		st.mu.Unlock()
@@ -248,7 +248,7 @@
 			if err != nil {
 				return err
 			}
-			d.Told = st.told(n)
+			d.OnAnswer = st.told(n)
 			st.names = append(st.names, d)
 		}
 	}
@@ -331,7 +331,7 @@
 		list = append(list, r)
 	}
 	for _, d := range st.names {
-		d.Set(1, list)
+		d.SetRecords(1, list)
 	}
 }
 
@@ -365,19 +365,19 @@
 			}
 			return 0
 		}},
-		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), Capsule: 8 << 10, Piece: 32 << 10,
+		Target: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), Capsule: 8 << 10, Piece: 32 << 10,
 			Depth: 1024, Queues: 8, Handshake: time.Second, Connections: 1024, Unsent: 64 << 20, Held: 256 << 20}}
 	if c := s.Rules.SlowStart; c != nil {
-		m.ColdFrom, m.ColdTime, m.Window, m.Multiple = c.From, c.Time.Duration(), c.Window.Duration(), c.Multiple
+		m.ColdCapacity, m.ColdTime, m.OverloadWindow, m.OverloadFactor = c.From, c.Time.Duration(), c.Window.Duration(), c.Multiple
 	}
 	shift := uint8(0)
 	for 1<<shift < int(s.Volumes.Block) {
 		shift++
 	}
 	for _, v := range s.Volumes.List {
-		m.Offer.Namespaces = append(m.Offer.Namespaces, target.Namespace{ID: v.NSID, Blocks: uint64(v.Size) >> shift, Shift: shift})
+		m.Target.Namespaces = append(m.Target.Namespaces, target.Namespace{ID: v.NSID, Blocks: uint64(v.Size) >> shift, Shift: shift})
 	}
-	slices.SortFunc(m.Offer.Namespaces, func(a, b target.Namespace) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(m.Target.Namespaces, func(a, b target.Namespace) int { return int(int64(a.ID) - int64(b.ID)) })
 	return m
 }
 
@@ -388,7 +388,7 @@
 	var d *disk.Server
 	m := st.model
 	m.Tap = st.log.Disk(func() string { return d.Address() }, st.agents)
-	m.Wire = st.disk(func() *disk.Server { return d })
+	m.OnConnection = st.disk(func() *disk.Server { return d })
 	d, err := disk.New(st.loop, "127.0.0.1:0", m, st.rng.Int63())
 	if err != nil {
 		return nil, err
@@ -456,7 +456,7 @@
 // pick chooses count servers of those that serve a cell now; 0: one.
 func (st *stage) pick(count int) (cells []int) {
 	for cell, d := range st.cells {
-		if d.Faults == (disk.Faults{}) && !d.Fell {
+		if d.Faults == (disk.Faults{}) && !d.Overloaded {
 			cells = append(cells, cell)
 		}
 	}
@@ -470,8 +470,8 @@
 	return func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			d := st.cells[cell]
-			d.Apply(make(t))
-			st.after(t.For.Duration(), func() { d.Apply(disk.Faults{}) })
+			d.SetFaults(make(t))
+			st.after(t.For.Duration(), func() { d.SetFaults(disk.Faults{}) })
 		}
 	}
 }
@@ -479,7 +479,7 @@
 // restart ends the server of a cell and brings it back cold after a time.
 func (st *stage) restart(cell int, after time.Duration) {
 	d := st.cells[cell]
-	d.Die()
+	d.Kill()
 	d.Faults.Silent = true // not to be picked meanwhile
 	if after > 2*listLag {
 		st.after(listLag, func() { st.remove(d.Address()) })
@@ -504,7 +504,7 @@
 	d.Faults.Draining = true
 	st.list(cell, "draining")
 	st.after(notice, func() {
-		d.Die()
+		d.Kill()
 		old := *d
 		fresh, err := st.server(cell)
 		if err != nil {
@@ -520,15 +520,15 @@
 
 // troubles are what can go wrong, by their names in a script.
 var troubles = map[string]func(*stage, settings.Fault){
-	"slow":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Slow: or(t.Times, 5)} }),
-	"fail":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Fail: or(t.Times, 0.6)} }),
-	"lose-answers":   afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Lose: or(t.Times, 0.3)} }),
-	"stale-reports":  afflict(func(settings.Fault) disk.Faults { return disk.Faults{Stale: true} }),
-	"mute-handshake": afflict(func(settings.Fault) disk.Faults { return disk.Faults{Mute: true} }),
-	"cut":            afflict(func(settings.Fault) disk.Faults { return disk.Faults{Tear: true} }),
+	"slow":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{SlowFactor: or(t.Times, 5)} }),
+	"fail":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{FailShare: or(t.Times, 0.6)} }),
+	"lose-answers":   afflict(func(t settings.Fault) disk.Faults { return disk.Faults{LoseShare: or(t.Times, 0.3)} }),
+	"stale-reports":  afflict(func(settings.Fault) disk.Faults { return disk.Faults{StaleReports: true} }),
+	"mute-handshake": afflict(func(settings.Fault) disk.Faults { return disk.Faults{NoHandshake: true} }),
+	"cut":            afflict(func(settings.Fault) disk.Faults { return disk.Faults{Truncate: true} }),
 	"pause": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.cells[cell].Freeze(t.For.Duration())
+			st.cells[cell].Stall(t.For.Duration())
 		}
 	},
 	"die": func(st *stage, t settings.Fault) {
@@ -539,7 +539,7 @@
 	"silent": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			d := st.cells[cell]
-			d.Apply(disk.Faults{Silent: true})
+			d.SetFaults(disk.Faults{Silent: true})
 			st.after(t.For.Duration(), func() { st.restart(cell, listLag) })
 		}
 	},
@@ -572,12 +572,12 @@
 		st.after(t.For.Duration(), func() { st.load.TimeoutFactor = 0 })
 	},
 	"list-down": func(st *stage, t settings.Fault) {
-		st.etcd.Down(true)
-		st.after(t.For.Duration(), func() { st.etcd.Down(false) })
+		st.etcd.SetUnavailable(true)
+		st.after(t.For.Duration(), func() { st.etcd.SetUnavailable(false) })
 	},
 	"list-late": func(st *stage, t settings.Fault) {
-		st.etcd.Late(time.Duration(or(t.Times, 2) * float64(time.Second)))
-		st.after(t.For.Duration(), func() { st.etcd.Late(0) })
+		st.etcd.SetWatchDelay(time.Duration(or(t.Times, 2) * float64(time.Second)))
+		st.after(t.For.Duration(), func() { st.etcd.SetWatchDelay(0) })
 		st.replace(st.pick(1)[0], t.For.Duration()/2)
 	},
 	"gateway-restart": func(st *stage, t settings.Fault) {
@@ -597,28 +597,28 @@
 			})
 		}()
 	},
-	"list-cut": func(st *stage, _ settings.Fault) { st.etcd.Break() },
+	"list-cut": func(st *stage, _ settings.Fault) { st.etcd.BreakWatches() },
 	"list-compacted": func(st *stage, t settings.Fault) {
-		st.etcd.Down(true)
+		st.etcd.SetUnavailable(true)
 		for _, cell := range st.pick(t.Count) {
 			st.replace(cell, t.For.Duration()/4)
 		}
-		st.after(t.For.Duration(), func() { st.etcd.Forget(); st.etcd.Down(false) })
+		st.after(t.For.Duration(), func() { st.etcd.CompactHistory(); st.etcd.SetUnavailable(false) })
 	},
 	"list-mute": func(st *stage, t settings.Fault) {
-		st.etcd.Mute(true)
-		st.after(t.For.Duration(), func() { st.etcd.Mute(false) })
+		st.etcd.SetSilent(true)
+		st.after(t.For.Duration(), func() { st.etcd.SetSilent(false) })
 	},
 	"re-register": func(st *stage, _ settings.Fault) {
 		for cell, d := range st.cells {
-			if d.Faults == (disk.Faults{}) && !d.Fell {
+			if d.Faults == (disk.Faults{}) && !d.Overloaded {
 				st.list(cell, "on")
 			}
 		}
 	},
 	"dns-down":      misname(dns.Faults{Rcode: 2}),
-	"dns-empty":     misname(dns.Faults{Empty: true}, dns.Faults{None: true}),
-	"dns-lies":      misname(dns.Faults{Other: true}, dns.Faults{Malformed: true}, dns.Faults{WrongID: true}),
+	"dns-empty":     misname(dns.Faults{Empty: true}, dns.Faults{NameError: true}),
+	"dns-lies":      misname(dns.Faults{OtherQuestion: true}, dns.Faults{Malformed: true}, dns.Faults{WrongID: true}),
 	"dns-truncated": misname(dns.Faults{Truncate: true}, dns.Faults{Truncate: true, NoTCP: true}),
 	"dns-drain": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
@@ -644,7 +644,7 @@
 		for i, f := range append(ways, dns.Faults{}) {
 			st.after(t.For.Duration()*time.Duration(i)/time.Duration(len(ways)), func() {
 				for _, d := range st.names {
-					d.Fault(f)
+					d.SetFaults(f)
 				}
 			})
 		}
@@ -692,7 +692,7 @@
 			out.Apart, out.Honest = a.Earned/a.Due, (earned-a.Earned)/(due-a.Due)
 		}
 		for _, d := range st.all {
-			if d.Fell {
+			if d.Overloaded {
 				out.Fell++
 			}
 		}
--- a/gateway/clients_test.go
+++ b/gateway/clients_test.go
@@ -23,7 +23,7 @@
 		h.waitIdle()
 	})
 	t.Run("queued and dispatched", func(t *testing.T) {
-		h.onLoop(func() { h.disks[1].Freeze(400 * time.Millisecond) })
+		h.onLoop(func() { h.disks[1].Stall(400 * time.Millisecond) })
 		a := h.connect("leaves")
 		var answers []chan answer
 		for i := range 40 { // more than the window: some are dispatched, some queued
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -153,7 +153,7 @@
 			address := h.disks[1].Address()
 			h.registerRecord(address, discovery.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
 			port := netip.MustParseAddrPort(address).Port()
-			names.Set(1, []dns.Record{{Target: fmt.Sprintf("a--c1-t%d.x.", at.Unix()), IP: "127.0.0.1", Port: port, Weight: 1}})
+			names.SetRecords(1, []dns.Record{{Target: fmt.Sprintf("a--c1-t%d.x.", at.Unix()), IP: "127.0.0.1", Port: port, Weight: 1}})
 			addDNS(h.settings, names.Address())
 			c := newClockHarness(h, x.step, nil)
 			c.eventually("both sources have reported it, DNS repeatedly", func() bool {
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -11,11 +11,11 @@
 // TestSilence has a disk server accept connections and answer nothing, from the handshake on or in service.
 // Every op has exactly one answer before its client gives up, and the other server's answers keep coming.
 func TestSilence(t *testing.T) {
-	for name, fault := range map[string]disk.Faults{"in service": {Silent: true}, "from the handshake on": {Mute: true}} {
+	for name, fault := range map[string]disk.Faults{"in service": {Silent: true}, "from the handshake on": {NoHandshake: true}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			a := h.connect("client")
-			h.onLoop(func() { h.disks[1].Apply(fault) })
+			h.onLoop(func() { h.disks[1].SetFaults(fault) })
 			var silent, healthy []chan answer
 			for i := range 30 {
 				silent = append(silent, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
@@ -36,7 +36,7 @@
 			}
 			h.eventually("no answer is owed", func() bool { return h.counts().Unanswered == 0 })
 			// It comes back; its late answers must not be taken for others'.
-			h.onLoop(func() { h.disks[1].Apply(disk.Faults{}) })
+			h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{}) })
 			h.eventually("served again", func() bool {
 				data, status := h.do(a, nvme.NewRW(nvme.Read, 2, 77, 1), nil)
 				if status == nvme.Success && data[8] != 77 {
@@ -53,7 +53,7 @@
 func TestOnceOnly(t *testing.T) {
 	h := newHarness(t)
 	a := h.connect("client")
-	h.onLoop(func() { h.disks[1].Apply(disk.Faults{Lose: 1}) })
+	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{LoseShare: 1}) })
 	r := <-h.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
 	if r.status != nvme.InternalError|nvme.DoNotRetry || r.took >= 800*time.Millisecond {
 		t.Errorf("at most once, answer lost: %#x after %v", r.status, r.took)
@@ -71,7 +71,7 @@
 	h := newHarness(t)
 	a := h.connect("client")
 	for i := range 5 {
-		h.onLoop(func() { h.disks[1].Apply(disk.Faults{Tear: true}) })
+		h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{Truncate: true}) })
 		data, status := h.do(a, nvme.NewRW(nvme.Read, 2, uint64(100*i), 8), nil)
 		if status != nvme.Success || data[8] != byte(100*i) {
 			t.Fatalf("read %d: %#x", i, status)
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -23,7 +23,7 @@
 	half := connectRaw(t, h, "half")
 	half.write(half.command(9, nvme.Write, 1, 0, 16, nil))
 	half.expect(nvme.TypeR2T)
-	h.onLoop(func() { h.disks[1].Freeze(300 * time.Millisecond) })
+	h.onLoop(func() { h.disks[1].Stall(300 * time.Millisecond) })
 	var answers []chan answer
 	for i := range 40 {
 		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
@@ -53,7 +53,7 @@
 func TestShutdownDeadline(t *testing.T) {
 	h := newHarness(t)
 	a := h.connect("client")
-	h.onLoop(func() { h.disks[1].Apply(disk.Faults{Silent: true}) })
+	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{Silent: true}) })
 	answers := []chan answer{h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil), h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil)}
 	h.eventually("admitted", func() bool { return h.counts().Unanswered == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -20,15 +20,15 @@
 	a := h.connect("client")
 	var fresh *disk.Server
 	h.onLoop(func() {
-		h.disks[1].Die()
+		h.disks[1].Kill()
 		fresh = h.addDisk(1)
 		h.deregister(fresh.Address())
 	})
-	h.etcd.Down(true)
+	h.etcd.SetUnavailable(true)
 	queued := h.submit(a, nvme.NewRW(nvme.Read, 2, 7, 1), nil)
 	h.deregister(h.disks[1].Address())
 	h.register(fresh.Address(), 1, "on")
-	h.etcd.Down(false)
+	h.etcd.SetUnavailable(false)
 	if r := <-queued; r.lost {
 		t.Error("a queued op was lost")
 	}
@@ -119,7 +119,7 @@
 		at := netip.MustParseAddrPort(d.Address())
 		records = append(records, dns.Record{Target: fmt.Sprintf("a%d--c%d.x.", cell, cell), IP: "127.0.0.1", Port: at.Port(), Weight: 1})
 	}
-	names.Set(1, records)
+	names.SetRecords(1, records)
 	states := func() string { return mergedAndDNSStates(h) }
 	h.eventually("both sources have reported", func() bool { return states() == "on on;on on;" })
 	for _, d := range h.disks {
@@ -136,7 +136,7 @@
 		h.register(d.Address(), cell, "on")
 	}
 	records[1].Weight = 0
-	names.Set(1, records)
+	names.SetRecords(1, records)
 	h.eventually("the drain in DNS", func() bool { return states() == "on on;draining draining;" })
 	if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status == nvme.Success {
 		t.Error("work for a server that DNS drains")
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -35,20 +35,20 @@
 
 // Target is where clients connect.
 type Target struct {
-	Address   string
-	Subsystem string
-	OnConnection      func(client int, c *eventloop.Conn) // where set, is handed each new connection
-	BeforeClose      func()                              // where set, hears before a client breaks its connection
+	Address      string
+	Subsystem    string
+	OnConnection func(client int, c *eventloop.Conn) // where set, is handed each new connection
+	BeforeClose  func()                              // where set, hears before a client breaks its connection
 }
 
 // Tally is what became of the ops of one type. A client's retries belong to its first try.
 type Tally struct {
-	Attempts, Ops                        int
+	Attempts, Ops                     int
 	Succeeded, Rejected, Failed, Lost int // by the last try
 	InTime                            int // acked within the target latency
 	Due, Earned                       float64
-	Mismatches                             int // reads that brought other bytes than were there
-	TimedOut                              int // tries without an answer at the op timeout
+	Mismatches                        int // reads that brought other bytes than were there
+	TimedOut                          int // tries without an answer at the op timeout
 	latency                           *hdrhistogram.Histogram
 }
 
