--- a/fake/resp/discovery.go
+++ b/fake/resp/discovery.go
@@ -74,8 +74,8 @@
 	d.news.Broadcast()
 }
 
-// Say sends a line to every watch as it is.
-func (d *Discovery) Say(line string) {
+// SendLine sends a line to every watch as it is.
+func (d *Discovery) SendLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.raw = append(d.raw, line)
--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -15,27 +15,27 @@
 
 // Faults are what a disk server does instead of, or beside, serving.
 type Faults struct {
-	Delay  time.Duration // before each answer
-	Fail   bool          // -ERR failed
-	Busy   bool          // -BUSY
-	Silent bool          // nothing comes back
-	Break  bool          // the connection breaks once a command has come
-	Half   bool          // so it does within an answer
-	Spoilt string        // bytes that come instead of an answer; the connection stays open
-	Behind string        // bytes that come right behind an answer
-	Late   string        // bytes that come a moment later
-	Large  string        // the value, instead of one of its own
-	Report string        // the load report; none: null
-	Use    string        // the figures on use; none: null
-	Class  string        // only commands of this class meet the faults; none: all do
+	Delay          time.Duration // before each answer
+	Fail           bool          // -ERR failed
+	Busy           bool          // -BUSY
+	Silent         bool          // nothing comes back
+	ResetOnCommand bool          // the connection breaks once a command has come
+	HalfAnswer     bool          // so it does within an answer
+	Malformed      string        // bytes that come instead of an answer; the connection stays open
+	TrailingData   string        // bytes that come right behind an answer
+	LateData       string        // bytes that come a moment later
+	Value          string        // the value, instead of one of its own
+	LoadReport     string        // the load report; none: null
+	Usage          string        // the figures on use; none: null
+	Class          string        // only commands of this class meet the faults; none: all do
 }
 
 // Command is one that has come whole.
 type Command struct {
-	Name, Piece, ID, Terms string
-	Body                   []byte
-	At                     time.Time
-	Conn                   int // number of the connection it came on
+	Name, Piece, ID, Attributes string
+	Body                        []byte
+	At                          time.Time
+	Conn                        int // number of the connection it came on
 }
 
 // Disk is one disk server on a loop of its own.
@@ -81,15 +81,15 @@
 // Address is where it listens.
 func (d *Disk) Address() string { return d.address }
 
-// Apply changes the faults.
-func (d *Disk) Apply(f Faults) {
+// SetFaults changes the faults.
+func (d *Disk) SetFaults(f Faults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = f
 }
 
-// Got is every BLK command that has come, in order.
-func (d *Disk) Got() []Command {
+// Commands is every BLK command that has come, in order.
+func (d *Disk) Commands() []Command {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]Command(nil), d.got...)
@@ -105,11 +105,11 @@
 // Stop is the death of the process: connections break, new ones are refused.
 func (d *Disk) Stop() { d.loop.Post(d.loop.Stop) }
 
-// CutIdle closes all connections in order, as a disk server does with idle ones.
-func (d *Disk) CutIdle() { d.each((*eventloop.Conn).CloseGracefully) }
+// CloseConnections closes all connections in order, as a disk server does with idle ones.
+func (d *Disk) CloseConnections() { d.each((*eventloop.Conn).CloseGracefully) }
 
-// ResetIdle resets all connections.
-func (d *Disk) ResetIdle() { d.each((*eventloop.Conn).Abort) }
+// ResetConnections resets all connections.
+func (d *Disk) ResetConnections() { d.each((*eventloop.Conn).Abort) }
 
 func (d *Disk) each(end func(*eventloop.Conn)) {
 	d.loop.Post(func() {
@@ -175,7 +175,7 @@
 		c.d.got = append(c.d.got, Command{args[0], args[1], args[2], args[3], []byte(args[4]), time.Now(), c.n})
 		c.d.mu.Unlock()
 		switch {
-		case f.Break:
+		case f.ResetOnCommand:
 			c.c.Reset()
 			return false
 		case f.Silent:
@@ -200,32 +200,32 @@
 			return resp.AppendError(nil, "ERR failed")
 		case f.Busy:
 			return resp.AppendError(nil, "BUSY")
-		case f.Spoilt != "":
-			return []byte(f.Spoilt)
+		case f.Malformed != "":
+			return []byte(f.Malformed)
 		}
-		value := []byte(f.Large)
-		if f.Large == "" {
+		value := []byte(f.Value)
+		if f.Value == "" {
 			value = Value(args[1], args[2])
 		}
 		out = resp.AppendBulk(resp.AppendArray(nil, 3), value)
-		for _, text := range []string{f.Use, f.Report} {
+		for _, text := range []string{f.Usage, f.LoadReport} {
 			if text == "" {
 				out = resp.AppendNull(out)
 			} else {
 				out = resp.AppendBulk(out, []byte(text))
 			}
 		}
-		if f.Late != "" {
+		if f.LateData != "" {
 			c.c.Loop().Schedule(c.c.Loop().Now()+2*time.Millisecond, func() {
-				c.c.Output = append(c.c.Output, f.Late...)
+				c.c.Output = append(c.c.Output, f.LateData...)
 				c.c.Send()
 			})
 		}
-		return append(out, f.Behind...)
+		return append(out, f.TrailingData...)
 	case "PING":
 		return resp.AppendSimple(nil, "PONG")
 	case "INFO":
-		return resp.AppendBulk(nil, []byte(f.Report))
+		return resp.AppendBulk(nil, []byte(f.LoadReport))
 	case "CLIENT", "SELECT":
 		return resp.AppendSimple(nil, "OK")
 	}
@@ -239,7 +239,7 @@
 
 // ready sends what is ready, in the order of commands.
 func (c *conn) ready(n int, answer []byte) {
-	if c.d.now().Half {
+	if c.d.now().HalfAnswer {
 		c.c.Output = append(c.c.Output, answer[:len(answer)/2]...)
 		c.c.CloseGracefully()
 		return
--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -110,7 +110,7 @@
 // gone: what waits for it is not sent on.
 func TestClientGoneWhilePaused(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	c := bed.dialClient()
 	var all []byte
 	for i := range 2 * maxPending {
@@ -128,11 +128,11 @@
 	sent := 0
 	bed.eventually("what may leave", func() bool {
 		bed.onLoop(func() { sent = bed.scheduler.tracker.Counts.Dispatches })
-		return sent > 0 && len(bed.disks[0].Got()) == sent
+		return sent > 0 && len(bed.disks[0].Commands()) == sent
 	})
 	c.Close()
 	bed.eventuallyOnLoop("the client to be gone", func() bool { return len(bed.scheduler.clients) == 0 && bed.scheduler.tracker.Unanswered() == 0 })
-	if n := len(bed.disks[0].Got()); n != sent {
+	if n := len(bed.disks[0].Commands()); n != sent {
 		t.Errorf("%d have reached the disk server, %d before the leave", n, sent)
 	}
 }
@@ -278,7 +278,7 @@
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
 			bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-			bed.disks[0].Apply(fakeresp.Faults{Delay: 50 * time.Millisecond})
+			bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 			c := bed.dialClient()
 			c.Write(append(encodeCommand("BLK.READ", objectKey, "a", opOptions("read", 9000, 0)), x.behind...))
 			if x.end != nil {
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -22,7 +22,7 @@
 	bed := newTestbed(t, 1)
 	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
 	large := strings.Repeat("v", maxBody-8)
-	bed.disks[0].Apply(fakeresp.Faults{Large: large})
+	bed.disks[0].SetFaults(fakeresp.Faults{Value: large})
 	c := bed.dialClient()
 	const n = 4 * maxPending // of 64 KB each: more than the system holds on its way
 	go func() {
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -15,7 +15,7 @@
 // it is not read.
 func TestQuitBehindOthers(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 50 * time.Millisecond})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 	c := bed.dialClient()
 	var all []byte
 	for _, args := range [][]string{{"BLK.READ", objectKey, "a", opOptions("read", 390, 0)}, {"QUIT"}, {"BLK.READ", objectKey, "b", opOptions("read", 390, 0)}} {
@@ -50,8 +50,8 @@
 	if got := c.do("BLK.WRITE", objectKey, "write", opOptions("write", 600, -1), body); got != string(fakeresp.Value(objectKey, "write")) {
 		t.Fatal(got)
 	}
-	all := append(bed.disks[0].Got(), bed.disks[1].Got()...)
-	if len(all) != 5 || len(bed.disks[0].Got()) < 2 || len(bed.disks[1].Got()) < 2 {
+	all := append(bed.disks[0].Commands(), bed.disks[1].Commands()...)
+	if len(all) != 5 || len(bed.disks[0].Commands()) < 2 || len(bed.disks[1].Commands()) < 2 {
 		t.Fatalf("%d commands", len(all))
 	}
 	d := regexp.MustCompile(`,d=(\d+),`)
@@ -63,12 +63,12 @@
 				t.Error("the body has changed")
 			}
 		}
-		ms, _ := strconv.Atoi(d.FindStringSubmatch(g.Terms)[1])
+		ms, _ := strconv.Atoi(d.FindStringSubmatch(g.Attributes)[1])
 		if ms > most || ms < most-200 || g.Piece != objectKey {
 			t.Errorf("%+v", g)
 		}
-		if cell := g.Terms[strings.Index(g.Terms, "shard="):]; !strings.HasPrefix(d.ReplaceAllString(g.Terms, ",d=9,"), "c="+class+",t=gold,d=9,volume=00000003b4d60021,units=2,"+cell) {
-			t.Errorf("%s", g.Terms)
+		if cell := g.Attributes[strings.Index(g.Attributes, "shard="):]; !strings.HasPrefix(d.ReplaceAllString(g.Attributes, ",d=9,"), "c="+class+",t=gold,d=9,volume=00000003b4d60021,units=2,"+cell) {
+			t.Errorf("%s", g.Attributes)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	if got := c.do("BLK.READ", objectKey, "a", good); got != string(fakeresp.Value(objectKey, "a")) {
 		t.Error(got)
 	}
-	if n := len(bed.disks[0].Got()); n != 1 {
+	if n := len(bed.disks[0].Commands()); n != 1 {
 		t.Errorf("%d commands have reached the disk server", n)
 	}
 }
@@ -135,10 +135,10 @@
 // TestDuplicateID: the id of an open request is rejected on any connection, and the open request is served.
 func TestDuplicateID(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 50 * time.Millisecond})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 	one, other := bed.dialClient(), bed.dialClient()
 	one.send("BLK.READ", objectKey, "same", opOptions("read", 390, 0))
-	bed.eventually("the command", func() bool { return len(bed.disks[0].Got()) == 1 })
+	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 1 })
 	if got := other.do("BLK.READ", objectKey, "same", opOptions("read", 390, 0)); got != "-ERR the id is that of an open request" {
 		t.Error(got)
 	}
@@ -177,7 +177,7 @@
 			t.Errorf("%q: closed after %v", text, took)
 		}
 	}
-	if len(bed.disks[0].Got()) != 0 {
+	if len(bed.disks[0].Commands()) != 0 {
 		t.Error("something has reached the disk server")
 	}
 }
@@ -186,7 +186,7 @@
 // then comes the error.
 func TestRepliesBeforeProtocolError(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 40 * time.Millisecond})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 40 * time.Millisecond})
 	c := bed.dialClient()
 	c.send("BLK.READ", objectKey, "a", opOptions("read", 390, 0))
 	c.send("PING")
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -13,7 +13,7 @@
 // sentTimeout is the timeout that a command names to its disk server.
 func sentTimeout(c fakeresp.Command) time.Duration {
 	var ms int64
-	fmt.Sscanf(c.Terms[strings.Index(c.Terms, ",d="):], ",d=%d", &ms)
+	fmt.Sscanf(c.Attributes[strings.Index(c.Attributes, ",d="):], ",d=%d", &ms)
 	return time.Duration(ms) * time.Millisecond
 }
 
@@ -83,7 +83,7 @@
 		t.Fatal("none is written in part")
 	}
 	bed.eventuallyOnLoop("the end", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
-	for _, c := range bed.disks[0].Got() {
+	for _, c := range bed.disks[0].Commands() {
 		if stuck[c.ID] {
 			t.Errorf("%s, of which a part was written, has arrived", c.ID)
 		}
@@ -126,7 +126,7 @@
 					}
 				}
 			})
-			bed.disks[0].Apply(fakeresp.Faults{Delay: x.delay})
+			bed.disks[0].SetFaults(fakeresp.Faults{Delay: x.delay})
 			c := bed.dialClient()
 			c.do("PING")
 			for i := range x.first {
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -44,13 +44,13 @@
 			if x.phase == "draining" { // a connection that comes up now carries nothing
 				bed.eventually("a connection", func() bool { _, n := bed.connCounts(0); return n > 0 })
 			}
-			all := bed.disks[0].Got()
+			all := bed.disks[0].Commands()
 			if len(all) > 0 && !x.within {
 				t.Errorf("%d have reached the disk server", len(all))
 			}
 			for _, g := range all { // what is told of the time left is what is left when it goes, not when it was meant to
 				var d int64
-				fmt.Sscanf(g.Terms, "c=read,t=gold,d=%d", &d)
+				fmt.Sscanf(g.Attributes, "c=read,t=gold,d=%d", &d)
 				if left := 9000 - g.At.Sub(begun).Milliseconds(); d > left+50 || d < left-500 {
 					t.Errorf("%d ms are told, %d are left", d, left)
 				}
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -113,10 +113,10 @@
 	}{
 		"they hang":               {faults: fakeresp.Faults{Silent: true}},
 		"they never read":         {gate: true},
-		"they break":              {faults: fakeresp.Faults{Break: true}},
-		"half an answer":          {faults: fakeresp.Faults{Half: true}},
-		"answers that don't end":  {faults: fakeresp.Faults{Spoilt: "*3\r\n$65536\r\nx"}},
-		"answers cannot be read":  {faults: fakeresp.Faults{Spoilt: "x"}},
+		"they break":              {faults: fakeresp.Faults{ResetOnCommand: true}},
+		"half an answer":          {faults: fakeresp.Faults{HalfAnswer: true}},
+		"answers that don't end":  {faults: fakeresp.Faults{Malformed: "*3\r\n$65536\r\nx"}},
+		"answers cannot be read":  {faults: fakeresp.Faults{Malformed: "x"}},
 		"they turn away":          {faults: fakeresp.Faults{Busy: true}},
 		"they fail":               {faults: fakeresp.Faults{Fail: true}},
 		"PINGs, not read":         {served: true, flood: "PINGs, not read"},
@@ -129,7 +129,7 @@
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 2)
 			for i, disk := range bed.disks {
-				disk.Apply(x.faults)
+				disk.SetFaults(x.faults)
 				if x.gate {
 					gate, member := bed.gateServer(i, "up")
 					gate.acceptConns()
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -213,7 +213,7 @@
 
 // receivedIDs gives the ids of the ops that have reached a disk server.
 func receivedIDs(disk *fakeresp.Disk) (ids []string) {
-	for _, command := range disk.Got() {
+	for _, command := range disk.Commands() {
 		ids = append(ids, command.ID)
 	}
 	return ids
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -15,7 +15,7 @@
 func TestReloadShrinks(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 100 * time.Millisecond})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 100 * time.Millisecond})
 	var clients []*testClient
 	for i := range 40 {
 		c := bed.dialClient()
@@ -25,9 +25,9 @@
 	for _, c := range clients {
 		c.readReply(time.Second)
 	}
-	bed.disks[0].Apply(fakeresp.Faults{Delay: time.Second})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: time.Second})
 	clients[7].send("BLK.READ", objectKey, "b", opOptions("read", 9000, 0))
-	bed.eventually("the command", func() bool { return len(bed.disks[0].Got()) == 41 })
+	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 41 })
 	bed.config["limits"].(map[string]any)["sockets"] = minSockets
 	bed.reload()
 	bed.eventually("the lower limit", func() (ok bool) {
@@ -82,8 +82,8 @@
 	next := bed.member(1, "up") // the second server takes over the first one's cell
 	next.ID, next.Cell = "s-9", 0
 	bed.discovery.Change(bed.member(0, "draining"), next)
-	bed.discovery.Say(`{"revision":2,"members":[{"id":"","phase":"up"},{"id":"x","phase":"odd","host_port":"127.0.0.1:1"},{"id":"y","phase":"up","host_port":"nowhere"}]}`)
-	bed.discovery.Say("no list")
+	bed.discovery.SendLine(`{"revision":2,"members":[{"id":"","phase":"up"},{"id":"x","phase":"odd","host_port":"127.0.0.1:1"},{"id":"y","phase":"up","host_port":"nowhere"}]}`)
+	bed.discovery.SendLine("no list")
 	bed.eventually("another watch", func() bool { return bed.discovery.Watches() >= 2 })
 	removed := bed.member(0, "removed")
 	removed.Address = ""
@@ -100,7 +100,7 @@
 	})
 	bed.eventually("the op at the new server", func() bool {
 		c.do("BLK.READ", objectKey, fmt.Sprint("b", time.Now().UnixNano()), opOptions("read", 390, 0))
-		return len(bed.disks[1].Got()) > 0
+		return len(bed.disks[1].Commands()) > 0
 	})
 	if now, _ := bed.disks[0].Connections(); now != 0 {
 		t.Errorf("%d connections to a server that is removed", now)
--- a/scheduler/op_types_test.go
+++ b/scheduler/op_types_test.go
@@ -20,7 +20,7 @@
 // for longer than the settings allow.
 func TestUnusualTimeout(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 60 * time.Millisecond})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 60 * time.Millisecond})
 	c := bed.dialClient()
 	c.countServed("read", "before", 8, 400)
 	longest := make(chan time.Duration, 1)
@@ -47,7 +47,7 @@
 	if served := quick.countServed("read", "before", 5, 400); served < 5 {
 		t.Fatalf("%d of 5 ops served before", served)
 	}
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 550 * time.Millisecond, Class: "write"})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 550 * time.Millisecond, Class: "write"})
 	slow.countServed("write", "slow", 6, 600)
 	if served := quick.countServed("read", "after", 20, 400); served < 18 {
 		t.Errorf("%d of 20 ops of the other class served", served)
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -35,10 +35,10 @@
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := newConnGate(t, bed.disks[0].Address())
 	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 100 * time.Millisecond})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 100 * time.Millisecond})
 	one, other := bed.dialClient(), bed.dialClient()
 	one.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
-	bed.eventually("the command", func() bool { return len(bed.disks[0].Got()) == 1 })
+	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 1 })
 	bed.onLoop(func() { bed.scheduler.servers["s-0"].address = gate.address })
 	other.send("BLK.READ", objectKey, "b", opOptions("read", 9000, 0))
 	bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
@@ -56,7 +56,7 @@
 	bed := newTestbed(t, 1)
 	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
 	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
-	bed.disks[0].Apply(fakeresp.Faults{Late: second})
+	bed.disks[0].SetFaults(fakeresp.Faults{LateData: second})
 	c := bed.dialClient()
 	bed.onLoop(func() { bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 })
 	for i := range 30 {
@@ -65,7 +65,7 @@
 			t.Fatalf("op %d: %q", i, got)
 		}
 	}
-	bed.disks[0].Apply(fakeresp.Faults{})
+	bed.disks[0].SetFaults(fakeresp.Faults{})
 	for i := range 30 {
 		id := fmt.Sprint("b", i)
 		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
@@ -86,7 +86,7 @@
 		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
 			t.Fatalf("op %d: %q", i, got)
 		}
-		bed.disks[0].CutIdle()
+		bed.disks[0].CloseConnections()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -97,7 +97,7 @@
 	for sockets, most := range map[int]int{256: 24, minSockets: 9} {
 		t.Run(fmt.Sprint(sockets, " descriptors"), func(t *testing.T) {
 			bed := newTestbed(t, 1, func(m map[string]any) { m["limits"].(map[string]any)["sockets"] = sockets })
-			bed.disks[0].Apply(fakeresp.Faults{Delay: 20 * time.Millisecond})
+			bed.disks[0].SetFaults(fakeresp.Faults{Delay: 20 * time.Millisecond})
 			c := bed.dialClient()
 			for i := range 24 {
 				c.send("BLK.READ", objectKey, fmt.Sprint(sockets, "-", i), opOptions("read", 390, 0))
@@ -127,11 +127,11 @@
 		fails  bool
 		before bool // the loop has heard of it
 	}{
-		"closed":                   {idle: (*fakeresp.Disk).CutIdle, before: true},
-		"closed in the same round": {idle: (*fakeresp.Disk).CutIdle},
-		"reset":                    {idle: (*fakeresp.Disk).ResetIdle, before: true},
-		"reset in the same round":  {idle: (*fakeresp.Disk).ResetIdle},
-		"forgotten":                {idle: func(disk *fakeresp.Disk) { disk.Apply(fakeresp.Faults{Break: true}) }, fails: true}, // a reset is all that comes back
+		"closed":                   {idle: (*fakeresp.Disk).CloseConnections, before: true},
+		"closed in the same round": {idle: (*fakeresp.Disk).CloseConnections},
+		"reset":                    {idle: (*fakeresp.Disk).ResetConnections, before: true},
+		"reset in the same round":  {idle: (*fakeresp.Disk).ResetConnections},
+		"forgotten":                {idle: func(disk *fakeresp.Disk) { disk.SetFaults(fakeresp.Faults{ResetOnCommand: true}) }, fails: true}, // a reset is all that comes back
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
@@ -194,7 +194,7 @@
 // dispatches are reported as ones that may have run.
 func TestSharedConnBreaks(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Delay: 50 * time.Millisecond, Break: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond, ResetOnCommand: true})
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
 	codes := bed.recordOutcomes()
 	bed.onLoop(func() {
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -17,12 +17,12 @@
 	bed := newTestbed(t, 1)
 	codes := bed.recordOutcomes()
 	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-	bed.disks[0].Apply(fakeresp.Faults{Half: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{HalfAnswer: true})
 	c := bed.dialClient()
 	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != "-ERR failed" {
 		t.Errorf("%q", got)
 	}
-	bed.disks[0].Apply(fakeresp.Faults{})
+	bed.disks[0].SetFaults(fakeresp.Faults{})
 	if got := c.do("BLK.READ", objectKey, "b", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "b")) {
 		t.Errorf("%q", got)
 	}
@@ -37,24 +37,24 @@
 // what was not made for its request, and the connection is used no more.
 func TestMalformedReplies(t *testing.T) {
 	for name, f := range map[string]fakeresp.Faults{
-		"noise":        {Spoilt: "\x00\xff\x13noise\r\n\r\n"},
-		"endless line": {Spoilt: "+" + strings.Repeat("x", 100000)},
-		"length":       {Spoilt: "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n"},
-		"huge":         {Spoilt: "*3\r\n$3000000000\r\n" + strings.Repeat("x", 1<<20)},
-		"negative":     {Spoilt: "*3\r\n$-7\r\n"},
-		"null":         {Spoilt: "*3\r\n$-1\r\n$-1\r\n$-1\r\n"},
-		"empty":        {Spoilt: "*0\r\n"},
-		"number":       {Spoilt: ":1\r\n"},
-		"line":         {Spoilt: "+OK\r\n"},
-		"deep":         {Spoilt: strings.Repeat("*1\r\n", 20)},
-		"1xx":          {Spoilt: "HTTP/1.1 100 Continue\r\n\r\n"},
-		"break":        {Break: true},
+		"noise":        {Malformed: "\x00\xff\x13noise\r\n\r\n"},
+		"endless line": {Malformed: "+" + strings.Repeat("x", 100000)},
+		"length":       {Malformed: "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n"},
+		"huge":         {Malformed: "*3\r\n$3000000000\r\n" + strings.Repeat("x", 1<<20)},
+		"negative":     {Malformed: "*3\r\n$-7\r\n"},
+		"null":         {Malformed: "*3\r\n$-1\r\n$-1\r\n$-1\r\n"},
+		"empty":        {Malformed: "*0\r\n"},
+		"number":       {Malformed: ":1\r\n"},
+		"line":         {Malformed: "+OK\r\n"},
+		"deep":         {Malformed: strings.Repeat("*1\r\n", 20)},
+		"1xx":          {Malformed: "HTTP/1.1 100 Continue\r\n\r\n"},
+		"break":        {ResetOnCommand: true},
 		"failed":       {Fail: true},
 		"busy":         {Busy: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
-			bed.disks[0].Apply(f)
+			bed.disks[0].SetFaults(f)
 			c := bed.dialClient()
 			begun := time.Now()
 			if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); !strings.HasPrefix(got, "-") {
@@ -63,7 +63,7 @@
 			if took := time.Since(begun); took > 300*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
-			bed.disks[0].Apply(fakeresp.Faults{})
+			bed.disks[0].SetFaults(fakeresp.Faults{})
 			good := 0
 			for i := range 20 {
 				id := fmt.Sprintf("b%d", i)
@@ -85,11 +85,11 @@
 func TestExtraReplyData(t *testing.T) {
 	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
 	for name, f := range map[string]fakeresp.Faults{
-		"copy": {Behind: second}, "noise": {Behind: "\x01\x02"}, "late copy": {Late: second}, "late noise": {Late: "noise\r\n"},
+		"copy": {TrailingData: second}, "noise": {TrailingData: "\x01\x02"}, "late copy": {LateData: second}, "late noise": {LateData: "noise\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
-			bed.disks[0].Apply(f)
+			bed.disks[0].SetFaults(f)
 			c := bed.dialClient()
 			for i := range 30 {
 				id := fmt.Sprintf("a%d", i)
@@ -115,7 +115,7 @@
 		})
 	}
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Report: "\x00=\xff,util", Use: "used=x,,"})
+	bed.disks[0].SetFaults(fakeresp.Faults{LoadReport: "\x00=\xff,util", Usage: "used=x,,"})
 	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
 		t.Error(got)
 	}
@@ -125,7 +125,7 @@
 // lets the server drop the command.
 func TestSilentServer(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	c := bed.dialClient()
 	begun := time.Now()
 	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 200, 0)); !strings.HasPrefix(got, "-") {
@@ -159,7 +159,7 @@
 			}
 		}
 	})
-	bed.disks[0].Apply(fakeresp.Faults{Report: "util=0.5,latency_ms=3"})
+	bed.disks[0].SetFaults(fakeresp.Faults{LoadReport: "util=0.5,latency_ms=3"})
 	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
 	if p := <-results; p.Code != honeyplank.Succeeded || p.Load["latency"] != 3 {
 		t.Errorf("%+v", p)
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -104,7 +104,7 @@
 	bed := newTestbed(t, 1, withSlowConnect, func(config map[string]any) {
 		config["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = 1
 	})
-	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
 	results := make(chan honeyplank.HealthCheckResult, 1)
 	bed.onLoop(func() {
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -69,7 +69,7 @@
 					}
 					look()
 				})
-				bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+				bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 				ms := int(longest.Milliseconds())
 				var ended sync.WaitGroup
 				var mu sync.Mutex
@@ -171,7 +171,7 @@
 func TestFailRemaining(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	c, idle := bed.dialClient(), bed.dialClient()
 	idle.do("PING")
 	bed.scheduler.Shutdown()
@@ -250,7 +250,7 @@
 			t.Errorf("connection %d: %q", i, got)
 		}
 	}
-	bed.disks[0].Apply(fakeresp.Faults{Silent: true})
+	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	time.Sleep(time.Until(begun.Add(650 * time.Millisecond))) // of 1300: ops are taken up to 780
 	late := c.do("BLK.READ", objectKey, "late", opOptions("read", 390, 0))
 	if !strings.HasPrefix(late, "-") {
