--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -70,13 +70,14 @@
 func (g *Instance) startTime(now time.Duration, wall time.Time, source membership.Source, id honeyplank.ServerID, upSinceMS int64) (started, startedAfter time.Duration) {
 	const msPerSecond = 1000
 	own, other := &g.incarnations[source], &g.incarnations[1-source]
-	otherUpSinceMS, otherStarted, otherStartedAfter, ok := other.Known(id)
-	if ok && upSinceMS > 0 && otherUpSinceMS/msPerSecond == upSinceMS/msPerSecond {
-		own.Adopt(id, upSinceMS, otherStarted, otherStartedAfter)
+	known, ok := other.Known(id)
+	if ok && upSinceMS > 0 && known.UpSinceMS/msPerSecond == upSinceMS/msPerSecond {
+		known.UpSinceMS = upSinceMS
+		own.Adopt(id, known)
 	}
 	started = own.Start(now, wall, id, upSinceMS)
-	_, _, startedAfter, _ = own.Known(id)
-	return started, startedAfter
+	known, _ = own.Known(id) // known since Start
+	return started, known.StartedAfter
 }
 
 // recordCurrent records what an update implies for the nodes that it doesn't mention: a start that is reported later
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,6 +1,9 @@
 // Package incarnation places the starts of disk servers on a monotonic clock, from lists that give them by the wall
 // clock. The start that a list gives identifies an incarnation and is only compared for equality; the age of a start is
-// a span of the monotonic clock. The package does no I/O, reads no clock and decides nothing.
+// a span of the monotonic clock. The package does no I/O, reads no clock, starts no goroutine and decides nothing.
+//
+// A gateway has a Tracker for each of its sources and calls it on the goroutine of its event loop; a Tracker is not safe
+// for concurrent use.
 package incarnation
 
 import (
@@ -10,8 +13,8 @@
 )
 
 const (
-	// keepRemoved is how long a removed server is kept, so that its incarnation is known when it returns.
-	keepRemoved = time.Hour
+	// removedRetention is how long a removed server is kept, so that its incarnation is known when it returns.
+	removedRetention = time.Hour
 	// defaultMaxRemoved is how many removed servers are kept by default; the one removed first is dropped first.
 	defaultMaxRemoved = 4096
 )
@@ -32,13 +35,21 @@
 	hasCurrent bool          // current is set
 }
 
-// server is the incarnation of a server that was mentioned last.
+// Incarnation is one life of a server.
+type Incarnation struct {
+	// UpSinceMS is the start as the list gives it, in Unix milliseconds, and identifies the incarnation; 0: long ago.
+	UpSinceMS int64
+	// Started is the start on the monotonic clock; 0: long ago.
+	Started time.Duration
+	// StartedAfter is a time that the start came after, both by the wall clock and by what held before; 0: not known.
+	StartedAfter time.Duration
+}
+
+// server is what the tracker keeps of a server.
 type server struct {
-	upSinceMS    int64         // the start as the list gives it, in Unix milliseconds; 0: long ago
-	started      time.Duration // 0: long ago
-	startedAfter time.Duration // the start surely came after it; 0: not known
-	removed      bool
-	removedAt    time.Duration
+	incarnation Incarnation // the one mentioned last
+	removed     bool
+	removedAt   time.Duration
 }
 
 // removal is an entry in the order of removals. It is out of date where the server has come back since.
@@ -54,52 +65,53 @@
 // has started now. An incarnation that returns after its removal keeps its start.
 func (t *Tracker) Start(now time.Duration, wall time.Time, id honeyplank.ServerID, upSinceMS int64) time.Duration {
 	s := t.servers[id]
-	if s == nil || s.upSinceMS != upSinceMS {
-		s = &server{upSinceMS: upSinceMS}
-		s.started, s.startedAfter = t.place(now, wall, upSinceMS)
-		t.keep(id, s)
+	if s == nil || s.incarnation.UpSinceMS != upSinceMS {
+		s = &server{incarnation: t.newIncarnation(now, wall, upSinceMS)}
+		t.put(id, s)
 	}
 	s.removed = false
-	return s.started
+	return s.incarnation.Started
 }
 
-// place is the start of a new incarnation on the monotonic clock, and a time that it surely came after.
-func (t *Tracker) place(now time.Duration, wall time.Time, upSinceMS int64) (started, startedAfter time.Duration) {
+// newIncarnation places the start of an incarnation that is mentioned for the first time.
+func (t *Tracker) newIncarnation(now time.Duration, wall time.Time, upSinceMS int64) Incarnation {
 	if upSinceMS == 0 {
-		return 0, 0
+		return Incarnation{}
 	}
 	wallAge := max(wall.Sub(time.UnixMilli(upSinceMS)), 0)
-	maxAge := time.Duration(0)
+	var maxAge, startedAfter time.Duration
 	if t.hasCurrent {
 		maxAge = max(now-t.current, 0)
 		startedAfter = max(now-max(wallAge, maxAge), 0)
 	}
-	return max(now-min(wallAge, maxAge), 1), startedAfter
+	return Incarnation{
+		UpSinceMS:    upSinceMS,
+		Started:      max(now-min(wallAge, maxAge), 1),
+		StartedAfter: startedAfter,
+	}
 }
 
-func (t *Tracker) keep(id honeyplank.ServerID, s *server) {
+func (t *Tracker) put(id honeyplank.ServerID, s *server) {
 	if t.servers == nil {
 		t.servers = map[honeyplank.ServerID]*server{}
 	}
 	t.servers[id] = s
 }
 
-// Known is the incarnation of a server that was mentioned last, also of a removed one: its start as the list gives it, in
-// Unix milliseconds, and on the monotonic clock. The start came after startedAfter both by the wall clock and by what
-// held before it; 0: no such time is known.
-func (t *Tracker) Known(id honeyplank.ServerID) (upSinceMS int64, started, startedAfter time.Duration, ok bool) {
+// Known returns the incarnation of a server that was mentioned last, also of a removed server; false: it is not known.
+func (t *Tracker) Known(id honeyplank.ServerID) (Incarnation, bool) {
 	s := t.servers[id]
 	if s == nil {
-		return 0, 0, 0, false
+		return Incarnation{}, false
 	}
-	return s.upSinceMS, s.started, s.startedAfter, true
+	return s.incarnation, true
 }
 
-// Adopt takes over the start of an incarnation from the tracker of another source, before its first mention here. An
-// incarnation that is known here stays as it is.
-func (t *Tracker) Adopt(id honeyplank.ServerID, upSinceMS int64, started, startedAfter time.Duration) {
-	if s := t.servers[id]; s == nil || s.upSinceMS != upSinceMS {
-		t.keep(id, &server{upSinceMS: upSinceMS, started: started, startedAfter: startedAfter})
+// Adopt takes over an incarnation from the tracker of another source, before its first mention here. One that is known
+// here stays as it is.
+func (t *Tracker) Adopt(id honeyplank.ServerID, incarnation Incarnation) {
+	if s := t.servers[id]; s == nil || s.incarnation.UpSinceMS != incarnation.UpSinceMS {
+		t.put(id, &server{incarnation: incarnation})
 	}
 }
 
@@ -143,10 +155,10 @@
 	if maxRemoved == 0 {
 		maxRemoved = defaultMaxRemoved
 	}
-	for len(t.removed) > 0 && (len(t.removed) > maxRemoved || now-t.removed[0].at >= keepRemoved) {
+	for len(t.removed) > 0 && (len(t.removed) > maxRemoved || now-t.removed[0].at >= removedRetention) {
 		r := t.removed[0]
 		t.removed = t.removed[1:]
-		if s := t.servers[r.id]; s != nil && s.removed && s.removedAt == r.at {
+		if s := t.servers[r.id]; s != nil && s.removed && s.removedAt == r.at { // else it has returned since
 			delete(t.servers, r.id)
 		}
 	}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -184,7 +184,7 @@
 				}
 			}
 		}
-		if tracker.Current(now + keepRemoved); len(tracker.servers) != fleet || len(tracker.removed) != 0 {
+		if tracker.Current(now + removedRetention); len(tracker.servers) != fleet || len(tracker.removed) != 0 {
 			t.Errorf("%s: after an hour %d servers and %d removals, want %d and none", kind, len(tracker.servers), len(tracker.removed), fleet)
 		}
 	}
@@ -222,22 +222,22 @@
 			tracker.Start(100*s, origin.Add(100*s), id, at(50*s))
 			tracker.Removed(110*s, id)
 		}, at(50 * s), 100 * s, 0, 100 * s},
-		"adopted": {func(tracker *Tracker) { tracker.Adopt(id, at(50*s), 70*s, 60*s) }, at(50 * s), 70 * s, 60 * s, 70 * s},
+		"adopted": {func(tracker *Tracker) { tracker.Adopt(id, Incarnation{at(50 * s), 70 * s, 60 * s}) }, at(50 * s), 70 * s, 60 * s, 70 * s},
 		"adopted after its mention": {func(tracker *Tracker) {
 			tracker.Start(100*s, origin.Add(100*s), id, at(50*s))
-			tracker.Adopt(id, at(50*s), 70*s, 60*s)
+			tracker.Adopt(id, Incarnation{at(50 * s), 70 * s, 60 * s})
 		},
 			at(50 * s), 100 * s, 0, 100 * s},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
-			if _, _, _, ok := tracker.Known(id); ok {
+			if _, ok := tracker.Known(id); ok {
 				t.Errorf("known before")
 			}
 			c.setUp(&tracker)
-			up, started, after, ok := tracker.Known(id)
-			if !ok || up != c.up || started != c.started || after != c.after {
-				t.Errorf("%d, %v after %v, %v; want %d, %v after %v", up, started, after, ok, c.up, c.started, c.after)
+			want := Incarnation{UpSinceMS: c.up, Started: c.started, StartedAfter: c.after}
+			if got, ok := tracker.Known(id); !ok || got != want {
+				t.Errorf("%+v, %v; want %+v", got, ok, want)
 			}
 			if got := tracker.Start(200*s, origin.Add(200*s-h), id, c.up); got != c.back {
 				t.Errorf("started %v when mentioned again, want %v", got, c.back)
--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -2,6 +2,9 @@
 // handshakes, commands, bytes of write data, the time for a PDU, and the protocol violations after which it is banned.
 // Events go in, verdicts come out: the package does no I/O, reads no clock and starts no goroutine. docs/peers.md has its
 // tables.
+//
+// The server that accepts the connections has a Guard and calls it on the goroutine of its event loop; a Guard is not safe
+// for concurrent use.
 package peerlimit
 
 import "time"
@@ -37,7 +40,7 @@
 
 // String is the verdict as the log shows it.
 func (v Verdict) String() string {
-	return [...]string{"admitted", "shut out", "too many connections", "too many handshakes under way"}[v]
+	return [...]string{"admitted", "banned", "too many connections", "too many incomplete handshakes"}[v]
 }
 
 // peer is the one record of a peer.
@@ -58,8 +61,8 @@
 	return p.standing == trusted && p.connections == 0 && p.bytes == 0 && p.commands == 0
 }
 
-// Guard has the usage and standing of all peers, by their id. The zero value is not usable: call New. It is not safe for
-// concurrent use. All times are spans since a fixed moment of the caller's monotonic clock and don't decrease.
+// Guard has the usage and standing of all peers, by their id. The zero value is not usable: call New. All times are
+// spans since a fixed moment of the caller's monotonic clock and don't decrease from call to call.
 type Guard struct {
 	settings Settings
 	now      time.Duration
@@ -70,7 +73,8 @@
 // New makes a guard without any peer.
 func New(settings Settings) *Guard { return &Guard{settings: settings, peers: map[string]*peer{}} }
 
-// Open decides on a connection that a peer opens. One that is admitted counts until Close.
+// Open decides on a connection that a peer opens. One that is admitted counts until Close or
+// CloseDuringHandshake.
 func (g *Guard) Open(now time.Duration, id string) Verdict {
 	g.evictIdle(now)
 	p := g.peer(now, id)
@@ -90,13 +94,14 @@
 // HandshakeComplete takes in that the handshake of an admitted connection is complete.
 func (g *Guard) HandshakeComplete(now time.Duration, id string) { g.peer(now, id).handshakes-- }
 
-// Close takes in that an admitted connection has ended, and whether its handshake was complete.
-func (g *Guard) Close(now time.Duration, id string, handshakeComplete bool) {
+// Close takes in that an admitted connection whose handshake was complete has ended.
+func (g *Guard) Close(now time.Duration, id string) { g.peer(now, id).connections-- }
+
+// CloseDuringHandshake takes in that an admitted connection has ended before its handshake was complete.
+func (g *Guard) CloseDuringHandshake(now time.Duration, id string) {
 	p := g.peer(now, id)
 	p.connections--
-	if !handshakeComplete {
-		p.handshakes--
-	}
+	p.handshakes--
 }
 
 // Violation takes in that a peer violated the protocol or a timeout. It returns for how long the peer is banned by that;
--- a/peerlimit/guard_test.go
+++ b/peerlimit/guard_test.go
@@ -192,7 +192,11 @@
 		}
 	case 3:
 		if n := len(p.open); n > 0 {
-			h.guard.Close(h.now, id, p.open[n-1])
+			if handshakeComplete := p.open[n-1]; handshakeComplete {
+				h.guard.Close(h.now, id)
+			} else {
+				h.guard.CloseDuringHandshake(h.now, id)
+			}
 			p.open = p.open[:n-1]
 		}
 	case 4:
@@ -265,7 +269,7 @@
 	for i := range 100_000 {
 		id := string(rune(i))
 		if g.Open(time.Duration(i)*time.Millisecond, id) == Admit {
-			g.Close(time.Duration(i)*time.Millisecond, id, false)
+			g.CloseDuringHandshake(time.Duration(i)*time.Millisecond, id)
 		}
 	}
 	if n := len(g.peers); n > 11_000 {
--- a/target/server.go
+++ b/target/server.go
@@ -209,7 +209,11 @@
 	delete(c.server.conns, c)
 	c.server.loop.Cancel(c.timer)
 	c.session.Ended()
-	c.server.Guard.Close(now, c.peer, c.joined)
+	if c.joined {
+		c.server.Guard.Close(now, c.peer)
+	} else {
+		c.server.Guard.CloseDuringHandshake(now, c.peer)
+	}
 	if c.session.breached {
 		c.server.Fatal++
 		if span := c.server.Guard.Violation(now, c.peer); span > 0 {
