--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -37,17 +37,17 @@
 // injectors are the faults that a script can have, by kind.
 var injectors = map[string]injector{
 	"slow": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{Slow: cmp.Or(f.Times, defaultSlowdown)}
+		return disk.Faults{SlowFactor: cmp.Or(f.Times, defaultSlowdown)}
 	}),
 	"fail": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{Fail: cmp.Or(f.Times, defaultFailureShare)}
+		return disk.Faults{FailShare: cmp.Or(f.Times, defaultFailureShare)}
 	}),
 	"lose-answers": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{Lose: cmp.Or(f.Times, defaultLossShare)}
+		return disk.Faults{LoseShare: cmp.Or(f.Times, defaultLossShare)}
 	}),
-	"stale-reports":  diskFault(func(settings.Fault) disk.Faults { return disk.Faults{Stale: true} }),
-	"mute-handshake": diskFault(func(settings.Fault) disk.Faults { return disk.Faults{Mute: true} }),
-	"cut":            diskFault(func(settings.Fault) disk.Faults { return disk.Faults{Tear: true} }),
+	"stale-reports":  diskFault(func(settings.Fault) disk.Faults { return disk.Faults{StaleReports: true} }),
+	"mute-handshake": diskFault(func(settings.Fault) disk.Faults { return disk.Faults{NoHandshake: true} }),
+	"cut":            diskFault(func(settings.Fault) disk.Faults { return disk.Faults{Truncate: true} }),
 	"pause":          injectPause,
 	"die":            injectDeath,
 	"silent":         injectSilence,
@@ -57,19 +57,19 @@
 	"surge":           injectSurge,
 	"plan-surge":      injectPlanSurge,
 	"hurry":           injectShortTimeouts,
-	"clients-leave":   func(r *run, f settings.Fault) { r.load.Leave(max(f.Count, 1)) },
+	"clients-leave":   func(r *run, f settings.Fault) { r.load.Disconnect(max(f.Count, 1)) },
 	"gateway-restart": injectGatewayRestart,
 
 	"list-down":      injectEtcdOutage,
 	"list-late":      injectEtcdDelay,
-	"list-cut":       func(r *run, _ settings.Fault) { r.etcd.Break() },
+	"list-cut":       func(r *run, _ settings.Fault) { r.etcd.BreakWatches() },
 	"list-compacted": injectEtcdCompaction,
 	"list-mute":      injectEtcdSilence,
 	"re-register":    injectReRegistration,
 
 	"dns-down":      dnsFault(dns.Faults{Rcode: 2}),
-	"dns-empty":     dnsFault(dns.Faults{Empty: true}, dns.Faults{None: true}),
-	"dns-lies":      dnsFault(dns.Faults{Other: true}, dns.Faults{Malformed: true}, dns.Faults{WrongID: true}),
+	"dns-empty":     dnsFault(dns.Faults{Empty: true}, dns.Faults{NameError: true}),
+	"dns-lies":      dnsFault(dns.Faults{OtherQuestion: true}, dns.Faults{Malformed: true}, dns.Faults{WrongID: true}),
 	"dns-truncated": dnsFault(dns.Faults{Truncate: true}, dns.Faults{Truncate: true, NoTCP: true}),
 	"dns-drain":     injectDNSDrain,
 	"dns-stale":     injectStaleDNS,
@@ -87,8 +87,8 @@
 	return func(r *run, f settings.Fault) {
 		for _, cell := range r.pick(f.Count) {
 			server := r.serverOfCell[cell]
-			server.Apply(faults(f))
-			r.after(f.For.Duration(), func() { server.Apply(disk.Faults{}) })
+			server.SetFaults(faults(f))
+			r.after(f.For.Duration(), func() { server.SetFaults(disk.Faults{}) })
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		for i, faults := range append(slices.Clone(stages), dns.Faults{}) {
 			r.after(f.For.Duration()*time.Duration(i)/time.Duration(len(stages)), func() {
 				for _, server := range r.nameServers {
-					server.Fault(faults)
+					server.SetFaults(faults)
 				}
 			})
 		}
@@ -108,7 +108,7 @@
 
 func injectPause(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.serverOfCell[cell].Freeze(f.For.Duration())
+		r.serverOfCell[cell].Stall(f.For.Duration())
 	}
 }
 
@@ -120,7 +120,7 @@
 
 func injectSilence(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.serverOfCell[cell].Apply(disk.Faults{Silent: true})
+		r.serverOfCell[cell].SetFaults(disk.Faults{Silent: true})
 		r.after(f.For.Duration(), func() { r.restart(cell, listLag) })
 	}
 }
@@ -162,8 +162,8 @@
 }
 
 func injectShortTimeouts(r *run, f settings.Fault) {
-	r.load.Hurry = cmp.Or(f.Times, defaultTimeoutShare)
-	r.after(f.For.Duration(), func() { r.load.Hurry = 0 })
+	r.load.TimeoutFactor = cmp.Or(f.Times, defaultTimeoutShare)
+	r.after(f.For.Duration(), func() { r.load.TimeoutFactor = 0 })
 }
 
 // injectGatewayRestart kills a gateway and starts it again at the same address.
@@ -186,31 +186,31 @@
 }
 
 func injectEtcdOutage(r *run, f settings.Fault) {
-	r.etcd.Down(true)
-	r.after(f.For.Duration(), func() { r.etcd.Down(false) })
+	r.etcd.SetUnavailable(true)
+	r.after(f.For.Duration(), func() { r.etcd.SetUnavailable(false) })
 }
 
 func injectEtcdDelay(r *run, f settings.Fault) {
-	r.etcd.Late(time.Duration(cmp.Or(f.Times, defaultListDelay) * float64(time.Second)))
-	r.after(f.For.Duration(), func() { r.etcd.Late(0) })
+	r.etcd.SetWatchDelay(time.Duration(cmp.Or(f.Times, defaultListDelay) * float64(time.Second)))
+	r.after(f.For.Duration(), func() { r.etcd.SetWatchDelay(0) })
 	r.replace(r.pick(1)[0], f.For.Duration()/2)
 }
 
 // injectEtcdCompaction has etcd miss changes and compact its history before it returns.
 func injectEtcdCompaction(r *run, f settings.Fault) {
-	r.etcd.Down(true)
+	r.etcd.SetUnavailable(true)
 	for _, cell := range r.pick(f.Count) {
 		r.replace(cell, f.For.Duration()/4)
 	}
 	r.after(f.For.Duration(), func() {
-		r.etcd.Forget()
-		r.etcd.Down(false)
+		r.etcd.CompactHistory()
+		r.etcd.SetUnavailable(false)
 	})
 }
 
 func injectEtcdSilence(r *run, f settings.Fault) {
-	r.etcd.Mute(true)
-	r.after(f.For.Duration(), func() { r.etcd.Mute(false) })
+	r.etcd.SetSilent(true)
+	r.after(f.For.Duration(), func() { r.etcd.SetSilent(false) })
 }
 
 func injectReRegistration(r *run, _ settings.Fault) {
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -44,7 +44,7 @@
 	if r.etcd, err = etcd.New(anyPort); err != nil {
 		return err
 	}
-	r.etcd.Told = r.recordEtcdNotice
+	r.etcd.OnNotify = r.recordEtcdNotice
 	for n := range r.script.FaultTest.Gateways {
 		r.gatewaysByNQN[hostNQN(r.script, n)] = n
 		if err := r.startNameServer(n); err != nil {
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	server.Told = r.dnsNoticeRecorder(n)
+	server.OnAnswer = r.dnsNoticeRecorder(n)
 	r.nameServers = append(r.nameServers, server)
 	return nil
 }
@@ -106,14 +106,14 @@
 		Digests:  hasWireFaults(r.script),
 	}
 	if hasWireFaults(r.script) {
-		options.Apart = isBehindFaultyWire
+		options.CountedSeparately = isBehindFaultyWire
 	}
 	for n, g := range r.gateways {
 		options.Targets = append(options.Targets, loadgen.Target{
-			Address:   g.Address(),
-			Subsystem: r.script.Listen.Subsystem,
-			Wire:      r.clientWire(n),
-			Left:      func() { r.log.Left(n) },
+			Address:      g.Address(),
+			Subsystem:    r.script.Listen.Subsystem,
+			OnConnection: r.clientWire(n),
+			BeforeClose:  func() { r.log.Left(n) },
 		})
 	}
 	return options
@@ -124,7 +124,7 @@
 	var server *disk.Server
 	model := r.diskModel
 	model.Tap = r.log.Disk(func() string { return server.Address() }, r.gatewaysByNQN)
-	model.Wire = r.diskWire(func() *disk.Server { return server })
+	model.OnConnection = r.diskWire(func() *disk.Server { return server })
 	server, err := disk.New(r.loop, anyPort, model, r.rng.Int63())
 	if err != nil {
 		return nil, err
@@ -195,13 +195,13 @@
 }
 
 // isSound reports whether a disk server has no fault now.
-func isSound(server *disk.Server) bool { return server.Faults == (disk.Faults{}) && !server.Fell }
+func isSound(server *disk.Server) bool { return server.Faults == (disk.Faults{}) && !server.Overloaded }
 
 // restart ends the disk server of a cell as the death of its process, and starts it again after a time, cold. The
 // endpoint list notices both with a lag; a restart within twice the lag it does not notice.
 func (r *run) restart(cell int, downtime time.Duration) {
 	server := r.serverOfCell[cell]
-	server.Die()
+	server.Kill()
 	server.Faults.Silent = true // not to be picked meanwhile
 	if downtime > 2*listLag {
 		r.after(listLag, func() { r.unlist(server.Address()) })
@@ -226,7 +226,7 @@
 	server.Faults.Draining = true
 	r.list(cell, stateDraining)
 	r.after(notice, func() {
-		server.Die()
+		server.Kill()
 		former := *server
 		replacement, err := r.startDiskServer(cell)
 		if err != nil {
@@ -248,7 +248,7 @@
 		Unit:   int(s.Volumes.Unit),
 		Extent: int64(s.Volumes.Extent),
 		Meter:  &disk.Meter{Period: s.Rules.MeterPeriod.Duration(), Rate: volumeRates(s)},
-		Offer: target.Settings{
+		Target: target.Settings{
 			Subsystem:   s.DiskServers.Subsystem,
 			Serial:      "standin",
 			MaxTransfer: int(s.Limits.Transfer),
@@ -264,10 +264,10 @@
 		},
 	}
 	if slowStart := s.Rules.SlowStart; slowStart != nil {
-		model.ColdFrom = slowStart.From
+		model.ColdCapacity = slowStart.From
 		model.ColdTime = slowStart.Time.Duration()
-		model.Window = slowStart.Window.Duration()
-		model.Multiple = slowStart.Multiple
+		model.OverloadWindow = slowStart.Window.Duration()
+		model.OverloadFactor = slowStart.Multiple
 	}
 	return model
 }
--- a/faulttest/lists.go
+++ b/faulttest/lists.go
@@ -85,7 +85,7 @@
 		records = append(records, record)
 	}
 	for _, server := range r.nameServers {
-		server.Set(recordTTL, records)
+		server.SetRecords(recordTTL, records)
 	}
 }
 
--- a/faulttest/report.go
+++ b/faulttest/report.go
@@ -67,7 +67,7 @@
 		defer close(done)
 		r.reportLoad(report)
 		for _, server := range r.servers {
-			if server.Fell {
+			if server.Overloaded {
 				report.OverloadedServers++
 			}
 		}
@@ -83,14 +83,14 @@
 // reportLoad adds the results of the clients, on the loop.
 func (r *run) reportLoad(report *Report) {
 	var due, earned float64
-	for i, name := range r.load.Names() {
+	for i, name := range r.load.OpTypes() {
 		tally := &r.load.ByType[i]
 		due, earned = due+tally.Due, earned+tally.Earned
 		target := r.script.OpTypes[i].TargetLatency.Duration()
 		report.OpTypes = append(report.OpTypes, reportOpType(name, target, tally))
 	}
 	report.Service = share(earned, due)
-	if behind := r.load.Apart; behind.Due > 0 {
+	if behind := r.load.CountedSeparately; behind.Due > 0 {
 		report.ServiceBehindFaultyWires = behind.Earned / behind.Due
 		report.ServiceOfOthers = (earned - behind.Earned) / (due - behind.Due)
 	}
@@ -100,13 +100,13 @@
 	return OpTypeReport{
 		Name:       name,
 		Ops:        tally.Ops,
-		Attempts:   tally.Tries,
+		Attempts:   tally.Attempts,
 		Succeeded:  tally.Succeeded,
 		InTime:     tally.InTime,
 		Rejected:   tally.Rejected,
 		Failed:     tally.Failed,
 		Lost:       tally.Lost,
-		Mismatches: tally.Wrong,
+		Mismatches: tally.Mismatches,
 		Target:     milliseconds(target),
 		P50:        milliseconds(tally.Quantile(0.5)),
 		P99:        milliseconds(tally.Quantile(0.99)),
