--- a/audit/judge.go
+++ b/audit/judge.go
@@ -122,7 +122,7 @@
 
 // proves tells whether a dispatch is known not to have run.
 func (d *sendRecord) proves() bool {
-	return d.answer.at > 0 && d.answer.status.Code() == nvme.TurnedAway
+	return d.answer.at > 0 && d.answer.status.Code() == nvme.Rejected
 }
 
 // over is when a dispatch had its outcome, at the server's end; 0: never.
--- a/audit/judge_test.go
+++ b/audit/judge_test.go
@@ -84,7 +84,7 @@
 		"sent after the answer": {1, func(r run) { r.send(r.op(0, nvme.Read, 1, 1, 0, 9*ms, 0), "a", 300*ms, 310*ms, 0) }},
 		"once-only, refused unseen, sent anew": {0, func(r run) {
 			o := r.op(0, nvme.Write, 1, 2, 0, 90*ms, 0)
-			r.send(o, "a", 10*ms, 20*ms, nvme.TurnedAway)
+			r.send(o, "a", 10*ms, 20*ms, nvme.Rejected)
 			r.send(o, "a", 30*ms, 40*ms, 0)
 		}},
 		"once-only, failed, sent anew": {2, func(r run) {
--- a/audit/record.go
+++ b/audit/record.go
@@ -233,7 +233,7 @@
 				if p.Type == nvme.TypeCapsuleCmd {
 					if c := w.command(p); c != nil {
 						r := &opRecord{opKey: opKey{c.NSID(), c.SLBA(), c.Opcode()}, gateway: gateway, bytes: c.Blocks() * block,
-							patience: time.Duration(c.Patience()) * time.Millisecond, sent: l.now(), spoiled: spoiled}
+							patience: time.Duration(c.ClientTimeout()) * time.Millisecond, sent: l.now(), spoiled: spoiled}
 						if old := l.ops[r.opKey]; old != nil && spoiled {
 							old.twice = true
 							return
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -104,7 +104,7 @@
 
 func (s *Server) listen() (err error) {
 	if s.server, err = target.Listen(s.loop, s.address, s.m.Offer, s); err == nil {
-		s.address, s.server.Tap, s.server.Wire = s.server.Address(), s.m.Tap, s.m.Wire
+		s.address, s.server.Tap, s.server.OnConnect = s.server.Address(), s.m.Tap, s.m.Wire
 	}
 	return err
 }
@@ -142,7 +142,7 @@
 // Apply makes faults act.
 func (s *Server) Apply(f Faults) {
 	s.Faults = f
-	s.server.DeafAll, s.server.Deaf = f.Silent, f.Mute
+	s.server.DropAllInput, s.server.DropNewInput = f.Silent, f.Mute
 	if f.Mute {
 		s.server.Cut(false)
 	}
@@ -180,7 +180,7 @@
 	}
 	switch {
 	case s.Faults.Draining || len(s.queue) >= s.m.Queue:
-		c.Complete(nvme.TurnedAway, 0, 0, nil)
+		c.Complete(nvme.Rejected, 0, 0, nil)
 		s.server.Release(c.Data)
 	case s.rng.Float64() < s.Faults.Fail:
 		c.Complete(nvme.InternalError, 0, 0, nil)
@@ -308,7 +308,7 @@
 	case s.Faults.Silent || s.rng.Float64() < s.Faults.Lose:
 	case s.Faults.Tear && len(data) > 0:
 		s.Faults.Tear = false
-		c.Tear(data)
+		c.Truncate(data)
 	default:
 		l := s.load
 		l.Used, l.Elsewhere = uint16(used), uint16(min(max(elsewhere, 0), 65535))
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -365,8 +365,8 @@
 			}
 			return 0
 		}},
-		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), Capsule: 8 << 10, Piece: 32 << 10,
-			Depth: 1024, Queues: 8, Handshake: time.Second, Connections: 1024, Unsent: 64 << 20, Held: 256 << 20}}
+		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), MaxCapsule: 8 << 10, MaxDataPDU: 32 << 10,
+			QueueDepth: 1024, MaxQueues: 8, HandshakeTimeout: time.Second, MaxConnections: 1024, MaxUnsent: 64 << 20, MaxBuffered: 256 << 20}}
 	if c := s.Rules.SlowStart; c != nil {
 		m.ColdFrom, m.ColdTime, m.Window, m.Multiple = c.From, c.Time.Duration(), c.Window.Duration(), c.Multiple
 	}
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -19,7 +19,7 @@
 // opTimeout returns how long after its arrival a command must be answered: the client's own timeout or the op type's,
 // whichever is shorter, less the time that the answer needs to reach the client.
 func (g *Instance) opTimeout(command *target.Command) time.Duration {
-	timeout := time.Duration(command.Patience()) * time.Millisecond
+	timeout := time.Duration(command.ClientTimeout()) * time.Millisecond
 	if opType := g.settings.Type(command.Opcode() == nvme.Write, int64(command.Bytes)); opType >= 0 {
 		if limit := g.settings.OpTypes[opType].OpTimeout.Duration(); timeout == 0 || timeout > limit {
 			timeout = limit
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -34,7 +34,7 @@
 		return
 	}
 	d.waiting = append(d.waiting, f)
-	if d.association == nil || d.association.Over() {
+	if d.association == nil || d.association.IsClosed() {
 		d.association = initiator.Dial(d.instance.loop, d.associationSettings(), d)
 	}
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -90,7 +90,7 @@
 	switch status.Code() {
 	case nvme.Success:
 		return honeyplank.Succeeded
-	case nvme.TurnedAway:
+	case nvme.Rejected:
 		return honeyplank.Rejected
 	}
 	return honeyplank.Failed
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -156,10 +156,10 @@
 			MaxBan:          p.MaxBan.Duration(),
 		})
 	}
-	server.Judged = func(peer, reason string, duration time.Duration) {
+	server.OnBan = func(peer, reason string, duration time.Duration) {
 		g.log.Warn().Str("peer", peer).Str("why", reason).Dur("for_ms", duration).Msg("a peer is turned away")
 	}
-	server.Patience = g.opTimeout
+	server.DataTimeout = g.opTimeout
 	return nil
 }
 
@@ -167,21 +167,21 @@
 func (g *Instance) targetSettings() target.Settings {
 	config, limits := g.settings, &g.settings.Limits
 	offer := target.Settings{
-		Subsystem:   config.Listen.Subsystem,
-		Serial:      "HP" + strconv.Itoa(config.Scheduler.Ordinal),
-		MaxTransfer: int(limits.Transfer),
-		Capsule:     int(limits.Capsule),
-		Piece:       int(limits.Piece),
-		Depth:       limits.Depth,
-		Queues:      queuesPerController,
-		Handshake:   limits.Handshake.Duration(),
-		Connections: limits.Connections,
-		Unsent:      int(limits.MaxUnsent),
-		Held:        int(limits.MaxBuffered),
-		Namespaces:  namespaces(config),
+		Subsystem:        config.Listen.Subsystem,
+		Serial:           "HP" + strconv.Itoa(config.Scheduler.Ordinal),
+		MaxTransfer:      int(limits.Transfer),
+		MaxCapsule:       int(limits.Capsule),
+		MaxDataPDU:       int(limits.Piece),
+		QueueDepth:       limits.Depth,
+		MaxQueues:        queuesPerController,
+		HandshakeTimeout: limits.Handshake.Duration(),
+		MaxConnections:   limits.Connections,
+		MaxUnsent:        int(limits.MaxUnsent),
+		MaxBuffered:      int(limits.MaxBuffered),
+		Namespaces:       namespaces(config),
 	}
 	for i, delay := range g.retryDelays {
-		offer.Delays[i] = uint16((delay + retryDelayUnit - 1) / retryDelayUnit)
+		offer.RetryDelays[i] = uint16((delay + retryDelayUnit - 1) / retryDelayUnit)
 	}
 	return offer
 }
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -75,7 +75,7 @@
 		return
 	}
 	g.draining = true
-	g.server.Shut = true
+	g.server.Draining = true
 	g.log.Info().Int("open", g.tracker.Unanswered()).Msg("no more ops are taken")
 	g.onDrained = func() {
 		g.onDrained = nil
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -23,7 +23,7 @@
 		}
 	})
 	server.whenConnected(func(ready bool) {
-		if !ready || !server.association.Page(nvme.LogLoad, nvme.LoadLen, pageRead) {
+		if !ready || !server.association.GetLogPage(nvme.LogLoad, nvme.LoadLen, pageRead) {
 			deliver(honeyplank.ConnectFailed, nvme.Load{})
 		}
 	})
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -21,8 +21,8 @@
 	ConnectTimeout time.Duration // for all of the handshake
 	KeepAlive      time.Duration // 0: none. Silence of this long on the admin queue ends the association
 	Tap            func() func(sent bool, b []byte)
-	// Wire, where set, is handed each new connection, and sets its tap: the faults of a stand-in's wire.
-	Wire func(*eventloop.Conn)
+	// OnConnect, where set, is handed each new connection, and sets its tap: the faults of a stand-in's wire.
+	OnConnect func(*eventloop.Conn)
 }
 
 // Handler hears of an association. It is called on the loop.
@@ -38,8 +38,8 @@
 	IO      *Session
 	Admin   *Session
 	Buffers eventloop.Buffers
-	// Delays are CRDT1 to CRDT3 of the controller, in units of 100 ms.
-	Delays [3]uint16
+	// RetryDelays are CRDT1 to CRDT3 of the controller, in units of 100 ms.
+	RetryDelays [3]uint16
 
 	terms      Settings
 	loop       *eventloop.Loop
@@ -79,8 +79,8 @@
 	if a.conns[n], err = a.loop.Dial(a.terms.Address, &queue{a, n}); err == nil && a.terms.Tap != nil {
 		a.conns[n].Tap = a.terms.Tap()
 	}
-	if err == nil && a.terms.Wire != nil {
-		a.terms.Wire(a.conns[n])
+	if err == nil && a.terms.OnConnect != nil {
+		a.terms.OnConnect(a.conns[n])
 	}
 	return err
 }
@@ -161,13 +161,13 @@
 }
 
 func (a *Association) identify() {
-	a.Inquire(nvme.IdentifyController, 0, a.step("Identify", func(r Result) {
+	a.Identify(nvme.IdentifyController, 0, a.step("Identify", func(r Result) {
 		if len(r.Data) != nvme.IdentifyLen {
 			a.end(errors.New("initiator: Identify brought no data"))
 			return
 		}
 		capsule := max(nvme.CapsuleBytes(r.Data)-64, 0)
-		if a.Delays = nvme.RetryDelays(r.Data); a.Delays != [3]uint16{} {
+		if a.RetryDelays = nvme.RetryDelays(r.Data); a.RetryDelays != [3]uint16{} {
 			a.honour()
 		}
 		if err := a.connect(1); err != nil {
@@ -190,8 +190,8 @@
 	a.Admin.Submit(c, behaviour, 0, CallFunc(func(Result) {}))
 }
 
-// Inquire sends an Identify.
-func (a *Association) Inquire(cns uint8, nsid uint32, call Call) {
+// Identify sends an Identify.
+func (a *Association) Identify(cns uint8, nsid uint32, call Call) {
 	var c nvme.Command
 	c[0] = nvme.AdminIdentify
 	c.SetNSID(nsid)
@@ -199,8 +199,8 @@
 	a.Admin.Submit(c, nil, nvme.IdentifyLen, call)
 }
 
-// Page asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
-func (a *Association) Page(id uint8, n int, call Call) bool {
+// GetLogPage asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
+func (a *Association) GetLogPage(id uint8, n int, call Call) bool {
 	if !a.ready || a.over {
 		return false
 	}
@@ -243,8 +243,8 @@
 // IsReady tells whether commands may be submitted.
 func (a *Association) IsReady() bool { return a.ready && !a.over }
 
-// Over tells whether the association has ended.
-func (a *Association) Over() bool { return a.over }
+// IsClosed tells whether the association has ended.
+func (a *Association) IsClosed() bool { return a.over }
 
 // Close ends the association; commands that are out are told Lost, the handler is not called.
 func (a *Association) Close() { a.shut() }
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Stuck is how many abandoned commands wait for an answer.
-func (s *Session) Stuck() (n int) {
+// Abandoned is how many abandoned commands wait for an answer.
+func (s *Session) Abandoned() (n int) {
 	for i := range s.slots {
 		if s.slots[i].busy && s.slots[i].call == nil {
 			n++
@@ -197,7 +197,7 @@
 	}
 	i := p.Init()
 	if i.Version != 0 || i.Align > 31 || i.Limit < 4096 {
-		return protocolError(nvme.FatalUnsupportedPar, p, "ICResp with PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
+		return protocolError(nvme.FatalUnsupportedParameter, p, "ICResp with PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
 	}
 	s.in.HeaderDigest, s.in.DataDigest = i.HeaderDigest, i.DataDigest
 	s.outF = nvme.Framing{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, Align: i.Align, MaxData: int(i.Limit), FromHost: true}
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -102,7 +102,7 @@
 	if _, err := p.s.Input(append(p.data(id, 0, 4096), p.done(id)...)); err != nil {
 		t.Fatal(err)
 	}
-	if len(first) != 0 || len(rest) != n || p.s.Stuck() != 0 || p.s.Free() != 4 {
+	if len(first) != 0 || len(rest) != n || p.s.Abandoned() != 0 || p.s.Free() != 4 {
 		t.Errorf("the late answer reached somebody, or its id is lost: %d, %d, %d free", len(first), len(rest)-n, p.s.Free())
 	}
 }
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -195,7 +195,7 @@
 	host := fmt.Sprintf("nqn.2026-12.org.honeyplank:client-%d", c.n)
 	c.link = initiator.Dial(c.g.loop, initiator.Settings{Address: c.at.Address, Subsystem: c.at.Subsystem, Host: host, HostID: [16]byte{byte(c.n), 1},
 		Depth: depth, MaxData: int(c.g.o.Settings.Limits.Transfer), ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
-		Wire: func(conn *eventloop.Conn) {
+		OnConnect: func(conn *eventloop.Conn) {
 			if c.at.Wire != nil {
 				c.at.Wire(c.n, conn)
 			}
@@ -334,7 +334,7 @@
 	patience := t.OpTimeout.Duration()
 	if o.g.Hurry > 0 {
 		patience = time.Duration(float64(patience) * o.g.Hurry)
-		c.SetPatience(uint32(patience / time.Millisecond))
+		c.SetClientTimeout(uint32(patience / time.Millisecond))
 	}
 	read := 0
 	if o.opcode == nvme.Read {
--- a/nvme/command.go
+++ b/nvme/command.go
@@ -89,9 +89,9 @@
 	ConnectBusy          Status = 0x181
 	ConnectInvalid       Status = 0x182
 	FeatureNotChangeable Status = 0x10E
-	// TurnedAway is vendor specific (code type 7h): a disk server did not look at the command, its queue is
+	// Rejected is vendor specific (code type 7h): a disk server did not look at the command, its queue is
 	// full or it drains. It proves that the command never ran.
-	TurnedAway Status = 0x7C0
+	Rejected Status = 0x7C0
 	// DoNotRetry is the DNR bit.
 	DoNotRetry Status = 1 << 14
 )
@@ -141,12 +141,12 @@
 // PropertyValue is the value of a Property Set.
 func (c *Command) PropertyValue() uint64 { return binary.LittleEndian.Uint64(c[48:]) }
 
-// Patience is how long a client of ours waits for a Read or Write, in milliseconds; 0: as long as the op type
+// ClientTimeout is how long a client of ours waits for a Read or Write, in milliseconds; 0: as long as the op type
 // says. It travels in command dword 3, which is reserved there: docs/protocol.md.
-func (c *Command) Patience() uint32 { return c.DW(3) }
+func (c *Command) ClientTimeout() uint32 { return c.DW(3) }
 
-// SetPatience sets what Patience tells, in milliseconds.
-func (c *Command) SetPatience(n uint32) { c.SetDW(3, n) }
+// SetClientTimeout sets what Patience tells, in milliseconds.
+func (c *Command) SetClientTimeout(n uint32) { c.SetDW(3, n) }
 
 // SGL descriptor types a host sends over TCP (TCP 3.3.2; Base 4.1.2): data in the capsule, or moved by the
 // transport.
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -150,8 +150,8 @@
 	}
 	l := Load{1, 2, 3, 4}
 	dw0, dw1 := l.Dwords()
-	c := NewCompletion(9, TurnedAway.WithDelay(2), dw0, dw1)
-	if c.Load() != l || c.CID() != 9 || c.Status().Code() != TurnedAway || c.Status().Delay() != 2 {
+	c := NewCompletion(9, Rejected.WithDelay(2), dw0, dw1)
+	if c.Load() != l || c.CID() != 9 || c.Status().Code() != Rejected || c.Status().Delay() != 2 {
 		t.Error("completion")
 	}
 	if CRC32C([]byte("123456789")) != 0xE3069283 { // the check value of CRC-32C
--- a/nvme/pdu.go
+++ b/nvme/pdu.go
@@ -36,12 +36,12 @@
 
 // Fatal error statuses of H2CTermReq and C2HTermReq (TCP 3.6.2.4, 3.6.2.5).
 const (
-	FatalHeaderField    = 1 // Invalid PDU Header Field; FEI is the offset of the field
-	FatalSequence       = 2 // PDU Sequence Error
-	FatalHeaderDigest   = 3 // Header Digest Error; FEI is the digest received
-	FatalDataRange      = 4 // Data Transfer Out of Range
-	FatalTransferLimit  = 5 // Data Transfer Limit Exceeded (R2T Limit Exceeded to a host)
-	FatalUnsupportedPar = 6 // Unsupported Parameter; FEI is the offset of the parameter
+	FatalHeaderField          = 1 // Invalid PDU Header Field; FEI is the offset of the field
+	FatalSequence             = 2 // PDU Sequence Error
+	FatalHeaderDigest         = 3 // Header Digest Error; FEI is the digest received
+	FatalDataRange            = 4 // Data Transfer Out of Range
+	FatalTransferLimit        = 5 // Data Transfer Limit Exceeded (R2T Limit Exceeded to a host)
+	FatalUnsupportedParameter = 6 // Unsupported Parameter; FEI is the offset of the parameter
 )
 
 const (
@@ -53,8 +53,8 @@
 	dataLen   = 24
 	termLen   = 24
 	termData  = 128 // most bytes of the offending header that a TermReq repeats
-	// MostOffset is the largest data offset a header can state (one byte, TCP 3.6.1).
-	MostOffset = 255
+	// MaxDataOffset is the largest data offset a header can state (one byte, TCP 3.6.1).
+	MaxDataOffset = 255
 )
 
 // FatalError is a breach of the transport after which a connection ends with a TermReq.
@@ -182,7 +182,7 @@
 	}
 	most := least
 	if way.data {
-		most = max(least, MostOffset) + max(f.MaxData, termData) + digestLen
+		most = max(least, MaxDataOffset) + max(f.MaxData, termData) + digestLen
 	}
 	if plen < uint32(least) || plen > uint32(most) {
 		return p, 0, fatal(FatalHeaderField, 4, b, "PDU length %d is not within %d and %d", plen, least, most)
@@ -261,7 +261,7 @@
 		dst = binary.LittleEndian.AppendUint32(dst, CRC32C(dst[at:at+hlen]))
 	}
 	if len(data) > 0 {
-		var zero [MostOffset + 1]byte
+		var zero [MaxDataOffset + 1]byte
 		dst = append(dst, zero[:pdo-(len(dst)-at)]...)
 		dst = append(dst, data...)
 		if f.DataDigest {
--- a/target/admin.go
+++ b/target/admin.go
@@ -53,7 +53,7 @@
 	case c.FabricsType() == nvme.FabricsPropertyGet:
 		switch c.PropertyOffset() {
 		case nvme.PropertyCAP: // MQES, CQR, TO of 5 s, NVM command set
-			return nvme.Success, uint32(s.offer.Depth-1) | 1<<16 | 10<<24, 1 << 5
+			return nvme.Success, uint32(s.offer.QueueDepth-1) | 1<<16 | 10<<24, 1 << 5
 		case nvme.PropertyVS:
 			return nvme.Success, nvme.Version, 0
 		case nvme.PropertyCC:
@@ -85,9 +85,9 @@
 	switch cns := uint8(c.DW(10)); cns {
 	case nvme.IdentifyController:
 		k := nvme.Controller{ID: s.control.id, Serial: s.offer.Serial, Model: "honeyplank", Subsystem: s.offer.Subsystem,
-			MaxTransfer: uint8(bits.Len(uint(s.offer.MaxTransfer>>12)) - 1), RetryDelay: s.offer.Delays,
-			Namespaces: uint32(len(s.offer.Namespaces)), MaxCommands: uint16(s.offer.Depth),
-			CapsuleBytes: 64 + s.offer.Capsule, KeepAliveUnits: 1, Discovery: s.control.discovery}
+			MaxTransfer: uint8(bits.Len(uint(s.offer.MaxTransfer>>12)) - 1), RetryDelay: s.offer.RetryDelays,
+			Namespaces: uint32(len(s.offer.Namespaces)), MaxCommands: uint16(s.offer.QueueDepth),
+			CapsuleBytes: 64 + s.offer.MaxCapsule, KeepAliveUnits: 1, Discovery: s.control.discovery}
 		if n := len(s.offer.Namespaces); n > 0 { // NN is the largest id
 			k.Namespaces = s.offer.Namespaces[n-1].ID
 		}
@@ -141,7 +141,7 @@
 
 func (s *Session) feature(c *nvme.Command, in []byte) (nvme.Status, uint32, []byte) {
 	set := c.Opcode() == nvme.AdminSetFeatures
-	queues := uint32(s.offer.Queues-1) | uint32(s.offer.Queues-1)<<16
+	queues := uint32(s.offer.MaxQueues-1) | uint32(s.offer.MaxQueues-1)<<16
 	switch uint8(c.DW(10)) {
 	case nvme.FeatureQueues:
 		return nvme.Success, queues, nil
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -113,7 +113,7 @@
 					t.Fatalf("command id %d was sent %d times and answered %d times", cid, sent[cid], n)
 				}
 			}
-			if held := io.s.buffers.InUse; held > io.s.offer.Held+io.s.offer.MaxTransfer+16*8192 {
+			if held := io.s.buffers.InUse; held > io.s.offer.MaxBuffered+io.s.offer.MaxTransfer+16*8192 {
 				t.Fatalf("%d bytes held", held)
 			}
 		}
--- a/target/model_test.go
+++ b/target/model_test.go
@@ -309,7 +309,7 @@
 					flags = nvme.FlagLast
 				}
 				// One PDU holds a Piece at most: longer data goes in several, each of which is a frame of its own.
-				for piece := io.s.offer.Piece; fr.size > piece && !m.over; {
+				for piece := io.s.offer.MaxDataPDU; fr.size > piece && !m.over; {
 					part := fr
 					part.size, part.last, part.bad = piece, false, false
 					check(t, io, m, part, io.host.AppendData(nil, nvme.TypeH2CData, 0, part.cid, part.tag, part.offset, make([]byte, piece)))
--- a/target/server.go
+++ b/target/server.go
@@ -11,21 +11,21 @@
 type Server struct {
 	// Buffers holds write data; whoever gives some back calls Release.
 	Buffers eventloop.Buffers
-	// Patience is how long the data of a Write is waited for; nil: for ever.
-	Patience func(*Command) time.Duration
+	// DataTimeout is how long the data of a Write is waited for; nil: for ever.
+	DataTimeout func(*Command) time.Duration
 	// Tap, where set, is asked for a tap of each new connection.
 	Tap func() func(sent bool, b []byte)
-	// Wire, where set, is handed each new connection: a stand-in's faults.
-	Wire func(*eventloop.Conn)
-	// Deaf drops what comes on new and, with DeafAll, on all connections: faults of a stand-in.
-	Deaf, DeafAll bool
+	// OnConnect, where set, is handed each new connection: a stand-in's faults.
+	OnConnect func(*eventloop.Conn)
+	// DropNewInput drops what comes on new and, with DropAllInput, on all connections: faults of a stand-in.
+	DropNewInput, DropAllInput bool
 	// Guard, where set, decides what one peer may cost; Judged hears what it took away.
-	Guard  *peerlimit.Guard
-	Judged func(peer, what string, span time.Duration)
-	// Shut turns new connections away.
-	Shut bool
-	// Refused counts connections turned away, Fatal those ended for a breach of the protocol.
-	Refused, Fatal int
+	Guard *peerlimit.Guard
+	OnBan func(peer, what string, span time.Duration)
+	// Draining turns new connections away.
+	Draining bool
+	// Rejected counts connections turned away, Violations those ended for a breach of the protocol.
+	Rejected, Violations int
 
 	offer    Settings
 	handler  Handler
@@ -49,8 +49,8 @@
 
 // Listen starts a server at an address.
 func Listen(l *eventloop.Loop, address string, offer Settings, handler Handler) (*Server, error) {
-	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peerlimit.New(peerlimit.Settings{}), Judged: func(string, string, time.Duration) {}}
-	s.Buffers.MaxKept, s.Buffers.Stats = offer.Held, &l.Stats
+	s := &Server{offer: offer, handler: handler, loop: l, conns: map[*conn]bool{}, Guard: peerlimit.New(peerlimit.Settings{}), OnBan: func(string, string, time.Duration) {}}
+	s.Buffers.MaxKept, s.Buffers.Stats = offer.MaxBuffered, &l.Stats
 	s.subs.byID = map[uint16]*controller{}
 	var err error
 	if s.listener, err = l.Listen(address, s.accept); err != nil {
@@ -110,15 +110,15 @@
 }
 
 func (s *Server) accept(raw *eventloop.Conn) eventloop.Handler {
-	if s.Shut || len(s.conns) >= s.offer.Connections {
-		s.Refused++
+	if s.Draining || len(s.conns) >= s.offer.MaxConnections {
+		s.Rejected++
 		return nil
 	}
 	now := s.loop.Now()
-	c := &conn{Conn: raw, server: s, deaf: s.Deaf, peer: raw.RemoteIP.String()}
+	c := &conn{Conn: raw, server: s, deaf: s.DropNewInput, peer: raw.RemoteIP.String()}
 	if v := s.Guard.Open(now, c.peer); v != peerlimit.Admit {
-		s.Refused++
-		s.Judged(c.peer, v.String(), 0)
+		s.Rejected++
+		s.OnBan(c.peer, v.String(), 0)
 		return nil
 	}
 	c.session = &Session{tear: c.tear, offer: &s.offer, subs: &s.subs, handler: s.handler, buffers: &s.Buffers, out: &raw.Output,
@@ -129,8 +129,8 @@
 		gotten: func(n int) { s.Guard.ReleaseBytes(s.loop.Now(), c.peer, n) }, born: now, heard: now,
 		commands: map[uint16]*Command{}, tags: map[uint16]*Command{}}
 	c.session.in.FromHost = true
-	if s.Wire != nil {
-		s.Wire(raw)
+	if s.OnConnect != nil {
+		s.OnConnect(raw)
 	}
 	if s.Tap != nil {
 		raw.Tap = s.Tap()
@@ -143,7 +143,7 @@
 func (c *conn) Opened(*eventloop.Conn) {}
 
 func (c *conn) Input(_ *eventloop.Conn, b []byte) int {
-	if c.deaf || c.server.DeafAll {
+	if c.deaf || c.server.DropAllInput {
 		return len(b)
 	}
 	now := c.server.loop.Now()
@@ -167,7 +167,7 @@
 // read from it, past the bound its connection ends.
 func (c *conn) flush() {
 	c.Send()
-	switch most := c.server.offer.Unsent; {
+	switch most := c.server.offer.MaxUnsent; {
 	case c.UnsentBytes() > most:
 		c.stop(false)
 	case c.UnsentBytes() > most/2:
@@ -176,7 +176,7 @@
 }
 
 func (c *conn) await(cmd *Command) {
-	if patience := c.server.Patience; patience != nil {
+	if patience := c.server.DataTimeout; patience != nil {
 		c.server.loop.Schedule(cmd.Arrived+patience(cmd), func() { c.session.Expire(cmd) })
 	}
 }
@@ -211,9 +211,9 @@
 	c.session.Ended()
 	c.server.Guard.Close(now, c.peer, c.joined)
 	if c.session.breached {
-		c.server.Fatal++
+		c.server.Violations++
 		if span := c.server.Guard.Violation(now, c.peer); span > 0 {
-			c.server.Judged(c.peer, "shut out", span)
+			c.server.OnBan(c.peer, "shut out", span)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 // watch looks after deadlines: of the handshake, of keep alive, and of data that a client owes.
 func (c *conn) watch() {
 	now := c.server.loop.Now()
-	next := now + c.server.offer.Handshake/4
+	next := now + c.server.offer.HandshakeTimeout/4
 	if d := c.session.Deadline(); d > 0 && now >= d || c.began > 0 && c.server.Guard.PDUOverdue(now, c.began) {
 		c.session.breached = !c.joined || c.began > 0 // a keep alive that stayed out is no breach
 		c.stop(false)
@@ -229,7 +229,7 @@
 	} else if d > 0 {
 		next = min(next, d)
 	}
-	if c.UnsentBytes() < c.server.offer.Unsent/4 {
+	if c.UnsentBytes() < c.server.offer.MaxUnsent/4 {
 		c.Resume()
 	}
 	if c.server.conns[c] {
--- a/target/session.go
+++ b/target/session.go
@@ -22,19 +22,19 @@
 
 // Settings is what the controllers of a subsystem offer, and what one client may cost. All of it is given.
 type Settings struct {
-	Subsystem   string
-	Serial      string
-	Namespaces  []Namespace // by id
-	Delays      [3]uint16   // CRDT1 to CRDT3, in 100 ms
-	MaxTransfer int         // bytes of one Read or Write, a power of two of 4 KiB
-	Capsule     int         // bytes of data in a command capsule
-	Piece       int         // bytes of one data PDU, either way
-	Depth       int         // entries of a queue
-	Queues      int         // I/O queues of a controller
-	Handshake   time.Duration
-	Connections int
-	Unsent      int // bytes that a client may leave unread before its connection ends
-	Held        int // bytes of write data under way in all, past which R2Ts wait
+	Subsystem        string
+	Serial           string
+	Namespaces       []Namespace // by id
+	RetryDelays      [3]uint16   // CRDT1 to CRDT3, in 100 ms
+	MaxTransfer      int         // bytes of one Read or Write, a power of two of 4 KiB
+	MaxCapsule       int         // bytes of data in a command capsule
+	MaxDataPDU       int         // bytes of one data PDU, either way
+	QueueDepth       int         // entries of a queue
+	MaxQueues        int         // I/O queues of a controller
+	HandshakeTimeout time.Duration
+	MaxConnections   int
+	MaxUnsent        int // bytes that a client may leave unread before its connection ends
+	MaxBuffered      int // bytes of write data under way in all, past which R2Ts wait
 }
 
 // Handler acts on what a client wants. It is called on the loop.
@@ -64,8 +64,8 @@
 	counted bool // it counts for its peer
 }
 
-// Tear answers a Read by half of its PDU and a broken connection: a fault of a stand-in.
-func (c *Command) Tear(data []byte) {
+// Truncate answers a Read by half of its PDU and a broken connection: a fault of a stand-in.
+func (c *Command) Truncate(data []byte) {
 	if c.state == taken {
 		c.session.answer(c.CID(), nvme.Success, 0, 0, data)
 		c.session.tear()
@@ -215,14 +215,14 @@
 func (s *Session) initialize(p *nvme.PDU) error {
 	i := p.Init()
 	if i.Version != 0 {
-		return &nvme.FatalError{Status: nvme.FatalUnsupportedPar, Info: 8, Text: "PFV is not 0", Header: append([]byte(nil), p.Header...)}
+		return &nvme.FatalError{Status: nvme.FatalUnsupportedParameter, Info: 8, Text: "PFV is not 0", Header: append([]byte(nil), p.Header...)}
 	}
 	if i.Align > 31 {
 		return &nvme.FatalError{Status: nvme.FatalHeaderField, Info: 10, Text: "HPDA is over 31", Header: append([]byte(nil), p.Header...)}
 	}
-	s.in = nvme.Framing{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, MaxData: max(s.offer.Piece, s.offer.Capsule, nvme.ConnectLen), FromHost: true}
-	s.outF = nvme.Framing{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, Align: i.Align, MaxData: s.offer.Piece}
-	*s.out = nvme.AppendInit(*s.out, nvme.TypeICResp, nvme.Init{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, Limit: uint32(s.offer.Piece)})
+	s.in = nvme.Framing{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, MaxData: max(s.offer.MaxDataPDU, s.offer.MaxCapsule, nvme.ConnectLen), FromHost: true}
+	s.outF = nvme.Framing{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, Align: i.Align, MaxData: s.offer.MaxDataPDU}
+	*s.out = nvme.AppendInit(*s.out, nvme.TypeICResp, nvme.Init{HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, Limit: uint32(s.offer.MaxDataPDU)})
 	s.phase = phaseConnect
 	return nil
 }
@@ -270,8 +270,8 @@
 	}
 	s.buffers.Copied(len(data))
 	short := s.noFlow && dw0 == 0 && dw1 == 0 && status == nvme.Success && len(data) > 0
-	for at := 0; at < len(data); at += s.offer.Piece {
-		piece := data[at:min(at+s.offer.Piece, len(data))]
+	for at := 0; at < len(data); at += s.offer.MaxDataPDU {
+		piece := data[at:min(at+s.offer.MaxDataPDU, len(data))]
 		flags := uint8(0)
 		if at+len(piece) == len(data) {
 			flags = nvme.FlagLast
@@ -298,7 +298,7 @@
 		return nvme.ConnectFormat | nvme.DoNotRetry, 0
 	}
 	qid, size := uint16(c.DW(10)>>16), int(c.DW(11)&0xFFFF)+1
-	if size < 2 || size > s.offer.Depth {
+	if size < 2 || size > s.offer.QueueDepth {
 		return nvme.ConnectInvalid | nvme.DoNotRetry, 44 // IPO: offset of SQSIZE in the command
 	}
 	hostID, cntlid, subsystem, host := nvme.ConnectData(data)
@@ -321,7 +321,7 @@
 		if k == nil || k.host != host || k.hostID != hostID || k.discovery != discovery {
 			return nvme.ConnectInvalid | nvme.DoNotRetry, 1<<16 | 16
 		}
-		if k.config&1 == 0 || k.discovery || int(qid) > s.offer.Queues || k.queues[qid] != nil {
+		if k.config&1 == 0 || k.discovery || int(qid) > s.offer.MaxQueues || k.queues[qid] != nil {
 			return nvme.ConnectInvalid | nvme.DoNotRetry, 42 // IPO: QID
 		}
 		s.control = k
@@ -434,7 +434,7 @@
 		switch {
 		case c.state != receiving || s.phase == phaseEnded:
 			continue
-		case buffers.InUse > 0 && buffers.InUse+c.Bytes > o.Held:
+		case buffers.InUse > 0 && buffers.InUse+c.Bytes > o.MaxBuffered:
 			a.waiting = append(a.waiting, waiting[i:]...)
 			return
 		case !s.ask(c.Bytes):
@@ -582,7 +582,7 @@
 func (s *Session) Deadline() time.Duration {
 	switch {
 	case s.phase < phaseLive:
-		return s.born + s.offer.Handshake
+		return s.born + s.offer.HandshakeTimeout
 	case s.qid == 0 && s.control.keepAlive > 0:
 		return s.heard + s.control.keepAlive
 	}
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -28,7 +28,7 @@
 
 func offer() *Settings {
 	return &Settings{Subsystem: "nqn.2026-12.org.honeyplank:t", Namespaces: []Namespace{{ID: 1, Blocks: 1000, Shift: 12}, {ID: 5, Blocks: 10, Shift: 9}},
-		MaxTransfer: 128 << 10, Capsule: 8 << 10, Piece: 16 << 10, Depth: 32, Queues: 4, Handshake: time.Second, Held: 1 << 20, Unsent: 1 << 20}
+		MaxTransfer: 128 << 10, MaxCapsule: 8 << 10, MaxDataPDU: 16 << 10, QueueDepth: 32, MaxQueues: 4, HandshakeTimeout: time.Second, MaxBuffered: 1 << 20, MaxUnsent: 1 << 20}
 }
 
 func newBench(t *testing.T, o *Settings, subs *associations) *bench {
