--- a/audit/judge.go
+++ b/audit/judge.go
@@ -62,7 +62,7 @@
 }
 
 func (r *opRecord) opType(s *settings.Gateway) *settings.OpType {
-	if t := s.Type(r.opcode == nvme.Write, int64(r.bytes)); t >= 0 {
+	if t := s.OpTypeIndex(r.opcode == nvme.Write, int64(r.bytes)); t >= 0 {
 		return &s.OpTypes[t]
 	}
 	return nil
@@ -171,7 +171,7 @@
 }
 
 func (l *Log) drains(s *settings.Gateway, v *Verdict) {
-	grace := s.Rules.DrainGrace.Duration()
+	grace := s.Policy.DrainGrace.Duration()
 	told := map[string][]toldRecord{}
 	for _, t := range l.told {
 		told[fmt.Sprint(t.gateway, " ", t.server)] = append(told[fmt.Sprint(t.gateway, " ", t.server)], t)
@@ -210,7 +210,7 @@
 }
 
 func (l *Log) cold(s *settings.Gateway, v *Verdict) {
-	c := s.Rules.SlowStart
+	c := s.Policy.SlowStart
 	if c == nil {
 		return
 	}
@@ -291,7 +291,7 @@
 					v.breach("%v was dispatched while %v of the same key was out", d.op, e.op)
 				}
 				// A key rests after a dispatch that may be running still.
-				if ended := e.given(); ended > 0 && d.at < ended+s.Rules.OrderSettle.Duration()-slack && d.at > ended {
+				if ended := e.given(); ended > 0 && d.at < ended+s.Policy.OrderSettle.Duration()-slack && d.at > ended {
 					v.breach("%v was dispatched %v after a dispatch of the same key ended without an answer", d.op, d.at-ended)
 				}
 				// An op that its client sent clearly earlier, and that was not over, must not come after.
@@ -323,7 +323,7 @@
 }
 
 func (l *Log) budget(s *settings.Gateway, v *Verdict) {
-	b := s.Rules.RetryBudget
+	b := s.Policy.RetryBudget
 	if b == nil {
 		return
 	}
@@ -361,7 +361,7 @@
 func (l *Log) limits(s *settings.Gateway, v *Verdict) {
 	plans := map[uint32]*settings.Plan{}
 	for _, x := range s.Volumes.List {
-		plans[x.NSID] = &s.Plans.List[s.Plan(x.Plan)]
+		plans[x.NSID] = &s.Plans.List[s.PlanIndex(x.Plan)]
 	}
 	firsts := map[uint32][]*sendRecord{}
 	for _, r := range l.order {
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -104,11 +104,11 @@
 		}
 		r.servers = append(r.servers, d)
 		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
-		registry.Set(s.List.Prefix+d.Address(), value)
+		registry.Set(s.EndpointList.Prefix+d.Address(), value)
 	}
 	own := *s
 	own.FaultTest = nil
-	own.List.Etcd[0].Endpoint = registry.Address()
+	own.EndpointList.Etcd[0].Endpoint = registry.Address()
 	if g, err = gateway.New(gateway.Options{Settings: &own, Seed: 1, Log: zerolog.Nop()}); err != nil {
 		return nil, nil, nil, err
 	}
@@ -201,7 +201,7 @@
 	r.clients.Post(func() {
 		for _, a := range addresses {
 			d.links = append(d.links, initiator.Dial(r.clients, initiator.Settings{Address: a, Subsystem: subsystem, Host: "nqn.2026-12.org.honeyplank:bench",
-				Depth: 120, MaxData: int(r.script.Limits.Transfer), ConnectTimeout: 2 * time.Second}, d))
+				Depth: 120, MaxData: int(r.script.Limits.MaxTransfer), ConnectTimeout: 2 * time.Second}, d))
 		}
 	})
 	for range addresses {
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -69,8 +69,8 @@
 // sixteen loopback addresses.
 func Hostile(connections int, seconds float64) (*Hostility, error) {
 	r, g, fall, err := raise(func(s *settings.Gateway) {
-		s.Limits.Connections = 4 * connections
-		s.Limits.Peer = &settings.Peer{Connections: 64, Handshakes: 16, Bytes: 1 << 20, PDUTimeout: settings.Span(500 * time.Millisecond), BanThreshold: 5,
+		s.Limits.MaxConnections = 4 * connections
+		s.Limits.Client = &settings.ClientLimits{MaxConnections: 64, MaxHandshakes: 16, MaxBufferedBytes: 1 << 20, PDUTimeout: settings.Span(500 * time.Millisecond), BanThreshold: 5,
 			ViolationWindow: settings.Span(5 * time.Second), InitialBan: settings.Span(time.Second), MaxBan: settings.Span(10 * time.Second)}
 	})
 	if err != nil {
--- a/bench/sources.go
+++ b/bench/sources.go
@@ -94,7 +94,7 @@
 	defer registry.Close()
 	key := func(i int) (string, honeyplank.ServerID) {
 		id := fmt.Sprintf("127.%d.%d.%d:7000", 1+i>>16, i>>8&255, i&255)
-		return s.List.Prefix + id, honeyplank.ServerID(id)
+		return s.EndpointList.Prefix + id, honeyplank.ServerID(id)
 	}
 	value := func(i int, state string) []byte {
 		b, _ := json.Marshal(discovery.Record{State: state, Size: 1, Cell: i})
@@ -107,8 +107,8 @@
 	}
 	registry.Apply(all)
 	s.FaultTest = nil
-	s.List.Etcd[0].Endpoint = registry.Address()
-	s.List.WatchWithin = settings.Span(2 * time.Second)
+	s.EndpointList.Etcd[0].Endpoint = registry.Address()
+	s.EndpointList.WatchWithin = settings.Span(2 * time.Second)
 	e := &ear{heard: map[honeyplank.ServerID]honeyplank.MemberState{}, wait: map[honeyplank.ServerID]waited{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
 	before := heap()
 	g, err := gateway.New(gateway.Options{Settings: s, Seed: 1, Log: zerolog.Nop(), Module: func(seed int64, v *honeyplank.Settings) honeyplank.DecisionModule {
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -131,7 +131,7 @@
 	}
 	defer registry.Close()
 	model := faulttest.Model(script)
-	model.Spread, model.Pause, model.PauseEvery, model.PutOffEvery, model.UnitTime = 0, 0, 0, 0, settings.Span(time.Millisecond)
+	model.ServiceTimeSpread, model.Pause, model.PauseEvery, model.DeferredWorkEvery, model.UnitServiceTime = 0, 0, 0, 0, settings.Span(time.Millisecond)
 	for cell, faults := range map[int]disk.Faults{0: {}, 1: {Fail: 1}, 4: {Draining: true}} {
 		d, err := disk.New(l, "127.0.0.1:0", model, 1)
 		if err != nil {
@@ -139,7 +139,7 @@
 		}
 		d.Apply(faults)
 		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
-		registry.Set(script.List.Prefix+d.Address(), value)
+		registry.Set(script.EndpointList.Prefix+d.Address(), value)
 	}
 	ended := make(chan struct{})
 	go func() { l.Run(); close(ended) }()
@@ -147,7 +147,7 @@
 
 	own := *script
 	own.FaultTest = nil
-	own.List.Etcd[0].Endpoint = registry.Address()
+	own.EndpointList.Etcd[0].Endpoint = registry.Address()
 	var addresses []string
 	for n := range 2 {
 		s := own
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -17,7 +17,7 @@
 
 // Model is what a stand-in is like.
 type Model struct {
-	settings.Fleet
+	settings.FakeServers
 	Block    int
 	Unit     int
 	Extent   int64
@@ -90,11 +90,11 @@
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	s.every(m.PutOffEvery.Duration(), func() {
+	s.every(m.DeferredWorkEvery.Duration(), func() {
 		s.frozen, s.debt = max(s.frozen, l.Now()+s.debt), 0
 	})
 	s.every(m.PauseEvery.Duration(), func() { s.frozen = max(s.frozen, l.Now()+m.Pause.Duration()) })
-	s.every(m.ReportsEvery.Duration(), func() {
+	s.every(m.ReportInterval.Duration(), func() {
 		if !s.Faults.Stale {
 			s.report()
 		}
@@ -151,7 +151,7 @@
 
 // CapacityAt is what it can do so long after a start, in units a second.
 func (s *Server) CapacityAt(age time.Duration) float64 {
-	return float64(s.m.Cores) / s.m.UnitTime.Duration().Seconds() * s.part(age)
+	return float64(s.m.Cores) / s.m.UnitServiceTime.Duration().Seconds() * s.part(age)
 }
 
 // part is how much of its capacity it has so long after a start.
@@ -179,7 +179,7 @@
 		return
 	}
 	switch {
-	case s.Faults.Draining || len(s.queue) >= s.m.Queue:
+	case s.Faults.Draining || len(s.queue) >= s.m.QueueLimit:
 		c.Complete(nvme.Rejected, 0, 0, nil)
 		s.server.Release(c.Data)
 	case s.rng.Float64() < s.Faults.Fail:
@@ -251,20 +251,20 @@
 
 // cost is how long an op takes to serve.
 func (s *Server) cost(c *target.Command) time.Duration {
-	full := float64(s.m.UnitTime.Duration()) * s.units(c) * (1 + s.m.Spread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
+	full := float64(s.m.UnitServiceTime.Duration()) * s.units(c) * (1 + s.m.ServiceTimeSpread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
 	if s.Faults.Slow > 0 {
 		full *= s.Faults.Slow
 	}
 	extent := uint64(c.NSID())<<40 | uint64(int64(c.SLBA())*int64(s.m.Block)/s.m.Extent)
 	if i := slices.Index(s.near, extent); i >= 0 {
-		full *= 1 - s.m.NearSaves
+		full *= 1 - s.m.CacheSaving
 		s.near = slices.Delete(s.near, i, i+1)
 	}
 	s.near = slices.Insert(s.near, 0, extent)
-	s.near = s.near[:min(len(s.near), s.m.Near)]
+	s.near = s.near[:min(len(s.near), s.m.CachedExtents)]
 	if c.Opcode() == nvme.Write {
-		s.debt += time.Duration(full * s.m.PutOff)
-		full *= 1 - s.m.PutOff
+		s.debt += time.Duration(full * s.m.DeferredShare)
+		full *= 1 - s.m.DeferredShare
 	}
 	return time.Duration(full)
 }
@@ -272,7 +272,7 @@
 // finish carries an op out and answers it.
 func (s *Server) finish(c *target.Command, took time.Duration) {
 	s.recent += (took.Seconds() - s.recent) / 8
-	if s.m.ReportsEvery == 0 {
+	if s.m.ReportInterval == 0 {
 		s.report()
 	}
 	var data []byte
--- a/fake/disk/disk_test.go
+++ b/fake/disk/disk_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	defer func() { l.Stop(); l.Run() }()
-	m := Model{Fleet: settings.Fleet{Cores: 2, Queue: 9, UnitTime: settings.Span(10 * time.Millisecond)}, ColdFrom: 0.25, ColdTime: 4 * time.Second}
+	m := Model{FakeServers: settings.FakeServers{Cores: 2, QueueLimit: 9, UnitServiceTime: settings.Span(10 * time.Millisecond)}, ColdFrom: 0.25, ColdTime: 4 * time.Second}
 	d, err := New(l, "127.0.0.1:0", m, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/faulttest/baseline.go
+++ b/faulttest/baseline.go
@@ -59,16 +59,16 @@
 	"silent":          {{Kind: "silent", Count: 1}},
 	"many-back-cold":  {{Kind: "die", Count: 3}},
 	"short-notice":    {{Kind: "drain", Count: 2}},
-	"answers-lost":    {{Kind: "lose-answers", Count: 4, Times: 0.3}},
-	"hurry":           {{Kind: "hurry", Times: 0.2}},
+	"answers-lost":    {{Kind: "lose-answers", Count: 4, Factor: 0.3}},
+	"hurry":           {{Kind: "hurry", Factor: 0.2}},
 	"release":         {{Kind: "replace", Count: 3}},
-	"fails-fast":      {{Kind: "fail", Count: 1, Times: 0.7}},
-	"slow":            {{Kind: "slow", Count: 1, Times: 6}},
+	"fails-fast":      {{Kind: "fail", Count: 1, Factor: 0.7}},
+	"slow":            {{Kind: "slow", Count: 1, Factor: 6}},
 	"pauses":          {{Kind: "pause", Count: 3}},
-	"surge":           {{Kind: "surge", Count: 2, Times: 8}},
-	"overload":        {{Kind: "surge", Count: 1000, Times: 6}}, // with the built-in fleet: twice its capacity
-	"plan-surge":      {{Kind: "plan-surge", Plan: "standard", Times: 4}},
-	"list-stale":      {{Kind: "list-late", Times: 2}},
+	"surge":           {{Kind: "surge", Count: 2, Factor: 8}},
+	"overload":        {{Kind: "surge", Count: 1000, Factor: 6}}, // with the built-in fleet: twice its capacity
+	"plan-surge":      {{Kind: "plan-surge", Plan: "standard", Factor: 4}},
+	"list-stale":      {{Kind: "list-late", Factor: 2}},
 	"list-down":       {{Kind: "list-down"}, {Kind: "die", Count: 1}},
 	"reports-late":    {{Kind: "stale-reports", Count: 6}},
 	"gateway-restart": {{Kind: "gateway-restart"}},
@@ -100,7 +100,7 @@
 // Troubles makes a script for one kind of trouble on the fleet and traffic of a script, or for all.
 func Troubles(script *settings.Gateway, name string) (map[string]*settings.Gateway, []string, error) {
 	all := maps.Clone(single)
-	if script.List.DNS != nil {
+	if script.EndpointList.DNS != nil {
 		maps.Copy(all, names)
 	}
 	list := slices.Sorted(maps.Keys(all))
@@ -113,10 +113,10 @@
 	out := map[string]*settings.Gateway{}
 	for _, n := range list {
 		s, r := *script, *script.FaultTest
-		s.FaultTest, r.Length, r.Faults = &r, settings.Span(9*time.Second), nil
+		s.FaultTest, r.Duration, r.Faults = &r, settings.Span(9*time.Second), nil
 		for _, t := range all[n] {
-			t.At, t.For = settings.Span(2*time.Second), settings.Span(2500*time.Millisecond)
-			if t.Plan != "" && s.Plan(t.Plan) < 0 {
+			t.Start, t.Duration = settings.Span(2*time.Second), settings.Span(2500*time.Millisecond)
+			if t.Plan != "" && s.PlanIndex(t.Plan) < 0 {
 				t.Plan = ""
 			}
 			r.Faults = append(r.Faults, t)
--- a/faulttest/rehearse.go
+++ b/faulttest/rehearse.go
@@ -154,7 +154,7 @@
 	r := o.Script.FaultTest
 	finished := make(chan struct{})
 	l.Post(st.begin)
-	l.Schedule(l.Now()+r.Length.Duration()+settle, func() { st.load.Stop(func() { close(finished) }) })
+	l.Schedule(l.Now()+r.Duration.Duration()+settle, func() { st.load.Stop(func() { close(finished) }) })
 	looped := make(chan error, 1)
 	go func() { looped <- l.Run() }()
 	looking := make(chan struct{})
@@ -186,7 +186,7 @@
 
 // look asks the gateways now and then what they believe, where there are two sources.
 func (st *stage) look(finished chan struct{}) {
-	for st.script.List.DNS != nil && !st.cut.Load() {
+	for st.script.EndpointList.DNS != nil && !st.cut.Load() {
 		select {
 		case <-finished:
 			return
@@ -223,7 +223,7 @@
 	if st.etcd, err = etcd.New("127.0.0.1:0"); err != nil {
 		return err
 	}
-	prefix := s.List.Prefix
+	prefix := s.EndpointList.Prefix
 	st.etcd.Told = func(agent, key string, value []byte) {
 		st.mu.Lock()
 		n, known := st.agents[agent]
@@ -243,8 +243,8 @@
 	}
 	for n := range s.FaultTest.Gateways {
 		st.agents[hostNQN(s, n)] = n
-		if s.List.DNS != nil {
-			d, err := dns.New(s.List.DNS.Name)
+		if s.EndpointList.DNS != nil {
+			d, err := dns.New(s.EndpointList.DNS.Name)
 			if err != nil {
 				return err
 			}
@@ -309,7 +309,7 @@
 				lost++
 			}
 		}
-		if float64(lost) > st.script.List.SourceTrust.MaxRemovedShare*float64(len(before)) {
+		if float64(lost) > st.script.EndpointList.SourceTrust.MaxRemovedShare*float64(len(before)) {
 			return // doubted; what was held stays held
 		}
 		for address := range before {
@@ -349,25 +349,25 @@
 
 // remove takes a server out of the list.
 func (st *stage) remove(address string) {
-	st.etcd.Delete(st.script.List.Prefix + address)
+	st.etcd.Delete(st.script.EndpointList.Prefix + address)
 	delete(st.records, address)
 	st.publish()
 }
 
 // Model is what the stand-in disk servers of a script are like.
 func Model(s *settings.Gateway) disk.Model {
-	m := disk.Model{Fleet: s.FaultTest.Fleet, Block: int(s.Volumes.Block), Unit: int(s.Volumes.Unit), Extent: int64(s.Volumes.Extent),
-		Meter: &disk.Meter{Period: s.Rules.MeterPeriod.Duration(), Rate: func(nsid uint32) float64 {
+	m := disk.Model{FakeServers: s.FaultTest.FakeServers, Block: int(s.Volumes.Block), Unit: int(s.Volumes.Unit), Extent: int64(s.Volumes.Extent),
+		Meter: &disk.Meter{Period: s.Policy.UsagePeriod.Duration(), Rate: func(nsid uint32) float64 {
 			for _, v := range s.Volumes.List {
 				if v.NSID == nsid {
-					return s.Plans.List[s.Plan(v.Plan)].Rate
+					return s.Plans.List[s.PlanIndex(v.Plan)].Rate
 				}
 			}
 			return 0
 		}},
-		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.Transfer), MaxCapsule: 8 << 10, MaxDataPDU: 32 << 10,
+		Offer: target.Settings{Subsystem: s.DiskServers.Subsystem, Serial: "standin", MaxTransfer: int(s.Limits.MaxTransfer), MaxCapsule: 8 << 10, MaxDataPDU: 32 << 10,
 			QueueDepth: 1024, MaxQueues: 8, HandshakeTimeout: time.Second, MaxConnections: 1024, MaxUnsent: 64 << 20, MaxBuffered: 256 << 20}}
-	if c := s.Rules.SlowStart; c != nil {
+	if c := s.Policy.SlowStart; c != nil {
 		m.ColdFrom, m.ColdTime, m.Window, m.Multiple = c.From, c.Time.Duration(), c.Window.Duration(), c.Multiple
 	}
 	shift := uint8(0)
@@ -407,7 +407,7 @@
 		r.StartedMS = st.loop.WallTime(d.Started).UnixMilli()
 	}
 	value, _ := json.Marshal(r)
-	st.etcd.Set(st.script.List.Prefix+d.Address(), value)
+	st.etcd.Set(st.script.EndpointList.Prefix+d.Address(), value)
 	weight := uint16(1)
 	if state != "on" {
 		weight = 0
@@ -419,15 +419,15 @@
 func (st *stage) gateway(n int, address string) error {
 	s := *st.script
 	s.DiskServers.Digests = s.DiskServers.Digests || wired(st.script)
-	s.FaultTest, s.Scheduler.Ordinal, s.Scheduler.Hosts = nil, n, s.FaultTest.Gateways
+	s.FaultTest, s.Scheduler.Ordinal, s.Scheduler.Instances = nil, n, s.FaultTest.Gateways
 	s.Listen.Address, s.Listen.Host = address, hostNQN(st.script, n)
-	s.List.Etcd = slices.Clone(s.List.Etcd[:1])
-	s.List.Etcd[0].Endpoint = st.etcd.Address()
-	if s.List.DNS != nil {
-		own := *s.List.DNS
+	s.EndpointList.Etcd = slices.Clone(s.EndpointList.Etcd[:1])
+	s.EndpointList.Etcd[0].Endpoint = st.etcd.Address()
+	if s.EndpointList.DNS != nil {
+		own := *s.EndpointList.DNS
 		own.Servers = slices.Clone(own.Servers[:1])
 		own.Servers[0].Address = st.names[n].Address()
-		s.List.DNS = &own
+		s.EndpointList.DNS = &own
 	}
 	g, err := gateway.New(gateway.Options{Settings: &s, Seed: st.o.Seed + int64(n), Module: st.o.Module, Log: st.o.Log.With().Int("gateway", n).Logger()})
 	if err != nil {
@@ -444,8 +444,8 @@
 
 func (st *stage) begin() {
 	for _, t := range st.script.FaultTest.Faults {
-		st.after(settle+t.At.Duration(), func() {
-			st.o.Log.Info().Str("kind", t.Kind).Dur("for_ms", t.For.Duration()).Msg("trouble")
+		st.after(settle+t.Start.Duration(), func() {
+			st.o.Log.Info().Str("kind", t.Kind).Dur("for_ms", t.Duration.Duration()).Msg("trouble")
 			troubles[t.Kind](st, t)
 		})
 	}
@@ -471,7 +471,7 @@
 		for _, cell := range st.pick(t.Count) {
 			d := st.cells[cell]
 			d.Apply(make(t))
-			st.after(t.For.Duration(), func() { d.Apply(disk.Faults{}) })
+			st.after(t.Duration.Duration(), func() { d.Apply(disk.Faults{}) })
 		}
 	}
 }
@@ -520,38 +520,38 @@
 
 // troubles are what can go wrong, by their names in a script.
 var troubles = map[string]func(*stage, settings.Fault){
-	"slow":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Slow: or(t.Times, 5)} }),
-	"fail":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Fail: or(t.Times, 0.6)} }),
-	"lose-answers":   afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Lose: or(t.Times, 0.3)} }),
+	"slow":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Slow: or(t.Factor, 5)} }),
+	"fail":           afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Fail: or(t.Factor, 0.6)} }),
+	"lose-answers":   afflict(func(t settings.Fault) disk.Faults { return disk.Faults{Lose: or(t.Factor, 0.3)} }),
 	"stale-reports":  afflict(func(settings.Fault) disk.Faults { return disk.Faults{Stale: true} }),
 	"mute-handshake": afflict(func(settings.Fault) disk.Faults { return disk.Faults{Mute: true} }),
 	"cut":            afflict(func(settings.Fault) disk.Faults { return disk.Faults{Tear: true} }),
 	"pause": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.cells[cell].Freeze(t.For.Duration())
+			st.cells[cell].Freeze(t.Duration.Duration())
 		}
 	},
 	"die": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.restart(cell, t.For.Duration())
+			st.restart(cell, t.Duration.Duration())
 		}
 	},
 	"silent": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			d := st.cells[cell]
 			d.Apply(disk.Faults{Silent: true})
-			st.after(t.For.Duration(), func() { st.restart(cell, listLag) })
+			st.after(t.Duration.Duration(), func() { st.restart(cell, listLag) })
 		}
 	},
 	"drain": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
-			st.replace(cell, t.For.Duration())
+			st.replace(cell, t.Duration.Duration())
 		}
 	},
 	"replace": func(st *stage, t settings.Fault) {
 		cells := st.pick(max(t.Count, 3))
 		for i, cell := range cells {
-			st.after(t.For.Duration()*time.Duration(i)/time.Duration(len(cells)), func() { st.replace(cell, t.For.Duration()/time.Duration(len(cells))) })
+			st.after(t.Duration.Duration()*time.Duration(i)/time.Duration(len(cells)), func() { st.replace(cell, t.Duration.Duration()/time.Duration(len(cells))) })
 		}
 	},
 	"surge": func(st *stage, t settings.Fault) {
@@ -568,17 +568,17 @@
 		}
 	},
 	"hurry": func(st *stage, t settings.Fault) {
-		st.load.Hurry = or(t.Times, 0.25)
-		st.after(t.For.Duration(), func() { st.load.Hurry = 0 })
+		st.load.Hurry = or(t.Factor, 0.25)
+		st.after(t.Duration.Duration(), func() { st.load.Hurry = 0 })
 	},
 	"list-down": func(st *stage, t settings.Fault) {
 		st.etcd.Down(true)
-		st.after(t.For.Duration(), func() { st.etcd.Down(false) })
+		st.after(t.Duration.Duration(), func() { st.etcd.Down(false) })
 	},
 	"list-late": func(st *stage, t settings.Fault) {
-		st.etcd.Late(time.Duration(or(t.Times, 2) * float64(time.Second)))
-		st.after(t.For.Duration(), func() { st.etcd.Late(0) })
-		st.replace(st.pick(1)[0], t.For.Duration()/2)
+		st.etcd.Late(time.Duration(or(t.Factor, 2) * float64(time.Second)))
+		st.after(t.Duration.Duration(), func() { st.etcd.Late(0) })
+		st.replace(st.pick(1)[0], t.Duration.Duration()/2)
 	},
 	"gateway-restart": func(st *stage, t settings.Fault) {
 		n := st.rng.Intn(len(st.gateways))
@@ -589,7 +589,7 @@
 			g.Kill()
 			st.loop.Post(func() {
 				st.log.Killed(n)
-				st.after(t.For.Duration(), func() {
+				st.after(t.Duration.Duration(), func() {
 					if err := st.gateway(n, address); err != nil {
 						st.failed = err
 					}
@@ -601,13 +601,13 @@
 	"list-compacted": func(st *stage, t settings.Fault) {
 		st.etcd.Down(true)
 		for _, cell := range st.pick(t.Count) {
-			st.replace(cell, t.For.Duration()/4)
+			st.replace(cell, t.Duration.Duration()/4)
 		}
-		st.after(t.For.Duration(), func() { st.etcd.Forget(); st.etcd.Down(false) })
+		st.after(t.Duration.Duration(), func() { st.etcd.Forget(); st.etcd.Down(false) })
 	},
 	"list-mute": func(st *stage, t settings.Fault) {
 		st.etcd.Mute(true)
-		st.after(t.For.Duration(), func() { st.etcd.Mute(false) })
+		st.after(t.Duration.Duration(), func() { st.etcd.Mute(false) })
 	},
 	"re-register": func(st *stage, _ settings.Fault) {
 		for cell, d := range st.cells {
@@ -623,15 +623,15 @@
 	"dns-drain": func(st *stage, t settings.Fault) {
 		for _, cell := range st.pick(t.Count) {
 			st.register(cell, 0)
-			st.after(t.For.Duration(), func() { st.register(cell, 1) })
+			st.after(t.Duration.Duration(), func() { st.register(cell, 1) })
 		}
 	},
 	"dns-stale": func(st *stage, t settings.Fault) {
 		st.still = true
 		for _, cell := range st.pick(t.Count) {
-			st.replace(cell, t.For.Duration()/2)
+			st.replace(cell, t.Duration.Duration()/2)
 		}
-		st.after(t.For.Duration(), func() { st.still = false; st.publish() })
+		st.after(t.Duration.Duration(), func() { st.still = false; st.publish() })
 	},
 	"wire-flip": wire("wire-flip"), "wire-drop": wire("wire-drop"), "wire-delay": wire("wire-delay"),
 	"wire-cut": wire("wire-cut"), "wire-repeat": wire("wire-repeat"), "wire-lie": wire("wire-lie"),
@@ -642,7 +642,7 @@
 func misname(ways ...dns.Faults) func(*stage, settings.Fault) {
 	return func(st *stage, t settings.Fault) {
 		for i, f := range append(ways, dns.Faults{}) {
-			st.after(t.For.Duration()*time.Duration(i)/time.Duration(len(ways)), func() {
+			st.after(t.Duration.Duration()*time.Duration(i)/time.Duration(len(ways)), func() {
 				for _, d := range st.names {
 					d.Fault(f)
 				}
@@ -652,8 +652,8 @@
 }
 
 func (st *stage) surge(nsid uint32, t settings.Fault) {
-	st.load.Factor[nsid] = or(t.Times, 5)
-	st.after(t.For.Duration(), func() { delete(st.load.Factor, nsid) })
+	st.load.Factor[nsid] = or(t.Factor, 5)
+	st.after(t.Duration.Duration(), func() { delete(st.load.Factor, nsid) })
 }
 
 func or(x, other float64) float64 {
--- a/faulttest/sabotage_test.go
+++ b/faulttest/sabotage_test.go
@@ -19,12 +19,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.FaultTest.Length, s.FaultTest.Faults = settings.Span(length), troubles
+	s.FaultTest.Duration, s.FaultTest.Faults = settings.Span(length), troubles
 	return s
 }
 
 func at(kind string, at, span time.Duration, count int, times float64) settings.Fault {
-	return settings.Fault{Kind: kind, At: settings.Span(at), For: settings.Span(span), Count: count, Times: times}
+	return settings.Fault{Kind: kind, Start: settings.Span(at), Duration: settings.Span(span), Count: count, Factor: times}
 }
 
 type change func(now time.Duration, event honeyplank.Event, out []honeyplank.Action) []honeyplank.Action
@@ -186,7 +186,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.FaultTest.Length = settings.Span(9 * time.Second)
+	s.FaultTest.Duration = settings.Span(9 * time.Second)
 	s.FaultTest.Faults = []settings.Fault{at("dns-drain", 500*time.Millisecond, 3*time.Second, 1, 0), at("dns-empty", time.Second, 2*time.Second, 0, 0),
 		at("list-compacted", 1500*time.Millisecond, 2*time.Second, 1, 0), at("list-mute", 4*time.Second, 3*time.Second, 0, 0), at("dns-truncated", 4*time.Second, 2*time.Second, 0, 0),
 		at("drain", 4200*time.Millisecond, time.Second, 1, 0), at("gateway-restart", 5*time.Second, 300*time.Millisecond, 1, 0), at("dns-lies", 6*time.Second, 2*time.Second, 0, 0), at("die", 6500*time.Millisecond, time.Second, 1, 0)}
@@ -207,10 +207,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.FaultTest.Length = settings.Span(9 * time.Second)
+	s.FaultTest.Duration = settings.Span(9 * time.Second)
 	for i := range s.FaultTest.Faults {
-		s.FaultTest.Faults[i].At, s.FaultTest.Faults[i].For = settings.Span(time.Duration(i)*1500*time.Millisecond), settings.Span(1200*time.Millisecond)
-		s.FaultTest.Faults[i].Times = 0.06
+		s.FaultTest.Faults[i].Start, s.FaultTest.Faults[i].Duration = settings.Span(time.Duration(i)*1500*time.Millisecond), settings.Span(1200*time.Millisecond)
+		s.FaultTest.Faults[i].Factor = 0.06
 	}
 	r, err := Run(context.Background(), Options{Script: s, Seed: 11})
 	if err != nil {
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -35,12 +35,12 @@
 // wire makes a trouble of one kind: each time bytes cross, they are damaged or kept back with a chance of Times.
 func wire(kind string) func(*stage, settings.Fault) {
 	return func(st *stage, t settings.Fault) {
-		bad := badWires{kind: kind, share: or(t.Times, 0.03), disks: map[*disk.Server]bool{}}
+		bad := badWires{kind: kind, share: or(t.Factor, 0.03), disks: map[*disk.Server]bool{}}
 		for _, cell := range st.pick(t.Count) {
 			bad.disks[st.cells[cell]] = true
 		}
 		st.bad = bad
-		st.after(t.For.Duration(), func() { st.bad.kind = "" })
+		st.after(t.Duration.Duration(), func() { st.bad.kind = "" })
 	}
 }
 
--- a/gateway/clients_test.go
+++ b/gateway/clients_test.go
@@ -79,7 +79,7 @@
 			open = append(open, c)
 		}
 	}
-	h.eventually("no more than allowed", func() bool { return h.counts().Connections <= h.settings.Limits.Connections })
+	h.eventually("no more than allowed", func() bool { return h.counts().Connections <= h.settings.Limits.MaxConnections })
 	if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
 		t.Errorf("an established client: %#x", status)
 	}
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -20,12 +20,12 @@
 // whichever is shorter, less the time that the answer needs to reach the client.
 func (g *Instance) opTimeout(command *target.Command) time.Duration {
 	timeout := time.Duration(command.ClientTimeout()) * time.Millisecond
-	if opType := g.settings.Type(command.Opcode() == nvme.Write, int64(command.Bytes)); opType >= 0 {
+	if opType := g.settings.OpTypeIndex(command.Opcode() == nvme.Write, int64(command.Bytes)); opType >= 0 {
 		if limit := g.settings.OpTypes[opType].OpTimeout.Duration(); timeout == 0 || timeout > limit {
 			timeout = limit
 		}
 	}
-	return timeout - g.settings.Rules.AnswerMargin.Duration()
+	return timeout - g.settings.Policy.AnswerMargin.Duration()
 }
 
 // Admit implements target.Handler: it admits a client's command as an op, unless the instance drains.
@@ -53,7 +53,7 @@
 		Units:      float64(g.settings.Units(size)),
 		Timeout:    command.Arrived + g.opTimeout(command),
 		Plan:       v.plan,
-		Type:       g.settings.Type(write, size),
+		Type:       g.settings.OpTypeIndex(write, size),
 		Key:        namespace<<32 ^ extent,
 		HasKey:     true,
 		Write:      write,
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -47,10 +47,10 @@
 		Subsystem:      config.DiskServers.Subsystem,
 		Host:           config.Listen.Host,
 		HostID:         [16]byte{byte(ordinal), byte(ordinal >> 8)},
-		Depth:          config.DiskServers.Depth,
-		MaxData:        int(config.Limits.Transfer),
+		Depth:          config.DiskServers.QueueDepth,
+		MaxData:        int(config.Limits.MaxTransfer),
 		Digests:        config.DiskServers.Digests,
-		ConnectTimeout: config.DiskServers.ConnectWithin.Duration(),
+		ConnectTimeout: config.DiskServers.ConnectTimeout.Duration(),
 		KeepAlive:      config.DiskServers.KeepAlive.Duration(),
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -104,7 +104,7 @@
 		settings:    config,
 		loop:        loop,
 		log:         options.Log,
-		module:      options.Module(options.Seed, config.Module()),
+		module:      options.Module(options.Seed, config.ModuleSettings()),
 		diskServers: map[honeyplank.ServerID]*diskServer{},
 		volumes:     makeVolumes(config),
 		done:        make(chan struct{}),
@@ -120,7 +120,7 @@
 	}
 	g.ledger = membership.New(membershipSettings(config))
 	for i := range g.incarnations {
-		g.incarnations[i].MaxRemoved = config.List.MaxServers
+		g.incarnations[i].MaxRemoved = config.EndpointList.MaxServers
 	}
 	g.configureDiscovery()
 	return g, nil
@@ -131,7 +131,7 @@
 	volumes := map[uint32]*volume{}
 	for i := range config.Volumes.List {
 		v := &config.Volumes.List[i]
-		volumes[v.NSID] = &volume{plan: config.Plan(v.Plan), hosts: v.Hosts, cells: v.CellList()}
+		volumes[v.NSID] = &volume{plan: config.PlanIndex(v.Plan), hosts: v.Instances, cells: v.CellList()}
 	}
 	return volumes
 }
@@ -143,12 +143,12 @@
 		return fmt.Errorf("gateway: %s: %w", g.settings.Listen.Address, err)
 	}
 	g.server = server
-	if p := g.settings.Limits.Peer; p != nil {
+	if p := g.settings.Limits.Client; p != nil {
 		server.Guard = peerlimit.New(peerlimit.Settings{
-			MaxConnections:  p.Connections,
-			MaxHandshakes:   p.Handshakes,
-			MaxCommands:     p.Commands,
-			MaxBytes:        int(p.Bytes),
+			MaxConnections:  p.MaxConnections,
+			MaxHandshakes:   p.MaxHandshakes,
+			MaxCommands:     p.MaxCommands,
+			MaxBytes:        int(p.MaxBufferedBytes),
 			PDUTimeout:      p.PDUTimeout.Duration(),
 			BanThreshold:    p.BanThreshold,
 			ViolationWindow: p.ViolationWindow.Duration(),
@@ -169,13 +169,13 @@
 	offer := target.Settings{
 		Subsystem:        config.Listen.Subsystem,
 		Serial:           "HP" + strconv.Itoa(config.Scheduler.Ordinal),
-		MaxTransfer:      int(limits.Transfer),
-		MaxCapsule:       int(limits.Capsule),
-		MaxDataPDU:       int(limits.Piece),
-		QueueDepth:       limits.Depth,
+		MaxTransfer:      int(limits.MaxTransfer),
+		MaxCapsule:       int(limits.MaxCapsule),
+		MaxDataPDU:       int(limits.MaxDataPDU),
+		QueueDepth:       limits.QueueDepth,
 		MaxQueues:        queuesPerController,
-		HandshakeTimeout: limits.Handshake.Duration(),
-		MaxConnections:   limits.Connections,
+		HandshakeTimeout: limits.HandshakeTimeout.Duration(),
+		MaxConnections:   limits.MaxConnections,
 		MaxUnsent:        int(limits.MaxUnsent),
 		MaxBuffered:      int(limits.MaxBuffered),
 		Namespaces:       namespaces(config),
@@ -208,7 +208,7 @@
 
 // membershipSettings returns the settings of the ledger. Without any, each source alone is believed.
 func membershipSettings(config *settings.Gateway) membership.Settings {
-	b := config.List.SourceTrust
+	b := config.EndpointList.SourceTrust
 	if b == nil {
 		return membership.Settings{MaxRemovedShare: 1}
 	}
@@ -223,7 +223,7 @@
 
 // configureDiscovery makes the etcd client and prepares the DNS client; DNS is polled from Serve on.
 func (g *Instance) configureDiscovery() {
-	list := &g.settings.List
+	list := &g.settings.EndpointList
 	if len(list.Etcd) > 0 {
 		var endpoints []string
 		for _, e := range list.Etcd {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -83,7 +83,7 @@
 	}
 	ended := make(chan struct{})
 	go func() { h.loop.Run(); close(ended) }()
-	s.List.Etcd[0].Endpoint = h.etcd.Address()
+	s.EndpointList.Etcd[0].Endpoint = h.etcd.Address()
 	h.serve(gateway.Options{Seed: 1})
 	t.Cleanup(func() {
 		h.gateway.Kill()
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -13,8 +13,8 @@
 
 // withPeerLimits sets limits per peer.
 func withPeerLimits(s *settings.Gateway) {
-	s.Limits.Connections = 2000
-	s.Limits.Peer = &settings.Peer{Connections: 40, Handshakes: 8, Bytes: 64 << 10, PDUTimeout: settings.Span(200 * time.Millisecond), BanThreshold: 3,
+	s.Limits.MaxConnections = 2000
+	s.Limits.Client = &settings.ClientLimits{MaxConnections: 40, MaxHandshakes: 8, MaxBufferedBytes: 64 << 10, PDUTimeout: settings.Span(200 * time.Millisecond), BanThreshold: 3,
 		ViolationWindow: settings.Span(2 * time.Second), InitialBan: settings.Span(400 * time.Millisecond), MaxBan: settings.Span(time.Second)}
 }
 
@@ -114,7 +114,7 @@
 // TestCommandsOfOnePeer has a peer keep more commands in flight than allowed: those beyond the limit are answered at once, the others
 // are served, and another peer is not affected.
 func TestCommandsOfOnePeer(t *testing.T) {
-	h := newHarness(t, withPeerLimits, func(s *settings.Gateway) { s.Limits.Peer.Commands = 4 })
+	h := newHarness(t, withPeerLimits, func(s *settings.Gateway) { s.Limits.Client.MaxCommands = 4 })
 	greedy := connectRawFrom(t, h, "greedy", "127.0.0.2")
 	for id := range uint16(12) { // Writes whose data does not come
 		greedy.write(greedy.command(id, nvme.Write, 1, 0, 2, nil))
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -96,11 +96,11 @@
 
 // addDNS adds a name server as a source beside etcd, polled for _h._tcp.x. at short intervals.
 func addDNS(s *settings.Gateway, address string) {
-	s.List.DNS = &settings.DNSSource{Name: "_h._tcp.x.", MinInterval: settings.Span(50 * time.Millisecond), MaxInterval: settings.Span(100 * time.Millisecond), Timeout: settings.Span(time.Second)}
-	s.List.DNS.Servers = append(s.List.DNS.Servers, struct {
+	s.EndpointList.DNS = &settings.DNSSource{Name: "_h._tcp.x.", MinInterval: settings.Span(50 * time.Millisecond), MaxInterval: settings.Span(100 * time.Millisecond), Timeout: settings.Span(time.Second)}
+	s.EndpointList.DNS.Servers = append(s.EndpointList.DNS.Servers, struct {
 		Address string `xml:"address,attr"`
 	}{address})
-	s.List.SourceTrust = &settings.SourceTrust{MaxRemovedShare: 0.4, ConfirmAfter: settings.Span(300 * time.Millisecond), FlapWindow: settings.Span(time.Second), FlapThreshold: 9}
+	s.EndpointList.SourceTrust = &settings.SourceTrust{MaxRemovedShare: 0.4, ConfirmAfter: settings.Span(300 * time.Millisecond), FlapWindow: settings.Span(time.Second), FlapThreshold: 9}
 }
 
 // TestMassRemoval has every key in etcd go, one by one, as leases do that run out together, while DNS holds the
--- a/loadgen/load.go
+++ b/loadgen/load.go
@@ -133,7 +133,7 @@
 		g.ByType[i].latency = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	for _, v := range o.Settings.Volumes.List {
-		g.rates = append(g.rates, o.Settings.Plans.List[o.Settings.Plan(v.Plan)].Rate)
+		g.rates = append(g.rates, o.Settings.Plans.List[o.Settings.PlanIndex(v.Plan)].Rate)
 		g.mean += g.rates[len(g.rates)-1]
 	}
 	for _, t := range o.Targets {
@@ -194,7 +194,7 @@
 	}
 	host := fmt.Sprintf("nqn.2026-12.org.honeyplank:client-%d", c.n)
 	c.link = initiator.Dial(c.g.loop, initiator.Settings{Address: c.at.Address, Subsystem: c.at.Subsystem, Host: host, HostID: [16]byte{byte(c.n), 1},
-		Depth: depth, MaxData: int(c.g.o.Settings.Limits.Transfer), ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
+		Depth: depth, MaxData: int(c.g.o.Settings.Limits.MaxTransfer), ConnectTimeout: time.Second, KeepAlive: 5 * time.Second, Digests: c.g.o.Digests,
 		OnConnect: func(conn *eventloop.Conn) {
 			if c.at.Wire != nil {
 				c.at.Wire(c.n, conn)
@@ -260,7 +260,7 @@
 	if r.left == 0 {
 		r.volume = g.volume()
 		r.extent = g.rng.Intn(max(int(s.Volumes.List[r.volume].Size/s.Volumes.Extent), 1))
-		r.left = 1 + g.rng.Intn(max(t.Run, 1))
+		r.left = 1 + g.rng.Intn(max(t.ExtentRun, 1))
 	}
 	r.left--
 	typ := 0
@@ -270,17 +270,17 @@
 		}
 	}
 	v := &s.Volumes.List[r.volume]
-	o := &try{g: g, typ: typ, volume: v, due: due, blocks: int(t.Bytes / s.Volumes.Block), left: g.o.Retries, opcode: nvme.Read,
-		units: float64(s.Units(int64(t.Bytes)))}
+	o := &try{g: g, typ: typ, volume: v, due: due, blocks: int(t.OpBytes / s.Volumes.Block), left: g.o.Retries, opcode: nvme.Read,
+		units: float64(s.Units(int64(t.OpBytes)))}
 	o.client = g.clients[g.rng.Intn(len(g.clients))]
 	o.extent = uint64(r.extent)
 	o.place()
 	if s.OpTypes[typ].Opcode == "write" {
-		o.opcode, o.data = nvme.Write, make([]byte, t.Bytes)
+		o.opcode, o.data = nvme.Write, make([]byte, t.OpBytes)
 		for n := 0; n < len(o.data); n += 512 {
 			binary.LittleEndian.PutUint64(o.data[n:], g.rng.Uint64())
 		}
-	} else if n := len(g.written); n > 0 && len(g.written[n-1].data) == int(t.Bytes) && g.rng.Intn(4) == 0 {
+	} else if n := len(g.written); n > 0 && len(g.written[n-1].data) == int(t.OpBytes) && g.rng.Intn(4) == 0 {
 		w := g.written[n-1]
 		g.written = g.written[:n-1]
 		for k := range s.Volumes.List {
@@ -292,7 +292,7 @@
 	}
 	tally := &g.ByType[typ]
 	tally.Ops++
-	plan := s.Plans.List[s.Plan(o.volume.Plan)]
+	plan := s.Plans.List[s.PlanIndex(o.volume.Plan)]
 	tally.Due += o.worth(plan)
 	if g.o.Apart != nil && g.o.Apart(o.client.n) {
 		g.Apart.Due += o.worth(plan)
@@ -406,7 +406,7 @@
 	case status == nvme.Success:
 		tally.Succeeded++
 		tally.latency.RecordValue(max(int64(took/time.Microsecond), 1))
-		worth := o.worth(o.g.o.Settings.Plans.List[o.g.o.Settings.Plan(o.volume.Plan)])
+		worth := o.worth(o.g.o.Settings.Plans.List[o.g.o.Settings.PlanIndex(o.volume.Plan)])
 		if took <= t.TargetLatency.Duration() {
 			tally.InTime++
 		} else {
--- a/loadgen/load_test.go
+++ b/loadgen/load_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	g := Start(l, Options{Settings: s, Targets: []Target{{Address: "127.0.0.1:1"}}, Clients: 1, Seed: 1, // nobody serves there
-		Traffic: []settings.Traffic{{OpType: "read", Rate: 200, Bytes: 4096}}})
+		Traffic: []settings.Traffic{{OpType: "read", Rate: 200, OpBytes: 4096}}})
 	at := -1
 	l.Schedule(l.Now()+100*time.Millisecond, func() { g.Stop(func() { at = g.ByType[0].Ops }) })
 	l.Schedule(l.Now()+300*time.Millisecond, l.Stop)
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return
 		}
-		g.Module()
+		g.ModuleSettings()
 		shown, err := g.XML()
 		if err != nil {
 			t.Fatal(err)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -76,7 +76,7 @@
 		Subsystem string `xml:"subsystem,attr"`
 		Host      string `xml:"host,attr"`
 	} `xml:"listen"`
-	List struct {
+	EndpointList struct {
 		Etcd []struct {
 			Endpoint string `xml:"endpoint,attr"`
 		} `xml:"etcd"`
@@ -87,10 +87,10 @@
 		MaxServers  int          `xml:"most,attr"`
 	} `xml:"list"`
 	Scheduler struct {
-		Hosts   int  `xml:"hosts,attr"`
-		Ordinal int  `xml:"ordinal,attr"`
-		Zone    int  `xml:"zone,attr,omitempty"`
-		Step    Span `xml:"step,attr,omitempty"`
+		Instances int  `xml:"hosts,attr"`
+		Ordinal   int  `xml:"ordinal,attr"`
+		Zone      int  `xml:"zone,attr,omitempty"`
+		Step      Span `xml:"step,attr,omitempty"`
 	} `xml:"scheduler"`
 	Dispatches struct {
 		Max           int  `xml:"most,attr"`
@@ -101,7 +101,7 @@
 	Plans   struct {
 		List        []Plan  `xml:"plan"`
 		WithinShare float64 `xml:"within-share,attr,omitempty"`
-		Spare       float64 `xml:"spare,attr,omitempty"`
+		SpareShare  float64 `xml:"spare,attr,omitempty"`
 	} `xml:"plans"`
 	Volumes struct {
 		List      []Volume `xml:"volume"`
@@ -110,7 +110,7 @@
 		Extent    Bytes    `xml:"extent,attr"`
 		MeanUnits float64  `xml:"mean-units,attr"`
 	} `xml:"volumes"`
-	Rules       Rules       `xml:"rules"`
+	Policy      Policy      `xml:"rules"`
 	Limits      Limits      `xml:"limits"`
 	DiskServers DiskServers `xml:"disk-servers"`
 	FaultTest   *FaultTest  `xml:"rehearsal"`
@@ -166,12 +166,12 @@
 
 // Volume is a namespace. Its extents lie on its cells in turn.
 type Volume struct {
-	NSID  uint32 `xml:"nsid,attr"`
-	Name  string `xml:"name,attr"`
-	Plan  string `xml:"plan,attr"`
-	Size  Bytes  `xml:"size,attr"`
-	Cells string `xml:"cells,attr"`
-	Hosts int    `xml:"hosts,attr,omitempty"`
+	NSID      uint32 `xml:"nsid,attr"`
+	Name      string `xml:"name,attr"`
+	Plan      string `xml:"plan,attr"`
+	Size      Bytes  `xml:"size,attr"`
+	Cells     string `xml:"cells,attr"`
+	Instances int    `xml:"hosts,attr,omitempty"`
 }
 
 // CellList is Cells as numbers.
@@ -183,8 +183,8 @@
 	return list
 }
 
-// Rules are the figures of the seven rules.
-type Rules struct {
+// Policy are the figures of the seven rules.
+type Policy struct {
 	SlowStart *struct {
 		From     float64 `xml:"from,attr"`
 		Time     Span    `xml:"time,attr"`
@@ -197,91 +197,91 @@
 		Share  float64 `xml:"share,attr"`
 		Window Span    `xml:"window,attr"`
 	} `xml:"budget"`
-	DrainGrace   Span `xml:"drain-grace,attr"`
-	AnswerMargin Span `xml:"answer-margin,attr"`
-	OrderSettle  Span `xml:"order-settle,attr,omitempty"`
-	MeterPeriod  Span `xml:"meter-period,attr,omitempty"`
-	Elsewhere    bool `xml:"meter-elsewhere,attr,omitempty"`
+	DrainGrace     Span `xml:"drain-grace,attr"`
+	AnswerMargin   Span `xml:"answer-margin,attr"`
+	OrderSettle    Span `xml:"order-settle,attr,omitempty"`
+	UsagePeriod    Span `xml:"meter-period,attr,omitempty"`
+	UsageElsewhere bool `xml:"meter-elsewhere,attr,omitempty"`
 }
 
 // Limits bound what clients may cost.
 type Limits struct {
-	Peer        *Peer `xml:"peer"`
-	Connections int   `xml:"connections,attr"`
-	Depth       int   `xml:"depth,attr"`
-	Transfer    Bytes `xml:"transfer,attr"`
-	Capsule     Bytes `xml:"capsule,attr"`
-	Piece       Bytes `xml:"piece,attr"`
-	MaxBuffered Bytes `xml:"held,attr"`
-	MaxUnsent   Bytes `xml:"unsent,attr"`
-	Handshake   Span  `xml:"handshake,attr"`
+	Client           *ClientLimits `xml:"peer"`
+	MaxConnections   int           `xml:"connections,attr"`
+	QueueDepth       int           `xml:"depth,attr"`
+	MaxTransfer      Bytes         `xml:"transfer,attr"`
+	MaxCapsule       Bytes         `xml:"capsule,attr"`
+	MaxDataPDU       Bytes         `xml:"piece,attr"`
+	MaxBuffered      Bytes         `xml:"held,attr"`
+	MaxUnsent        Bytes         `xml:"unsent,attr"`
+	HandshakeTimeout Span          `xml:"handshake,attr"`
 }
 
-// Peer bounds what one peer may cost: docs/peers.md.
-type Peer struct {
-	Connections     int   `xml:"connections,attr"`
-	Handshakes      int   `xml:"handshakes,attr"`
-	Commands        int   `xml:"commands,attr,omitempty"`
-	Bytes           Bytes `xml:"bytes,attr"`
-	PDUTimeout      Span  `xml:"pdu,attr"`
-	BanThreshold    int   `xml:"breaches,attr"`
-	ViolationWindow Span  `xml:"window,attr"`
-	InitialBan      Span  `xml:"shut,attr"`
-	MaxBan          Span  `xml:"most,attr"`
+// ClientLimits bounds what one peer may cost: docs/peers.md.
+type ClientLimits struct {
+	MaxConnections   int   `xml:"connections,attr"`
+	MaxHandshakes    int   `xml:"handshakes,attr"`
+	MaxCommands      int   `xml:"commands,attr,omitempty"`
+	MaxBufferedBytes Bytes `xml:"bytes,attr"`
+	PDUTimeout       Span  `xml:"pdu,attr"`
+	BanThreshold     int   `xml:"breaches,attr"`
+	ViolationWindow  Span  `xml:"window,attr"`
+	InitialBan       Span  `xml:"shut,attr"`
+	MaxBan           Span  `xml:"most,attr"`
 }
 
 // DiskServers says how to talk to them.
 type DiskServers struct {
-	Subsystem     string `xml:"subsystem,attr"`
-	ConnectWithin Span   `xml:"connect-within,attr"`
-	KeepAlive     Span   `xml:"keep-alive,attr"`
-	Depth         int    `xml:"depth,attr"`
-	Digests       bool   `xml:"digests,attr,omitempty"`
+	Subsystem      string `xml:"subsystem,attr"`
+	ConnectTimeout Span   `xml:"connect-within,attr"`
+	KeepAlive      Span   `xml:"keep-alive,attr"`
+	QueueDepth     int    `xml:"depth,attr"`
+	Digests        bool   `xml:"digests,attr,omitempty"`
 }
 
 // FaultTest is a script: a fleet of stand-ins, traffic, and what goes wrong when.
 type FaultTest struct {
-	Gateways int       `xml:"gateways,attr"`
-	Length   Span      `xml:"length,attr"`
-	Clients  int       `xml:"clients,attr"`
-	Retries  int       `xml:"retries,attr,omitempty"`
-	Fleet    Fleet     `xml:"fleet"`
-	Traffic  []Traffic `xml:"traffic"`
-	Faults   []Fault   `xml:"trouble"`
+	Gateways    int         `xml:"gateways,attr"`
+	Duration    Span        `xml:"length,attr"`
+	Clients     int         `xml:"clients,attr"`
+	Retries     int         `xml:"retries,attr,omitempty"`
+	FakeServers FakeServers `xml:"fleet"`
+	Traffic     []Traffic   `xml:"traffic"`
+	Faults      []Fault     `xml:"trouble"`
 }
 
-// Fleet is what each stand-in disk server is like.
-type Fleet struct {
-	Cores        int     `xml:"cores,attr"`
-	Queue        int     `xml:"queue,attr"`
-	UnitTime     Span    `xml:"unit-time,attr"`
-	Spread       float64 `xml:"spread,attr,omitempty"`
-	Near         int     `xml:"near,attr,omitempty"`
-	NearSaves    float64 `xml:"near-saves,attr,omitempty"`
-	PutOff       float64 `xml:"put-off,attr,omitempty"`
-	PutOffEvery  Span    `xml:"put-off-every,attr,omitempty"`
-	Pause        Span    `xml:"pause,attr,omitempty"`
-	PauseEvery   Span    `xml:"pause-every,attr,omitempty"`
-	ReportsEvery Span    `xml:"reports-every,attr,omitempty"`
+// FakeServers is what each stand-in disk server is like.
+type FakeServers struct {
+	Cores             int     `xml:"cores,attr"`
+	QueueLimit        int     `xml:"queue,attr"`
+	UnitServiceTime   Span    `xml:"unit-time,attr"`
+	ServiceTimeSpread float64 `xml:"spread,attr,omitempty"`
+	CachedExtents     int     `xml:"near,attr,omitempty"`
+	CacheSaving       float64 `xml:"near-saves,attr,omitempty"`
+	DeferredShare     float64 `xml:"put-off,attr,omitempty"`
+	DeferredWorkEvery Span    `xml:"put-off-every,attr,omitempty"`
+	Pause             Span    `xml:"pause,attr,omitempty"`
+	PauseEvery        Span    `xml:"pause-every,attr,omitempty"`
+	ReportInterval    Span    `xml:"reports-every,attr,omitempty"`
 }
 
 // Traffic is ops of one type over all gateways: ops a second, bytes an op, and how many of one extent come in
 // a row.
 type Traffic struct {
-	OpType string  `xml:"op-type,attr"`
-	Rate   float64 `xml:"rate,attr"`
-	Bytes  Bytes   `xml:"bytes,attr"`
-	Run    int     `xml:"run,attr,omitempty"`
+	OpType    string  `xml:"op-type,attr"`
+	Rate      float64 `xml:"rate,attr"`
+	OpBytes   Bytes   `xml:"bytes,attr"`
+	ExtentRun int     `xml:"run,attr,omitempty"`
 }
 
 // Fault goes wrong At for a time, with Count servers, gateways or clients, or Times as much.
 type Fault struct {
-	Kind  string  `xml:"kind,attr"`
-	At    Span    `xml:"at,attr"`
-	For   Span    `xml:"for,attr"`
-	Count int     `xml:"count,attr,omitempty"`
-	Times float64 `xml:"times,attr,omitempty"`
-	Plan  string  `xml:"plan,attr,omitempty"`
+	Kind     string  `xml:"kind,attr"`
+	Start    Span    `xml:"at,attr"`
+	Duration Span    `xml:"for,attr"`
+	Count    int     `xml:"count,attr,omitempty"`
+	Factor   float64 `xml:"times,attr,omitempty"`
+	Plan     string  `xml:"plan,attr,omitempty"`
 }
 
 // Read reads and checks a file. What is wrong with it is a *Fault.
@@ -338,25 +338,25 @@
 		{power(block) && block >= 512 && block <= 64<<10, volumes, "block is not a power of two from 512B to 64KiB", "such as 4KiB"},
 		{unit > 0, volumes, "unit is 0", "such as 16KiB"},
 		{extent > 0 && block > 0 && extent%block == 0, volumes, "extent is not a multiple of block", ""},
-		{power(l.Transfer) && l.Transfer >= 4<<10 && l.Transfer <= 1<<20, limits, "transfer is not a power of two from 4KiB to 1MiB", "such as 128KiB"},
-		{l.Piece >= 4<<10 && l.Piece%4 == 0 && l.Piece <= 1<<20, limits, "piece is not a multiple of 4 from 4KiB to 1MiB", "such as 128KiB"},
-		{l.Capsule >= 1<<10 && l.Capsule%16 == 0 && l.Capsule <= l.Piece, limits, "capsule is not a multiple of 16 from 1KiB to piece", "such as 8KiB"},
-		{l.Depth >= 2 && l.Depth <= 1024, limits, "depth is not from 2 to 1024", "such as 128"},
-		{l.MaxBuffered >= l.Transfer, limits, "held is under transfer", "at least one transfer must fit"},
-		{l.MaxUnsent >= 4*l.Transfer, limits, "unsent is under four times transfer", "room for some answers"},
-		{l.Handshake > 0, limits, "handshake is 0", "such as 1s"},
-		{g.DiskServers.Depth >= 2 && g.DiskServers.Depth <= 1024, disks, "depth is not from 2 to 1024", "such as 256"},
-		{g.DiskServers.ConnectWithin > 0, disks, "connect-within is 0", "such as 250ms"},
-		{g.Scheduler.Ordinal < g.Scheduler.Hosts, one("scheduler"), "ordinal is not below hosts", "schedulers count from 0"},
-		{g.Rules.SlowStart == nil || g.Rules.SlowStart.From > 0 && g.Rules.SlowStart.Window > 0, rules, "cold has from or window 0", "leave the element out where servers start warm"},
-		{g.Rules.RetryBudget == nil || g.Rules.RetryBudget.Window > 0, rules, "budget has window 0", "leave the element out where there is no budget"},
-		{g.List.WatchWithin > 0, one("list"), "ask-within is 0", "such as 10s"},
-		{g.List.MaxServers > 0, one("list"), "most is 0", "more than the fleet will ever have, such as 20000"},
-		{l.Peer == nil || l.Peer.Connections >= 2 && l.Peer.ViolationWindow > 0 && l.Peer.InitialBan > 0 && l.Peer.MaxBan >= l.Peer.InitialBan && l.Peer.Bytes >= l.Transfer, limits,
+		{power(l.MaxTransfer) && l.MaxTransfer >= 4<<10 && l.MaxTransfer <= 1<<20, limits, "transfer is not a power of two from 4KiB to 1MiB", "such as 128KiB"},
+		{l.MaxDataPDU >= 4<<10 && l.MaxDataPDU%4 == 0 && l.MaxDataPDU <= 1<<20, limits, "piece is not a multiple of 4 from 4KiB to 1MiB", "such as 128KiB"},
+		{l.MaxCapsule >= 1<<10 && l.MaxCapsule%16 == 0 && l.MaxCapsule <= l.MaxDataPDU, limits, "capsule is not a multiple of 16 from 1KiB to piece", "such as 8KiB"},
+		{l.QueueDepth >= 2 && l.QueueDepth <= 1024, limits, "depth is not from 2 to 1024", "such as 128"},
+		{l.MaxBuffered >= l.MaxTransfer, limits, "held is under transfer", "at least one transfer must fit"},
+		{l.MaxUnsent >= 4*l.MaxTransfer, limits, "unsent is under four times transfer", "room for some answers"},
+		{l.HandshakeTimeout > 0, limits, "handshake is 0", "such as 1s"},
+		{g.DiskServers.QueueDepth >= 2 && g.DiskServers.QueueDepth <= 1024, disks, "depth is not from 2 to 1024", "such as 256"},
+		{g.DiskServers.ConnectTimeout > 0, disks, "connect-within is 0", "such as 250ms"},
+		{g.Scheduler.Ordinal < g.Scheduler.Instances, one("scheduler"), "ordinal is not below hosts", "schedulers count from 0"},
+		{g.Policy.SlowStart == nil || g.Policy.SlowStart.From > 0 && g.Policy.SlowStart.Window > 0, rules, "cold has from or window 0", "leave the element out where servers start warm"},
+		{g.Policy.RetryBudget == nil || g.Policy.RetryBudget.Window > 0, rules, "budget has window 0", "leave the element out where there is no budget"},
+		{g.EndpointList.WatchWithin > 0, one("list"), "ask-within is 0", "such as 10s"},
+		{g.EndpointList.MaxServers > 0, one("list"), "most is 0", "more than the fleet will ever have, such as 20000"},
+		{l.Client == nil || l.Client.MaxConnections >= 2 && l.Client.ViolationWindow > 0 && l.Client.InitialBan > 0 && l.Client.MaxBan >= l.Client.InitialBan && l.Client.MaxBufferedBytes >= l.MaxTransfer, limits,
 			"peer has under 2 connections, bytes under transfer, window or shut 0, or most under shut", "a host needs two connections, and one transfer must fit"},
-		{len(g.List.Etcd) > 0 || g.List.DNS != nil, one("list"), "the list has no source", "etcd, dns, or both"},
-		{g.List.DNS == nil || g.List.SourceTrust != nil, one("list"), "dns stands without a believe", "with two sources the rule needs its figures"},
-		{g.List.DNS == nil || g.List.DNS.MinInterval > 0 && g.List.DNS.MinInterval <= g.List.DNS.MaxInterval && g.List.DNS.Timeout > 0, one("list"), "dns has floor or timeout 0, or a floor over its ceiling", "such as floor 1s, ceiling 30s, timeout 500ms"},
+		{len(g.EndpointList.Etcd) > 0 || g.EndpointList.DNS != nil, one("list"), "the list has no source", "etcd, dns, or both"},
+		{g.EndpointList.DNS == nil || g.EndpointList.SourceTrust != nil, one("list"), "dns stands without a believe", "with two sources the rule needs its figures"},
+		{g.EndpointList.DNS == nil || g.EndpointList.DNS.MinInterval > 0 && g.EndpointList.DNS.MinInterval <= g.EndpointList.DNS.MaxInterval && g.EndpointList.DNS.Timeout > 0, one("list"), "dns has floor or timeout 0, or a floor over its ceiling", "such as floor 1s, ceiling 30s, timeout 500ms"},
 	}
 	addresses := append([]*node{one("listen")}, root.pick("list/etcd")...)
 	addresses = append(addresses, root.pick("list/dns/server")...)
@@ -370,7 +370,7 @@
 		n := root.pick("op-types/op-type")[i]
 		to := int64(t.MaxBytes)
 		if t.MaxBytes == 0 {
-			to = int64(max(l.Transfer, 1))
+			to = int64(max(l.MaxTransfer, 1))
 		}
 		for _, o := range cover[t.Opcode] {
 			checks = append(checks, check{to < o[0] || int64(t.MinBytes) > o[1], n, fmt.Sprintf("the lengths of %q overlap another op type's", t.Name), "each length of an opcode belongs to one op type"})
@@ -378,7 +378,7 @@
 		cover[t.Opcode] = append(cover[t.Opcode], [2]int64{int64(t.MinBytes), to})
 		checks = append(checks,
 			check{t.TargetLatency > 0 && t.TargetLatency <= t.OpTimeout, n, fmt.Sprintf("the target latency of %q is 0 or over its op timeout", t.Name), "an answer is wanted before the client gives up"},
-			check{g.Rules.AnswerMargin < t.OpTimeout/2, rules, fmt.Sprintf("answer-margin is half of the op timeout of %q or more", t.Name), "it is the time an answer needs to the client"},
+			check{g.Policy.AnswerMargin < t.OpTimeout/2, rules, fmt.Sprintf("answer-margin is half of the op timeout of %q or more", t.Name), "it is the time an answer needs to the client"},
 			check{t.Semantics != "deduplicated" || t.DedupWindow > 0, n, fmt.Sprintf("%q is deduplicated without a time", t.Name), "remember tells how long repeats are known"})
 	}
 	for _, op := range []string{"read", "write"} {
@@ -393,7 +393,7 @@
 				next = max(next, (o[1]/int64(block)+1)*int64(block))
 			}
 		}
-		checks = append(checks, check{next > int64(l.Transfer), one("op-types"), fmt.Sprintf("a %s of %d bytes is of no op type", op, next), "each length up to transfer needs one"})
+		checks = append(checks, check{next > int64(l.MaxTransfer), one("op-types"), fmt.Sprintf("a %s of %d bytes is of no op type", op, next), "each length up to transfer needs one"})
 	}
 	for i, p := range g.Plans.List {
 		checks = append(checks, check{p.Limit == 0 || p.Burst > 0, root.pick("plans/plan")[i], fmt.Sprintf("plan %q has a limit without a burst", p.Name), "burst is the amount it fills up to"})
@@ -402,7 +402,7 @@
 		n := root.pick("volumes/volume")[i]
 		checks = append(checks,
 			check{v.Size > 0 && block > 0 && v.Size%block == 0, n, fmt.Sprintf("the size of %q is not a multiple of block", v.Name), ""},
-			check{v.Hosts <= g.Scheduler.Hosts, n, fmt.Sprintf("%q has more hosts than there are", v.Name), ""})
+			check{v.Instances <= g.Scheduler.Instances, n, fmt.Sprintf("%q has more hosts than there are", v.Name), ""})
 	}
 	for _, c := range checks {
 		if !c.ok {
@@ -416,26 +416,26 @@
 
 var scopes = map[string]honeyplank.DedupScope{"": honeyplank.ScopeAll, "all": honeyplank.ScopeAll, "zone": honeyplank.ScopeZone, "cell": honeyplank.ScopeCell}
 
-// Module returns the settings of the decision module.
-func (g *Gateway) Module() *honeyplank.Settings {
+// ModuleSettings returns the settings of the decision module.
+func (g *Gateway) ModuleSettings() *honeyplank.Settings {
 	m := &honeyplank.Settings{
 		Step:         g.Scheduler.Step.Duration(),
-		Schedulers:   g.Scheduler.Hosts,
+		Schedulers:   g.Scheduler.Instances,
 		Ordinal:      g.Scheduler.Ordinal,
 		MeanUnits:    g.Volumes.MeanUnits,
-		LargestUnits: float64(g.Units(int64(g.Limits.Transfer))),
-		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.List.WatchWithin.Duration()},
+		LargestUnits: float64(g.Units(int64(g.Limits.MaxTransfer))),
+		Watch:        honeyplank.WatchSettings{OnRequest: true, Within: g.EndpointList.WatchWithin.Duration()},
 		Dispatches: honeyplank.DispatchSettings{Max: g.Dispatches.Max, Parallel: g.Dispatches.Parallel, Cancel: true,
-			ConnectTimeout: g.DiskServers.ConnectWithin.Duration()},
+			ConnectTimeout: g.DiskServers.ConnectTimeout.Duration()},
 		RetryAfter:  honeyplank.RetryAfterSettings{Allowed: g.Dispatches.MaxRetryAfter > 0, Max: g.Dispatches.MaxRetryAfter.Duration()},
-		Usage:       honeyplank.UsageSettings{Period: g.Rules.MeterPeriod.Duration(), Elsewhere: g.Rules.Elsewhere},
-		DrainGrace:  g.Rules.DrainGrace.Duration(),
-		OrderSettle: g.Rules.OrderSettle.Duration(),
+		Usage:       honeyplank.UsageSettings{Period: g.Policy.UsagePeriod.Duration(), Elsewhere: g.Policy.UsageElsewhere},
+		DrainGrace:  g.Policy.DrainGrace.Duration(),
+		OrderSettle: g.Policy.OrderSettle.Duration(),
 	}
-	if c := g.Rules.SlowStart; c != nil {
+	if c := g.Policy.SlowStart; c != nil {
 		m.SlowStart = honeyplank.SlowStartSettings{Window: c.Window.Duration(), Time: c.Time.Duration(), From: c.From, Units: c.Units}
 	}
-	if b := g.Rules.RetryBudget; b != nil {
+	if b := g.Policy.RetryBudget; b != nil {
 		m.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: b.Free, Share: b.Share, Window: b.Window.Duration()}
 	}
 	for _, t := range g.OpTypes {
@@ -467,8 +467,8 @@
 	return max((bytes+unit-1)/unit, 1)
 }
 
-// Type is the op type of a command by its length, -1 where there is none.
-func (g *Gateway) Type(write bool, bytes int64) int {
+// OpTypeIndex is the op type of a command by its length, -1 where there is none.
+func (g *Gateway) OpTypeIndex(write bool, bytes int64) int {
 	for i, t := range g.OpTypes {
 		if (t.Opcode == "write") == write && bytes >= int64(t.MinBytes) && (t.MaxBytes == 0 || bytes <= int64(t.MaxBytes)) {
 			return i
@@ -477,8 +477,8 @@
 	return -1
 }
 
-// Plan is the index of a plan by its name.
-func (g *Gateway) Plan(name string) int {
+// PlanIndex is the index of a plan by its name.
+func (g *Gateway) PlanIndex(name string) int {
 	for i, p := range g.Plans.List {
 		if p.Name == name {
 			return i
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := g.Module()
+	v := g.ModuleSettings()
 	if k := v.OpTypes.Semantics; k[3] != honeyplank.AtMostOnce || k[0] != honeyplank.Idempotent {
 		t.Error("optypes.kind", k)
 	}
@@ -159,16 +159,16 @@
 	if v.LargestUnits != 8.0 || v.RetryBudget.Share != 0.25 || v.SlowStart.Window != time.Second || v.Plans.Value[1] != 1 {
 		t.Error("figures", v)
 	}
-	if got, want := v.Dispatches.ConnectTimeout, g.DiskServers.ConnectWithin.Duration(); got != want || got <= 0 {
+	if got, want := v.Dispatches.ConnectTimeout, g.DiskServers.ConnectTimeout.Duration(); got != want || got <= 0 {
 		t.Errorf("connect timeout %v, want %v", got, want)
 	}
 	// Disk servers count for other hosts only where the settings say so.
 	told, err := Parse("x.xml", []byte(change(t, example(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)))
-	if err != nil || v.Usage.Elsewhere != false || told.Module().Usage.Elsewhere != true {
+	if err != nil || v.Usage.Elsewhere != false || told.ModuleSettings().Usage.Elsewhere != true {
 		t.Error("meter.elsewhere", v.Usage.Elsewhere, err)
 	}
 	for bytes, want := range map[int64]int{4096: 0, 32 << 10: 0, 36 << 10: 1, 128 << 10: 1} {
-		if n := g.Type(false, bytes); n != want {
+		if n := g.OpTypeIndex(false, bytes); n != want {
 			t.Errorf("a read of %d bytes is of op type %d, want %d", bytes, n, want)
 		}
 	}
