--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -17,7 +17,7 @@
 
 // Model is what a stand-in is like.
 type Model struct {
-	settings.Fleet
+	settings.FakeServers
 	Block          int
 	Unit           int
 	Extent         int64
@@ -90,11 +90,11 @@
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	s.every(m.PutOffEvery.Duration(), func() {
+	s.every(m.DeferredWorkEvery.Duration(), func() {
 		s.frozen, s.debt = max(s.frozen, l.Now()+s.debt), 0
 	})
 	s.every(m.PauseEvery.Duration(), func() { s.frozen = max(s.frozen, l.Now()+m.Pause.Duration()) })
-	s.every(m.ReportsEvery.Duration(), func() {
+	s.every(m.ReportInterval.Duration(), func() {
 		if !s.Faults.StaleReports {
 			s.report()
 		}
@@ -104,7 +104,7 @@
 
 func (s *Server) listen() (err error) {
 	if s.server, err = target.Listen(s.loop, s.address, s.m.Target, s); err == nil {
-		s.address, s.server.Tap, s.server.Wire = s.server.Address(), s.m.Tap, s.m.OnConnection
+		s.address, s.server.Tap, s.server.OnConnect = s.server.Address(), s.m.Tap, s.m.OnConnection
 	}
 	return err
 }
@@ -142,7 +142,7 @@
 // SetFaults makes faults act.
 func (s *Server) SetFaults(f Faults) {
 	s.Faults = f
-	s.server.DeafAll, s.server.Deaf = f.Silent, f.NoHandshake
+	s.server.DropAllInput, s.server.DropNewInput = f.Silent, f.NoHandshake
 	if f.NoHandshake {
 		s.server.Cut(false)
 	}
@@ -151,7 +151,7 @@
 
 // CapacityAt is what it can do so long after a start, in units a second.
 func (s *Server) CapacityAt(age time.Duration) float64 {
-	return float64(s.m.Cores) / s.m.UnitTime.Duration().Seconds() * s.part(age)
+	return float64(s.m.Cores) / s.m.UnitServiceTime.Duration().Seconds() * s.part(age)
 }
 
 // part is how much of its capacity it has so long after a start.
@@ -179,8 +179,8 @@
 		return
 	}
 	switch {
-	case s.Faults.Draining || len(s.queue) >= s.m.Queue:
-		c.Complete(nvme.TurnedAway, 0, 0, nil)
+	case s.Faults.Draining || len(s.queue) >= s.m.QueueLimit:
+		c.Complete(nvme.Rejected, 0, 0, nil)
 		s.server.Release(c.Data)
 	case s.rng.Float64() < s.Faults.FailShare:
 		c.Complete(nvme.InternalError, 0, 0, nil)
@@ -251,20 +251,20 @@
 
 // cost is how long an op takes to serve.
 func (s *Server) cost(c *target.Command) time.Duration {
-	full := float64(s.m.UnitTime.Duration()) * s.units(c) * (1 + s.m.Spread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
+	full := float64(s.m.UnitServiceTime.Duration()) * s.units(c) * (1 + s.m.ServiceTimeSpread*(2*s.rng.Float64()-1)) / s.warm(s.loop.Now())
 	if s.Faults.SlowFactor > 0 {
 		full *= s.Faults.SlowFactor
 	}
 	extent := uint64(c.NSID())<<40 | uint64(int64(c.SLBA())*int64(s.m.Block)/s.m.Extent)
 	if i := slices.Index(s.near, extent); i >= 0 {
-		full *= 1 - s.m.NearSaves
+		full *= 1 - s.m.CacheSaving
 		s.near = slices.Delete(s.near, i, i+1)
 	}
 	s.near = slices.Insert(s.near, 0, extent)
-	s.near = s.near[:min(len(s.near), s.m.Near)]
+	s.near = s.near[:min(len(s.near), s.m.CachedExtents)]
 	if c.Opcode() == nvme.Write {
-		s.debt += time.Duration(full * s.m.PutOff)
-		full *= 1 - s.m.PutOff
+		s.debt += time.Duration(full * s.m.DeferredShare)
+		full *= 1 - s.m.DeferredShare
 	}
 	return time.Duration(full)
 }
@@ -272,7 +272,7 @@
 // finish carries an op out and answers it.
 func (s *Server) finish(c *target.Command, took time.Duration) {
 	s.recent += (took.Seconds() - s.recent) / 8
-	if s.m.ReportsEvery == 0 {
+	if s.m.ReportInterval == 0 {
 		s.report()
 	}
 	var data []byte
@@ -308,7 +308,7 @@
 	case s.Faults.Silent || s.rng.Float64() < s.Faults.LoseShare:
 	case s.Faults.Truncate && len(data) > 0:
 		s.Faults.Truncate = false
-		c.Tear(data)
+		c.Truncate(data)
 	default:
 		l := s.load
 		l.Used, l.Elsewhere = uint16(used), uint16(min(max(elsewhere, 0), 65535))
--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -27,8 +27,8 @@
 // scheduleFaults schedules the faults of the script.
 func (r *run) scheduleFaults() {
 	for _, fault := range r.script.FaultTest.Faults {
-		r.after(warmUp+fault.At.Duration(), func() {
-			r.options.Log.Info().Str("kind", fault.Kind).Dur("duration_ms", fault.For.Duration()).Msg("fault injected")
+		r.after(warmUp+fault.Start.Duration(), func() {
+			r.options.Log.Info().Str("kind", fault.Kind).Dur("duration_ms", fault.Duration.Duration()).Msg("fault injected")
 			injectors[fault.Kind](r, fault)
 		})
 	}
@@ -37,13 +37,13 @@
 // injectors are the faults that a script can have, by kind.
 var injectors = map[string]injector{
 	"slow": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{SlowFactor: cmp.Or(f.Times, defaultSlowdown)}
+		return disk.Faults{SlowFactor: cmp.Or(f.Factor, defaultSlowdown)}
 	}),
 	"fail": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{FailShare: cmp.Or(f.Times, defaultFailureShare)}
+		return disk.Faults{FailShare: cmp.Or(f.Factor, defaultFailureShare)}
 	}),
 	"lose-answers": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{LoseShare: cmp.Or(f.Times, defaultLossShare)}
+		return disk.Faults{LoseShare: cmp.Or(f.Factor, defaultLossShare)}
 	}),
 	"stale-reports":  diskFault(func(settings.Fault) disk.Faults { return disk.Faults{StaleReports: true} }),
 	"mute-handshake": diskFault(func(settings.Fault) disk.Faults { return disk.Faults{NoHandshake: true} }),
@@ -88,7 +88,7 @@
 		for _, cell := range r.pick(f.Count) {
 			server := r.serverOfCell[cell]
 			server.SetFaults(faults(f))
-			r.after(f.For.Duration(), func() { server.SetFaults(disk.Faults{}) })
+			r.after(f.Duration.Duration(), func() { server.SetFaults(disk.Faults{}) })
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func dnsFault(stages ...dns.Faults) injector {
 	return func(r *run, f settings.Fault) {
 		for i, faults := range append(slices.Clone(stages), dns.Faults{}) {
-			r.after(f.For.Duration()*time.Duration(i)/time.Duration(len(stages)), func() {
+			r.after(f.Duration.Duration()*time.Duration(i)/time.Duration(len(stages)), func() {
 				for _, server := range r.nameServers {
 					server.SetFaults(faults)
 				}
@@ -108,26 +108,26 @@
 
 func injectPause(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.serverOfCell[cell].Stall(f.For.Duration())
+		r.serverOfCell[cell].Stall(f.Duration.Duration())
 	}
 }
 
 func injectDeath(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.restart(cell, f.For.Duration())
+		r.restart(cell, f.Duration.Duration())
 	}
 }
 
 func injectSilence(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
 		r.serverOfCell[cell].SetFaults(disk.Faults{Silent: true})
-		r.after(f.For.Duration(), func() { r.restart(cell, listLag) })
+		r.after(f.Duration.Duration(), func() { r.restart(cell, listLag) })
 	}
 }
 
 func injectDrain(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.replace(cell, f.For.Duration())
+		r.replace(cell, f.Duration.Duration())
 	}
 }
 
@@ -136,7 +136,7 @@
 	cells := r.pick(max(f.Count, replacedByRelease))
 	count := time.Duration(len(cells))
 	for i, cell := range cells {
-		r.after(f.For.Duration()*time.Duration(i)/count, func() { r.replace(cell, f.For.Duration()/count) })
+		r.after(f.Duration.Duration()*time.Duration(i)/count, func() { r.replace(cell, f.Duration.Duration()/count) })
 	}
 }
 
@@ -157,13 +157,13 @@
 
 // surge multiplies the rate of a volume for a time.
 func (r *run) surge(nsid uint32, f settings.Fault) {
-	r.load.Factor[nsid] = cmp.Or(f.Times, defaultSurge)
-	r.after(f.For.Duration(), func() { delete(r.load.Factor, nsid) })
+	r.load.Factor[nsid] = cmp.Or(f.Factor, defaultSurge)
+	r.after(f.Duration.Duration(), func() { delete(r.load.Factor, nsid) })
 }
 
 func injectShortTimeouts(r *run, f settings.Fault) {
-	r.load.TimeoutFactor = cmp.Or(f.Times, defaultTimeoutShare)
-	r.after(f.For.Duration(), func() { r.load.TimeoutFactor = 0 })
+	r.load.TimeoutFactor = cmp.Or(f.Factor, defaultTimeoutShare)
+	r.after(f.Duration.Duration(), func() { r.load.TimeoutFactor = 0 })
 }
 
 // injectGatewayRestart kills a gateway and starts it again at the same address.
@@ -176,7 +176,7 @@
 		g.Kill()
 		r.loop.Post(func() {
 			r.log.Killed(n)
-			r.after(f.For.Duration(), func() {
+			r.after(f.Duration.Duration(), func() {
 				if err := r.startGateway(n, address); err != nil {
 					r.injected = err
 				}
@@ -187,22 +187,22 @@
 
 func injectEtcdOutage(r *run, f settings.Fault) {
 	r.etcd.SetUnavailable(true)
-	r.after(f.For.Duration(), func() { r.etcd.SetUnavailable(false) })
+	r.after(f.Duration.Duration(), func() { r.etcd.SetUnavailable(false) })
 }
 
 func injectEtcdDelay(r *run, f settings.Fault) {
-	r.etcd.SetWatchDelay(time.Duration(cmp.Or(f.Times, defaultListDelay) * float64(time.Second)))
-	r.after(f.For.Duration(), func() { r.etcd.SetWatchDelay(0) })
-	r.replace(r.pick(1)[0], f.For.Duration()/2)
+	r.etcd.SetWatchDelay(time.Duration(cmp.Or(f.Factor, defaultListDelay) * float64(time.Second)))
+	r.after(f.Duration.Duration(), func() { r.etcd.SetWatchDelay(0) })
+	r.replace(r.pick(1)[0], f.Duration.Duration()/2)
 }
 
 // injectEtcdCompaction has etcd miss changes and compact its history before it returns.
 func injectEtcdCompaction(r *run, f settings.Fault) {
 	r.etcd.SetUnavailable(true)
 	for _, cell := range r.pick(f.Count) {
-		r.replace(cell, f.For.Duration()/4)
+		r.replace(cell, f.Duration.Duration()/4)
 	}
-	r.after(f.For.Duration(), func() {
+	r.after(f.Duration.Duration(), func() {
 		r.etcd.CompactHistory()
 		r.etcd.SetUnavailable(false)
 	})
@@ -210,7 +210,7 @@
 
 func injectEtcdSilence(r *run, f settings.Fault) {
 	r.etcd.SetSilent(true)
-	r.after(f.For.Duration(), func() { r.etcd.SetSilent(false) })
+	r.after(f.Duration.Duration(), func() { r.etcd.SetSilent(false) })
 }
 
 func injectReRegistration(r *run, _ settings.Fault) {
@@ -225,7 +225,7 @@
 func injectDNSDrain(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
 		r.listInDNS(cell, weightDraining)
-		r.after(f.For.Duration(), func() { r.listInDNS(cell, weightUp) })
+		r.after(f.Duration.Duration(), func() { r.listInDNS(cell, weightUp) })
 	}
 }
 
@@ -233,9 +233,9 @@
 func injectStaleDNS(r *run, f settings.Fault) {
 	r.dnsFrozen = true
 	for _, cell := range r.pick(f.Count) {
-		r.replace(cell, f.For.Duration()/2)
+		r.replace(cell, f.Duration.Duration()/2)
 	}
-	r.after(f.For.Duration(), func() {
+	r.after(f.Duration.Duration(), func() {
 		r.dnsFrozen = false
 		r.publishDNS()
 	})
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -81,10 +81,10 @@
 
 // startNameServer starts the name server of a gateway, if the script has DNS.
 func (r *run) startNameServer(n int) error {
-	if r.script.List.DNS == nil {
+	if r.script.EndpointList.DNS == nil {
 		return nil
 	}
-	server, err := dns.New(r.script.List.DNS.Name)
+	server, err := dns.New(r.script.EndpointList.DNS.Name)
 	if err != nil {
 		return err
 	}
@@ -167,16 +167,16 @@
 	s.DiskServers.Digests = s.DiskServers.Digests || hasWireFaults(r.script)
 	s.FaultTest = nil
 	s.Scheduler.Ordinal = n
-	s.Scheduler.Hosts = r.script.FaultTest.Gateways
+	s.Scheduler.Instances = r.script.FaultTest.Gateways
 	s.Listen.Address = address
 	s.Listen.Host = hostNQN(r.script, n)
-	s.List.Etcd = slices.Clone(s.List.Etcd[:1])
-	s.List.Etcd[0].Endpoint = r.etcd.Address()
-	if s.List.DNS != nil {
-		source := *s.List.DNS
+	s.EndpointList.Etcd = slices.Clone(s.EndpointList.Etcd[:1])
+	s.EndpointList.Etcd[0].Endpoint = r.etcd.Address()
+	if s.EndpointList.DNS != nil {
+		source := *s.EndpointList.DNS
 		source.Servers = slices.Clone(source.Servers[:1])
 		source.Servers[0].Address = r.nameServers[n].Address()
-		s.List.DNS = &source
+		s.EndpointList.DNS = &source
 	}
 	return &s
 }
@@ -243,27 +243,27 @@
 // Model is what the fake disk servers of a script are like.
 func Model(s *settings.Gateway) disk.Model {
 	model := disk.Model{
-		Fleet:  s.FaultTest.Fleet,
-		Block:  int(s.Volumes.Block),
-		Unit:   int(s.Volumes.Unit),
-		Extent: int64(s.Volumes.Extent),
-		Meter:  &disk.Meter{Period: s.Rules.MeterPeriod.Duration(), Rate: volumeRates(s)},
+		FakeServers: s.FaultTest.FakeServers,
+		Block:       int(s.Volumes.Block),
+		Unit:        int(s.Volumes.Unit),
+		Extent:      int64(s.Volumes.Extent),
+		Meter:       &disk.Meter{Period: s.Policy.UsagePeriod.Duration(), Rate: volumeRates(s)},
 		Target: target.Settings{
-			Subsystem:   s.DiskServers.Subsystem,
-			Serial:      "standin",
-			MaxTransfer: int(s.Limits.Transfer),
-			Capsule:     diskCapsule,
-			Piece:       diskPiece,
-			Depth:       diskDepth,
-			Queues:      diskQueues,
-			Handshake:   diskHandshake,
-			Connections: diskConnections,
-			Unsent:      diskUnsent,
-			Held:        diskBuffered,
-			Namespaces:  diskNamespaces(s),
+			Subsystem:        s.DiskServers.Subsystem,
+			Serial:           "standin",
+			MaxTransfer:      int(s.Limits.MaxTransfer),
+			MaxCapsule:       diskCapsule,
+			MaxDataPDU:       diskPiece,
+			QueueDepth:       diskDepth,
+			MaxQueues:        diskQueues,
+			HandshakeTimeout: diskHandshake,
+			MaxConnections:   diskConnections,
+			MaxUnsent:        diskUnsent,
+			MaxBuffered:      diskBuffered,
+			Namespaces:       diskNamespaces(s),
 		},
 	}
-	if slowStart := s.Rules.SlowStart; slowStart != nil {
+	if slowStart := s.Policy.SlowStart; slowStart != nil {
 		model.ColdCapacity = slowStart.From
 		model.ColdTime = slowStart.Time.Duration()
 		model.OverloadWindow = slowStart.Window.Duration()
@@ -277,7 +277,7 @@
 	return func(nsid uint32) float64 {
 		for _, v := range s.Volumes.List {
 			if v.NSID == nsid {
-				return s.Plans.List[s.Plan(v.Plan)].Rate
+				return s.Plans.List[s.PlanIndex(v.Plan)].Rate
 			}
 		}
 		return 0
--- a/faulttest/lists.go
+++ b/faulttest/lists.go
@@ -43,7 +43,7 @@
 		r.injected = err
 		return
 	}
-	r.etcd.Set(r.script.List.Prefix+server.Address(), value)
+	r.etcd.Set(r.script.EndpointList.Prefix+server.Address(), value)
 	weight := uint16(weightUp)
 	if state != stateOn {
 		weight = weightDraining
@@ -70,7 +70,7 @@
 
 // unlist removes a disk server from etcd and DNS.
 func (r *run) unlist(address string) {
-	r.etcd.Delete(r.script.List.Prefix + address)
+	r.etcd.Delete(r.script.EndpointList.Prefix + address)
 	delete(r.dnsRecords, address)
 	r.publishDNS()
 }
@@ -105,7 +105,7 @@
 			started = time.UnixMilli(record.StartedMS)
 		}
 	}
-	r.log.Told(gateway, sourceEtcd, strings.TrimPrefix(key, r.script.List.Prefix), state, started)
+	r.log.Told(gateway, sourceEtcd, strings.TrimPrefix(key, r.script.EndpointList.Prefix), state, started)
 }
 
 // dnsNoticeRecorder returns a function that tells the audit what the answers of a name server tell its gateway. By
@@ -126,7 +126,7 @@
 				missing = append(missing, address)
 			}
 		}
-		if float64(len(missing)) > r.script.List.SourceTrust.MaxRemovedShare*float64(len(before)) {
+		if float64(len(missing)) > r.script.EndpointList.SourceTrust.MaxRemovedShare*float64(len(before)) {
 			return // unconfirmed: what was listed before stays
 		}
 		for _, address := range missing {
--- a/faulttest/run.go
+++ b/faulttest/run.go
@@ -94,7 +94,7 @@
 func (r *run) play(ctx context.Context) (*Report, error) {
 	finished := make(chan struct{})
 	r.loop.Post(r.scheduleFaults)
-	r.loop.Schedule(r.loop.Now()+r.script.FaultTest.Length.Duration()+warmUp, func() {
+	r.loop.Schedule(r.loop.Now()+r.script.FaultTest.Duration.Duration()+warmUp, func() {
 		r.load.Stop(func() { close(finished) })
 	})
 	looped := make(chan error, 1)
@@ -146,7 +146,7 @@
 // sampleMembership compares, again and again, the gateways' merged state of disk servers with what their two sources
 // report, until the script has finished or stop is closed. With one source there is nothing to compare.
 func (r *run) sampleMembership(finished, stop <-chan struct{}) {
-	if r.script.List.DNS == nil {
+	if r.script.EndpointList.DNS == nil {
 		return
 	}
 	for {
--- a/faulttest/run_test.go
+++ b/faulttest/run_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script.FaultTest.Length = settings.Span(length)
+	script.FaultTest.Duration = settings.Span(length)
 	return script
 }
 
@@ -28,13 +28,13 @@
 	return script
 }
 
-func fault(kind string, at, duration time.Duration, count int, times float64) settings.Fault {
+func fault(kind string, start, duration time.Duration, count int, factor float64) settings.Fault {
 	return settings.Fault{
-		Kind:  kind,
-		At:    settings.Span(at),
-		For:   settings.Span(duration),
-		Count: count,
-		Times: times,
+		Kind:     kind,
+		Start:    settings.Span(start),
+		Duration: settings.Span(duration),
+		Count:    count,
+		Factor:   factor,
 	}
 }
 
@@ -103,9 +103,9 @@
 	script := parseScript(t, Wires, 9*time.Second)
 	for i := range script.FaultTest.Faults {
 		f := &script.FaultTest.Faults[i]
-		f.At = settings.Span(time.Duration(i) * 1500 * time.Millisecond)
-		f.For = settings.Span(1200 * time.Millisecond)
-		f.Times = 0.06
+		f.Start = settings.Span(time.Duration(i) * 1500 * time.Millisecond)
+		f.Duration = settings.Span(1200 * time.Millisecond)
+		f.Factor = 0.06
 	}
 	report, err := Run(context.Background(), Options{Script: script, Seed: 11})
 	if err != nil {
--- a/faulttest/scenarios.go
+++ b/faulttest/scenarios.go
@@ -29,16 +29,16 @@
 	"silent":          {{Kind: "silent", Count: 1}},
 	"many-back-cold":  {{Kind: "die", Count: 3}},
 	"short-notice":    {{Kind: "drain", Count: 2}},
-	"answers-lost":    {{Kind: "lose-answers", Count: 4, Times: 0.3}},
-	"hurry":           {{Kind: "hurry", Times: 0.2}},
+	"answers-lost":    {{Kind: "lose-answers", Count: 4, Factor: 0.3}},
+	"hurry":           {{Kind: "hurry", Factor: 0.2}},
 	"release":         {{Kind: "replace", Count: 3}},
-	"fails-fast":      {{Kind: "fail", Count: 1, Times: 0.7}},
-	"slow":            {{Kind: "slow", Count: 1, Times: 6}},
+	"fails-fast":      {{Kind: "fail", Count: 1, Factor: 0.7}},
+	"slow":            {{Kind: "slow", Count: 1, Factor: 6}},
 	"pauses":          {{Kind: "pause", Count: 3}},
-	"surge":           {{Kind: "surge", Count: 2, Times: 8}},
-	"overload":        {{Kind: "surge", Count: 1000, Times: 6}}, // with the built-in fleet: twice its capacity
-	"plan-surge":      {{Kind: "plan-surge", Plan: "standard", Times: 4}},
-	"list-stale":      {{Kind: "list-late", Times: 2}},
+	"surge":           {{Kind: "surge", Count: 2, Factor: 8}},
+	"overload":        {{Kind: "surge", Count: 1000, Factor: 6}}, // with the built-in fleet: twice its capacity
+	"plan-surge":      {{Kind: "plan-surge", Plan: "standard", Factor: 4}},
+	"list-stale":      {{Kind: "list-late", Factor: 2}},
 	"list-down":       {{Kind: "list-down"}, {Kind: "die", Count: 1}},
 	"reports-late":    {{Kind: "stale-reports", Count: 6}},
 	"gateway-restart": {{Kind: "gateway-restart"}},
@@ -77,7 +77,7 @@
 // name. Its error is ErrUnknownScenario.
 func Scenarios(script *settings.Gateway, name string) ([]Scenario, error) {
 	known := maps.Clone(scenarios)
-	if script.List.DNS != nil {
+	if script.EndpointList.DNS != nil {
 		maps.Copy(known, dnsScenarios)
 	}
 	names := slices.Sorted(maps.Keys(known))
@@ -98,11 +98,11 @@
 func withFaults(script *settings.Gateway, faults []settings.Fault) *settings.Gateway {
 	copied, faultTest := *script, *script.FaultTest
 	copied.FaultTest = &faultTest
-	faultTest.Length = settings.Span(scenarioLength)
+	faultTest.Duration = settings.Span(scenarioLength)
 	faultTest.Faults = nil
 	for _, f := range faults {
-		f.At, f.For = settings.Span(faultAt), settings.Span(faultFor)
-		if f.Plan != "" && script.Plan(f.Plan) < 0 {
+		f.Start, f.Duration = settings.Span(faultAt), settings.Span(faultFor)
+		if f.Plan != "" && script.PlanIndex(f.Plan) < 0 {
 			f.Plan = "" // all plans, where the script has not this one
 		}
 		faultTest.Faults = append(faultTest.Faults, f)
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -59,12 +59,12 @@
 // wireFault damages the connections of some disk servers, and those of the clients behind faulty wires, for a time.
 func wireFault(kind string) injector {
 	return func(r *run, f settings.Fault) {
-		faults := wireFaults{kind: kind, chance: cmp.Or(f.Times, defaultDamageChance), disks: map[*disk.Server]bool{}}
+		faults := wireFaults{kind: kind, chance: cmp.Or(f.Factor, defaultDamageChance), disks: map[*disk.Server]bool{}}
 		for _, cell := range r.pick(f.Count) {
 			faults.disks[r.serverOfCell[cell]] = true
 		}
 		r.wireFaults = faults
-		r.after(f.For.Duration(), func() { r.wireFaults.kind = "" })
+		r.after(f.Duration.Duration(), func() { r.wireFaults.kind = "" })
 	}
 }
 
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -34,7 +34,7 @@
 		return
 	}
 	d.waiting = append(d.waiting, f)
-	if d.association == nil || d.association.Over() {
+	if d.association == nil || d.association.IsClosed() {
 		d.association = initiator.Dial(d.instance.loop, d.associationSettings(), d)
 	}
 }
@@ -47,10 +47,10 @@
 		Subsystem:      config.DiskServers.Subsystem,
 		Host:           config.Listen.Host,
 		HostID:         [16]byte{byte(ordinal), byte(ordinal >> 8)},
-		Depth:          config.DiskServers.Depth,
-		MaxData:        int(config.Limits.Transfer),
+		Depth:          config.DiskServers.QueueDepth,
+		MaxData:        int(config.Limits.MaxTransfer),
 		Digests:        config.DiskServers.Digests,
-		ConnectTimeout: config.DiskServers.ConnectWithin.Duration(),
+		ConnectTimeout: config.DiskServers.ConnectTimeout.Duration(),
 		KeepAlive:      config.DiskServers.KeepAlive.Duration(),
 	}
 }
