--- a/faulttest/scenarios.go
+++ b/faulttest/scenarios.go
@@ -21,7 +21,7 @@
 const AllScenarios = "all"
 
 // ErrUnknownScenario is the error of Scenarios for a name that it does not know.
-var ErrUnknownScenario = errors.New("no trouble has this name")
+var ErrUnknownScenario = errors.New("no trouble is called")
 
 // scenarios are the faults that are played one by one, each during an otherwise undisturbed day.
 var scenarios = map[string][]settings.Fault{
@@ -83,7 +83,7 @@
 	names := slices.Sorted(maps.Keys(known))
 	if name != AllScenarios {
 		if known[name] == nil {
-			return nil, fmt.Errorf("%w: %q; there are %s, %v", ErrUnknownScenario, name, AllScenarios, names)
+			return nil, fmt.Errorf("%w %q; there are %s, %v", ErrUnknownScenario, name, AllScenarios, names)
 		}
 		names = []string{name}
 	}
