--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -42,7 +42,7 @@
 	maxEvictionChecks = 8
 )
 
-var commandBounds = resp.Limits{
+var commandLimits = resp.Limits{
 	Line:         maxCommandLine,
 	Bulk:         maxBody,
 	Items:        maxArguments,
@@ -75,7 +75,7 @@
 	}
 	s.clientConnCount++
 	now := s.loop.Now()
-	c := &client{scheduler: s, conn: conn, reader: resp.Reader{Limits: commandBounds}, lastActivity: now}
+	c := &client{scheduler: s, conn: conn, reader: resp.Reader{Limits: commandLimits}, lastActivity: now}
 	conn.NotifyHalfClose, conn.MaxReadBytes = true, initialReadSize
 	conn.OnClosed = func() {
 		s.clientConnCount--
--- a/scheduler/helper_test.go
+++ b/scheduler/helper_test.go
@@ -134,6 +134,9 @@
 	bed.scheduler.Reload(config)
 }
 
+// serverID is the id of the n-th disk server.
+func serverID(n int) honeyplank.ServerID { return honeyplank.ServerID(fmt.Sprint("s-", n)) }
+
 // member is the entry of the i-th disk server in the endpoint list.
 func (bed *testbed) member(i int, phase string) fakeresp.Member {
 	return fakeresp.Member{ID: fmt.Sprintf("s-%d", i), Address: bed.disks[i].Address(), Zone: "room", Model: "std", Cell: i, Phase: phase, Size: 1}
@@ -183,7 +186,7 @@
 func (bed *testbed) connCounts(n int) (waiting, connected int) {
 	bed.t.Helper()
 	bed.onLoop(func() {
-		ds := bed.scheduler.servers[honeyplank.ServerID(fmt.Sprintf("s-%d", n))]
+		ds := bed.scheduler.servers[serverID(n)]
 		if ds == nil {
 			return
 		}
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -185,7 +185,7 @@
 // dial begins to open a connection. An error says that this machine could not begin.
 func (ds *diskServer) dial() error {
 	s := ds.scheduler
-	sc := &serverConn{server: ds, reader: resp.Reader{Limits: replyBounds}, idleSince: s.loop.Now()}
+	sc := &serverConn{server: ds, reader: resp.Reader{Limits: replyLimits}, idleSince: s.loop.Now()}
 	conn, err := s.loop.Dial(ds.address, sc)
 	if err != nil {
 		ds.postponeDial(err)
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -7,7 +7,6 @@
 
 	"honeyplank"
 	fakeresp "honeyplank/fake/resp"
-	"honeyplank/resp"
 )
 
 // TestWaitersOfOneDial: where no descriptor is left several attempts wait for one connection; if that does not come up,
@@ -54,27 +53,26 @@
 // that op's.
 func TestConnRestsWithoutDescriptors(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
-	bed.disks[0].Apply(fakeresp.Faults{Late: second})
+	server := newLateReplyServer(t, secondReply)
+	bed.redirectServer(0, server.address)
 	c := bed.dialClient()
-	bed.onLoop(func() { bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 })
-	for i := range 30 {
-		id := fmt.Sprint("a", i)
-		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
-			t.Fatalf("op %d: %q", i, got)
-		}
-	}
-	bed.disks[0].Apply(fakeresp.Faults{})
+	bed.onLoop(func() {
+		bed.module.DecisionModule = singleServerModule{"s-0"}
+		bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1
+	})
+	ops := server.checkReplies(c, 30)
+	server.update(func() { server.extra = "" })
 	for i := range 30 {
 		id := fmt.Sprint("b", i)
 		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
 			t.Fatalf("op %d: %q", i, got)
 		}
 	}
-	if _, ever := bed.disks[0].Connections(); ever > 32 {
-		t.Errorf("%d connections", ever)
-	}
+	server.update(func() {
+		if server.connections > ops+2 {
+			t.Errorf("%d connections for %d ops and 30 that can share one", server.connections, ops)
+		}
+	})
 }
 
 // TestIdleClosed: a connection that the server has closed while it was idle is not written to.
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -21,7 +21,7 @@
 	maxQuotaUsed = 1e9
 )
 
-var replyBounds = resp.Limits{
+var replyLimits = resp.Limits{
 	Line:  maxReplyLine,
 	Bulk:  maxValue,
 	Items: maxItems,
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -81,15 +81,23 @@
 	}
 }
 
+// secondReply is an answer of its own form that belongs to no command.
+var secondReply = string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
+
 // TestExtraReplyData: what comes behind a good answer, at once or a moment later, reaches no client.
 func TestExtraReplyData(t *testing.T) {
-	second := string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
-	for name, f := range map[string]fakeresp.Faults{
-		"copy": {Behind: second}, "noise": {Behind: "\x01\x02"}, "late copy": {Late: second}, "late noise": {Late: "noise\r\n"},
-	} {
+	for name, extra := range map[string]string{"late copy": secondReply, "late noise": "noise\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
-			bed.disks[0].Apply(f)
+			server := newLateReplyServer(t, extra)
+			bed.redirectServer(0, server.address)
+			server.checkReplies(bed.dialClient(), 30)
+		})
+	}
+	for name, extra := range map[string]string{"copy": secondReply, "noise": "\x01\x02"} {
+		t.Run(name, func(t *testing.T) {
+			bed := newTestbed(t, 1)
+			bed.disks[0].Apply(fakeresp.Faults{Behind: extra})
 			c := bed.dialClient()
 			for i := range 30 {
 				id := fmt.Sprintf("a%d", i)
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -26,7 +26,7 @@
 		if all[c] != nil {
 			continue
 		}
-		x := &clientTraffic{reader: resp.Reader{Limits: commandBounds}}
+		x := &clientTraffic{reader: resp.Reader{Limits: commandLimits}}
 		all[c] = x
 		c.conn.Tap = func(sent bool, b []byte) {
 			if sent {
