--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -70,7 +70,7 @@
 
 func (g *growCommand) Run(c *fuzzCorpusCommand) error {
 	return c.play(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
-		return fuzzcorpus.Grow(ctx, c.Root, targets, g.Time, g.Workers, g.Most, done)
+		return fuzzcorpus.Grow(ctx, c.Root, targets, fuzzcorpus.GrowOptions{Time: g.Time, Workers: g.Workers, MaxBytes: g.Most}, done)
 	}, func(r fuzzcorpus.Result) {
 		fmt.Printf("%-28s %10d inputs tried in %6s, %4d kept, now %5d\n", r.Target, r.Tried, r.Took.Round(time.Second), len(r.Added), r.Files)
 		if r.Crash != "" {
@@ -123,13 +123,13 @@
 	ctx, stop := signals()
 	defer stop()
 	missed := 0
-	err = fuzzcorpus.Try(ctx, c.Root, list, s.Runs, func(f fuzzcorpus.Found) {
+	err = fuzzcorpus.Mutate(ctx, c.Root, list, s.Runs, func(f fuzzcorpus.MutationResult) {
 		word := fmt.Sprintf("found by input %d of the corpus", f.Replayed)
 		switch {
 		case !f.Found:
 			missed++
 			word = fmt.Sprintf("MISSED in %d and %d inputs", f.Replayed, f.Fuzzed)
-		case !f.Corpus:
+		case !f.FoundByCorpus:
 			word = fmt.Sprintf("found after the corpus, %d, and about %d new inputs", f.Replayed, f.Fuzzed)
 		}
 		fmt.Printf("%-24s %-48s %s\n", f.Package+" "+f.Target, f.Kind, word)
--- /dev/null
+++ b/fuzzcorpus/replay.go
@@ -0,0 +1,40 @@
+package fuzzcorpus
+
+import (
+	"context"
+	"time"
+)
+
+// Replay runs every input through its target and hands the results to done, one target after another. Inputs that
+// fail are faults in the results; an error says that a target could not be run.
+func Replay(ctx context.Context, root string, targets []Target, done func(Result)) error {
+	for _, t := range targets {
+		result, err := replayTarget(ctx, root, t)
+		if err != nil {
+			return err
+		}
+		done(result)
+	}
+	return nil
+}
+
+func replayTarget(ctx context.Context, root string, t Target) (Result, error) {
+	result := Result{Target: t}
+	if err := result.countFiles(root); err != nil {
+		return result, err
+	}
+	var err error
+	if result.Faults, err = checkInputs(root, t); err != nil || len(result.Faults) > 0 {
+		return result, err
+	}
+	began := time.Now()
+	output, err := runCommand(ctx, root, "go", "test", "-count=1", "-run", "^"+t.Name+"$", "./"+t.Package)
+	result.Took = time.Since(began)
+	if ctx.Err() != nil {
+		return result, ctx.Err()
+	}
+	if err != nil {
+		result.Faults = append(result.Faults, Fault{t, failedInput(t.Name, output), output})
+	}
+	return result, nil
+}
--- /dev/null
+++ b/fuzzcorpus/targets.go
@@ -0,0 +1,162 @@
+// Package fuzzcorpus keeps the inputs of the fuzz targets of a source tree, under testdata/fuzz: it replays, grows,
+// minimises and measures them, and tests the targets themselves by mutations of the code. It drives the go command;
+// the files are in its format ("go test fuzz v1", one Go literal a line).
+//
+// It is a development tool: no instance uses it. Its functions may be called from any goroutine, but for one source
+// tree only one at a time.
+package fuzzcorpus
+
+import (
+	"errors"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+)
+
+// fuzzPrefix begins the names of all fuzz targets.
+const fuzzPrefix = "Fuzz"
+
+// Target is one fuzz target.
+type Target struct {
+	Package string   // directory below the root, with slashes
+	Name    string   // such as FuzzDecode
+	Types   []string // of an input's values
+}
+
+// String is the package and the name.
+func (t Target) String() string { return t.Package + " " + t.Name }
+
+// Directory is where the inputs of a target are.
+func (t Target) Directory(root string) string {
+	return filepath.Join(t.packageDirectory(root), "testdata", "fuzz", t.Name)
+}
+
+func (t Target) packageDirectory(root string) string {
+	return filepath.Join(root, filepath.FromSlash(t.Package))
+}
+
+// Files returns the names of the inputs of a target.
+func (t Target) Files(root string) ([]string, error) {
+	entries, err := os.ReadDir(t.Directory(root))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	var names []string
+	for _, entry := range entries {
+		names = append(names, entry.Name())
+	}
+	return names, err
+}
+
+// Find returns the targets below a root whose name, or whose package's, matches a pattern, sorted; an empty pattern
+// matches all. It is an error if there is none.
+func Find(root, pattern string) ([]Target, error) {
+	match, err := regexp.Compile(pattern)
+	if err != nil {
+		return nil, err
+	}
+	var targets []Target
+	err = filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			if path != root && isSkipped(entry.Name()) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		found, err := targetsOf(root, path)
+		for _, t := range found {
+			if match.MatchString(t.Name) || match.MatchString(t.Package) {
+				targets = append(targets, t)
+			}
+		}
+		return err
+	})
+	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.String(), b.String()) })
+	if err == nil && len(targets) == 0 {
+		err = fmt.Errorf("fuzzcorpus: no fuzz target below %s matches %q", root, pattern)
+	}
+	return targets, err
+}
+
+// isSkipped reports whether a directory below the root has no packages.
+func isSkipped(name string) bool { return name == "testdata" || strings.HasPrefix(name, ".") }
+
+// targetsOf returns the targets of a test file.
+func targetsOf(root, path string) ([]Target, error) {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return nil, err
+	}
+	directory, err := filepath.Rel(root, filepath.Dir(path))
+	if err != nil {
+		return nil, err
+	}
+	var targets []Target
+	for _, declaration := range file.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if !ok || function.Recv != nil || !strings.HasPrefix(function.Name.Name, fuzzPrefix) {
+			continue
+		}
+		t := Target{Package: filepath.ToSlash(directory), Name: function.Name.Name, Types: inputTypes(function)}
+		if len(t.Types) > 0 {
+			targets = append(targets, t)
+		}
+	}
+	return targets, nil
+}
+
+// inputTypes returns the types of the parameters, after the *testing.T, of the function that a target hands to Fuzz.
+func inputTypes(target *ast.FuncDecl) []string {
+	var types []string
+	ast.Inspect(target, func(node ast.Node) bool {
+		function := fuzzedFunction(node)
+		if function == nil {
+			return true
+		}
+		for _, parameter := range function.Type.Params.List[1:] {
+			for range parameter.Names {
+				types = append(types, typeName(parameter.Type))
+			}
+		}
+		return false
+	})
+	return types
+}
+
+// fuzzedFunction returns the function literal of a call x.Fuzz(func...); nil: the node is no such call.
+func fuzzedFunction(node ast.Node) *ast.FuncLit {
+	call, ok := node.(*ast.CallExpr)
+	if !ok || len(call.Args) != 1 {
+		return nil
+	}
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || selector.Sel.Name != fuzzPrefix {
+		return nil
+	}
+	function, _ := call.Args[0].(*ast.FuncLit)
+	return function
+}
+
+// typeName spells a type that the go command can fuzz.
+func typeName(expression ast.Expr) string {
+	switch e := expression.(type) {
+	case *ast.Ident:
+		return e.Name
+	case *ast.ArrayType:
+		return "[]" + typeName(e.Elt)
+	}
+	return "?"
+}
