--- a/eventloop/buffers.go
+++ b/eventloop/buffers.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// Buffers is a pool of byte slices whose capacities are powers of two. It bounds what it keeps for later use and counts what is
-// in use, so that its owner can limit that. It must be used on one loop only.
+// Buffers is a pool of byte slices whose capacities are powers of two. It bounds what it keeps for later use and counts
+// what is in use, so that its owner can limit that. It must be used on one loop only.
 type Buffers struct {
 	// MaxKept is the most that is kept for later use, in bytes.
 	MaxKept int
@@ -13,7 +13,7 @@
 	Stats *Stats
 
 	kept int                   // bytes
-	free [sizeClasses][][]byte // by the power of two
+	free [sizeClasses][][]byte // by the power of two that is their capacity
 }
 
 // sizeClasses is the number of powers of two that the pool distinguishes: the largest slice has 2 GiB.
@@ -27,14 +27,16 @@
 	class := bits.Len(uint(n - 1))
 	size := 1 << class
 	pool.InUse += size
-	if list := pool.free[class]; len(list) > 0 {
-		b := list[len(list)-1]
-		list[len(list)-1] = nil
-		pool.free[class] = list[:len(list)-1]
-		pool.kept -= size
-		return b[:n]
+	free := pool.free[class]
+	if len(free) == 0 {
+		return make([]byte, size)[:n]
 	}
-	return make([]byte, size)[:n]
+	last := len(free) - 1
+	b := free[last]
+	free[last] = nil
+	pool.free[class] = free[:last]
+	pool.kept -= size
+	return b[:n]
 }
 
 // Put takes back a slice that came from Get. The caller must not use it any more.
@@ -44,10 +46,12 @@
 		return
 	}
 	pool.InUse -= size
-	if class := bits.Len(uint(size - 1)); pool.kept+size <= pool.MaxKept {
-		pool.kept += size
-		pool.free[class] = append(pool.free[class], b)
+	if pool.kept+size > pool.MaxKept {
+		return
 	}
+	class := bits.Len(uint(size - 1))
+	pool.kept += size
+	pool.free[class] = append(pool.free[class], b)
 }
 
 // Copied counts n bytes that were copied into or out of a buffer.
--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// gracefulCloseTimeout is how long CloseGracefully waits for the other end to close once all is written. CloseAfterFlush
-	// waits as long, beyond its own delay, for the other end to take the output.
+	// gracefulCloseTimeout is how long CloseGracefully waits for the other end to close once all is written.
+	// CloseAfterFlush waits as long, beyond its own delay, for the other end to take the output.
 	gracefulCloseTimeout = time.Second
 	// unreadCloseTimeout is how long CloseGracefully waits for the other end to take the output.
 	unreadCloseTimeout = 10 * time.Second
-	// ackPollInterval is the time between two looks at what the other end has acknowledged.
+	// ackPollInterval is the time between two checks of what the other end has acknowledged.
 	ackPollInterval = 10 * time.Millisecond
 )
 
-// Close closes the socket at once; the system sends a reset if input was left unread. OnClosed is called, Handler.Closed
-// is not.
+// Close closes the socket at once; the system sends a reset if input was left unread. OnClosed is called,
+// Handler.Closed is not.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -32,11 +32,11 @@
 	}
 }
 
-// Abort closes the socket at once with a reset (SO_LINGER with no time, see socket(7)): output that the other end's system has
-// not taken yet never arrives. Otherwise it is like Close.
+// Abort closes the socket at once with a reset (SO_LINGER with no time, see socket(7)): output that the other end's
+// system has not taken yet never arrives. Otherwise it is like Close.
 func (c *Conn) Abort() {
 	if !c.closed {
-		c.loop.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1})
+		_ = c.loop.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1}) // the socket is closed either way
 	}
 	c.Close()
 }
@@ -44,10 +44,10 @@
 // Reset ends the connection as a reset by the other end does.
 func (c *Conn) Reset() { c.fail(unix.ECONNRESET) }
 
-// CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed once the
-// other end has closed too, or after a second. To close at once would have the kernel answer what still comes with a reset,
-// which can take from the other end what it has not read yet. Nothing more is read: a request that crosses the end stays
-// unread, so that its sender may send it again. Handler.Closed is not called.
+// CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed once
+// the other end has closed too, or after a second. To close at once would have the kernel answer what still comes with
+// a reset, which can take from the other end what it has not read yet. Nothing more is read: a request that crosses the
+// end stays unread, so that its sender may send it again. Handler.Closed is not called.
 func (c *Conn) CloseGracefully() {
 	if c.closing || c.closed {
 		return
@@ -59,9 +59,9 @@
 	c.closeAfterOutput(gracefulCloseTimeout, unreadCloseTimeout)
 }
 
-// CloseAfterFlush ends a connection whose further input is of no use: Output is written, nothing more is read, and the socket
-// is closed after a delay in which the other end can read the output, or a second later where it has not. Handler.Closed is
-// not called.
+// CloseAfterFlush ends a connection whose further input is of no use: Output is written, nothing more is read, and the
+// socket is closed after a delay in which the other end can read the output, or a second later where it has not.
+// Handler.Closed is not called.
 func (c *Conn) CloseAfterFlush(delay time.Duration) {
 	if c.closing || c.closed {
 		return
@@ -69,7 +69,8 @@
 	c.closeAfterOutput(delay, gracefulCloseTimeout+delay)
 }
 
-// closeAfterOutput closes the socket when Output is written and a delay has passed, and by a timeout from now in any case.
+// closeAfterOutput closes the socket when Output is written and a delay has passed, and by a timeout from now in any
+// case.
 func (c *Conn) closeAfterOutput(delay, timeout time.Duration) {
 	c.closing, c.input, c.closeDelay = true, nil, delay
 	c.Pause()
@@ -92,11 +93,11 @@
 func (c *Conn) closeWrite() {
 	c.writeClosed = true
 	c.loop.Stats.OtherCalls.Add(1)
-	c.loop.sys.Shutdown(c.fd, unix.SHUT_WR)
+	_ = c.loop.sys.Shutdown(c.fd, unix.SHUT_WR) // a timer closes the socket either way
 }
 
-// closeWhenAcked closes a connection that has ended its sending, once that takes nothing from the other end: a close over
-// unread input resets the connection, and output that the other end has not acknowledged yet is lost with it.
+// closeWhenAcked closes a connection that has ended its sending, once that takes nothing from the other end: a close
+// over unread input resets the connection, and output that the other end has not acknowledged yet is lost with it.
 func (c *Conn) closeWhenAcked() {
 	if c.closed {
 		return
@@ -108,7 +109,7 @@
 	// epoll always reports EPOLLHUP, once both directions have ended in every round: see epoll_ctl(2).
 	if c.registered {
 		c.registered = false
-		c.loop.control(unix.EPOLL_CTL_DEL, c.fd, 0)
+		_ = c.loop.control(unix.EPOLL_CTL_DEL, c.fd, 0) // the close of the descriptor removes it too
 	}
 	c.loop.Schedule(c.loop.Now()+ackPollInterval, c.closeWhenAcked)
 }
--- a/eventloop/close_test.go
+++ b/eventloop/close_test.go
@@ -18,8 +18,8 @@
 	return len(b)
 }
 
-// TestCloseWithUnreadInput: input that crosses the close of a connection is not read, and the close takes nothing of the output
-// from the other end, whatever that does meanwhile.
+// TestCloseWithUnreadInput: input that crosses the close of a connection is not read, and the close takes nothing of
+// the output from the other end, whatever that does meanwhile.
 func TestCloseWithUnreadInput(t *testing.T) {
 	closings := map[string]func(*Conn){
 		"CloseGracefully": (*Conn).CloseGracefully,
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"net/netip"
+	"os"
 	"slices"
 	"time"
 
@@ -12,18 +13,18 @@
 
 // Handler is what a connection calls. All calls are made on the loop.
 type Handler interface {
-	// Opened tells that a dialled connection is established.
+	// Opened is called once a dialled connection is established.
 	Opened(c *Conn)
-	// Input brings bytes that were received and returns how many of them it has used. The rest is offered again, with what
-	// follows it. The handler must not keep b.
+	// Input brings bytes that were received and returns how many of them it has used. The rest is offered again, with
+	// what follows it. The handler must not keep b.
 	Input(c *Conn, b []byte) int
-	// Closed tells, once, that the connection has ended; err is nil if the other end closed it in order. It is not called
-	// after Close, Abort, CloseGracefully and CloseAfterFlush.
+	// Closed is called once, when the connection has ended; err is nil if the other end closed it in order. It is not
+	// called after Close, Abort, CloseGracefully and CloseAfterFlush.
 	Closed(c *Conn, err error)
 }
 
-// FaultFilter changes bytes on their way, for fault injection. What it holds back it returns from a later call, see
-// Conn.FlushFilter.
+// FaultFilter changes bytes between socket and handler, for fault injection. It may hold bytes back and return them
+// from a later call, see Conn.FlushFilter.
 type FaultFilter interface {
 	// FilterInput returns what the handler gets in place of received bytes.
 	FilterInput(b []byte) []byte
@@ -35,14 +36,14 @@
 type Conn struct {
 	// Output is the output: append to it and call Send.
 	Output []byte
-	// Tap, where set, sees the bytes that cross the socket, in order; sent tells their direction. It is called without
+	// Tap, where set, sees the bytes that cross the socket, in order; sent is their direction. It is called without
 	// bytes when the socket is closed.
 	Tap func(sent bool, b []byte)
 	// FaultFilter, where set, changes the bytes between socket and handler.
 	FaultFilter FaultFilter
 	// RemoteIP is the address of the client of an accepted connection; it is not set on a dialled one.
 	RemoteIP netip.Addr
-	// MaxReadBytes, where positive, is the most that one read takes, in bytes.
+	// MaxReadBytes, where positive, bounds one read.
 	MaxReadBytes int
 	// BeforeWrite, where set, is called before bytes of Output are written, and may change what is unsent.
 	BeforeWrite func()
@@ -82,13 +83,13 @@
 	resumed  uint64        // number of the poll at which reading went on
 }
 
-// note takes down a read. full tells that the read filled its buffer, so that more may wait.
-func (a *arrival) note(l *Loop, full bool) {
+// noteRead takes in a read. mayHaveMore says that the read filled its buffer, so that more input may wait.
+func (a *arrival) noteRead(l *Loop, mayHaveMore bool) {
 	a.after = l.eventsAfter
 	if a.backlog && l.polls <= a.resumed+1 { // it waited already when reading went on
 		a.after = min(a.after, a.lastPoll)
 	}
-	a.lastPoll, a.backlog, a.resumed = l.lastPoll, full, l.polls
+	a.lastPoll, a.backlog, a.resumed = l.lastPoll, mayHaveMore, l.polls
 }
 
 // Dial starts a connection to an IP address and port; Opened or Closed of the handler tells how that ends.
@@ -104,8 +105,8 @@
 	l.Stats.OtherCalls.Add(2)
 	err = l.sys.Connect(fd, sockaddr(to))
 	if err != nil && !connectGoesOn(err) {
-		l.sys.Close(fd)
-		return nil, err
+		_ = l.sys.Close(fd) // unused; the error above is the one to report
+		return nil, os.NewSyscallError("connect", err)
 	}
 	c := &Conn{loop: l, fd: fd, handler: handler, dialing: true, interest: unix.EPOLLOUT, registered: true}
 	if err := l.add(fd, c.interest, c); err != nil {
@@ -114,8 +115,8 @@
 	return c, nil
 }
 
-// connectGoesOn tells that the attempt to connect goes on in the background: connect(2) returns EINPROGRESS on a socket that
-// does not block, and EINTR does not end the attempt either.
+// connectGoesOn reports whether the attempt to connect goes on in the background: connect(2) returns EINPROGRESS on a
+// socket that does not block, and EINTR does not end the attempt either.
 func connectGoesOn(err error) bool {
 	return errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR)
 }
@@ -143,8 +144,8 @@
 // BufferedBytes is the number of bytes that were received and not used: the start of what the handler waits for.
 func (c *Conn) BufferedBytes() int { return len(c.input) }
 
-// ReceivedAfter is a clock time after which the input read last has arrived. Input that waits while the loop is held up, or
-// the connection paused, is read later than it has arrived.
+// ReceivedAfter is a clock time after which the input read last has arrived. Input that waits while the loop is held
+// up, or the connection paused, is read later than it has arrived.
 func (c *Conn) ReceivedAfter() time.Duration { return c.arrival.after }
 
 // Pause stops reading until Resume.
@@ -175,8 +176,8 @@
 	}
 }
 
-// UnackedBytes is the number of bytes that the other end's system has not acknowledged (SIOCOUTQ, see tcp(7)), unsent ones
-// included. Where the system does not tell, it is the number of unsent bytes.
+// UnackedBytes is the number of bytes that the other end's system has not acknowledged (SIOCOUTQ, see tcp(7)), unsent
+// ones included. Where the ioctl fails, it is the number of unsent bytes.
 func (c *Conn) UnackedBytes() int {
 	if c.closed || c.dialing {
 		return 0
@@ -192,8 +193,8 @@
 // maxInterruptions is how often in one round a call that does not wait is repeated after EINTR.
 const maxInterruptions = 16
 
-// NoInputPending tells that everything received so far has been used, and that the other end has not closed: bytes that come
-// from now on can answer what is sent now. It is false where that is not known.
+// NoInputPending reports whether everything received so far has been used, and the other end has not closed: bytes that
+// come from now on can answer what is sent now. It is false where that is not known.
 func (c *Conn) NoInputPending() bool {
 	if c.closed || c.dialing || len(c.input) > 0 {
 		return false
@@ -206,13 +207,14 @@
 	return false
 }
 
-// peerHasEnded tells that the other end has ended its sending and all of it has been read.
+// peerHasEnded reports whether the other end has ended its sending and all of it has been read.
 func (c *Conn) peerHasEnded() bool {
 	n, err := c.peek()
 	return n == 0 && err == nil
 }
 
-// peek looks for one byte of input without taking it, see MSG_PEEK in recv(2). No byte and no error is the end of the stream.
+// peek looks for one byte of input without taking it, see MSG_PEEK in recv(2). No byte and no error is the end of the
+// stream.
 func (c *Conn) peek() (int, error) {
 	c.loop.Stats.OtherCalls.Add(1)
 	n, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.smallBuffer[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -297,7 +299,8 @@
 	c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
 }
 
-// socketError is the pending error of the socket (SO_ERROR, see socket(7)), or that of asking for it; nil: there is none.
+// socketError is the pending error of the socket (SO_ERROR, see socket(7)), or that of asking for it; nil: there is
+// none.
 func (c *Conn) socketError() error {
 	c.loop.Stats.OtherCalls.Add(1)
 	errno, err := c.loop.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
@@ -321,14 +324,14 @@
 	case n == 0:
 		c.fail(nil)
 	default:
-		c.received(buffer[:n], n == len(buffer))
+		c.arrival.noteRead(c.loop, n == len(buffer))
+		c.received(buffer[:n])
 	}
 }
 
-// received passes on what a read has returned; full tells that it filled its buffer.
-func (c *Conn) received(b []byte, full bool) {
+// received passes on what a read has returned.
+func (c *Conn) received(b []byte) {
 	c.loop.Stats.BytesIn.Add(int64(len(b)))
-	c.arrival.note(c.loop, full)
 	if c.Tap != nil {
 		c.Tap(false, b)
 	}
@@ -411,7 +414,7 @@
 	}
 }
 
-// releaseWritten frees the room of what is written, and goes on with a close that waits for it.
+// releaseWritten drops what is written from Output, and goes on with a close that waits for it.
 func (c *Conn) releaseWritten() {
 	switch {
 	case c.written == len(c.Output):
--- a/eventloop/datagram.go
+++ b/eventloop/datagram.go
@@ -4,6 +4,7 @@
 	"errors"
 	"net"
 	"net/netip"
+	"os"
 
 	"golang.org/x/sys/unix"
 )
@@ -27,11 +28,11 @@
 	}
 	fd, err := l.sys.Socket(unix.AF_INET, unix.SOCK_DGRAM)
 	if err != nil {
-		return nil, err
+		return nil, os.NewSyscallError("socket", err)
 	}
 	if err := l.sys.Bind(fd, sockaddr(at)); err != nil {
-		l.sys.Close(fd)
-		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
+		_ = l.sys.Close(fd) // unused; the error above is the one to report
+		return nil, &net.OpError{Op: "listen", Net: "udp", Err: os.NewSyscallError("bind", err)}
 	}
 	u := &UDPConn{loop: l, fd: fd, receive: receive}
 	if err := l.add(fd, unix.EPOLLIN, u); err != nil {
@@ -40,8 +41,8 @@
 	return u, nil
 }
 
-// Send sends one datagram. It does not wait and reports no error: a datagram that finds no room in the socket's buffer is
-// lost, as it may be in the network.
+// Send sends one datagram. It does not wait and reports no error: a datagram that finds no room in the socket's buffer
+// is lost, as it may be in the network.
 func (u *UDPConn) Send(to netip.AddrPort, b []byte) {
 	at := sockaddr(to)
 	for range maxInterruptions {
@@ -52,8 +53,8 @@
 	}
 }
 
-// ready reads the datagrams that wait. It guards against errors that leave the socket readable, see recv(2): the loop, which
-// epoll would wake at once, sleeps for roundPause; other sockets of the loop are served that much later.
+// ready reads the datagrams that wait. It guards against errors that leave the socket readable, see recv(2): the loop,
+// which epoll would wake at once, sleeps for roundPause; other sockets of the loop are served that much later.
 func (u *UDPConn) ready(uint32) {
 	failed := 0
 	for range maxDatagrams {
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -79,8 +79,8 @@
 	return func() bool { return time.Since(start) >= span }
 }
 
-// TestAcceptContinuesAfterConnectionErrors has accept fail in ways that concern one connection: the next is accepted in the
-// same round.
+// TestAcceptContinuesAfterConnectionErrors has accept fail in ways that concern one connection: the next is accepted in
+// the same round.
 func TestAcceptContinuesAfterConnectionErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EPROTO, unix.EINTR, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH} {
@@ -188,8 +188,8 @@
 	})
 }
 
-// TestEpollModFails has epoll refuse a change of the events of a connection: its handler is told once, and not inside a call
-// of its own.
+// TestEpollModFails has epoll refuse a change of the events of a connection: its handler is told once, and not inside a
+// call of its own.
 func TestEpollModFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOENT} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -281,7 +281,8 @@
 	client.gone = true
 }
 
-// TestEpollWaitFails has epoll_wait fail: without memory the loop goes on, with a pause in each round; timers run meanwhile.
+// TestEpollWaitFails has epoll_wait fail: without memory the loop goes on, with a pause in each round; timers run
+// meanwhile.
 func TestEpollWaitFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -314,8 +315,8 @@
 	})
 }
 
-// TestEstablishedConnectionFails has an established connection end by an error of the network: the handler is told which, also
-// while the connection is paused.
+// TestEstablishedConnectionFails has an established connection end by an error of the network: the handler is told
+// which, also while the connection is paused.
 func TestEstablishedConnectionFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
 		for _, paused := range []bool{false, true} {
@@ -342,7 +343,8 @@
 	}
 }
 
-// TestClosedDescriptorIsLeftAlone uses connections after their end: the kernel may have given their descriptor to another.
+// TestClosedDescriptorIsLeftAlone uses connections after their end: the kernel may have given their descriptor to
+// another.
 func TestClosedDescriptorIsLeftAlone(t *testing.T) {
 	cases := map[string]func(*fixture, *Conn) Handler{
 		"refused with output": func(f *fixture, c *Conn) Handler {
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -67,7 +67,8 @@
 // over tells that the connection is closed and its owner knows how it ended.
 func (e *endpoint) over() bool { return e.gone && (e.closed > 0 || e.served) }
 
-// scenario is a loop that dials a listener of its own, while functions are posted, datagrams are sent and system calls fail.
+// scenario is a loop that dials a listener of its own, while functions are posted, datagrams are sent and system calls
+// fail.
 type scenario struct {
 	t         testing.TB
 	loop      *Loop
@@ -86,8 +87,9 @@
 // fatal tells of an error of epoll_wait if its arguments are wrong; Run returns it.
 func fatal(err error) bool { return errors.Is(err, unix.EINVAL) || errors.Is(err, unix.EBADF) }
 
-// runScenario runs a scenario with the faults of a kernel. In the end each endpoint must have been served or told once of its
-// end, each function that was posted must have run, no descriptor may be open, and the number of calls must be bounded.
+// runScenario runs a scenario with the faults of a kernel. In the end each endpoint must have been served or told once
+// of its end, each function that was posted must have run, no descriptor may be open, and the number of calls must be
+// bounded.
 func runScenario(t testing.TB, k *faultyKernel) {
 	t.Helper()
 	defer k.check(t)
--- a/eventloop/fuzz_test.go
+++ b/eventloop/fuzz_test.go
@@ -10,7 +10,8 @@
 // maxFaults bounds the faults of one sequence, so that a run is short.
 const maxFaults = 24
 
-// decodeFaults reads a sequence of faults, of three bytes each: which call, its error, and after how many that do not fail.
+// decodeFaults reads a sequence of faults, of three bytes each: which call, its error, and after how many that do not
+// fail.
 func decodeFaults(b []byte) map[string][]unix.Errno {
 	faults := map[string][]unix.Errno{}
 	for b = b[:min(len(b), 3*maxFaults)]; len(b) >= 3; b = b[3:] {
--- a/eventloop/kernel_test.go
+++ b/eventloop/kernel_test.go
@@ -30,8 +30,8 @@
 	errnos []unix.Errno
 }
 
-// documentedErrors is how the calls of a loop can fail, by the manual pages of Linux. "SO_ERROR" is the result of an attempt
-// to connect; "short read" and "short write" are calls that transfer one byte.
+// documentedErrors is how the calls of a loop can fail, by the manual pages of Linux. "SO_ERROR" is the result of an
+// attempt to connect; "short read" and "short write" are calls that transfer one byte.
 var documentedErrors = []documentedError{
 	{"epoll_create", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM}},
 	{"eventfd", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENODEV, unix.ENOMEM}},
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -4,6 +4,7 @@
 	"errors"
 	"net"
 	"net/netip"
+	"os"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -14,7 +15,7 @@
 	listenBacklog = 1024
 	// maxAccepts is how many connections a listener accepts in one round; then others have their turn.
 	maxAccepts = 32
-	// maxAcceptErrors is how many errors of single connections a listener passes over in one round.
+	// maxAcceptErrors is how many errors of single connections a listener skips in one round.
 	maxAcceptErrors = 64
 	// acceptBackoff is how long a listener waits for descriptors or memory to come free.
 	acceptBackoff = 50 * time.Millisecond
@@ -29,8 +30,8 @@
 	backingOff bool // until the timer of resume
 }
 
-// Listen accepts connections on an IP address and port; port 0 takes any that is free. accept returns the handler of each
-// connection, or nil to close it. An error of the system is a *net.OpError; see Transient.
+// Listen accepts connections on an IP address and port; port 0 takes any that is free. accept returns the handler of
+// each connection, or nil to close it. An error of the system is a *net.OpError; see Transient.
 func (l *Loop) Listen(address string, accept func(*Conn) Handler) (*Listener, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -41,7 +42,7 @@
 		return nil, err
 	}
 	if err := l.bindAndListen(fd, at); err != nil {
-		l.sys.Close(fd)
+		_ = l.sys.Close(fd) // unused; the error above is the one to report
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
 	ln := &Listener{loop: l, fd: fd, accept: accept}
@@ -51,16 +52,17 @@
 	return ln, nil
 }
 
-// bindAndListen sets SO_REUSEADDR, see socket(7): a port can be bound again while connections of a process before linger.
+// bindAndListen sets SO_REUSEADDR, see socket(7): a port can be bound again while connections of a process before
+// linger.
 func (l *Loop) bindAndListen(fd int, at netip.AddrPort) error {
-	l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	_ = l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // without it bind may fail, and says so
 	if err := l.sys.Bind(fd, sockaddr(at)); err != nil {
-		return err
+		return os.NewSyscallError("bind", err)
 	}
-	return l.sys.Listen(fd, listenBacklog)
+	return os.NewSyscallError("listen", l.sys.Listen(fd, listenBacklog))
 }
 
-// Address is the IP address and port on which the listener accepts; empty where the system does not tell.
+// Address is the IP address and port on which the listener accepts; empty where getsockname(2) fails.
 func (ln *Listener) Address() string {
 	name, err := ln.loop.sys.Getsockname(ln.fd)
 	if err != nil {
@@ -106,16 +108,16 @@
 	}
 }
 
-// isConnectionError tells of an error that the next call of accept need not meet: a signal, or an error that is pending on the
-// new socket, which accept passes on (see "Error handling" in accept(2)).
+// isConnectionError reports whether an error is one that the next call of accept need not meet: a signal, or an error
+// that is pending on the new socket, which accept passes on (see "Error handling" in accept(2)).
 func isConnectionError(err error) bool {
-	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
-		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
+	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN,
+		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
 // serve gives a new connection to its handler, or closes it where there is none.
 func (ln *Listener) serve(fd int, from unix.Sockaddr) {
-	ln.loop.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	ln.loop.setNoDelay(fd)
 	c := &Conn{loop: ln.loop, fd: fd, interest: unix.EPOLLIN}
 	switch address := from.(type) {
 	case *unix.SockaddrInet4:
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -1,9 +1,12 @@
-// Package eventloop is the event loop of one instance: epoll over sockets that do not block, timers, and an eventfd by which
-// other goroutines hand it work. All handlers, timers and posted functions run on the goroutine of Loop.Run, so what one
-// loop serves needs no locks. The package knows bytes and connections, no protocol, and makes no decisions.
+// Package eventloop is the event loop of one instance: epoll over sockets that do not block, timers, and an eventfd by
+// which other goroutines hand it work. The package knows bytes and connections, no protocol, and makes no decisions.
 //
-// A round of the loop takes up events, runs what was posted, runs the timers that are due, and then writes the output of
-// all connections. Where a round takes long, it looks for events again before it runs timers and before it writes.
+// All handlers, timers and posted functions run on the goroutine that called Loop.Run, so what one loop serves needs no
+// locks; they must not block. Other goroutines may call only what is said to allow it, such as Loop.Post. The package
+// starts no goroutine, except that a timer of the time package repeats a wake-up that failed.
+//
+// A round of the loop takes up events, runs what was posted, runs the timers that are due, and then writes the output
+// of all connections. Where a round takes long, it looks for events again before it runs timers and before it writes.
 //
 // The package rests on epoll(7), eventfd(2), socket(7) and tcp(7) of Linux.
 package eventloop
@@ -12,6 +15,7 @@
 	"encoding/binary"
 	"errors"
 	"net/netip"
+	"os"
 	"runtime"
 	"sync"
 	"sync/atomic"
@@ -67,7 +71,7 @@
 	readSize = 256 << 10
 	// eventsPerPoll is how many events one poll takes at most.
 	eventsPerPoll = 256
-	// wakeRetryDelay is the time between a write to the eventfd that failed and the next.
+	// wakeRetryDelay is the time between a write to the eventfd that failed and its retry.
 	wakeRetryDelay = time.Millisecond
 	// roundPause is how long a loop sleeps in a round in which something that cannot be served would wake it at once.
 	roundPause = time.Millisecond
@@ -83,8 +87,8 @@
 	ready(events uint32)
 }
 
-// registration is a use of a descriptor. Each has a generation of its own: it guards against events of a descriptor that was
-// closed, and given out again by the kernel, in the round in which they are served.
+// registration is a use of a descriptor. Each has a generation of its own: it guards against events of a descriptor
+// that was closed, and given out again by the kernel, in the round in which they are served.
 type registration struct {
 	file
 	generation int32
@@ -97,12 +101,12 @@
 func NewWithSyscalls(origin time.Duration, sys Syscalls) (*Loop, error) {
 	epollFD, err := sys.EpollCreate()
 	if err != nil {
-		return nil, err
+		return nil, os.NewSyscallError("epoll_create1", err)
 	}
 	wakeFD, err := sys.Eventfd()
 	if err != nil {
-		sys.Close(epollFD)
-		return nil, err
+		_ = sys.Close(epollFD) // unused; the error above is the one to report
+		return nil, os.NewSyscallError("eventfd", err)
 	}
 	l := &Loop{
 		sys:          sys,
@@ -114,7 +118,7 @@
 		acceptsPosts: true,
 	}
 	if err := l.add(wakeFD, unix.EPOLLIN, wakeHandler{l}); err != nil {
-		sys.Close(epollFD)
+		_ = sys.Close(epollFD) // unused; the error above is the one to report
 		return nil, err
 	}
 	return l, nil
@@ -129,8 +133,8 @@
 // SinceStart converts a time to one of the loop's clock.
 func (l *Loop) SinceStart(at time.Time) time.Duration { return at.Sub(l.start) }
 
-// Post has f run on the loop, in the order of the calls. It may be called from any goroutine. It reports false, and f does not
-// run, once Run has ended; f does not run either where Run ends before its turn.
+// Post has f run on the loop, in the order of the calls. It may be called from any goroutine. It reports false, and f
+// does not run, once Run has ended; f does not run either where Run ends before its turn.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,8 +147,8 @@
 }
 
 // signalWake makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable already, see
-// eventfd(2). After another error it is tried again: a loop that waits without a timer would never run what was posted. The
-// caller holds mu.
+// eventfd(2). After another error it is retried: a loop that waits without a timer would never run what was posted.
+// The caller holds mu.
 func (l *Loop) signalWake() {
 	if l.wakePending || !l.acceptsPosts || len(l.posted) == 0 {
 		return
@@ -163,8 +167,8 @@
 // Stop has Run return after the present round. It must be called on the loop, or before Run.
 func (l *Loop) Stop() { l.stopping = true }
 
-// CPU is the processor time, of user and system, that the thread of the loop has used, see getrusage(2); 0 where the system
-// does not tell. It must be called on the loop.
+// CPU is the processor time, of user and system, that the thread of the loop has used, see getrusage(2); 0 where the
+// call fails. It must be called on the loop.
 func (l *Loop) CPU() time.Duration {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_THREAD, &usage) != nil {
@@ -173,8 +177,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Run serves until Stop, then closes all descriptors without telling their owners. It must be called once. It ends earlier,
-// and returns the error, if epoll_wait fails in a way that is not Transient.
+// Run serves until Stop, then closes all descriptors without telling their owners. It must be called once. It ends
+// earlier, and returns the error, if epoll_wait fails in a way that is not Transient.
 func (l *Loop) Run() error {
 	runtime.LockOSThread() // so that CPU counts the loop alone
 	defer runtime.UnlockOSThread()
@@ -185,7 +189,7 @@
 		err = l.round(events)
 	}
 	l.closeAll()
-	return err
+	return os.NewSyscallError("epoll_wait", err)
 }
 
 // round waits for events and serves them, and all that is due.
@@ -194,7 +198,7 @@
 		return err
 	}
 	l.pollAgain(events)
-	l.runPosted(false)
+	l.runUnsignalledPosts()
 	l.timers.fire(l.Now)
 	l.pollAgain(events)
 	l.flush()
@@ -211,18 +215,18 @@
 	l.acceptsPosts, l.posted = false, nil
 	l.mu.Unlock()
 	for fd := range l.files {
-		l.sys.Close(int(fd))
+		_ = l.sys.Close(int(fd)) // released whatever close(2) returns
 	}
-	clear(l.files) // so that a Close after this leaves the descriptor to who has it then
-	l.sys.Close(l.epollFD)
+	clear(l.files)             // a later Conn.Close must not close a descriptor that the kernel has given out again
+	_ = l.sys.Close(l.epollFD) // released whatever close(2) returns
 }
 
 // minBlocked is how long epoll_wait takes at least if it has waited: then there was no event when it was called.
 const minBlocked = time.Millisecond
 
-// poll waits for events, up to a timeout in milliseconds (-1: none), and serves them. After a transient error it returns
-// nil, so that timers and posted functions have their turn before the next round waits again: a signal that comes all the
-// time would keep them from running otherwise.
+// poll waits for events, up to a timeout in milliseconds (-1: none), and serves them. After a transient error it
+// returns nil, so that timers and posted functions have their turn before the next round waits again: a signal that
+// comes all the time would keep them from running otherwise.
 func (l *Loop) poll(events []unix.EpollEvent, timeout int) error {
 	l.Stats.EpollWaits.Add(1)
 	called, previousPoll := l.Now(), l.lastPoll
@@ -251,12 +255,12 @@
 	return nil
 }
 
-// pollAgain polls once more where the round has taken long. It guards a loop that was held up against acting on a state that
-// has changed meanwhile, as for a client that has gone. It harms a loop that is always late: that takes up new work before
-// it has written its output, one round at most. An error is left to the next round, which meets it too.
+// pollAgain polls once more where the round has taken long. It guards a loop that was held up against acting on a state
+// that has changed meanwhile, as for a client that has gone. It harms a loop that is always late: that takes up new
+// work before it has written its output, one round at most.
 func (l *Loop) pollAgain(events []unix.EpollEvent) {
 	if l.Now()-l.lastPoll > maxPollAge && !l.stopping {
-		l.poll(events, 0)
+		_ = l.poll(events, 0) // the next round meets the error too
 	}
 }
 
@@ -280,21 +284,38 @@
 	if err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
 		l.pauseRound = true // it stays readable
 	}
-	l.runPosted(true)
+	l.runPosts()
 }
 
-// runPosted runs what was posted. woken tells that epoll has reported the eventfd; otherwise only what was posted while the
-// eventfd could not be written is run, and the rest is left to the event that epoll will report.
-func (l *Loop) runPosted(woken bool) {
+// runPosts runs what was posted, once epoll has reported the eventfd.
+func (l *Loop) runPosts() {
 	l.mu.Lock()
-	if l.wakePending && !woken {
-		l.mu.Unlock()
-		return
+	posted := l.takePosts()
+	l.mu.Unlock()
+	runAll(posted)
+}
+
+// runUnsignalledPosts runs what was posted while the eventfd could not be written. Other posts are left to the event
+// that epoll will report.
+func (l *Loop) runUnsignalledPosts() {
+	l.mu.Lock()
+	var posted []func()
+	if !l.wakePending {
+		posted = l.takePosts()
 	}
+	l.mu.Unlock()
+	runAll(posted)
+}
+
+// takePosts returns what was posted and has not run. The caller holds mu.
+func (l *Loop) takePosts() []func() {
 	posted := l.posted
 	l.posted, l.wakePending = nil, false
-	l.mu.Unlock()
-	for _, f := range posted {
+	return posted
+}
+
+func runAll(functions []func()) {
+	for _, f := range functions {
 		f()
 	}
 }
@@ -308,15 +329,15 @@
 // add registers a descriptor and has epoll watch it; if that fails, the descriptor is closed.
 func (l *Loop) add(fd int, events uint32, f file) error {
 	l.register(fd, f)
-	err := l.control(unix.EPOLL_CTL_ADD, fd, events)
-	if err != nil {
+	if err := l.control(unix.EPOLL_CTL_ADD, fd, events); err != nil {
 		l.closeFile(fd)
+		return os.NewSyscallError("epoll_ctl", err)
 	}
-	return err
+	return nil
 }
 
-// control changes what epoll watches of a descriptor, see epoll_ctl(2). The 64 bits that epoll returns with an event are the
-// descriptor and its generation.
+// control changes what epoll watches of a descriptor, see epoll_ctl(2). The 64 bits that epoll returns with an event
+// are the descriptor and its generation.
 func (l *Loop) control(operation, fd int, events uint32) error {
 	l.Stats.OtherCalls.Add(1)
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation}
@@ -330,21 +351,26 @@
 	}
 	delete(l.files, int32(fd))
 	l.Stats.OtherCalls.Add(1)
-	l.sys.Close(fd)
+	_ = l.sys.Close(fd)
 }
 
-// newSocket makes a TCP socket for an address. It sets TCP_NODELAY, see tcp(7): output is written once a round, so Nagle's
-// algorithm would only delay it.
+// newSocket makes a TCP socket for an address.
 func (l *Loop) newSocket(address netip.Addr) (int, error) {
 	family := unix.AF_INET
 	if address.Unmap().Is6() {
 		family = unix.AF_INET6
 	}
 	fd, err := l.sys.Socket(family, unix.SOCK_STREAM)
-	if err == nil {
-		l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	if err != nil {
+		return -1, os.NewSyscallError("socket", err)
 	}
-	return fd, err
+	l.setNoDelay(fd)
+	return fd, nil
+}
+
+// setNoDelay sets TCP_NODELAY, see tcp(7): output is written once a round, so Nagle's algorithm would only delay it.
+func (l *Loop) setNoDelay(fd int) {
+	_ = l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the socket works without it, only slower
 }
 
 func sockaddr(address netip.AddrPort) unix.Sockaddr {
--- a/eventloop/syscalls.go
+++ b/eventloop/syscalls.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Syscalls are the system calls that a loop makes. Linux makes them; tests wrap it to have calls fail in the ways that the
-// manual pages document. Write must be safe for concurrent use, since Loop.Post calls it; the others are called on the loop
-// alone, or before it runs. The methods are named after the calls, see section 2 of the manual.
+// Syscalls are the system calls that a loop makes. Linux makes them; tests wrap it to have calls fail in the ways that
+// the manual pages document. Write must be safe for concurrent use, since Loop.Post calls it; the others are called on
+// the loop alone, or before it runs. The methods are named after the calls, see section 2 of the manual.
 type Syscalls interface {
 	// EpollCreate makes an epoll descriptor that is closed on exec.
 	EpollCreate() (int, error)
@@ -123,8 +123,8 @@
 // Close calls close(2).
 func (Linux) Close(fd int) error { return unix.Close(fd) }
 
-// Transient tells whether an error of New, Loop.Dial, Loop.Listen or Loop.ListenUDP may pass in a moment, and says nothing of
-// the other end nor of what was asked for, so that the call is worth repeating after a pause. It is true of
+// Transient reports whether an error of New, Loop.Dial, Loop.Listen or Loop.ListenUDP may pass in a moment, and says
+// nothing of the other end nor of what was asked for, so that the call is worth repeating after a pause. It is true of
 //
 //	EMFILE, ENFILE          no descriptors, of the process or of the system
 //	ENOBUFS, ENOMEM         no memory
@@ -134,14 +134,14 @@
 //	ENETUNREACH, ENETDOWN   no route, or no interface, at this host
 //	EINTR                   a signal
 //
-// and of errors that wrap one of these. It is false of EADDRINUSE, since another socket listens there, and of ECONNREFUSED,
-// ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which are about the other end or the way to it.
+// and of errors that wrap one of these. It is false of EADDRINUSE, since another socket listens there, and of
+// ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which are about the other end or the way to it.
 func Transient(err error) bool {
-	return anyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EADDRNOTAVAIL, unix.ENETUNREACH,
-		unix.ENETDOWN, unix.EINTR)
+	return anyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN,
+		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN, unix.EINTR)
 }
 
-// anyOf tells whether err is, or wraps, one of the errnos.
+// anyOf reports whether err is, or wraps, one of the errnos.
 func anyOf(err error, errnos ...unix.Errno) bool {
 	var errno unix.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
--- a/eventloop/timers.go
+++ b/eventloop/timers.go
@@ -13,8 +13,8 @@
 	position int     // in the heap, from 1; 0: not armed
 }
 
-// Expirer is called by a Timer that was armed with it. A struct that has a Timer as a field can be its Expirer, so that arming
-// allocates nothing.
+// Expirer is called by a Timer that was armed with it. A struct that has a Timer as a field can be its Expirer, so that
+// arming allocates nothing.
 type Expirer interface {
 	// Expire is called on the loop at the time that Loop.Arm was given, or later.
 	Expire()
