--- a/eventloop/close_test.go
+++ b/eventloop/close_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"io"
 	"net"
 	"testing"
@@ -27,14 +28,27 @@
 	}
 	for name, closeConn := range closings {
 		for _, size := range []int{1, 4 << 20} { // 4 MB: more than the socket buffers hold
-			for _, peerCloses := range []string{"", "half", "after"} {
-				t.Run(name+" "+peerCloses, func(t *testing.T) { testCloseWithUnreadInput(t, closeConn, size, peerCloses) })
+			for _, peer := range []peerEnd{peerStaysOpen, peerHalfCloses, peerClosesAfterReading} {
+				t.Run(fmt.Sprintf("%s/%d bytes/%s", name, size, peer), func(t *testing.T) {
+					expectOutputArrives(t, closeConn, size, peer)
+				})
 			}
 		}
 	}
 }
 
-func testCloseWithUnreadInput(t *testing.T, closeConn func(*Conn), size int, peerCloses string) {
+// peerEnd is how the other end of a connection behaves while this one closes.
+type peerEnd string
+
+const (
+	peerStaysOpen          peerEnd = "peer stays open"
+	peerHalfCloses         peerEnd = "peer half-closes before"
+	peerClosesAfterReading peerEnd = "peer closes after reading"
+)
+
+// expectOutputArrives closes a connection while input comes: the output must arrive, and the input must stay unread.
+func expectOutputArrives(t *testing.T, closeConn func(*Conn), size int, end peerEnd) {
+	t.Helper()
 	handler := &countingHandler{}
 	loop, c, peer := connect(t, handler)
 	sent := bytes.Repeat([]byte("v"), size)
@@ -46,9 +60,8 @@
 			close(closed)
 		}
 		c.Output = append(c.Output, sent...)
-		peer.Write([]byte("crosses"))
-		if peerCloses == "half" {
-			peer.CloseWrite()
+		if err := sendCrossingInput(peer, end); err != nil {
+			t.Error(err)
 		}
 		for c.NoInputPending() {
 		}
@@ -61,8 +74,8 @@
 	if !bytes.Equal(got, sent) || err != nil {
 		t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
 	}
-	if peerCloses == "after" {
-		peer.Close()
+	if end == peerClosesAfterReading {
+		_ = peer.Close() // closed again, in vain, when the test ends
 	}
 	select {
 	case <-closed:
@@ -74,6 +87,17 @@
 	}
 }
 
+// sendCrossingInput sends input that the connection will not read, and ends the sending where the peer half-closes.
+func sendCrossingInput(peer *net.TCPConn, end peerEnd) error {
+	if _, err := peer.Write([]byte("crosses")); err != nil {
+		return err
+	}
+	if end != peerHalfCloses {
+		return nil
+	}
+	return peer.CloseWrite()
+}
+
 // connect returns a loop that runs until the test ends, a connection that it has accepted, and the other end of that.
 func connect(t *testing.T, handler Handler) (*Loop, *Conn, *net.TCPConn) {
 	t.Helper()
@@ -88,11 +112,16 @@
 	}
 	done := make(chan error, 1)
 	go func() { done <- loop.Run() }()
-	t.Cleanup(func() { loop.Post(loop.Stop); <-done })
+	t.Cleanup(func() {
+		loop.Post(loop.Stop)
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
 	peer, err := net.Dial("tcp", listener.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { peer.Close() })
+	t.Cleanup(func() { _ = peer.Close() }) // a test may have closed it already
 	return loop, <-conns, peer.(*net.TCPConn)
 }
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -1,7 +1,9 @@
 package eventloop
 
 import (
+	"cmp"
 	"errors"
+	"fmt"
 	"net/netip"
 	"slices"
 	"testing"
@@ -82,8 +84,10 @@
 // TestAcceptContinuesAfterConnectionErrors has accept fail in ways that concern one connection: the next is accepted in
 // the same round.
 func TestAcceptContinuesAfterConnectionErrors(t *testing.T) {
-	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EPROTO, unix.EINTR, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
-		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH} {
+	for _, errno := range []unix.Errno{
+		unix.ECONNABORTED, unix.EPROTO, unix.EINTR, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
+		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
+	} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			client := &endpoint{}
 			f := runFixture(t, func(f *fixture) {
@@ -104,39 +108,40 @@
 // TestAcceptDoesNotSpin has accept fail for good while a connection waits: few calls are made, and once it works again
 // the connection is accepted. Where epoll cannot be told to ignore the listener, the loop pauses in each round.
 func TestAcceptDoesNotSpin(t *testing.T) {
-	for _, d := range documentedErrors {
-		if d.call != "accept" {
+	for _, errno := range append(documentedErrnos("accept"), unix.EIO) {
+		if errno == unix.EAGAIN {
 			continue
 		}
-		for _, errno := range append(d.errnos, unix.EIO) {
-			if errno == unix.EAGAIN {
-				continue
-			}
-			for _, ignored := range []bool{true, false} {
-				t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-					t.Parallel()
-					var f *fixture
-					calls, span := 0, 100*time.Millisecond
-					runFixture(t, func(fixture *fixture) {
-						f = fixture
-						f.dial(&endpoint{})
-						f.kernel.failAll("accept", errno)
-						if !ignored {
-							f.kernel.failAll("epoll_ctl mod", unix.ENOMEM)
-						}
-						f.loop.Schedule(f.loop.Now()+span, func() {
-							calls = f.kernel.count("accept")
-							f.kernel.failAll("accept", 0)
-							f.kernel.failAll("epoll_ctl mod", 0)
-						})
-					}, func() bool { return len(f.accepted) > 0 })
-					atMost := 10 * maxAcceptErrors
-					if calls > atMost {
-						t.Errorf("accept was called %d times in %v, want %d at most", calls, span, atMost)
-					}
-				})
-			}
-		}
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
+			t.Parallel()
+			expectFewAccepts(t, errno, 0)
+		})
+		t.Run(unix.ErrnoName(errno)+" and epoll_ctl fails", func(t *testing.T) {
+			t.Parallel()
+			expectFewAccepts(t, errno, unix.ENOMEM)
+		})
+	}
+}
+
+// expectFewAccepts has accept fail for a while, and changes of epoll too where modErrno is not 0, and bounds the calls.
+func expectFewAccepts(t *testing.T, errno, modErrno unix.Errno) {
+	t.Helper()
+	const span, maxCalls = 100 * time.Millisecond, 10 * maxAcceptErrors
+	var f *fixture
+	calls := 0
+	runFixture(t, func(fixture *fixture) {
+		f = fixture
+		f.dial(&endpoint{})
+		f.kernel.failAll("accept", errno)
+		f.kernel.failAll("epoll_ctl mod", modErrno)
+		f.loop.Schedule(f.loop.Now()+span, func() {
+			calls = f.kernel.count("accept")
+			f.kernel.failAll("accept", 0)
+			f.kernel.failAll("epoll_ctl mod", 0)
+		})
+	}, func() bool { return len(f.accepted) > 0 })
+	if calls > maxCalls {
+		t.Errorf("accept was called %d times in %v, want %d at most", calls, span, maxCalls)
 	}
 }
 
@@ -153,65 +158,83 @@
 
 // TestEpollAddFails has epoll refuse a new descriptor: it is closed, and the loop does not know it any more.
 func TestEpollAddFails(t *testing.T) {
-	constructors := map[string]func(*fixture) (any, error){
-		"Dial":   func(f *fixture) (any, error) { c, err := f.loop.Dial(f.address, &endpoint{}); return c, err },
-		"Listen": func(f *fixture) (any, error) { ln, err := f.loop.Listen("127.0.0.1:0", f.accept); return ln, err },
-		"ListenUDP": func(f *fixture) (any, error) {
-			u, err := f.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) {})
-			return u, err
+	constructors := map[string]func(*fixture) error{
+		"Dial": func(f *fixture) error {
+			_, err := f.loop.Dial(f.address, &endpoint{})
+			return err
+		},
+		"Listen": func(f *fixture) error {
+			_, err := f.loop.Listen("127.0.0.1:0", f.accept)
+			return err
+		},
+		"ListenUDP": func(f *fixture) error {
+			_, err := f.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) {})
+			return err
 		},
 	}
 	for name, construct := range constructors {
 		t.Run(name, func(t *testing.T) {
-			runFixture(t, func(f *fixture) {
-				open, known := len(f.kernel.open), len(f.loop.files)
-				f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOSPC}
-				if _, err := construct(f); !errors.Is(err, unix.ENOSPC) {
-					t.Errorf("error %v", err)
-				}
-				if len(f.kernel.open) != open || len(f.loop.files) != known {
-					t.Errorf("%d descriptors and %d entries more than before", len(f.kernel.open)-open, len(f.loop.files)-known)
-				}
-			}, elapsed(0))
+			runFixture(t, func(f *fixture) { f.expectAddFailure(construct) }, elapsed(0))
 		})
 	}
-	t.Run("accept", func(t *testing.T) {
-		server, client := &endpoint{}, &endpoint{}
-		f := runFixture(t, func(f *fixture) {
-			f.onAccept = func(*Conn) Handler { return server }
-			f.dial(client)
-			f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOMEM}
-		}, func() bool { return client.closed > 0 })
-		if server.closed != 1 || !errors.Is(server.err, unix.ENOMEM) || len(f.accepted) != 1 {
-			t.Errorf("the handler was told of the end %d times, %v", server.closed, server.err)
-		}
-	})
+	t.Run("accept", expectAcceptedAddFailure)
+}
+
+// expectAddFailure has epoll refuse the descriptor that a constructor makes.
+func (f *fixture) expectAddFailure(construct func(*fixture) error) {
+	f.Helper()
+	open, known := len(f.kernel.open), len(f.loop.files)
+	f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOSPC}
+	if err := construct(f); !errors.Is(err, unix.ENOSPC) {
+		f.Errorf("error %v", err)
+	}
+	if len(f.kernel.open) != open || len(f.loop.files) != known {
+		f.Errorf("%d descriptors and %d entries more than before",
+			len(f.kernel.open)-open, len(f.loop.files)-known)
+	}
+}
+
+// expectAcceptedAddFailure has epoll refuse the descriptor of an accepted connection: its handler hears of its end.
+func expectAcceptedAddFailure(t *testing.T) {
+	server, client := &endpoint{}, &endpoint{}
+	f := runFixture(t, func(f *fixture) {
+		f.onAccept = func(*Conn) Handler { return server }
+		f.dial(client)
+		f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOMEM}
+	}, func() bool { return client.closed > 0 })
+	if server.closed != 1 || !errors.Is(server.err, unix.ENOMEM) || len(f.accepted) != 1 {
+		t.Errorf("Closed was called %d times, with %v", server.closed, server.err)
+	}
 }
 
 // TestEpollModFails has epoll refuse a change of the events of a connection: its handler is told once, and not inside a
 // call of its own.
 func TestEpollModFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOENT} {
-		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			client := &endpoint{send: []byte("hello")}
-			server := &endpoint{}
-			f := runFixture(t, func(f *fixture) {
-				server.input = func(c *Conn) {
-					server.input = nil
-					f.kernel.failAll("epoll_ctl mod", errno)
-					c.Pause()
-					f.kernel.failAll("epoll_ctl mod", 0)
-				}
-				f.onAccept = func(*Conn) Handler { return server }
-				f.dial(client)
-			}, func() bool { return server.closed > 0 && (client.closed > 0 || client.served) })
-			if server.closed != 1 || server.nested || !errors.Is(server.err, errno) {
-				t.Errorf("told of the end %d times, inside a call of its own: %v, with %v", server.closed, server.nested, server.err)
-			}
-			if !f.accepted[0].closed {
-				t.Error("the connection is open")
-			}
-		})
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) { expectModFailure(t, errno) })
+	}
+}
+
+// expectModFailure has the pause of a connection fail inside its handler's Input.
+func expectModFailure(t *testing.T, errno unix.Errno) {
+	t.Helper()
+	client := &endpoint{send: []byte("hello")}
+	server := &endpoint{}
+	f := runFixture(t, func(f *fixture) {
+		server.input = func(c *Conn) {
+			server.input = nil
+			f.kernel.failAll("epoll_ctl mod", errno)
+			c.Pause()
+			f.kernel.failAll("epoll_ctl mod", 0)
+		}
+		f.onAccept = func(*Conn) Handler { return server }
+		f.dial(client)
+	}, func() bool { return server.closed > 0 && (client.closed > 0 || client.served) })
+	if server.closed != 1 || server.nested || !errors.Is(server.err, errno) {
+		t.Errorf("Closed was called %d times, nested: %v, with %v", server.closed, server.nested, server.err)
+	}
+	if !f.accepted[0].closed {
+		t.Error("the connection is open")
 	}
 }
 
@@ -219,88 +242,95 @@
 func TestPostRetriesWake(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.EIO} {
 		for _, length := range []int{1, 5, 40} {
-			k := newFaultyKernel()
-			l, err := NewWithSyscalls(0, k)
-			if err != nil {
-				t.Fatal(err)
-			}
-			ended := make(chan error, 1)
-			go func() { ended <- l.Run() }()
-			k.mu.Lock()
-			k.faults["write eventfd"] = slices.Repeat([]unix.Errno{errno}, length)
-			k.mu.Unlock()
-			ran := make(chan bool)
-			l.Post(func() { close(ran) })
-			select {
-			case <-ran:
-			case <-time.After(testTimeout):
-				t.Errorf("%v, %d times: what was posted did not run", errno, length)
-				k.mu.Lock()
-				k.faults["write eventfd"] = nil
-				k.mu.Unlock()
-				l.mu.Lock()
-				l.wakePending = false
-				l.mu.Unlock()
-			}
-			l.Post(l.Stop)
-			if err := <-ended; err != nil {
-				t.Error(err)
-			}
-			k.check(t)
+			t.Run(fmt.Sprintf("%s/%d times", unix.ErrnoName(errno), length), func(t *testing.T) {
+				expectPostRuns(t, slices.Repeat([]unix.Errno{errno}, length))
+			})
 		}
 	}
 }
 
-// TestNoInputPending has recvfrom fail: an interrupted call tells nothing of input.
-func TestNoInputPending(t *testing.T) {
-	for _, c := range []struct {
-		errno unix.Errno
-		want  bool
-	}{{0, true}, {unix.EINTR, true}, {unix.EAGAIN, true}, {unix.ECONNRESET, false}, {unix.ETIMEDOUT, false}, {unix.ENOMEM, false}} {
-		client := &endpoint{}
-		runFixture(t, func(f *fixture) {
-			conn := f.dial(client)
-			f.loop.Schedule(0, func() {})
-			client.input = nil
-			f.loop.Schedule(f.loop.Now()+2*time.Millisecond, func() { f.expectNoInputPending(conn, client, c.errno, c.want) })
-		}, func() bool { return client.gone })
+// expectPostRuns has writes to the eventfd fail with these errors, and expects what is posted to run.
+func expectPostRuns(t *testing.T, errnos []unix.Errno) {
+	t.Helper()
+	k := newFaultyKernel()
+	l, err := NewWithSyscalls(0, k)
+	if err != nil {
+		t.Fatal(err)
 	}
-}
-
-// expectNoInputPending compares NoInputPending while recvfrom fails, once the connection is established.
-func (f *fixture) expectNoInputPending(c *Conn, client *endpoint, errno unix.Errno, want bool) {
-	if !client.opened {
-		f.loop.Schedule(f.loop.Now()+time.Millisecond, func() { f.expectNoInputPending(c, client, errno, want) })
-		return
+	ended := make(chan error, 1)
+	go func() { ended <- l.Run() }()
+	k.setFaults("write eventfd", errnos)
+	ran := make(chan bool)
+	l.Post(func() { close(ran) })
+	select {
+	case <-ran:
+	case <-time.After(testTimeout):
+		t.Error("what was posted did not run")
+		k.setFaults("write eventfd", nil)
+		l.mu.Lock()
+		l.wakePending = false
+		l.mu.Unlock()
 	}
-	f.kernel.faults["recvfrom"] = []unix.Errno{errno, errno, errno}[:min(3, 3*int(errno))]
-	if got := c.NoInputPending(); got != want {
-		f.Errorf("NoInputPending is %v after %v, want %v", got, errno, want)
+	l.Post(l.Stop)
+	if err := <-ended; err != nil {
+		t.Error(err)
 	}
-	f.kernel.faults["recvfrom"] = nil
-	client.gone = true
+	k.check(t)
 }
 
-// TestEpollWaitFails has epoll_wait fail: without memory the loop goes on, with a pause in each round; timers run
-// meanwhile.
-func TestEpollWaitFails(t *testing.T) {
-	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOMEM} {
-		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			client := &endpoint{}
-			fired, calls := false, 0
-			runFixture(t, func(f *fixture) {
-				f.dial(client)
-				f.kernel.failAll("epoll_wait", errno)
-				f.loop.Schedule(f.loop.Now()+30*time.Millisecond, func() {
-					fired, calls = true, f.kernel.count("epoll_wait")
-					f.kernel.failAll("epoll_wait", 0)
-				})
-			}, func() bool { return fired && client.opened })
-			if errno != unix.EINTR && calls > 100 {
-				t.Errorf("epoll_wait was called %d times in 30 ms", calls)
+// TestNoInputPending has recvfrom fail: after an interrupted call it is asked again.
+func TestNoInputPending(t *testing.T) {
+	for errno, want := range map[unix.Errno]bool{
+		0:               true,
+		unix.EINTR:      true,
+		unix.EAGAIN:     true,
+		unix.ECONNRESET: false,
+		unix.ETIMEDOUT:  false,
+		unix.ENOMEM:     false,
+	} {
+		t.Run(cmp.Or(unix.ErrnoName(errno), "no error"), func(t *testing.T) {
+			if got := noInputPendingAfter(t, errno); got != want {
+				t.Errorf("NoInputPending is %v, want %v", got, want)
 			}
 		})
 	}
+}
+
+// noInputPendingAfter is the result of NoInputPending on an established connection while recvfrom fails, with 0 as
+// usual.
+func noInputPendingAfter(t *testing.T, errno unix.Errno) bool {
+	t.Helper()
+	const calls = 3
+	client := &endpoint{}
+	got, done := false, false
+	runFixture(t, func(f *fixture) {
+		conn := f.dial(client)
+		var ask func()
+		ask = func() {
+			if !client.opened {
+				f.loop.Schedule(f.loop.Now()+time.Millisecond, ask)
+				return
+			}
+			if errno != 0 {
+				f.kernel.faults["recvfrom"] = slices.Repeat([]unix.Errno{errno}, calls)
+			}
+			got, done = conn.NoInputPending(), true
+			f.kernel.faults["recvfrom"] = nil
+		}
+		f.loop.Schedule(f.loop.Now()+2*time.Millisecond, ask)
+	}, func() bool { return done })
+	return got
+}
+
+// TestEpollWaitFails has epoll_wait fail: without memory the loop goes on, with a pause in each round; timers run
+// meanwhile. An error that will not pass ends the loop.
+func TestEpollWaitFails(t *testing.T) {
+	t.Run("EINTR", func(t *testing.T) { epollWaitCalls(t, unix.EINTR) })
+	t.Run("ENOMEM", func(t *testing.T) {
+		if calls := epollWaitCalls(t, unix.ENOMEM); calls > 100 {
+			t.Errorf("epoll_wait was called %d times in 30 ms", calls)
+		}
+	})
 	t.Run("EINVAL", func(t *testing.T) {
 		k := newFaultyKernel()
 		l, err := NewWithSyscalls(0, k)
@@ -315,67 +345,69 @@
 	})
 }
 
+// epollWaitCalls is how often a loop calls epoll_wait while that fails for 30 ms. A timer must fire meanwhile, and a
+// connection be established afterwards.
+func epollWaitCalls(t *testing.T, errno unix.Errno) int {
+	t.Helper()
+	client := &endpoint{}
+	fired, calls := false, 0
+	runFixture(t, func(f *fixture) {
+		f.dial(client)
+		f.kernel.failAll("epoll_wait", errno)
+		f.loop.Schedule(f.loop.Now()+30*time.Millisecond, func() {
+			fired, calls = true, f.kernel.count("epoll_wait")
+			f.kernel.failAll("epoll_wait", 0)
+		})
+	}, func() bool { return fired && client.opened })
+	return calls
+}
+
 // TestEstablishedConnectionFails has an established connection end by an error of the network: the handler is told
 // which, also while the connection is paused.
 func TestEstablishedConnectionFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
-		for _, paused := range []bool{false, true} {
-			server := &endpoint{}
-			runFixture(t, func(f *fixture) {
-				f.onAccept = func(c *Conn) Handler {
-					f.loop.Schedule(0, func() {
-						if c.paused = paused; paused {
-							f.kernel.faults["SO_ERROR"] = []unix.Errno{errno}
-							c.ready(unix.EPOLLERR | unix.EPOLLHUP)
-						} else {
-							f.kernel.faults["read"] = []unix.Errno{errno}
-							c.ready(unix.EPOLLERR | unix.EPOLLIN)
-						}
-					})
-					return server
-				}
-				f.dial(&endpoint{})
-			}, func() bool { return server.closed > 0 })
-			if !errors.Is(server.err, errno) || server.closed != 1 {
-				t.Errorf("%v, paused %v: told %v, %d times", errno, paused, server.err, server.closed)
-			}
+		t.Run(unix.ErrnoName(errno)+"/reading", func(t *testing.T) {
+			expectClosedWith(t, errno, func(f *fixture, c *Conn) {
+				f.kernel.faults["read"] = []unix.Errno{errno}
+				c.ready(unix.EPOLLERR | unix.EPOLLIN)
+			})
+		})
+		t.Run(unix.ErrnoName(errno)+"/paused", func(t *testing.T) {
+			expectClosedWith(t, errno, func(f *fixture, c *Conn) {
+				c.paused = true
+				f.kernel.faults["SO_ERROR"] = []unix.Errno{errno}
+				c.ready(unix.EPOLLERR | unix.EPOLLHUP)
+			})
+		})
+	}
+}
+
+// expectClosedWith breaks an accepted connection and expects its handler to be told once, of an error.
+func expectClosedWith(t *testing.T, errno unix.Errno, breakConn func(*fixture, *Conn)) {
+	t.Helper()
+	server := &endpoint{}
+	runFixture(t, func(f *fixture) {
+		f.onAccept = func(c *Conn) Handler {
+			f.loop.Schedule(0, func() { breakConn(f, c) })
+			return server
 		}
+		f.dial(&endpoint{})
+	}, func() bool { return server.closed > 0 })
+	if !errors.Is(server.err, errno) || server.closed != 1 {
+		t.Errorf("Closed was called %d times, with %v", server.closed, server.err)
 	}
 }
 
 // TestClosedDescriptorIsLeftAlone uses connections after their end: the kernel may have given their descriptor to
 // another.
 func TestClosedDescriptorIsLeftAlone(t *testing.T) {
-	cases := map[string]func(*fixture, *Conn) Handler{
-		"refused with output": func(f *fixture, c *Conn) Handler {
-			c.Output = append(c.Output, "busy"...)
-			c.Send()
-			return nil
-		},
-		"closed, then refused": func(f *fixture, c *Conn) Handler {
-			c.Close()
-			return nil
-		},
-		"closed, then accepted": func(f *fixture, c *Conn) Handler {
-			c.Close()
-			return &endpoint{}
-		},
-		"paused, then accepted": func(f *fixture, c *Conn) Handler {
-			c.Pause()
-			f.loop.Schedule(f.loop.Now()+time.Millisecond, c.Close)
-			return &endpoint{}
-		},
-		"closed between CloseGracefully and the end of the round": func(f *fixture, c *Conn) Handler {
-			f.loop.Schedule(0, func() {
-				c.Output = append(c.Output, "bye"...)
-				c.Send()
-				c.CloseGracefully()
-				c.Close()
-			})
-			return &endpoint{}
-		},
-	}
-	for name, onAccept := range cases {
+	for name, onAccept := range map[string]func(*fixture, *Conn) Handler{
+		"refused with output":   refuseWithOutput,
+		"closed, then refused":  func(_ *fixture, c *Conn) Handler { c.Close(); return nil },
+		"closed, then accepted": func(_ *fixture, c *Conn) Handler { c.Close(); return &endpoint{} },
+		"paused, then accepted": pauseAndCloseLater,
+		"closed between CloseGracefully and the end of the round": closeTwiceInOneRound,
+	} {
 		t.Run(name, func(t *testing.T) {
 			client := &endpoint{}
 			known := 0
@@ -398,6 +430,28 @@
 	})
 }
 
+func refuseWithOutput(_ *fixture, c *Conn) Handler {
+	c.Output = append(c.Output, "busy"...)
+	c.Send()
+	return nil
+}
+
+func pauseAndCloseLater(f *fixture, c *Conn) Handler {
+	c.Pause()
+	f.loop.Schedule(f.loop.Now()+time.Millisecond, c.Close)
+	return &endpoint{}
+}
+
+func closeTwiceInOneRound(f *fixture, c *Conn) Handler {
+	f.loop.Schedule(0, func() {
+		c.Output = append(c.Output, "bye"...)
+		c.Send()
+		c.CloseGracefully()
+		c.Close()
+	})
+	return &endpoint{}
+}
+
 // TestTransient checks Transient with errors as the system returns them and as Listen wraps them.
 func TestTransient(t *testing.T) {
 	runFixture(t, func(f *fixture) {
@@ -413,14 +467,20 @@
 			t.Errorf("%v is not transient", err)
 		}
 	}, elapsed(0))
-	for err, want := range map[error]bool{
-		unix.EMFILE: true, unix.ENFILE: true, unix.ENOBUFS: true, unix.ENOMEM: true, unix.ENOSPC: true, unix.EAGAIN: true, unix.EINTR: true,
-		unix.EADDRNOTAVAIL: true, unix.ENETUNREACH: true, unix.ENETDOWN: true,
-		unix.ECONNREFUSED: false, unix.ETIMEDOUT: false, unix.EHOSTUNREACH: false, unix.ECONNRESET: false, unix.EADDRINUSE: false, unix.EACCES: false,
-		unix.EINVAL: false, errors.New("other"): false, nil: false,
+	for _, err := range []error{
+		unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EINTR, unix.EADDRNOTAVAIL,
+		unix.ENETUNREACH, unix.ENETDOWN,
+	} {
+		if !Transient(err) {
+			t.Errorf("%v is not transient", err)
+		}
+	}
+	for _, err := range []error{
+		unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EADDRINUSE, unix.EACCES,
+		unix.EINVAL, errors.New("other"), nil,
 	} {
-		if Transient(err) != want {
-			t.Errorf("%v: transient %v", err, !want)
+		if Transient(err) {
+			t.Errorf("%v is transient", err)
 		}
 	}
 }
@@ -436,28 +496,34 @@
 		{"recvfrom", []unix.Errno{unix.EINTR, unix.ECONNREFUSED, unix.EIO}, maxDatagrams},
 		{"read eventfd", []unix.Errno{unix.ENOMEM, unix.EIO}, 1},
 	} {
-		call := c.call
 		for _, errno := range c.errnos {
-			t.Run(call+"/"+unix.ErrnoName(errno), func(t *testing.T) {
+			t.Run(c.call+"/"+unix.ErrnoName(errno), func(t *testing.T) {
 				t.Parallel()
-				received, posted, calls, span := false, false, 0, 100*time.Millisecond
-				runFixture(t, func(f *fixture) {
-					u, err := f.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { received = true })
-					if err != nil {
-						t.Fatal(err)
-					}
-					u.Send(localAddress(t, u.fd), []byte("hello"))
-					f.loop.Post(func() { posted = true })
-					f.kernel.failAll(call, errno)
-					f.loop.Schedule(f.loop.Now()+span, func() {
-						calls = f.kernel.count(call)
-						f.kernel.failAll(call, 0)
-					})
-				}, func() bool { return received && posted && calls > 0 })
-				if atMost := (int(span/roundPause) + 10) * c.perRound; calls > atMost {
-					t.Errorf("%s was made %d times in %v, want %d at most", call, calls, span, atMost)
-				}
+				expectFewReads(t, c.call, errno, c.perRound)
 			})
 		}
 	}
 }
+
+// expectFewReads has a call fail for a while, though there is a datagram and a posted function, and bounds its number.
+func expectFewReads(t *testing.T, call string, errno unix.Errno, perRound int) {
+	t.Helper()
+	const span = 100 * time.Millisecond
+	received, posted, calls := false, false, 0
+	runFixture(t, func(f *fixture) {
+		u, err := f.loop.ListenUDP("127.0.0.1:0", func(netip.AddrPort, []byte) { received = true })
+		if err != nil {
+			t.Fatal(err)
+		}
+		u.Send(localAddress(t, u.fd), []byte("hello"))
+		f.loop.Post(func() { posted = true })
+		f.kernel.failAll(call, errno)
+		f.loop.Schedule(f.loop.Now()+span, func() {
+			calls = f.kernel.count(call)
+			f.kernel.failAll(call, 0)
+		})
+	}, func() bool { return received && posted && calls > 0 })
+	if maxCalls := (int(span/roundPause) + 10) * perRound; calls > maxCalls {
+		t.Errorf("%s was made %d times in %v, want %d at most", call, calls, span, maxCalls)
+	}
+}
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -64,7 +64,7 @@
 	e.err, e.nested = err, e.nested || e.inside
 }
 
-// over tells that the connection is closed and its owner knows how it ended.
+// over reports whether the connection is closed and its owner knows how it ended.
 func (e *endpoint) over() bool { return e.gone && (e.closed > 0 || e.served) }
 
 // scenario is a loop that dials a listener of its own, while functions are posted, datagrams are sent and system calls
@@ -84,7 +84,7 @@
 	scenarioPosts   = 5
 )
 
-// fatal tells of an error of epoll_wait if its arguments are wrong; Run returns it.
+// fatal reports whether an error says that the arguments of epoll_wait are wrong; Run returns such an error.
 func fatal(err error) bool { return errors.Is(err, unix.EINVAL) || errors.Is(err, unix.EBADF) }
 
 // runScenario runs a scenario with the faults of a kernel. In the end each endpoint must have been served or told once
@@ -133,7 +133,7 @@
 	}
 	if err != nil {
 		s.loop.Stop()
-		s.loop.Run()
+		_ = s.loop.Run() // the faults that forbid a listener may fail epoll_wait too
 		return false
 	}
 	address := localAddress(s.t, listener.fd)
@@ -208,12 +208,7 @@
 	for i := range scenarioClients {
 		client := s.newEndpoint(fmt.Sprint("client ", i), bytes.Repeat([]byte{byte('a' + i)}, 3000))
 		if i == 0 {
-			client.input = func(c *Conn) {
-				client.input = nil
-				c.NoInputPending()
-				c.Pause()
-				s.loop.Schedule(s.loop.Now()+time.Millisecond, c.Resume)
-			}
+			client.input = s.pauseOnce(client)
 		}
 		c, err := s.loop.Dial(address, client)
 		if err != nil {
@@ -227,6 +222,16 @@
 	}
 }
 
+// pauseOnce pauses a connection for a moment at its first input.
+func (s *scenario) pauseOnce(client *endpoint) func(*Conn) {
+	return func(c *Conn) {
+		client.input = nil
+		c.NoInputPending()
+		c.Pause()
+		s.loop.Schedule(s.loop.Now()+time.Millisecond, c.Resume)
+	}
+}
+
 // tick sends datagrams until one is received, and ends the scenario once all is over.
 func (s *scenario) tick(udp *UDPConn, to netip.AddrPort) {
 	if !s.received {
@@ -244,7 +249,7 @@
 	s.t.Helper()
 	for _, e := range s.endpoints {
 		if !e.over() || e.closed > 1 || e.nested {
-			s.t.Errorf("%s: opened %v, served %v, told of its end %d times (%v, inside a call of its own: %v), closed %v",
+			s.t.Errorf("%s: opened %v, served %v, Closed called %d times (%v, inside another call: %v), closed %v",
 				e.name, e.opened, e.served, e.closed, e.err, e.nested, e.gone)
 		}
 	}
@@ -263,9 +268,11 @@
 			t.Parallel()
 			for _, errno := range d.errnos {
 				for _, run := range []struct{ after, length int }{{0, 1}, {0, 4}, {2, 1}, {3, 3}} {
-					t.Run(fmt.Sprintf("%s/%d_after_%d", unix.ErrnoName(errno), run.length, run.after), func(t *testing.T) {
+					name := fmt.Sprintf("%s/%d_after_%d", unix.ErrnoName(errno), run.length, run.after)
+					t.Run(name, func(t *testing.T) {
 						k := newFaultyKernel()
-						k.faults[d.call] = append(make([]unix.Errno, run.after), slices.Repeat([]unix.Errno{errno}, run.length)...)
+						failing := slices.Repeat([]unix.Errno{errno}, run.length)
+						k.faults[d.call] = append(make([]unix.Errno, run.after), failing...)
 						runScenario(t, k)
 					})
 				}
--- a/eventloop/fuzz_test.go
+++ b/eventloop/fuzz_test.go
@@ -30,9 +30,14 @@
 	}
 	f.Add([]byte{})
 	f.Add([]byte{call("accept"), 2, 0, call("epoll_ctl mod"), 0, 0, call("epoll_ctl mod"), 0, 0})
-	f.Add([]byte{call("accept"), 4, 1, call("epoll_ctl add"), 0, 3, call("write eventfd"), 1, 0, call("write eventfd"), 2, 0})
+	f.Add([]byte{
+		call("accept"), 4, 1, call("epoll_ctl add"), 0, 3, call("write eventfd"), 1, 0, call("write eventfd"), 2, 0,
+	})
 	f.Add([]byte{call("connect"), 0, 0, call("SO_ERROR"), 1, 1, call("close"), 0, 0, call("shutdown"), 0, 0})
-	f.Add([]byte{call("short write"), 0, 0, call("short read"), 0, 0, call("write"), 1, 1, call("read"), 1, 1, call("epoll_ctl mod"), 0, 0})
+	f.Add([]byte{
+		call("short write"), 0, 0, call("short read"), 0, 0, call("write"), 1, 1, call("read"), 1, 1,
+		call("epoll_ctl mod"), 0, 0,
+	})
 	f.Add([]byte{call("epoll_wait"), 1, 2, call("read eventfd"), 2, 0, call("recvfrom"), 2, 0, call("sendto"), 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		k := newFaultyKernel()
--- a/eventloop/kernel_test.go
+++ b/eventloop/kernel_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sync"
 	"testing"
 
@@ -21,7 +22,12 @@
 }
 
 func newFaultyKernel() *faultyKernel {
-	return &faultyKernel{faults: map[string][]unix.Errno{}, always: map[string]unix.Errno{}, calls: map[string]int{}, open: map[int]string{}}
+	return &faultyKernel{
+		faults: map[string][]unix.Errno{},
+		always: map[string]unix.Errno{},
+		calls:  map[string]int{},
+		open:   map[int]string{},
+	}
 }
 
 // documentedError is how a call can fail.
@@ -39,29 +45,44 @@
 	{"epoll_ctl mod", []unix.Errno{unix.ENOMEM, unix.ENOENT}},
 	{"epoll_wait", []unix.Errno{unix.EINTR, unix.ENOMEM, unix.EINVAL}},
 	{"socket", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EACCES, unix.EAFNOSUPPORT}},
-	{"connect", []unix.Errno{unix.EINTR, unix.EAGAIN, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ECONNREFUSED, unix.ETIMEDOUT,
-		unix.EHOSTUNREACH, unix.EACCES, unix.EPERM}},
+	{"connect", []unix.Errno{unix.EINTR, unix.EAGAIN, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS,
+		unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EACCES, unix.EPERM}},
 	{"SO_ERROR", []unix.Errno{unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ECONNRESET}},
 	{"getsockopt", []unix.Errno{unix.ENOBUFS, unix.ENOMEM}},
 	{"setsockopt", []unix.Errno{unix.ENOBUFS, unix.ENOMEM}},
 	{"bind", []unix.Errno{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.EACCES, unix.ENOMEM}},
 	{"listen", []unix.Errno{unix.EADDRINUSE}},
 	{"getsockname", []unix.Errno{unix.ENOBUFS}},
-	{"accept", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EPROTO,
-		unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
-		unix.ENOSR}},
+	{"accept", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
+		unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
+		unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ENOSR}},
 	{"read", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENOMEM}},
-	{"write", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENOBUFS, unix.ENOMEM}},
+	{"write", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.EPIPE, unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH,
+		unix.ENOBUFS, unix.ENOMEM}},
 	{"short read", []unix.Errno{unix.EAGAIN}},
 	{"short write", []unix.Errno{unix.EAGAIN}},
 	{"read eventfd", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOMEM}},
 	{"write eventfd", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOMEM}},
 	{"recvfrom", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOMEM, unix.ECONNREFUSED}},
-	{"sendto", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.ENETUNREACH, unix.ECONNREFUSED}},
+	{"sendto", []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.ENETUNREACH,
+		unix.ECONNREFUSED}},
 	{"shutdown", []unix.Errno{unix.ENOTCONN, unix.ENOBUFS}},
 	{"close", []unix.Errno{unix.EINTR, unix.EIO}},
 }
 
+// documentedErrnos is how one call can fail.
+func documentedErrnos(call string) []unix.Errno {
+	i := slices.IndexFunc(documentedErrors, func(d documentedError) bool { return d.call == call })
+	return slices.Clone(documentedErrors[i].errnos)
+}
+
+// setFaults sets the errors of the next calls of a name.
+func (k *faultyKernel) setFaults(call string, errnos []unix.Errno) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.faults[call] = errnos
+}
+
 // nextFault counts a call on a descriptor, none if negative, and returns its error; 0: it does not fail.
 func (k *faultyKernel) nextFault(call string, fd int) unix.Errno {
 	k.mu.Lock()
@@ -120,7 +141,7 @@
 	defer k.mu.Unlock()
 	for fd, call := range k.open {
 		t.Errorf("descriptor %d of %s is left open", fd, call)
-		unix.Close(fd)
+		_ = unix.Close(fd) // the test has failed already
 	}
 	for _, call := range k.misuse {
 		t.Errorf("used although not open: %s", call)
@@ -248,7 +269,7 @@
 	name := k.nameFor("write", fd)
 	if err := k.nextError(name, fd); err != nil {
 		if name == "write eventfd" && err == unix.EAGAIN { // the counter is full, so the loop wakes
-			k.Linux.Write(fd, b)
+			_, _ = k.Linux.Write(fd, b) // the error returned is the fault
 		}
 		return -1, err
 	}
