--- a/audit/judge.go
+++ b/audit/judge.go
@@ -62,7 +62,7 @@
 }
 
 func (r *opRecord) opType(s *settings.Gateway) *settings.OpType {
-	if t := s.OpTypeIndex(r.opcode == nvme.Write, int64(r.bytes)); t >= 0 {
+	if t := s.OpTypeIndex(r.opcode, int64(r.bytes)); t >= 0 {
 		return &s.OpTypes[t]
 	}
 	return nil
--- a/fuzzcorpus/sabotage.go
+++ b/fuzzcorpus/sabotage.go
@@ -60,8 +60,8 @@
 	{"discovery/dns", "FuzzAsk", "discovery/dns/resolver.go", "r.preferred, r.failed, r.interval = r.next.server, 0, 0", "r.preferred, r.failed = r.next.server, 0", "an answer does not shorten the pause"},
 	{"settings", "FuzzEdit", "settings/schema.go", "			if a.Use == \"required\" {", "			if a.Use == \"required\" && len(n.children) > 0 {", "a required attribute is missed"},
 	{"settings", "FuzzEdit", "settings/schema.go", "		if !known[name] {", "		if !known[name] && len(n.children) > 0 {", "an attribute that is not known"},
-	{"settings", "FuzzEdit", "settings/schema.go", "if seen++; seen > most {", "if seen++; seen > most+1 {", "one element more than the schema has"},
-	{"settings", "FuzzEdit", "settings/schema.go", "		if seen < least {", "		if seen < least-1 {", "an element that must be there is missed"},
+	{"settings", "FuzzEdit", "settings/schema.go", "if count++; count > most {", "if count++; count > most+1 {", "one element more than the schema has"},
+	{"settings", "FuzzEdit", "settings/schema.go", "if count < occurs(sequence[i].MinOccurs) {", "if count < occurs(sequence[i].MinOccurs)-1 {", "an element that must be there is missed"},
 	{"internal/simwire", "FuzzServe", "internal/simwire/serve.go", "	if b.WallMS == nil {", "	if b.News == nil {", "a batch without its time"},
 	{"internal/simwire", "FuzzServe", "internal/simwire/serve.go", "	if in == nil || in.failed {", "	if in != nil && in.failed {", "an event for an instance that never was"},
 }
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -20,7 +20,7 @@
 // whichever is shorter, less the time that the answer needs to reach the client.
 func (g *Instance) opTimeout(command *target.Command) time.Duration {
 	timeout := time.Duration(command.ClientTimeout()) * time.Millisecond
-	if opType := g.settings.OpTypeIndex(command.Opcode() == nvme.Write, int64(command.Bytes)); opType >= 0 {
+	if opType := g.settings.OpTypeIndex(command.Opcode(), int64(command.Bytes)); opType >= 0 {
 		if limit := g.settings.OpTypes[opType].OpTimeout.Duration(); timeout == 0 || timeout > limit {
 			timeout = limit
 		}
@@ -53,7 +53,7 @@
 		Units:     float64(g.settings.Units(size)),
 		Timeout:   command.Arrived + g.opTimeout(command),
 		Plan:      v.plan,
-		Type:      g.settings.OpTypeIndex(write, size),
+		Type:      g.settings.OpTypeIndex(command.Opcode(), size),
 		Key:       namespace<<32 ^ extent,
 		HasKey:    true,
 		Write:     write,
--- /dev/null
+++ b/settings/example_test.go
@@ -0,0 +1,40 @@
+package settings_test
+
+import (
+	"errors"
+	"fmt"
+
+	"honeyplank/nvme"
+	"honeyplank/settings"
+)
+
+// A gateway's file is read once. Sections are fields, and the decision module gets its part under its own names.
+func ExampleRead() {
+	g, err := settings.Read("examples/gateway.xml")
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	fmt.Println("listens on", g.Listen.Address)
+	fmt.Println("ops have at most", g.ModuleSettings().Dispatches.Max, "dispatches")
+	fmt.Println("a Read of 8 KiB is of op type", g.OpTypes[g.OpTypeIndex(nvme.Read, 8<<10)].Name)
+	// Output:
+	// listens on 127.0.0.1:4420
+	// ops have at most 4 dispatches
+	// a Read of 8 KiB is of op type read
+}
+
+// What is wrong with a file is an Error: where, what, and what would be right.
+func ExampleParse() {
+	_, err := settings.Parse("gateway.xml", []byte(`<honeyplank version="2"/>`))
+	var fault *settings.Error
+	if errors.As(err, &fault) {
+		fmt.Println("line:", fault.Line)
+		fmt.Println("problem:", fault.Problem)
+		fmt.Println("expected:", fault.Expected)
+	}
+	// Output:
+	// line: 1
+	// problem: version="2" of <honeyplank> is not valid
+	// expected: it must be one of "1"
+}
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -13,9 +13,9 @@
 	"honeyplank/internal/heap"
 )
 
-// FuzzParse reads any text: no panic; what is taken can be shown, and what is shown reads back as the same.
+// FuzzParse reads any text: no panic; what is accepted can be shown, and what is shown reads back as the same.
 func FuzzParse(f *testing.F) {
-	for _, file := range []string{"examples/gateway.xml", "../faulttest/badday.xml", "../faulttest/sources.xml"} {
+	for _, file := range []string{exampleFile, "../faulttest/badday.xml", "../faulttest/sources.xml"} {
 		b, err := os.ReadFile(file)
 		if err != nil {
 			f.Fatal(err)
@@ -36,35 +36,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse("shown.xml", shown)
+		again, err := mustParse(t, string(shown)).XML()
 		if err != nil {
-			t.Fatalf("what is shown is refused: %v\n%s", err, shown)
+			t.Fatal(err)
 		}
-		if twice, _ := again.XML(); string(twice) != string(shown) {
-			t.Fatalf("shown\n%s\nthen\n%s", shown, twice)
+		if string(again) != string(shown) {
+			t.Fatalf("shown\n%s\nthen\n%s", shown, again)
 		}
 	})
 }
 
 // values are what an attribute is set to: at the edges of types and past them.
-var values = []string{"", "0", "1", "-1", "1.5", "1e3", "NaN", "1000000", "1000001", "99999999999999999999", "250", "250ms", "1h", "-1s", "4KiB", "4kib", "true", "on",
-	"read", "replayable", "127.0.0.1:1", "127.0.0.1:99999", "nqn.2026-12.x:y", "/a/", "a b", "0 1", "\u00e9", " 1 ", "+1", "01", "1.", "all", "x.example."}
+var values = []string{
+	"", "0", "1", "-1", "1.5", "1e3", "NaN", "1000000", "1000001", "99999999999999999999",
+	"250", "250ms", "1h", "-1s", "4KiB", "4kib", "true", "on",
+	"read", "replayable", "127.0.0.1:1", "127.0.0.1:99999", "nqn.2026-12.x:y", "/a/", "a b", "0 1",
+	"\u00e9", " 1 ", "+1", "01", "1.", "all", "x.example.",
+}
+
+// Bounds of an edited file: edits of one input, and elements after them.
+const (
+	maxEdits       = 8
+	maxEditedNodes = 5000
+)
 
 // FuzzEdit edits the example's elements and attributes and holds the program's reading of the schema against
-// xmllint's, which knows nothing of it: both must take a file, or both refuse it.
+// xmllint's, which knows nothing of it: both must accept a file, or both reject it.
 func FuzzEdit(f *testing.F) {
-	xmllint, err := exec.LookPath("xmllint")
-	if err != nil {
-		if os.Getenv("CI") != "" {
-			f.Fatal("xmllint is missing; .ci/run installs it")
-		}
-		f.Skip("no xmllint")
-	}
-	text, err := os.ReadFile("examples/gateway.xml")
+	xmllint := lookUpXMLLint(f)
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		f.Fatal(err)
 	}
-	s, err := load()
+	s, err := loadSchema()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -73,75 +77,120 @@
 	}
 	f.Add([]byte{7, 2, 8, 7, 2, 9, 3, 4, 1})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		root, err := parse("x.xml", text)
+		root, err := parseDocument("x.xml", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for edits := 0; len(script) >= 3 && edits < 8; edits++ {
-			what, at, n := script[0]%9, int(script[1]), int(script[2])
-			script = script[3:]
-			var parents, all []*node
-			var walk func(*node)
-			walk = func(p *node) {
-				for _, c := range p.children {
-					parents, all = append(parents, p), append(all, c)
-					walk(c)
-				}
-			}
-			walk(root)
-			if len(all) == 0 {
+		for edits := 0; len(script) >= 3 && edits < maxEdits; edits++ {
+			if !edit(root, script[0], int(script[1]), int(script[2])) {
 				break
 			}
-			e, p := all[at%len(all)], parents[at%len(all)]
-			place := slices.Index(p.children, e)
-			names := slices.Sorted(maps.Keys(e.attributes))
-			switch what {
-			case 0:
-				p.children = slices.Delete(p.children, place, place+1)
-			case 1, 8:
-				for range 1 + n%9 {
-					p.children = slices.Insert(p.children, place, e)
-				}
-			case 2:
-				other := (place + 1) % len(p.children)
-				p.children[place], p.children[other] = p.children[other], p.children[place]
-			case 3, 4:
-				if len(names) > 0 {
-					e.attributes[names[n%len(names)]] = values[(n*7+at)%len(values)]
-				}
-			case 5:
-				if len(names) > 0 {
-					delete(e.attributes, names[n%len(names)])
-				}
-			case 6:
-				e.attributes["x"] = "1"
-			case 7:
-				if o := all[n%len(all)]; o != e && len(e.children) == 0 {
-					o.children = append(o.children, e)
-				}
-			}
-			if size(root, 0) > 5000 {
+			script = script[3:]
+			if size(root, 0) > maxEditedNodes {
 				return
 			}
 		}
 		var b bytes.Buffer
-		write(&b, root)
-		read, err := parse("x.xml", b.Bytes())
-		if err == nil {
-			err = s.check("x.xml", read)
-		}
-		lint := exec.Command(xmllint, "--nonet", "--noout", "--schema", "honeyplank.xsd", "-")
-		lint.Stdin = bytes.NewReader(b.Bytes())
-		out, other := lint.CombinedOutput()
-		if (err == nil) != (other == nil) {
-			t.Fatalf("the program: %v\nxmllint: %v\n%s\n%s", err, other, out, b.Bytes())
+		if err := write(&b, root); err != nil {
+			t.Fatal(err)
 		}
+		compareWithXMLLint(t, s, xmllint, b.Bytes())
 	})
 }
 
-// size is how many elements there are; an element within itself ends it.
+func lookUpXMLLint(f *testing.F) string {
+	f.Helper()
+	xmllint, err := exec.LookPath("xmllint")
+	if err != nil {
+		if os.Getenv("CI") != "" {
+			f.Fatal("xmllint is missing; .ci/run installs it")
+		}
+		f.Skip("no xmllint")
+	}
+	return xmllint
+}
+
+func compareWithXMLLint(t *testing.T, s *schema, xmllint string, text []byte) {
+	t.Helper()
+	root, err := parseDocument("x.xml", text)
+	if err == nil {
+		err = s.check(root)
+	}
+	lint := exec.Command(xmllint, "--nonet", "--noout", "--schema", "honeyplank.xsd", "-")
+	lint.Stdin = bytes.NewReader(text)
+	out, lintErr := lint.CombinedOutput()
+	if (err == nil) != (lintErr == nil) {
+		t.Fatalf("the program: %v\nxmllint: %v\n%s\n%s", err, lintErr, out, text)
+	}
+}
+
+// placed is a node below the root, with its parent.
+type placed struct{ node, parent *node }
+
+func descendants(n *node) []placed {
+	var all []placed
+	for _, c := range n.children {
+		all = append(all, placed{c, n})
+		all = append(all, descendants(c)...)
+	}
+	return all
+}
+
+// The kinds of edit, as an input's byte names them.
+const (
+	editDelete = iota
+	editRepeat
+	editSwap
+	editValue
+	editOtherValue
+	editDropAttribute
+	editAddAttribute
+	editCopyInto
+	editRepeatMore
+	editKinds
+)
+
+// edit changes one node below the root; it tells whether there was one. The kind, the node and what is done with it
+// are chosen by an input's bytes.
+func edit(root *node, kind byte, at, n int) bool {
+	all := descendants(root)
+	if len(all) == 0 {
+		return false
+	}
+	e, parent := all[at%len(all)].node, all[at%len(all)].parent
+	place := slices.Index(parent.children, e)
+	names := slices.Sorted(maps.Keys(e.attributes))
+	switch kind % editKinds {
+	case editDelete:
+		parent.children = slices.Delete(parent.children, place, place+1)
+	case editRepeat, editRepeatMore:
+		for range 1 + n%9 {
+			parent.children = slices.Insert(parent.children, place, e)
+		}
+	case editSwap:
+		other := (place + 1) % len(parent.children)
+		parent.children[place], parent.children[other] = parent.children[other], parent.children[place]
+	case editValue, editOtherValue:
+		if len(names) > 0 {
+			e.attributes[names[n%len(names)]] = values[(n*7+at)%len(values)]
+		}
+	case editDropAttribute:
+		if len(names) > 0 {
+			delete(e.attributes, names[n%len(names)])
+		}
+	case editAddAttribute:
+		e.attributes["x"] = "1"
+	case editCopyInto:
+		if o := all[n%len(all)].node; o != e && len(e.children) == 0 {
+			o.children = append(o.children, e)
+		}
+	}
+	return true
+}
+
+// size is how many elements there are; an element within itself ends the count.
 func size(n *node, depth int) int {
-	if depth > depthMost {
+	if depth > maxDepth {
 		return 1 << 20
 	}
 	sum := 1
@@ -154,16 +203,22 @@
 	return sum
 }
 
-func write(b *bytes.Buffer, n *node) {
+// write puts the text of a node into a buffer, whose writes do not fail.
+func write(b *bytes.Buffer, n *node) error {
 	fmt.Fprintf(b, "<%s", n.name)
 	for _, k := range slices.Sorted(maps.Keys(n.attributes)) {
 		fmt.Fprintf(b, " %s=\"", k)
-		xml.EscapeText(b, []byte(n.attributes[k]))
+		if err := xml.EscapeText(b, []byte(n.attributes[k])); err != nil {
+			return err
+		}
 		b.WriteByte('"')
 	}
 	b.WriteByte('>')
 	for _, c := range n.children {
-		write(b, c)
+		if err := write(b, c); err != nil {
+			return err
+		}
 	}
 	fmt.Fprintf(b, "</%s>", n.name)
+	return nil
 }
--- /dev/null
+++ b/settings/module.go
@@ -0,0 +1,136 @@
+package settings
+
+import (
+	"cmp"
+
+	"honeyplank"
+	"honeyplank/nvme"
+)
+
+var moduleSemantics = map[Semantics]honeyplank.Semantics{
+	Replayable:   honeyplank.Idempotent,
+	Deduplicated: honeyplank.Deduplicated,
+	OnceOnly:     honeyplank.AtMostOnce,
+}
+
+var moduleDedupScopes = map[DedupScope]honeyplank.DedupScope{
+	"":        honeyplank.ScopeAll,
+	ScopeAll:  honeyplank.ScopeAll,
+	ScopeZone: honeyplank.ScopeZone,
+	ScopeCell: honeyplank.ScopeCell,
+}
+
+// ModuleSettings returns the settings of the decision module.
+func (g *Gateway) ModuleSettings() *honeyplank.Settings {
+	return &honeyplank.Settings{
+		Step:         g.Scheduler.Step.Duration(),
+		Instances:    g.Scheduler.Instances,
+		Ordinal:      g.Scheduler.Ordinal,
+		OpTypes:      moduleOpTypes(g.OpTypes),
+		Plans:        modulePlans(g.Plans.List),
+		MeanUnits:    g.Volumes.MeanUnits,
+		LargestUnits: float64(g.Units(int64(g.Limits.MaxTransfer))),
+		Watch: honeyplank.WatchSettings{
+			OnRequest: true,
+			Within:    g.EndpointList.WatchWithin.Duration(),
+		},
+		Dispatches: honeyplank.DispatchSettings{
+			Max:            g.Dispatches.Max,
+			HedgingAllowed: g.Dispatches.Parallel,
+			CancelAllowed:  true,
+			ConnectTimeout: g.DiskServers.ConnectTimeout.Duration(),
+		},
+		RetryAfter: honeyplank.RetryAfterSettings{
+			Allowed: g.Dispatches.MaxRetryAfter > 0,
+			Max:     g.Dispatches.MaxRetryAfter.Duration(),
+		},
+		RetryBudget: g.Policy.RetryBudget.module(),
+		SlowStart:   g.Policy.SlowStart.module(),
+		Usage: honeyplank.UsageSettings{
+			Period:    g.Policy.UsagePeriod.Duration(),
+			Elsewhere: g.Policy.UsageElsewhere,
+		},
+		DrainGrace:  g.Policy.DrainGrace.Duration(),
+		OrderSettle: g.Policy.OrderSettle.Duration(),
+	}
+}
+
+// module is the budget as the decision module has it; without one, retries are not limited.
+func (b *RetryBudget) module() honeyplank.RetryBudget {
+	if b == nil {
+		return honeyplank.RetryBudget{}
+	}
+	return honeyplank.RetryBudget{Limited: true, Free: b.Free, Share: b.Share, Window: b.Window.Duration()}
+}
+
+// module is the slow start as the decision module has it; without one, disk servers start warm.
+func (s *SlowStart) module() honeyplank.SlowStartSettings {
+	if s == nil {
+		return honeyplank.SlowStartSettings{}
+	}
+	return honeyplank.SlowStartSettings{
+		Window: s.Window.Duration(),
+		Time:   s.Time.Duration(),
+		From:   s.From,
+		Units:  s.Units,
+	}
+}
+
+func moduleOpTypes(types []OpType) honeyplank.OpTypeSettings {
+	var m honeyplank.OpTypeSettings
+	for _, t := range types {
+		m.TargetLatency = append(m.TargetLatency, t.TargetLatency.Duration())
+		m.OpTimeout = append(m.OpTimeout, t.OpTimeout.Duration())
+		m.Utility = append(m.Utility, t.Utility)
+		m.Semantics = append(m.Semantics, moduleSemantics[t.Semantics])
+		m.DedupScope = append(m.DedupScope, moduleDedupScopes[t.DedupScope])
+		m.DedupWindow = append(m.DedupWindow, t.DedupWindow.Duration())
+		m.Ordered = append(m.Ordered, t.Ordered)
+	}
+	return m
+}
+
+func modulePlans(plans []Plan) honeyplank.PlanSettings {
+	var m honeyplank.PlanSettings
+	for _, p := range plans {
+		m.Rate = append(m.Rate, p.Rate)
+		m.Reserve = append(m.Reserve, p.Reserve)
+		m.Weight = append(m.Weight, p.Weight)
+		m.Value = append(m.Value, cmp.Or(p.Value, 1))
+		m.Limit = append(m.Limit, p.Limit)
+		m.Burst = append(m.Burst, p.Burst)
+		m.Slack = append(m.Slack, p.Slack)
+	}
+	return m
+}
+
+// Units is the size of an op in units: whole ones, at least one.
+func (g *Gateway) Units(bytes int64) int64 {
+	unit := int64(g.Volumes.Unit)
+	return max((bytes+unit-1)/unit, 1)
+}
+
+// OpTypeIndex is the op type of a Read or Write by its NVMe opcode and length, -1 where there is none.
+func (g *Gateway) OpTypeIndex(opcode uint8, bytes int64) int {
+	want := OpcodeRead
+	if opcode == nvme.Write {
+		want = OpcodeWrite
+	}
+	for i, t := range g.OpTypes {
+		atMost := t.MaxBytes == 0 || bytes <= int64(t.MaxBytes)
+		if t.Opcode == want && bytes >= int64(t.MinBytes) && atMost {
+			return i
+		}
+	}
+	return -1
+}
+
+// PlanIndex is the index of a plan by its name, -1 where there is none.
+func (g *Gateway) PlanIndex(name string) int {
+	for i, p := range g.Plans.List {
+		if p.Name == name {
+			return i
+		}
+	}
+	return -1
+}
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -1,14 +1,14 @@
 package settings
 
 import (
-	"bytes"
-	_ "embed"
+	_ "embed" // for Schema
 	"encoding/xml"
 	"errors"
 	"fmt"
-	"io"
+	"maps"
 	"math/big"
 	"regexp"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -19,54 +19,40 @@
 //go:embed honeyplank.xsd
 var Schema []byte
 
-// Error is what is wrong with a file, where, and what would be right.
-type Error struct {
-	File  string
-	Line  int
-	Wrong string
-	Right string
-}
-
-func (f *Error) Error() string {
-	s := fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Wrong)
-	if f.Right != "" {
-		s += "; " + f.Right
-	}
-	return s
-}
-
 // The parts of XML Schema that honeyplank.xsd uses. A part that is not here is an error in the schema, since
 // it would go unchecked.
 type (
-	schemaText struct {
-		Types   []simpleType    `xml:"simpleType"`
-		Element []schemaElement `xml:"element"`
+	schemaDocument struct {
+		Types    []simpleType    `xml:"simpleType"`
+		Elements []schemaElement `xml:"element"`
 	}
 	simpleType struct {
-		Name        string `xml:"name,attr"`
-		Restriction struct {
-			Base    string        `xml:"base,attr"`
-			Pattern *schemaFacet  `xml:"pattern"`
-			Values  []schemaFacet `xml:"enumeration"`
-			Least   *schemaFacet  `xml:"minInclusive"`
-			Over    *schemaFacet  `xml:"minExclusive"`
-			Most    *schemaFacet  `xml:"maxInclusive"`
-		} `xml:"restriction"`
-		pattern *regexp.Regexp
-	}
-	schemaFacet struct {
+		Name        string      `xml:"name,attr"`
+		Restriction restriction `xml:"restriction"`
+		pattern     *regexp.Regexp
+	}
+	restriction struct {
+		Base         string  `xml:"base,attr"`
+		Pattern      *facet  `xml:"pattern"`
+		Values       []facet `xml:"enumeration"`
+		MinInclusive *facet  `xml:"minInclusive"`
+		MinExclusive *facet  `xml:"minExclusive"`
+		MaxInclusive *facet  `xml:"maxInclusive"`
+	}
+	facet struct {
 		Value string `xml:"value,attr"`
 	}
 	schemaElement struct {
-		Name  string `xml:"name,attr"`
-		Least string `xml:"minOccurs,attr"`
-		Most  string `xml:"maxOccurs,attr"`
-		Inner struct {
-			Children   []schemaElement   `xml:"sequence>element"`
-			Attributes []schemaAttribute `xml:"attribute"`
-		} `xml:"complexType"`
-		Keys []schemaKey `xml:"key"`
-		Refs []schemaKey `xml:"keyref"`
+		Name      string      `xml:"name,attr"`
+		MinOccurs string      `xml:"minOccurs,attr"`
+		MaxOccurs string      `xml:"maxOccurs,attr"`
+		Type      complexType `xml:"complexType"`
+		Keys      []schemaKey `xml:"key"`
+		KeyRefs   []schemaKey `xml:"keyref"`
+	}
+	complexType struct {
+		Children   []schemaElement   `xml:"sequence>element"`
+		Attributes []schemaAttribute `xml:"attribute"`
 	}
 	schemaAttribute struct {
 		Name string `xml:"name,attr"`
@@ -74,183 +60,138 @@
 		Use  string `xml:"use,attr"`
 	}
 	schemaKey struct {
-		Name     string `xml:"name,attr"`
-		Refer    string `xml:"refer,attr"`
-		Selector struct {
-			Path string `xml:"xpath,attr"`
-		} `xml:"selector"`
-		Field struct {
-			Path string `xml:"xpath,attr"`
-		} `xml:"field"`
+		Name     string     `xml:"name,attr"`
+		Refer    string     `xml:"refer,attr"`
+		Selector schemaPath `xml:"selector"`
+		Field    schemaPath `xml:"field"`
+	}
+	schemaPath struct {
+		Path string `xml:"xpath,attr"`
 	}
 )
 
+// attribute is the name of the attribute that a key's field leads to.
+func (k *schemaKey) attribute() string { return strings.TrimPrefix(k.Field.Path, "@") }
+
 type schema struct {
 	root  schemaElement
 	types map[string]*simpleType
 }
 
-var load = sync.OnceValues(func() (*schema, error) {
-	var t schemaText
-	if err := xml.Unmarshal(Schema, &t); err != nil {
+var loadSchema = sync.OnceValues(func() (*schema, error) {
+	var document schemaDocument
+	if err := xml.Unmarshal(Schema, &document); err != nil {
 		return nil, err
 	}
-	if len(t.Element) != 1 {
+	if len(document.Elements) != 1 {
 		return nil, errors.New("the schema must have one root element")
 	}
-	s := &schema{root: t.Element[0], types: map[string]*simpleType{}}
-	for i := range t.Types {
-		k := &t.Types[i]
-		if p := k.Restriction.Pattern; p != nil {
-			k.pattern = regexp.MustCompile("^(?:" + p.Value + ")$")
+	s := &schema{root: document.Elements[0], types: map[string]*simpleType{}}
+	for i := range document.Types {
+		t := &document.Types[i]
+		if p := t.Restriction.Pattern; p != nil {
+			t.pattern = regexp.MustCompile("^(?:" + p.Value + ")$")
 		}
-		s.types[k.Name] = k
+		s.types[t.Name] = t
 	}
 	return s, nil
 })
 
-// node is an element of a file with where it stands.
-type node struct {
-	name       string
-	line       int
-	attributes map[string]string
-	children   []*node
-}
-
-// depthMost and nodesMost bound what a file may cost before it is found wrong.
-const (
-	depthMost = 16
-	nodesMost = 200_000
-	sizeMost  = 32 << 20
-)
-
-// parse reads a file into nodes. Entities beyond XML's own five, directives and text are turned away.
-func parse(file string, text []byte) (*node, error) {
-	d := xml.NewDecoder(bytes.NewReader(text))
-	var open []*node
-	var root *node
-	count := 0
-	start := 1 // line where the token begins
-	line := func() int { return start }
-	fault := func(wrong, right string) error { return &Error{file, line(), wrong, right} }
-	if len(text) > sizeMost {
-		return nil, fault("the file is too large", fmt.Sprintf("at most %d bytes", sizeMost))
-	}
-	for {
-		start, _ = d.InputPos()
-		t, err := d.Token()
-		if err == io.EOF && root != nil && len(open) == 0 {
-			return root, nil
-		}
-		if err != nil {
-			if e, ok := err.(*xml.SyntaxError); ok {
-				return nil, &Error{file, e.Line, "not well-formed XML: " + e.Msg, ""}
-			}
-			return nil, fault("not well-formed XML: "+err.Error(), "")
-		}
-		switch t := t.(type) {
-		case xml.StartElement:
-			n := &node{name: t.Name.Local, line: line(), attributes: map[string]string{}}
-			if count++; count > nodesMost || len(open) == depthMost {
-				return nil, fault("too many or too deeply nested elements", "")
-			}
-			if t.Name.Space != "" {
-				return nil, fault(fmt.Sprintf("element <%s> is in a namespace", n.name), "write it without a prefix or xmlns")
-			}
-			for _, a := range t.Attr {
-				if a.Name.Space != "" || a.Name.Local == "xmlns" {
-					return nil, fault(fmt.Sprintf("attribute %q is in a namespace", a.Name.Local), "write it without a prefix")
-				}
-				if _, twice := n.attributes[a.Name.Local]; twice {
-					return nil, fault(fmt.Sprintf("attribute %q stands twice", a.Name.Local), "")
-				}
-				n.attributes[a.Name.Local] = a.Value
-			}
-			switch {
-			case len(open) > 0:
-				p := open[len(open)-1]
-				p.children = append(p.children, n)
-			case root != nil:
-				return nil, fault("a second root element", "")
-			default:
-				root = n
-			}
-			open = append(open, n)
-		case xml.EndElement:
-			open = open[:len(open)-1]
-		case xml.CharData:
-			if len(bytes.TrimSpace(t)) > 0 {
-				start += bytes.Count(t[:len(t)-len(bytes.TrimLeft(t, " \t\r\n"))], []byte("\n"))
-				return nil, fault(fmt.Sprintf("text %.20q has no place here", bytes.TrimSpace(t)), "values are given as attributes")
-			}
-		case xml.Directive:
-			return nil, fault("a document type or other directive", "leave it out")
-		}
-	}
-}
-
 // check holds a file against the schema.
-func (s *schema) check(file string, root *node) error {
+func (s *schema) check(root *node) error {
 	if root.name != s.root.Name {
-		return &Error{file, root.line, fmt.Sprintf("root element <%s>", root.name), fmt.Sprintf("it must be <%s>", s.root.Name)}
+		problem := fmt.Sprintf("root element <%s>", root.name)
+		return root.at.fault(problem, fmt.Sprintf("it must be <%s>", s.root.Name))
 	}
-	if err := s.element(file, root, &s.root); err != nil {
+	if err := s.checkElement(root, &s.root); err != nil {
 		return err
 	}
-	return s.keys(file, root)
+	return s.checkKeys(root)
 }
 
-func (s *schema) element(file string, n *node, e *schemaElement) error {
-	fault := func(line int, right, wrong string, a ...any) error {
-		return &Error{file, line, fmt.Sprintf(wrong, a...), right}
+func (s *schema) checkElement(n *node, e *schemaElement) error {
+	if err := s.checkAttributes(n, e.Type.Attributes); err != nil {
+		return err
 	}
+	return s.checkChildren(n, e.Type.Children)
+}
+
+func (s *schema) checkAttributes(n *node, attributes []schemaAttribute) error {
 	known := map[string]bool{}
-	var names []string
-	for _, a := range e.Inner.Attributes {
-		known[a.Name], names = true, append(names, a.Name)
-		v, given := n.attributes[a.Name]
+	names := make([]string, 0, len(attributes))
+	for _, a := range attributes {
+		known[a.Name] = true
+		names = append(names, a.Name)
+		value, given := n.attributes[a.Name]
 		if !given {
 			if a.Use == "required" {
-				return fault(n.line, s.describe(a.Type), "<%s> lacks the attribute %q", n.name, a.Name)
+				return n.at.fault(fmt.Sprintf("<%s> lacks the attribute %q", n.name, a.Name), s.describe(a.Type))
 			}
 			continue
 		}
-		if !s.fits(a.Type, v) {
-			return fault(n.line, s.describe(a.Type), "%s=%q of <%s> is not valid", a.Name, v, n.name)
+		if !s.accepts(a.Type, value) {
+			problem := fmt.Sprintf("%s=%q of <%s> is not valid", a.Name, value, n.name)
+			return n.at.fault(problem, s.describe(a.Type))
 		}
 	}
 	for name := range n.attributes {
 		if !known[name] {
-			return fault(n.line, "known are "+strings.Join(names, ", "), "<%s> has no attribute %q", n.name, name)
+			problem := fmt.Sprintf("<%s> has no attribute %q", n.name, name)
+			return n.at.fault(problem, "known are "+strings.Join(names, ", "))
 		}
 	}
-	i := 0
-	for c := range e.Inner.Children {
-		child := &e.Inner.Children[c]
-		least, most := occurs(child.Least), occurs(child.Most)
-		seen := 0
-		for ; i < len(n.children) && n.children[i].name == child.Name; i++ {
-			if seen++; seen > most {
-				return fault(n.children[i].line, fmt.Sprintf("at most %d may stand here", most), "one <%s> too many", child.Name)
-			}
-			if err := s.element(file, n.children[i], child); err != nil {
-				return err
-			}
+	return nil
+}
+
+// checkChildren wants the children in the order of the schema, each as often as it may stand.
+func (s *schema) checkChildren(n *node, sequence []schemaElement) error {
+	rest := n.children
+	for i := range sequence {
+		count, err := s.checkRepeated(rest, &sequence[i])
+		if err != nil {
+			return err
 		}
-		if seen < least {
-			line, found := n.line, "the end of <"+n.name+">"
-			if i < len(n.children) {
-				line, found = n.children[i].line, "<"+n.children[i].name+">"
-			}
-			return fault(line, fmt.Sprintf("<%s> must come first", child.Name), "%s stands where <%s> is missing", found, child.Name)
+		rest = rest[count:]
+		if count < occurs(sequence[i].MinOccurs) {
+			return missing(n, rest, sequence[i].Name)
 		}
 	}
-	if i < len(n.children) {
-		return fault(n.children[i].line, "", "<%s> is unknown or stands in the wrong place in <%s>", n.children[i].name, n.name)
+	if len(rest) > 0 {
+		problem := fmt.Sprintf("<%s> is unknown or stands in the wrong place in <%s>", rest[0].name, n.name)
+		return rest[0].at.fault(problem, "")
 	}
 	return nil
 }
 
+// checkRepeated checks the nodes of one name that a list begins with, and returns how many they are.
+func (s *schema) checkRepeated(nodes []*node, e *schemaElement) (count int, err error) {
+	most := occurs(e.MaxOccurs)
+	for _, n := range nodes {
+		if n.name != e.Name {
+			break
+		}
+		if count++; count > most {
+			problem := fmt.Sprintf("one <%s> too many", e.Name)
+			return count, n.at.fault(problem, fmt.Sprintf("at most %d may stand here", most))
+		}
+		if err := s.checkElement(n, e); err != nil {
+			return count, err
+		}
+	}
+	return count, nil
+}
+
+// missing is the error for a child that should stand before the rest of its parent's children.
+func missing(parent *node, rest []*node, name string) error {
+	at, found := parent.at, "the end of <"+parent.name+">"
+	if len(rest) > 0 {
+		at, found = rest[0].at, "<"+rest[0].name+">"
+	}
+	problem := fmt.Sprintf("%s stands where <%s> is missing", found, name)
+	return at.fault(problem, fmt.Sprintf("<%s> must come first", name))
+}
+
+// occurs reads how often an element may stand; left out, it is once.
 func occurs(text string) int {
 	if n, err := strconv.Atoi(text); err == nil {
 		return n
@@ -258,133 +199,57 @@
 	return 1
 }
 
-var (
-	decimalText = regexp.MustCompile(`^[+-]?([0-9]+(\.[0-9]*)?|\.[0-9]+)$`)
-	integerText = regexp.MustCompile(`^[+-]?[0-9]+$`)
-)
-
-// fits tells whether a value belongs to a type. Numbers are compared exactly, as the schema's are.
-func (s *schema) fits(name, v string) bool {
-	switch name {
-	case "xs:string":
-		return true
-	case "xs:boolean":
-		v = collapse(v)
-		return v == "true" || v == "false" || v == "1" || v == "0"
-	case "xs:decimal":
-		return len(v) < 64 && decimalText.MatchString(collapse(v))
-	case "xs:integer":
-		return len(v) < 64 && integerText.MatchString(collapse(v))
-	}
-	t := s.types[name]
-	if t == nil || !s.fits(t.Restriction.Base, v) || t.pattern != nil && !t.pattern.MatchString(v) {
-		return false
-	}
-	if list := t.Restriction.Values; len(list) > 0 {
-		for _, x := range list {
-			if x.Value == v {
-				return true
-			}
+// checkKeys wants keys to be unique, and what refers to one to name one that stands.
+func (s *schema) checkKeys(root *node) error {
+	defined := map[string]map[string]bool{}
+	for i := range s.root.Keys {
+		k := &s.root.Keys[i]
+		values, err := checkUnique(root, k)
+		if err != nil {
+			return err
 		}
-		return false
+		defined[k.Name] = values
 	}
-	against := func(f *schemaFacet) int {
-		x, _ := new(big.Rat).SetString(strings.TrimPrefix(collapse(v), "+"))
-		y, _ := new(big.Rat).SetString(f.Value)
-		if x == nil || y == nil {
-			return 0
+	for i := range s.root.KeyRefs {
+		k := &s.root.KeyRefs[i]
+		if err := checkReferences(root, k, defined[k.Refer]); err != nil {
+			return err
 		}
-		return x.Cmp(y)
-	}
-	r := &t.Restriction
-	return (r.Least == nil || against(r.Least) >= 0) && (r.Over == nil || against(r.Over) > 0) && (r.Most == nil || against(r.Most) <= 0)
-}
-
-func collapse(v string) string { return strings.Trim(v, " \t\r\n") }
-
-// describe tells what a value of a type looks like.
-func (s *schema) describe(name string) string {
-	switch name {
-	case "span":
-		return `a span is a number with its unit, such as "250ms" (us, ms, s, m, h)`
-	case "bytes":
-		return `a size is a whole number with its unit, such as "64KiB" (B, KiB, MiB, GiB, TiB)`
-	case "address":
-		return `an address is IPv4 loopback and a port, such as "127.0.0.1:4420"`
-	case "xs:boolean":
-		return "true or false"
-	}
-	t := s.types[name]
-	if t == nil {
-		return ""
-	}
-	r := &t.Restriction
-	var parts []string
-	for _, x := range r.Values {
-		parts = append(parts, strconv.Quote(x.Value))
-	}
-	if len(parts) > 0 {
-		return "it must be one of " + strings.Join(parts, ", ")
-	}
-	if r.Least != nil {
-		parts = append(parts, "at least "+r.Least.Value)
 	}
-	if r.Over != nil {
-		parts = append(parts, "over "+r.Over.Value)
-	}
-	if r.Most != nil {
-		parts = append(parts, "at most "+r.Most.Value)
-	}
-	if t.pattern != nil {
-		parts = append(parts, "of the form "+r.Pattern.Value)
-	}
-	return "it must be " + strings.Join(parts, ", ")
+	return nil
 }
 
-// pick lists the nodes that a path of element names leads to.
-func (n *node) pick(path string) []*node {
-	found := []*node{n}
-	for _, name := range strings.Split(path, "/") {
-		var next []*node
-		for _, p := range found {
-			for _, c := range p.children {
-				if c.name == name {
-					next = append(next, c)
-				}
-			}
+// checkUnique returns the values of a key.
+func checkUnique(root *node, k *schemaKey) (map[string]bool, error) {
+	attribute := k.attribute()
+	values := map[string]bool{}
+	for _, n := range root.find(k.Selector.Path) {
+		value := n.attributes[attribute]
+		if number, ok := integer(value); ok && attribute == "nsid" {
+			value = number.String() // "+1" and "01" are the same key as "1"
+		}
+		if values[value] {
+			problem := fmt.Sprintf("%s=%q of <%s> stands twice", attribute, value, n.name)
+			return nil, n.at.fault(problem, "each must be its own")
 		}
-		found = next
+		values[value] = true
 	}
-	return found
+	return values, nil
 }
 
-func (s *schema) keys(file string, root *node) error {
-	held := map[string]map[string]bool{}
-	for _, k := range s.root.Keys {
-		field := strings.TrimPrefix(k.Field.Path, "@")
-		held[k.Name] = map[string]bool{}
-		for _, n := range root.pick(k.Selector.Path) {
-			v := n.attributes[field]
-			if i, ok := new(big.Int).SetString(strings.TrimPrefix(collapse(v), "+"), 10); ok && field == "nsid" {
-				v = i.String()
-			}
-			if held[k.Name][v] {
-				return &Error{file, n.line, fmt.Sprintf("%s=%q of <%s> stands twice", field, v, n.name), "each must be its own"}
-			}
-			held[k.Name][v] = true
-		}
-	}
-	for _, k := range s.root.Refs {
-		field := strings.TrimPrefix(k.Field.Path, "@")
-		for _, n := range root.pick(k.Selector.Path) {
-			if v, given := n.attributes[field]; given && !held[k.Refer][v] {
-				var names []string
-				for name := range held[k.Refer] {
-					names = append(names, name)
-				}
-				return &Error{file, n.line, fmt.Sprintf("%s=%q of <%s> is not defined", field, v, n.name), "defined are " + strings.Join(sorted(names), ", ")}
-			}
+func checkReferences(root *node, k *schemaKey, defined map[string]bool) error {
+	attribute := k.attribute()
+	for _, n := range root.find(k.Selector.Path) {
+		value, given := n.attributes[attribute]
+		if given && !defined[value] {
+			problem := fmt.Sprintf("%s=%q of <%s> is not defined", attribute, value, n.name)
+			names := slices.Sorted(maps.Keys(defined))
+			return n.at.fault(problem, "defined are "+strings.Join(names, ", "))
 		}
 	}
 	return nil
 }
+
+func integer(text string) (*big.Int, bool) {
+	return new(big.Int).SetString(strings.TrimPrefix(collapse(text), "+"), 10)
+}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -10,17 +11,42 @@
 	"time"
 
 	"honeyplank"
+	"honeyplank/nvme"
 )
 
+const exampleFile = "examples/gateway.xml"
+
 func example(t *testing.T) string {
 	t.Helper()
-	b, err := os.ReadFile("examples/gateway.xml")
+	b, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(b)
 }
 
+func change(t *testing.T, text, from, to string) string {
+	t.Helper()
+	if from != "" && !strings.Contains(text, from) {
+		t.Fatalf("the example has no %q", from)
+	}
+	return strings.Replace(text, from, to, 1)
+}
+
+func mustParse(t *testing.T, text string) *Gateway {
+	t.Helper()
+	g, err := Parse("x.xml", []byte(text))
+	if err != nil {
+		t.Fatalf("%v\n%s", err, text)
+	}
+	return g
+}
+
+const (
+	dnsElement = `<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"><server address="127.0.0.1:53"/></dns>`
+	trust      = `<believe vanish="0.5" confirm="9s" calm="60s" flaps="3" hold="5s"/>`
+)
+
 // schemaCases change the example once; the schema alone tells whether what comes out is right.
 var schemaCases = []struct {
 	name, from, to string
@@ -30,18 +56,21 @@
 	{"as it is", "", "", true, 0},
 	{"a comment", `version="1">`, `version="1"><!-- x -->`, true, 0},
 	{"no budget", `<budget free="5" share="0.25" window="5s"/>`, ``, true, 0},
-	{"two endpoints", `<etcd endpoint="127.0.0.1:2379"/>`, `<etcd endpoint="127.0.0.1:2379"/><etcd endpoint="127.0.0.1:2380"/>`, true, 0},
+	{"two endpoints", `<etcd endpoint="127.0.0.1:2379"/>`,
+		`<etcd endpoint="127.0.0.1:2379"/><etcd endpoint="127.0.0.1:2380"/>`, true, 0},
 	{"a bare point", `weight="2"`, `weight="2."`, true, 0},
 	{"a sign", `hosts="2"`, `hosts="+2"`, true, 0},
 	{"true as 1", `ordered="true"`, `ordered="1"`, true, 0},
-	{"DNS beside etcd", `</list>`, `<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"><server address="127.0.0.1:53"/></dns><believe vanish="0.5" confirm="9s" calm="60s" flaps="3" hold="5s"/></list>`, true, 0},
-	{"DNS of no domain", `</list>`, `<dns name="x" floor="1s" ceiling="9s" timeout="1s"><server address="127.0.0.1:53"/></dns></list>`, false, 3},
-	{"DNS without a server", `</list>`, `<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"/></list>`, false, 3},
+	{"DNS beside etcd", `</list>`, dnsElement + trust + `</list>`, true, 0},
+	{"DNS of no domain", `</list>`, strings.Replace(dnsElement, "_h._tcp.x.", "x", 1) + `</list>`, false, 3},
+	{"DNS without a server", `</list>`,
+		`<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"/></list>`, false, 3},
 	{"unknown element", `<scheduler `, `<shceduler `, false, 4},
 	{"unknown attribute", `<scheduler hosts`, `<scheduler host="1" hosts`, false, 4},
 	{"attribute missing", `<scheduler hosts="2" `, `<scheduler `, false, 4},
 	{"wrong order", `<listen`, `<dispatches most="4"/><listen`, false, 2},
-	{"one too many", `<plans within-share`, `<plans><plan name="z" rate="1" reserve="1" weight="1"/></plans><plans within-share`, false, 12},
+	{"one too many", `<plans within-share`,
+		`<plans><plan name="z" rate="1" reserve="1" weight="1"/></plans><plans within-share`, false, 12},
 	{"bad span", `ask-within="4s" most="20000"`, `ask-within="4"`, false, 3},
 	{"span with a sign", `ask-within="4s" most="20000"`, `ask-within="-4s"`, false, 3},
 	{"bad size", `transfer="128KiB"`, `transfer="128kb"`, false, 35},
@@ -62,48 +91,51 @@
 	{"a namespace", `<honeyplank version`, `<honeyplank xmlns="urn:x" version`, false, 1},
 }
 
-func change(t *testing.T, text, from, to string) string {
-	t.Helper()
-	if from != "" && !strings.Contains(text, from) {
-		t.Fatalf("the example has no %q", from)
-	}
-	return strings.Replace(text, from, to, 1)
-}
-
 // TestSchema holds the program's reading of the schema against xmllint's, case by case.
 func TestSchema(t *testing.T) {
 	xmllint, err := exec.LookPath("xmllint")
 	if err != nil && os.Getenv("CI") != "" {
 		t.Fatal("xmllint is missing; .ci/run installs it")
 	}
-	dir := t.TempDir()
-	for i, c := range schemaCases {
-		text := change(t, example(t), c.from, c.to)
-		_, err := Parse("x.xml", []byte(text))
-		if (err == nil) != c.right {
-			t.Errorf("%s: %v, right is %v", c.name, err, c.right)
-			continue
-		}
-		var fault *Error
-		if err != nil && (!errors.As(err, &fault) || fault.File != "x.xml" || fault.Line != c.line || fault.Wrong == "") {
-			t.Errorf("%s: %v, want line %d", c.name, err, c.line)
-		}
-		if xmllint == "" {
-			continue
-		}
-		file := filepath.Join(dir, string(rune('a'+i%26))+c.name+".xml")
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		out, err := exec.Command(xmllint, "--nonet", "--noout", "--schema", "honeyplank.xsd", file).CombinedOutput()
-		if (err == nil) != c.right {
-			t.Errorf("%s: xmllint: %v\n%s", c.name, err, out)
-		}
+	for _, c := range schemaCases {
+		t.Run(c.name, func(t *testing.T) {
+			text := change(t, example(t), c.from, c.to)
+			_, err := Parse("x.xml", []byte(text))
+			if (err == nil) != c.right {
+				t.Fatalf("%v, right is %v", err, c.right)
+			}
+			if err != nil {
+				checkFault(t, err, c.line)
+			}
+			if xmllint != "" {
+				checkAgainstXMLLint(t, xmllint, text, c.right)
+			}
+		})
+	}
+}
+
+func checkFault(t *testing.T, err error, line int) {
+	t.Helper()
+	var fault *Error
+	if !errors.As(err, &fault) || fault.File != "x.xml" || fault.Line != line || fault.Problem == "" {
+		t.Errorf("%v, want line %d", err, line)
+	}
+}
+
+func checkAgainstXMLLint(t *testing.T, xmllint, text string, right bool) {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "x.xml")
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	out, err := exec.Command(xmllint, "--nonet", "--noout", "--schema", "honeyplank.xsd", file).CombinedOutput()
+	if (err == nil) != right {
+		t.Errorf("xmllint: %v\n%s", err, out)
 	}
 }
 
-// TestAgree changes the example into what the schema lets pass and the program must not.
-func TestAgree(t *testing.T) {
+// TestValidation changes the example into what the schema lets pass and the program must not.
+func TestValidation(t *testing.T) {
 	for _, c := range []struct{ name, from, to, says string }{
 		{"block", `block="4KiB"`, `block="5KiB"`, "power of two"},
 		{"extent", `extent="256MiB"`, `extent="255B"`, "multiple of block"},
@@ -117,15 +149,17 @@
 		{"hosts of a volume", `cells="0 1 2"`, `cells="0 1 2" hosts="3"`, "more hosts"},
 		{"address", `127.0.0.1:4420`, `127.0.0.999:4420`, "no address"},
 		{"no source", `<etcd endpoint="127.0.0.1:2379"/>`, ``, "no source"},
-		{"no rule", `</list>`, `<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"><server address="127.0.0.1:53"/></dns></list>`, "without a believe"},
+		{"no rule", `</list>`, dnsElement + `</list>`, "without a believe"},
 		{"depth", `depth="128"`, `depth="2000"`, "depth"},
 		{"huge", `size="2GiB"`, `size="999999999TiB"`, "too large"},
 	} {
-		_, err := Parse("x.xml", []byte(change(t, example(t), c.from, c.to)))
-		var fault *Error
-		if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.says)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse("x.xml", []byte(change(t, example(t), c.from, c.to)))
+			var fault *Error
+			if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.says) {
+				t.Errorf("%v, want %q", err, c.says)
+			}
+		})
 	}
 }
 
@@ -134,53 +168,73 @@
 	for name, text := range map[string]string{
 		"nesting":  strings.Repeat("<honeyplank>", 100_000),
 		"entities": `<!DOCTYPE x [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;">]><honeyplank version="&b;"/>`,
-		"empty":    "", "binary": "\x00\xff\xfe", "many": "<honeyplank>" + strings.Repeat("<a/>", 300_000),
+		"empty":    "",
+		"binary":   "\x00\xff\xfe",
+		"many":     "<honeyplank>" + strings.Repeat("<a/>", 300_000),
 	} {
-		began := time.Now()
-		if _, err := Parse("x.xml", []byte(text)); err == nil || time.Since(began) > 2*time.Second {
-			t.Errorf("%s: %v after %v", name, err, time.Since(began))
-		}
+		t.Run(name, func(t *testing.T) {
+			began := time.Now()
+			if _, err := Parse("x.xml", []byte(text)); err == nil || time.Since(began) > 2*time.Second {
+				t.Errorf("%v after %v", err, time.Since(began))
+			}
+		})
 	}
 }
 
-// TestValues checks what the module is handed, and that what is shown reads back the same.
-func TestValues(t *testing.T) {
-	g, err := Parse("x.xml", []byte(example(t)))
-	if err != nil {
-		t.Fatal(err)
+// TestModuleSettings checks what the decision module is handed.
+func TestModuleSettings(t *testing.T) {
+	g := mustParse(t, example(t))
+	m := g.ModuleSettings()
+	if s := m.OpTypes.Semantics; s[3] != honeyplank.AtMostOnce || s[0] != honeyplank.Idempotent {
+		t.Error("semantics", s)
 	}
-	v := g.ModuleSettings()
-	if k := v.OpTypes.Semantics; k[3] != honeyplank.AtMostOnce || k[0] != honeyplank.Idempotent {
-		t.Error("optypes.kind", k)
+	if d := m.OpTypes.TargetLatency; d[1] != 900*time.Millisecond {
+		t.Error("target latency", d)
 	}
-	if d := v.OpTypes.TargetLatency; d[1] != 900*time.Millisecond {
-		t.Error("optypes.target_latency", d)
+	if m.LargestUnits != 8.0 || m.Plans.Value[1] != 1 {
+		t.Error("sizes and plans", m)
 	}
-	if v.LargestUnits != 8.0 || v.RetryBudget.Share != 0.25 || v.SlowStart.Window != time.Second || v.Plans.Value[1] != 1 {
-		t.Error("figures", v)
+	if m.RetryBudget.Share != 0.25 || m.SlowStart.Window != time.Second {
+		t.Error("retry budget and slow start", m)
 	}
-	if got, want := v.Dispatches.ConnectTimeout, g.DiskServers.ConnectTimeout.Duration(); got != want || got <= 0 {
+	if got, want := m.Dispatches.ConnectTimeout, g.DiskServers.ConnectTimeout.Duration(); got != want || got <= 0 {
 		t.Errorf("connect timeout %v, want %v", got, want)
 	}
-	// Disk servers count for other hosts only where the settings say so.
-	told, err := Parse("x.xml", []byte(change(t, example(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)))
-	if err != nil || v.Usage.Elsewhere != false || told.ModuleSettings().Usage.Elsewhere != true {
-		t.Error("meter.elsewhere", v.Usage.Elsewhere, err)
+}
+
+// TestUsageElsewhere: disk servers count for other gateways only where the settings say so.
+func TestUsageElsewhere(t *testing.T) {
+	if mustParse(t, example(t)).ModuleSettings().Usage.Elsewhere {
+		t.Error("usage elsewhere without the attribute")
+	}
+	counting := change(t, example(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)
+	if !mustParse(t, counting).ModuleSettings().Usage.Elsewhere {
+		t.Error("no usage elsewhere with the attribute")
 	}
+}
+
+func TestOpTypeIndex(t *testing.T) {
+	g := mustParse(t, example(t))
 	for bytes, want := range map[int64]int{4096: 0, 32 << 10: 0, 36 << 10: 1, 128 << 10: 1} {
-		if n := g.OpTypeIndex(false, bytes); n != want {
-			t.Errorf("a read of %d bytes is of op type %d, want %d", bytes, n, want)
-		}
+		t.Run(fmt.Sprint(bytes), func(t *testing.T) {
+			if n := g.OpTypeIndex(nvme.Read, bytes); n != want {
+				t.Errorf("a read of %d bytes is of op type %d, want %d", bytes, n, want)
+			}
+		})
 	}
-	text, err := g.XML()
+}
+
+// TestRoundTrip: what is shown reads back the same.
+func TestRoundTrip(t *testing.T) {
+	text, err := mustParse(t, example(t)).XML()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Parse("shown.xml", text)
+	again, err := mustParse(t, string(text)).XML()
 	if err != nil {
-		t.Fatalf("%v\n%s", err, text)
+		t.Fatal(err)
 	}
-	if twice, _ := again.XML(); string(twice) != string(text) {
+	if string(again) != string(text) {
 		t.Error("what is shown reads back as something else")
 	}
 }
