--- a/audit/judge.go
+++ b/audit/judge.go
@@ -142,7 +142,7 @@
 		v.Checked++
 		for i, later := range r.sends {
 			for _, d := range r.sends[:i] {
-				if o := d.over(); !s.Dispatches.Parallel && (o == 0 || o > later.at+slack) {
+				if o := d.over(); !s.Dispatches.HedgingAllowed && (o == 0 || o > later.at+slack) {
 					v.breach("%v was dispatched to %s while a dispatch to %s was out", r, later.server, d.server)
 				}
 				if d.proves() {
--- a/settings/module.go
+++ b/settings/module.go
@@ -36,7 +36,7 @@
 		},
 		Dispatches: honeyplank.DispatchSettings{
 			Max:            g.Dispatches.Max,
-			HedgingAllowed: g.Dispatches.Parallel,
+			HedgingAllowed: g.Dispatches.HedgingAllowed,
 			CancelAllowed:  true,
 			ConnectTimeout: g.DiskServers.ConnectTimeout.Duration(),
 		},
--- a/settings/types.go
+++ b/settings/types.go
@@ -89,9 +89,9 @@
 
 // Dispatches bound how often an op is sent to disk servers.
 type Dispatches struct {
-	Max           int  `xml:"most,attr"`
-	Parallel      bool `xml:"parallel,attr,omitempty"`
-	MaxRetryAfter Span `xml:"advice-most,attr,omitempty"`
+	Max            int  `xml:"most,attr"`
+	HedgingAllowed bool `xml:"parallel,attr,omitempty"`
+	MaxRetryAfter  Span `xml:"advice-most,attr,omitempty"`
 }
 
 // OpType is an op type, and which commands are of it: an opcode and a range of lengths, both ends included.
