--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -2,8 +2,8 @@
 // clock. The start that a list gives identifies an incarnation and is only compared for equality; the age of a start is
 // a span of the monotonic clock. The package does no I/O, reads no clock, starts no goroutine and decides nothing.
 //
-// A gateway has a Tracker for each of its sources and calls it on the goroutine of its event loop; a Tracker is not safe
-// for concurrent use.
+// A gateway has a Tracker for each of its sources and calls it on the goroutine of its event loop; a Tracker is not
+// safe for concurrent use.
 package incarnation
 
 import (
@@ -19,12 +19,12 @@
 	defaultMaxRemoved = 4096
 )
 
-// Tracker has the incarnations of the servers of one source of lists. The zero value has none and is ready to use. Times
-// are spans since a fixed moment of the caller's monotonic clock, and don't decrease from call to call.
+// Tracker has the incarnations of the servers of one source of lists. The zero value has none and is ready to use.
+// Times are spans since a fixed moment of the caller's monotonic clock, and don't decrease from call to call.
 //
-// It guards slow start against steps of the wall clock: a start may be placed later than it was, which delays work for a
-// while, but never earlier than this process can know. It could harm in the first seconds of a process, for which every
-// server with a given start has only just started.
+// It guards slow start against steps of the wall clock: a start may be placed later than it was, which delays work for
+// a while, but never earlier than this process can know. It could harm in the first seconds of a process, for which
+// every server with a given start has only just started.
 type Tracker struct {
 	// MaxRemoved bounds the removed servers that are kept; 0: 4,096. Of a larger fleet that is missing from one list by
 	// mistake, the servers past this number count as newly started when they return.
@@ -58,11 +58,11 @@
 	at time.Duration
 }
 
-// Start is when a server that a list mentions has started: 0 for long ago, else above 0 and at most now. upSinceMS is the
-// start that the list gives, in Unix milliseconds, 0 for long ago; wall is the wall clock at now. The first mention of an
-// incarnation sets its start. The wall clock may place it before that mention, but not before the last moment of Current
-// or Complete, at which the incarnation before was running or the server was not there; without such a moment the server
-// has started now. An incarnation that returns after its removal keeps its start.
+// Start is when a server that a list mentions has started: 0 for long ago, else above 0 and at most now. upSinceMS is
+// the start that the list gives, in Unix milliseconds, 0 for long ago; wall is the wall clock at now. The first mention
+// of an incarnation sets its start. The wall clock may place it before that mention, but not before the last moment of
+// Current or Complete, at which the incarnation before was running or the server was not there; without such a moment
+// the server has started now. An incarnation that returns after its removal keeps its start.
 func (t *Tracker) Start(now time.Duration, wall time.Time, id honeyplank.ServerID, upSinceMS int64) time.Duration {
 	s := t.servers[id]
 	if s == nil || s.incarnation.UpSinceMS != upSinceMS {
@@ -116,15 +116,15 @@
 }
 
 // Current takes in that all mentions hold at this moment: each server runs the incarnation that was mentioned last, and
-// one that was not mentioned, or was removed, is not there. It is called after the mentions of a message that is known to
-// follow without a gap on a complete list, and never for a cached list, which may be old.
+// one that was not mentioned, or was removed, is not there. It is called after the mentions of a message that is known
+// to follow without a gap on a complete list, and never for a cached list, which may be old.
 func (t *Tracker) Current(now time.Duration) {
 	t.current, t.hasCurrent = now, true
 	t.forget(now)
 }
 
-// Complete takes in that a complete list was received, after its mentions: servers that it does not list are removed. It
-// implies Current.
+// Complete takes in that a complete list was received, after its mentions: servers that it does not list are removed.
+// It implies Current.
 func (t *Tracker) Complete(now time.Duration, ids []honeyplank.ServerID) {
 	listed := make(map[honeyplank.ServerID]bool, len(ids))
 	for _, id := range ids {
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -12,21 +12,34 @@
 // origin is the wall clock in the tables when the monotonic clock is at 0 and the wall clock has not stepped.
 var origin = time.UnixMilli(1_700_000_000_000)
 
-// step is one call or message. at is on the monotonic clock; the wall clock is off from it by wall.
+// step is one call or message.
 type step struct {
-	at, wall time.Duration
-	kind     string        // list, partial (a message of a watch), mention (a cached list), removed, current
-	up       time.Duration // the start given, on the wall clock from origin; long: 0 is given; absent: not listed
-	want     time.Duration // of the mention
+	at       time.Duration // on the monotonic clock
+	wallStep time.Duration // by which the wall clock is off from the monotonic clock
+	kind     stepKind
+	up       time.Duration // the start given, on the wall clock from origin; or longAgo, or absent
+	want     time.Duration // the start that the mention returns
 }
 
+// stepKind is what a step tells the tracker.
+type stepKind int
+
+const (
+	completeList stepKind = iota
+	watchMessage          // a message of a watch that follows without a gap
+	cachedList            // which may be old
+	serverRemoved
+	mentionsHold // that the mentions hold
+)
+
 const (
-	long   = time.Duration(math.MinInt64)
-	absent = long + 1
+	longAgo = time.Duration(math.MinInt64) // the start given is 0
+	absent  = longAgo + 1                  // the server is not listed
 )
 
+// upSince is the start that a list gives, in Unix milliseconds.
 func upSince(up time.Duration) int64 {
-	if up == long {
+	if up == longAgo {
 		return 0
 	}
 	return origin.Add(up).UnixMilli()
@@ -34,62 +47,163 @@
 
 const s, h = time.Second, time.Hour
 
-// TestStart has lists, messages and steps of the wall clock in many orders.
+// startCases has lists, messages and steps of the wall clock in many orders.
+var startCases = map[string][]step{
+	"started before the process": {
+		{100 * s, 0, completeList, -10 * s, 100 * s},
+		{200 * s, 0, completeList, -10 * s, 100 * s},
+	},
+	"long ago": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{200 * s, h, completeList, longAgo, 0},
+		{300 * s, -h, watchMessage, longAgo, 0},
+	},
+	"long ago, then a start": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{110 * s, 0, watchMessage, 104 * s, 104 * s},
+	},
+	"a start, then long ago": {
+		{100 * s, 0, completeList, 90 * s, 100 * s},
+		{110 * s, 0, watchMessage, longAgo, 0},
+	},
+	"a restart between lists": {
+		{100 * s, 0, completeList, 90 * s, 100 * s},
+		{110 * s, 0, completeList, 104 * s, 104 * s},
+		{120 * s, 0, watchMessage, 104 * s, 104 * s},
+	},
+	"a new server": {
+		{100 * s, 0, completeList, absent, 0},
+		{110 * s, 0, watchMessage, 104 * s, 104 * s},
+	},
+	"older than its absence from a complete list": {
+		{100 * s, 0, completeList, absent, 0},
+		{110 * s, 0, watchMessage, 50 * s, 100 * s},
+	},
+	"no complete list yet": {
+		{100 * s, 0, cachedList, absent, 0},
+		{110 * s, 0, watchMessage, 104 * s, 110 * s},
+	},
+	"in the future": {
+		{100 * s, 0, completeList, absent, 0},
+		{110 * s, 0, completeList, 150 * s, 110 * s},
+		{200 * s, 0, completeList, 150 * s, 110 * s},
+	},
+	"a start that goes backwards": {
+		{100 * s, 0, completeList, 90 * s, 100 * s},
+		{110 * s, 0, completeList, 80 * s, 100 * s},
+		{120 * s, 0, completeList, 90 * s, 110 * s},
+	},
+	"at the origin of the clock": {
+		{0, 0, completeList, -s, 1},
+	},
+	"5 s back before the first list": {
+		{100 * s, -5 * s, completeList, 90 * s, 100 * s},
+		{110 * s, -5 * s, completeList, 90 * s, 100 * s},
+	},
+	"5 s forward before the first list": {
+		{100 * s, 5 * s, completeList, 90 * s, 100 * s},
+		{110 * s, 5 * s, completeList, 90 * s, 100 * s},
+	},
+	"an hour back before the first list": {
+		{100 * s, -h, completeList, 90 * s, 100 * s},
+		{110 * s, -h, completeList, 90 * s, 100 * s},
+	},
+	"an hour forward before the first list": {
+		{100 * s, h, completeList, 90 * s, 100 * s},
+		{110 * s, h, completeList, 90 * s, 100 * s},
+	},
+	"5 s back between lists, then a restart": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, -5 * s, completeList, 110*s - 5*s, 110 * s},
+	},
+	"5 s back after a restart": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, -5 * s, completeList, 110 * s, 115 * s},
+	},
+	"5 s forward after a restart": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, 5 * s, completeList, 110 * s, 105 * s},
+	},
+	"an hour back between lists, then a restart": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, -h, completeList, 110*s - h, 110 * s},
+	},
+	"an hour back after a restart": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, -h, completeList, 110 * s, 120 * s},
+	},
+	"an hour forward after a restart": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, h, completeList, 110 * s, 100 * s},
+	},
+	"an hour forward, the start before held last": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{115 * s, 0, mentionsHold, 0, 0},
+		{120 * s, h, watchMessage, 110 * s, 115 * s},
+	},
+	"steps after the first mention": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, 0, completeList, 110 * s, 110 * s},
+		{130 * s, h, completeList, 110 * s, 110 * s},
+		{140 * s, -h, watchMessage, 110 * s, 110 * s},
+		{150 * s, 5 * s, completeList, 110 * s, 110 * s},
+	},
+	"a new process after an hour back": {
+		{100 * s, -h, completeList, 50 * s, 100 * s},
+	},
+	"a new process after an hour forward": {
+		{100 * s, h, completeList, 50 * s, 100 * s},
+	},
+	"cached, then the same": {
+		{100 * s, 0, cachedList, 50 * s, 100 * s},
+		{102 * s, h, completeList, 50 * s, 100 * s},
+	},
+	"cached, then another start": {
+		{100 * s, 0, cachedList, 50 * s, 100 * s},
+		{102 * s, h, completeList, 90 * s, 102 * s},
+	},
+	"cached as long ago, then a start": {
+		{100 * s, 0, cachedList, longAgo, 0},
+		{102 * s, -h, completeList, 90 * s, 102 * s},
+	},
+	"cached, confirmed by a watch, then another start": {
+		{100 * s, 0, cachedList, 50 * s, 100 * s},
+		{105 * s, 0, mentionsHold, 0, 0},
+		{110 * s, h, watchMessage, 108 * s, 105 * s},
+	},
+	"back with the same start": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{120 * s, 0, completeList, 110 * s, 110 * s},
+		{130 * s, 0, serverRemoved, 0, 0},
+		{140 * s, h, watchMessage, 110 * s, 110 * s},
+	},
+	"back with another start": {
+		{100 * s, 0, completeList, 90 * s, 100 * s},
+		{130 * s, 0, serverRemoved, 0, 0},
+		{135 * s, 0, mentionsHold, 0, 0},
+		{140 * s, h, watchMessage, 139 * s, 135 * s},
+	},
+	"missing from a complete list, back with the same start": {
+		{100 * s, 0, completeList, 90 * s, 100 * s},
+		{130 * s, 0, completeList, absent, 0},
+		{140 * s, -h, completeList, 90 * s, 100 * s},
+	},
+	"back after it was dropped": {
+		{100 * s, 0, completeList, 90 * s, 100 * s},
+		{130 * s, 0, serverRemoved, 0, 0},
+		{130*s + h, 0, mentionsHold, 0, 0},
+		{140*s + h, 0, watchMessage, 90 * s, 130*s + h},
+	},
+	"long ago, back as long ago": {
+		{100 * s, 0, completeList, longAgo, 0},
+		{130 * s, 0, serverRemoved, 0, 0},
+		{140 * s, h, watchMessage, longAgo, 0},
+	},
+}
+
+// TestStart plays startCases.
 func TestStart(t *testing.T) {
-	for name, steps := range map[string][]step{
-		"started before the process": {{100 * s, 0, "list", -10 * s, 100 * s}, {200 * s, 0, "list", -10 * s, 100 * s}},
-		"long ago":                   {{100 * s, 0, "list", long, 0}, {200 * s, h, "list", long, 0}, {300 * s, -h, "partial", long, 0}},
-		"long ago, then a start":     {{100 * s, 0, "list", long, 0}, {110 * s, 0, "partial", 104 * s, 104 * s}},
-		"a start, then long ago":     {{100 * s, 0, "list", 90 * s, 100 * s}, {110 * s, 0, "partial", long, 0}},
-		"a restart between lists":    {{100 * s, 0, "list", 90 * s, 100 * s}, {110 * s, 0, "list", 104 * s, 104 * s}, {120 * s, 0, "partial", 104 * s, 104 * s}},
-		"a new server":               {{100 * s, 0, "list", absent, 0}, {110 * s, 0, "partial", 104 * s, 104 * s}},
-		"older than its absence from a complete list": {
-			{100 * s, 0, "list", absent, 0}, {110 * s, 0, "partial", 50 * s, 100 * s}},
-		"no complete list yet": {{100 * s, 0, "mention", absent, 0}, {110 * s, 0, "partial", 104 * s, 110 * s}},
-		"in the future":        {{100 * s, 0, "list", absent, 0}, {110 * s, 0, "list", 150 * s, 110 * s}, {200 * s, 0, "list", 150 * s, 110 * s}},
-		"a start that goes backwards": {
-			{100 * s, 0, "list", 90 * s, 100 * s}, {110 * s, 0, "list", 80 * s, 100 * s}, {120 * s, 0, "list", 90 * s, 110 * s}},
-		"at the origin of the clock": {{0, 0, "list", -s, 1}},
-
-		"5 s back before the first list":    {{100 * s, -5 * s, "list", 90 * s, 100 * s}, {110 * s, -5 * s, "list", 90 * s, 100 * s}},
-		"5 s forward before the first list": {{100 * s, 5 * s, "list", 90 * s, 100 * s}, {110 * s, 5 * s, "list", 90 * s, 100 * s}},
-		"an hour back before the first list": {
-			{100 * s, -h, "list", 90 * s, 100 * s}, {110 * s, -h, "list", 90 * s, 100 * s}},
-		"an hour forward before the first list": {
-			{100 * s, h, "list", 90 * s, 100 * s}, {110 * s, h, "list", 90 * s, 100 * s}},
-
-		"5 s back between lists, then a restart":      {{100 * s, 0, "list", long, 0}, {120 * s, -5 * s, "list", 110*s - 5*s, 110 * s}},
-		"5 s back after a restart":                    {{100 * s, 0, "list", long, 0}, {120 * s, -5 * s, "list", 110 * s, 115 * s}},
-		"5 s forward after a restart":                 {{100 * s, 0, "list", long, 0}, {120 * s, 5 * s, "list", 110 * s, 105 * s}},
-		"an hour back between lists, then a restart":  {{100 * s, 0, "list", long, 0}, {120 * s, -h, "list", 110*s - h, 110 * s}},
-		"an hour back after a restart":                {{100 * s, 0, "list", long, 0}, {120 * s, -h, "list", 110 * s, 120 * s}},
-		"an hour forward after a restart":             {{100 * s, 0, "list", long, 0}, {120 * s, h, "list", 110 * s, 100 * s}},
-		"an hour forward, the start before held last": {{100 * s, 0, "list", long, 0}, {115 * s, 0, "current", 0, 0}, {120 * s, h, "partial", 110 * s, 115 * s}},
-		"steps after the first mention": {
-			{100 * s, 0, "list", long, 0}, {120 * s, 0, "list", 110 * s, 110 * s}, {130 * s, h, "list", 110 * s, 110 * s},
-			{140 * s, -h, "partial", 110 * s, 110 * s}, {150 * s, 5 * s, "list", 110 * s, 110 * s}},
-
-		"a new process after an hour back":    {{100 * s, -h, "list", 50 * s, 100 * s}},
-		"a new process after an hour forward": {{100 * s, h, "list", 50 * s, 100 * s}},
-		"cached, then the same":               {{100 * s, 0, "mention", 50 * s, 100 * s}, {102 * s, h, "list", 50 * s, 100 * s}},
-		"cached, then another start": {
-			{100 * s, 0, "mention", 50 * s, 100 * s}, {102 * s, h, "list", 90 * s, 102 * s}},
-		"cached as long ago, then a start": {
-			{100 * s, 0, "mention", long, 0}, {102 * s, -h, "list", 90 * s, 102 * s}},
-		"cached, confirmed by a watch, then another start": {
-			{100 * s, 0, "mention", 50 * s, 100 * s}, {105 * s, 0, "current", 0, 0}, {110 * s, h, "partial", 108 * s, 105 * s}},
-
-		"back with the same start": {
-			{100 * s, 0, "list", long, 0}, {120 * s, 0, "list", 110 * s, 110 * s}, {130 * s, 0, "removed", 0, 0}, {140 * s, h, "partial", 110 * s, 110 * s}},
-		"back with another start": {
-			{100 * s, 0, "list", 90 * s, 100 * s}, {130 * s, 0, "removed", 0, 0}, {135 * s, 0, "current", 0, 0}, {140 * s, h, "partial", 139 * s, 135 * s}},
-		"missing from a complete list, back with the same start": {
-			{100 * s, 0, "list", 90 * s, 100 * s}, {130 * s, 0, "list", absent, 0}, {140 * s, -h, "list", 90 * s, 100 * s}},
-		"back after it was dropped": {
-			{100 * s, 0, "list", 90 * s, 100 * s}, {130 * s, 0, "removed", 0, 0}, {130*s + h, 0, "current", 0, 0}, {140*s + h, 0, "partial", 90 * s, 130*s + h}},
-		"long ago, back as long ago": {
-			{100 * s, 0, "list", long, 0}, {130 * s, 0, "removed", 0, 0}, {140 * s, h, "partial", long, 0}},
-	} {
+	for name, steps := range startCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			for i, x := range steps {
@@ -104,20 +218,19 @@
 // apply applies one step, the i-th, to a tracker.
 func (x step) apply(t *testing.T, tracker *Tracker, i int) {
 	t.Helper()
-	wall := origin.Add(x.at + x.wall)
 	var ids []honeyplank.ServerID
-	if x.kind != "removed" && x.kind != "current" && x.up != absent {
+	if x.kind != serverRemoved && x.kind != mentionsHold && x.up != absent {
 		ids = append(ids, id)
-		if got := tracker.Start(x.at, wall, id, upSince(x.up)); got != x.want {
+		if got := tracker.Start(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
 			t.Errorf("step %d: %v, want %v", i, got, x.want)
 		}
 	}
 	switch x.kind {
-	case "list":
+	case completeList:
 		tracker.Complete(x.at, ids)
-	case "partial", "current":
+	case watchMessage, mentionsHold:
 		tracker.Current(x.at)
-	case "removed":
+	case serverRemoved:
 		tracker.Removed(x.at, id)
 	}
 }
@@ -135,112 +248,160 @@
 	}
 }
 
-// TestBounded has fleets whose servers are replaced again and again, by complete lists or changes, and one that flaps: a
-// Tracker does not grow.
+// TestBounded has fleets whose servers are replaced again and again, by complete lists or changes, and one that flaps:
+// a Tracker does not grow.
 func TestBounded(t *testing.T) {
-	const fleet, rounds = 3200, 40
-	for _, maxRemoved := range []int{0, 2 * fleet} {
-		checkBounded(t, fleet, rounds, maxRemoved)
+	const size = 3200
+	fleets := map[string]fleet{
+		"replaced by complete lists": {size: size, name: newNames, changesByList: true},
+		"replaced by messages":       {size: size, name: newNames},
+		"flapping":                   {size: size, name: sameNames},
 	}
+	for name, f := range fleets {
+		t.Run(name+"/default bound", func(t *testing.T) {
+			f.checkBounded(t, &Tracker{}, defaultMaxRemoved)
+		})
+		t.Run(name+"/bound set", func(t *testing.T) {
+			f.checkBounded(t, &Tracker{MaxRemoved: 2 * size}, 2*size)
+		})
+	}
+}
+
+// fleet is a fleet all of whose servers are removed and replaced in each round.
+type fleet struct {
+	size          int
+	name          func(round, i int) honeyplank.ServerID
+	changesByList bool // by complete lists; else by messages of a watch
 }
 
-// checkBounded replaces a fleet so many rounds.
-func checkBounded(t *testing.T, fleet, rounds, maxRemoved int) {
+func newNames(round, i int) honeyplank.ServerID {
+	return honeyplank.ServerID(fmt.Sprint(round, "/", i))
+}
+
+func sameNames(_, i int) honeyplank.ServerID { return newNames(0, i) }
+
+// checkBounded replaces a fleet many times and checks what the tracker keeps after each.
+func (f fleet) checkBounded(t *testing.T, tracker *Tracker, maxRemoved int) {
 	t.Helper()
-	maxKept := maxRemoved
-	if maxRemoved == 0 {
-		maxKept = defaultMaxRemoved
-	}
-	for _, kind := range []string{"list", "partial", "flapping"} {
-		tracker := Tracker{MaxRemoved: maxRemoved}
-		now := s
-		name := func(round, i int) honeyplank.ServerID {
-			if kind == "flapping" {
-				round = 0
-			}
-			return honeyplank.ServerID(fmt.Sprint(round, "/", i))
+	const rounds = 40
+	now := s
+	for round := range rounds {
+		now += s
+		ids := f.replace(tracker, now, round)
+		servers, removals, room := len(tracker.servers), len(tracker.removed), cap(tracker.removed)
+		if servers > f.size+maxRemoved || removals > maxRemoved || room > 4*maxRemoved {
+			t.Fatalf("round %d: %d servers and %d removals (room for %d)", round, servers, removals, room)
 		}
-		for round := range rounds {
-			now += s
-			var ids []honeyplank.ServerID
-			for i := range fleet {
-				if round > 0 && kind != "list" {
-					tracker.Removed(now, name(round-1, i))
-				}
-				ids = append(ids, name(round, i))
-				tracker.Start(now, origin.Add(now), name(round, i), origin.UnixMilli())
-			}
-			if kind == "list" {
-				tracker.Complete(now, ids)
-			} else {
-				tracker.Current(now)
-			}
-			if len(tracker.servers) > fleet+maxKept || len(tracker.removed) > maxKept || cap(tracker.removed) > 4*maxKept {
-				t.Fatalf("%s, round %d: %d servers and %d removals (room for %d)", kind, round, len(tracker.servers), len(tracker.removed), cap(tracker.removed))
-			}
-			for _, id := range ids {
-				if x := tracker.servers[id]; x == nil || x.removed {
-					t.Fatalf("%s, round %d: %s is listed and not known", kind, round, id)
-				}
+		for _, id := range ids {
+			if x := tracker.servers[id]; x == nil || x.removed {
+				t.Fatalf("round %d: %s is listed and not known", round, id)
 			}
 		}
-		if tracker.Current(now + removedRetention); len(tracker.servers) != fleet || len(tracker.removed) != 0 {
-			t.Errorf("%s: after an hour %d servers and %d removals, want %d and none", kind, len(tracker.servers), len(tracker.removed), fleet)
+	}
+	tracker.Current(now + removedRetention)
+	if servers, removals := len(tracker.servers), len(tracker.removed); servers != f.size || removals != 0 {
+		t.Errorf("after an hour %d servers and %d removals, want %d and none", servers, removals, f.size)
+	}
+}
+
+// replace replaces the servers of the round before and returns the new ones.
+func (f fleet) replace(tracker *Tracker, now time.Duration, round int) []honeyplank.ServerID {
+	var ids []honeyplank.ServerID
+	for i := range f.size {
+		if round > 0 && !f.changesByList {
+			tracker.Removed(now, f.name(round-1, i))
 		}
+		id := f.name(round, i)
+		ids = append(ids, id)
+		tracker.Start(now, origin.Add(now), id, origin.UnixMilli())
+	}
+	if f.changesByList {
+		tracker.Complete(now, ids)
+	} else {
+		tracker.Current(now)
 	}
+	return ids
 }
 
-// TestKnown checks what is known of a start beside its time: which one it is, and after what it surely came.
-func TestKnown(t *testing.T) {
-	at := func(up time.Duration) int64 { return upSince(up) }
-	for name, c := range map[string]struct {
-		setUp                func(tracker *Tracker)
-		up                   int64
-		started, after, back time.Duration // back: its start when it is mentioned by another wall clock later
-	}{
-		"first sight": {func(tracker *Tracker) { tracker.Start(100*s, origin.Add(100*s), id, at(50*s)) }, at(50 * s), 100 * s, 0, 100 * s},
-		"long ago":    {func(tracker *Tracker) { tracker.Complete(90*s, nil); tracker.Start(100*s, origin.Add(100*s), id, 0) }, 0, 0, 0, 0},
-		"by the wall clock": {func(tracker *Tracker) {
-			tracker.Complete(90*s, nil)
-			tracker.Start(100*s, origin.Add(100*s), id, at(95*s))
-		},
-			at(95 * s), 95 * s, 90 * s, 95 * s},
-		"by the wall clock before what is known": {func(tracker *Tracker) {
-			tracker.Complete(90*s, nil)
-			tracker.Start(100*s, origin.Add(100*s), id, at(50*s))
-		},
-			at(50 * s), 90 * s, 50 * s, 90 * s},
-		"an hour back": {func(tracker *Tracker) {
-			tracker.Complete(90*s, nil)
-			tracker.Start(100*s, origin.Add(100*s-h), id, at(95*s))
-		}, at(95 * s), 100 * s, 90 * s, 100 * s},
-		"an hour forward": {func(tracker *Tracker) {
-			tracker.Complete(90*s, nil)
-			tracker.Start(100*s, origin.Add(100*s+h), id, at(95*s))
-		}, at(95 * s), 90 * s, 0, 90 * s},
-		"removed": {func(tracker *Tracker) {
-			tracker.Start(100*s, origin.Add(100*s), id, at(50*s))
+// knownCase is what is known of a start after some calls.
+type knownCase struct {
+	setUp func(*Tracker)
+	want  Incarnation
+	again time.Duration // its start when it is mentioned by another wall clock later
+}
+
+// mention has a server mentioned at 100 s, with a step of the wall clock.
+func mention(tracker *Tracker, wallStep, up time.Duration) {
+	const now = 100 * s
+	tracker.Start(now, origin.Add(now+wallStep), id, upSince(up))
+}
+
+// mentionAfterList is mention after a complete list without the server at 90 s.
+func mentionAfterList(tracker *Tracker, wallStep, up time.Duration) {
+	tracker.Complete(90*s, nil)
+	mention(tracker, wallStep, up)
+}
+
+var adoptedIncarnation = Incarnation{UpSinceMS: upSince(50 * s), Started: 70 * s, StartedAfter: 60 * s}
+
+var knownCases = map[string]knownCase{
+	"first sight": {
+		setUp: func(tracker *Tracker) { mention(tracker, 0, 50*s) },
+		want:  Incarnation{upSince(50 * s), 100 * s, 0}, again: 100 * s,
+	},
+	"long ago": {
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, longAgo) },
+	},
+	"by the wall clock": {
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 95*s) },
+		want:  Incarnation{upSince(95 * s), 95 * s, 90 * s}, again: 95 * s,
+	},
+	"by the wall clock before what is known": {
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 50*s) },
+		want:  Incarnation{upSince(50 * s), 90 * s, 50 * s}, again: 90 * s,
+	},
+	"an hour back": {
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, -h, 95*s) },
+		want:  Incarnation{upSince(95 * s), 100 * s, 90 * s}, again: 100 * s,
+	},
+	"an hour forward": {
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, h, 95*s) },
+		want:  Incarnation{upSince(95 * s), 90 * s, 0}, again: 90 * s,
+	},
+	"removed": {
+		setUp: func(tracker *Tracker) {
+			mention(tracker, 0, 50*s)
 			tracker.Removed(110*s, id)
-		}, at(50 * s), 100 * s, 0, 100 * s},
-		"adopted": {func(tracker *Tracker) { tracker.Adopt(id, Incarnation{at(50 * s), 70 * s, 60 * s}) }, at(50 * s), 70 * s, 60 * s, 70 * s},
-		"adopted after its mention": {func(tracker *Tracker) {
-			tracker.Start(100*s, origin.Add(100*s), id, at(50*s))
-			tracker.Adopt(id, Incarnation{at(50 * s), 70 * s, 60 * s})
 		},
-			at(50 * s), 100 * s, 0, 100 * s},
-	} {
+		want: Incarnation{upSince(50 * s), 100 * s, 0}, again: 100 * s,
+	},
+	"adopted": {
+		setUp: func(tracker *Tracker) { tracker.Adopt(id, adoptedIncarnation) },
+		want:  adoptedIncarnation, again: 70 * s,
+	},
+	"adopted after its mention": {
+		setUp: func(tracker *Tracker) {
+			mention(tracker, 0, 50*s)
+			tracker.Adopt(id, adoptedIncarnation)
+		},
+		want: Incarnation{upSince(50 * s), 100 * s, 0}, again: 100 * s,
+	},
+}
+
+// TestKnown checks what is known of a start beside its time: which one it is, and after what it surely came.
+func TestKnown(t *testing.T) {
+	for name, c := range knownCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			if _, ok := tracker.Known(id); ok {
 				t.Errorf("known before")
 			}
 			c.setUp(&tracker)
-			want := Incarnation{UpSinceMS: c.up, Started: c.started, StartedAfter: c.after}
-			if got, ok := tracker.Known(id); !ok || got != want {
-				t.Errorf("%+v, %v; want %+v", got, ok, want)
+			if got, ok := tracker.Known(id); !ok || got != c.want {
+				t.Errorf("%+v, %v; want %+v", got, ok, c.want)
 			}
-			if got := tracker.Start(200*s, origin.Add(200*s-h), id, c.up); got != c.back {
-				t.Errorf("started %v when mentioned again, want %v", got, c.back)
+			if got := tracker.Start(200*s, origin.Add(200*s-h), id, c.want.UpSinceMS); got != c.again {
+				t.Errorf("started %v when mentioned again, want %v", got, c.again)
 			}
 		})
 	}
--- a/inflight/dispatch.go
+++ b/inflight/dispatch.go
@@ -62,10 +62,10 @@
 	return &o.firstDispatch
 }
 
-// cancelUnsent cancels the dispatches of an op that is over which are not written whole: one that waits for a connection,
-// or whose last byte waits to be sent, never ran and is of no use. It guards against ops that begin at a disk server
-// after their client has gone. It would harm with a sender that reports a dispatch as not written although it has left:
-// an op that runs would count as not sent.
+// cancelUnsent cancels the dispatches of an op that is over which are not written whole: one that waits for a
+// connection, or whose last byte waits to be sent, never ran and is of no use. It guards against ops that begin at a
+// disk server after their client has gone. It would harm with a sender that reports a dispatch as not written although
+// it has left: an op that runs would count as not sent.
 func (t *Tracker) cancelUnsent(o *op) {
 	for i := 0; i < len(o.dispatches); i++ { // it may grow meanwhile
 		if d := o.dispatches[i]; !d.ended && !t.sender.Written(d) {
--- a/inflight/tracker_test.go
+++ b/inflight/tracker_test.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// TestFirstSuccessAnswers: the first success answers the op; a second outcome of the same dispatch, and a success of another, do not.
+// TestFirstSuccessAnswers: the first success answers the op; a second outcome of the same dispatch, and a success of
+// another, do not.
 func TestFirstSuccessAnswers(t *testing.T) {
 	h := newHarness(t)
 	h.decide = func(e honeyplank.Event) []honeyplank.Action {
@@ -185,8 +186,8 @@
 	}
 }
 
-// TestCancelUnsent: once an op is over, because its client has gone, it was answered or all ops fail, its dispatches that
-// are not written are cancelled and reported as not sent; those that are written are waited for.
+// TestCancelUnsent: once an op is over, because its client has gone, it was answered or all ops fail, its dispatches
+// that are not written are cancelled and reported as not sent; those that are written are waited for.
 func TestCancelUnsent(t *testing.T) {
 	for name, end := range map[string]func(*harness){
 		"client gone": func(h *harness) { h.tracker.ClientGone("a") },
--- a/peerlimit/guard_test.go
+++ b/peerlimit/guard_test.go
@@ -250,8 +250,8 @@
 	}
 }
 
-// TestGenerated compares long seeded histories of a few peers with the model: what one peer does must change nothing for
-// another.
+// TestGenerated compares long seeded histories of a few peers with the model: what one peer does must change nothing
+// for another.
 func TestGenerated(t *testing.T) {
 	for seed := range int64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/peerlimit/standing.go
+++ b/peerlimit/standing.go
@@ -35,8 +35,8 @@
 }
 
 // standingTransitions has the standings of a peer; an input that is not in the table changes nothing. It guards against
-// peers that use up work and connections by violating the protocol again and again, in whatever way; it could harm where
-// several hosts share one address and one of them is faulty.
+// peers that use up work and connections by violating the protocol again and again, in whatever way; it could harm
+// where several hosts share one address and one of them is faulty.
 var standingTransitions = map[standing]map[standingInput]standingTransition{
 	trusted: {
 		inputViolation:        {observed, nil},
