--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Current takes in that all mentions hold at this moment: each server runs the incarnation that was mentioned last, and
+// Current notes that all mentions hold at this moment: each server runs the incarnation that was mentioned last, and
 // one that was not mentioned, or was removed, is not there. It is called after the mentions of a message that is known
 // to follow without a gap on a complete list, and never for a cached list, which may be old.
 func (t *Tracker) Current(now time.Duration) {
@@ -123,7 +123,7 @@
 	t.forget(now)
 }
 
-// Complete takes in that a complete list was received, after its mentions: servers that it does not list are removed.
+// Complete notes that a complete list was received, after its mentions: servers that it does not list are removed.
 // It implies Current.
 func (t *Tracker) Complete(now time.Duration, ids []honeyplank.ServerID) {
 	listed := make(map[honeyplank.ServerID]bool, len(ids))
@@ -138,7 +138,7 @@
 	t.Current(now)
 }
 
-// Removed takes in that a server is not listed any more. Its incarnation is kept for an hour.
+// Removed notes that a server is not listed any more. Its incarnation is kept for an hour.
 func (t *Tracker) Removed(now time.Duration, id honeyplank.ServerID) {
 	s := t.servers[id]
 	if s == nil || s.removed {
--- a/inflight/dispatch.go
+++ b/inflight/dispatch.go
@@ -80,10 +80,10 @@
 // Client is the client of the dispatch's op.
 func (d *Dispatch) Client() Client { return d.op.client }
 
-// Abandoned tells that the op has its final answer or its client has gone, so that nobody waits for the outcome.
+// Abandoned reports whether the op has its final answer or its client has gone, so that nobody waits for the outcome.
 func (d *Dispatch) Abandoned() bool { return d.op.answered }
 
-// Ended tells that the dispatch has its outcome.
+// Ended reports whether the dispatch has its outcome.
 func (d *Dispatch) Ended() bool { return d.ended }
 
 // Expire ends a dispatch at its deadline. The event loop calls it.
--- a/inflight/tracker.go
+++ b/inflight/tracker.go
@@ -24,7 +24,7 @@
 type Client interface {
 	// Succeeded brings the data of the first dispatch that succeeded.
 	Succeeded(data []byte)
-	// Rejected tells that the op did not run and may be tried again after a time; 0 gives no advice.
+	// Rejected promises that the op did not run; it may be retried after a time, where that is not 0.
 	Rejected(retryAfter time.Duration)
 	// Failed makes no promise: the op may have run.
 	Failed()
@@ -34,7 +34,7 @@
 type Sender interface {
 	// Send sends a dispatch to its disk server. It must lead to a call of Dispatch.Finish or to Cancel.
 	Send(dispatch *Dispatch)
-	// Written tells whether the last byte has left, so that the op may run.
+	// Written reports whether the last byte has left, so that the op may run.
 	Written(dispatch *Dispatch) bool
 	// Cancel gives a dispatch up; the sender discards an answer that still comes.
 	Cancel(dispatch *Dispatch)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Admit takes an op and tells the module of it. It reports false, and does nothing, where an op with the same id is
+// Admit takes an op and delivers it to the module. It reports false, and does nothing, where an op with the same id is
 // still in flight.
 func (t *Tracker) Admit(event honeyplank.Op, client Client) bool {
 	if t.ops[event.ID] != nil {
@@ -106,7 +106,7 @@
 	return true
 }
 
-// ClientGone ends an op whose client has closed or cancelled, and tells the module so.
+// ClientGone ends an op whose client has closed or cancelled, and delivers that to the module.
 func (t *Tracker) ClientGone(id honeyplank.OpID) {
 	if o := t.unansweredOp(id); o != nil {
 		t.Counts.ClientsGone++
--- a/inflight/tracker_test.go
+++ b/inflight/tracker_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand"
+	"slices"
 	"testing"
 	"time"
 
@@ -80,6 +81,15 @@
 	}
 }
 
+// close closes the loop without running it.
+func (h *harness) close() {
+	h.t.Helper()
+	h.loop.Stop()
+	if err := h.loop.Run(); err != nil {
+		h.t.Error(err)
+	}
+}
+
 // admit admits an op that must have its answer within a time from now.
 func (h *harness) admit(id string, within time.Duration) *recordingClient {
 	h.t.Helper()
@@ -112,7 +122,10 @@
 	h := newHarness(t)
 	h.decide = func(e honeyplank.Event) []honeyplank.Action {
 		if e, ok := e.(honeyplank.Op); ok {
-			return []honeyplank.Action{honeyplank.Dispatch{Op: e.ID, Server: "x"}, honeyplank.Dispatch{Op: e.ID, Server: "y"}}
+			return []honeyplank.Action{
+				honeyplank.Dispatch{Op: e.ID, Server: "x"},
+				honeyplank.Dispatch{Op: e.ID, Server: "y"},
+			}
 		}
 		return nil
 	}
@@ -126,8 +139,14 @@
 	h.sent[0].Finish(honeyplank.Succeeded, []byte("2"), Feedback{})
 	expectAnswers(t, client, "succeeded 1")
 	got := h.outcomes()
-	if len(got) != 2 || got[0].Dispatch != 1 || got[0].QuotaUsed != 3 || !got[0].Answered || got[1].Dispatch != 0 || !got[1].Answered {
-		t.Errorf("%+v", got)
+	if len(got) != 2 {
+		t.Fatalf("%d outcomes, want 2", len(got))
+	}
+	if got[0].Dispatch != 1 || got[0].QuotaUsed != 3 || !got[0].Answered {
+		t.Errorf("first outcome %+v", got[0])
+	}
+	if got[1].Dispatch != 0 || !got[1].Answered {
+		t.Errorf("second outcome %+v", got[1])
 	}
 	if len(h.tracker.ops) != 0 {
 		t.Error("an op that is over is kept")
@@ -144,8 +163,11 @@
 	expectAnswers(t, written, "failed")
 	expectAnswers(t, unwritten, "failed")
 	got := h.outcomes()
-	if len(got) != 2 || got[0].Code != honeyplank.TimedOut || got[1].Code != honeyplank.ConnectFailed || len(h.cancelled) != 2 {
-		t.Errorf("%+v, %d cancelled", got, len(h.cancelled))
+	if len(got) != 2 || len(h.cancelled) != 2 {
+		t.Fatalf("%+v, %d cancelled, want 2 of each", got, len(h.cancelled))
+	}
+	if got[0].Code != honeyplank.TimedOut || got[1].Code != honeyplank.ConnectFailed {
+		t.Errorf("%+v", got)
 	}
 }
 
@@ -198,26 +220,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
-			h.decide = func(e honeyplank.Event) []honeyplank.Action {
-				if e, ok := e.(honeyplank.Op); ok {
-					d := honeyplank.Dispatch{Op: e.ID, Server: "x"}
-					return []honeyplank.Action{d, d, d}
-				}
-				return nil
-			}
+			h.decide = dispatchThrice
 			h.admit("a", time.Second)
 			h.written[h.sent[0]], h.written[h.sent[1]] = true, true
 			end(h)
 			if len(h.cancelled) != 1 || h.cancelled[0] != h.sent[2] || !h.sent[2].Ended() {
 				t.Errorf("%d dispatches are cancelled", len(h.cancelled))
 			}
-			var notSent []int
-			for _, o := range h.outcomes() {
-				if o.Code == honeyplank.NotSent && o.Answered {
-					notSent = append(notSent, o.Dispatch)
-				}
-			}
-			if fmt.Sprint(notSent) != "[2]" {
+			if notSent := h.notSent(); !slices.Equal(notSent, []int{2}) {
 				t.Errorf("dispatches %v are reported as not sent, want [2]", notSent)
 			}
 			h.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
@@ -229,6 +239,27 @@
 	}
 }
 
+// dispatchThrice dispatches each op three times and does nothing more.
+func dispatchThrice(e honeyplank.Event) []honeyplank.Action {
+	op, ok := e.(honeyplank.Op)
+	if !ok {
+		return nil
+	}
+	d := honeyplank.Dispatch{Op: op.ID, Server: "x"}
+	return []honeyplank.Action{d, d, d}
+}
+
+// notSent is the dispatches that were reported as not sent once their op was over.
+func (h *harness) notSent() []int {
+	var dispatches []int
+	for _, o := range h.outcomes() {
+		if o.Code == honeyplank.NotSent && o.Answered {
+			dispatches = append(dispatches, o.Dispatch)
+		}
+	}
+	return dispatches
+}
+
 // TestEventsAreHandledInOrder: an event that comes while the module handles another waits.
 func TestEventsAreHandledInOrder(t *testing.T) {
 	h := newHarness(t)
@@ -264,7 +295,8 @@
 	var order []string
 	for i := range 20 {
 		id := fmt.Sprint(i)
-		h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: time.Hour}, &funcClient{func(string) { order = append(order, id) }})
+		client := &funcClient{func(string) { order = append(order, id) }}
+		h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: time.Hour}, client)
 	}
 	h.tracker.FailAll()
 	if fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19]" || h.tracker.Unanswered() != 0 {
@@ -293,8 +325,7 @@
 			answers:  map[int]int{},
 			gone:     map[int]bool{},
 		}
-		defer r.loop.Run()
-		defer r.loop.Stop()
+		defer r.close()
 		r.decide = r.randomActions
 		for i := range randomOps {
 			r.step(i)
@@ -365,7 +396,7 @@
 			want = 0
 		}
 		if r.answers[i] != want {
-			r.t.Fatalf("op %d has %d answers, want %d; its client has gone before: %v", i, r.answers[i], want, r.gone[i])
+			r.t.Fatalf("op %d has %d answers, want %d; client gone before: %v", i, r.answers[i], want, r.gone[i])
 		}
 	}
 	for name, n := range r.outcomes {
@@ -373,7 +404,10 @@
 			r.t.Fatalf("dispatch %s has %d outcomes", name, n)
 		}
 	}
-	if unanswered := r.tracker.Unanswered(); unanswered != 0 || len(r.outcomes) != r.tracker.Counts.Dispatches {
-		r.t.Fatalf("%d unanswered, %d outcomes of %d dispatches", unanswered, len(r.outcomes), r.tracker.Counts.Dispatches)
+	if unanswered := r.tracker.Unanswered(); unanswered != 0 {
+		r.t.Fatalf("%d ops are unanswered", unanswered)
+	}
+	if dispatches := r.tracker.Counts.Dispatches; len(r.outcomes) != dispatches {
+		r.t.Fatalf("%d outcomes of %d dispatches", len(r.outcomes), dispatches)
 	}
 }
--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -12,16 +12,22 @@
 // Settings are the limits for one peer. All come from the settings file; 0 means no limit.
 type Settings struct {
 	MaxConnections int
-	MaxHandshakes  int           // connections whose handshake is not complete
-	MaxCommands    int           // Reads and Writes that are not answered, over all connections
-	MaxBytes       int           // of write data that the peer was asked for and has not sent
-	PDUTimeout     time.Duration // from the first byte of a PDU to its last
+	// MaxHandshakes bounds the connections whose handshake is not complete.
+	MaxHandshakes int
+	// MaxCommands bounds the Reads and Writes that are not answered, over all connections.
+	MaxCommands int
+	// MaxBytes bounds the write data that the peer was asked for and has not sent.
+	MaxBytes int
+	// PDUTimeout is the time from the first byte of a PDU to its last.
+	PDUTimeout time.Duration
 	// BanThreshold is the number of violations within ViolationWindow that bans a peer; 0: none is banned.
 	BanThreshold int
 	// ViolationWindow is also the time without a violation after which a peer is trusted again.
 	ViolationWindow time.Duration
-	InitialBan      time.Duration // length of the first ban; each one after is twice as long
-	MaxBan          time.Duration // the longest ban; InitialBan where that is longer
+	// InitialBan is the length of the first ban; each one after is twice as long.
+	InitialBan time.Duration
+	// MaxBan is the length of the longest ban; InitialBan where that is longer.
+	MaxBan time.Duration
 }
 
 // Verdict is what becomes of a connection that a peer opens.
@@ -48,7 +54,7 @@
 	standing      standing
 	connections   int
 	handshakes    int // connections whose handshake is not complete
-	bytes         int
+	bytes         int // of write data that it was asked for and has not sent
 	commands      int
 	violations    []time.Duration // within Settings.ViolationWindow
 	lastViolation time.Duration
@@ -81,7 +87,9 @@
 	switch {
 	case p.standing == banned:
 		return Banned
-	case reached(p.connections, g.settings.MaxConnections) || p.standing == probation && p.connections >= probationConnections:
+	case reached(p.connections, g.settings.MaxConnections):
+		return TooManyConnections
+	case p.standing == probation && p.connections >= probationConnections:
 		return TooManyConnections
 	case reached(p.handshakes, g.settings.MaxHandshakes):
 		return TooManyHandshakes
@@ -91,21 +99,21 @@
 	return Admit
 }
 
-// HandshakeComplete takes in that the handshake of an admitted connection is complete.
+// HandshakeComplete notes that the handshake of an admitted connection is complete.
 func (g *Guard) HandshakeComplete(now time.Duration, id string) { g.peer(now, id).handshakes-- }
 
-// Close takes in that an admitted connection whose handshake was complete has ended.
+// Close notes that an admitted connection whose handshake was complete has ended.
 func (g *Guard) Close(now time.Duration, id string) { g.peer(now, id).connections-- }
 
-// CloseDuringHandshake takes in that an admitted connection has ended before its handshake was complete.
+// CloseDuringHandshake notes that an admitted connection has ended before its handshake was complete.
 func (g *Guard) CloseDuringHandshake(now time.Duration, id string) {
 	p := g.peer(now, id)
 	p.connections--
 	p.handshakes--
 }
 
-// Violation takes in that a peer violated the protocol or a timeout. It returns for how long the peer is banned by
-// that; 0: it is not, or was before.
+// Violation notes that a peer violated the protocol or a timeout. It returns how long the peer is banned for it; 0: it
+// is not banned by this violation.
 func (g *Guard) Violation(now time.Duration, id string) time.Duration {
 	p := g.peer(now, id)
 	if p.standing == banned {
@@ -140,7 +148,7 @@
 	return true
 }
 
-// ReleaseBytes takes in that n bytes asked for have come, or will not come any more.
+// ReleaseBytes notes that n reserved bytes have come, or will not come any more.
 func (g *Guard) ReleaseBytes(now time.Duration, id string, n int) { g.peer(now, id).bytes -= n }
 
 // BeginCommand reports whether a command of a peer may begin; if so it counts until EndCommand. One that may not is to
@@ -154,7 +162,7 @@
 	return true
 }
 
-// EndCommand takes in that a command that began has ended.
+// EndCommand notes that a command that began has ended.
 func (g *Guard) EndCommand(now time.Duration, id string) { g.peer(now, id).commands-- }
 
 // PDUOverdue reports whether a PDU whose first byte came at a time should be complete.
@@ -174,7 +182,7 @@
 	return p
 }
 
-// evictIdle drops idle peers, once a while. It bounds the records by the connections that are open and the recent
+// evictIdle drops idle peers from time to time. It bounds the records by the connections that are open and the recent
 // violations.
 func (g *Guard) evictIdle(now time.Duration) {
 	if now < g.evictAt {
--- a/peerlimit/guard_test.go
+++ b/peerlimit/guard_test.go
@@ -10,64 +10,110 @@
 
 const second = time.Second
 
-var testSettings = Settings{MaxConnections: 4, MaxHandshakes: 2, MaxCommands: 5, MaxBytes: 1000, PDUTimeout: second, BanThreshold: 3, ViolationWindow: 10 * second, InitialBan: 5 * second, MaxBan: 60 * second}
+var testSettings = Settings{
+	MaxConnections:  4,
+	MaxHandshakes:   2,
+	MaxCommands:     5,
+	MaxBytes:        1000,
+	PDUTimeout:      second,
+	BanThreshold:    3,
+	ViolationWindow: 10 * second,
+	InitialBan:      5 * second,
+	MaxBan:          60 * second,
+}
 
-// TestBan follows one peer through every standing.
-func TestBan(t *testing.T) {
-	g := New(testSettings)
-	at := time.Duration(0)
-	expect := func(want standing) {
-		t.Helper()
-		if got := g.peer(at, "p").standing; got != want {
-			t.Fatalf("%v: standing %d, want %d", at, got, want)
-		}
+// banTest is a guard with one peer, "p", that a test follows through its standings.
+type banTest struct {
+	*testing.T
+	guard *Guard
+	now   time.Duration
+}
+
+func newBanTest(t *testing.T) *banTest {
+	t.Helper()
+	return &banTest{T: t, guard: New(testSettings)}
+}
+
+func (b *banTest) expectStanding(want standing) {
+	b.Helper()
+	if got := b.guard.peer(b.now, "p").standing; got != want {
+		b.Fatalf("%v: standing %d, want %d", b.now, got, want)
 	}
-	violate := func(want time.Duration) {
-		t.Helper()
-		if got := g.Violation(at, "p"); got != want {
-			t.Fatalf("%v: banned for %v, want %v", at, got, want)
-		}
+}
+
+// violate has a violation that bans the peer for a time, or not where that is 0.
+func (b *banTest) violate(wantBan time.Duration) {
+	b.Helper()
+	if got := b.guard.Violation(b.now, "p"); got != wantBan {
+		b.Fatalf("%v: banned for %v, want %v", b.now, got, wantBan)
 	}
-	expect(trusted)
-	violate(0)
-	expect(observed)
-	violate(0)
-	violate(5 * second)
-	expect(banned)
-	if v := g.Open(at, "p"); v != Banned {
+}
+
+// ban has violations up to the threshold.
+func (b *banTest) ban() {
+	b.Helper()
+	b.violate(0)
+	b.expectStanding(observed)
+	b.violate(0)
+	b.violate(5 * second)
+	b.expectStanding(banned)
+}
+
+// endBan lets a ban pass.
+func (b *banTest) endBan(length time.Duration) {
+	b.Helper()
+	b.now += length
+	b.expectStanding(probation)
+}
+
+// TestBan bans a peer at the threshold: it may not open a connection, others may.
+func TestBan(t *testing.T) {
+	b := newBanTest(t)
+	b.expectStanding(trusted)
+	b.ban()
+	if v := b.guard.Open(b.now, "p"); v != Banned {
 		t.Errorf("a banned peer: %v", v)
 	}
-	if v := g.Open(at, "q"); v != Admit {
+	if v := b.guard.Open(b.now, "q"); v != Admit {
 		t.Errorf("another peer: %v", v)
 	}
-	at += 5 * second
-	expect(probation)
+}
+
+// TestProbation has a peer open connections after a ban: it may have two.
+func TestProbation(t *testing.T) {
+	b := newBanTest(t)
+	b.ban()
+	b.endBan(5 * second)
 	for i, want := range []Verdict{Admit, Admit, TooManyConnections} {
-		if v := g.Open(at, "p"); v != want {
+		v := b.guard.Open(b.now, "p")
+		if v != want {
 			t.Errorf("connection %d on probation: %v, want %v", i, v, want)
 		}
-		if i < 2 {
-			g.HandshakeComplete(at, "p")
+		if want == Admit {
+			b.guard.HandshakeComplete(b.now, "p")
 		}
 	}
-	violate(10 * second)
-	at += 10 * second
-	violate(20 * second)
-	at += 20 * second
-	violate(40 * second)
-	at += 40 * second
-	violate(60 * second) // MaxBan
-	at += 60 * second
-	expect(probation)
-	at += 10 * second
-	expect(trusted)
-	violate(0)
-	violate(0)
-	at += 10 * second
-	expect(trusted)
-	violate(0)
-	violate(0)
-	violate(5 * second) // the bans before are dropped
+	b.violate(10 * second)
+}
+
+// TestBanGrows has a peer violate after each ban: the next is twice as long, until the peer is trusted again.
+func TestBanGrows(t *testing.T) {
+	b := newBanTest(t)
+	b.ban()
+	last := 5 * second
+	for _, length := range []time.Duration{10 * second, 20 * second, 40 * second, testSettings.MaxBan} {
+		b.endBan(last)
+		b.violate(length)
+		last = length
+	}
+	b.endBan(last)
+	for range 2 {
+		b.now += testSettings.ViolationWindow
+		b.expectStanding(trusted)
+		b.violate(0)
+		b.violate(0)
+	}
+	b.violate(5 * second) // the bans before are forgotten
 }
 
 // TestViolationWindow has a peer's third violation at the end of the window of the first, and just before.
@@ -91,8 +137,11 @@
 func TestNoLimits(t *testing.T) {
 	g := New(Settings{})
 	for range 1000 {
-		if g.Open(0, "p") != Admit || g.Violation(0, "p") != 0 || !g.ReserveBytes(0, "p", 1<<30) || !g.BeginCommand(0, "p") || g.PDUOverdue(time.Hour, 0) {
-			t.Fatal("there is a limit")
+		if g.Open(0, "p") != Admit || !g.BeginCommand(0, "p") || !g.ReserveBytes(0, "p", 1<<30) {
+			t.Fatal("connections, commands or bytes are limited")
+		}
+		if g.Violation(0, "p") != 0 || g.PDUOverdue(time.Hour, 0) {
+			t.Fatal("violations or the time of a PDU are limited")
 		}
 	}
 }
@@ -179,34 +228,16 @@
 	p.passTime(h.now)
 	switch h.rng.Intn(7) {
 	case 0, 1:
-		want := p.verdict()
-		if v := h.guard.Open(h.now, id); v != want {
-			t.Fatalf("at %v: %s opens: %v, want %v", h.now, id, v, want)
-		} else if v == Admit {
-			p.open = append(p.open, false)
-		}
+		h.stepOpen(t, id, p)
 	case 2:
 		if i := slices.Index(p.open, false); i >= 0 {
 			h.guard.HandshakeComplete(h.now, id)
 			p.open[i] = true
 		}
 	case 3:
-		if n := len(p.open); n > 0 {
-			if handshakeComplete := p.open[n-1]; handshakeComplete {
-				h.guard.Close(h.now, id)
-			} else {
-				h.guard.CloseDuringHandshake(h.now, id)
-			}
-			p.open = p.open[:n-1]
-		}
+		h.stepClose(id, p)
 	case 4:
-		if h.rng.Intn(3) > 0 {
-			return
-		}
-		want := p.violate(h.now)
-		if got := h.guard.Violation(h.now, id); got != want {
-			t.Fatalf("at %v: %s violates: %v, want %v", h.now, id, got, want)
-		}
+		h.stepViolation(t, id, p)
 	case 5:
 		h.stepBytes(t, id, p)
 	case 6:
@@ -214,6 +245,43 @@
 	}
 }
 
+func (h *history) stepOpen(t *testing.T, id string, p *modelPeer) {
+	t.Helper()
+	want := p.verdict()
+	if v := h.guard.Open(h.now, id); v != want {
+		t.Fatalf("at %v: %s opens: %v, want %v", h.now, id, v, want)
+	}
+	if want == Admit {
+		p.open = append(p.open, false)
+	}
+}
+
+// stepClose closes the newest connection.
+func (h *history) stepClose(id string, p *modelPeer) {
+	last := len(p.open) - 1
+	if last < 0 {
+		return
+	}
+	if handshakeComplete := p.open[last]; handshakeComplete {
+		h.guard.Close(h.now, id)
+	} else {
+		h.guard.CloseDuringHandshake(h.now, id)
+	}
+	p.open = p.open[:last]
+}
+
+// stepViolation has a violation in one of three cases.
+func (h *history) stepViolation(t *testing.T, id string, p *modelPeer) {
+	t.Helper()
+	if h.rng.Intn(3) > 0 {
+		return
+	}
+	want := p.violate(h.now)
+	if got := h.guard.Violation(h.now, id); got != want {
+		t.Fatalf("at %v: %s violates: %v, want %v", h.now, id, got, want)
+	}
+}
+
 func (h *history) stepBytes(t *testing.T, id string, p *modelPeer) {
 	t.Helper()
 	sum := 0
--- a/peerlimit/standing.go
+++ b/peerlimit/standing.go
@@ -1,6 +1,6 @@
 package peerlimit
 
-// standing is what a peer's violations have come to.
+// standing is a peer's state by its violations.
 type standing int
 
 const (
@@ -18,7 +18,7 @@
 	banGrowth = 2
 )
 
-// standingInput is what may change a standing.
+// standingInput is an event that may change a standing.
 type standingInput int
 
 const (
@@ -69,7 +69,7 @@
 	}
 }
 
-// passTime applies the inputs that the passing of time is.
+// passTime applies the inputs that are due by now.
 func (g *Guard) passTime(p *peer) {
 	if p.standing == banned && g.now >= p.bannedUntil {
 		g.apply(p, inputBanExpired)
@@ -86,5 +86,5 @@
 	p.bannedUntil, p.violations = g.now+p.banLength, nil
 }
 
-// clear drops what is held against a peer.
+// clear forgets the violations and bans of a peer.
 func (g *Guard) clear(p *peer) { p.violations, p.banLength = nil, 0 }
