--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -119,11 +119,11 @@
 	ping()
 	configuration(t, file, nil)
 	c.Process.Signal(syscall.SIGHUP)
-	says(t, lines, `"discovery":"127.0.0.1:1","moved":true`)
+	says(t, lines, `"discovery":"127.0.0.1:1","discovery_changed":true`)
 	ping()
 	c.Process.Signal(syscall.SIGTERM)
 	c.Process.Signal(syscall.SIGTERM)
-	says(t, lines, "ending")
+	says(t, lines, "graceful shutdown started")
 	c.Process.Signal(syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
 		t.Error(err)
@@ -220,7 +220,7 @@
 // TestPlatformRead has reads of the configuration fail for a moment, hang, or find it half written, at the start and at
 // SIGHUP: none of it keeps a scheduler from starting, from the newest configuration, or from hearing SIGTERM.
 func TestPlatformRead(t *testing.T) {
-	const anew = `"message":"configuration read anew"`
+	const anew = `"message":"configuration reloaded"`
 	moved := func(c map[string]any) { c["discovery"] = "127.0.0.1:2" }
 	t.Run("SIGTERM while the first read hangs", func(t *testing.T) {
 		file := queue(t)
@@ -267,7 +267,7 @@
 		stop()
 		c.Process.Signal(syscall.SIGHUP)
 		stop = feed(t, file, moved)
-		if got := says(t, lines, anew); !strings.Contains(got, `"discovery":"127.0.0.1:2","moved":true`) {
+		if got := says(t, lines, anew); !strings.Contains(got, `"discovery":"127.0.0.1:2","discovery_changed":true`) {
 			t.Error(got)
 		}
 		stop()
@@ -277,7 +277,7 @@
 			c.Process.Signal(syscall.SIGHUP)
 		}
 		c.Process.Signal(syscall.SIGTERM)
-		says(t, lines, "ending")
+		says(t, lines, "graceful shutdown started")
 		ends(t, c)
 	})
 	t.Run("no descriptor for a moment, and many in quick succession", func(t *testing.T) {
@@ -299,14 +299,14 @@
 		if err := unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil {
 			t.Fatal(err)
 		}
-		if got := says(t, lines, anew); !strings.Contains(got, `"discovery":"127.0.0.1:2","moved":true`) {
+		if got := says(t, lines, anew); !strings.Contains(got, `"discovery":"127.0.0.1:2","discovery_changed":true`) {
 			t.Error(got)
 		}
 		for n := range 30 { // written in place, so that some are read half
 			configuration(t, file, func(c map[string]any) { c["discovery"] = fmt.Sprintf("127.0.0.1:%d", 10+n) })
 			c.Process.Signal(syscall.SIGHUP)
 		}
-		says(t, lines, `"discovery":"127.0.0.1:39","moved":true`)
+		says(t, lines, `"discovery":"127.0.0.1:39","discovery_changed":true`)
 		c.Process.Signal(syscall.SIGTERM)
 		c.Process.Signal(syscall.SIGTERM)
 		ends(t, c)
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -267,7 +267,8 @@
 		minItems = 1
 	}
 	if n < minItems || n > int64(r.Limits.Items) {
-		return Value{}, false, protocolError("invalid multibulk length %d, expected %d to %d", n, minItems, r.Limits.Items)
+		err := protocolError("invalid multibulk length %d, expected %d to %d", n, minItems, r.Limits.Items)
+		return Value{}, false, err
 	}
 	if len(r.open) >= r.Limits.Depth {
 		return Value{}, false, protocolError("arrays are more than %d deep", r.Limits.Depth)
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -8,23 +8,23 @@
 	"honeyplank/inflight"
 )
 
-// attempt is one sending of an op, or of a probe, to a disk server.
+// attempt is one sending of a command to a disk server: that of a dispatch or of a health check.
 type attempt struct {
-	dispatch  *inflight.Dispatch // nil: a probe
+	dispatch  *inflight.Dispatch // nil: a health check
 	server    *diskServer
 	conn      *serverConn // nil: it waits for a connection
 	started   time.Duration
-	encodedAt time.Duration // when its bytes were encoded
-	firstByte uint64        // position of its bytes in all that was appended to the connection
-	endByte   uint64        // position behind them
-	finished  bool          // its outcome is reported, or nobody waits for it
-	timer     *eventloop.Timer
+	encodedAt time.Duration    // when its command was encoded
+	firstByte uint64           // position of its first byte in the output of the connection
+	endByte   uint64           // position behind its last byte
+	finished  bool             // its outcome is reported, or nobody waits for it
+	timer     *eventloop.Timer // the timeout of a health check
 }
 
-// sender sends the dispatches of the tracker. Each has its attempt as SenderState.
+// sender sends the dispatches of the tracker, as its inflight.Sender. SenderState of each holds its attempt.
 type sender struct{ *Scheduler }
 
-// Send begins an attempt.
+// Send begins the attempt of a dispatch.
 func (s sender) Send(d *inflight.Dispatch) {
 	ds := s.servers[d.Server]
 	if ds == nil {
@@ -36,7 +36,7 @@
 	ds.assignConn(a)
 }
 
-// Written reports whether the system has taken all bytes of a dispatch.
+// Written reports whether the kernel has taken all bytes of a dispatch.
 func (s sender) Written(d *inflight.Dispatch) bool {
 	a, _ := d.SenderState.(*attempt)
 	return a != nil && a.fullyWritten()
@@ -49,7 +49,7 @@
 	}
 }
 
-// fullyWritten reports whether the system has taken all bytes.
+// fullyWritten reports whether the kernel has taken all bytes of the command.
 func (a *attempt) fullyWritten() bool {
 	sc := a.conn
 	return sc != nil && sc.connected && a.endByte <= sc.writtenBytes()
@@ -60,7 +60,7 @@
 	return a.finished || a.dispatch != nil && a.dispatch.Abandoned()
 }
 
-// cancel ends the wait for an answer. Bytes that are not written are withdrawn; a connection that carries nothing else
+// cancel ends the wait for an answer. An unwritten command is withdrawn. A connection with nothing else in flight
 // closes, which lets the disk server drop the command.
 func (a *attempt) cancel() {
 	written := a.fullyWritten()
@@ -78,7 +78,7 @@
 	}
 }
 
-// finish reports the outcome of a dispatch or probe, once.
+// finish reports the outcome of the dispatch or health check, once.
 func (a *attempt) finish(code honeyplank.Code, data []byte, feedback inflight.Feedback) {
 	if a.finished {
 		return
@@ -90,7 +90,12 @@
 	}
 	s := a.server.scheduler
 	s.loop.Cancel(a.timer)
-	s.tracker.Deliver(honeyplank.HealthCheckResult{Server: a.server.id, Code: code, Elapsed: s.loop.Now() - a.started, Load: feedback.Load})
+	s.tracker.Deliver(honeyplank.HealthCheckResult{
+		Server:  a.server.id,
+		Code:    code,
+		Elapsed: s.loop.Now() - a.started,
+		Load:    feedback.Load,
+	})
 }
 
 // fail reports an outcome without an answer.
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -8,40 +8,41 @@
 	"honeyplank/resp"
 )
 
-// Bounds of what a client may have a scheduler keep. They are about connections; ops are the decision module's.
+// Limits of the connections of clients. Those of ops are the decision module's.
 const (
 	maxCommandLine  = 64                   // bytes of a line: the head of an array or of an argument
 	maxArguments    = 16                   // of a command
 	maxBody         = 64 << 10             // bytes of a command's body and of a value
 	maxOtherBytes   = 4096                 // of a command without its body
-	maxPending      = 32                   // commands of one connection without a reply; more wait unread
-	maxReplyBacklog = maxPending * maxBody // bytes of replies, due or not read by the client; beyond it no more is read
+	maxPending      = 32                   // commands of one connection without a reply; more stay unread
+	maxReplyBacklog = maxPending * maxBody // bytes of pending and unsent replies; beyond it no more commands are read
 
-	commandTimeout = 2 * time.Second        // for a first command, and for the rest of one
-	errorReadTime  = 200 * time.Millisecond // to read an error before the connection closes
+	commandTimeout = 2 * time.Second        // for the first command, and for the rest of an unfinished one
+	errorReadTime  = 200 * time.Millisecond // for the client to read an error before the connection closes
 
-	// Idle connections stay open for maxIdle while there are few; for reducedIdle once those that have brought ops hold
+	// Idle connections stay open for maxIdle while there are few; for reducedIdle once clients that have sent ops hold
 	// more than an eighth of all descriptors, and for minIdle once they hold more than a quarter.
 	maxIdle     = time.Minute
 	reducedIdle = 2 * time.Second
 	minIdle     = 500 * time.Millisecond
 
-	// maxDeadlineFactor times the settings' op timeout is the longest that any client is waited for.
+	// maxDeadlineFactor times the settings' op timeout is the longest timeout of an op.
 	maxDeadlineFactor = 100
 
-	// Clients that bring no ops are kept from taking up the loop: maxCommandBatch commands of one of them are handled in a
-	// row, initialReadSize bytes are read at a time, and all of them together get one part of the loop's time in
-	// throttleFactor. Pauses shorter than minThrottle are added up; none is longer than maxThrottle.
+	// Clients that send no ops are limited in their use of the loop: maxCommandBatch commands of one of them are
+	// handled in a row, initialReadSize bytes are read at a time, and all of them together get 1/throttleFactor of the
+	// loop's time. Pauses shorter than minThrottle are added up; none is longer than maxThrottle.
 	maxCommandBatch = 64
 	initialReadSize = 16 << 10
 	throttleFactor  = 4
 	minThrottle     = 2 * time.Millisecond
 	maxThrottle     = time.Second
 
-	// maxEvictionChecks is how many connections are examined for one that may be closed.
+	// maxEvictionChecks is how many connections are examined for one to evict.
 	maxEvictionChecks = 8
 )
 
+// commandLimits are the limits of a command.
 var commandLimits = resp.Limits{
 	Line:         maxCommandLine,
 	Bulk:         maxBody,
@@ -57,17 +58,18 @@
 	conn           *eventloop.Conn
 	reader         resp.Reader
 	pending        []*request    // commands whose reply has not been written, in order
-	lastActivity   time.Duration // when a command was read whole or a reply written last
+	lastActivity   time.Duration // time of the last complete command or reply
 	commandStarted time.Duration // when the first part of an unfinished command came; 0: there is none
-	hasSentOp      bool          // it has brought an op
-	paused         bool          // it is not read, for one of several reasons
-	throttled      bool          // it is not read until its share of the loop's time allows for it
-	loopTime       time.Duration // time of the loop that it has used since its last op or pause
-	closing        bool          // no more commands are taken from it
+	hasSentOp      bool          // an op of it has been admitted
+	paused         bool          // it is not read
+	throttled      bool          // it is paused for its use of the loop
+	loopTime       time.Duration // loop time used since its last op or throttling
+	closing        bool          // no more of its commands are handled
 	quitRequested  bool          // it has sent QUIT
 }
 
-// accept takes a connection of a client, or rejects it with nil where there is no descriptor for it and none idle gives way.
+// accept takes a connection of a client, or rejects it with nil if there is no descriptor for it and no idle connection
+// to evict.
 func (s *Scheduler) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clientConnCount >= s.descriptorQuota(clientDescriptorShare) && !s.evictIdleClient() {
 		s.rejectedConns++
@@ -89,8 +91,8 @@
 	return c
 }
 
-// idleTimeout is how long a connection may be idle: clients that never come back must leave room for those that do.
-// Ones that never brought an op do not count, so that a crowd of those costs nobody else a connection.
+// idleTimeout is how long a connection may be idle: the more clients there are, the shorter. Clients that never sent an
+// op do not count, so that any number of those costs no other client its connection.
 func (s *Scheduler) idleTimeout() time.Duration {
 	switch {
 	case s.activeClients > s.config.Sockets/4:
@@ -101,10 +103,10 @@
 	return maxIdle
 }
 
-// evictIdleClient closes the connection that has been of no use for longest, and reports whether there was one: one that
-// never brought an op, else one that has been idle for some time. A connection with unread input is spared where another
-// can be closed: closing it resets the connection, which takes replies from the client that it has not read, and the
-// input may be a first op. In a crowd whose input is all unread, one is closed all the same.
+// evictIdleClient closes the longest idle connection that never sent an op, else the longest idle of the others, and
+// reports whether there was one. A connection with unread input is spared if another can be evicted: closing it resets
+// the connection, which discards replies that the client has not read, and the input may be a first op. If all of them
+// have unread input, the longest idle one that never sent an op is closed nevertheless.
 func (s *Scheduler) evictIdleClient() bool {
 	var unread *client
 	for range maxEvictionChecks {
@@ -126,7 +128,7 @@
 	return unread != nil
 }
 
-// evictionCandidate is the first client to be evicted; nil: none may be.
+// evictionCandidate returns the first client to evict; nil: none may be evicted.
 func (s *Scheduler) evictionCandidate() *client {
 	var candidate *client
 	for c := range s.clients {
@@ -137,6 +139,7 @@
 	return candidate
 }
 
+// mayBeEvicted reports whether the connection may be closed for another.
 func (c *client) mayBeEvicted() bool {
 	if c.isBusy() || c.closing {
 		return false
@@ -144,6 +147,7 @@
 	return !c.hasSentOp || !c.scheduler.shuttingDown && c.scheduler.loop.Now()-c.lastActivity >= minIdle
 }
 
+// evictedBefore reports whether c is evicted before other: clients that never sent an op first, then the longest idle.
 func (c *client) evictedBefore(other *client) bool {
 	if c.hasSentOp != other.hasSentOp {
 		return !c.hasSentOp
@@ -151,16 +155,17 @@
 	return c.lastActivity < other.lastActivity
 }
 
-// isBusy reports whether a connection is in use: it waits for a reply or, if it has brought ops, for the rest of a reply or
-// of a command. Others are not in use then: a crowd that sends PING and reads no reply would hold all descriptors.
+// isBusy reports whether a connection is in use: it waits for a reply or, if it has sent ops, for the rest of a reply
+// or of a command. Without an op these do not count: clients that send PING and read no reply would hold all
+// descriptors.
 func (c *client) isBusy() bool {
 	return len(c.pending) > 0 || c.hasSentOp && (c.conn.UnsentBytes() > 0 || c.commandStarted > 0)
 }
 
-// replyBacklog is how many bytes of replies a client may yet have to read, at most.
+// replyBacklog is the most bytes of replies that the client has yet to read.
 func (c *client) replyBacklog() int { return c.conn.UnsentBytes() + len(c.pending)*maxBody }
 
-// Opened does nothing: connections of clients are up when they are accepted.
+// Opened does nothing: accepted connections are open already.
 func (c *client) Opened(*eventloop.Conn) {}
 
 // Input handles the commands in b and returns how many bytes it has used.
@@ -177,7 +182,9 @@
 		c.loopTime = 0
 	case !c.closing && !s.intakeClosed:
 		c.loopTime += s.loop.Now() - now
-		c.throttle(commands > 0, used < len(b))
+		if commands > 0 { // an unfinished command may be its first op
+			c.throttleAfter(len(b) - used)
+		}
 	}
 	if s.intakeClosed {
 		c.conn.Pause()
@@ -189,8 +196,8 @@
 	return used
 }
 
-// readCommands handles the whole commands in b, until a bound on what is taken from the client is reached. An error says
-// that b does not follow the protocol.
+// readCommands handles the complete commands in b until a limit of the client is reached. An error says that b does not
+// follow the protocol.
 func (c *client) readCommands(b []byte, now time.Duration) (used, commands int, err error) {
 	s := c.scheduler
 	admitted := s.tracker.Counts.Admitted
@@ -221,13 +228,13 @@
 	return used, commands, nil
 }
 
-// throttle pauses reading from a client that used time of the loop and brought no op, for a multiple of that time, so that
-// all such clients together leave most of the loop's time to others. It guards ops against floods of other commands, and
-// could harm a client whose first op comes behind many commands, by some milliseconds for each throttled client.
-// hasCommands says that it sent whole commands, hasMore that more of its input waits.
-func (c *client) throttle(hasCommands, hasMore bool) {
+// throttleAfter pauses reading from a client after commands without an op, with unread bytes of input left. It pauses
+// for a multiple of the loop time that these took, so that all such clients together leave most of the loop's time to
+// others. It guards ops against floods of other commands, and delays a client whose first op comes behind many commands
+// by some milliseconds for each throttled client.
+func (c *client) throttleAfter(unread int) {
 	pause := c.loopTime * throttleFactor * time.Duration(c.scheduler.throttledClients+1)
-	if !hasCommands || !hasMore && pause < minThrottle { // a part of a command may be the first one of an op
+	if unread == 0 && pause < minThrottle {
 		return
 	}
 	c.paused, c.throttled, c.loopTime = true, true, 0
@@ -240,7 +247,7 @@
 	})
 }
 
-// Closed handles the end of the connection by the client or by a failure.
+// Closed is called when the client has closed the connection or it broke.
 func (c *client) Closed(*eventloop.Conn, error) { c.disconnect() }
 
 // disconnect reports the client of each unanswered op as gone.
@@ -256,7 +263,7 @@
 	}
 }
 
-// protocolError replies to input that does not follow the protocol, behind the replies that are due, and closes the
+// protocolError replies to input that does not follow the protocol, behind the pending replies, and closes the
 // connection: input behind it cannot be read either.
 func (c *client) protocolError(err error) {
 	c.scheduler.protocolErrors++
@@ -265,7 +272,7 @@
 	if errors.As(err, &protocol) {
 		text += ": " + protocol.Reason
 	}
-	if len(c.pending) > 0 { // commands before it get their replies first
+	if len(c.pending) > 0 { // flushReplies closes the connection behind the last one
 		c.closing = true
 		c.conn.Pause()
 		c.pending = append(c.pending, &request{client: c, done: true, reply: resp.AppendError(nil, text)})
@@ -276,8 +283,8 @@
 	c.conn.CloseAfterFlush(errorReadTime)
 }
 
-// flushReplies writes the replies that are complete, in the order of their commands, and ends the connection where the
-// last one was its last.
+// flushReplies writes the replies that are complete, in the order of their commands, and closes the connection if it
+// was to close behind the last one.
 func (c *client) flushReplies() {
 	for len(c.pending) > 0 && c.pending[0].done {
 		c.conn.Output = append(c.conn.Output, c.pending[0].reply...)
@@ -291,7 +298,7 @@
 	switch {
 	case c.quitRequested && len(c.pending) == 0:
 		c.conn.CloseGracefully()
-	case c.closing && len(c.pending) == 0: // a protocol error was the last of them
+	case c.closing && len(c.pending) == 0: // the last one was a protocol error
 		c.conn.CloseAfterFlush(errorReadTime)
 	case c.scheduler.intakeClosed && len(c.pending) == 0:
 		c.closing = true
@@ -302,8 +309,8 @@
 	}
 }
 
-// closeWhenAnswered stops reading and closes the connection once its commands have their replies. Commands that were read but
-// not handled yet are rejected: without a reply their client would not know that they never ran.
+// closeWhenAnswered stops reading and closes the connection once its commands have their replies. Commands that are
+// buffered and not handled yet are rejected: without a reply the client would not know that they never ran.
 func (c *client) closeWhenAnswered() {
 	if c.closing {
 		return
@@ -311,14 +318,14 @@
 	c.paused = true
 	if c.conn.BufferedBytes() > 0 {
 		c.conn.Pause()
-		c.conn.Resume() // offers the buffered commands to Input, which rejects them
+		c.conn.Resume() // passes the buffered commands to Input, which rejects them
 	} else if c.conn.Pause(); len(c.pending) == 0 {
 		c.closing = true
 		c.conn.CloseGracefully()
 	}
 }
 
-// resumeReading reads on once enough of the replies have been written.
+// resumeReading resumes reading from a paused client once nothing prevents it and half of the backlog has been written.
 func (c *client) resumeReading() {
 	if c.paused && !c.throttled && !c.closing && !c.scheduler.intakeClosed && c.replyBacklog() < maxReplyBacklog/2 {
 		c.paused = false
@@ -326,10 +333,10 @@
 	}
 }
 
-// checkClients closes connections that bring no command, leave one unfinished, do not read their replies or are idle for
-// too long, and has the others be read on.
+// checkClients evicts clients while there are more than a new configuration allows, and enforces the timeouts of the
+// rest.
 func (s *Scheduler) checkClients() {
-	for s.clientConnCount > s.descriptorQuota(clientDescriptorShare) && s.evictIdleClient() { // a new configuration may allow for fewer
+	for s.clientConnCount > s.descriptorQuota(clientDescriptorShare) && s.evictIdleClient() {
 	}
 	idleTimeout := s.idleTimeout()
 	for c := range s.clients {
@@ -337,7 +344,8 @@
 	}
 }
 
-// checkTimeouts closes the connection if it has passed one of its timeouts, and else has it be read on.
+// checkTimeouts closes a connection that sends no first command, leaves one unfinished, does not read its replies or is
+// idle for too long. It resumes reading from others.
 func (c *client) checkTimeouts(idleTimeout time.Duration) {
 	now := c.scheduler.loop.Now()
 	switch idle := now - c.lastActivity; {
@@ -346,14 +354,14 @@
 		c.protocolError(&resp.ProtocolError{Reason: "the rest of a command does not come"})
 	case c.isBusy() && idle <= maxIdle:
 		c.resumeReading()
-	case len(c.pending) > 0:
+	case len(c.pending) > 0: // its ops have timeouts of their own
 	case c.conn.UnsentBytes() > 0 && idle > maxIdle: // it does not read its replies
 		c.conn.Close()
-	case !c.hasSentOp && idle > commandTimeout: // closed without a wait: a crowd that stays would keep others out
-		if c.paused || c.conn.NoInputPending() { // else its input is read first
+	case !c.hasSentOp && idle > commandTimeout: // closed at once: its descriptor may be needed
+		if c.paused || c.conn.NoInputPending() { // otherwise its input is read first
 			c.conn.Close()
 		}
-	case c.scheduler.shuttingDown: // its client could not replace the connection here
+	case c.scheduler.shuttingDown: // its client could not connect again
 	case c.hasSentOp && idle > idleTimeout:
 		if c.conn.NoInputPending() {
 			c.closing = true
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -23,38 +23,38 @@
 	Cores      float64
 	MemoryMB   int
 	Sockets    int              // descriptors that the process may have open
-	PeerListen string           // address for the datagrams of peers; empty: none are received
+	PeerListen string           // address for gossip; empty: none is received
 	Peers      []netip.AddrPort // one for each scheduler, by ordinal
 	PeersAll   netip.AddrPort   // reaches all peers; invalid: there is none
-	CachedList []byte           // the endpoint list as last received, in discovery's form
+	CachedList []byte           // the last endpoint list that the platform received, as JSON of discovery
 	Site       *simwire.Site    // the deployment's settings
 }
 
-// ConfigError is a configuration file that cannot be used.
+// ConfigError is the error of a configuration file that cannot be used.
 type ConfigError struct {
 	File  string
 	Line  int    // from 1; 0: the file could not be read
 	Wrong string // what is wrong
-	Want  string // what would be right
-	Err   error  // the cause; nil: there is none beyond Wrong
+	Want  string // what was expected
+	Err   error  // the cause; nil: Wrong says all
 }
 
-// Error gives file, line, what is wrong and what would be right.
+// Error returns file, line, what is wrong and what was expected.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("%s:%d: %s; expected %s", e.File, e.Line, e.Wrong, e.Want)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 const (
-	// notifiedWithin is when an instance counts as notified of a change after discovery has it and could be reached, as the
-	// platform's rules say.
+	// notifiedWithin is how long after a change an instance counts as notified of it by the platform's rules, if
+	// discovery is reachable.
 	notifiedWithin = 6 * time.Second
-	// The module calls again within a quarter of the settings' time for a watch. Two thirds of notifiedWithin are left for
-	// the calls themselves.
+	// maxWatchWithin bounds the settings' Watch.Within. The module retries within a quarter of that, which leaves two
+	// thirds of notifiedWithin for the calls themselves.
 	maxWatchWithin = notifiedWithin * 4 / 3
-	// minSockets is twice what a scheduler needs beside its clients and disk servers, so that some are left for these.
+	// minSockets is the least number of descriptors: the reserved ones and as many for clients and disk servers.
 	minSockets = 2 * reservedDescriptors
 
 	wantedAddress = "an IPv4 address and a port, as 127.0.0.1:6379"
@@ -64,22 +64,23 @@
 func ReadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &ConfigError{File: file, Wrong: err.Error(), Want: "the configuration that the platform writes", Err: err}
+		return nil, &ConfigError{
+			File:  file,
+			Wrong: err.Error(),
+			Want:  "the configuration that the platform writes",
+			Err:   err,
+		}
 	}
 	return parseConfig(file, text)
 }
 
-// configJSON is the form of a configuration file.
+// configJSON is the JSON form of a configuration file.
 type configJSON struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"`
-	Limits    struct {
-		Cores    float64 `json:"cores"`
-		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
-	} `json:"limits"`
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	Discovery  string          `json:"discovery"`
+	Seed       string          `json:"seed"`
+	Limits     limitsJSON      `json:"limits"`
 	PeerListen string          `json:"peer_listen"`
 	Peers      []string        `json:"peers"`
 	PeersAll   string          `json:"peers_all"`
@@ -87,6 +88,13 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
+// limitsJSON is what the process may use of the machine.
+type limitsJSON struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
 // configParser checks a configuration file and makes a Config of it.
 type configParser struct {
 	file   string
@@ -95,6 +103,7 @@
 	config *Config
 }
 
+// parseConfig makes a Config of the text of a configuration file.
 func parseConfig(file string, text []byte) (*Config, error) {
 	p := &configParser{file: file, text: text}
 	if err := json.Unmarshal(text, &p.json); err != nil {
@@ -111,7 +120,8 @@
 		PeerListen: p.json.PeerListen,
 		CachedList: p.json.Known,
 	}
-	for _, step := range []func() error{p.checkAddresses, p.parsePeers, p.checkLimits, p.parseSite, p.checkCachedList} {
+	steps := []func() error{p.checkAddresses, p.parsePeers, p.checkLimits, p.parseSite, p.checkCachedList}
+	for _, step := range steps {
 		if err := step(); err != nil {
 			return nil, err
 		}
@@ -119,12 +129,12 @@
 	return p.config, nil
 }
 
-// lineAt gives the line of an offset in the text.
+// lineAt returns the line of an offset in the text.
 func (p *configParser) lineAt(offset int64) int {
 	return 1 + bytes.Count(p.text[:min(offset, int64(len(p.text)))], []byte("\n"))
 }
 
-// errorAt is an error in the value of a name, on the line where the name first stands. The cause may be nil.
+// errorAt returns an error in the value of a name, with the line of its first occurrence. The cause may be nil.
 func (p *configParser) errorAt(name, wrong, want string, cause error) error {
 	offset := 0
 	if name != "" {
@@ -133,15 +143,15 @@
 	return &ConfigError{File: p.file, Line: p.lineAt(int64(offset)), Wrong: wrong, Want: want, Err: cause}
 }
 
-// syntaxError is an error of the JSON decoder, on the line where it was met.
+// syntaxError returns an error of the JSON decoder, with its line.
 func (p *configParser) syntaxError(err error) error {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var mismatch *json.UnmarshalTypeError
 	offset, want := int64(0), "one JSON object"
 	if errors.As(err, &syntax) {
 		offset = syntax.Offset
-	} else if errors.As(err, &kind) {
-		offset, want = kind.Offset, kind.Field+" of type "+kind.Type.String()
+	} else if errors.As(err, &mismatch) {
+		offset, want = mismatch.Offset, mismatch.Field+" of type "+mismatch.Type.String()
 	}
 	return &ConfigError{File: p.file, Line: p.lineAt(offset), Wrong: err.Error(), Want: want, Err: err}
 }
@@ -185,7 +195,8 @@
 
 func (p *configParser) checkLimits() error {
 	if p.config.Sockets < minSockets {
-		return p.errorAt("sockets", fmt.Sprintf("sockets is %d", p.config.Sockets), fmt.Sprintf("%d or more", minSockets), nil)
+		wrong := fmt.Sprintf("sockets is %d", p.config.Sockets)
+		return p.errorAt("sockets", wrong, fmt.Sprintf("%d or more", minSockets), nil)
 	}
 	if p.config.MemoryMB < 1 {
 		return p.errorAt("memory_mb", fmt.Sprintf("memory_mb is %g", p.json.Limits.MemoryMB), "1 or more", nil)
@@ -204,7 +215,7 @@
 	if len(site.OpTypes) == 0 || len(site.Plans) == 0 {
 		return p.errorAt("settings", "settings has no classes or no plans", "one of each at least", nil)
 	}
-	// Whatever the settings allow between two calls, an instance counts as notified after notifiedWithin.
+	// An instance counts as notified after notifiedWithin even if the settings allow for more time.
 	watch := &site.Settings.Watch
 	watch.Within = min(watch.Within, maxWatchWithin)
 	p.config.Site = site
@@ -221,13 +232,14 @@
 	return nil
 }
 
-// parseSeed reads a seed of hexadecimal digits. Any other text is hashed: a seed only has to differ between runs.
+// parseSeed reads a seed of hexadecimal digits. Any other text is hashed, since a seed only has to differ between
+// runs.
 func parseSeed(text string) int64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return int64(seed)
 	}
 	hash := fnv.New64a()
-	hash.Write([]byte(text))
+	_, _ = hash.Write([]byte(text)) // a hash returns no error
 	return int64(hash.Sum64())
 }
 
@@ -235,7 +247,7 @@
 func parseIPv4(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err == nil && !address.Addr().Is4() {
-		err = errors.New("no IPv4 address")
+		err = errors.New("not an IPv4 address")
 	}
 	return address, err
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -21,7 +21,7 @@
 	isCurrent bool // with this message, all that has been received is the state of discovery
 }
 
-// listMember is an entry of the list.
+// listMember is an entry of the endpoint list.
 type listMember struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"host_port"`
@@ -33,9 +33,14 @@
 	UpSinceMS float64 `json:"up_since_ms"` // start of the disk server, milliseconds of Unix time
 }
 
-var memberStates = map[string]honeyplank.MemberState{"up": honeyplank.Up, "draining": honeyplank.Draining, "removed": honeyplank.Removed}
+// memberStates are the states by the phase of an entry.
+var memberStates = map[string]honeyplank.MemberState{
+	"up":       honeyplank.Up,
+	"draining": honeyplank.Draining,
+	"removed":  honeyplank.Removed,
+}
 
-// readList reads a message. Entries that cannot be used are left out, with the reason of each in skipped.
+// readList reads a message. It leaves out unusable entries and returns the reason for each in skipped.
 func readList(text []byte) (list *listMessage, skipped []string, err error) {
 	list = &listMessage{}
 	if err := json.Unmarshal(text, list); err != nil {
@@ -43,7 +48,7 @@
 	}
 	usable := list.Members[:0]
 	for _, m := range list.Members {
-		if reason := m.unusable(); reason != "" {
+		if reason := m.skipReason(); reason != "" {
 			skipped = append(skipped, reason)
 		} else {
 			usable = append(usable, m)
@@ -53,8 +58,8 @@
 	return list, skipped, nil
 }
 
-// unusable gives the reason for which an entry cannot be used; empty: it can.
-func (m listMember) unusable() string {
+// skipReason returns the reason why an entry is unusable; empty: it is usable.
+func (m listMember) skipReason() string {
 	if m.ID == "" {
 		return "an entry has no id"
 	}
@@ -69,26 +74,26 @@
 
 var (
 	errOldList     = errors.New("discovery: the list is older than the current one")
-	errWatchSilent = errors.New("discovery has fallen silent")
+	errWatchSilent = errors.New("discovery: no data before the deadline")
 )
 
 // statusError is a response of discovery with another status than 200.
 type statusError struct{ status string }
 
-func (e *statusError) Error() string { return "discovery answers " + e.status }
+func (e *statusError) Error() string { return "discovery: unexpected status " + e.status }
 
 // listCallbacks are called from the goroutine of a call to discovery.
 type listCallbacks struct {
-	established func() // the response has begun; nil: nobody needs to know
+	established func() // the response has begun; may be nil
 	received    func(list *listMessage, skipped []string)
-	failed      func(error) // the call has ended, and why; last
+	failed      func(error) // the call has ended; the last callback
 }
 
-// watchList receives the changes of the list after a revision until the watch fails or ctx is done. The response has to begin
-// within headTimeout.
-func watchList(ctx context.Context, address string, revision int64, headTimeout time.Duration, callbacks listCallbacks) {
+// watchList receives the changes of the list after a revision until the watch fails or ctx is done. The response has to
+// begin within timeout.
+func watchList(ctx context.Context, address string, revision int64, timeout time.Duration, callbacks listCallbacks) {
 	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision)
-	call := listCall{url: url, headTimeout: headTimeout, established: callbacks.established}
+	call := listCall{url: url, headTimeout: timeout, established: callbacks.established}
 	callbacks.failed(call.run(ctx, func(text []byte) error {
 		list, skipped, err := readList(text)
 		if err == nil {
@@ -98,15 +103,15 @@
 	}))
 }
 
-// fetchList asks for the complete list once. The response has to begin within headTimeout.
-func fetchList(ctx context.Context, address string, headTimeout time.Duration, callbacks listCallbacks) {
-	call := listCall{url: "http://" + address + "/discovery/hosts", headTimeout: headTimeout}
+// fetchList requests the complete list once. The response has to begin within timeout.
+func fetchList(ctx context.Context, address string, timeout time.Duration, callbacks listCallbacks) {
+	call := listCall{url: "http://" + address + "/discovery/hosts", headTimeout: timeout}
 	var messages [][]byte
 	err := call.run(ctx, func(text []byte) error {
 		messages = append(messages, text)
 		return nil
 	})
-	if errors.Is(err, io.EOF) && len(messages) == 1 { // else it was cut, and tells nothing
+	if errors.Is(err, io.EOF) && len(messages) == 1 { // otherwise it was truncated
 		var list *listMessage
 		var skipped []string
 		if list, skipped, err = readList(messages[0]); err == nil {
@@ -128,7 +133,8 @@
 	silence *time.Timer // cancels the call at the reader's deadline
 }
 
-// run makes the call and hands over its messages one by one, until it ends; io.EOF is the regular end of a response.
+// run makes the call and passes its messages to receive one by one until it ends. io.EOF is the regular end of a
+// response.
 func (c *listCall) run(ctx context.Context, receive func(text []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -141,9 +147,9 @@
 	return c.receive(ctx, client, receive)
 }
 
-// cause gives errWatchSilent for an error of a call that was cancelled for silence, and other errors as they are.
+// cause returns errWatchSilent for an error of a call that was cancelled for silence, and other errors as they are.
 func cause(ctx context.Context, err error) error {
-	if context.Cause(ctx) == errWatchSilent {
+	if errors.Is(context.Cause(ctx), errWatchSilent) {
 		return errWatchSilent
 	}
 	return err
@@ -153,13 +159,13 @@
 func (c *listCall) receive(ctx context.Context, client *http.Client, receive func(text []byte) error) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
-		return err
+		return fmt.Errorf("discovery: %w", err)
 	}
 	response, err := client.Do(request)
 	if err != nil {
 		return cause(ctx, err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the body has been read, or its error is known
 	if response.StatusCode != http.StatusOK {
 		return &statusError{response.Status}
 	}
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -142,8 +142,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		late := bed.scheduler.listReceived(ctx, watchCall)
 		bed.scheduler.config.Discovery = other.address
-		bed.scheduler.setWatch(false)
-		bed.scheduler.setWatch(true)
+		bed.scheduler.stopWatch()
+		bed.scheduler.startWatch()
 		cancel()
 		late(&listMessage{Revision: 5, Members: []listMember{{ID: "s-1", Phase: "removed"}}}, nil)
 	})
@@ -204,7 +204,7 @@
 		fmt.Fprint(call, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		call.Close()
 	}
-	bed.eventuallyOnLoop("the wait", func() bool { return bed.scheduler.stopWatch == nil })
+	bed.eventuallyOnLoop("the wait", func() bool { return bed.scheduler.cancelWatch == nil })
 	bed.config["discovery"] = other.address
 	bed.reload()
 	call := other.nextCall(t, 400*time.Millisecond)
--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -7,7 +7,7 @@
 	"honeyplank"
 )
 
-// applyMember applies an entry of the list to its disk server, which is made if it is new.
+// applyMember applies an entry of the endpoint list to its disk server, and adds the server if it is new.
 func (s *Scheduler) applyMember(m listMember) *diskServer {
 	id := honeyplank.ServerID(m.ID)
 	ds := s.servers[id]
@@ -31,8 +31,8 @@
 	return ds
 }
 
-// retireConns closes the connections that carry nothing, those that are not up yet too, and has the others close once
-// nobody waits for what they carry.
+// retireConns closes the connections with nothing in flight, including those that are being opened. The others close
+// once nobody waits for what they have in flight.
 func (ds *diskServer) retireConns() {
 	for _, sc := range slices.Clone(ds.conns) {
 		if sc.retiring = true; len(sc.inFlight) == 0 {
@@ -41,10 +41,11 @@
 	}
 }
 
-// enforceDrainGrace ensures that nothing begins at a disk server that is removed, or past the grace at one that is draining:
-// attempts decided before may still wait for a connection, or to be written. It guards against connections that take longer
-// than the grace to come up, and could harm where a disk server's grace is longer than the settings say. The grace counts
-// from when the process was notified, and ends a hold-up early, since what begins may leave that much later.
+// enforceDrainGrace ensures that no attempt starts at a disk server that is removed, or after the grace period at one
+// that is draining: earlier dispatches may still wait for a connection, or to be written. It guards against connections
+// that take longer than the grace to open, and needlessly fails attempts at a disk server with a longer grace than the
+// settings say. The grace counts from when the process was notified, and ends maxHoldUp early, since a write may be
+// that late.
 func (ds *diskServer) enforceDrainGrace(notified time.Duration) {
 	if ds.removed {
 		ds.cancelUnsent()
@@ -61,7 +62,7 @@
 	})
 }
 
-// cancelUnsent takes back the attempts of which nothing is written.
+// cancelUnsent withdraws the attempts of which nothing is written and reports them as not sent.
 func (ds *diskServer) cancelUnsent() {
 	waiting := ds.waiting
 	ds.waiting = nil
@@ -78,10 +79,10 @@
 	}
 }
 
-// closeIdleServerConns closes connections that have been idle for half of the time for which the disk servers keep them,
-// and the longest idle ones while there are too many.
+// closeIdleServerConns closes connections that have been idle for half of the disk servers' keepalive time, and the
+// longest idle ones while there are more than a new configuration allows.
 func (s *Scheduler) closeIdleServerConns() {
-	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) { // a new configuration may allow for fewer
+	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) {
 	}
 	now, keepalive := s.loop.Now(), s.site().IdleTimeout
 	for keepalive > 0 {
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -7,25 +7,25 @@
 	"honeyplank"
 )
 
-// maxDatagram is how many bytes a message between peers may have.
+// maxDatagram is the largest message between peers, in bytes.
 const maxDatagram = 256
 
-// sendGossip sends a message of the decision module to one peer or to all. One that is too long is dropped, as a datagram
-// may be.
-func (s *Scheduler) sendGossip(a honeyplank.Gossip) {
-	if s.peers == nil || len(a.Data) > maxDatagram {
+// sendGossip sends a message of the decision module to one peer or to all. One that is too long is dropped: gossip may
+// be lost as any datagram.
+func (s *Scheduler) sendGossip(message honeyplank.Gossip) {
+	if s.peers == nil || len(message.Data) > maxDatagram {
 		return
 	}
 	switch {
-	case a.To >= 0 && a.To < len(s.config.Peers):
-		s.peers.Send(s.config.Peers[a.To], a.Data)
-	case a.To == honeyplank.AllPeers && s.config.PeersAll.IsValid():
-		s.peers.Send(s.config.PeersAll, a.Data)
+	case message.To >= 0 && message.To < len(s.config.Peers):
+		s.peers.Send(s.config.Peers[message.To], message.Data)
+	case message.To == honeyplank.AllPeers && s.config.PeersAll.IsValid():
+		s.peers.Send(s.config.PeersAll, message.Data)
 	}
 }
 
 // receiveGossip hands a datagram of a configured peer to the decision module, once for each position that its address
-// has among the peers. Other senders are not heard.
+// has among the peers. Datagrams of other senders are ignored.
 func (s *Scheduler) receiveGossip(from netip.AddrPort, b []byte) {
 	if len(b) > maxDatagram {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// ordinalsByAddress gives the positions of each address in a list of peers.
+// ordinalsByAddress returns the positions of each address in a list of peers.
 func ordinalsByAddress(peers []netip.AddrPort) map[netip.AddrPort][]int {
 	ordinals := make(map[netip.AddrPort][]int, len(peers))
 	for i, address := range peers {
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -7,17 +7,14 @@
 	"honeyplank"
 )
 
-// setWatch starts or ends the watch of discovery.
-func (s *Scheduler) setWatch(on bool) {
-	if !on && s.stopWatch != nil {
-		s.stopWatch()
-		s.stopWatch = nil
-	}
-	if !on || s.stopWatch != nil {
+// startWatch starts the watch of the endpoint list, unless there is one. A goroutine of its own receives the messages
+// and posts them to the loop; stopWatch ends it.
+func (s *Scheduler) startWatch() {
+	if s.cancelWatch != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.stopWatch = cancel
+	s.cancelWatch = cancel
 	go watchList(ctx, s.config.Discovery, s.revisionGuard.revision, s.callTimeout(), listCallbacks{
 		established: s.watchEstablished(ctx),
 		received:    s.listReceived(ctx, watchCall),
@@ -25,7 +22,15 @@
 	})
 }
 
-// fetch asks discovery for the complete list, once.
+// stopWatch stops the watch, if there is one.
+func (s *Scheduler) stopWatch() {
+	if s.cancelWatch != nil {
+		s.cancelWatch()
+		s.cancelWatch = nil
+	}
+}
+
+// fetch requests the complete list from discovery, once. The call ends by its timeouts.
 func (s *Scheduler) fetch() {
 	ctx := context.Background()
 	go fetchList(ctx, s.config.Discovery, s.callTimeout(), listCallbacks{
@@ -34,8 +39,8 @@
 	})
 }
 
-// callTimeout is how long discovery may take to begin a response. Where all instances share one discovery, calls wait in a
-// queue: one that is given up before its turn has been for nothing and is repeated, which makes the queue longer.
+// callTimeout is how long discovery may take to begin a response. If all instances share one discovery, calls queue
+// there: one that is cancelled before its turn is retried, which makes the queue longer.
 func (s *Scheduler) callTimeout() time.Duration {
 	if s.site().WatchOnRequest {
 		return sharedHeadTimeout
@@ -43,7 +48,7 @@
 	return headTimeout
 }
 
-// callKind says what discovery was called for.
+// callKind is the purpose of a call to discovery.
 type callKind int
 
 const (
@@ -51,7 +56,7 @@
 	watchCall                 // all changes from now on
 )
 
-// watchEstablished tells a module that has asked for the watch that it has it, also where nothing has changed.
+// watchEstablished notifies a module that has asked for the watch that it is established, even if nothing has changed.
 func (s *Scheduler) watchEstablished(ctx context.Context) func() {
 	return func() {
 		s.loop.Post(func() {
@@ -62,38 +67,43 @@
 	}
 }
 
-// listReceived hands a message to the loop. One from a watch that has ended is dropped, and so is a fetched list that is
-// older than the current one; an older one from a watch ends the watch.
+// listReceived hands a message to the loop. One of a watch that has ended is dropped, and so is a fetched list that is
+// older than the current one.
 func (s *Scheduler) listReceived(ctx context.Context, call callKind) func(*listMessage, []string) {
 	return func(list *listMessage, skipped []string) {
 		notified := s.loop.Now() // the loop may be held up before it handles the message
 		s.loop.Post(func() {
-			if ctx.Err() != nil || call == fetchCall && list.Revision < s.revisionGuard.revision {
-				return
+			if ctx.Err() == nil && (call == watchCall || list.Revision >= s.revisionGuard.revision) {
+				s.handleList(list, skipped, notified)
 			}
-			list.isCurrent = list.Complete || list.Revision >= s.revisionGuard.revision
-			if !s.revisionGuard.accept(s.loop.Now(), list) {
-				s.watchFailed(errOldList)
-				return
-			}
-			for _, reason := range skipped {
-				s.log.Warn().Str("reason", reason).Msg("entry of the endpoint list skipped")
-			}
-			kind := honeyplank.Delta
-			if list.Complete {
-				kind = honeyplank.Complete
-			}
-			s.applyList(list, kind, notified)
 		})
 	}
 }
 
-// callFailed handles the end of a call without the list that it was for.
+// handleList applies a message that reached the process at notified. One that is older than the current list ends the
+// watch.
+func (s *Scheduler) handleList(list *listMessage, skipped []string, notified time.Duration) {
+	list.isCurrent = list.Complete || list.Revision >= s.revisionGuard.revision
+	if !s.revisionGuard.accept(s.loop.Now(), list) {
+		s.watchFailed(errOldList)
+		return
+	}
+	for _, reason := range skipped {
+		s.log.Warn().Str("reason", reason).Msg("endpoint list entry skipped")
+	}
+	kind := honeyplank.Delta
+	if list.Complete {
+		kind = honeyplank.Complete
+	}
+	s.applyList(list, kind, notified)
+}
+
+// callFailed handles the end of a watch, or of a fetch that brought no list.
 func (s *Scheduler) callFailed(ctx context.Context, call callKind) func(error) {
 	return func(err error) {
 		s.loop.Post(func() {
 			switch {
-			case call == fetchCall && s.site().WatchOnRequest: // an established watch goes on
+			case call == fetchCall && s.site().WatchOnRequest: // without effect on an established watch
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 			case call == watchCall && ctx.Err() == nil:
 				s.watchFailed(err)
@@ -102,22 +112,28 @@
 	}
 }
 
-// watchFailed ends the watch and has the next one begin: after watchRetryDelay where discovery runs on this machine. Where
-// all instances share one discovery the module says when: calls that all repeat at once keep it from answering any.
+// watchFailed ends the watch and schedules the next one: after watchRetryDelay if discovery runs on this machine. If
+// all instances share one discovery the module decides when, since simultaneous retries of all would overload it.
 func (s *Scheduler) watchFailed(err error) {
-	s.log.Info().Err(err).Msg("watch of discovery failed")
-	s.setWatch(false)
+	s.log.Info().Err(err).Msg("endpoint list watch failed")
+	s.stopWatch()
 	if s.site().WatchOnRequest {
 		s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
-	} else {
-		s.loop.Schedule(s.loop.Now()+watchRetryDelay, func() { s.setWatch(!s.stopping) })
+		return
 	}
+	s.loop.Schedule(s.loop.Now()+watchRetryDelay, func() {
+		if s.stopping {
+			s.stopWatch()
+		} else {
+			s.startWatch()
+		}
+	})
 }
 
 // applyList applies a list, or a change of it, that reached the process at notified, and hands it to the module.
 func (s *Scheduler) applyList(list *listMessage, kind honeyplank.ListKind, notified time.Duration) {
 	event := honeyplank.List{Kind: kind, Version: list.Revision}
-	// The wall clock is read first: a hold-up between the two makes starts of disk servers later, never earlier.
+	// The wall clock is read first: a hold-up between the two makes starts of disk servers appear later, never earlier.
 	s.starts.observeClocks(s.wallClock(), s.loop.Now())
 	var changed []*diskServer
 	for _, m := range list.Members {
@@ -130,7 +146,7 @@
 		changed = append(changed, s.removeUnlisted(list)...)
 	}
 	s.tracker.Deliver(event)
-	for _, ds := range changed { // the module has been notified and dispatches nothing new to those that left
+	for _, ds := range changed { // the module is notified: it dispatches nothing new to removed servers
 		ds.enforceDrainGrace(notified)
 	}
 }
@@ -150,7 +166,7 @@
 	return removed
 }
 
-// toMember makes an entry of the list a member as the module knows it.
+// toMember converts an entry of the list to a member of the module's list. Unknown models and zones count as the first.
 func (s *Scheduler) toMember(m listMember) honeyplank.Member {
 	member := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: memberStates[m.Phase]}
 	member.Model, _ = indexOf("model", s.site().Models, m.Model)
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -8,8 +8,8 @@
 	"honeyplank/resp"
 )
 
-// diskServer has the connections to one disk server. An op has a connection of its own while descriptors last, since
-// answers come in the order of commands; past that, connections carry several.
+// diskServer holds the connections to one disk server. Each attempt has a connection of its own while descriptors last,
+// since answers come in the order of commands; beyond that, attempts share connections.
 type diskServer struct {
 	scheduler     *Scheduler
 	id            honeyplank.ServerID
@@ -17,31 +17,32 @@
 	removed       bool
 	draining      bool
 	wakeScheduled bool          // wakeWaiters is scheduled
-	conns         []*serverConn // all that are open or being opened, oldest first
-	idle          []*serverConn // those that carry nothing, the one that has been idle longest first
-	waiting       []*attempt    // for a connection, in the order in which they came
+	conns         []*serverConn // open or being opened, oldest first
+	idle          []*serverConn // with nothing in flight, longest idle first
+	waiting       []*attempt    // waiting for a connection, oldest first
 	dialing       int           // connections that are being opened
 	redialAfter   time.Duration // no dial begins before
-	dialFailures  int           // dials in a row that could not begin, up to maxRedialShift
+	dialFailures  int           // consecutive dials that could not begin, up to maxRedialShift
 }
 
 const (
-	// reuseDelay is how long a connection has been idle before it carries the next op: what comes in the meantime is no answer to
-	// that. It guards against disk servers that answer a second time some milliseconds late (1.2 to 3.9 were met), and
-	// costs connections.
+	// reuseDelay is how long a connection has been idle at least before the next command: data that comes in between is
+	// no answer to that. It guards against disk servers that send a second answer some milliseconds late, and costs
+	// connections.
 	reuseDelay = 8 * time.Millisecond
-	// A dial that could not begin is repeated after minRedialDelay, then after twice the delay before, up to maxRedialDelay,
-	// which maxRedialShift doublings give.
+	// A dial that could not begin is retried with a backoff from minRedialDelay to maxRedialDelay, which maxRedialShift
+	// doublings give.
 	minRedialDelay = 10 * time.Millisecond
 	maxRedialDelay = 160 * time.Millisecond
 	maxRedialShift = 4
-	// maxDialWait is how long a dispatch waits for a dial that can begin.
+	// maxDialWait is how long a dispatch waits until a dial can begin.
 	maxDialWait = 200 * time.Millisecond
-	// minEvictableIdle is how long a connection has been idle at least before it is closed for another.
+	// minEvictableIdle is how long a connection has been idle at least before it is evicted for another.
 	minEvictableIdle = time.Second
 )
 
-// assignConn sends an attempt on an idle connection, else on a new one, else behind others, else when there is one.
+// assignConn sends an attempt on an idle connection, else on a new one, else behind others. If there is none, the
+// attempt waits for one or fails.
 func (ds *diskServer) assignConn(a *attempt) {
 	if sc := ds.takeIdleConn(); sc != nil {
 		sc.send(a)
@@ -60,17 +61,18 @@
 		ds.scheduleWaiters()
 	case ds.scheduler.loop.Now() < ds.redialAfter && a.mayWaitForDial(ds.redialAfter):
 		ds.waiting = append(ds.waiting, a)
-	default: // there is no descriptor, which says nothing of the disk server
+	default: // no descriptor is left, which is not the disk server's fault
 		a.fail(honeyplank.NotSent)
 	}
 }
 
-// mayWaitForDial reports whether an attempt waits until a time for a dial that can begin. Probes do not.
+// mayWaitForDial reports whether an attempt may wait until a time for a dial to begin. Health checks do not wait.
 func (a *attempt) mayWaitForDial(until time.Duration) bool {
 	return a.dispatch != nil && until <= min(a.started+maxDialWait, a.dispatch.Deadline)
 }
 
-// takeIdleConn takes the connection that has been idle longest, if that is long enough and nothing has come on it since.
+// takeIdleConn takes the longest idle connection, if it has been idle for reuseDelay. Those on which data has come
+// since are closed.
 func (ds *diskServer) takeIdleConn() *serverConn {
 	for len(ds.idle) > 0 {
 		sc := ds.idle[0]
@@ -87,7 +89,8 @@
 	return nil
 }
 
-// leastLoadedConn is the connection that carries the fewest attempts, of those that may carry one more; nil: there is none.
+// leastLoadedConn returns the connection with the fewest attempts in flight, of the busy ones that may take one more;
+// nil: there is none.
 func (ds *diskServer) leastLoadedConn() *serverConn {
 	most := max(ds.scheduler.site().StreamsPerConn, 1)
 	var least *serverConn
@@ -110,14 +113,14 @@
 	return a
 }
 
-// scheduleWaiters has the waiting attempts looked at again: when the connection that has been idle longest may carry one,
-// or at once where none is idle and none is being opened.
+// scheduleWaiters schedules wakeWaiters: when the longest idle connection may be reused, or at once if none is idle or
+// being opened.
 func (ds *diskServer) scheduleWaiters() {
 	if ds.wakeScheduled || len(ds.waiting) == 0 || ds.dialing > 0 && len(ds.idle) == 0 {
 		return
 	}
 	at := ds.scheduler.loop.Now()
-	if len(ds.idle) == 0 && at < ds.redialAfter { // redial looks at them
+	if len(ds.idle) == 0 && at < ds.redialAfter { // redial serves them
 		return
 	}
 	if len(ds.idle) > 0 {
@@ -127,10 +130,10 @@
 	ds.scheduler.loop.Schedule(at, ds.wakeWaiters)
 }
 
-// wakeWaiters sends waiting attempts on idle connections, and where none is left nor being opened has the rest choose again.
+// wakeWaiters sends waiting attempts on idle connections. If none is left or being opened, the rest are assigned again.
 func (ds *diskServer) wakeWaiters() {
 	ds.wakeScheduled = false
-	for len(ds.waiting) > 0 { // an idle connection will do for those that wait for one that is being opened
+	for len(ds.waiting) > 0 { // also attempts that wait for a connection that is being opened
 		sc := ds.takeIdleConn()
 		if sc == nil {
 			break
@@ -143,14 +146,14 @@
 	ds.scheduleWaiters()
 }
 
-// reassignWaiters has all waiting attempts choose again.
+// reassignWaiters assigns connections to all waiting attempts again.
 func (ds *diskServer) reassignWaiters() {
 	waiting := ds.waiting
 	ds.waiting = nil
 	ds.assignAll(waiting)
 }
 
-// assignAll assigns connections to attempts, but for those that finish meanwhile.
+// assignAll assigns connections to attempts, except those that finish meanwhile.
 func (ds *diskServer) assignAll(attempts []*attempt) {
 	for _, a := range attempts {
 		if !a.finished {
@@ -159,15 +162,16 @@
 	}
 }
 
+// removeWaiter removes an attempt from the waiting ones.
 func (ds *diskServer) removeWaiter(a *attempt) {
 	if i := slices.Index(ds.waiting, a); i >= 0 {
 		ds.waiting = slices.Delete(ds.waiting, i, i+1)
 	}
 }
 
-// failWaiters is called when a connection did not come up. Each attempt waits for a connection of its own while descriptors
-// last, and one fails with each. Past that several wait for one, and all of them fail with the last that was being opened:
-// they would wait for their op timeouts else.
+// failWaiters is called when a connection could not be opened. While descriptors last, each attempt waits for a
+// connection of its own, and one fails with each. Beyond that several wait for one, and all of them fail with the last
+// that was being opened, instead of waiting for their op timeouts.
 func (ds *diskServer) failWaiters() {
 	for first := true; len(ds.waiting) > ds.dialing; first = false {
 		if !first && (ds.dialing > 0 || len(ds.idle) > 0) {
@@ -177,7 +181,7 @@
 	}
 }
 
-// dialIfAllowed opens a connection if there is a descriptor for it, and reports whether it could.
+// dialIfAllowed begins to open a connection if there is a descriptor for it, and reports whether it has.
 func (ds *diskServer) dialIfAllowed() bool {
 	return ds.scheduler.reserveDescriptor() && ds.dial() == nil
 }
@@ -192,7 +196,10 @@
 		return err
 	}
 	if ds.dialFailures = 0; s.failedDials > 0 {
-		s.log.Info().Str("osd", string(ds.id)).Int("attempts", s.failedDials).Msg("connections can be opened again")
+		s.log.Info().
+			Str("server", string(ds.id)).
+			Int("attempts", s.failedDials).
+			Msg("connections to disk servers work again")
 		s.failedDials = 0
 	}
 	sc.conn = conn
@@ -201,24 +208,26 @@
 	s.serverConnCount++
 	ds.conns = append(ds.conns, sc)
 	ds.dialing++
-	sc.connectTimer = s.loop.Schedule(s.loop.Now()+s.site().ConnectTimeout, func() { sc.Closed(conn, errConnectTimeout) })
+	sc.connectTimer = s.loop.Schedule(s.loop.Now()+s.site().ConnectTimeout, func() {
+		sc.Closed(conn, errConnectTimeout)
+	})
 	return nil
 }
 
-// postponeDial schedules the next dial where this machine could not begin one: it lacks a descriptor, a port, memory or a
-// route. That says nothing of the disk server, and is logged once until a dial begins again.
+// postponeDial schedules the next dial after one that this machine could not begin, for lack of a descriptor, a port,
+// memory or a route. That is not the disk server's fault, and is logged once until a dial begins again.
 func (ds *diskServer) postponeDial(err error) {
 	s := ds.scheduler
 	if s.failedDials++; s.failedDials == 1 {
-		s.log.Warn().Str("osd", string(ds.id)).Err(err).Msg("no connection can be opened")
+		s.log.Warn().Str("server", string(ds.id)).Err(err).Msg("cannot open connections to disk servers")
 	}
 	ds.redialAfter = s.loop.Now() + min(minRedialDelay<<ds.dialFailures, maxRedialDelay)
 	ds.dialFailures = min(ds.dialFailures+1, maxRedialShift)
 	s.loop.Schedule(ds.redialAfter, ds.redial)
 }
 
-// redial dials again for the attempts that wait. Where that fails too, those that have waited for long are reported as not
-// sent, so that the module can choose again.
+// redial dials again for the waiting attempts. If that fails too, those that have waited too long are reported as not
+// sent, so that the module can choose another server.
 func (ds *diskServer) redial() {
 	if len(ds.waiting) == 0 || ds.dialing > 0 || len(ds.idle) > 0 || ds.scheduler.loop.Now() < ds.redialAfter {
 		ds.scheduleWaiters()
@@ -246,13 +255,13 @@
 	}
 }
 
-// reserveDescriptor reports whether there is a descriptor for one more connection to a disk server; the one that has been
-// idle longest anywhere gives way.
+// reserveDescriptor reports whether there is a descriptor for one more connection to a disk server. It may close the
+// longest idle connection to any disk server for that.
 func (s *Scheduler) reserveDescriptor() bool {
 	return s.serverConnCount < s.descriptorQuota(serverDescriptorShare) || s.closeLongestIdle(minEvictableIdle)
 }
 
-// longestIdleConn is the connection that has been idle longest, of those to all disk servers; nil: none is idle.
+// longestIdleConn returns the longest idle connection to any disk server; nil: none is idle.
 func (s *Scheduler) longestIdleConn() *serverConn {
 	if s.idleServerConns.first != nil {
 		s.visited.idleConns++
@@ -260,11 +269,11 @@
 	return s.idleServerConns.first
 }
 
-// closeLongestIdle closes the connection that has been idle longest anywhere, if it has been for a time at least, and
-// reports whether it did.
-func (s *Scheduler) closeLongestIdle(least time.Duration) bool {
+// closeLongestIdle closes the longest idle connection to any disk server, if it has been idle for idleTime at least,
+// and reports whether it did.
+func (s *Scheduler) closeLongestIdle(idleTime time.Duration) bool {
 	sc := s.longestIdleConn()
-	if sc == nil || s.loop.Now()-sc.idleSince < least {
+	if sc == nil || s.loop.Now()-sc.idleSince < idleTime {
 		return false
 	}
 	sc.close()
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -14,10 +14,10 @@
 
 const (
 	maxReplyLine = 4096     // bytes of a line: an error, or the head of a value
-	maxItems     = 8        // of an array: data, figures on quota, load report, and some that are not known yet
+	maxItems     = 8        // of an array: data, quota usage, load report, and room for future ones
 	maxDepth     = 3        // of arrays in arrays
-	maxValue     = 64 << 10 // bytes of the longest value of the protocol
-	maxFigure    = 1e12     // of a load report; a larger one makes no sense
+	maxValue     = 64 << 10 // bytes of a value
+	maxFigure    = 1e12     // of a load report or quota usage; larger ones are ignored
 	maxQuotaUsed = 1e9
 )
 
@@ -29,9 +29,9 @@
 	Total: maxValue + 2*maxReplyLine,
 }
 
-var errMalformedReply = errors.New("it is no answer to what was asked")
+var errMalformedReply = errors.New("malformed reply")
 
-// serverReply is what an answer of a disk server says.
+// serverReply is a parsed answer of a disk server.
 type serverReply struct {
 	code     honeyplank.Code
 	data     []byte
@@ -41,7 +41,7 @@
 // Input handles the answers in b and returns how many bytes it has used.
 func (sc *serverConn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
-		if len(sc.inFlight) == 0 { // nothing was asked
+		if len(sc.inFlight) == 0 {
 			sc.failWith(errUnexpectedData)
 			return len(b)
 		}
@@ -58,21 +58,21 @@
 			sc.failMalformed(err)
 			return len(b)
 		}
-		if sc.handleReply(reply, used < len(b)); sc.conn == nil {
+		if sc.handleReply(reply, len(b)-used); sc.conn == nil {
 			return len(b)
 		}
 	}
 	return used
 }
 
-// handleReply reports the outcome of the first attempt in flight. hasMore says that more has come behind the answer.
-func (sc *serverConn) handleReply(reply serverReply, hasMore bool) {
+// handleReply reports the outcome of the first attempt in flight. remaining is the number of bytes behind the answer.
+func (sc *serverConn) handleReply(reply serverReply, remaining int) {
 	a := sc.inFlight[0]
 	sc.inFlight = sc.inFlight[1:]
 	switch {
 	case len(sc.inFlight) > 0:
 		sc.closeIfAbandoned()
-	case hasMore: // nothing else was asked: the connection cannot be trusted with another command
+	case remaining > 0: // data without a command: the connection must not be reused
 		sc.close()
 	default:
 		sc.release()
@@ -80,18 +80,18 @@
 	a.finish(reply.code, reply.data, reply.feedback)
 }
 
-// parseReply reads the answer to an attempt.
+// parseReply parses the answer to an attempt.
 func (a *attempt) parseReply(value *resp.Value) (serverReply, error) {
 	switch {
 	case value.Kind == resp.Error:
 		return a.parseError(string(value.Text)), nil
 	case a.dispatch == nil:
-		return a.parseProbeReply(value)
+		return a.parseHealthReply(value)
 	}
 	return a.parseDispatchReply(value)
 }
 
-// parseError reads an error, the last word of which may be a load report.
+// parseError parses an error reply, the last word of which may be a load report.
 func (a *attempt) parseError(text string) serverReply {
 	s := a.server.scheduler
 	feedback := inflight.Feedback{Load: parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], s.site().LoadFields)}
@@ -99,13 +99,16 @@
 		return serverReply{code: honeyplank.Rejected, feedback: feedback}
 	}
 	if !strings.HasPrefix(text, "ERR") {
-		s.log.Warn().Str("osd", string(a.server.id)).Str("answer", text).Msg("command refused by disk server")
+		s.log.Warn().
+			Str("server", string(a.server.id)).
+			Str("answer", text).
+			Msg("disk server rejected a command as malformed")
 	}
 	return serverReply{code: honeyplank.Failed, feedback: feedback}
 }
 
-// parseProbeReply reads a load report.
-func (a *attempt) parseProbeReply(value *resp.Value) (serverReply, error) {
+// parseHealthReply parses the answer to a health check, a load report.
+func (a *attempt) parseHealthReply(value *resp.Value) (serverReply, error) {
 	if value.Kind != resp.Bulk || value.Null {
 		return serverReply{}, errMalformedReply
 	}
@@ -113,7 +116,7 @@
 	return serverReply{code: honeyplank.Succeeded, feedback: inflight.Feedback{Load: load}}, nil
 }
 
-// parseDispatchReply reads an array of the op's data, figures on its quota and a load report. The data has to be there.
+// parseDispatchReply parses an array of the op's data, the quota usage and a load report. Only the data is required.
 func (a *attempt) parseDispatchReply(value *resp.Value) (serverReply, error) {
 	if value.Kind != resp.Array || len(value.List) == 0 || value.List[0].Kind != resp.Bulk || value.List[0].Null {
 		return serverReply{}, errMalformedReply
@@ -128,7 +131,7 @@
 	return reply, nil
 }
 
-// parsePairs reads names and values, as util=0.61,latency_ms=12; what cannot be read is left out.
+// parsePairs parses names and values, as util=0.61,latency_ms=12; unreadable pairs are left out.
 func parsePairs(text string) map[string]float64 {
 	pairs := map[string]float64{}
 	for _, pair := range strings.Split(text, ",") {
@@ -140,7 +143,7 @@
 	return pairs
 }
 
-// parseLoadReport reads a load report by the module's names; nil: it lacks one of the fields that the settings name.
+// parseLoadReport parses a load report into the module's names; nil: one of the settings' fields is missing.
 func parseLoadReport(text string, fields []string) map[string]float64 {
 	pairs, load := parsePairs(text), map[string]float64{}
 	for _, field := range fields {
@@ -153,7 +156,7 @@
 	return load
 }
 
-// parseUsage reads the figures on a volume's quota, in the units of inflight.Feedback; figures that are missing are 0.
+// parseUsage parses the usage of a volume's quota, in the units of inflight.Feedback; missing figures are 0.
 func parseUsage(text string) (quotaUsed int, servedElsewhere float64) {
 	pairs := parsePairs(text)
 	return int(min(pairs["used"], maxQuotaUsed)), pairs["cost"]
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -17,38 +17,43 @@
 	"honeyplank/resp"
 )
 
-// Arguments of BLK.READ and BLK.WRITE: COMMAND KEY ID NAME=VALUE,... [BODY].
+// Positions of the arguments of BLK.READ and BLK.WRITE: COMMAND KEY ID NAME=VALUE,... [BODY].
 const (
 	keyArg = iota + 1
 	idArg
 	optionsArg
-	bodyArg // of BLK.WRITE alone
+	bodyArg // of BLK.WRITE only
+)
 
+const (
 	keyDigits       = 16   // hexadecimal digits of a key
 	maxIDBytes      = 64   // of an op's id
-	maxOptionsBytes = 1024 // of the list of names and values
-	maxTimeoutMS    = 1e9  // that a client may name
+	maxOptionsBytes = 1024 // of the options, the list of names and values
+	maxTimeoutMS    = 1e9  // of a command
 	maxUnits        = 1e6  // of an op's size
 )
 
-// requiredOptions are the names that the list of names and values has to hold.
+// requiredOptions are the names that the options have to contain.
 var requiredOptions = []string{"c", "t", "d", "volume", "units", "shard", "hosts"}
 
 var errDuplicateID = errors.New("the id is that of an open request")
 
-// request is a command of a client, to which one reply is sent.
+// request is a command of a client, which gets one reply. For the tracker it is the client of its op.
 type request struct {
 	client  *client
 	id      honeyplank.OpID
 	args    [][]byte // nil once it has its reply
 	options string   // the list of names and values
-	// The value of d, the timeout, lies between these offsets of options: disk servers get another.
+
+	// The value of option d, the timeout, lies between these offsets of options. It is replaced for disk servers.
 	timeoutStart, timeoutEnd int
-	reply                    []byte
-	done                     bool // reply is complete
+
+	reply []byte
+	done  bool // reply is complete
 }
 
-// handleCommand replies to a command or admits it as an op. It has arrived after received, a time of the loop.
+// handleCommand replies to a command or admits it as an op. It was received no earlier than received, a time of the
+// loop.
 func (c *client) handleCommand(received time.Duration, list []resp.Value) {
 	args := make([][]byte, len(list))
 	for i, v := range list {
@@ -56,7 +61,7 @@
 	}
 	r := &request{client: c, args: args}
 	c.pending = append(c.pending, r)
-	if c.scheduler.intakeClosed { // it was read before the intake was closed
+	if c.scheduler.intakeClosed { // it was buffered when the intake was closed
 		r.reply, r.done = resp.AppendError(nil, "BUSY"), true
 		return
 	}
@@ -69,16 +74,16 @@
 		r.respond(resp.AppendBulk(nil, args[1]))
 	case name == "CLIENT" || name == "SELECT":
 		r.respond(resp.AppendSimple(nil, "OK"))
-	case name == "QUIT": // commands before it are answered before it
+	case name == "QUIT": // its reply comes behind those of earlier commands
 		c.closing, c.quitRequested = true, true
-		c.conn.Pause() // commands behind it are not read: the client may send them again
+		c.conn.Pause() // later commands stay unread: the client may send them again
 		r.respond(resp.AppendSimple(nil, "OK"))
 	default:
 		r.respond(resp.AppendError(nil, fmt.Sprintf("ERR unknown command %.32q", args[0])))
 	}
 }
 
-// admit hands the command to the tracker as an op; one that cannot be used gets an error.
+// admit hands the command to the tracker as an op, or replies with an error if it is malformed.
 func (r *request) admit(received time.Duration) {
 	c := r.client
 	op, err := r.parseOp(received)
@@ -87,7 +92,7 @@
 	}
 	if err != nil {
 		c.scheduler.errorReplies++
-		c.scheduler.log.Debug().Err(err).Msg("a command is answered with an error")
+		c.scheduler.log.Debug().Err(err).Msg("client command rejected as malformed")
 		r.respond(resp.AppendError(nil, "ERR "+err.Error()))
 		return
 	}
@@ -97,7 +102,7 @@
 	}
 }
 
-// respond sends a reply, behind those due before it.
+// respond sends a reply, behind those of earlier commands.
 func (r *request) respond(reply []byte) {
 	if r.done {
 		return
@@ -107,19 +112,22 @@
 	r.client.flushReplies()
 }
 
+// Succeeded replies with the data of the op.
 func (r *request) Succeeded(data []byte) { r.respond(resp.AppendBulk(nil, data)) }
 
+// Failed replies that the op may have run or not.
 func (r *request) Failed() { r.respond(resp.AppendError(nil, "ERR failed")) }
 
-func (r *request) Rejected(after time.Duration) {
+// Rejected replies that the op has not run, with a Retry-After unless that is 0.
+func (r *request) Rejected(retryAfter time.Duration) {
 	text := "BUSY"
-	if ms := (after + time.Millisecond - 1) / time.Millisecond; ms > 0 {
+	if ms := (retryAfter + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 		text += " " + strconv.FormatInt(int64(ms), 10)
 	}
 	r.respond(resp.AppendError(nil, text))
 }
 
-// parseOp reads the op that the command asks for. Its timeout counts from received.
+// parseOp parses the op. Its timeout counts from received.
 func (r *request) parseOp(received time.Duration) (op honeyplank.Op, err error) {
 	op.Write = string(r.args[0]) == "BLK.WRITE"
 	expected := bodyArg
@@ -149,7 +157,7 @@
 	return op, nil
 }
 
-// parseOptions reads the list of names and values, NAME=VALUE,NAME=VALUE..., into op.
+// parseOptions parses the options, NAME=VALUE,NAME=VALUE..., into op.
 func (r *request) parseOptions(op *honeyplank.Op, received time.Duration) error {
 	seen := map[string]bool{}
 	for start := 0; start <= len(r.options); {
@@ -175,7 +183,7 @@
 	return nil
 }
 
-// parseOption reads one value into op; names that are not known are left to the disk servers.
+// parseOption parses one option into op. Unknown names are left to the disk servers.
 func (r *request) parseOption(op *honeyplank.Op, received time.Duration, name, value string) (err error) {
 	site := r.client.scheduler.site()
 	switch name {
@@ -201,17 +209,17 @@
 	return err
 }
 
-// maxOpTime is how long an op of a type may take at most, whatever timeout its client names: a multiple of the settings' op
-// timeout. It guards against dispatches without an answer that would hold a connection and a place for ever, and could
-// harm a client that does wait for longer.
+// maxOpTime is the longest timeout of an op of a type, a multiple of the settings' op timeout. It guards against
+// dispatches without an answer that would hold a connection and capacity for ever; a client with a longer timeout gets
+// its answer early.
 func maxOpTime(site *simwire.Site, opType int) time.Duration {
 	if timeouts := site.Settings.OpTypes.OpTimeout; timeouts[opType] > 0 {
 		return maxDeadlineFactor * timeouts[opType]
 	}
-	return math.MaxInt64 / 2 // so that a time of the loop may be added
+	return math.MaxInt64 / 2 // a time of the loop can be added without an overflow
 }
 
-// parseHex16 reads a number of 16 hexadecimal digits.
+// parseHex16 parses a number of 16 hexadecimal digits.
 func parseHex16(name string, text []byte) (int64, error) {
 	var decoded [keyDigits / 2]byte
 	if len(text) != keyDigits {
@@ -223,34 +231,33 @@
 	return int64(binary.BigEndian.Uint64(decoded[:])), nil
 }
 
-// indexOf gives the position of a name; what says what the names are of.
-func indexOf(what string, names []string, value string) (int, error) {
-	if i := slices.Index(names, value); i >= 0 {
+// indexOf returns the position of a name. The kind of the names is for the error.
+func indexOf(kind string, names []string, name string) (int, error) {
+	if i := slices.Index(names, name); i >= 0 {
 		return i, nil
 	}
-	return 0, fmt.Errorf("%s %.32q is unknown", what, value)
+	return 0, fmt.Errorf("%s %.32q is unknown", kind, name)
 }
 
-// parseInteger reads a whole number from least on.
-func parseInteger(name, value string, least int) (int, error) {
+// parseInteger parses a whole number from minimum on.
+func parseInteger(name, value string, minimum int) (int, error) {
 	n, err := strconv.Atoi(value)
-	if err != nil || n < least {
-		return n, fmt.Errorf("%s is %.32q, expected a number from %d", name, value, least)
+	if err != nil || n < minimum {
+		return n, fmt.Errorf("%s is %.32q, expected a number from %d", name, value, minimum)
 	}
 	return n, nil
 }
 
-// parseDecimal reads a number above 0 and up to most, of digits and a point alone.
-func parseDecimal(name, value string, most float64) (float64, error) {
+// parseDecimal parses a number above 0 and up to maximum, of digits and a point alone.
+func parseDecimal(name, value string, maximum float64) (float64, error) {
 	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || strings.Trim(value, "0123456789.") != "" || !(x > 0 && x <= most) {
+	if err != nil || strings.Trim(value, "0123456789.") != "" || !(x > 0 && x <= maximum) {
 		return 0, fmt.Errorf("%s is %.32q, expected a number above 0", name, value)
 	}
 	return x, nil
 }
 
-// appendCommand appends the command as a disk server is to get it: as it came, but for the timeout, of which timeLeft
-// remains.
+// appendCommand appends the command for a disk server: as it came, with the timeout replaced by timeLeft.
 func (r *request) appendCommand(out []byte, timeLeft time.Duration) []byte {
 	ms := max(timeLeft.Milliseconds(), 1)
 	options := r.options[:r.timeoutStart] + strconv.FormatInt(ms, 10) + r.options[r.timeoutEnd:]
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,9 +1,11 @@
-// Package scheduler is honeyplank as one scheduler of the operators' platform. It serves clients and calls disk servers in
-// RESP2, receives the endpoint list from discovery, exchanges datagrams with its peers and is configured by one file.
+// Package scheduler runs honeyplank as one scheduler of the operators' platform. It serves clients and calls disk
+// servers in RESP2, receives the endpoint list from discovery, exchanges gossip datagrams with its peers and is
+// configured by one file.
 //
-// It reports what happens to the tracker of package inflight and executes the actions of the decision module; it makes no
-// decision on ops itself. All state belongs to one event loop: other goroutines, such as those that call discovery, hand
-// their results to it by Post.
+// It reports what happens to the tracker of package inflight and executes the actions of the decision module; it makes
+// no decision on ops itself. All state belongs to one event loop, which Serve runs on the goroutine of its caller.
+// Other goroutines, such as those that call discovery, hand their results to the loop by Post. Command honeyplank makes
+// the scheduler and calls Shutdown and Reload on signals.
 package scheduler
 
 import (
@@ -23,51 +25,52 @@
 	"honeyplank/policy"
 )
 
-// Scheduler is one running scheduler. Serve, Shutdown and Reload may be called from any goroutine; all else runs on its loop.
+// Scheduler is one running scheduler. Serve, Shutdown and Reload may be called from any goroutine; all else runs on its
+// event loop.
 type Scheduler struct {
 	config   *Config
 	log      zerolog.Logger
 	loop     *eventloop.Loop
 	tracker  *inflight.Tracker
 	listener *eventloop.Listener
-	peers    *eventloop.UDPConn // nil: there are no messages of peers
+	peers    *eventloop.UDPConn // nil: no gossip
 	clients  map[*client]bool
 	servers  map[honeyplank.ServerID]*diskServer
 
 	revisionGuard revisionGuard
 	starts        startTracker
-	wallClock     func() time.Time   // may be set to another time at any moment
-	stopWatch     context.CancelFunc // nil: there is no watch
+	wallClock     func() time.Time   // may be stepped at any moment
+	cancelWatch   context.CancelFunc // nil: there is no watch
 
-	// idleServerConns are the idle connections to all disk servers, and peerOrdinals the positions of each address among the
-	// configured peers: what recurs costs the same in a small and in a large fleet.
+	// idleServerConns are the idle connections to all disk servers, and peerOrdinals the positions of each address
+	// among the configured peers: recurring steps cost the same in a small and in a large fleet.
 	idleServerConns idleConnList
 	peerOrdinals    map[netip.AddrPort][]int
 	visited         visitCounts
 
 	serverConnCount  int // open connections to disk servers
-	failedDials      int // in a row that this machine could not begin
-	clientConnCount  int // open connections of clients, those that are closing too
-	activeClients    int // connections of clients that have brought an op
+	failedDials      int // consecutive dials that this machine could not begin
+	clientConnCount  int // open connections of clients, closing ones included
+	activeClients    int // connections of clients that have sent an op
 	throttledClients int // connections of clients that are throttled
-	errorReplies     int // commands answered with an error
+	errorReplies     int // commands rejected as malformed
 	protocolErrors   int // connections whose input did not follow the protocol
 	rejectedConns    int // connections of clients for which there was no descriptor
 	countersLoggedAt time.Duration
 
 	shuttingDown bool
-	graceElapsed bool // no more clients are expected
+	graceElapsed bool // no more clients connect
 	intakeClosed bool // no more ops are admitted
 	stopping     bool // the loop is about to stop
 	shutdown     shutdownPlan
 }
 
-// visitCounts are how many entries were looked at by steps that recur, so that a test can compare the work in a small
-// fleet with that in a large one.
+// visitCounts counts the entries that recurring steps visit, so that a test can compare the work in a small fleet with
+// that in a large one.
 type visitCounts struct{ idleConns, peers, members int }
 
 const (
-	// reservedDescriptors are kept for the listener, the loop, discovery and files; clients and disk servers share the rest.
+	// reservedDescriptors are for the listener, the loop, discovery and files; clients and disk servers share the rest.
 	reservedDescriptors   = 24
 	clientDescriptorShare = 0.6
 	serverDescriptorShare = 0.4
@@ -75,21 +78,21 @@
 	housekeepingInterval = 250 * time.Millisecond
 	counterInterval      = 5 * time.Second // between two log lines with the counters
 
-	// Where descriptors or memory are short at the start, it is repeated after listenRetryDelay, for listenRetryFor.
+	// Listening is retried every listenRetryDelay for listenRetryFor while descriptors or memory are short.
 	listenRetryDelay = 50 * time.Millisecond
 	listenRetryFor   = 5 * time.Second
 )
 
-// site gives the settings of the deployment.
+// site returns the settings of the deployment.
 func (s *Scheduler) site() *simwire.Site { return s.config.Site }
 
-// descriptorQuota gives how many descriptors a share of those that are not reserved is.
+// descriptorQuota returns how many descriptors a share of the unreserved ones is.
 func (s *Scheduler) descriptorQuota(share float64) int {
 	return int(share * float64(s.config.Sockets-reservedDescriptors))
 }
 
-// New makes a scheduler and listens for clients and peers; where descriptors or memory are short it tries for some
-// seconds. Nothing is served before Serve.
+// New makes a scheduler and listens for clients and peers. It retries for some seconds while descriptors or memory are
+// short. Nothing is served before Serve.
 func New(config *Config, log zerolog.Logger) (*Scheduler, error) {
 	return newWithModule(config, policy.New(config.Seed, config.Site.Settings), log)
 }
@@ -104,11 +107,11 @@
 		if err == nil || !isTransient(err) || time.Since(begun) > listenRetryFor {
 			return s, err
 		}
-		log.Warn().Err(err).Msg("cannot listen yet")
+		log.Warn().Err(err).Msg("cannot listen, retrying")
 	}
 }
 
-// isTransient reports whether an error says that the machine lacks something which may be free again soon.
+// isTransient reports whether an error says that the machine lacks a resource which may soon be free again.
 func isTransient(err error) bool {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
 		if errors.Is(err, errno) {
@@ -119,7 +122,9 @@
 }
 
 // listen makes a scheduler and opens its sockets.
-func listen(config *Config, module honeyplank.DecisionModule, log zerolog.Logger, origin time.Duration) (*Scheduler, error) {
+func listen(
+	config *Config, module honeyplank.DecisionModule, log zerolog.Logger, origin time.Duration,
+) (*Scheduler, error) {
 	loop, err := eventloop.New(origin)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
@@ -138,12 +143,13 @@
 	s.tracker.OnIdle = s.stopIfIdle
 	if err := s.openSockets(); err != nil {
 		loop.Stop()
-		loop.Run() // closes what is open
+		_ = loop.Run() // closes the sockets; the first error is the one to return
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
 	return s, nil
 }
 
+// openSockets listens for clients and, if there is gossip, for peers.
 func (s *Scheduler) openSockets() (err error) {
 	if s.listener, err = s.loop.Listen(s.config.Listen, s.accept); err != nil {
 		return err
@@ -154,28 +160,32 @@
 	return err
 }
 
-// Address is the address for clients.
+// Address returns the address on which the scheduler listens for clients.
 func (s *Scheduler) Address() string { return s.listener.Address() }
 
-// Serve runs the scheduler until Shutdown has ended it. It begins with the cached list and follows discovery from there.
+// Serve runs the scheduler until Shutdown has ended it. It begins with the cached list and follows discovery from
+// there.
 func (s *Scheduler) Serve() error {
-	s.loop.Post(func() {
-		list := &listMessage{}
-		if len(s.config.CachedList) > 0 {
-			list, _, _ = readList(s.config.CachedList) // it has been checked with the configuration
-		}
-		s.revisionGuard.revision = list.Revision
-		s.applyList(list, honeyplank.Cached, s.loop.Now())
-		if !s.site().WatchOnRequest {
-			s.setWatch(true)
-		}
-		s.housekeep()
-	})
-	defer s.setWatch(false) // the loop has ended, and with it what else may use the watch
+	s.loop.Post(s.start)
+	defer s.stopWatch() // nothing else uses the watch once the loop has ended
 	return s.loop.Run()
 }
 
-// housekeep closes idle connections and logs the counters, again and again.
+// start applies the cached list, starts the watch unless the module asks for it, and begins housekeeping.
+func (s *Scheduler) start() {
+	list := &listMessage{}
+	if len(s.config.CachedList) > 0 {
+		list, _, _ = readList(s.config.CachedList) // ReadConfig has checked it
+	}
+	s.revisionGuard.revision = list.Revision
+	s.applyList(list, honeyplank.Cached, s.loop.Now())
+	if !s.site().WatchOnRequest {
+		s.startWatch()
+	}
+	s.housekeep()
+}
+
+// housekeep closes idle connections and logs the counters, and schedules itself again.
 func (s *Scheduler) housekeep() {
 	s.closeIdleServerConns()
 	s.checkClients()
@@ -186,7 +196,7 @@
 	s.loop.Schedule(s.loop.Now()+housekeepingInterval, s.housekeep)
 }
 
-// logCounters logs how many ops, replies and connections there have been and are now.
+// logCounters logs how many ops, replies and connections there have been so far and are now.
 func (s *Scheduler) logCounters() {
 	counts := &s.tracker.Counts
 	s.log.Info().
@@ -208,27 +218,30 @@
 		Msg("counts")
 }
 
-// Reload applies a configuration that has been replaced: the address of discovery, the peers and the limits. The settings of
-// the deployment stay as they were at the start, since the decision module was made with them.
+// Reload applies a new configuration: the address of discovery, the peers and the limits. The settings of the
+// deployment stay as they were at the start, since the decision module was made with them.
 func (s *Scheduler) Reload(config *Config) {
 	s.loop.Post(func() {
-		moved := config.Discovery != s.config.Discovery
+		discoveryChanged := config.Discovery != s.config.Discovery
 		config.Site = s.config.Site
 		s.config = config
 		s.peerOrdinals = ordinalsByAddress(config.Peers)
-		if moved { // also where the former one has failed and a retry is due
-			s.setWatch(false)
-			s.setWatch(true)
+		if discoveryChanged { // also while a retry at the former address is due
+			s.stopWatch()
+			s.startWatch()
 		}
-		s.log.Info().Str("discovery", config.Discovery).Bool("moved", moved).Msg("configuration read anew")
+		s.log.Info().
+			Str("discovery", config.Discovery).
+			Bool("discovery_changed", discoveryChanged).
+			Msg("configuration reloaded")
 	})
 }
 
-// execute executes the actions of the module that the tracker does not: those that concern no op and no timer.
+// execute executes the actions of the module that the tracker leaves to it: those that concern no op and no timer.
 func (s *Scheduler) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.HealthCheck:
-		s.probe(a.Server)
+		s.checkHealth(a.Server)
 	case honeyplank.CloseIdle:
 		if ds := s.servers[a.Server]; ds != nil {
 			ds.closeIdleConns()
@@ -244,14 +257,18 @@
 	case honeyplank.LogEstimateIgnored:
 		s.log.Info().Str("server", string(a.Server)).Str("reason", a.Reason).Msg("saved estimate ignored")
 	case honeyplank.Watch:
-		s.setWatch(a.Enabled)
+		if a.Enabled {
+			s.startWatch()
+		} else {
+			s.stopWatch()
+		}
 	case honeyplank.Fetch:
 		s.fetch()
 	}
 }
 
-// probe asks a disk server for its load report.
-func (s *Scheduler) probe(id honeyplank.ServerID) {
+// checkHealth starts a health check, which asks a disk server for its load report.
+func (s *Scheduler) checkHealth(id honeyplank.ServerID) {
 	ds := s.servers[id]
 	if ds == nil || !s.site().HealthChecks {
 		s.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: honeyplank.NotSent})
@@ -261,7 +278,11 @@
 	a.timer = s.loop.Schedule(a.started+s.site().ConnectTimeout, func() {
 		if !a.finished {
 			a.cancel()
-			s.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: honeyplank.TimedOut, Elapsed: s.loop.Now() - a.started})
+			s.tracker.Deliver(honeyplank.HealthCheckResult{
+				Server:  id,
+				Code:    honeyplank.TimedOut,
+				Elapsed: s.loop.Now() - a.started,
+			})
 		}
 	})
 	ds.assignConn(a)
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// A command names the time that its client has left, and may be 0.15 s late with it. Unsent bytes older than
-	// maxEncodedAge are encoded anew. Those of a command of which a part is written cannot be: it is withdrawn when they
-	// are older than maxPartialAge, since there may be a hold-up before the rest is written.
+	// A command names the time left until its deadline, and may arrive maxHoldUp later. Unsent commands older than
+	// maxEncodedAge are encoded again. One that is partly written cannot be: it is withdrawn when it is older than
+	// maxPartialAge, since there may be a hold-up before the rest is written.
 	maxEncodedAge = 5 * time.Millisecond
 	maxPartialAge = 100 * time.Millisecond
 )
@@ -23,10 +23,10 @@
 	server        *diskServer
 	conn          *eventloop.Conn // nil: closed
 	connected     bool
-	retiring      bool       // takes no more attempts and closes once nobody waits for what it carries
+	retiring      bool       // takes no more attempts and closes once nobody waits for those in flight
 	inFlight      []*attempt // in the order written, which is that of the answers
 	reader        resp.Reader
-	appendedBytes uint64        // bytes ever appended to the output, less those that were withdrawn
+	appendedBytes uint64        // bytes ever appended to the output, less the withdrawn ones
 	finalWritten  uint64        // writtenBytes at the close
 	idleSince     time.Duration // when inFlight became empty
 	idleLinks     idleLinks
@@ -34,13 +34,13 @@
 }
 
 var (
-	errConnectTimeout = errors.New("the connection does not come up")
-	errUnexpectedData = errors.New("more has come than was asked for")
-	errServerClosed   = errors.New("the disk server ended it")
+	errConnectTimeout = errors.New("connect timeout")
+	errUnexpectedData = errors.New("unexpected data: no command is in flight")
+	errServerClosed   = errors.New("closed by the disk server")
 )
 
-// writtenBytes is how many bytes the system has taken, as a position in all that was appended. It stays after the close:
-// while the outcomes of what the connection carried are reported one by one, the tracker asks for that of others.
+// writtenBytes is how many bytes the kernel has taken, as a position in the output. It stays valid after the close:
+// while the outcomes of the attempts in flight are reported one by one, the tracker calls Written for others.
 func (sc *serverConn) writtenBytes() uint64 {
 	if sc.conn == nil {
 		return sc.finalWritten
@@ -48,7 +48,7 @@
 	return sc.appendedBytes - uint64(sc.conn.UnsentBytes())
 }
 
-// Opened is called when the connection is up: it takes attempts that wait for one.
+// Opened is called when the connection is open: it takes waiting attempts.
 func (sc *serverConn) Opened(*eventloop.Conn) {
 	ds := sc.server
 	ds.scheduler.loop.Cancel(sc.connectTimer)
@@ -63,8 +63,8 @@
 	}
 }
 
-// takesWaiter reports whether a new connection is to take one more attempt: the first, and others for which no connection
-// is being opened.
+// takesWaiter reports whether a new connection takes one more waiting attempt: the first, and others for which no
+// connection is being opened.
 func (sc *serverConn) takesWaiter() bool {
 	ds := sc.server
 	return len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().StreamsPerConn
@@ -78,7 +78,7 @@
 	sc.conn.Send()
 }
 
-// encode appends the command of an attempt to the output, with the time that is left to it now.
+// encode appends the command of an attempt to the output, with the time that is left until its deadline.
 func (sc *serverConn) encode(a *attempt) {
 	a.encodedAt = sc.server.scheduler.loop.Now()
 	before := len(sc.conn.Output)
@@ -92,9 +92,8 @@
 	a.endByte = sc.appendedBytes
 }
 
-// refreshDeadlines is called before output is written. It encodes commands anew that were encoded some time ago, since a
-// disk server that does not read, or a hold-up, may have kept them, and withdraws one that is partly written if the time that
-// it names is off by too much.
+// refreshDeadlines is called before output is written. It encodes old commands again, which a disk server that does not
+// read, or a hold-up, has delayed, and withdraws a partly written one if the time that it names is too inaccurate.
 func (sc *serverConn) refreshDeadlines() {
 	now := sc.server.scheduler.loop.Now()
 	written := sc.writtenBytes()
@@ -113,12 +112,12 @@
 	sc.encodeAgain(sc.inFlight[firstUnsent:], now)
 }
 
-// encodeAgain replaces the bytes of attempts of which nothing is written, if they are too old.
+// encodeAgain encodes the commands of attempts of which nothing is written again, if they are too old.
 func (sc *serverConn) encodeAgain(unsent []*attempt, now time.Duration) {
 	if len(unsent) == 0 || now-unsent[0].encodedAt <= maxEncodedAge {
 		return
 	}
-	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // it is about to be withdrawn, and its command is not held any more
+	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // its command is released, and about to be withdrawn
 		return
 	}
 	start := unsent[0].firstByte
@@ -129,8 +128,8 @@
 	}
 }
 
-// withdraw takes back an attempt whose last byte is not written, so that its command never arrives whole. It guards against
-// commands that run although they were reported as never sent, once the disk server reads on.
+// withdraw takes back an attempt whose last byte is not written, so that its command never arrives whole. It guards
+// against commands that run although they were reported as not sent, once the disk server resumes reading.
 func (sc *serverConn) withdraw(a *attempt) {
 	if a.firstByte >= sc.writtenBytes() {
 		sc.withdrawUnsent(a)
@@ -157,8 +156,8 @@
 	}
 }
 
-// withdrawPartial takes back an attempt of which a part is written. Nothing more may be written then, and the attempts
-// behind it go to other connections.
+// withdrawPartial takes back an attempt of which a part is written. The connection must not be written to any more, and
+// the attempts behind it move to other connections.
 func (sc *serverConn) withdrawPartial(a *attempt) {
 	i := slices.Index(sc.inFlight, a)
 	behind := slices.Clone(sc.inFlight[i+1:])
@@ -174,7 +173,7 @@
 	}
 }
 
-// release is called when the connection carries nothing any more.
+// release is called when nothing is in flight any more.
 func (sc *serverConn) release() {
 	sc.inFlight = nil
 	if sc.retiring {
@@ -184,7 +183,7 @@
 	}
 }
 
-// markIdle puts the connection among the idle ones.
+// markIdle adds the connection to the idle ones.
 func (sc *serverConn) markIdle() {
 	ds := sc.server
 	sc.idleSince = ds.scheduler.loop.Now()
@@ -193,7 +192,7 @@
 	ds.scheduleWaiters()
 }
 
-// closeIfAbandoned closes a connection that takes no more attempts once nobody waits for those that it carries.
+// closeIfAbandoned closes a retiring connection if nobody waits for the attempts in flight.
 func (sc *serverConn) closeIfAbandoned() {
 	if !sc.retiring {
 		return
@@ -206,28 +205,28 @@
 	sc.close()
 }
 
-// Closed is called when the connection broke, was ended by the disk server or never came up.
+// Closed is called when the connection broke, was closed by the disk server or could not be opened.
 func (sc *serverConn) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
 		err = errServerClosed
 	}
 	if len(sc.inFlight) > 0 || !sc.connected {
-		sc.logEnd(err)
+		sc.logClose(err)
 	}
 	sc.failInFlight()
 }
 
-// failWith closes the connection for an error and fails what it carries.
+// failWith closes the connection for an error and fails the attempts in flight.
 func (sc *serverConn) failWith(err error) {
-	sc.logEnd(err)
+	sc.logClose(err)
 	sc.failInFlight()
 }
 
-// failMalformed closes the connection for an answer that cannot be read. The command that it is for may have run, and so may
+// failMalformed closes the connection for a malformed answer. The command that it answers may have run, and so may
 // those behind it.
 func (sc *serverConn) failMalformed(err error) {
 	inFlight := sc.inFlight
-	sc.logEnd(err)
+	sc.logClose(err)
 	sc.close()
 	inFlight[0].fail(honeyplank.Failed)
 	for _, a := range inFlight[1:] {
@@ -235,10 +234,10 @@
 	}
 }
 
-// failInFlight closes the connection and fails what it carries: commands that are written may have run.
+// failInFlight closes the connection and fails the attempts in flight: commands that are written may have run.
 func (sc *serverConn) failInFlight() {
 	inFlight, connected := sc.inFlight, sc.connected
-	codes := make([]honeyplank.Code, len(inFlight)) // before the close, which ends the count of written bytes
+	codes := make([]honeyplank.Code, len(inFlight)) // computed before the close, which ends the count of written bytes
 	for i, a := range inFlight {
 		if codes[i] = honeyplank.ConnectFailed; a.fullyWritten() {
 			codes[i] = honeyplank.Reset
@@ -253,13 +252,17 @@
 	}
 }
 
-func (sc *serverConn) logEnd(err error) {
-	sc.server.scheduler.log.Debug().Str("osd", string(sc.server.id)).Err(err).Int("in_flight", len(sc.inFlight)).Msg("connection ended")
+func (sc *serverConn) logClose(err error) {
+	sc.server.scheduler.log.Debug().
+		Str("server", string(sc.server.id)).
+		Err(err).
+		Int("in_flight", len(sc.inFlight)).
+		Msg("connection to disk server closed")
 }
 
-// close closes the connection and forgets it, without an outcome for what it carries. Bytes that the disk server's system has
-// not taken are dropped by a reset: it guards against commands that arrive after they were given up, once a disk server
-// that hangs reads on or a network that was cut is back.
+// close closes the connection and removes it from its server, without an outcome for the attempts in flight.
+// Unacknowledged bytes are discarded by a reset: it guards against commands that arrive after their attempts have
+// failed, once a disk server that hangs reads on or a broken network recovers.
 func (sc *serverConn) close() {
 	if sc.conn == nil {
 		return
@@ -285,7 +288,7 @@
 	}
 }
 
-// without takes a connection out of a list.
+// without removes a connection from a list.
 func without(conns []*serverConn, sc *serverConn) []*serverConn {
 	if i := slices.Index(conns, sc); i >= 0 {
 		return slices.Delete(conns, i, i+1)
