--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -10,8 +10,9 @@
 	"honeyplank"
 )
 
-// Windows of many instances add up past what a server serves in time (incidents i9adade, i340d5f): ops beyond the
-// reserve get less of the window as latency grows, and ops within it leave first.
+// TestReserveFirstOnSlowServers: windows of many instances add up past what a server serves in time
+// (incidents i9adade, i340d5f): ops beyond the reserve get less of the window as latency grows, and ops
+// within it are dispatched first.
 func TestReserveFirstOnSlowServers(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("spare", 0, 8, 2, 0)
@@ -22,7 +23,7 @@
 	engine.setServerLatency(server, 0.025)
 	fleet.endDispatch(fleet.ops["full0"], honeyplank.Succeeded)
 	if len(fleet.ops["reserved0"].dispatched) != 1 || len(fleet.ops["spare0"].dispatched) != 0 {
-		t.Error("an op beyond its reserve left before one within")
+		t.Error("an op beyond its reserve was dispatched before one within")
 	}
 	engine.volumes[8].reserve, server.outstanding = 0, 1
 	engine.setServerLatency(server, 0.2)
@@ -31,23 +32,26 @@
 	}
 }
 
-// New objects leave the first server in rank where latency leaves no capacity.
+// TestNewObjectsLeaveSlowServers: new objects go elsewhere than to the first server in rank where its
+// latency leaves no capacity.
 func TestNewObjectsLeaveSlowServers(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
-	fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0))
-	var homes []honeyplank.ServerID
+	fleet.sendList(honeyplank.Cached, membersUpTo(3)...)
+	engine := fleet.instances[0]
+	var chosen []honeyplank.ServerID
 	for _, id := range []honeyplank.OpID{"a", "b", "c"} {
 		fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Timeout: time.Second, Volume: 5, Cell: honeyplank.NewObject})
-		homes = append(homes, fleet.ops[id].dispatched[0].server)
-		fleet.instances[0].setServerLatency(fleet.instances[0].servers[homes[0]], max(0.2*float64(len(homes)-1), 0.001))
+		chosen = append(chosen, fleet.ops[id].dispatched[0].server)
+		engine.setServerLatency(engine.servers[chosen[0]], max(0.2*float64(len(chosen)-1), 0.001))
 	}
-	if homes[0] != homes[1] || homes[0] == homes[2] {
-		t.Errorf("%v, of which the first was crowded before the last", homes)
+	if chosen[0] != chosen[1] || chosen[0] == chosen[2] {
+		t.Errorf("%v, of which the first was slow before the last", chosen)
 	}
 }
 
-// Where one op of each instance is more than a server serves in time (incident i65239e), ops beyond the reserve leave
-// by random admission, those of a volume that asks for more than others less often; with few instances one op always fits.
+// TestConcurrencyLimitBelowOne: where one op of each instance is more than a server serves in time
+// (incident i65239e), ops beyond the reserve are admitted at random, those of a volume with more demand
+// than others less often; with few instances one op always fits.
 func TestConcurrencyLimitBelowOne(t *testing.T) {
 	for instances, want := range map[int][]bool{3: {true, true, true}, 200: {false, true, false}} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -59,42 +63,54 @@
 			server.outstanding, server.bestPerUnit = 0, 0.02
 			engine.setTypicalLatency(0.2)
 			engine.setServerLatency(server, 0.2)
-			candidate := &op{Op: honeyplank.Op{Timeout: time.Second, Units: 1}, target: time.Second, volume: &volume{instances: 1}, admissionDraw: 0.5}
+			candidate := &op{
+				Op:            honeyplank.Op{Timeout: time.Second, Units: 1},
+				target:        time.Second,
+				volume:        &volume{instances: 1},
+				admissionDraw: 0.5,
+			}
 			got := []bool{engine.hasCapacity(server, candidate)}
-			for _, asked := range []float64{1, 4000} {
-				candidate.admissionDraw, candidate.queue = 0.01, &volumeQueue{demand: decayedRate{units: asked, time: 1}}
+			for _, demand := range []float64{1, 4000} {
+				candidate.admissionDraw = 0.01
+				candidate.queue = &volumeQueue{demand: decayedRate{units: demand, time: 1}}
 				got = append(got, engine.hasCapacity(server, candidate))
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%d instances: capacity for the median draw, a low one, a low one of a volume with high demand: %v", instances, got)
+				t.Errorf("capacity for the median draw, a low one, a low one of a volume with high demand: %v, want %v",
+					got, want)
 			}
 		})
 	}
 }
 
-// A client in a hurry is not one that has waited for long (thies-campus-later, rough-1): its op leaves at once.
+// TestShortClientTimeout: a client with a short timeout is not one that has waited for long: its op is
+// dispatched at once.
 func TestShortClientTimeout(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
-	fleet.admit("patient", 0, 8, 1, 0)
-	fleet.handle(0, honeyplank.Op{ID: "hurry", Units: 1, Timeout: fleet.now + 60*ms, Instances: 1, Volume: 7})
-	if candidate := fleet.instances[0].ops["hurry"]; candidate == nil || len(candidate.dispatches) != 1 || candidate.target != fleet.now+60*ms {
-		t.Errorf("%+v", candidate)
+	fleet.admit("usual", 0, 8, 1, 0)
+	fleet.handle(0, honeyplank.Op{ID: "short", Units: 1, Timeout: fleet.now + 60*ms, Instances: 1, Volume: 7})
+	short := fleet.instances[0].ops["short"]
+	if short == nil || len(short.dispatches) != 1 || short.target != fleet.now+60*ms {
+		t.Errorf("%+v", short)
 	}
 }
 
-// Where a server is crowded, an op with less time left than answers take is thinned by the square of what it lacks.
+// TestSuccessProbability: where a server is crowded, an op with less time left than answers take is
+// admitted with the square of the part of that time.
 func TestSuccessProbability(t *testing.T) {
 	engine := New(1, testSettings())
 	server := &server{}
 	engine.now = time.Second
 	engine.setTypicalLatency(0.4)
 	engine.setServerLatency(server, 0.4)
-	for left, want := range map[time.Duration]float64{time.Second: 1, 400 * ms: 1, 200 * ms: 0.25, 0: 0, -time.Second: 0} {
+	for left, want := range map[time.Duration]float64{
+		time.Second: 1, 400 * ms: 1, 200 * ms: 0.25, 0: 0, -time.Second: 0,
+	} {
 		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
-			in, gone := &op{target: engine.now + left}, &op{target: time.Hour}
-			in.Timeout, gone.Timeout = time.Hour, engine.now+left
-			for _, candidate := range []*op{in, gone} {
+			late := &op{Op: honeyplank.Op{Timeout: time.Hour}, target: engine.now + left}
+			gone := &op{Op: honeyplank.Op{Timeout: engine.now + left}, target: time.Hour}
+			for _, candidate := range []*op{late, gone} {
 				if got := engine.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
 					t.Errorf("%v left: %v, want %v", left, got, want)
 				}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -1,18 +1,14 @@
 package policy
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"honeyplank"
 )
 
-func member(i int, started time.Duration) honeyplank.Member {
-	return honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprint("osd", i)), Started: started, Cell: i, Zone: i % 2, Size: 1}
-}
-
-// The list must be asked for, and again after a failure, within the ask time.
+// TestWatchIsRenewed: the watch of the endpoint list is asked for, and again after a failure, within
+// the time that the settings state.
 func TestWatchIsRenewed(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.settings.Watch.OnRequest, fleet.settings.Watch.Within = true, time.Second
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand"
 	"testing"
@@ -10,113 +9,143 @@
 	"honeyplank"
 )
 
-// scheduledEvent is an event to come.
-type scheduledEvent struct {
-	at       time.Duration
-	sequence int
-	event    honeyplank.Event
-}
-
-type eventQueue []scheduledEvent
-
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
-}
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	old := *a
-	x := old[len(old)-1]
-	*a = old[:len(old)-1]
-	return x
-}
-
-// loadScenario is a fleet under a load of so many times what it serves: servers that serve 1,000 units a second each, one
-// op after another, and volumes whose ops come at random, to one scheduler. All is simulated.
+// loadScenario is one instance and a fleet under a load of so many times what it serves: servers that
+// serve 1,000 units a second each, one op after another, and volumes whose ops come at random. All is
+// simulated.
 type loadScenario struct {
 	servers, volumes int
 	load             float64
-	metered          bool // answers report what a volume is served everywhere
+	metered          bool // answers report what a volume is served through all instances
 	keyRuns          bool // ops have keys, and come as runs of them
 }
 
-// overload settings: one op type, one plan.
+// unitsPerSecond is what a server of a loadScenario serves, in units a second.
+const unitsPerSecond = 1000
+
+// settings have one op type and one plan.
 func (scenario loadScenario) settings() *honeyplank.Settings {
 	settings := testSettings()
-	settings.OpTypes.TargetLatency, settings.OpTypes.OpTimeout = []time.Duration{200 * ms}, []time.Duration{1200 * ms}
-	settings.OpTypes.Semantics, settings.OpTypes.DedupScope, settings.OpTypes.DedupWindow = []honeyplank.Semantics{0}, []honeyplank.DedupScope{0}, []time.Duration{0}
-	rate := 1000 * float64(scenario.servers) / float64(scenario.volumes)
-	settings.Plans.Rate, settings.Plans.Reserve, settings.MeanUnits, settings.LargestUnits = []float64{rate}, []float64{rate / 2}, 1.0, 4.0
+	settings.OpTypes.TargetLatency = []time.Duration{200 * ms}
+	settings.OpTypes.OpTimeout = []time.Duration{1200 * ms}
+	settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Idempotent}
+	settings.OpTypes.DedupScope = []honeyplank.DedupScope{honeyplank.ScopeAll}
+	settings.OpTypes.DedupWindow = []time.Duration{0}
+	rate := unitsPerSecond * float64(scenario.servers) / float64(scenario.volumes)
+	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate / 2}
+	settings.MeanUnits, settings.LargestUnits = 1, 4
 	settings.Usage.Period = time.Second
 	return settings
 }
 
-// play runs it for a span and hands each event to handle, which returns the actions.
-func (scenario loadScenario) play(seed int64, length time.Duration, handle func(time.Duration, honeyplank.Event) []honeyplank.Action) (ops int) {
-	rng := rand.New(rand.NewSource(seed))
-	var events eventQueue
-	sequence := 0
-	add := func(at time.Duration, event honeyplank.Event) {
-		sequence++
-		heap.Push(&events, scheduledEvent{at, sequence, event})
+// eventHandler handles an event at a time and returns the actions.
+type eventHandler func(now time.Duration, event honeyplank.Event) []honeyplank.Action
+
+// loadRun is a loadScenario on a clock of its own.
+type loadRun struct {
+	loadScenario
+	rng    *rand.Rand
+	handle eventHandler
+	now    time.Duration
+	events eventQueue
+	freeAt []time.Duration // by server: when it has served what was dispatched to it
+	open   map[honeyplank.OpID]*simulatedOp
+	ops    int // sent so far
+	nextOp time.Duration
+	key    int64 // of the run of keys
+}
+
+// simulatedOp is an op with the number of its dispatches.
+type simulatedOp struct {
+	honeyplank.Op
+	dispatches int
+}
+
+// play plays the scenario for a time and returns the number of ops.
+func (scenario loadScenario) play(seed int64, length time.Duration, handle eventHandler) int {
+	run := &loadRun{
+		loadScenario: scenario,
+		rng:          rand.New(rand.NewSource(seed)),
+		handle:       handle,
+		now:          time.Second,
+		freeAt:       make([]time.Duration, scenario.servers),
+		open:         map[honeyplank.OpID]*simulatedOp{},
+		nextOp:       time.Second,
 	}
-	now, free := time.Second, make([]time.Duration, scenario.servers)
-	var members []honeyplank.Member
-	for i := range scenario.servers {
-		members = append(members, member(i, 0))
+	run.events.add(run.now, honeyplank.List{Kind: honeyplank.Complete, Members: membersUpTo(scenario.servers)})
+	for end := run.now + length; run.now < end; {
+		for _, action := range run.handleNext() {
+			run.carryOut(action)
+		}
 	}
-	add(now, honeyplank.List{Kind: honeyplank.Complete, Members: members})
-	each := time.Duration(float64(time.Second) / (1000 * float64(scenario.servers) * scenario.load))
-	next, key := now, int64(0)
-	type taken struct {
-		honeyplank.Op
-		sends int
+	return run.ops
+}
+
+// handleNext has the next event or op handled, and returns the actions.
+func (run *loadRun) handleNext() []honeyplank.Action {
+	if run.events.empty() || run.nextOp < run.events.nextAt() {
+		run.now = run.nextOp
+		return run.handle(run.now, run.newOp())
 	}
-	open := map[honeyplank.OpID]*taken{}
-	for now < time.Second+length {
-		var event honeyplank.Event
-		if len(events) == 0 || next < events[0].at {
-			now = next
-			next += time.Duration(rng.ExpFloat64() * float64(each))
-			if rng.Intn(4) == 0 {
-				key = rng.Int63n(1000)
-			}
-			ops++
-			op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(ops)), Units: 1, Timeout: now + 1200*ms, Volume: int64(rng.Intn(scenario.volumes)), Cell: rng.Intn(scenario.servers), Instances: 1}
-			if scenario.keyRuns {
-				op.HasKey, op.Key, op.Units = true, key, float64(1+rng.Intn(3))
-			}
-			open[op.ID] = &taken{Op: op}
-			event = op
-		} else {
-			upcoming := heap.Pop(&events).(scheduledEvent)
-			now, event = upcoming.at, upcoming.event
-			if outcome, ok := event.(honeyplank.Outcome); ok {
-				delete(open, outcome.Op)
-			}
-		}
-		for _, action := range handle(now, event) {
-			switch action := action.(type) {
-			case honeyplank.Dispatch:
-				op := open[action.Op]
-				at := -1
-				fmt.Sscanf(string(action.Server), "osd%d", &at)
-				free[at] = max(free[at], now) + time.Duration(op.Units*float64(ms))
-				outcome := honeyplank.Outcome{Op: action.Op, Dispatch: op.sends, Server: action.Server, Code: honeyplank.Succeeded, Answered: true, Elapsed: free[at] - now}
-				if scenario.metered {
-					outcome.QuotaUsed = 1 + rng.Intn(150)
-				}
-				op.sends++
-				add(free[at], outcome)
-			case honeyplank.Reject:
-				delete(open, action.Op)
-			case honeyplank.SetTimer:
-				add(action.At, honeyplank.Timer{ID: action.ID})
-			}
-		}
+	next := run.events.next()
+	run.now = next.at
+	if outcome, ok := next.event.(honeyplank.Outcome); ok {
+		delete(run.open, outcome.Op)
+	}
+	return run.handle(run.now, next.event)
+}
+
+// newOp is the op that comes now.
+func (run *loadRun) newOp() honeyplank.Op {
+	interval := time.Duration(float64(time.Second) / (unitsPerSecond * float64(run.servers) * run.load))
+	run.nextOp += time.Duration(run.rng.ExpFloat64() * float64(interval))
+	if run.rng.Intn(4) == 0 {
+		run.key = run.rng.Int63n(1000)
+	}
+	run.ops++
+	op := honeyplank.Op{
+		ID:        honeyplank.OpID(fmt.Sprint(run.ops)),
+		Units:     1,
+		Timeout:   run.now + 1200*ms,
+		Volume:    int64(run.rng.Intn(run.volumes)),
+		Cell:      run.rng.Intn(run.servers),
+		Instances: 1,
+	}
+	if run.keyRuns {
+		op.HasKey, op.Key, op.Units = true, run.key, float64(1+run.rng.Intn(3))
+	}
+	run.open[op.ID] = &simulatedOp{Op: op}
+	return op
+}
+
+// carryOut carries out an action of the module.
+func (run *loadRun) carryOut(action honeyplank.Action) {
+	switch action := action.(type) {
+	case honeyplank.Dispatch:
+		run.dispatch(action)
+	case honeyplank.Reject:
+		delete(run.open, action.Op)
+	case honeyplank.SetTimer:
+		run.events.add(action.At, honeyplank.Timer{ID: action.ID})
+	}
+}
+
+// dispatch has a server answer an op once it has served what was dispatched to it before.
+func (run *loadRun) dispatch(action honeyplank.Dispatch) {
+	op, server := run.open[action.Op], memberNumber(action.Server)
+	run.freeAt[server] = max(run.freeAt[server], run.now) + time.Duration(op.Units*float64(time.Second/unitsPerSecond))
+	outcome := honeyplank.Outcome{
+		Op:       action.Op,
+		Dispatch: op.dispatches,
+		Server:   action.Server,
+		Code:     honeyplank.Succeeded,
+		Answered: true,
+		Elapsed:  run.freeAt[server] - run.now,
+	}
+	if run.metered {
+		outcome.QuotaUsed = 1 + run.rng.Intn(150)
 	}
-	return ops
+	op.dispatches++
+	run.events.add(run.freeAt[server], outcome)
 }
 
 // loadScenarios are those that the table of docs/cost.md shows.
@@ -132,35 +161,36 @@
 	"late meters":    {servers: 10, volumes: 100, load: 2, metered: true},
 }
 
-// BenchmarkLoadScenarios is the cost of an op in the module, handled events only, over half a second of each scenario.
+// BenchmarkLoadScenarios is the cost of an op in the module, that of Handle alone, over half a second of
+// each scenario.
 func BenchmarkLoadScenarios(b *testing.B) {
 	for name, scenario := range loadScenarios {
 		b.Run(name, func(b *testing.B) {
 			var spent time.Duration
-			ops, held, events := 0, 0, 0
+			ops, queued, events := 0, 0, 0
 			for b.Loop() {
 				engine := New(5, scenario.settings())
-				ops += scenario.play(5, 500*ms, func(now time.Duration, e honeyplank.Event) []honeyplank.Action {
+				ops += scenario.play(5, 500*ms, func(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 					began := time.Now()
-					out := engine.Handle(now, e)
+					actions := engine.Handle(now, event)
 					spent += time.Since(began)
 					if events++; events%1000 == 0 {
-						held = max(held, engine.queuedOps())
+						queued = max(queued, engine.queuedOps())
 					}
-					return out
+					return actions
 				})
 			}
 			b.ReportMetric(float64(spent.Microseconds())/float64(ops), "us/op")
-			b.ReportMetric(float64(held), "held")
+			b.ReportMetric(float64(queued), "queued")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// queuedOps is how many ops are held.
-func (e *Engine) queuedOps() (n int) {
-	for p := e.firstQueued; p != nil; p = p.nextQueued {
-		n++
+// queuedOps is the number of queued ops.
+func (e *Engine) queuedOps() (count int) {
+	for op := e.firstQueued; op != nil; op = op.nextQueued {
+		count++
 	}
-	return n
+	return count
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -10,96 +10,71 @@
 	"honeyplank"
 )
 
-// randomSettings draws settings, also such as no site has today.
+// randomSettings draws settings, also such as no deployment has.
 func randomSettings(rng *rand.Rand) *honeyplank.Settings {
 	settings := testSettings()
-	settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Semantics(rng.Intn(3)), honeyplank.Semantics(rng.Intn(3))}
-	settings.OpTypes.DedupScope = []honeyplank.DedupScope{honeyplank.DedupScope(rng.Intn(3)), honeyplank.DedupScope(rng.Intn(3))}
-	settings.OpTypes.Ordered = []bool{rng.Intn(2) == 0, rng.Intn(2) == 0}
-	settings.OpTypes.DedupWindow = []time.Duration{time.Duration(rng.Intn(600)) * ms, time.Second}
+	opTypes := &settings.OpTypes
+	opTypes.Semantics = []honeyplank.Semantics{honeyplank.Semantics(rng.Intn(3)), honeyplank.Semantics(rng.Intn(3))}
+	opTypes.DedupScope = []honeyplank.DedupScope{honeyplank.DedupScope(rng.Intn(3)), honeyplank.DedupScope(rng.Intn(3))}
+	opTypes.Ordered = []bool{rng.Intn(2) == 0, rng.Intn(2) == 0}
+	opTypes.DedupWindow = []time.Duration{time.Duration(rng.Intn(600)) * ms, time.Second}
 	settings.Dispatches.HedgingAllowed, settings.Dispatches.Max = rng.Intn(2) == 0, rng.Intn(5)
 	settings.Dispatches.CancelAllowed = rng.Intn(4) > 0
 	settings.Instances, settings.OrderSettle = 1+rng.Intn(3), time.Duration(rng.Intn(150))*ms
 	if rng.Intn(2) == 0 {
-		settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: float64(rng.Intn(3)), Share: 0.1, Window: 500 * ms}
+		free := float64(rng.Intn(3))
+		settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: free, Share: 0.1, Window: 500 * ms}
 	}
 	settings.Plans.Limit, settings.Plans.Burst = []float64{float64(30 * rng.Intn(2))}, []float64{36}
 	settings.Dispatches.ConnectTimeout = time.Duration(rng.Intn(2)*rng.Intn(300)) * ms
-	settings.SlowStart.From, settings.SlowStart.Units, settings.SlowStart.Time, settings.SlowStart.Window = 0.2, 20.0, 2*time.Second, 300*ms
+	settings.SlowStart = honeyplank.SlowStartSettings{From: 0.2, Units: 20, Time: 2 * time.Second, Window: 300 * ms}
 	settings.Watch.OnRequest, settings.Watch.Within = rng.Intn(2) == 0, time.Second
 	settings.RetryAfter.Allowed, settings.RetryAfter.Max = rng.Intn(2) == 0, 500*ms
 	settings.Usage.Period = time.Duration(rng.Intn(2)) * time.Second
 	settings.Usage.Elsewhere = settings.RetryAfter.Allowed
-	odd := []func(){
-		func() { settings.OpTypes.TargetLatency = nil }, func() { settings.OpTypes.Utility = nil }, func() { settings.Plans.Weight = nil },
-		func() { settings.Plans.Reserve = nil }, func() { settings.Plans.Rate = nil }, func() { settings.LargestUnits = 0 },
-		func() { settings.OpTypes.Semantics = nil }, func() { settings.Instances = 0 },
-	}
-	for i := range rng.Intn(2) * rng.Intn(4) { // odd but legal: absent
-		odd[(i+rng.Intn(8))%8]()
-	}
+	dropSettings(rng, settings)
 	if rng.Intn(4) == 0 {
-		settings.Plans.Weight, settings.OpTypes.TargetLatency = []float64{0}, []time.Duration{0, 0}
+		settings.Plans.Weight, opTypes.TargetLatency = []float64{0}, []time.Duration{0, 0}
 	}
 	return settings
 }
 
-// FuzzRules plays generated days to several instances and holds every action to the model. At each step the
-// module and the model must also agree on what each held op may do.
+// dropSettings drops up to three settings, which the module must bear.
+func dropSettings(rng *rand.Rand, settings *honeyplank.Settings) {
+	drop := []func(){
+		func() { settings.OpTypes.TargetLatency = nil },
+		func() { settings.OpTypes.Utility = nil },
+		func() { settings.Plans.Weight = nil },
+		func() { settings.Plans.Reserve = nil },
+		func() { settings.Plans.Rate = nil },
+		func() { settings.LargestUnits = 0 },
+		func() { settings.OpTypes.Semantics = nil },
+		func() { settings.Instances = 0 },
+	}
+	for i := range rng.Intn(2) * rng.Intn(4) {
+		drop[(i+rng.Intn(len(drop)))%len(drop)]()
+	}
+}
+
+// fuzzedCodes are the codes by which dispatches of FuzzRules end, those of successes more often.
+var fuzzedCodes = []honeyplank.Code{
+	honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Succeeded,
+	honeyplank.Failed, honeyplank.Rejected, honeyplank.TimedOut, honeyplank.ConnectFailed,
+	honeyplank.Reset, honeyplank.Cancelled, honeyplank.NotSent,
+}
+
+// FuzzRules plays generated runs to several instances and holds every action to the model. At each step
+// the module and the model must also agree on what each queued op may do.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(16) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		rng := rand.New(rand.NewSource(seed))
-		fleet := newTestFleet(t, seed, randomSettings(rng))
-		codes := []honeyplank.Code{1, 1, 1, 1, 2, 3, 4, 5, 6, 7, 8}
-		fleet.now = time.Second
-		before := rand.New(rand.NewSource(seed + 1))
-		for i := range before.Intn(2) * len(fleet.instances) { // some have knew before, also nonsense
-			fleet.handle(i, honeyplank.SavedEstimates{TypicalLatency: before.Float64(), Servers: []honeyplank.ServerEstimate{{Server: "osd0",
-				At: time.Duration(before.Intn(4000)-2000) * ms, BestPerUnit: before.Float64() * 0.1, Latency: before.Float64()}, {Server: "osd9", Latency: 3}}})
-		}
-		fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0), member(2, 0), member(3, 0))
-		for n := 0; n < 1500; n++ {
-			for range rng.Intn(3) {
-				opType := rng.Intn(2)
-				left := valueAt(fleet.settings.OpTypes.OpTimeout, opType) / time.Duration(1+rng.Intn(20))
-				fleet.handle(rng.Intn(len(fleet.instances)), honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(n, fleet.rng.Int63())),
-					Units: float64(1 + rng.Intn(6)), Timeout: fleet.now + left, Type: opType, HasKey: true,
-					Key: int64(rng.Intn(6)), Instances: len(fleet.instances), Volume: int64(rng.Intn(5)), Cell: rng.Intn(5) - 1})
-			}
-			kind := rng.Intn(150)
-			if len(fleet.order) == 0 {
-				kind = -1
-			}
-			switch server := rng.Intn(4); kind {
-			case 0: // a restart
-				fleet.sendList(honeyplank.Delta, member(server, fleet.now))
-			case 1:
-				gone := member(server, 0)
-				gone.State = honeyplank.MemberState(1 + rng.Intn(2))
-				fleet.sendList(honeyplank.Delta, gone)
-			case 2:
-				fleet.sendList(honeyplank.WatchFailed)
-			case 3: // the client leaves
-				if tracked := fleet.order[rng.Intn(len(fleet.order))]; !tracked.answered {
-					tracked.answered = true
-					fleet.handle(tracked.instance, honeyplank.ClientGone{Op: tracked.ID})
-				}
-			case 4: // nothing of an unknown op, server or timer may do harm, nor a garbled message
-				fleet.handle(0, honeyplank.Outcome{Op: "none", Server: "osd1", Code: 1})
-				fleet.handle(0, honeyplank.Outcome{Server: "none", Code: 6})
-				fleet.handle(0, honeyplank.Timer{ID: "none"})
-				fleet.handle(0, honeyplank.PeerMessage{From: -1})
-			case 5: // a stream begins
-				tracked := fleet.order[rng.Intn(len(fleet.order))]
-				if k := len(tracked.dispatched); !tracked.answered && k > 0 && !tracked.dispatched[k-1].done && fleet.dispatchEnds[tracked.ID] < tracked.Timeout-10*ms {
-					tracked.responseStarted = true
-					fleet.handle(tracked.instance, honeyplank.ResponseStarted{Op: tracked.ID, Dispatch: k - 1})
-				}
-			}
-			fleet.advance(codes)
+		fleet := newFuzzedFleet(t, seed)
+		for step := range 1500 {
+			fleet.admitSome(step)
+			fleet.disturb()
+			fleet.advance(fuzzedCodes)
 			fleet.compareRules()
 		}
 		if fleet.succeeded == 0 {
@@ -108,33 +83,151 @@
 	})
 }
 
-func (fleet *testFleet) compareRules() {
+// fuzzedFleet is a fleet with events at random.
+type fuzzedFleet struct {
+	*testFleet
+	events *rand.Rand // of the events; those of the fleet are drawn apart
+}
+
+func newFuzzedFleet(t *testing.T, seed int64) *fuzzedFleet {
+	t.Helper()
+	events := rand.New(rand.NewSource(seed))
+	fleet := &fuzzedFleet{testFleet: newTestFleet(t, seed, randomSettings(events)), events: events}
+	fleet.now = time.Second
+	saved := rand.New(rand.NewSource(seed + 1))
+	for instance := range saved.Intn(2) * len(fleet.instances) {
+		fleet.handle(instance, randomEstimates(saved))
+	}
+	fleet.sendList(honeyplank.Cached, membersUpTo(4)...)
+	return fleet
+}
+
+// randomEstimates are saved estimates that may be of any time, also of one to come.
+func randomEstimates(rng *rand.Rand) honeyplank.SavedEstimates {
+	return honeyplank.SavedEstimates{
+		TypicalLatency: rng.Float64(),
+		Servers: []honeyplank.ServerEstimate{
+			{
+				Server:      "osd0",
+				At:          time.Duration(rng.Intn(4000)-2000) * ms,
+				BestPerUnit: rng.Float64() * 0.1,
+				Latency:     rng.Float64(),
+			},
+			{Server: "osd9", Latency: 3},
+		},
+	}
+}
+
+// admitSome sends up to two ops to instances at random.
+func (fleet *fuzzedFleet) admitSome(step int) {
+	rng := fleet.events
+	for range rng.Intn(3) {
+		opType := rng.Intn(2)
+		left := valueAt(fleet.settings.OpTypes.OpTimeout, opType) / time.Duration(1+rng.Intn(20))
+		instance := rng.Intn(len(fleet.instances))
+		fleet.handle(instance, honeyplank.Op{
+			ID:        honeyplank.OpID(fmt.Sprint(step, fleet.rng.Int63())),
+			Units:     float64(1 + rng.Intn(6)),
+			Timeout:   fleet.now + left,
+			Type:      opType,
+			HasKey:    true,
+			Key:       int64(rng.Intn(6)),
+			Instances: len(fleet.instances),
+			Volume:    int64(rng.Intn(5)),
+			Cell:      rng.Intn(5) - 1,
+		})
+	}
+}
+
+// disturb sends an event that is neither of an op nor of a dispatch's end, or nothing.
+func (fleet *fuzzedFleet) disturb() {
+	rng := fleet.events
+	kind := rng.Intn(150)
+	server := rng.Intn(4)
+	if len(fleet.order) == 0 {
+		return
+	}
+	switch kind {
+	case 0: // a restart
+		fleet.sendList(honeyplank.Delta, member(server, fleet.now))
+	case 1:
+		fleet.sendList(honeyplank.Delta, memberIn(server, honeyplank.MemberState(1+rng.Intn(2))))
+	case 2:
+		fleet.sendList(honeyplank.WatchFailed)
+	case 3:
+		fleet.closeClient(fleet.order[rng.Intn(len(fleet.order))])
+	case 4:
+		fleet.sendUnknown()
+	case 5:
+		fleet.startResponse(fleet.order[rng.Intn(len(fleet.order))])
+	}
+}
+
+// closeClient has the client of an op close, if the op has no answer.
+func (fleet *fuzzedFleet) closeClient(op *trackedOp) {
+	if !op.answered {
+		op.answered = true
+		fleet.handle(op.instance, honeyplank.ClientGone{Op: op.ID})
+	}
+}
+
+// sendUnknown sends events of an unknown op, server, timer and peer, which may do no harm.
+func (fleet *fuzzedFleet) sendUnknown() {
+	fleet.handle(0, honeyplank.Outcome{Op: "none", Server: "osd1", Code: honeyplank.Succeeded})
+	fleet.handle(0, honeyplank.Outcome{Server: "none", Code: honeyplank.Reset})
+	fleet.handle(0, honeyplank.Timer{ID: "none"})
+	fleet.handle(0, honeyplank.PeerMessage{From: -1})
+}
+
+// startResponse starts the streamed answer to the outstanding dispatch of an op, if there is one that
+// ends before the op times out.
+func (fleet *fuzzedFleet) startResponse(op *trackedOp) {
+	if op.answered || !op.outstanding() || fleet.dispatchEnds[op.ID] >= op.Timeout-10*ms {
+		return
+	}
+	op.responseStarted = true
+	fleet.handle(op.instance, honeyplank.ResponseStarted{Op: op.ID, Dispatch: len(op.dispatched) - 1})
+}
+
+// compareRules holds what the modules allow each queued op to the model.
+func (fleet *fuzzedFleet) compareRules() {
+	fleet.t.Helper()
 	for _, tracked := range fleet.order {
-		engine, held := fleet.instances[tracked.instance], fleet.instances[tracked.instance].ops[tracked.ID]
-		if tracked.answered || tracked.responseStarted || held == nil {
+		engine := fleet.instances[tracked.instance]
+		queued := engine.ops[tracked.ID]
+		if tracked.answered || tracked.responseStarted || queued == nil {
 			continue
 		}
 		engine.now = fleet.now
-		module, model := []bool{engine.rejectIsSafe(held), engine.isNextOfKey(held), engine.retryBudgetAllows()}, []bool{fleet.mayReject(tracked), fleet.isNextOfKey(tracked), fleet.withinRetryBudget(tracked.instance)}
+		module := []bool{engine.rejectIsSafe(queued), engine.isNextOfKey(queued), engine.retryBudgetAllows()}
+		model := []bool{
+			fleet.mayReject(tracked), fleet.isNextOfKey(tracked), fleet.withinRetryBudget(tracked.instance),
+		}
 		for _, server := range engine.serversByID {
-			after := fleet.settings.Dispatches.ConnectTimeout + longestHoldUp + time.Duration(engine.expectedLatency(server, held.Type)*float64(time.Second))
-			module, model = append(module, engine.retryAllowed(held, server)), append(model, fleet.mayRetry(tracked, server.ID, after))
+			latency := time.Duration(engine.expectedLatency(server, queued.Type) * float64(time.Second))
+			after := fleet.settings.Dispatches.ConnectTimeout + longestHoldUp + latency
+			module = append(module, engine.retryAllowed(queued, server))
+			model = append(model, fleet.mayRetry(tracked, server.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
-			fleet.t.Fatalf("%s: rejection, order, budget, retry at each: module %v, model %v", tracked.ID, module, model)
+			fleet.t.Fatalf("%s: rejection, order, budget, retry at each: module %v, model %v",
+				tracked.ID, module, model)
 		}
 	}
 }
 
-// Same events, same actions: two instances with one seed act alike.
+// TestSameEventsSameActions: two instances with one seed take the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := New(7, testSettings()), New(7, testSettings())
+	first, second := New(7, testSettings()), New(7, testSettings())
 	for i := range 300 {
-		for _, tracked := range []honeyplank.Event{honeyplank.List{Members: []honeyplank.Member{member(0, 0), member(1, 0), member(2, 0)}},
-			honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Units: 2, Timeout: 2 * time.Second, Volume: int64(i % 9), Cell: i%4 - 1},
-			honeyplank.Timer{ID: sweepTimer}} {
-			if now := time.Duration(i) * ms; !reflect.DeepEqual(a.Handle(now, tracked), b.Handle(now, tracked)) {
-				t.Fatalf("two instances differ at %v on %+v", now, tracked)
+		now := time.Duration(i) * ms
+		op := honeyplank.Op{
+			ID: honeyplank.OpID(fmt.Sprint(i)), Units: 2, Timeout: 2 * time.Second, Volume: int64(i % 9), Cell: i%4 - 1,
+		}
+		events := []honeyplank.Event{honeyplank.List{Members: membersUpTo(3)}, op, honeyplank.Timer{ID: sweepTimer}}
+		for _, event := range events {
+			if !reflect.DeepEqual(first.Handle(now, event), second.Handle(now, event)) {
+				t.Fatalf("two instances differ at %v on %+v", now, event)
 			}
 		}
 	}
--- /dev/null
+++ b/policy/service_scenarios_test.go
@@ -0,0 +1,280 @@
+package policy
+
+import (
+	"math"
+	"time"
+
+	"honeyplank"
+)
+
+// requestClass is an op type of a simulated deployment and its traffic.
+type requestClass struct {
+	share     float64       // of all requests
+	units     int           // a request has from 1 to so many
+	unitTime  time.Duration // mean time that a server takes for a unit
+	target    time.Duration
+	timeout   time.Duration
+	utility   float64
+	semantics honeyplank.Semantics
+	scope     honeyplank.DedupScope
+}
+
+// deployment is what one instance of a large fleet is configured with and asked for.
+type deployment struct {
+	name    string
+	classes []requestClass
+	change  func(settings *honeyplank.Settings) // nil: none
+	limited bool                                // plans have a limit
+}
+
+// Figures of every simulated deployment.
+const (
+	fleetInstances  = 300
+	fleetServers    = 12 // those that hold the data of this instance's volumes
+	fleetVolumes    = 16
+	volumeInstances = 2    // instances through which a volume's ops come
+	requestRate     = 30.0 // a second
+	retryAfter      = 100 * ms
+	maxAttempts     = 3 // of a client
+)
+
+// deployments differ in semantics, sizes, times, limits and rules.
+var deployments = []deployment{
+	{
+		name: "replayable",
+		classes: []requestClass{
+			{0.55, 3, 15 * ms, 200 * ms, 1200 * ms, 2, honeyplank.Idempotent, 0},
+			{0.3, 3, 15 * ms, 300 * ms, 2000 * ms, 2, honeyplank.Idempotent, 0},
+			{0.15, 6, 15 * ms, 1500 * ms, 5000 * ms, 1, honeyplank.Idempotent, 0},
+		},
+	},
+	{
+		name: "one copy at a time",
+		classes: []requestClass{
+			{0.55, 2, 8 * ms, 90 * ms, 350 * ms, 3, honeyplank.Idempotent, 0},
+			{0.23, 2, 12 * ms, 250 * ms, 1500 * ms, 5, honeyplank.AtMostOnce, 0},
+			{0.22, 3, 20 * ms, 800 * ms, 2500 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell},
+		},
+		change: func(settings *honeyplank.Settings) {
+			settings.Dispatches.HedgingAllowed, settings.Dispatches.Max = false, 2
+			settings.RetryAfter = honeyplank.RetryAfterSettings{Allowed: true, Max: 300 * ms}
+		},
+	},
+	{
+		name: "nothing withdrawn",
+		classes: []requestClass{
+			{0.35, 8, 12 * ms, 3000 * ms, 9000 * ms, 0.5, honeyplank.Idempotent, 0},
+			{0.27, 2, 10 * ms, 150 * ms, 600 * ms, 6, honeyplank.Deduplicated, honeyplank.ScopeAll},
+			{0.3, 3, 12 * ms, 400 * ms, 900 * ms, 2, honeyplank.Idempotent, 0},
+			{0.08, 3, 12 * ms, 500 * ms, 2000 * ms, 3, honeyplank.AtMostOnce, 0},
+		},
+		change: func(settings *honeyplank.Settings) {
+			settings.Dispatches.CancelAllowed, settings.Dispatches.Max = false, 6
+		},
+	},
+	{
+		name: "far apart",
+		classes: []requestClass{
+			{0.6, 1, 10 * ms, 80 * ms, 300 * ms, 2, honeyplank.Idempotent, 0},
+			{0.4, 6, 60 * ms, 5000 * ms, 15000 * ms, 1, honeyplank.Idempotent, 0},
+		},
+	},
+	{
+		name: "close together, rare",
+		classes: []requestClass{
+			{0.9, 2, 15 * ms, 200 * ms, 220 * ms, 1, honeyplank.Idempotent, 0},
+			{0.05, 2, 15 * ms, 180 * ms, 200 * ms, 4, honeyplank.AtMostOnce, 0},
+			{0.05, 6, 15 * ms, 400 * ms, 450 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeZone},
+		},
+	},
+	{
+		name:    "limit and budget",
+		limited: true,
+		classes: []requestClass{
+			{0.6, 2, 15 * ms, 200 * ms, 1200 * ms, 4, honeyplank.Idempotent, 0},
+			{0.4, 6, 15 * ms, 1000 * ms, 4000 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell},
+		},
+		change: func(settings *honeyplank.Settings) {
+			settings.Plans.Limit, settings.Plans.Burst = []float64{20}, []float64{60}
+			settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: 3, Share: 0.1, Window: 5 * time.Second}
+		},
+	},
+}
+
+func (d deployment) settings() *honeyplank.Settings {
+	settings := testSettings()
+	settings.OpTypes = d.opTypes()
+	largest, mean := 0, 0.0
+	for _, class := range d.classes {
+		largest, mean = max(largest, class.units), mean+class.share*float64(1+class.units)/2
+	}
+	settings.MeanUnits, settings.LargestUnits, settings.Instances = mean, float64(largest), fleetInstances
+	rate := volumeInstances * requestRate * mean / fleetVolumes
+	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate}
+	settings.Dispatches.HedgingAllowed, settings.Dispatches.CancelAllowed = true, true
+	settings.SlowStart = honeyplank.SlowStartSettings{
+		From: 0.21, Units: 21, Time: 8 * time.Second, Window: 2 * time.Second,
+	}
+	if d.change != nil {
+		d.change(settings)
+	}
+	return settings
+}
+
+func (d deployment) opTypes() (opTypes honeyplank.OpTypeSettings) {
+	for _, class := range d.classes {
+		opTypes.TargetLatency = append(opTypes.TargetLatency, class.target)
+		opTypes.OpTimeout = append(opTypes.OpTimeout, class.timeout)
+		opTypes.Utility = append(opTypes.Utility, class.utility)
+		opTypes.Semantics = append(opTypes.Semantics, class.semantics)
+		opTypes.DedupScope = append(opTypes.DedupScope, class.scope)
+		opTypes.DedupWindow = append(opTypes.DedupWindow, 4*time.Second)
+	}
+	return opTypes
+}
+
+// What is asked of service, as parts of a class's requests that are served within the target latency.
+const (
+	minServedBefore          = 0.5 // before the fault
+	minServed                = 0.9 // during a fault that takes no capacity from the class
+	minServedOfRest          = 0.6 // during a fault in which a quarter of the servers serve nothing
+	minServedWithLostAnswers = 0.3 // while a quarter of the answers get lost and use up the window
+	chanceErrors             = 3.0 // standard errors by which chance may lower these
+	maxLossAfterwards        = 0.1 // of what was served before the fault, once it is over
+)
+
+// serviceFault changes how clients, servers or the list behave, from faultBegins to faultEnds.
+type serviceFault struct {
+	name  string
+	begin func(run *serviceRun) // nil: nothing is to be done
+	end   func(run *serviceRun) // nil: nothing is to be done
+	// noCapacity: the fault leaves no capacity, so that nothing is asked of service until it is over.
+	noCapacity bool
+	surge      bool // more is asked for than a limit allows
+	// least is the part of each class that is served while it lasts; the class that is slow itself is
+	// left out.
+	least                         float64
+	firstClassSlow, lastClassSlow bool // the first or the last class is slow itself
+}
+
+// floor is the least part of a class that is served during the fault, of so many requests: no less than
+// what chance leaves.
+func (fault *serviceFault) floor(class, classes int, requests float64) float64 {
+	if fault.firstClassSlow && class == 0 || fault.lastClassSlow && class == classes-1 {
+		return 0
+	}
+	return fault.least - chanceErrors*math.Sqrt(fault.least*(1-fault.least)/requests)
+}
+
+const (
+	silentAnswer   = time.Hour // the time of an answer that does not come
+	unusualTimeout = 1e9 * ms
+	slowFactor     = 20 // of the times of servers that are slow
+	surgeFactor    = 10 // of the requests in a surge
+)
+
+// answeredBy has the first servers end every dispatch by a code after a time.
+func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*serviceRun) {
+	return func(run *serviceRun) {
+		run.answer = func(_ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+			if server < servers {
+				return code, after
+			}
+			return honeyplank.Succeeded, took
+		}
+	}
+}
+
+// slowed has the first servers serve requests that match slowly.
+func slowed(servers int, match func(run *serviceRun, class int) bool) func(*serviceRun) {
+	return func(run *serviceRun) {
+		run.answer = func(request *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+			if server < servers && match(run, request.class) {
+				took *= slowFactor
+			}
+			return honeyplank.Succeeded, took
+		}
+	}
+}
+
+func anyClass(*serviceRun, int) bool { return true }
+
+func firstClass(_ *serviceRun, class int) bool { return class == 0 }
+
+func lastClass(run *serviceRun, class int) bool { return class == len(run.classes)-1 }
+
+// fastAnswers has each server answer once very fast.
+func fastAnswers(run *serviceRun) {
+	seen := map[int]bool{}
+	run.answer = func(_ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
+		if !seen[server] {
+			seen[server] = true
+			return honeyplank.Succeeded, 50 * time.Microsecond
+		}
+		return honeyplank.Succeeded, took
+	}
+}
+
+// loseAnswers has a quarter of the answers get lost.
+func loseAnswers(run *serviceRun) {
+	run.answer = func(_ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
+		if run.rng.Intn(4) == 0 {
+			return honeyplank.TimedOut, silentAnswer
+		}
+		return honeyplank.Succeeded, took
+	}
+}
+
+var serviceFaults = []serviceFault{
+	{name: "none", least: minServed},
+	{
+		name: "one client of each class with an unusual timeout", least: minServed,
+		begin: func(run *serviceRun) {
+			for class := range run.classes {
+				run.arrive(class, unusualTimeout)
+			}
+		},
+	},
+	{
+		name: "some clients wait for less than others", least: minServed,
+		begin: func(run *serviceRun) {
+			run.clientTimeout = func(timeout time.Duration) time.Duration {
+				return time.Duration(float64(timeout) * []float64{1, 0.7, 0.7, 0.7}[run.rng.Intn(4)])
+			}
+		},
+	},
+	{name: "all servers slow", begin: slowed(fleetServers, anyClass), noCapacity: true},
+	{name: "a quarter of the servers slow", least: minServedOfRest, begin: slowed(fleetServers/4, anyClass)},
+	{name: "the first class slow", least: minServed, firstClassSlow: true, begin: slowed(fleetServers, firstClass)},
+	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: slowed(fleetServers, lastClass)},
+	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
+	{
+		name: "silence of a quarter", least: minServedOfRest,
+		begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4),
+	},
+	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), noCapacity: true},
+	{name: "errors of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
+	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), noCapacity: true},
+	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), noCapacity: true},
+	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), noCapacity: true},
+	{
+		name: "full queues of a quarter", least: minServedOfRest,
+		begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4),
+	},
+	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
+	{name: "one very fast answer of each server", least: minServed, begin: fastAnswers},
+	{name: "lost answers", least: minServedWithLostAnswers, begin: loseAnswers},
+	{
+		name: "the first class surges", least: minServed, surge: true,
+		begin: func(run *serviceRun) { run.surging = surgeFactor },
+	},
+	{
+		name: "all servers are gone and come back", noCapacity: true,
+		begin: func(run *serviceRun) { run.list(honeyplank.Removed, 0) },
+		end:   func(run *serviceRun) { run.list(honeyplank.Up, 0) },
+	},
+	{
+		name: "all servers restart", noCapacity: true,
+		begin: func(run *serviceRun) { run.list(honeyplank.Up, run.now) },
+	},
+}
