--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -6,7 +6,7 @@
 func (g *Instance) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.HealthCheck:
-		g.probe(a.Server)
+		g.checkHealth(a.Server)
 	case honeyplank.CloseIdle:
 		if d := g.diskServers[a.Server]; d != nil {
 			d.closeIdle()
--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -89,7 +89,8 @@
 	return x
 }
 
-// registerStart registers a server with a start and returns the module's notification; each call must give another size.
+// registerStart registers a server with a start and returns the module's notification; each call must give another
+// size.
 func (c *clockHarness) registerStart(address string, size float64, at time.Time) notification {
 	c.t.Helper()
 	c.registerRecord(address, discovery.Record{State: "on", Size: size, Cell: 1, StartedMS: at.UnixMilli()})
@@ -97,7 +98,8 @@
 	return c.lastNotification(address)
 }
 
-// TestWallClockSteps has disk servers start while the wall clock steps: the module is notified of each start as a recent one, once.
+// TestWallClockSteps has disk servers start while the wall clock steps: the module is notified of each start as a
+// recent one, once.
 func TestWallClockSteps(t *testing.T) {
 	for name, x := range map[string]struct{ before, between, after time.Duration }{
 		"steady":                    {},
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -9,6 +9,9 @@
 	"honeyplank/target"
 )
 
+// opIDBase is the base in which op IDs are written; a large one keeps them short.
+const opIDBase = 36
+
 // op is a client's command that the tracker has admitted. The tracker answers the client through it.
 type op struct {
 	instance *Instance
@@ -36,7 +39,7 @@
 		return
 	}
 	g.lastOpID++
-	o := &op{instance: g, id: honeyplank.OpID(strconv.FormatUint(g.lastOpID, 36)), command: command}
+	o := &op{instance: g, id: honeyplank.OpID(strconv.FormatUint(g.lastOpID, opIDBase)), command: command}
 	command.User = o
 	g.tracker.Admit(g.opEvent(o), o)
 }
@@ -45,21 +48,21 @@
 func (g *Instance) opEvent(o *op) honeyplank.Op {
 	command, size := o.command, int64(o.command.Bytes)
 	namespace := int64(command.NSID())
-	v := g.volumes[command.NSID()]
+	volume := g.volumes[command.NSID()]
 	extent := int64(command.SLBA()) * int64(g.settings.Volumes.Block) / int64(g.settings.Volumes.Extent)
 	write := command.Opcode() == nvme.Write
 	return honeyplank.Op{
 		ID:        o.id,
 		Units:     float64(g.settings.Units(size)),
 		Timeout:   command.Arrived + g.opTimeout(command),
-		Plan:      v.plan,
+		Plan:      volume.plan,
 		Type:      g.settings.OpTypeIndex(command.Opcode(), size),
 		Key:       namespace<<32 ^ extent,
 		HasKey:    true,
 		Write:     write,
-		Instances: v.hosts,
+		Instances: volume.instances,
 		Volume:    namespace,
-		Cell:      v.cells[extent%int64(len(v.cells))],
+		Cell:      volume.cells[extent%int64(len(volume.cells))],
 	}
 }
 
@@ -82,7 +85,7 @@
 
 // Rejected implements inflight.Client. The client may retry after the given time; 0: no delay is given.
 func (o *op) Rejected(retryAfter time.Duration) {
-	o.instance.log.Debug().Uint32("volume", o.command.NSID()).Dur("advice_ms", retryAfter).Msg("throttled")
+	o.instance.log.Debug().Uint32("volume", o.command.NSID()).Dur("retry_after_ms", retryAfter).Msg("op rejected")
 	status := nvme.CommandInterrupted.WithDelay(o.instance.retryDelayIndex(retryAfter))
 	o.answer(status, uint32(retryAfter/time.Millisecond), nil)
 }
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -60,10 +60,10 @@
 
 // Ended implements initiator.Handler: the association has ended or could not be made.
 func (d *diskServer) Ended(association *initiator.Association, err error) {
-	if d.association != association { // replaced by a retry of one of its commands, or closed
+	if d.association != association { // replaced by a later one, or closed by this instance
 		return
 	}
-	d.instance.log.Info().Str("osd", string(d.id)).Err(err).Msg("no connection")
+	d.instance.log.Info().Str("server", string(d.id)).Err(err).Msg("connection to disk server closed")
 	d.association = nil
 	d.notifyWaiting(false)
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -20,7 +20,7 @@
 	}
 	server.whenConnected(func(ready bool) {
 		switch {
-		case dispatch.Ended():
+		case dispatch.Ended(): // cancelled while the connection was made
 		case dispatch.Abandoned(): // its client has gone while the connection was made
 			dispatch.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		case !ready:
--- a/gateway/estimates.go
+++ b/gateway/estimates.go
@@ -16,13 +16,20 @@
 	wall, now := g.options.Wall(), g.loop.Now()
 	for _, server := range record.Servers {
 		if server.At.After(wall) {
-			g.log.Warn().Str("osd", server.ID).Time("at", server.At).Msg("what was learnt is passed over: it is of a time to come, the clock was set back")
+			g.log.Warn().
+				Str("server", server.ID).
+				Time("saved_at", server.At).
+				Str("reason", "saved in the future: the clock was set back").
+				Msg("saved estimates ignored")
 			return
 		}
 	}
 	unit := int64(g.settings.Volumes.Unit)
 	if record.Unit != unit {
-		g.log.Warn().Int64("bytes", record.Unit).Int64("now", unit).Msg("best times are passed over: a unit was of another size")
+		g.log.Warn().
+			Int64("saved_unit_bytes", record.Unit).
+			Int64("unit_bytes", unit).
+			Msg("saved best latencies ignored")
 	}
 	g.tracker.Deliver(record.ToEvent(unit, func(at time.Time) time.Duration { return now - wall.Sub(at) }))
 }
--- a/gateway/estimates_test.go
+++ b/gateway/estimates_test.go
@@ -11,8 +11,8 @@
 	"honeyplank/nvme"
 )
 
-// TestEstimateAges restores estimates in an instance whose wall clock has stepped since they were saved: each is delivered
-// with its age, or not at all where the age can't be computed.
+// TestEstimateAges restores estimates in an instance whose wall clock has stepped since they were saved: each is
+// delivered with its age, or not at all where the age can't be computed.
 func TestEstimateAges(t *testing.T) {
 	for name, x := range map[string]struct {
 		step time.Duration
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -112,7 +112,7 @@
 		h.etcd.Close()
 	})
 	h.eventually("the list has arrived", func() bool {
-		_, status := h.do(h.connect("probe"), nvme.NewRW(nvme.Read, 2, 0, 1), nil)
+		_, status := h.do(h.connect("readiness"), nvme.NewRW(nvme.Read, 2, 0, 1), nil)
 		return status == nvme.Success
 	})
 	return h
--- a/gateway/probe.go
+++ b/gateway/healthcheck.go
@@ -6,11 +6,16 @@
 	"honeyplank/nvme"
 )
 
-// probe reads a disk server's load page and delivers the result to the module.
-func (g *Instance) probe(id honeyplank.ServerID) {
+// checkHealth reads a disk server's load page and delivers the result to the module.
+func (g *Instance) checkHealth(id honeyplank.ServerID) {
 	server, began := g.diskServer(id), g.loop.Now()
 	deliver := func(code honeyplank.Code, load nvme.Load) {
-		g.tracker.Deliver(honeyplank.HealthCheckResult{Server: id, Code: code, Elapsed: g.loop.Now() - began, Load: loadMetrics(load)})
+		g.tracker.Deliver(honeyplank.HealthCheckResult{
+			Server:  id,
+			Code:    code,
+			Elapsed: g.loop.Now() - began,
+			Load:    loadMetrics(load),
+		})
 	}
 	pageRead := initiator.CallFunc(func(result initiator.Result) {
 		switch {
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -76,7 +76,7 @@
 	}
 	g.draining = true
 	g.server.Draining = true
-	g.log.Info().Int("open", g.tracker.Unanswered()).Msg("no more ops are taken")
+	g.log.Info().Int("unanswered", g.tracker.Unanswered()).Msg("graceful shutdown started")
 	g.onDrained = func() {
 		g.onDrained = nil
 		g.stopWatch()
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -51,7 +51,8 @@
 	h.eventually("the second ban ends", func() bool { return dialRawFrom(t, "127.0.0.2", h.gateway.Address()) != nil })
 }
 
-// TestHandshakeLimit has a peer open a thousand handshakes and complete none: their number is limited, and others connect.
+// TestHandshakeLimit has a peer open a thousand handshakes and complete none: their number is limited, and others
+// connect.
 func TestHandshakeLimit(t *testing.T) {
 	h := newHarness(t, withPeerLimits)
 	var open []net.Conn
@@ -72,7 +73,8 @@
 	}
 }
 
-// TestPDUTimeout has a peer send a byte at long intervals: its incomplete PDU times out, in the handshake and in service.
+// TestPDUTimeout has a peer send a byte at long intervals: its incomplete PDU times out, in the handshake and in
+// service.
 func TestPDUTimeout(t *testing.T) {
 	h := newHarness(t, withPeerLimits)
 	for name, c := range map[string]*rawClient{"in the handshake": dialRaw(t, h.gateway.Address()), "in service": connectRaw(t, h, "slow")} {
@@ -92,8 +94,8 @@
 	}
 }
 
-// TestBytesOfOnePeer has a peer ask for many Writes and send the data of none: the buffers reserved for it are limited, and
-// another peer's Writes go on.
+// TestBytesOfOnePeer has a peer ask for many Writes and send the data of none: the buffers reserved for it are
+// limited, and another peer's Writes go on.
 func TestBytesOfOnePeer(t *testing.T) {
 	h := newHarness(t, withPeerLimits, tolerateHoldUps)
 	greedy := connectRaw(t, h, "greedy")
@@ -111,8 +113,8 @@
 	}
 }
 
-// TestCommandsOfOnePeer has a peer keep more commands in flight than allowed: those beyond the limit are answered at once, the others
-// are served, and another peer is not affected.
+// TestCommandsOfOnePeer has a peer keep more commands in flight than allowed: those beyond the limit are answered at
+// once, the others are served, and another peer is not affected.
 func TestCommandsOfOnePeer(t *testing.T) {
 	h := newHarness(t, withPeerLimits, func(s *settings.Gateway) { s.Limits.Client.MaxCommands = 4 })
 	greedy := connectRawFrom(t, h, "greedy", "127.0.0.2")
--- a/gateway/retrydelay.go
+++ b/gateway/retrydelay.go
@@ -30,8 +30,8 @@
 	return list
 }
 
-// retryDelayIndex returns the CRD value, 1 to 3, of the shortest configured delay that is at least retryAfter, or of the
-// longest one if all are shorter; 0 if retryAfter is 0 or no delay is configured.
+// retryDelayIndex returns the CRD value, 1 to 3, of the shortest configured delay that is at least retryAfter, or of
+// the longest one if all are shorter; 0 if retryAfter is 0 or no delay is configured.
 func (g *Instance) retryDelayIndex(retryAfter time.Duration) int {
 	if retryAfter <= 0 {
 		return 0
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -41,9 +41,9 @@
 	})
 }
 
-// queuedOpMoves sends an op while no server holds cell 1 and then registers a replacement. The op must be served if it is
-// still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows nothing: the
-// result is false.
+// queuedOpMoves sends an op while no server holds cell 1 and then registers a replacement. The op must be served if
+// it is still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows
+// nothing: the result is false.
 func queuedOpMoves(h *harness, client *initiator.Association, replacement string) bool {
 	h.t.Helper()
 	h.deregister(replacement)
