--- a/cmd/honeyplank/bench.go
+++ b/cmd/honeyplank/bench.go
@@ -3,15 +3,16 @@
 import (
 	"encoding/json"
 	"fmt"
-	"honeyplank/bench"
 	"os"
+
+	"honeyplank/bench"
 )
 
 type benchCommand struct {
-	Ops     opsCommand     `cmd:"" default:"withargs" help:"What an op costs, through the gateway and straight at fakes."`
-	Hostile hostileCommand `cmd:"" help:"What honest clients have beside hostile peers."`
-	Sources sourcesCommand `cmd:"" help:"What following the list costs, by fleet and rate of change."`
-	Fleet   fleetCommand   `cmd:"" help:"What one scheduler of the platform costs, by the size of the fleet."`
+	Ops     opsCommand     `cmd:"" default:"withargs" help:"Measure the cost of an op, by the gateway and direct."`
+	Hostile hostileCommand `cmd:"" help:"Measure what clients get beside hostile peers."`
+	Sources sourcesCommand `cmd:"" help:"Measure the cost of following the endpoint list."`
+	Fleet   fleetCommand   `cmd:"" help:"Measure the cost of one scheduler, by fleet size."`
 }
 
 type hostileCommand struct {
@@ -26,7 +27,7 @@
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(h)
+		return printJSON(h)
 	}
 	fmt.Print(h)
 	return nil
@@ -34,7 +35,7 @@
 
 type sourcesCommand struct {
 	Nodes   []int   `help:"Sizes of the fleet." default:"10,100,1000,10000"`
-	Rates   []int   `help:"Changes a second." default:"1,100,1000"`
+	Rates   []int   `help:"Changes per second." default:"1,100,1000"`
 	Seconds float64 `help:"Length at each size and rate." default:"3"`
 	JSON    bool    `help:"Print the figures as JSON."`
 }
@@ -45,26 +46,37 @@
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(list)
+		return printJSON(list)
 	}
 	fmt.Print(bench.WatchCostTable(list))
 	for _, schedulers := range []int{1, 100} {
-		rate, err := bench.DNSLoad(schedulers, 2, 2*c.Seconds)
-		if err != nil {
+		if err := c.printQueries(schedulers); err != nil {
 			return err
 		}
-		fmt.Printf("\n%d schedulers, records of 2 s: %.1f queries a second at the name server, at most %.0f a second within any tenth of one", schedulers, rate.Mean, rate.Peak)
 	}
 	fmt.Println()
 	return nil
 }
 
+// recordLifetime is how long name servers' records live where their queries are counted.
+const recordLifetime = 2
+
+func (c *sourcesCommand) printQueries(schedulers int) error {
+	rate, err := bench.DNSLoad(schedulers, recordLifetime, recordLifetime*c.Seconds)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("\n%d schedulers, records of %d s: %.1f queries a second at the name server, "+
+		"at most %.0f a second within any tenth of one", schedulers, recordLifetime, rate.Mean, rate.Peak)
+	return nil
+}
+
 type opsCommand struct {
 	Seconds float64 `help:"Length of each phase." default:"3"`
-	Depth   int     `help:"Ops out at a time at saturation." default:"128"`
-	Rate    float64 `help:"Ops a second where latency is measured." default:"1000"`
+	Depth   int     `help:"Ops in flight at saturation." default:"128"`
+	Rate    float64 `help:"Ops per second where latency is measured." default:"1000"`
 	JSON    bool    `help:"Print the report as JSON."`
-	Check   bool    `help:"Fail when allocations, system calls or bytes copied an op have grown by over a tenth."`
+	Check   bool    `help:"Fail if the cost of an op has grown by over a tenth."`
 }
 
 func (c *opsCommand) Run() error {
@@ -73,7 +85,10 @@
 		return err
 	}
 	if c.JSON {
-		b, _ := json.MarshalIndent(r, "", "  ")
+		b, err := json.MarshalIndent(r, "", "  ")
+		if err != nil {
+			return err
+		}
 		fmt.Println(string(b))
 	} else {
 		fmt.Print(r)
@@ -90,20 +105,20 @@
 	JSON    bool    `help:"Print the figures as JSON."`
 }
 
-// Run starts this program as a scheduler, once for each size.
+// Run starts this program as a scheduler, once for each fleet size.
 func (c *fleetCommand) Run() error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	ctx, stop := signals()
+	ctx, stop := untilSignal()
 	defer stop()
 	costs, err := bench.Fleet(ctx, program, c.Servers, c.Seconds)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(costs)
+		return printJSON(costs)
 	}
 	fmt.Print(bench.FleetTable(costs))
 	return nil
--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -19,21 +19,21 @@
 
 type fakeCommand struct {
 	Disk diskCommand `cmd:"" help:"Run the disk servers of a script, until interrupted."`
-	DNS  dnsCommand  `cmd:"" help:"Run a name server with the disk servers named, until interrupted."`
-	Etcd etcdCommand `cmd:"" help:"Run an etcd with the disk servers named, until interrupted."`
+	DNS  dnsCommand  `cmd:"" help:"Run a name server that lists the given disk servers, until interrupted."`
+	Etcd etcdCommand `cmd:"" help:"Run an etcd that lists the given disk servers, until interrupted."`
 }
 
 type diskCommand struct {
-	Script string        `arg:"" help:"Script or settings with a <rehearsal>: its fleet is what the server is like."`
+	Script string        `arg:"" help:"Script, or settings with a <rehearsal>: its fleet is what the server is like."`
 	Listen string        `help:"Address to listen on." default:"127.0.0.1:0"`
-	Slow   float64       `help:"Times the service time."`
+	Slow   float64       `help:"Factor on the service time."`
 	Fail   float64       `help:"Share of ops that fail."`
-	Lose   float64       `help:"Share of answers that never leave."`
-	Silent time.Duration `help:"Fall silent after this long; 0: never."`
+	Lose   float64       `help:"Share of answers that are never sent."`
+	Silent time.Duration `help:"Stop answering after this long; 0: never."`
 }
 
 func (c *diskCommand) Run(log zerolog.Logger) error {
-	s, err := read(c.Script)
+	s, err := readSettings(c.Script)
 	if err != nil {
 		return err
 	}
@@ -51,19 +51,19 @@
 	d.SetFaults(disk.Faults{SlowFactor: c.Slow, FailShare: c.Fail, LoseShare: c.Lose})
 	if c.Silent > 0 {
 		l.Schedule(l.Now()+c.Silent, func() {
-			log.Warn().Msg("silent from now on")
+			log.Warn().Msg("fake stops answering")
 			d.SetFaults(disk.Faults{Silent: true})
 		})
 	}
 	fmt.Println(d.Address())
-	ctx, stop := signals()
+	ctx, stop := untilSignal()
 	defer stop()
 	go func() { <-ctx.Done(); l.Post(l.Stop) }()
 	return l.Run()
 }
 
 type etcdCommand struct {
-	Nodes  []string `arg:"" optional:"" help:"Addresses of disk servers; the first is listed for cell 0, and so on."`
+	Nodes  []string `arg:"" optional:"" help:"Addresses of disk servers, by cell."`
 	Listen string   `help:"Address to listen on." default:"127.0.0.1:0"`
 	Prefix string   `help:"Prefix of the keys." default:"/honeyplank/nodes/"`
 }
@@ -79,14 +79,14 @@
 		s.Set(c.Prefix+address, value)
 	}
 	fmt.Println(s.Address())
-	ctx, stop := signals()
+	ctx, stop := untilSignal()
 	defer stop()
 	<-ctx.Done()
 	return nil
 }
 
 type dnsCommand struct {
-	Nodes    []string `arg:"" optional:"" help:"Addresses of disk servers; the first is listed for cell 0, and so on. One that ends in /0 drains."`
+	Nodes    []string `arg:"" optional:"" help:"Addresses of disk servers, by cell; /0 behind one: draining."`
 	Name     string   `help:"Owner of the SRV records." default:"_honeyplank._tcp.storage.example."`
 	Lifetime uint32   `help:"Lifetime of the records in seconds." default:"10"`
 	Truncate bool     `help:"Truncate over UDP."`
@@ -116,7 +116,7 @@
 	s.SetRecords(c.Lifetime, list)
 	s.SetFaults(dns.Faults{Truncate: c.Truncate, Empty: c.Empty, Rcode: c.Rcode})
 	fmt.Println(s.Address())
-	ctx, stop := signals()
+	ctx, stop := untilSignal()
 	defer stop()
 	<-ctx.Done()
 	return nil
--- a/cmd/honeyplank/faulttest.go
+++ b/cmd/honeyplank/faulttest.go
@@ -1,97 +1,126 @@
 package main
 
 import (
-	"encoding/json"
+	"context"
 	"errors"
 	"fmt"
-	"honeyplank/faulttest"
-	"honeyplank/settings"
-	"os"
 	"sync"
 
 	"github.com/rs/zerolog"
+
+	"honeyplank/faulttest"
+	"honeyplank/settings"
 )
 
 type faultTestCommand struct {
-	Script   string `help:"Script to play: badday, sources and wires are built in, else a file." default:"badday"`
-	Seed     int64  `help:"Seed of all chance." default:"1"`
-	Trouble  string `help:"Play one kind of trouble on its own, or all of them one by one."`
-	Baseline bool   `help:"Have the gateways pass ops on in order of arrival, to measure against."`
+	Script   string `help:"Script to run: badday, sources and wires are built in, else a file." default:"badday"`
+	Seed     int64  `help:"Seed of all random numbers." default:"1"`
+	Trouble  string `help:"Inject one kind of fault on its own, or all of them one by one."`
+	Baseline bool   `help:"Have the gateways dispatch ops in order of arrival, as a baseline."`
 	JSON     bool   `help:"Print the report as JSON."`
 	Verbose  bool   `help:"Show the gateways' log lines."`
 }
 
+// maxParallelScenarios is how many scenarios run at a time.
+const maxParallelScenarios = 3
+
+var errRuleBroken = errors.New("a rule is broken; the same command with the same seed plays it again")
+
 func (c *faultTestCommand) Run(log zerolog.Logger) error {
-	var script *settings.Gateway
-	var err error
-	switch c.Script {
-	case "badday":
-		script, err = settings.Parse("built-in script", faulttest.BadDay)
-	case "wires":
-		script, err = settings.Parse("built-in script", faulttest.Wires)
-	case "sources":
-		script, err = settings.Parse("built-in script", faulttest.Sources)
-	default:
-		script, err = read(c.Script)
-	}
+	script, err := c.readScript()
 	if err != nil {
 		return err
 	}
-	if script.FaultTest == nil {
-		return usageError{fmt.Errorf("%s has no <rehearsal>", c.Script)}
-	}
-	ctx, stop := signals()
-	defer stop()
 	scenarios := []faulttest.Scenario{{Script: script}}
 	if c.Trouble != "" {
 		if scenarios, err = faulttest.Scenarios(script, c.Trouble); err != nil {
 			return usageError{err}
 		}
 	}
-	reports := make([]*faulttest.Report, len(scenarios))
-	errs := make([]error, len(scenarios))
+	ctx, stop := untilSignal()
+	defer stop()
+	kept := true
+	for i, result := range c.runAll(ctx, scenarios, log) {
+		name := scenarios[i].Name
+		if result.err != nil {
+			return fmt.Errorf("%s: %w", name, result.err)
+		}
+		kept = kept && result.report.Kept
+		if err := c.print(name, result.report); err != nil {
+			return err
+		}
+	}
+	if !kept {
+		return errRuleBroken
+	}
+	return nil
+}
+
+func (c *faultTestCommand) readScript() (*settings.Gateway, error) {
+	script, err := c.parseScript()
+	if err == nil && script.FaultTest == nil {
+		return nil, usageError{fmt.Errorf("%s has no <rehearsal>", c.Script)}
+	}
+	return script, err
+}
+
+func (c *faultTestCommand) parseScript() (*settings.Gateway, error) {
+	builtIn := map[string][]byte{"badday": faulttest.BadDay, "sources": faulttest.Sources, "wires": faulttest.Wires}
+	if text, ok := builtIn[c.Script]; ok {
+		return settings.Parse("built-in script", text)
+	}
+	return readSettings(c.Script)
+}
+
+// faultTestResult is how a scenario ended: with a report or an error.
+type faultTestResult struct {
+	report *faulttest.Report
+	err    error
+}
+
+// runAll runs the scenarios, some at a time, and returns their results in order.
+func (c *faultTestCommand) runAll(
+	ctx context.Context, scenarios []faulttest.Scenario, log zerolog.Logger,
+) []faultTestResult {
+	results := make([]faultTestResult, len(scenarios))
+	slots := make(chan struct{}, maxParallelScenarios)
 	var group sync.WaitGroup
-	slots := make(chan struct{}, 3) // so many play at a time
 	for i, scenario := range scenarios {
-		group.Add(1)
-		go func() {
-			defer group.Done()
+		group.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			o := faulttest.Options{Script: scenario.Script, Seed: c.Seed, Log: zerolog.Nop()}
-			if c.Verbose {
-				o.Log = log
-			}
-			if c.Baseline {
-				o.Module = faulttest.NewBaseline
-			}
-			reports[i], errs[i] = faulttest.Run(ctx, o)
-		}()
+			report, err := faulttest.Run(ctx, c.options(scenario.Script, log))
+			results[i] = faultTestResult{report, err}
+		})
 	}
 	group.Wait()
-	kept := true
-	for i, scenario := range scenarios {
-		name := scenario.Name
-		if errs[i] != nil {
-			return fmt.Errorf("%s: %w", name, errs[i])
-		}
-		kept = kept && reports[i].Kept
-		if c.JSON {
-			if err := json.NewEncoder(os.Stdout).Encode(struct {
-				Trouble string `json:"trouble,omitempty"`
-				*faulttest.Report
-			}{name, reports[i]}); err != nil {
-				return err
-			}
-			continue
-		}
-		if name != "" {
-			fmt.Printf("---- trouble: %s ----\n", name)
-		}
-		fmt.Println(reports[i])
+	return results
+}
+
+func (c *faultTestCommand) options(script *settings.Gateway, log zerolog.Logger) faulttest.Options {
+	o := faulttest.Options{Script: script, Seed: c.Seed, Log: zerolog.Nop()}
+	if c.Verbose {
+		o.Log = log
 	}
-	if !kept {
-		return errors.New("a rule is broken; the same command with the same seed plays it again")
+	if c.Baseline {
+		o.Module = faulttest.NewBaseline
+	}
+	return o
+}
+
+// faultTestJSON is a report with the kind of fault that was injected, where it was one alone.
+type faultTestJSON struct {
+	Trouble string `json:"trouble,omitempty"`
+	*faulttest.Report
+}
+
+func (c *faultTestCommand) print(name string, report *faulttest.Report) error {
+	if c.JSON {
+		return printJSON(faultTestJSON{name, report})
+	}
+	if name != "" {
+		fmt.Printf("---- trouble: %s ----\n", name)
 	}
+	fmt.Println(report)
 	return nil
 }
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -1,13 +1,18 @@
-// Command honeyplank is the gateway's daemon and its operators' tools: flags, files, signals and logging round
-// package gateway. It decides nothing.
+// Command honeyplank is the gateway's daemon, a scheduler of the operators' platform and their tools: flags, files,
+// signals and logging round the other packages. It holds no policy and no protocol, and nothing imports it. Each
+// subcommand is a struct with its flags whose Run method kong calls on the main goroutine.
 package main
 
 import (
+	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
+	"os/signal"
 	"runtime/debug"
 	"strings"
+	"syscall"
 	"time"
 
 	"github.com/alecthomas/kong"
@@ -17,48 +22,74 @@
 )
 
 type commands struct {
-	LogLevel string `help:"Least level of log lines: debug, info, warn, error." default:"info" enum:"debug,info,warn,error"`
-	LogText  bool   `help:"Log lines for people instead of JSON."`
+	LogLevel string `help:"Minimum level of log lines: ${enum}." default:"info" enum:"debug,info,warn,error"`
+	LogText  bool   `help:"Log in text form instead of JSON."`
 
 	Serve      serveCommand      `cmd:"" help:"Run a gateway."`
-	Platform   platformCommand   `cmd:"" help:"Play one scheduler of the operators' platform."`
-	Nodes      nodesCommand      `cmd:"" help:"Tell what a gateway of some settings believes of each disk server, and why."`
-	Settings   settingsCommand   `cmd:"" help:"Check and show settings."`
-	FaultTest  faultTestCommand  `cmd:"" name:"faulttest" aliases:"rehearse" help:"Play a bad day against fakes of disk servers and discovery, and judge the rules."`
-	Bench      benchCommand      `cmd:"" help:"Measure what the gateway costs, against fakes asked directly."`
-	FuzzCorpus fuzzCorpusCommand `cmd:"" name:"fuzzcorpus" aliases:"corpus" help:"Keep the inputs of the fuzz targets, in a source tree."`
-	Fake       fakeCommand       `cmd:"" aliases:"standin" help:"Run a fake disk server, DNS or etcd, to try the gateway on."`
-	Version    versionCommand    `cmd:"" help:"Tell the version."`
+	Platform   platformCommand   `cmd:"" help:"Run one scheduler of the operators' platform."`
+	Nodes      nodesCommand      `cmd:"" help:"Print each disk server's state, and its cause."`
+	Settings   settingsCommand   `cmd:"" help:"Check and print settings."`
+	FaultTest  faultTestCommand  `cmd:"" name:"faulttest" aliases:"rehearse" help:"Run a fault test against fakes."`
+	Bench      benchCommand      `cmd:"" help:"Measure what the gateway costs."`
+	FuzzCorpus fuzzCorpusCommand `cmd:"" name:"fuzzcorpus" aliases:"corpus" help:"Maintain the fuzz targets' inputs."`
+	Fake       fakeCommand       `cmd:"" aliases:"standin" help:"Run a fake disk server, DNS or etcd."`
+	Version    versionCommand    `cmd:"" help:"Print the version."`
 }
 
-// usageError marks errors of what was given: exit 2.
+// Exit codes.
+const (
+	exitFailure = 1
+	exitUsage   = 2 // wrong flags, settings or scripts
+)
+
+// usageError is an error of the command line or of a file that it names: exitUsage.
 type usageError struct{ error }
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("honeyplank"), kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."), kong.UsageOnError(),
-		kong.Exit(func(code int) {
-			if code != 0 {
-				code = 2
-			}
-			os.Exit(code)
-		}))
-	level, _ := zerolog.ParseLevel(c.LogLevel)
+	parsed := kong.Parse(&c,
+		kong.Name("honeyplank"),
+		kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."),
+		kong.UsageOnError(),
+		kong.Exit(exitParsing),
+	)
+	if err := parsed.Run(c.logger()); err != nil {
+		fmt.Fprintln(os.Stderr, "honeyplank:", err)
+		os.Exit(exitCode(err))
+	}
+}
+
+// exitParsing ends the program where kong does: after help, or with wrong flags.
+func exitParsing(code int) {
+	if code != 0 {
+		code = exitUsage
+	}
+	os.Exit(code)
+}
+
+func exitCode(err error) int {
+	var fault *settings.Error
+	if errors.As(err, &fault) || errors.As(err, &usageError{}) {
+		return exitUsage
+	}
+	return exitFailure
+}
+
+func (c *commands) logger() zerolog.Logger {
+	level, _ := zerolog.ParseLevel(c.LogLevel) // kong has checked it
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()
 	if c.LogText {
 		log = log.Output(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.StampMilli})
 	}
-	if err := k.Run(log); err != nil {
-		fmt.Fprintln(os.Stderr, "honeyplank:", err)
-		var fault *settings.Error
-		if errors.As(err, &fault) || errors.As(err, &usageError{}) {
-			os.Exit(2)
-		}
-		os.Exit(1)
-	}
+	return log
+}
+
+// untilSignal returns a context that is done at SIGINT or SIGTERM.
+func untilSignal() (context.Context, context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-func read(file string) (*settings.Gateway, error) {
+func readSettings(file string) (*settings.Gateway, error) {
 	s, err := settings.Read(file)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, os.ErrPermission) {
 		err = usageError{err}
@@ -66,6 +97,9 @@
 	return s, err
 }
 
+// printJSON writes a value to the standard output, as one line.
+func printJSON(value any) error { return json.NewEncoder(os.Stdout).Encode(value) }
+
 type versionCommand struct{}
 
 func (*versionCommand) Run() error {
--- a/cmd/honeyplank/nodes.go
+++ b/cmd/honeyplank/nodes.go
@@ -2,25 +2,25 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"honeyplank/gateway"
-	"os"
+	"strings"
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"honeyplank/gateway"
 )
 
 type nodesCommand struct {
 	File  string        `arg:"" help:"Settings, as XML."`
-	Wait  time.Duration `help:"How long to listen to the sources first." default:"1s"`
+	Wait  time.Duration `help:"How long to follow the sources before printing." default:"1s"`
 	Watch bool          `help:"Go on, and print the nodes whenever something has changed."`
 	JSON  bool          `help:"Print JSON lines."`
 }
 
-// Run listens to the sources as a gateway does that serves nobody.
+// Run follows the sources as a gateway does, on an address that nobody knows.
 func (c *nodesCommand) Run() error {
-	s, err := read(c.File)
+	s, err := readSettings(c.File)
 	if err != nil {
 		return err
 	}
@@ -29,36 +29,49 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signals()
+	ctx, stop := untilSignal()
 	defer stop()
-	go g.Serve(context.Background())
+	go func() {
+		_ = g.Serve(context.Background()) // Kill ends it; nodes of a gateway that has ended are none
+	}()
 	defer g.Kill()
-	seen := ""
+	lastState := ""
 	for first := true; first || c.Watch; first = false {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-time.After(c.Wait):
 		}
-		list, _ := g.Nodes()
-		key := ""
-		for _, n := range list {
-			key += n.Server + n.State + n.Cause
-		}
-		if key == seen && !first {
+		nodes, _ := g.Nodes() // the gateway has not ended, since Kill comes last
+		state := stateOf(nodes)
+		if state == lastState && !first {
 			continue
 		}
-		seen = key
-		if c.JSON {
-			if err := json.NewEncoder(os.Stdout).Encode(list); err != nil {
-				return err
-			}
-			continue
-		}
-		fmt.Printf("%-22s %5s %-9s %-20s %-8s %-28s %s\n", "disk server", "cell", "believed", "cause", "since", "etcd says", "dns says")
-		for _, n := range list {
-			fmt.Printf("%-22s %5d %-9s %-20s %-8s %-28s %s\n", n.Server, n.Cell, n.State, n.Cause, n.Since, n.Etcd, n.DNS)
+		lastState = state
+		if err := c.print(nodes); err != nil {
+			return err
 		}
 	}
 	return nil
 }
+
+// stateOf is what has changed when the nodes are worth printing again.
+func stateOf(nodes []gateway.Node) string {
+	var b strings.Builder
+	for _, n := range nodes {
+		b.WriteString(n.Server + n.State + n.Cause)
+	}
+	return b.String()
+}
+
+func (c *nodesCommand) print(nodes []gateway.Node) error {
+	if c.JSON {
+		return printJSON(nodes)
+	}
+	fmt.Printf("%-22s %5s %-9s %-20s %-8s %-28s %s\n",
+		"disk server", "cell", "believed", "cause", "since", "etcd says", "dns says")
+	for _, n := range nodes {
+		fmt.Printf("%-22s %5d %-9s %-20s %-8s %-28s %s\n", n.Server, n.Cell, n.State, n.Cause, n.Since, n.Etcd, n.DNS)
+	}
+	return nil
+}
--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -19,59 +19,102 @@
 	File string `arg:"" optional:"" env:"PROXY_CONFIG" help:"Configuration that the platform writes, as JSON."`
 }
 
-// heapShare is the part of the memory limit that the program's own heap may take before it is cleared up harder.
-const heapShare = 0.5
+const (
+	// memoryLimitShare is the part of the configured memory that is the runtime's limit; sockets take memory beside it.
+	memoryLimitShare = 0.5
+	// gcPercent lets the heap grow to five times what is live between collections: little is.
+	gcPercent = 400
+	bytesInMB = 1 << 20
+)
 
-// heapGrowth is by how many percent the heap grows before it is cleared up: little is live, and less often is cheaper.
-const heapGrowth = 400
+// errTerminated means that a signal to terminate came before the scheduler served.
+var errTerminated = errors.New("terminated before serving")
 
-// Run plays one scheduler in the foreground: SIGHUP reads the configuration anew, SIGTERM ends it in order.
+// Run serves as one scheduler in the foreground: SIGHUP reloads the configuration, SIGTERM shuts down gracefully.
 func (c *platformCommand) Run(log zerolog.Logger) error {
 	if c.File == "" {
 		return usageError{errors.New("no configuration file is named, nor PROXY_CONFIG set")}
 	}
-	// A signal is dropped where its channel is full: one that waits there is as good as two, of its own kind only.
-	anew, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(anew, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
+	// A signal is dropped if its channel is full: one that waits there stands for all of its kind.
+	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	file := reader[*scheduler.Config]{func() (*scheduler.Config, error) { return scheduler.ReadConfig(c.File) }, unread, log}
-	p, err := before(end, func() (*scheduler.Config, error) { return file.load(ctx, anew) })
-	if err != nil && err != errEnded {
+	file := fileReader[*scheduler.Config]{
+		func() (*scheduler.Config, error) { return scheduler.ReadConfig(c.File) }, retryConfigError, log,
+	}
+	config, err := unlessTerminated(terminate, func() (*scheduler.Config, error) { return file.load(ctx, reload) })
+	if err != nil && !errors.Is(err, errTerminated) {
 		return usageError{err}
 	}
 	var s *scheduler.Scheduler
 	if err == nil {
-		debug.SetGCPercent(heapGrowth)
-		limit(p)
-		s, err = before(end, func() (*scheduler.Scheduler, error) {
-			return scheduler.New(p, log.With().Str("scheduler", p.Name).Logger())
-		})
+		s, err = startScheduler(config, terminate, log)
 	}
-	if err == errEnded {
-		log.Info().Msg(err.Error())
+	if errors.Is(err, errTerminated) {
+		log.Info().Msg("terminated before serving")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	log.Info().Str("address", s.Address()).Str("discovery", p.Discovery).Int("sockets", p.Sockets).Int("memory_mb", p.MemoryMB).Msg("serving")
+	log.Info().Str("address", s.Address()).Str("discovery", config.Discovery).Int("sockets", config.Sockets).
+		Int("memory_mb", config.MemoryMB).Msg("serving")
+	go file.follow(ctx, reload, func(config *scheduler.Config) {
+		applyResourceLimits(config)
+		s.Reload(config)
+	})
+	return serveUntilTerminated(s, terminate)
+}
+
+func startScheduler(
+	config *scheduler.Config, terminate <-chan os.Signal, log zerolog.Logger,
+) (*scheduler.Scheduler, error) {
+	debug.SetGCPercent(gcPercent)
+	applyResourceLimits(config)
+	return unlessTerminated(terminate, func() (*scheduler.Scheduler, error) {
+		return scheduler.New(config, log.With().Str("scheduler", config.Name).Logger())
+	})
+}
+
+// serveUntilTerminated runs the scheduler to its end; each signal on terminate asks it to shut down.
+func serveUntilTerminated(s *scheduler.Scheduler, terminate <-chan os.Signal) error {
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
-	go file.follow(ctx, anew, func(p *scheduler.Config) { limit(p); s.Reload(p) })
 	for {
 		select {
 		case err := <-served:
 			return err
-		case <-end:
+		case <-terminate:
 			s.Shutdown()
 		}
 	}
 }
 
-// limit keeps the process within what the configuration allows it.
-func limit(p *scheduler.Config) {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
-	debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMB) * (1 << 20)))
+// applyResourceLimits keeps the process within what the configuration allows it.
+func applyResourceLimits(config *scheduler.Config) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(config.MemoryMB) * bytesInMB))
+}
+
+// unlessTerminated does what may take a while, unless a signal to terminate comes first. What was begun then ends with
+// the process.
+func unlessTerminated[T any](terminate <-chan os.Signal, do func() (T, error)) (T, error) {
+	type result struct {
+		value T
+		err   error
+	}
+	done := make(chan result, 1)
+	go func() {
+		value, err := do()
+		done <- result{value, err}
+	}()
+	select {
+	case r := <-done:
+		return r.value, r.err
+	case <-terminate:
+		var none T
+		return none, errTerminated
+	}
 }
--- a/cmd/honeyplank/settings.go
+++ b/cmd/honeyplank/settings.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"fmt"
-	"honeyplank/settings"
 	"os"
+
+	"honeyplank/settings"
 )
 
 type settingsCommand struct {
-	Check  checkCommand  `cmd:"" help:"Tell whether files are right."`
-	Show   showCommand   `cmd:"" help:"Print settings with what was left to defaults."`
+	Check  checkCommand  `cmd:"" help:"Check files for errors."`
+	Show   showCommand   `cmd:"" help:"Print settings with their defaults."`
 	Schema schemaCommand `cmd:"" help:"Print the XML schema."`
 }
 
@@ -19,12 +20,12 @@
 
 func (c *checkCommand) Run() error {
 	var all error
-	for _, f := range c.Files {
-		if _, err := read(f); err != nil {
+	for _, file := range c.Files {
+		if _, err := readSettings(file); err != nil {
 			all = errors.Join(all, err)
-		} else {
-			fmt.Println(f + ": right")
+			continue
 		}
+		fmt.Println(file + ": right")
 	}
 	return all
 }
@@ -34,12 +35,15 @@
 }
 
 func (c *showCommand) Run() error {
-	s, err := read(c.File)
+	s, err := readSettings(c.File)
+	if err != nil {
+		return err
+	}
+	text, err := s.XML()
 	if err != nil {
 		return err
 	}
-	b, err := s.XML()
-	os.Stdout.Write(b)
+	_, err = os.Stdout.Write(text)
 	return err
 }
 
