--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -3,9 +3,7 @@
 
 import (
 	"go/ast"
-	"go/parser"
 	"go/token"
-	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
@@ -120,19 +118,9 @@
 	t.Helper()
 	lines := map[string]*logLine{}
 	fileSet := token.NewFileSet()
-	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() && (entry.Name() == ".git" || entry.Name() == "testdata") {
-			return filepath.SkipDir
-		}
-		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
-		file, err := parser.ParseFile(fileSet, path, nil, 0)
-		if err != nil {
-			return err
+	visitGoFiles(t, fileSet, func(path string, file *ast.File) {
+		if strings.HasSuffix(path, "_test.go") {
+			return
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
 			if call, ok := node.(*ast.CallExpr); ok {
@@ -140,11 +128,7 @@
 			}
 			return true
 		})
-		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
 	return lines
 }
 
