--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -23,8 +23,8 @@
 // pagesByPackage are the pages that must have the log lines of a package. Those of others may be on either.
 var pagesByPackage = map[string]string{"gateway": "operators.md", "scheduler": "platform.md"}
 
-// TestLogLines checks that operators.md and platform.md have a row for each log line of the program and name each of its
-// fields, and that they have no row for a line and name no field that does not exist.
+// TestLogLines checks that operators.md and platform.md have a row for each log line of the program and name each of
+// its fields, and that they have no row for a line and name no field that does not exist.
 func TestLogLines(t *testing.T) {
 	lines := programLogLines(t)
 	if len(lines) < 20 {
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -48,8 +48,13 @@
 	return nil
 }
 
+// logBan logs that a client was banned for a time or, with no time, that a connection was rejected.
 func (g *Instance) logBan(client, reason string, duration time.Duration) {
-	g.log.Warn().Str("client", client).Str("reason", reason).Dur("duration_ms", duration).Msg("client banned")
+	if duration == 0 {
+		g.log.Warn().Str("client", client).Str("reason", reason).Msg("client connection rejected")
+		return
+	}
+	g.log.Warn().Str("client", client).Dur("duration_ms", duration).Msg("client banned")
 }
 
 // clientLimits returns the limits for one client.
