--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -61,9 +61,10 @@
 	c := &clockHarness{harness: h}
 	c.gateway.Kill()
 	c.offset.Store(int64(step))
-	c.serve(gateway.Options{Seed: 2, Estimates: known, Wall: c.wall, Module: func(seed int64, values *honeyplank.Settings) honeyplank.DecisionModule {
+	module := func(seed int64, values *honeyplank.Settings) honeyplank.DecisionModule {
 		return recordingModule{policy.New(seed, values), &c.mu, &c.notified, &c.estimates}
-	}})
+	}
+	c.serve(gateway.Options{Seed: 2, Estimates: known, Wall: c.wall, Module: module})
 	c.eventually("the list", func() bool {
 		return c.lastNotification(c.disks[0].Address()).now > 0 && c.lastNotification(c.disks[1].Address()).now > 0
 	})
@@ -114,28 +115,50 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newClockHarness(newHarness(t), x.before, nil)
-			address := c.disks[1].Address()
 			c.offset.Store(int64(x.between))
 			at := c.wall()
 			c.offset.Store(int64(x.after))
-			first := c.registerStart(address, 2, at)
-			without := c.notificationsOf(address)[0].now // when etcd listed it without this start
-			if first.Started < without-time.Second || first.Started <= 0 || first.Started > first.now {
-				t.Errorf("notified at %v: started %v, at %v it had not", first.now, first.Started, without)
-			}
-			for size := 3.0; size < 6; size++ {
-				c.offset.Store(-c.offset.Load())
-				if again := c.registerStart(address, size, at); again.Started != first.Started {
-					t.Errorf("listed again at %v: started %v, was %v", again.now, again.Started, first.Started)
-				}
-			}
-			if restarted := c.registerStart(address, 6, at.Add(-time.Minute)); restarted.Started <= first.Started || restarted.Started > restarted.now {
-				t.Errorf("another start, notified at %v: started %v, the one before %v", restarted.now, restarted.Started, first.Started)
-			}
+			first := c.checkFirstStart(at)
+			c.checkSameStart(at, first)
+			c.checkRestart(at.Add(-time.Minute), first)
 		})
 	}
 }
 
+// checkFirstStart registers the second server with a start: the module is notified of it as a recent one.
+func (c *clockHarness) checkFirstStart(at time.Time) notification {
+	c.t.Helper()
+	address := c.disks[1].Address()
+	first := c.registerStart(address, 2, at)
+	without := c.notificationsOf(address)[0].now // when etcd listed it without this start
+	if first.Started < without-time.Second || first.Started <= 0 || first.Started > first.now {
+		c.t.Errorf("notified at %v: started %v, at %v it had not", first.now, first.Started, without)
+	}
+	return first
+}
+
+// checkSameStart registers the second server with the same start while the wall clock steps: the module's start stays.
+func (c *clockHarness) checkSameStart(at time.Time, first notification) {
+	c.t.Helper()
+	for size := 3.0; size < 6; size++ {
+		c.offset.Store(-c.offset.Load())
+		if again := c.registerStart(c.disks[1].Address(), size, at); again.Started != first.Started {
+			c.t.Errorf("listed again at %v: started %v, was %v", again.now, again.Started, first.Started)
+		}
+	}
+}
+
+// checkRestart registers the second server with another start: it is later for the module, whatever the wall clock
+// says.
+func (c *clockHarness) checkRestart(at time.Time, first notification) {
+	c.t.Helper()
+	restarted := c.registerStart(c.disks[1].Address(), 6, at)
+	if restarted.Started <= first.Started || restarted.Started > restarted.now {
+		c.t.Errorf("another start, notified at %v: started %v, the one before %v",
+			restarted.now, restarted.Started, first.Started)
+	}
+}
+
 // TestStartBeforeInstance has an instance begin with a server whose start two sources name. It can't be known how long
 // ago that was, whatever the wall clock says: it is taken as recent, and once only; but not as news that the source
 // which drains the server hasn't heard yet.
@@ -143,19 +166,24 @@
 	for name, x := range map[string]struct {
 		step  time.Duration
 		state string
-	}{"steady": {0, "on"}, "an hour back": {-time.Hour, "on"}, "an hour ahead": {time.Hour, "on"}, "it drains": {0, "draining"}, "it drains, an hour back": {-time.Hour, "draining"}} {
+	}{
+		"steady":                  {0, "on"},
+		"an hour back":            {-time.Hour, "on"},
+		"an hour ahead":           {time.Hour, "on"},
+		"it drains":               {0, "draining"},
+		"it drains, an hour back": {-time.Hour, "draining"},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			names, err := dns.New("_h._tcp.x.")
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(names.Close)
-			h, at := newHarness(t), time.Now().Add(-time.Minute)
+			h, names, at := newHarness(t), newNameServer(t), time.Now().Add(-time.Minute)
 			address := h.disks[1].Address()
 			h.registerRecord(address, discovery.Record{State: x.state, Size: 1, Cell: 1, StartedMS: at.UnixMilli()})
-			port := netip.MustParseAddrPort(address).Port()
-			names.SetRecords(1, []dns.Record{{Target: fmt.Sprintf("a--c1-t%d.x.", at.Unix()), IP: "127.0.0.1", Port: port, Weight: 1}})
+			names.SetRecords(1, []dns.Record{{
+				Target: fmt.Sprintf("a--c1-t%d.x.", at.Unix()),
+				IP:     "127.0.0.1",
+				Port:   netip.MustParseAddrPort(address).Port(),
+				Weight: 1,
+			}})
 			addDNS(h.settings, names.Address())
 			c := newClockHarness(h, x.step, nil)
 			c.eventually("both sources have reported it, DNS repeatedly", func() bool {
@@ -165,15 +193,21 @@
 				}
 				return ok && names.Queries() > 5 && node.DNS != "never" && node.Etcd != "never"
 			})
-			first := c.notificationsOf(address)[0]
-			if first.Started <= 0 || first.Started > first.now {
-				t.Errorf("notified at %v: started %v", first.now, first.Started)
-			}
-			for _, again := range c.notificationsOf(address) {
-				if again.Started != first.Started {
-					t.Errorf("notified at %v: started %v, was %v", again.now, again.Started, first.Started)
-				}
-			}
+			c.checkOneStart(address)
 		})
 	}
 }
+
+// checkOneStart checks that all notifications of a server have one start, and a recent one.
+func (c *clockHarness) checkOneStart(address string) {
+	c.t.Helper()
+	first := c.notificationsOf(address)[0]
+	if first.Started <= 0 || first.Started > first.now {
+		c.t.Errorf("notified at %v: started %v", first.now, first.Started)
+	}
+	for _, again := range c.notificationsOf(address) {
+		if again.Started != first.Started {
+			c.t.Errorf("notified at %v: started %v, was %v", again.now, again.Started, first.Started)
+		}
+	}
+}
--- a/gateway/data_test.go
+++ b/gateway/data_test.go
@@ -40,7 +40,8 @@
 	if p := c.expect(nvme.TypeCapsuleResp); p.Completion() != [16]byte(p.Header[8:24]) || c.status(p) != nvme.Success {
 		t.Fatalf("write: %#x", c.status(p))
 	}
-	if got, status := h.do(h.connect("reader"), nvme.NewRW(nvme.Read, 1, 8, 4), nil); status != nvme.Success || string(got) != string(data) {
+	got, status := h.do(h.connect("reader"), nvme.NewRW(nvme.Read, 1, 8, 4), nil)
+	if status != nvme.Success || string(got) != string(data) {
 		t.Fatal("what was read is not what was written byte by byte")
 	}
 }
@@ -82,7 +83,8 @@
 	if _, status := h.do(a, nvme.NewRW(nvme.Write, 2, 500, 2), data); status != nvme.Success {
 		t.Fatalf("write: %#x", status)
 	}
-	if got, status := h.do(a, nvme.NewRW(nvme.Read, 2, 500, 2), nil); status != nvme.Success || string(got) != string(data) {
+	got, status := h.do(a, nvme.NewRW(nvme.Read, 2, 500, 2), nil)
+	if status != nvme.Success || string(got) != string(data) {
 		t.Fatalf("read: %#x", status)
 	}
 }
@@ -106,8 +108,14 @@
 			if err != nil {
 				return
 			}
-			go func() { io.Copy(to, from); to.Close() }()
-			go func() { copyByteByByte(from, to); from.Close() }()
+			go func() { // both copies end with their connections, which gateway and server close
+				defer to.Close()
+				_, _ = io.Copy(to, from) // the other side may be closed first
+			}()
+			go func() {
+				defer from.Close()
+				copyByteByByte(from, to)
+			}()
 		}
 	}()
 	return listener.Addr().String()
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -5,36 +5,22 @@
 	"time"
 
 	"honeyplank/fake/disk"
+	"honeyplank/initiator"
 	"honeyplank/nvme"
 )
 
 // TestSilence has a disk server accept connections and answer nothing, from the handshake on or in service.
 // Every op has exactly one answer before its client gives up, and the other server's answers keep coming.
 func TestSilence(t *testing.T) {
-	for name, fault := range map[string]disk.Faults{"in service": {Silent: true}, "from the handshake on": {NoHandshake: true}} {
+	for name, fault := range map[string]disk.Faults{
+		"in service":            {Silent: true},
+		"from the handshake on": {NoHandshake: true},
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, tolerateHoldUps)
 			a := h.connect("client")
 			h.onLoop(func() { h.disks[1].SetFaults(fault) })
-			var silent, healthy []chan answer
-			for i := range 30 {
-				silent = append(silent, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
-				healthy = append(healthy, h.submit(a, nvme.NewRW(nvme.Read, 1, uint64(i), 1), nil))
-				time.Sleep(10 * time.Millisecond)
-			}
-			for i := range silent {
-				r := <-silent[i]
-				if r.lost || r.took >= h.opTimeout() || r.status.Code() != nvme.CommandInterrupted {
-					t.Errorf("op %d on the silent server: %#x after %v, lost %v", i, r.status, r.took, r.lost)
-				}
-				if r.dw0 == 0 || r.status.Delay() == 0 {
-					t.Errorf("op %d is rejected without a retry delay", i)
-				}
-				if r := <-healthy[i]; r.status != nvme.Success {
-					t.Errorf("op %d on the healthy server: %#x", i, r.status)
-				}
-			}
-			h.eventually("no answer is owed", func() bool { return h.counts().Unanswered == 0 })
+			checkOneServerSilent(t, h, a)
 			// It comes back; its late answers must not be taken for others'.
 			h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{}) })
 			h.eventually("served again", func() bool {
@@ -48,6 +34,35 @@
 	}
 }
 
+// checkOneServerSilent sends ops to both disk servers, of which the second answers nothing, and checks the answers.
+func checkOneServerSilent(t *testing.T, h *harness, a *initiator.Association) {
+	t.Helper()
+	var silent, healthy []chan answer
+	for i := range 30 {
+		silent = append(silent, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
+		healthy = append(healthy, h.submit(a, nvme.NewRW(nvme.Read, 1, uint64(i), 1), nil))
+		time.Sleep(10 * time.Millisecond)
+	}
+	for i := range silent {
+		checkRejectedInTime(t, <-silent[i], h.opTimeout())
+		if r := <-healthy[i]; r.status != nvme.Success {
+			t.Errorf("op %d on the healthy server: %#x", i, r.status)
+		}
+	}
+	h.eventually("no answer is owed", func() bool { return h.counts().Unanswered == 0 })
+}
+
+// checkRejectedInTime checks that an answer is a rejection with a retry delay, before its client gave up.
+func checkRejectedInTime(t *testing.T, r answer, timeout time.Duration) {
+	t.Helper()
+	if r.lost || r.took >= timeout || r.status.Code() != nvme.CommandInterrupted {
+		t.Errorf("an op on the silent server: %#x after %v, lost %v", r.status, r.took, r.lost)
+	}
+	if r.dw0 == 0 || r.status.Delay() == 0 {
+		t.Errorf("an op on the silent server is rejected without a retry delay: %#x after %v", r.status, r.took)
+	}
+}
+
 // TestOnceOnly loses the answers of at-most-once writes: they fail, since a rejection would promise that they did
 // not run.
 func TestOnceOnly(t *testing.T) {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -1,9 +1,11 @@
 package gateway_test
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -28,18 +30,23 @@
 	etcd     *etcd.Server
 	disks    []*disk.Server
 	gateway  *gateway.Instance
+	serving  sync.WaitGroup // of each Serve
 }
 
-// volume 1 lies on cells 0 and 1 by turns, in extents of 256 blocks; volume 2 on cell 1.
+// testSettings has volume 1 on cells 0 and 1 by turns, in extents of 256 blocks, and volume 2 on cell 1.
 const testSettings = `<honeyplank version="1">
-  <listen address="127.0.0.1:0" subsystem="nqn.2026-12.org.honeyplank:test" host="nqn.2026-12.org.honeyplank:gateway-0"/>
+  <listen address="127.0.0.1:0" subsystem="nqn.2026-12.org.honeyplank:test"
+    host="nqn.2026-12.org.honeyplank:gateway-0"/>
   <list prefix="/honeyplank/nodes/" ask-within="2s" most="20000"><etcd endpoint="127.0.0.1:1"/></list>
   <scheduler hosts="1" ordinal="0"/>
   <dispatches most="4" advice-most="400ms"/>
   <op-types>
-    <op-type name="read" opcode="read" target-latency="300ms" op-timeout="800ms" utility="1" kind="replayable"/>
-    <op-type name="write" opcode="write" to="64KiB" target-latency="300ms" op-timeout="800ms" utility="1" kind="replayable"/>
-    <op-type name="once" opcode="write" from="68KiB" target-latency="300ms" op-timeout="800ms" utility="1" kind="once-only"/>
+    <op-type name="read" opcode="read"
+      target-latency="300ms" op-timeout="800ms" utility="1" kind="replayable"/>
+    <op-type name="write" opcode="write" to="64KiB"
+      target-latency="300ms" op-timeout="800ms" utility="1" kind="replayable"/>
+    <op-type name="once" opcode="write" from="68KiB"
+      target-latency="300ms" op-timeout="800ms" utility="1" kind="once-only"/>
   </op-types>
   <plans><plan name="all" rate="1000" reserve="1000" weight="1"/></plans>
   <volumes block="4KiB" unit="16KiB" extent="1MiB" mean-units="1">
@@ -47,8 +54,10 @@
     <volume nsid="2" name="b" plan="all" size="1GiB" cells="1"/>
   </volumes>
   <rules drain-grace="1s" answer-margin="100ms"/>
-  <limits connections="12" depth="64" transfer="128KiB" capsule="8KiB" piece="32KiB" held="1MiB" unsent="2MiB" handshake="300ms"/>
-  <disk-servers subsystem="nqn.2026-12.org.honeyplank:disk" connect-within="200ms" keep-alive="600ms" depth="64" digests="true"/>
+  <limits connections="12" depth="64" transfer="128KiB" capsule="8KiB" piece="32KiB"
+    held="1MiB" unsent="2MiB" handshake="300ms"/>
+  <disk-servers subsystem="nqn.2026-12.org.honeyplank:disk"
+    connect-within="200ms" keep-alive="600ms" depth="64" digests="true"/>
   <rehearsal gateways="1" length="1s" clients="1">
     <fleet cores="2" queue="64" unit-time="2ms"/>
     <traffic op-type="read" rate="1" bytes="4KiB"/>
@@ -102,11 +111,17 @@
 		h.addDisk(cell)
 	}
 	ended := make(chan struct{})
-	go func() { h.loop.Run(); close(ended) }()
+	go func() {
+		defer close(ended)
+		if err := h.loop.Run(); err != nil {
+			t.Errorf("the loop of fakes and clients: %v", err)
+		}
+	}()
 	s.EndpointList.Etcd[0].Endpoint = h.etcd.Address()
 	h.serve(gateway.Options{Seed: 1})
 	t.Cleanup(func() {
 		h.gateway.Kill()
+		h.serving.Wait()
 		h.loop.Post(h.loop.Stop)
 		<-ended
 		h.etcd.Close()
@@ -137,7 +152,12 @@
 	if h.gateway, err = gateway.New(options); err != nil {
 		h.t.Fatal(err)
 	}
-	go h.gateway.Serve(context.Background())
+	g := h.gateway
+	h.serving.Go(func() {
+		if err := g.Serve(context.Background()); err != nil {
+			h.t.Errorf("Serve: %v", err)
+		}
+	})
 }
 
 // register lists a disk server in etcd.
@@ -200,7 +220,10 @@
 // waitIdle waits until no op is unanswered, no dispatch outstanding and no buffer in use.
 func (h *harness) waitIdle() {
 	h.t.Helper()
-	h.eventually("idle", func() bool { c := h.counts(); return c.Unanswered == 0 && c.Outstanding == 0 && c.BufferedBytes == 0 })
+	h.eventually("idle", func() bool {
+		c := h.counts()
+		return c.Unanswered == 0 && c.Outstanding == 0 && c.BufferedBytes == 0
+	})
 }
 
 // associationWaiter receives nil once an association is ready, or the error with which it has ended.
@@ -221,8 +244,15 @@
 	waiter := associationWaiter{make(chan error, 2)}
 	var a *initiator.Association
 	h.onLoop(func() {
-		a = initiator.Dial(h.loop, initiator.Settings{Address: h.gateway.Address(), Subsystem: h.settings.Listen.Subsystem, Host: nqnPrefix + name,
-			Depth: 60, MaxData: 128 << 10, ConnectTimeout: time.Second, Digests: name == "digests"}, waiter)
+		a = initiator.Dial(h.loop, initiator.Settings{
+			Address:        h.gateway.Address(),
+			Subsystem:      h.settings.Listen.Subsystem,
+			Host:           nqnPrefix + name,
+			Depth:          60,
+			MaxData:        128 << 10,
+			ConnectTimeout: time.Second,
+			Digests:        name == "digests",
+		}, waiter)
 	})
 	if err := <-waiter.ready; err != nil {
 		h.t.Fatal(err)
@@ -248,9 +278,10 @@
 	}
 	h.onLoop(func() {
 		began := time.Now()
-		if _, ok := a.IO.Submit(c, data, read, initiator.CallFunc(func(r initiator.Result) {
-			out <- answer{append([]byte(nil), r.Data...), r.Status(), r.Lost, time.Since(began), r.DW0()}
-		})); !ok {
+		done := initiator.CallFunc(func(r initiator.Result) {
+			out <- answer{bytes.Clone(r.Data), r.Status(), r.Lost, time.Since(began), r.DW0()}
+		})
+		if _, ok := a.IO.Submit(c, data, read, done); !ok {
 			out <- answer{lost: true}
 		}
 	})
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -28,7 +28,10 @@
 	for i := range 40 {
 		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
 	}
-	h.eventually("queued and dispatched", func() bool { c := h.counts(); return c.Unanswered == 40 && c.Outstanding > 0 && c.Outstanding < 40 })
+	h.eventually("queued and dispatched", func() bool {
+		c := h.counts()
+		return c.Unanswered == 40 && c.Outstanding > 0 && c.Outstanding < 40
+	})
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if err := h.gateway.Shutdown(ctx); err != nil {
@@ -54,7 +57,10 @@
 	h := newHarness(t)
 	a := h.connect("client")
 	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{Silent: true}) })
-	answers := []chan answer{h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil), h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil)}
+	answers := []chan answer{
+		h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil),
+		h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil),
+	}
 	h.eventually("admitted", func() bool { return h.counts().Unanswered == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -79,8 +85,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		group.Add(1)
-		go func() { defer group.Done(); g.Serve(context.Background()) }()
+		group.Go(func() {
+			if err := g.Serve(context.Background()); err != nil {
+				t.Errorf("Serve: %v", err)
+			}
+		})
 		if c, ok := g.Counts(); !ok || c.Admitted != 0 {
 			t.Errorf("a fresh instance has admitted %d ops", c.Admitted)
 		}
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -14,8 +14,16 @@
 // withPeerLimits sets limits per peer.
 func withPeerLimits(s *settings.Gateway) {
 	s.Limits.MaxConnections = 2000
-	s.Limits.Client = &settings.ClientLimits{MaxConnections: 40, MaxHandshakes: 8, MaxBufferedBytes: 64 << 10, PDUTimeout: settings.Span(200 * time.Millisecond), BanThreshold: 3,
-		ViolationWindow: settings.Span(2 * time.Second), InitialBan: settings.Span(400 * time.Millisecond), MaxBan: settings.Span(time.Second)}
+	s.Limits.Client = &settings.ClientLimits{
+		MaxConnections:   40,
+		MaxHandshakes:    8,
+		MaxBufferedBytes: 64 << 10,
+		PDUTimeout:       settings.Span(200 * time.Millisecond),
+		BanThreshold:     3,
+		ViolationWindow:  settings.Span(2 * time.Second),
+		InitialBan:       settings.Span(400 * time.Millisecond),
+		MaxBan:           settings.Span(time.Second),
+	}
 }
 
 // TestPeerBan has a peer violate the protocol until it is banned, return after the ban and violate it again; another
@@ -28,7 +36,7 @@
 		if c == nil {
 			return false
 		}
-		c.conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
+		c.write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		c.expect(nvme.TypeC2HTermReq)
 		c.conn.Close()
 		return true
@@ -77,16 +85,11 @@
 // service.
 func TestPDUTimeout(t *testing.T) {
 	h := newHarness(t, withPeerLimits)
-	for name, c := range map[string]*rawClient{"in the handshake": dialRaw(t, h.gateway.Address()), "in service": connectRaw(t, h, "slow")} {
-		began := time.Now()
-		for {
-			if _, err := c.conn.Write([]byte{nvme.TypeCapsuleCmd}[:1]); err != nil {
-				break
-			}
-			c.conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-			if _, err := c.conn.Read(make([]byte, 1)); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-				break
-			}
+	for name, c := range map[string]*rawClient{
+		"in the handshake": dialRaw(t, h.gateway.Address()),
+		"in service":       connectRaw(t, h, "slow"),
+	} {
+		for began := time.Now(); c.sendOneByte(); {
 			if time.Since(began) > 3*time.Second {
 				t.Fatalf("%s: an incomplete PDU does not time out", name)
 			}
@@ -94,6 +97,19 @@
 	}
 }
 
+// sendOneByte sends a byte and waits 50 ms. It reports whether the connection is open.
+func (c *rawClient) sendOneByte() bool {
+	c.t.Helper()
+	if _, err := c.conn.Write([]byte{nvme.TypeCapsuleCmd}); err != nil {
+		return false
+	}
+	if err := c.conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+		c.t.Fatal(err)
+	}
+	_, err := c.conn.Read(make([]byte, 1))
+	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
+}
+
 // TestBytesOfOnePeer has a peer ask for many Writes and send the data of none: the buffers reserved for it are
 // limited, and another peer's Writes go on.
 func TestBytesOfOnePeer(t *testing.T) {
@@ -103,8 +119,8 @@
 		greedy.write(greedy.command(id, nvme.Write, 1, 0, 16, nil))
 	}
 	h.eventually("data is requested", func() bool { return h.counts().BufferedBytes > 0 })
-	if held := h.counts().BufferedBytes; held > 64<<10 {
-		t.Errorf("%d bytes are reserved for one peer", held)
+	if buffered := h.counts().BufferedBytes; buffered > 64<<10 {
+		t.Errorf("%d bytes are reserved for one peer", buffered)
 	}
 	for range 20 { // each is answered when its data has timed out
 		if p := greedy.expectAny(nvme.TypeCapsuleResp); greedy.status(p) != nvme.DataTransferError {
--- a/gateway/rawclient_test.go
+++ b/gateway/rawclient_test.go
@@ -38,7 +38,9 @@
 	if err != nil {
 		return nil
 	}
-	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if err := conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := conn.Read(make([]byte, 1)); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		conn.Close()
 		return nil
@@ -49,8 +51,15 @@
 func newRawClient(t *testing.T, conn net.Conn) *rawClient {
 	t.Helper()
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	return &rawClient{t: t, conn: conn, sendFraming: nvme.Framing{MaxData: 1 << 20, FromHost: true}, receiveFraming: nvme.Framing{MaxData: 1 << 20}}
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	return &rawClient{
+		t:              t,
+		conn:           conn,
+		sendFraming:    nvme.Framing{MaxData: 1 << 20, FromHost: true},
+		receiveFraming: nvme.Framing{MaxData: 1 << 20},
+	}
 }
 
 func (c *rawClient) write(b []byte) {
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -82,43 +82,44 @@
 		}
 		t.Logf("round %d: a thousand registered in %v", round, time.Since(began))
 	}
-	h.eventually("all are up", func() bool {
-		list, _ := h.gateway.Nodes()
-		on := 0
-		for _, n := range list {
-			if n.State == "on" {
-				on++
-			}
+	h.eventually("all are up", func() bool { return nodesUp(h) == 1002 })
+}
+
+// nodesUp returns how many nodes are up.
+func nodesUp(h *harness) int {
+	nodes, _ := h.gateway.Nodes()
+	up := 0
+	for _, node := range nodes {
+		if node.State == "on" {
+			up++
 		}
-		return on == 1002
-	})
+	}
+	return up
 }
 
 // addDNS adds a name server as a source beside etcd, polled for _h._tcp.x. at short intervals.
 func addDNS(s *settings.Gateway, address string) {
-	s.EndpointList.DNS = &settings.DNSSource{Name: "_h._tcp.x.", MinInterval: settings.Span(50 * time.Millisecond), MaxInterval: settings.Span(100 * time.Millisecond), Timeout: settings.Span(time.Second)}
-	s.EndpointList.DNS.Servers = append(s.EndpointList.DNS.Servers, struct {
-		Address string `xml:"address,attr"`
-	}{address})
-	s.EndpointList.SourceTrust = &settings.SourceTrust{MaxRemovedShare: 0.4, ConfirmAfter: settings.Span(300 * time.Millisecond), FlapWindow: settings.Span(time.Second), FlapThreshold: 9}
+	s.EndpointList.DNS = &settings.DNSSource{
+		Name:        "_h._tcp.x.",
+		MinInterval: settings.Span(50 * time.Millisecond),
+		MaxInterval: settings.Span(100 * time.Millisecond),
+		Timeout:     settings.Span(time.Second),
+	}
+	s.EndpointList.DNS.Servers = []settings.NameServer{{Address: address}}
+	s.EndpointList.SourceTrust = &settings.SourceTrust{
+		MaxRemovedShare: 0.4,
+		ConfirmAfter:    settings.Span(300 * time.Millisecond),
+		FlapWindow:      settings.Span(time.Second),
+		FlapThreshold:   9,
+	}
 }
 
 // TestMassRemoval has every key in etcd go, one by one, as leases do that run out together, while DNS holds the
 // servers on: no server is removed. A drain in DNS alone then takes out that server only.
 func TestMassRemoval(t *testing.T) {
-	names, err := dns.New("_h._tcp.x.")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer names.Close()
-	var records []dns.Record
-	h := newHarness(t, func(s *settings.Gateway) {
-		addDNS(s, names.Address())
-	})
-	for cell, d := range h.disks {
-		at := netip.MustParseAddrPort(d.Address())
-		records = append(records, dns.Record{Target: fmt.Sprintf("a%d--c%d.x.", cell, cell), IP: "127.0.0.1", Port: at.Port(), Weight: 1})
-	}
+	names := newNameServer(t)
+	h := newHarness(t, func(s *settings.Gateway) { addDNS(s, names.Address()) })
+	records := diskRecords(h)
 	names.SetRecords(1, records)
 	states := func() string { return mergedAndDNSStates(h) }
 	h.eventually("both sources have reported", func() bool { return states() == "on on;on on;" })
@@ -146,6 +147,31 @@
 	}
 }
 
+// newNameServer starts a fake name server for _h._tcp.x., which ends with the test.
+func newNameServer(t *testing.T) *dns.Server {
+	t.Helper()
+	names, err := dns.New("_h._tcp.x.")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(names.Close)
+	return names
+}
+
+// diskRecords returns a record of each disk server of the harness.
+func diskRecords(h *harness) []dns.Record {
+	var records []dns.Record
+	for cell, d := range h.disks {
+		records = append(records, dns.Record{
+			Target: fmt.Sprintf("a%d--c%d.x.", cell, cell),
+			IP:     "127.0.0.1",
+			Port:   netip.MustParseAddrPort(d.Address()).Port(),
+			Weight: 1,
+		})
+	}
+	return records
+}
+
 // mergedAndDNSStates returns the merged state of each disk server and the one that DNS reports, of one moment.
 func mergedAndDNSStates(h *harness) (text string) {
 	nodes, _ := h.gateway.Nodes()
