--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -157,8 +157,8 @@
 
 // surge multiplies the rate of a volume for a time.
 func (r *run) surge(nsid uint32, f settings.Fault) {
-	r.load.Factor[nsid] = cmp.Or(f.Factor, defaultSurge)
-	r.after(f.Duration.Duration(), func() { delete(r.load.Factor, nsid) })
+	r.load.RateFactor[nsid] = cmp.Or(f.Factor, defaultSurge)
+	r.after(f.Duration.Duration(), func() { delete(r.load.RateFactor, nsid) })
 }
 
 func injectShortTimeouts(r *run, f settings.Fault) {
