--- a/fake/etcd/client_test.go
+++ b/fake/etcd/client_test.go
@@ -10,74 +10,234 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 )
 
-// TestClient has etcd's own Go client work against the stand-in as an ordinary client: range, put, delete, watch
-// from a revision, and compaction.
-func TestClient(t *testing.T) {
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 20 * time.Second
+
+// prefix is the prefix of the keys that are watched.
+const prefix = "/n/"
+
+// testbed is a fake with etcd's own Go client.
+type testbed struct {
+	*testing.T
+	server *Server
+	client *clientv3.Client
+	ctx    context.Context
+}
+
+func newTestbed(t *testing.T) *testbed {
+	t.Helper()
 	s, err := New("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	t.Cleanup(s.Close)
 	c, err := clientv3.New(clientv3.Config{Endpoints: []string{s.Address()}, DialTimeout: 5 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-	defer cancel()
-	put, err := c.Put(ctx, "/n/a", "1")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, key := range []string{"/n/b", "/n/c", "/other"} {
-		if _, err := c.Put(ctx, key, "2"); err != nil {
-			t.Fatal(err)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(func() {
+		cancel()
+		if err := c.Close(); err != nil && !errors.Is(err, context.Canceled) {
+			t.Error(err)
 		}
+	})
+	return &testbed{T: t, server: s, client: c, ctx: ctx}
+}
+
+// put puts a value and returns the revision.
+func (b *testbed) put(key, value string) int64 {
+	b.Helper()
+	r, err := b.client.Put(b.ctx, key, value)
+	if err != nil {
+		b.Fatal(err)
 	}
-	got, err := c.Get(ctx, "/n/", clientv3.WithPrefix(), clientv3.WithLimit(2))
-	if err != nil || got.Count != 3 || len(got.Kvs) != 2 || !got.More || string(got.Kvs[0].Key) != "/n/a" {
-		t.Fatalf("range: %v, %+v", err, got)
-	}
-	old, err := c.Get(ctx, "/n/", clientv3.WithPrefix(), clientv3.WithRev(put.Header.Revision))
-	if err != nil || len(old.Kvs) != 1 {
-		t.Fatalf("range at an earlier revision: %v, %+v", err, old)
-	}
-	watch := c.Watch(ctx, "/n/", clientv3.WithPrefix(), clientv3.WithRev(put.Header.Revision))
-	if _, err := c.Delete(ctx, "/n/b"); err != nil {
-		t.Fatal(err)
+	return r.Header.Revision
+}
+
+// putThree puts two keys of the prefix and another, and returns the revision of the first.
+func (b *testbed) putThree() int64 {
+	b.Helper()
+	first := b.put("/n/a", "1")
+	b.put("/n/b", "2")
+	b.put("/n/c", "2")
+	b.put("/other", "2")
+	return first
+}
+
+func (b *testbed) delete(key string) {
+	b.Helper()
+	if _, err := b.client.Delete(b.ctx, key); err != nil {
+		b.Fatal(err)
 	}
+}
+
+func (b *testbed) watch(revision int64) clientv3.WatchChan {
+	return b.client.Watch(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(revision))
+}
+
+// events receives a number of events.
+func (b *testbed) events(watch clientv3.WatchChan, n int) []*clientv3.Event {
+	b.Helper()
 	var events []*clientv3.Event
-	for len(events) < 4 { // a, b and c put, b deleted
+	for len(events) < n {
 		r := <-watch
 		if r.Err() != nil {
-			t.Fatal(r.Err())
+			b.Fatal(r.Err())
 		}
 		events = append(events, r.Events...)
 	}
-	if last := events[3]; last.Type != clientv3.EventTypeDelete || string(last.Kv.Key) != "/n/b" || !events[0].IsCreate() {
-		t.Errorf("events: %v", events)
+	if len(events) > n {
+		b.Fatalf("%d events, want %d", len(events), n)
 	}
-	s.BreakWatches() // the client goes on by itself from the revision it has
-	if _, err := c.Put(ctx, "/n/d", "3"); err != nil {
+	return events
+}
+
+// TestRange reads a prefix, with a limit and at an earlier revision.
+func TestRange(t *testing.T) {
+	b := newTestbed(t)
+	first := b.putThree()
+	got, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithLimit(2))
+	if err != nil {
 		t.Fatal(err)
 	}
-	if r := <-watch; r.Err() != nil || len(r.Events) != 1 || string(r.Events[0].Kv.Key) != "/n/d" {
-		t.Errorf("after a break: %+v", r)
+	if got.Count != 3 || len(got.Kvs) != 2 || !got.More || string(got.Kvs[0].Key) != "/n/a" {
+		t.Errorf("with a limit: %+v", got)
 	}
-	now, err := c.Get(ctx, "/n/d")
-	if err != nil {
-		t.Fatal(err)
+	earlier, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(first))
+	if err != nil || len(earlier.Kvs) != 1 {
+		t.Errorf("at an earlier revision: %v, %+v", err, earlier)
 	}
-	if _, err := c.Compact(ctx, now.Header.Revision); err != nil {
+}
+
+// TestWatch watches a prefix from an earlier revision: it has the history, then each change.
+func TestWatch(t *testing.T) {
+	b := newTestbed(t)
+	watch := b.watch(b.putThree())
+	b.delete("/n/b")
+	events := b.events(watch, 4) // a, b and c put, b deleted
+	if !events[0].IsCreate() {
+		t.Errorf("the first event is no create: %v", events[0])
+	}
+	if last := events[3]; last.Type != clientv3.EventTypeDelete || string(last.Kv.Key) != "/n/b" {
+		t.Errorf("the last event is %v", last)
+	}
+}
+
+// TestBreakWatches breaks a watch: the client goes on by itself from the revision it has.
+func TestBreakWatches(t *testing.T) {
+	b := newTestbed(t)
+	watch := b.watch(b.putThree())
+	b.events(watch, 3)
+	b.server.BreakWatches()
+	b.put("/n/d", "3")
+	if events := b.events(watch, 1); string(events[0].Kv.Key) != "/n/d" {
+		t.Errorf("after a break: %v", events)
+	}
+}
+
+// TestCompact compacts the history: what is before is refused.
+func TestCompact(t *testing.T) {
+	b := newTestbed(t)
+	first := b.putThree()
+	b.delete("/n/b")
+	last := b.put("/n/d", "3")
+	if _, err := b.client.Compact(b.ctx, last); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Compact(ctx, now.Header.Revision); !errors.Is(err, rpctypes.ErrCompacted) {
+	if _, err := b.client.Compact(b.ctx, last); !errors.Is(err, rpctypes.ErrCompacted) {
 		t.Errorf("a second compaction: %v", err)
 	}
-	if _, err := c.Get(ctx, "/n/", clientv3.WithPrefix(), clientv3.WithRev(put.Header.Revision)); !errors.Is(err, rpctypes.ErrCompacted) {
+	_, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(first))
+	if !errors.Is(err, rpctypes.ErrCompacted) {
 		t.Errorf("range at a compacted revision: %v", err)
 	}
-	if r := <-c.Watch(ctx, "/n/", clientv3.WithPrefix(), clientv3.WithRev(put.Header.Revision)); r.CompactRevision != now.Header.Revision || !errors.Is(r.Err(), rpctypes.ErrCompacted) {
+	r := <-b.watch(first)
+	if r.CompactRevision != last || !errors.Is(r.Err(), rpctypes.ErrCompacted) {
 		t.Errorf("watch from a compacted revision: %+v", r)
 	}
+	present, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(last))
+	if err != nil || len(present.Kvs) != 3 { // a, c and d
+		t.Errorf("range at the revision of the compaction: %v, %+v", err, present)
+	}
+}
+
+// TestPutAll puts and deletes keys in one revision.
+func TestPutAll(t *testing.T) {
+	b := newTestbed(t)
+	first := b.putThree()
+	watch := b.watch(first + 4)
+	b.server.PutAll(map[string][]byte{"/n/a": nil, "/n/d": []byte("3")})
+	events := b.events(watch, 2)
+	if events[0].Kv.ModRevision != events[1].Kv.ModRevision {
+		t.Errorf("%v", events)
+	}
+}
+
+// TestUnavailable has the server refuse calls until it is available again.
+func TestUnavailable(t *testing.T) {
+	b := newTestbed(t)
+	b.put("/n/a", "1")
+	b.server.SetUnavailable(true)
+	ctx, cancel := context.WithTimeout(b.ctx, 200*time.Millisecond)
+	defer cancel()
+	if _, err := b.client.Put(ctx, "/n/a", "2"); err == nil {
+		t.Error("a put succeeds while the server is unavailable")
+	}
+	b.server.SetUnavailable(false)
+	b.put("/n/a", "3")
+}
+
+// TestSilent has a watch send nothing until it is not silent any more; nothing is lost.
+func TestSilent(t *testing.T) {
+	b := newTestbed(t)
+	watch := b.watch(b.put("/n/a", "1"))
+	b.events(watch, 1)
+	b.server.SetSilent(true)
+	b.put("/n/b", "2")
+	select {
+	case r := <-watch:
+		t.Errorf("while silent: %+v", r)
+	case <-time.After(100 * time.Millisecond):
+	}
+	b.server.SetSilent(false)
+	if events := b.events(watch, 1); string(events[0].Kv.Key) != "/n/b" {
+		t.Errorf("%v", events)
+	}
+}
+
+// TestWatchDelay has a watch send each event later.
+func TestWatchDelay(t *testing.T) {
+	const delay = 100 * time.Millisecond
+	b := newTestbed(t)
+	watch := b.watch(b.put("/n/a", "1"))
+	b.events(watch, 1)
+	b.server.SetWatchDelay(delay)
+	start := time.Now()
+	b.put("/n/b", "2")
+	b.events(watch, 1)
+	if took := time.Since(start); took < delay {
+		t.Errorf("an event after %v, with a delay of %v", took, delay)
+	}
+}
+
+// TestOnNotify is called with what a range and a watch send.
+func TestOnNotify(t *testing.T) {
+	b := newTestbed(t)
+	notified := make(chan string, 10)
+	b.server.OnNotify = func(agent, key string, value []byte) {
+		if agent == "" {
+			t.Error("no user agent")
+		}
+		notified <- key + "=" + string(value)
+	}
+	watch := b.watch(b.put("/n/a", "1"))
+	b.events(watch, 1)
+	b.delete("/n/a")
+	b.events(watch, 1)
+	for _, want := range []string{"/n/a=1", "/n/a="} {
+		if got := <-notified; got != want {
+			t.Errorf("notified of %s, want %s", got, want)
+		}
+	}
 }
