--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,7 +1,9 @@
-// Package discovery has the types that the two sources of the list of disk servers share. Package discovery/etcd
-// watches the list in etcd (docs/etcd.md), package discovery/dns polls the SRV records in DNS (docs/dns.md). The
-// sources ask, pass on what they received and report what failed. Which of them is right about a server is decided in
-// package membership, when etcd is asked again in the decision module.
+// Package discovery has the types that the two sources of the endpoint list share. Package discovery/etcd watches the
+// list in etcd (docs/etcd.md), package discovery/dns polls SRV records in DNS (docs/dns.md). A source passes on what it
+// receives and reports what fails. It does not merge, which package membership does, and does not retry a watch, for
+// which the decision module asks.
+//
+// The package itself has no state and starts no goroutine.
 package discovery
 
 import (
@@ -29,7 +31,7 @@
 	Cell      int     `json:"cell"`
 }
 
-// Node is one server of the list.
+// Node is one disk server of the list.
 type Node struct {
 	Record
 	Address string // IP address and port
@@ -38,15 +40,15 @@
 
 // Update is what a source has received.
 type Update struct {
-	// Kind is Complete for a whole list, Delta for changes, and WatchFailed where a request or watch failed: Err has the
-	// reason then, and there are no nodes.
+	// Kind is Complete for a whole list, Delta for changes, and WatchFailed where a request or watch failed: Err has
+	// the reason then, and there are no nodes.
 	Kind     honeyplank.ListKind
 	Revision int64 // of etcd
 	Nodes    []Node
 	Skipped  []string // the entries that are not valid, each with the reason
 	Err      error
-	// Current: every change up to this moment has been passed on. Only a Delta sets it; one without nodes may have no
-	// other content.
+	// Current tells that every change up to this moment has been passed on. Only a Delta sets it, also one without
+	// nodes.
 	Current bool
 }
 
--- a/discovery/etcd/client_test.go
+++ b/discovery/etcd/client_test.go
@@ -51,23 +51,53 @@
 	}
 }
 
-// TestFollow reads a list of more than one page, follows its changes, and tells of a break.
-func TestFollow(t *testing.T) {
+// on and draining are records of a cell.
+func on(cell int) []byte       { return fmt.Appendf(nil, `{"state":"on","cell":%d}`, cell) }
+func draining(cell int) []byte { return fmt.Appendf(nil, `{"state":"draining","cell":%d}`, cell) }
+
+// Of the fleet that watchFleet lists.
+const (
+	fleetSize   = 2500 // more than one page
+	firstServer = "127.0.0.1:1000"
+)
+
+// server is the address of a server of the fleet, from 0.
+func server(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1000+i) }
+
+// watchFleet starts a watch of a list of more than one page, all in cell 3, and reads the complete list.
+func watchFleet(t *testing.T) (*fakeetcd.Server, *Client, chan discovery.Update) {
+	t.Helper()
 	s, c, updates := watch(t)
-	for i := range 2500 {
-		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1000+i), []byte(`{"state":"on","cell":3,"started_ms":5}`))
+	for i := range fleetSize {
+		s.Set(prefix+server(i), []byte(`{"state":"on","cell":3,"started_ms":5}`))
 	}
 	s.Set("/honeyplank/other", []byte("not of the list"))
 	c.Watch()
-	if n := next(t, updates, honeyplank.Complete); len(n.Nodes) != 2500 || n.Nodes[0].Cell != 3 || n.Nodes[0].StartedMS != 5 {
+	n := next(t, updates, honeyplank.Complete)
+	if len(n.Nodes) != fleetSize || n.Nodes[0].Cell != 3 || n.Nodes[0].StartedMS != 5 {
 		t.Fatalf("%d nodes", len(n.Nodes))
 	}
-	a := "127.0.0.1:1000"
-	s.Set(prefix+a, []byte(`{"state":"draining","cell":3}`))
-	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 1 || n[0].Address != a || n[0].State != "draining" {
+	return s, c, updates
+}
+
+// breakWatch breaks a watch that is created: the removal of the first server has arrived on it.
+func breakWatch(t *testing.T, s *fakeetcd.Server, updates chan discovery.Update) {
+	t.Helper()
+	s.Delete(prefix + firstServer)
+	next(t, updates, honeyplank.Delta)
+	s.BreakWatches()
+	next(t, updates, honeyplank.WatchFailed)
+}
+
+// TestFollow reads a list of more than one page, follows its changes, and reports that the watch broke.
+func TestFollow(t *testing.T) {
+	s, _, updates := watchFleet(t)
+	s.Set(prefix+firstServer, draining(3))
+	n := next(t, updates, honeyplank.Delta).Nodes
+	if len(n) != 1 || n[0].Address != firstServer || n[0].State != "draining" {
 		t.Errorf("%+v", n)
 	}
-	s.Delete(prefix + a)
+	s.Delete(prefix + firstServer)
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 1 || !n[0].Removed || n[0].Cell != 3 {
 		t.Errorf("%+v", n)
 	}
@@ -75,30 +105,56 @@
 	if n := next(t, updates, honeyplank.WatchFailed); n.Err == nil || len(n.Nodes) > 0 {
 		t.Errorf("%+v", n)
 	}
-	s.Set(prefix+a, []byte(`{"state":"on","cell":9}`)) // nobody watches
-	s.Delete(prefix + "127.0.0.1:1001")
+}
+
+// TestResume has the list change while nobody watches: the next watch goes on from the last revision passed on.
+func TestResume(t *testing.T) {
+	s, c, updates := watchFleet(t)
+	breakWatch(t, s, updates)
+	s.Set(prefix+firstServer, on(9))
+	s.Delete(prefix + server(1))
 	c.Watch()
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Removed {
-		t.Errorf("after the break, from the revision passed on last: %+v", n)
+		t.Errorf("after the break, from the last revision passed on: %+v", n)
 	}
-	s.BreakWatches()
-	next(t, updates, honeyplank.WatchFailed)
-	s.Delete(prefix + "127.0.0.1:1002")
-	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
-	s.Set(prefix+a, []byte(`{"state":"draining","cell":8}`))
+}
+
+// TestCompacted has the history of changes compacted while nobody watches: the complete list is read again.
+func TestCompacted(t *testing.T) {
+	s, c, updates := watchFleet(t)
+	breakWatch(t, s, updates)
+	s.Delete(prefix + server(1))
+	s.Delete(prefix + server(2))
+	s.Set(prefix+firstServer, draining(9))
+	s.Set(prefix+firstServer, draining(8))
 	s.CompactHistory() // the drain and the loss are history that is gone
 	c.Watch()
-	if n := next(t, updates, honeyplank.Complete); len(n.Nodes) != 2498 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
+	n := next(t, updates, honeyplank.Complete)
+	if len(n.Nodes) != fleetSize-2 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
 		t.Errorf("after compaction: %d nodes, the first %+v", len(n.Nodes), n.Nodes[0])
 	}
-	s.PutAll(map[string][]byte{prefix + "127.0.0.1:1003": nil, prefix + "127.0.0.1:1004": []byte(`{"state":"draining"}`), prefix + "127.0.0.1:1005": nil})
+}
+
+// TestOneRevision has several keys change in one revision: the changes come in one update.
+func TestOneRevision(t *testing.T) {
+	s, _, updates := watchFleet(t)
+	s.PutAll(map[string][]byte{
+		prefix + server(3): nil,
+		prefix + server(4): []byte(`{"state":"draining"}`),
+		prefix + server(5): nil,
+	})
 	if n := next(t, updates, honeyplank.Delta).Nodes; len(n) != 3 {
 		t.Errorf("of one revision, %d changes came together", len(n))
 	}
+}
+
+// TestStopWatch fetches the complete list beside a watch and ends the watch: no update comes any more.
+func TestStopWatch(t *testing.T) {
+	s, c, updates := watchFleet(t)
 	c.Fetch()
 	next(t, updates, honeyplank.Complete)
 	c.StopWatch()
-	s.Set(prefix+a, []byte(`{"state":"draining","cell":9}`))
+	s.Set(prefix+firstServer, draining(9))
 	select {
 	case n := <-updates:
 		t.Errorf("an update of a watch that was ended: %+v", n)
@@ -110,7 +166,8 @@
 func TestInvalidRecords(t *testing.T) {
 	s, c, updates := watch(t)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
-	for i, value := range []string{"", "{", `{"state":"up"}`, `{"state":"on","cell":-1}`, `{"state":"on","started_ms":-5}`} {
+	invalid := []string{"", "{", `{"state":"up"}`, `{"state":"on","cell":-1}`, `{"state":"on","started_ms":-5}`}
+	for i, value := range invalid {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 2+i), []byte(value))
 	}
 	s.Set(prefix+"no address", []byte(`{"state":"on"}`))
@@ -137,8 +194,8 @@
 	next(t, updates, honeyplank.WatchFailed)
 }
 
-// TestSilentWatch has a watch stay open and deliver nothing, not even progress: it counts as broken, and what was missed
-// comes with the next.
+// TestSilentWatch has a watch stay open and deliver nothing, not even progress: it counts as broken, and what was
+// missed comes with the next.
 func TestSilentWatch(t *testing.T) {
 	s, c, updates := watch(t)
 	c.Watch()
@@ -156,8 +213,8 @@
 	}
 }
 
-// TestWatchNotCreated has the next endpoint take a call and not create a watch: that is broken after Settings.Timeout, and the
-// endpoint after it is asked.
+// TestWatchNotCreated has the next endpoint take a call and not create a watch: that is broken after
+// Settings.Timeout, and the endpoint after it is asked.
 func TestWatchNotCreated(t *testing.T) {
 	for name, newEndpoint := range map[string]func(t *testing.T, s *fakeetcd.Server) string{
 		"no handshake": func(t *testing.T, _ *fakeetcd.Server) string {
@@ -168,7 +225,7 @@
 			t.Cleanup(func() { l.Close() })
 			return l.Addr().String()
 		},
-		"never created": func(t *testing.T, s *fakeetcd.Server) string {
+		"never created": func(_ *testing.T, s *fakeetcd.Server) string {
 			s.SetWithholdWatches(true)
 			return s.Address()
 		},
@@ -199,7 +256,7 @@
 	s, c, updates := watch(t)
 	c.Watch()
 	next(t, updates, honeyplank.Complete)
-	s.SetWatchDelay(600 * time.Millisecond) // three times as long as the watch may be without responses before it is asked
+	s.SetWatchDelay(600 * time.Millisecond) // three times as long as it takes until progress is requested
 	for i := range 3 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1+i), []byte(`{"state":"on"}`))
 		if n := next(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -1,10 +1,12 @@
 package etcd
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 	"testing"
 
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
@@ -55,72 +57,96 @@
 	return out
 }
 
-// handle reports whether the watch goes on after a response.
+// handle applies a response and reports whether the watch goes on.
 func (m *model) handle(r *etcdserverpb.WatchResponse) bool {
-	order := slices.IsSortedFunc(r.Events, func(a, b *mvccpb.Event) int { return int(a.GetKv().GetModRevision() - b.GetKv().GetModRevision()) })
-	whole := !slices.ContainsFunc(r.Events, func(e *mvccpb.Event) bool { return e.Kv == nil })
 	progress := len(r.Events) == 0 && !r.Fragment && (!m.open || r.WatchId < 0) && !r.Created
 	switch {
 	case m.over:
-		return false
-	case r.Header == nil || r.Canceled || !order || !whole,
+	case r.Header == nil || r.Canceled || !wellFormed(r.Events),
 		r.Created == m.created && !progress,
 		r.Created && r.Header.Revision < m.revision():
 		m.over = true
-		return false
 	case r.Created:
 		m.created = true
-		return true
 	case progress:
 		if m.created && !m.open {
 			m.upTo = max(m.upTo, r.Header.Revision)
 		}
-		return true
+	case !m.collect(r.Events):
+		m.over = true
+	case r.Fragment:
+		m.open = true
+	default:
+		m.commit()
 	}
+	return !m.over
+}
+
+// wellFormed reports whether each event has a pair, and their revisions do not decrease.
+func wellFormed(events []*mvccpb.Event) bool {
+	withoutPair := func(e *mvccpb.Event) bool { return e.Kv == nil }
+	byRevision := func(a, b *mvccpb.Event) int { return cmp.Compare(a.Kv.ModRevision, b.Kv.ModRevision) }
+	return !slices.ContainsFunc(events, withoutPair) && slices.IsSortedFunc(events, byRevision)
+}
+
+// collect adds the events of a response or fragment to the pending changes. It reports false where they end the watch:
+// their revision is before that of a pending one, or there are too many.
+func (m *model) collect(events []*mvccpb.Event) bool {
 	revision := m.revision()
-	for _, e := range r.Events {
-		c := change{revision: e.Kv.ModRevision, key: string(e.Kv.Key)}
-		if c.revision <= revision {
+	for _, e := range events {
+		if e.Kv.ModRevision <= revision {
 			continue
 		}
-		for _, p := range m.pending {
-			if m.over = m.over || p.revision > c.revision; m.over {
-				return false
-			}
-		}
-		if len(c.key) <= len(prefix) || c.key[:len(prefix)] != prefix {
-			c.key = ""
-		} else if c.key = c.key[len(prefix):]; e.Type == mvccpb.PUT {
-			v, err := discovery.ParseRecord(c.key, e.Kv.Value)
-			if c.node = (&discovery.Node{Record: v, Address: c.key}); err != nil {
-				c.key = ""
-			}
+		c := parseChange(e)
+		if slices.ContainsFunc(m.pending, func(p change) bool { return p.revision > c.revision }) {
+			return false
 		}
-		if m.pending = append(m.pending, c); len(m.pending) > 2*testMaxNodes {
-			m.over = true
+		m.pending = append(m.pending, c)
+		if len(m.pending) > 2*testMaxNodes {
 			return false
 		}
 	}
-	if r.Fragment {
-		m.open = true
-		return true
+	return true
+}
+
+// parseChange is the change that an event is; one that is skipped has no key.
+func parseChange(e *mvccpb.Event) change {
+	c := change{revision: e.Kv.ModRevision}
+	address, ok := strings.CutPrefix(string(e.Kv.Key), prefix)
+	if !ok {
+		return c
 	}
+	if e.Type == mvccpb.PUT {
+		record, err := discovery.ParseRecord(address, e.Kv.Value)
+		if err != nil {
+			return c
+		}
+		c.node = &discovery.Node{Record: record, Address: address}
+	}
+	c.key = address
+	return c
+}
+
+// commit takes the pending changes: the response is complete.
+func (m *model) commit() {
 	for _, c := range m.pending {
-		if c.key != "" {
-			m.taken = append(m.taken, c)
-		} else if c.revision > 0 { // passed on as skipped
-			m.taken = append(m.taken, change{revision: c.revision, key: "-"})
+		if c.key == "" { // passed on as skipped; of its change only the revision counts
+			c = change{revision: c.revision, key: "-"}
 		}
+		m.taken = append(m.taken, c)
 	}
 	m.pending, m.open = nil, false
-	return true
 }
 
 // scriptedResponse is a response of one kind; n has its revision, key and value.
 func scriptedResponse(kind, n byte) *etcdserverpb.WatchResponse {
 	revision := int64(n >> 4)
 	head := &etcdserverpb.ResponseHeader{Revision: max(revision, 9)}
-	event := &mvccpb.Event{Kv: &mvccpb.KeyValue{Key: []byte(fmt.Sprintf("%s127.0.0.1:%d", prefix, n&7)), ModRevision: revision, Value: []byte(`{"state":"draining"}`)}}
+	event := &mvccpb.Event{Kv: &mvccpb.KeyValue{
+		Key:         fmt.Appendf(nil, "%s127.0.0.1:%d", prefix, n&7),
+		ModRevision: revision,
+		Value:       []byte(`{"state":"draining"}`),
+	}}
 	if n&8 != 0 {
 		event.Kv.Value = []byte(`{"state":"on","cell":3}`)
 	}
@@ -141,7 +167,8 @@
 	case 6:
 		event.Kv = nil
 	case 7: // two of one response, the second before or after the first
-		out.Events = append(out.Events, &mvccpb.Event{Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: event.Kv.Key, ModRevision: int64(n & 15)}})
+		deleted := &mvccpb.KeyValue{Key: event.Kv.Key, ModRevision: int64(n & 15)}
+		out.Events = append(out.Events, &mvccpb.Event{Type: mvccpb.DELETE, Kv: deleted})
 	case 8:
 		event.Kv.Value = []byte("not a record")
 	case 9:
@@ -164,60 +191,97 @@
 	f.Add([]byte{0, 2, 8, 0x61, 8, 0x71, 1, 0x81, 5, 0x91, 6, 0xA1, 9, 0})
 	f.Add([]byte{0, 9, 1, 0xA1, 1, 0xA2, 1, 0xB3, 1, 0xB4, 1, 0xB5, 1, 0xC6, 2, 0xD1, 1, 0xE6})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		base := map[string]discovery.Node{}
-		l := list{prefix: prefix, maxNodes: testMaxNodes, nodes: map[string]discovery.Node{}}
-		r := l.newRead()
-		page := &etcdserverpb.RangeResponse{Header: &etcdserverpb.ResponseHeader{Revision: 5}}
-		for i := range 3 {
-			page.Kvs = append(page.Kvs, &mvccpb.KeyValue{Key: []byte(fmt.Sprintf("%s127.0.0.1:%d", prefix, i+1)), Value: []byte(`{"state":"on"}`), ModRevision: 5})
-		}
-		if _, err := r.addPage(page); err != nil {
-			t.Fatal(err)
-		}
-		received := map[string]discovery.Node{}
-		for _, n := range l.replace(r).Nodes {
-			received[n.Address], base[n.Address] = n, n
-		}
-		l.beginWatch()
-		m := &model{base: base, baseAt: 5}
+		w := newFuzzedWatch(t)
 		for len(script) >= 2 {
-			kind, n := script[0], script[1]
+			w.handle(scriptedResponse(script[0], script[1]))
 			script = script[2:]
-			out := scriptedResponse(kind, n)
-			revisionBefore := l.revision
-			update, err := l.handle(out)
-			if goesOn := m.handle(out); goesOn != (err == nil) {
-				t.Fatalf("%v: the watch returns %v, the model goes on: %v", out, err, goesOn)
-			}
-			if err != nil {
-				if update != nil || errors.Is(err, errTooManyKeys) {
-					t.Fatalf("%+v with %v", update, err)
-				}
-				continue // further responses change nothing
-			}
-			if update != nil {
-				for _, n := range update.Nodes {
-					if received[n.Address] = n; n.Removed {
-						delete(received, n.Address)
-					}
-				}
-			}
-			if update != nil && update.Current && (m.open || m.revision() < out.Header.Revision) {
-				t.Fatalf("%v: passed on as current, the model is at %d", out, m.revision())
-			}
-			if l.revision < revisionBefore || l.revision != m.revision() {
-				t.Fatalf("revision %d, was %d, the model's is %d", l.revision, revisionBefore, m.revision())
-			}
-			if want := m.known(); !maps.Equal(l.nodes, want) || !maps.Equal(received, want) {
-				t.Fatalf("nodes %v\nreceived %v\nmodel %v", l.nodes, received, want)
-			}
-			if len(l.nodes) > testMaxNodes || len(l.pending)+len(l.skipped) > 2*testMaxNodes {
-				t.Fatalf("%d nodes, %d pending, %d skipped", len(l.nodes), len(l.pending), len(l.skipped))
-			}
 		}
 	})
 }
 
+// fuzzedWatch is a list and its model, which get the same responses.
+type fuzzedWatch struct {
+	t        *testing.T
+	list     list
+	model    *model
+	received map[string]discovery.Node // by the updates, applied in order
+}
+
+// newFuzzedWatch begins a watch of a list of three nodes at revision 5.
+func newFuzzedWatch(t *testing.T) *fuzzedWatch {
+	t.Helper()
+	w := &fuzzedWatch{
+		t:        t,
+		list:     list{prefix: prefix, maxNodes: testMaxNodes, nodes: map[string]discovery.Node{}},
+		model:    &model{base: map[string]discovery.Node{}, baseAt: 5},
+		received: map[string]discovery.Node{},
+	}
+	page := &etcdserverpb.RangeResponse{Header: &etcdserverpb.ResponseHeader{Revision: 5}}
+	for i := range 3 {
+		page.Kvs = append(page.Kvs, &mvccpb.KeyValue{
+			Key:         fmt.Appendf(nil, "%s127.0.0.1:%d", prefix, i+1),
+			Value:       []byte(`{"state":"on"}`),
+			ModRevision: 5,
+		})
+	}
+	read := w.list.newRead()
+	if _, err := read.addPage(page); err != nil {
+		t.Fatal(err)
+	}
+	for _, n := range w.list.replace(read).Nodes {
+		w.received[n.Address], w.model.base[n.Address] = n, n
+	}
+	w.list.beginWatch()
+	return w
+}
+
+// handle applies a response to the list and to the model, and compares them.
+func (w *fuzzedWatch) handle(response *etcdserverpb.WatchResponse) {
+	w.t.Helper()
+	revisionBefore := w.list.revision
+	update, err := w.list.handle(response)
+	if goesOn := w.model.handle(response); goesOn != (err == nil) {
+		w.t.Fatalf("%v: the watch returns %v, the model goes on: %v", response, err, goesOn)
+	}
+	if err != nil {
+		if update != nil || errors.Is(err, errTooManyKeys) {
+			w.t.Fatalf("%+v with %v", update, err)
+		}
+		return // further responses change nothing
+	}
+	if update != nil {
+		w.receive(update)
+	}
+	if update != nil && update.Current && (w.model.open || w.model.revision() < response.Header.Revision) {
+		w.t.Fatalf("%v: passed on as current, the model is at %d", response, w.model.revision())
+	}
+	if w.list.revision < revisionBefore || w.list.revision != w.model.revision() {
+		w.t.Fatalf("revision %d, was %d, the model's is %d", w.list.revision, revisionBefore, w.model.revision())
+	}
+	w.checkNodes()
+}
+
+// receive applies an update.
+func (w *fuzzedWatch) receive(update *discovery.Update) {
+	for _, n := range update.Nodes {
+		if w.received[n.Address] = n; n.Removed {
+			delete(w.received, n.Address)
+		}
+	}
+}
+
+// checkNodes compares the nodes of list, updates and model, and checks that their number is bounded.
+func (w *fuzzedWatch) checkNodes() {
+	w.t.Helper()
+	l := &w.list
+	if want := w.model.known(); !maps.Equal(l.nodes, want) || !maps.Equal(w.received, want) {
+		w.t.Fatalf("nodes %v\nreceived %v\nmodel %v", l.nodes, w.received, want)
+	}
+	if len(l.nodes) > testMaxNodes || len(l.pending)+len(l.skipped) > 2*testMaxNodes {
+		w.t.Fatalf("%d nodes, %d pending, %d skipped", len(l.nodes), len(l.pending), len(l.skipped))
+	}
+}
+
 // TestPages has lists that lie: without a revision, out of order, without an end. What is kept stays bounded.
 func TestPages(t *testing.T) {
 	pair := func(i int) *mvccpb.KeyValue {
@@ -232,15 +296,18 @@
 		"before the list":          {Header: head, Kvs: []*mvccpb.KeyValue{{Key: []byte("/")}}},
 		"empty, with more to come": {Header: head, More: true},
 	} {
-		if _, err := l.newRead().addPage(p); err == nil {
-			t.Error(name, "is taken")
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := l.newRead().addPage(p); err == nil {
+				t.Error("the page is accepted")
+			}
+		})
 	}
 	r := l.newRead()
 	var err error
 	n := 0
 	for ; err == nil && n < 100; n++ {
-		_, err = r.addPage(&etcdserverpb.RangeResponse{Header: head, Kvs: []*mvccpb.KeyValue{pair(n + 1)}, More: true})
+		page := &etcdserverpb.RangeResponse{Header: head, Kvs: []*mvccpb.KeyValue{pair(n + 1)}, More: true}
+		_, err = r.addPage(page)
 	}
 	if !errors.Is(err, errTooManyKeys) || n > 2*testMaxNodes+1 || len(r.pending) != testMaxNodes {
 		t.Errorf("a list without an end: %v after %d pages, %d pending", err, n, len(r.pending))
