--- a/discovery/dns/client.go
+++ b/discovery/dns/client.go
@@ -1,6 +1,10 @@
-// Package dns polls the list of disk servers in DNS SRV records. docs/dns.md has the convention of the records. Which
-// name server is asked and when (resolver.go), and which records count (selection.go), is decided without I/O; client.go
-// owns the goroutine and exchange.go carries out the exchanges.
+// Package dns polls the endpoint list in DNS SRV records. docs/dns.md has the convention of the records. It passes on
+// what it receives and reports what fails. It does not keep a list, and does not compare it with another source,
+// which package membership does.
+//
+// Which name server is queried and when (resolver.go), and which records count (selection.go), is decided without
+// I/O. client.go owns the goroutine, which runs from New to Close and calls the function for updates; exchange.go
+// carries out the exchanges.
 package dns
 
 import (
@@ -18,7 +22,7 @@
 
 // Settings are the name servers and limits of a Client.
 type Settings struct {
-	Servers     []string      // addresses of the name servers, asked in turn
+	Servers     []string      // addresses of the name servers, queried in turn
 	Name        string        // owner of the SRV records
 	MinInterval time.Duration // between queries, however short a record's lifetime
 	MaxInterval time.Duration // between queries, however long a record's lifetime
@@ -26,9 +30,9 @@
 	Seed        int64         // of the jitter
 }
 
-// Client is the list in DNS. Updates are passed on from its one goroutine, in order, and none after Close: Complete for
-// an answer, also a negative one, and WatchFailed where all name servers have failed. What the list was before a failure
-// is for the receiver to keep.
+// Client is the endpoint list in DNS. Updates are passed on from its one goroutine, in order, and none after Close:
+// Complete for an answer, also a negative one, and WatchFailed where all name servers have failed. The list from
+// before a failure is for the receiver to keep.
 type Client struct {
 	settings Settings
 	update   func(discovery.Update)
@@ -39,12 +43,18 @@
 	Queries  int // sent so far; to be read after Close only
 }
 
-// New begins to poll. Updates go to update, on the goroutine of the Client, which runs until Close.
+// New begins to poll. Updates go to update, on the goroutine of the Client, which runs until Close. update must not
+// call the Client.
 func New(settings Settings, update func(discovery.Update)) *Client {
 	settings.Name = mdns.Fqdn(settings.Name)
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{settings: settings, update: update, cancel: cancel}
-	c.resolver = newResolver(resolverSettings{servers: len(settings.Servers), minInterval: settings.MinInterval, maxInterval: settings.MaxInterval, seed: settings.Seed})
+	c.resolver = newResolver(resolverSettings{
+		servers:     len(settings.Servers),
+		minInterval: settings.MinInterval,
+		maxInterval: settings.MaxInterval,
+		seed:        settings.Seed,
+	})
 	c.query = func(server, name string, recordType uint16) (*mdns.Msg, error) {
 		return c.exchange(ctx, server, name, recordType)
 	}
@@ -52,7 +62,7 @@
 	return c
 }
 
-// Close ends the polling and waits for the goroutine; an exchange under way is broken off.
+// Close ends the polling and waits for the goroutine; an exchange in progress is cancelled.
 func (c *Client) Close() {
 	c.cancel()
 	c.running.Wait()
@@ -64,12 +74,8 @@
 	var failures error // of this round
 	for {
 		next := c.resolver.Next()
-		timer := time.NewTimer(next.at - time.Since(start))
-		select {
-		case <-ctx.Done():
-			timer.Stop()
+		if !waitUntil(ctx, start.Add(next.at)) {
 			return
-		case <-timer.C:
 		}
 		server := c.settings.Servers[next.server]
 		update, ttl, err := c.readList(server)
@@ -89,3 +95,15 @@
 		c.update(update)
 	}
 }
+
+// waitUntil waits until a time. It reports false where the context has ended before.
+func waitUntil(ctx context.Context, at time.Time) bool {
+	timer := time.NewTimer(time.Until(at))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- a/discovery/dns/exchange.go
+++ b/discovery/dns/exchange.go
@@ -41,14 +41,9 @@
 	query.SetEdns0(udpSize, false)
 	var answer *mdns.Msg
 	for _, network := range []string{"udp", "tcp"} {
-		callCtx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
-		transport := &mdns.Client{Net: network, Timeout: c.settings.Timeout, UDPSize: udpSize}
 		var err error
-		c.Queries++
-		answer, _, err = transport.ExchangeContext(callCtx, query, server) // compares the message ids
-		cancel()
-		if err != nil {
-			return nil, fmt.Errorf("over %s: %w", network, err)
+		if answer, err = c.exchangeOver(ctx, network, server, query); err != nil {
+			return nil, err
 		}
 		if !answer.Truncated {
 			break
@@ -62,6 +57,19 @@
 	return answer, nil
 }
 
+// exchangeOver sends a query to a server over a network, "udp" or "tcp", and returns the message that comes back.
+func (c *Client) exchangeOver(ctx context.Context, network, server string, query *mdns.Msg) (*mdns.Msg, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
+	defer cancel()
+	c.Queries++
+	transport := &mdns.Client{Net: network, Timeout: c.settings.Timeout, UDPSize: udpSize}
+	answer, _, err := transport.ExchangeContext(ctx, query, server) // compares the message ids
+	if err != nil {
+		return nil, fmt.Errorf("over %s: %w", network, err)
+	}
+	return answer, nil
+}
+
 // validAnswer is the records by which a message answers a question, or why it is no answer.
 func validAnswer(m *mdns.Msg, name string, recordType uint16) ([]mdns.RR, error) {
 	if err := checkHeader(m, name, recordType); err != nil {
@@ -86,7 +94,7 @@
 		return ErrTruncated
 	case !m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) != 1:
 		return ErrNotAnAnswer
-	case !strings.EqualFold(m.Question[0].Name, name) || m.Question[0].Qtype != recordType || m.Question[0].Qclass != mdns.ClassINET:
+	case !isQuestion(m.Question[0], name, recordType):
 		return fmt.Errorf("%w, %s", ErrOtherQuestion, m.Question[0].String())
 	case m.Rcode != mdns.RcodeSuccess && m.Rcode != mdns.RcodeNameError:
 		return RcodeError(m.Rcode)
@@ -94,6 +102,11 @@
 	return nil
 }
 
+// isQuestion reports whether a question is the one for a name and record type.
+func isQuestion(question mdns.Question, name string, recordType uint16) bool {
+	return strings.EqualFold(question.Name, name) && question.Qtype == recordType && question.Qclass == mdns.ClassINET
+}
+
 // followAliases is the records of a type that a name has, or that its aliases have, in whatever order they come.
 func followAliases(all []mdns.RR, name string, recordType uint16) []mdns.RR {
 	var records []mdns.RR
--- a/discovery/dns/list.go
+++ b/discovery/dns/list.go
@@ -37,7 +37,7 @@
 }
 
 // readList reads the SRV records and the addresses of their targets from one server. ttl is the shortest lifetime in
-// seconds. Where one address can't be had the whole list is an error: without it, a server would seem to be removed.
+// seconds. Where one address can't be read the whole list is an error: without it, a server would seem to be removed.
 func (c *Client) readList(server string) (update discovery.Update, ttl uint32, err error) {
 	update = discovery.Update{Kind: honeyplank.Complete}
 	answer, err := c.query(server, c.settings.Name, mdns.TypeSRV)
@@ -123,11 +123,16 @@
 	}
 }
 
-// selected is the nodes of the entries that count.
+// selected returns the nodes of the entries that count.
 func (r *listRead) selected() (nodes []discovery.Node) {
 	candidates := make([]candidate, len(r.entries))
 	for i, e := range r.entries {
-		candidates[i] = candidate{server: e.node.Address, cell: e.node.Cell, priority: e.priority, draining: e.node.State == discovery.StateDraining}
+		candidates[i] = candidate{
+			server:   e.node.Address,
+			cell:     e.node.Cell,
+			priority: e.priority,
+			draining: e.node.State == discovery.StateDraining,
+		}
 	}
 	for _, i := range selectRecords(candidates) {
 		nodes = append(nodes, r.entries[i].node)
--- a/discovery/dns/resolver.go
+++ b/discovery/dns/resolver.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// jitterShare is the share of an interval that is drawn, so that schedulers that began together do not go on asking
-	// together: a query comes after three quarters of the interval to all of it.
+	// jitterShare is the share of an interval that is drawn at random, so that instances that began together do not
+	// keep querying together: a query comes after three quarters of the interval to all of it.
 	jitterShare = 1.0 / 4
 	// backoffGrowth is by which factor the interval grows with each round in which all servers fail.
 	backoffGrowth = 2
@@ -53,7 +53,7 @@
 }
 
 // resolverTransitions has an entry for every state and input. After a round in which all servers failed the interval
-// grows from the minimum to the maximum: this guards against a crowd of schedulers that asks a name server which barely
+// grows from the minimum to the maximum: this guards against many instances that overload a name server which barely
 // works. It could harm where all servers failed only for a moment, by one maximum interval.
 var resolverTransitions = map[resolverState]map[resolverInput]resolverTransition{
 	answered: {
@@ -92,10 +92,10 @@
 // Next is the query that is due next.
 func (r *resolver) Next() query { return r.next }
 
-// Answered takes in that the query was answered, also negatively; ttl is the lifetime of the answer.
+// Answered records that the query was answered, also negatively; ttl is the lifetime of the answer.
 func (r *resolver) Answered(now, ttl time.Duration) { r.apply(inputAnswer, now, ttl) }
 
-// Failed takes in that the query was not answered. It returns whether all servers have failed in this round.
+// Failed records that the query was not answered. It returns whether all servers have failed in this round.
 func (r *resolver) Failed(now time.Duration) (all bool) {
 	input := inputFailure
 	if r.failed++; r.failed >= r.settings.servers {
@@ -111,13 +111,13 @@
 	return t.endRound
 }
 
-// awaitExpiry asks the same server when the answer's lifetime is over.
+// awaitExpiry queries the same server when the answer's lifetime is over.
 func (r *resolver) awaitExpiry(now, ttl time.Duration) {
 	r.preferred, r.failed, r.interval = r.next.server, 0, 0
 	r.next.at = now + r.jittered(ttl)
 }
 
-// tryNext asks the next server at once.
+// tryNext queries the next server at once.
 func (r *resolver) tryNext(now, _ time.Duration) {
 	r.next = query{(r.next.server + 1) % r.settings.servers, now}
 }
@@ -128,7 +128,7 @@
 	r.next = query{r.preferred, now + r.jittered(r.interval)}
 }
 
-// jittered is an interval within the bounds of the settings, less what is drawn.
+// jittered returns an interval within the bounds of the settings, less a random part.
 func (r *resolver) jittered(interval time.Duration) time.Duration {
 	interval = min(max(interval, r.settings.minInterval), r.settings.maxInterval)
 	return interval - time.Duration(r.rng.Float64()*jitterShare*float64(interval))
