--- a/discovery/dns/client_test.go
+++ b/discovery/dns/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -17,7 +18,12 @@
 
 func nodes(n int) (list []fakedns.Record) {
 	for i := range n {
-		list = append(list, fakedns.Record{Target: fmt.Sprintf("n%d--c%d-z%d-t%d.storage.example.", i, i, i%3, 1000+i), IP: "127.0.0.1", Port: uint16(7000 + i), Weight: 2})
+		list = append(list, fakedns.Record{
+			Target: fmt.Sprintf("n%d--c%d-z%d-t%d.storage.example.", i, i, i%3, 1000+i),
+			IP:     "127.0.0.1",
+			Port:   uint16(7000 + i),
+			Weight: 2,
+		})
 	}
 	return list
 }
@@ -25,7 +31,13 @@
 // resolve starts fake name servers and a client that asks them in turn.
 func resolve(t *testing.T, n int, change func(*Settings)) ([]*fakedns.Server, chan discovery.Update) {
 	t.Helper()
-	settings := Settings{Name: zone, MinInterval: 50 * time.Millisecond, MaxInterval: 400 * time.Millisecond, Timeout: 200 * time.Millisecond, Seed: 1}
+	settings := Settings{
+		Name:        zone,
+		MinInterval: 50 * time.Millisecond,
+		MaxInterval: 400 * time.Millisecond,
+		Timeout:     200 * time.Millisecond,
+		Seed:        1,
+	}
 	var servers []*fakedns.Server
 	for range n {
 		s, err := fakedns.New(zone)
@@ -45,8 +57,8 @@
 	return servers, updates
 }
 
-// TestAnswers has a name server answer correctly and with every fault: a fault is a failure with its reason, and an empty
-// answer is only one with an SOA.
+// TestAnswers has a name server answer correctly and with every fault: a fault is a failure with its reason, and an
+// empty answer is only one with an SOA.
 func TestAnswers(t *testing.T) {
 	servers, updates := resolve(t, 1, nil)
 	s := servers[0]
@@ -69,25 +81,34 @@
 		{"no records, without an SOA", fakedns.Faults{Empty: true}, 0, "without an SOA"},
 		{"no records, with an SOA", fakedns.Faults{NameError: true}, 0, ""},
 	} {
-		s.SetFaults(c.faults)
-		for range 2 { // queries under way when the fault was set
-			select {
-			case <-updates:
-			case <-time.After(2 * time.Second):
-				t.Fatalf("%s: no update", c.name)
+		t.Run(c.name, func(t *testing.T) {
+			s.SetFaults(c.faults)
+			for range 2 { // queries in progress when the fault was set
+				select {
+				case <-updates:
+				case <-time.After(2 * time.Second):
+					t.Fatal("no update")
+				}
 			}
-		}
-		n := <-updates
-		if c.errorText != "" && (n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), c.errorText)) {
-			t.Errorf("%s: %v, want %q", c.name, n.Err, c.errorText)
-		}
-		if c.errorText == "" && (n.Kind != honeyplank.Complete || len(n.Nodes) != c.count) {
-			t.Errorf("%s: kind %d, %d nodes, %v", c.name, n.Kind, len(n.Nodes), n.Err)
-		}
+			if n := <-updates; c.errorText != "" {
+				checkFailure(t, n, c.errorText)
+			} else if n.Kind != honeyplank.Complete || len(n.Nodes) != c.count {
+				t.Errorf("kind %d, %d nodes, %v", n.Kind, len(n.Nodes), n.Err)
+			}
+		})
 	}
 }
 
-// TestConvention reads the content of records: cell, zone, start, draining, and which of the servers of a cell are listed.
+// checkFailure checks that an update is a failure whose reason has a text.
+func checkFailure(t *testing.T, n discovery.Update, text string) {
+	t.Helper()
+	if n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), text) {
+		t.Errorf("%v, want %q", n.Err, text)
+	}
+}
+
+// TestConvention reads the content of records: cell, zone, start, draining, and which of the servers of a cell are
+// listed.
 func TestConvention(t *testing.T) {
 	servers, updates := resolve(t, 1, nil)
 	<-updates
@@ -107,17 +128,23 @@
 	for range 4 {
 		n = <-updates
 	}
-	got := ""
+	var got []string
 	for _, x := range n.Nodes {
-		got += fmt.Sprintf("%s %s c%d z%d t%d; ", x.Address, x.State, x.Cell, x.Zone, x.StartedMS)
+		got = append(got, fmt.Sprintf("%s %s c%d z%d t%d", x.Address, x.State, x.Cell, x.Zone, x.StartedMS))
+	}
+	want := []string{
+		"127.0.0.1:1 on c4 z2 t1700000000000",
+		"127.0.0.1:3 draining c5 z0 t0",
+		"127.0.0.1:4 on c5 z0 t0",
+		"127.0.0.1:8 draining c8 z0 t0",
+		"[::1]:7 on c7 z0 t0",
 	}
-	want := "127.0.0.1:1 on c4 z2 t1700000000000; 127.0.0.1:3 draining c5 z0 t0; 127.0.0.1:4 on c5 z0 t0; 127.0.0.1:8 draining c8 z0 t0; [::1]:7 on c7 z0 t0; "
-	if got != want || len(n.Skipped) != 2 {
-		t.Errorf("%s\nwant %s\nskipped %v", got, want, n.Skipped)
+	if !slices.Equal(got, want) || len(n.Skipped) != 2 {
+		t.Errorf("%q\nwant %q\nskipped %v", got, want, n.Skipped)
 	}
 }
 
-// TestPreferredServer has the first server fail: the second is asked, and stays the preferred one while it answers.
+// TestPreferredServer has the first server fail: the second is queried, and stays the preferred one while it answers.
 func TestPreferredServer(t *testing.T) {
 	servers, updates := resolve(t, 2, nil)
 	<-updates
@@ -132,29 +159,39 @@
 		<-updates
 	}
 	if now := servers[0].Queries(); now != was {
-		t.Errorf("the failing server was asked %d times more", now-was)
+		t.Errorf("the failing server was queried %d times more", now-was)
 	}
 }
 
 // TestLifetimes has lifetimes of nothing and of a week: the bounds of the interval hold, and it has jitter.
 func TestLifetimes(t *testing.T) {
-	for ttl, want := range map[uint32][2]time.Duration{0: {35 * time.Millisecond, 50 * time.Millisecond}, 7 * 24 * 3600: {300 * time.Millisecond, 400 * time.Millisecond}} {
-		servers, updates := resolve(t, 1, nil)
-		servers[0].SetRecords(ttl, nodes(2))
-		<-updates
-		<-updates
-		seen := map[time.Duration]bool{}
-		for range 5 {
-			began := time.Now()
+	const week = 7 * 24 * 3600 // seconds
+	for _, c := range []struct {
+		name     string
+		ttl      uint32 // seconds
+		min, max time.Duration
+	}{
+		{"nothing", 0, 35 * time.Millisecond, 50 * time.Millisecond},
+		{"a week", week, 300 * time.Millisecond, 400 * time.Millisecond},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			servers, updates := resolve(t, 1, nil)
+			servers[0].SetRecords(c.ttl, nodes(2))
 			<-updates
-			took := time.Since(began)
-			seen[took.Round(time.Millisecond)] = true
-			if took < want[0] || took > want[1]+50*time.Millisecond {
-				t.Errorf("lifetime %d s: asked again after %v, want %v to %v", ttl, took, want[0], want[1])
+			<-updates
+			seen := map[time.Duration]bool{}
+			for range 5 {
+				began := time.Now()
+				<-updates
+				took := time.Since(began)
+				seen[took.Round(time.Millisecond)] = true
+				if took < c.min || took > c.max+50*time.Millisecond {
+					t.Errorf("queried again after %v, want %v to %v", took, c.min, c.max)
+				}
 			}
-		}
-		if len(seen) < 2 {
-			t.Error("no jitter")
-		}
+			if len(seen) < 2 {
+				t.Error("no jitter")
+			}
+		})
 	}
 }
--- a/discovery/dns/fuzz_test.go
+++ b/discovery/dns/fuzz_test.go
@@ -15,14 +15,7 @@
 // FuzzAnswer holds any message against a question, as it comes from the wire: no panic, and only records of the
 // question's type, under its name or an alias of it, are taken.
 func FuzzAnswer(f *testing.F) {
-	q := new(mdns.Msg)
-	q.SetQuestion(zone, mdns.TypeSRV)
-	m := new(mdns.Msg)
-	m.SetReply(q)
-	m.Answer = append(m.Answer, &mdns.SRV{Hdr: mdns.RR_Header{Name: zone, Rrtype: mdns.TypeSRV, Class: mdns.ClassINET, Ttl: 5}, Port: 7, Weight: 1, Target: "a--c1-z2-t3.x."},
-		&mdns.CNAME{Hdr: mdns.RR_Header{Name: zone, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: "b."})
-	m.Extra = append(m.Extra, &mdns.A{Hdr: mdns.RR_Header{Name: "a--c1-z2-t3.x.", Rrtype: mdns.TypeA, Class: mdns.ClassINET}, A: []byte{127, 0, 0, 1}})
-	b, err := m.Pack()
+	b, err := wellFormedAnswer().Pack()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -39,24 +32,43 @@
 		}); n > uint64(1<<20+1000*len(b)) {
 			t.Fatalf("%d bytes are allocated for a message of %d", n, len(b))
 		}
-		if err != nil {
-			return
-		}
-		for _, rr := range found {
-			r, ok := rr.(*mdns.SRV)
-			if !ok {
-				t.Fatalf("%v is taken for an SRV record", rr)
-			}
-			if s, err := parseTarget(r.Target, r); err == nil {
-				s.node.Address = r.Target
-				if s.node.Cell < 0 || s.node.StartedMS < 0 || s.node.Zone < 0 {
-					t.Fatalf("%+v", s)
-				}
-			}
+		if err == nil {
+			checkRecords(t, found)
 		}
 	})
 }
 
+// wellFormedAnswer is an answer with an SRV record, an alias and an address.
+func wellFormedAnswer() *mdns.Msg {
+	head := func(name string, recordType uint16) mdns.RR_Header {
+		return mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET}
+	}
+	srv := &mdns.SRV{Hdr: head(zone, mdns.TypeSRV), Port: 7, Weight: 1, Target: "a--c1-z2-t3.x."}
+	srv.Hdr.Ttl = 5
+	question, m := new(mdns.Msg), new(mdns.Msg)
+	question.SetQuestion(zone, mdns.TypeSRV)
+	m.SetReply(question)
+	m.Answer = []mdns.RR{srv, &mdns.CNAME{Hdr: head(zone, mdns.TypeCNAME), Target: "b."}}
+	m.Extra = []mdns.RR{&mdns.A{Hdr: head("a--c1-z2-t3.x.", mdns.TypeA), A: []byte{127, 0, 0, 1}}}
+	return m
+}
+
+// checkRecords checks that the records are SRV records, and that those which follow the convention have no negative
+// numbers.
+func checkRecords(t *testing.T, records []mdns.RR) {
+	t.Helper()
+	for _, record := range records {
+		srv, ok := record.(*mdns.SRV)
+		if !ok {
+			t.Fatalf("%v is taken for an SRV record", record)
+		}
+		e, err := parseTarget(srv.Target, srv)
+		if err == nil && (e.node.Cell < 0 || e.node.StartedMS < 0 || e.node.Zone < 0) {
+			t.Fatalf("%+v", e)
+		}
+	}
+}
+
 // scriptedServer is a name server whose answers follow a script, two bytes a record or fault.
 type scriptedServer struct {
 	script  []byte
@@ -96,9 +108,11 @@
 	head := mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET, Ttl: uint32(n)}
 	address := &mdns.A{Hdr: head, A: net.IPv4(127, 0, 0, n)}
 	address.Hdr.Rrtype = mdns.TypeA
+	srv := &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target}
 	switch action {
 	case 0, 1:
-		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n >> 2 & 3), Weight: uint16(n & 1), Priority: uint16(n >> 1 & 1), Target: target})
+		srv.Port, srv.Weight, srv.Priority = uint16(n>>2&3), uint16(n&1), uint16(n>>1&1)
+		m.Answer = append(m.Answer, srv)
 	case 2:
 		m.Answer = append(m.Answer, address)
 		s.given[address.A.String()] = true
@@ -107,7 +121,8 @@
 		m.Extra = append(m.Extra, address)
 		s.given[address.A.String()] = true
 	case 4: // an alias, perhaps of itself
-		m.Answer = append(m.Answer, &mdns.CNAME{Hdr: mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}, Target: target})
+		alias := mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}
+		m.Answer = append(m.Answer, &mdns.CNAME{Hdr: alias, Target: target})
 	case 5:
 		m.Rcode = int(n & 7)
 	case 6:
@@ -117,30 +132,31 @@
 	case 8:
 		m.Truncated = true
 	case 9:
-		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: uint16(n & 1), Weight: 1, Target: "no-cell." + zone})
+		srv.Port, srv.Target = uint16(n&1), "no-cell."+zone
+		m.Answer = append(m.Answer, srv)
 	case 10:
 		return false
 	case 11:
 		m.Response = n&1 == 0
 	case 12:
-		head.Name = target
-		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
+		srv.Hdr.Name = target
+		m.Answer = append(m.Answer, srv)
 	case 13:
 		m.Question = nil
 	case 14: // an address whose length is none that there is
 		address.A = address.A[:n&15]
 		m.Extra = append(m.Extra, address)
 	case 15:
-		head.Class = mdns.ClassCHAOS
-		m.Answer = append(m.Answer, &mdns.SRV{Hdr: head, Port: 7, Weight: 1, Target: target})
+		srv.Hdr.Class = mdns.ClassCHAOS
+		m.Answer = append(m.Answer, srv)
 	}
 	return true
 }
 
 // FuzzNames has a name server answer each question with some message, in any order and of any kind: answers to other
-// questions, chains of aliases, targets without addresses, negative answers, failures. Whatever comes, the list is complete
-// or fails as a whole: every node has an address that its target was given in this very conversation, no server comes
-// twice, and only so many questions are asked.
+// questions, chains of aliases, targets without addresses, negative answers, failures. Whatever comes, the list is
+// complete or fails as a whole: every node has an address that its target was given in this conversation, no server
+// comes twice, and the number of questions is bounded.
 func FuzzNames(f *testing.F) {
 	f.Add([]byte{0, 0x11, 0, 0x22, 1, 0x10, 2, 0})
 	f.Add([]byte{7, 0x31, 3, 1, 4, 2, 5, 3, 6, 4, 1, 1})
@@ -154,9 +170,9 @@
 		}
 		seen := map[string]bool{}
 		for _, n := range update.Nodes {
-			at, err := netip.ParseAddrPort(n.Address)
-			if err != nil || at.Port() == 0 || !server.given[at.Addr().String()] || seen[n.Address] || n.State != "on" && n.State != "draining" {
-				t.Fatalf("%+v, given were %v, %v", n, server.given, err)
+			server.checkAddress(t, n.Address)
+			if seen[n.Address] || n.State != "on" && n.State != "draining" {
+				t.Fatalf("%+v, after %v", n, seen)
 			}
 			seen[n.Address] = true
 		}
@@ -165,3 +181,12 @@
 		}
 	})
 }
+
+// checkAddress checks that an address has a port, and that the server has given the IP address.
+func (s *scriptedServer) checkAddress(t *testing.T, address string) {
+	t.Helper()
+	at, err := netip.ParseAddrPort(address)
+	if err != nil || at.Port() == 0 || !s.given[at.Addr().String()] {
+		t.Fatalf("%s, given were %v, %v", address, s.given, err)
+	}
+}
--- a/discovery/dns/resolver_test.go
+++ b/discovery/dns/resolver_test.go
@@ -20,19 +20,18 @@
 }
 
 // FuzzAsk applies outcomes in any order against a plain model that keeps the whole history and works out from it, each
-// time, which server is to be asked and between which times.
+// time, which server is to be queried and between which times.
 func FuzzAsk(f *testing.F) {
 	f.Add(byte(2), []byte{1, 200, 0, 0, 0, 0, 0, 0, 1, 5})
 	f.Add(byte(3), []byte{0, 0, 0, 0, 1, 255, 1, 0, 0, 1, 0, 2, 0, 3, 0, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, servers byte, script []byte) {
-		settings := resolverSettings{servers: 1 + int(servers%4), minInterval: 100 * time.Millisecond, maxInterval: 5 * time.Second, seed: int64(servers)}
-		resolver := newResolver(settings)
-		type outcome struct {
-			server   int
-			answered bool
-			ttl      time.Duration
+		settings := resolverSettings{
+			servers:     1 + int(servers%4),
+			minInterval: 100 * time.Millisecond,
+			maxInterval: 5 * time.Second,
+			seed:        int64(servers),
 		}
-		var history []outcome
+		resolver, model := newResolver(settings), &resolverModel{settings: settings}
 		now := time.Duration(0)
 		for len(script) >= 2 {
 			query := resolver.Next()
@@ -42,44 +41,78 @@
 			now = query.at + time.Duration(script[1])*time.Millisecond // the exchange took as long
 			last := outcome{query.server, script[0]&1 != 0, time.Duration(script[1]) * 50 * time.Millisecond}
 			script = script[2:]
-			history = append(history, last)
 			roundEnded := true
 			if last.answered {
 				resolver.Answered(now, last.ttl)
 			} else {
 				roundEnded = resolver.Failed(now)
 			}
-			// The model: failures since the last answer, in rounds of all servers.
-			failures, first := 0, 0
-			for i := len(history) - 1; i >= 0; i-- {
-				if history[i].answered {
-					first = history[i].server
-					break
-				}
-				failures++
-			}
-			server, span := first, last.ttl
-			switch {
-			case failures == 0:
-			case failures%settings.servers != 0:
-				server, span = (first+failures)%settings.servers, 0
-			default:
-				span = settings.minInterval
-				for range failures/settings.servers - 1 {
-					span = min(2*span, settings.maxInterval)
-				}
-			}
-			if span > 0 || failures%settings.servers == 0 {
-				span = min(max(span, settings.minInterval), settings.maxInterval)
-			}
-			wait := resolver.Next().at - now
-			if resolver.Next().server != server || wait > span || wait < span-span/4 || roundEnded != (failures%settings.servers == 0) {
-				t.Fatalf("after %v: server %d in %v, roundEnded %v; the model: %d in %v", history, resolver.Next().server, wait, roundEnded, server, span)
+			model.history = append(model.history, last)
+			if want := model.roundEnded(); roundEnded != want {
+				t.Fatalf("after %v: round ended: %v, the model: %v", model.history, roundEnded, want)
 			}
+			model.check(t, resolver.Next(), now)
 		}
 	})
 }
 
+// outcome is how a query ended.
+type outcome struct {
+	server   int
+	answered bool
+	ttl      time.Duration
+}
+
+// resolverModel is the plain rule of a resolver: it keeps all outcomes.
+type resolverModel struct {
+	settings resolverSettings
+	history  []outcome
+}
+
+// failures counts the failures since the last answer, and returns the server of that answer; 0 without one.
+func (m *resolverModel) failures() (count, answeredBy int) {
+	for i := len(m.history) - 1; i >= 0; i-- {
+		if m.history[i].answered {
+			return count, m.history[i].server
+		}
+		count++
+	}
+	return count, 0
+}
+
+// roundEnded reports whether the last outcome has ended a round: it is an answer, or all servers have failed.
+func (m *resolverModel) roundEnded() bool {
+	failures, _ := m.failures()
+	return failures%m.settings.servers == 0
+}
+
+// next returns the server to be queried next, and how long after the last outcome at the latest.
+func (m *resolverModel) next() (server int, interval time.Duration) {
+	failures, answeredBy := m.failures()
+	if !m.roundEnded() {
+		return (answeredBy + failures) % m.settings.servers, 0
+	}
+	if failures == 0 {
+		interval = m.history[len(m.history)-1].ttl
+	} else {
+		interval = m.settings.minInterval
+		for range failures/m.settings.servers - 1 {
+			interval = min(2*interval, m.settings.maxInterval)
+		}
+	}
+	return answeredBy, min(max(interval, m.settings.minInterval), m.settings.maxInterval)
+}
+
+// check compares the next query of a resolver with the model.
+func (m *resolverModel) check(t *testing.T, next query, now time.Duration) {
+	t.Helper()
+	server, interval := m.next()
+	wait := next.at - now
+	if next.server != server || wait > interval || wait < interval-interval/4 {
+		t.Fatalf("after %v: server %d in %v; the model: %d in %v", m.history, next.server, wait, server, interval)
+	}
+}
+
 // TestSelectRecords compares the selection with a plain one, record by record.
 func TestSelectRecords(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
@@ -89,18 +122,25 @@
 			all = append(all, candidate{fmt.Sprint(rng.Intn(4)), rng.Intn(2), uint16(rng.Intn(3)), rng.Intn(4) == 0})
 		}
 		selected := selectRecords(all)
-		for i, r := range all {
-			drained, better, earlier := false, false, false
-			for j, o := range all {
-				drained = drained || o.server == r.server && o.draining
-				sound := !slices.ContainsFunc(all, func(x candidate) bool { return x.server == o.server && x.draining })
-				better = better || o.cell == r.cell && sound && o.priority < r.priority
-				earlier = earlier || j < i && o.server == r.server && slices.Contains(selected, j)
-			}
-			want := !earlier && (r.draining || !drained && !better)
-			if want != slices.Contains(selected, i) {
+		for i := range all {
+			if want := shouldSelect(all, selected, i); want != slices.Contains(selected, i) {
 				t.Fatalf("%+v: record %d selected: %v", all, i, !want)
 			}
 		}
 	}
 }
+
+// shouldSelect is the plain rule of the selection for record i, given what is selected of the records before it.
+func shouldSelect(all []candidate, selected []int, i int) bool {
+	r := all[i]
+	drains := func(server string) bool {
+		return slices.ContainsFunc(all, func(o candidate) bool { return o.server == server && o.draining })
+	}
+	better := func(o candidate) bool { return o.cell == r.cell && !drains(o.server) && o.priority < r.priority }
+	for j, o := range all[:i] {
+		if o.server == r.server && slices.Contains(selected, j) {
+			return false
+		}
+	}
+	return r.draining || !drains(r.server) && !slices.ContainsFunc(all, better)
+}
