--- a/settings.go
+++ b/settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Settings are what a decision module knows of its deployment. The module reads them once, when it is made; they must not
-// change afterwards. A zero value means that the deployment does not state the figure, where nothing else is said.
+// Settings are what a decision module knows of its deployment. They must not change once a module has been made of
+// them. A zero value means that the deployment does not state the figure, where nothing else is said.
 type Settings struct {
 	// Step is the shortest time between two timers of the module.
 	Step time.Duration
@@ -27,7 +27,7 @@
 	SlowStart   SlowStartSettings
 	Usage       UsageSettings
 
-	// DrainGrace is how long an instance may still send to a disk server after the list has told it that this is draining.
+	// DrainGrace is how long an instance may still send to a disk server after it was notified that this is draining.
 	DrainGrace time.Duration
 	// AnswerGrace is how long after its deadline an op may still be answered.
 	AnswerGrace time.Duration
@@ -35,10 +35,11 @@
 	OrderSettle time.Duration
 }
 
-// OpTypeSettings has a list for each figure of an op type. The index in the lists is the number of the type, see Op.Type.
+// OpTypeSettings has a list for each figure of an op type. The index in the lists is the number of the type, see
+// Op.Type.
 type OpTypeSettings struct {
 	TargetLatency []time.Duration // an answer within it earns the full utility
-	OpTimeout     []time.Duration // how long clients wait for an answer, all their tries together
+	OpTimeout     []time.Duration // how long clients wait for an answer, all their attempts together
 	Utility       []float64       // the priority weight of an op
 	Semantics     []Semantics
 	DedupScope    []DedupScope    // of a deduplicated type
@@ -74,7 +75,7 @@
 	ConnectTimeout time.Duration
 }
 
-// RetryAfterSettings tell of the advice that comes with Reject.
+// RetryAfterSettings bound the advice that comes with Reject.
 type RetryAfterSettings struct {
 	Allowed bool          // Reject.RetryAfter may be set
 	Max     time.Duration // the longest advice
