--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,23 +1,23 @@
-// Command adapter hosts instances of the decision module, one a scheduler,
-// between the simulator's wire on standard input and output. The instances
-// share nothing.
+// Command adapter hosts instances of the decision module in the simulator, whose messages it reads from standard input
+// and answers on standard output. The instances share nothing and run on one goroutine. The command decides nothing and
+// opens neither files nor sockets.
 package main
 
 import (
 	"fmt"
-	"honeyplank"
 	"os"
 
+	"honeyplank"
 	"honeyplank/internal/simwire"
 	"honeyplank/policy"
 )
 
 func main() {
-	start := func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule {
+	newModule := func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule {
 		return policy.New(seed, settings)
 	}
-	if err := simwire.Serve(os.Stdin, os.Stdout, start); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+	if err := simwire.Serve(os.Stdin, os.Stdout, newModule); err != nil {
+		_, _ = fmt.Fprintln(os.Stderr, "adapter:", err) // there is nowhere else to report to
 		os.Exit(1)
 	}
 }
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -7,55 +7,79 @@
 	"honeyplank"
 )
 
-// message is an action on the wire; absent fields mean the same as zero.
-type message struct {
-	Op        string   `json:"op"`
-	Inst      string   `json:"scheduler_id"`
-	Job       string   `json:"job,omitempty"`
-	Server    string   `json:"server,omitempty"`
-	GiveUp    float64  `json:"give_up_after_ms,omitempty"`
-	Backoff   float64  `json:"backoff_ms,omitempty"`
-	Leg       *int     `json:"leg,omitempty"`
-	Addressee any      `json:"addressee,omitempty"`
-	Raw       *string  `json:"raw,omitempty"`
-	Text      string   `json:"body_text,omitempty"`
-	Enable    *bool    `json:"enable,omitempty"`
-	DueAt     *float64 `json:"due_at_ms,omitempty"`
-	Ref       string   `json:"ref,omitempty"`
+// actionMessage is an action on the wire; absent fields mean the same as zero.
+type actionMessage struct {
+	Op         string   `json:"op"`
+	Instance   string   `json:"scheduler_id"`
+	OpID       string   `json:"job,omitempty"`
+	Server     string   `json:"server,omitempty"`
+	Timeout    float64  `json:"give_up_after_ms,omitempty"`
+	RetryAfter float64  `json:"backoff_ms,omitempty"`
+	Dispatch   *int     `json:"leg,omitempty"`
+	Peer       any      `json:"addressee,omitempty"` // number of an instance, or allPeers
+	Data       *string  `json:"raw,omitempty"`       // hexadecimal
+	Text       string   `json:"body_text,omitempty"`
+	Enabled    *bool    `json:"enable,omitempty"`
+	At         *float64 `json:"due_at_ms,omitempty"`
+	Timer      string   `json:"ref,omitempty"`
 }
 
-func encode(inst string, action honeyplank.Action) message {
-	m := message{Inst: inst}
-	switch a := action.(type) {
+// allPeers addresses all other instances.
+const allPeers = "*"
+
+// panicMessage tells that an instance has failed.
+type panicMessage struct {
+	Text     string `json:"body_text"`
+	Op       string `json:"op"`
+	Instance string `json:"scheduler_id"`
+}
+
+func newPanicMessage(instance string, value any) panicMessage {
+	return panicMessage{Text: fmt.Sprint("panic: ", value), Op: "bug", Instance: instance}
+}
+
+// encode is an action of an instance as it is sent.
+func encode(instance string, action honeyplank.Action) actionMessage {
+	message := actionMessage{Instance: instance}
+	switch action := action.(type) {
 	case honeyplank.Dispatch:
-		m.Op, m.Job, m.Server, m.GiveUp = "assign", string(a.Op), string(a.Server), millis(a.Timeout)
+		message.Op, message.OpID, message.Server = "assign", string(action.Op), string(action.Server)
+		message.Timeout = toMillis(action.Timeout)
 	case honeyplank.Reject:
-		m.Op, m.Job, m.Backoff = "push_back", string(a.Op), millis(a.RetryAfter)
+		message.Op, message.OpID, message.RetryAfter = "push_back", string(action.Op), toMillis(action.RetryAfter)
 	case honeyplank.Fail:
-		m.Op, m.Job = "respond_error", string(a.Op)
+		message.Op, message.OpID = "respond_error", string(action.Op)
 	case honeyplank.Cancel:
-		m.Op, m.Job, m.Leg = "call_off", string(a.Op), &a.Dispatch
+		message.Op, message.OpID, message.Dispatch = "call_off", string(action.Op), &action.Dispatch
 	case honeyplank.HealthCheck:
-		m.Op, m.Server = "test", string(a.Server)
+		message.Op, message.Server = "test", string(action.Server)
 	case honeyplank.CloseIdle:
-		m.Op, m.Server = "release", string(a.Server)
+		message.Op, message.Server = "release", string(action.Server)
 	case honeyplank.Gossip:
-		raw := hex.EncodeToString(a.Data)
-		m.Op, m.Addressee, m.Raw = "say", a.To, &raw
-		if a.To == honeyplank.AllPeers {
-			m.Addressee = "*"
-		}
+		message.Op = "say"
+		message.setGossip(action)
 	case honeyplank.LogHealth:
-		m.Op, m.Text = "print", fmt.Sprintf("server %s: %s, was %s", a.Server, a.Health, a.Previous)
+		message.Op = "print"
+		message.Text = fmt.Sprintf("server %s: %s, was %s", action.Server, action.Health, action.Previous)
 	case honeyplank.LogEstimateIgnored:
-		m.Op, m.Text = "print", fmt.Sprintf("server %s: saved estimate ignored: %s", a.Server, a.Reason)
+		message.Op = "print"
+		message.Text = fmt.Sprintf("server %s: saved estimate ignored: %s", action.Server, action.Reason)
 	case honeyplank.Watch:
-		m.Op, m.Enable = "track", &a.Enabled
+		message.Op, message.Enabled = "track", &action.Enabled
 	case honeyplank.Fetch:
-		m.Op = "read_list"
+		message.Op = "read_list"
 	case honeyplank.SetTimer:
-		at := millis(a.At)
-		m.Op, m.DueAt, m.Ref = "sleep", &at, string(a.ID)
+		at := toMillis(action.At)
+		message.Op, message.At, message.Timer = "sleep", &at, string(action.ID)
+	}
+	return message
+}
+
+// setGossip sets the receiver and the data of a message to peers.
+func (m *actionMessage) setGossip(gossip honeyplank.Gossip) {
+	data := hex.EncodeToString(gossip.Data)
+	m.Data, m.Peer = &data, gossip.To
+	if gossip.To == honeyplank.AllPeers {
+		m.Peer = allPeers
 	}
-	return m
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,207 +9,257 @@
 	"honeyplank"
 )
 
-type decoder func(raw []byte, fields []string) (honeyplank.Event, error)
+// decoder reads an event. loadFields are the names of the values of a load report.
+type decoder func(raw []byte, loadFields []string) (honeyplank.Event, error)
 
+// decoders are the decoders by the message's op.
 var decoders = map[string]decoder{
-	"discovery":   decodeList,
-	"request":     decodeOp,
-	"response":    decodeOutcome,
-	"begun":       decodeBegan,
-	"wakeup":      decodeTimer,
-	"status_back": decodeProbed,
-	"heard":       decodePeer,
-	"lapsed":      decodeLapsed,
+	"discovery":   decode[listMessage],
+	"request":     decode[opMessage],
+	"response":    decode[outcomeMessage],
+	"begun":       decode[responseStartedMessage],
+	"wakeup":      decode[timerMessage],
+	"status_back": decode[healthCheckMessage],
+	"heard":       decode[peerMessage],
+	"lapsed":      decode[clientGoneMessage],
 }
 
-var listKinds = map[string]honeyplank.ListKind{
-	"changes": honeyplank.Delta, "all": honeyplank.Complete,
-	"remembered": honeyplank.Cached, "refused": honeyplank.WatchFailed,
+// eventMessage is an event on the wire.
+type eventMessage interface {
+	event(loadFields []string) (honeyplank.Event, error)
 }
 
-var memberStates = map[string]honeyplank.MemberState{
-	"on": honeyplank.Up, "fading": honeyplank.Draining, "off": honeyplank.Removed,
-}
-
-func decodeList(raw []byte, _ []string) (honeyplank.Event, error) {
-	var m struct {
-		How   string `json:"how"`
-		Epoch int64  `json:"epoch"`
-		Nodes []struct {
-			Server    string  `json:"server"`
-			StartMS   float64 `json:"last_start_ms"`
-			Capacity  float64 `json:"capacity_hint"`
-			Kind      int     `json:"kind"`
-			Readiness string  `json:"readiness"`
-			AZ        int     `json:"az"`
-			Cell      int     `json:"cell"`
-		} `json:"nodes_list"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
+// decode is the decoder of a message type.
+func decode[M eventMessage](raw []byte, loadFields []string) (honeyplank.Event, error) {
+	var message M
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return nil, err
 	}
-	kind, ok := listKinds[m.How]
+	return message.event(loadFields)
+}
+
+var listKinds = map[string]honeyplank.ListKind{
+	"changes":    honeyplank.Delta,
+	"all":        honeyplank.Complete,
+	"remembered": honeyplank.Cached,
+	"refused":    honeyplank.WatchFailed,
+}
+
+var memberStates = map[string]honeyplank.MemberState{
+	"on":     honeyplank.Up,
+	"fading": honeyplank.Draining,
+	"off":    honeyplank.Removed,
+}
+
+// listMessage is a honeyplank.List on the wire.
+type listMessage struct {
+	Kind    string          `json:"how"`
+	Version int64           `json:"epoch"`
+	Members []memberMessage `json:"nodes_list"`
+}
+
+// memberMessage is a honeyplank.Member on the wire.
+type memberMessage struct {
+	Server  string  `json:"server"`
+	Started float64 `json:"last_start_ms"`
+	Size    float64 `json:"capacity_hint"`
+	Model   int     `json:"kind"`
+	State   string  `json:"readiness"`
+	Zone    int     `json:"az"`
+	Cell    int     `json:"cell"`
+}
+
+func (m listMessage) event([]string) (honeyplank.Event, error) {
+	kind, ok := listKinds[m.Kind]
 	if !ok {
-		return nil, fmt.Errorf("how %q is unknown", m.How)
+		return nil, fmt.Errorf("how %q is unknown", m.Kind)
 	}
-	l := honeyplank.List{Kind: kind, Version: m.Epoch}
-	for _, n := range m.Nodes {
-		state, ok := memberStates[n.Readiness]
-		if !ok {
-			return nil, fmt.Errorf("readiness %q is unknown", n.Readiness)
+	list := honeyplank.List{Kind: kind, Version: m.Version}
+	for _, entry := range m.Members {
+		member, err := entry.member()
+		if err != nil {
+			return nil, err
 		}
-		l.Members = append(l.Members, honeyplank.Member{
-			ID: honeyplank.ServerID(n.Server), Started: span(n.StartMS), Size: n.Capacity,
-			Model: n.Kind, Zone: n.AZ, Cell: n.Cell, State: state,
-		})
+		list.Members = append(list.Members, member)
 	}
-	return l, nil
-}
-
-func decodeOp(raw []byte, _ []string) (honeyplank.Event, error) {
-	var m struct {
-		Job      string   `json:"job"`
-		Units    float64  `json:"units"`
-		Deadline float64  `json:"deadline_ms"`
-		Tier     int      `json:"tier"`
-		Chunk    *int64   `json:"chunk"`
-		IsWrite  bool     `json:"is_write"`
-		Priority int      `json:"priority"`
-		SetSize  float64  `json:"set_size"`
-		Retry    bool     `json:"retry"`
-		Share    int64    `json:"share_id"`
-		Place    *float64 `json:"placement"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
+	return list, nil
+}
+
+func (m memberMessage) member() (honeyplank.Member, error) {
+	state, ok := memberStates[m.State]
+	if !ok {
+		return honeyplank.Member{}, fmt.Errorf("readiness %q is unknown", m.State)
 	}
+	return honeyplank.Member{
+		ID:      honeyplank.ServerID(m.Server),
+		Started: fromMillis(m.Started),
+		Size:    m.Size,
+		Model:   m.Model,
+		Zone:    m.Zone,
+		Cell:    m.Cell,
+		State:   state,
+	}, nil
+}
+
+// opMessage is a honeyplank.Op on the wire.
+type opMessage struct {
+	ID        string   `json:"job"`
+	Units     float64  `json:"units"`
+	Deadline  float64  `json:"deadline_ms"`
+	Plan      int      `json:"tier"`
+	Key       *int64   `json:"chunk"`
+	Write     bool     `json:"is_write"`
+	Type      int      `json:"priority"`
+	Instances float64  `json:"set_size"`
+	Retry     bool     `json:"retry"`
+	Volume    int64    `json:"share_id"`
+	Cell      *float64 `json:"placement"`
+}
+
+func (m opMessage) event([]string) (honeyplank.Event, error) {
 	op := honeyplank.Op{
-		ID: honeyplank.OpID(m.Job), Units: m.Units, Timeout: span(m.Deadline), Plan: m.Tier,
-		Type: m.Priority, HasKey: m.Chunk != nil, Write: m.IsWrite, Instances: int(m.SetSize),
-		Retry: m.Retry, Volume: m.Share,
+		ID:        honeyplank.OpID(m.ID),
+		Units:     m.Units,
+		Timeout:   fromMillis(m.Deadline),
+		Plan:      m.Plan,
+		Type:      m.Type,
+		HasKey:    m.Key != nil,
+		Write:     m.Write,
+		Instances: int(m.Instances),
+		Retry:     m.Retry,
+		Volume:    m.Volume,
 	}
-	if m.Chunk != nil {
-		op.Key = *m.Chunk
+	if m.Key != nil {
+		op.Key = *m.Key
 	}
-	if m.Place != nil {
-		op.Cell = int(*m.Place)
+	if m.Cell != nil {
+		op.Cell = int(*m.Cell)
 	}
 	return op, nil
 }
 
-func decodeOutcome(raw []byte, fields []string) (honeyplank.Event, error) {
-	var m struct {
-		Job     string    `json:"job"`
-		Leg     int       `json:"leg"`
-		Server  string    `json:"server"`
-		Code    int       `json:"state_code"`
-		Elapsed float64   `json:"elapsed_ms"`
-		Done    bool      `json:"done_flag"`
-		Use     int       `json:"use_pct"`
-		Foreign float64   `json:"foreign_units"`
-		Load    []float64 `json:"feedback"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
-	}
+// outcomeMessage is a honeyplank.Outcome on the wire.
+type outcomeMessage struct {
+	Op              string    `json:"job"`
+	Dispatch        int       `json:"leg"`
+	Server          string    `json:"server"`
+	Code            int       `json:"state_code"`
+	Elapsed         float64   `json:"elapsed_ms"`
+	Answered        bool      `json:"done_flag"`
+	QuotaUsed       int       `json:"use_pct"`
+	ServedElsewhere float64   `json:"foreign_units"`
+	Load            []float64 `json:"feedback"`
+}
+
+func (m outcomeMessage) event(loadFields []string) (honeyplank.Event, error) {
 	code, err := outcomeCode(m.Code)
 	if err != nil {
 		return nil, err
 	}
 	return honeyplank.Outcome{
-		Op: honeyplank.OpID(m.Job), Dispatch: m.Leg, Server: honeyplank.ServerID(m.Server), Code: code,
-		Elapsed: span(m.Elapsed), Answered: m.Done, QuotaUsed: m.Use, ServedElsewhere: m.Foreign,
-		Load: report(m.Load, fields),
+		Op:              honeyplank.OpID(m.Op),
+		Dispatch:        m.Dispatch,
+		Server:          honeyplank.ServerID(m.Server),
+		Code:            code,
+		Elapsed:         fromMillis(m.Elapsed),
+		Answered:        m.Answered,
+		QuotaUsed:       m.QuotaUsed,
+		ServedElsewhere: m.ServedElsewhere,
+		Load:            loadReport(m.Load, loadFields),
 	}, nil
 }
 
-func outcomeCode(code int) (honeyplank.Code, error) {
-	if code < int(honeyplank.Succeeded) || code > int(honeyplank.NotSent) {
-		return 0, fmt.Errorf("state_code %d is unknown", code)
-	}
-	return honeyplank.Code(code), nil
+// responseStartedMessage is a honeyplank.ResponseStarted on the wire.
+type responseStartedMessage struct {
+	Op       string  `json:"job"`
+	Dispatch int     `json:"leg"`
+	Server   string  `json:"server"`
+	Elapsed  float64 `json:"elapsed_ms"`
 }
 
-// LoadFieldName is the module's name of a value of a load report: the simulator's less its unit.
-func LoadFieldName(f string) string { return strings.TrimSuffix(f, "_ms") }
+func (m responseStartedMessage) event([]string) (honeyplank.Event, error) {
+	return honeyplank.ResponseStarted{
+		Op:       honeyplank.OpID(m.Op),
+		Dispatch: m.Dispatch,
+		Server:   honeyplank.ServerID(m.Server),
+		Elapsed:  fromMillis(m.Elapsed),
+	}, nil
+}
 
-// report names the values of a load report.
-func report(values []float64, fields []string) map[string]float64 {
-	if len(values) == 0 {
-		return nil
-	}
-	named := map[string]float64{}
-	for i, f := range fields {
-		if i < len(values) {
-			named[LoadFieldName(f)] = values[i]
-		}
-	}
-	return named
+// timerMessage is a honeyplank.Timer on the wire.
+type timerMessage struct {
+	ID string `json:"ref"`
 }
 
-func decodeBegan(raw []byte, _ []string) (honeyplank.Event, error) {
-	var m struct {
-		Job     string  `json:"job"`
-		Leg     int     `json:"leg"`
-		Server  string  `json:"server"`
-		Elapsed float64 `json:"elapsed_ms"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
-	}
-	return honeyplank.ResponseStarted{Op: honeyplank.OpID(m.Job), Dispatch: m.Leg,
-		Server: honeyplank.ServerID(m.Server), Elapsed: span(m.Elapsed)}, nil
+func (m timerMessage) event([]string) (honeyplank.Event, error) {
+	return honeyplank.Timer{ID: honeyplank.TimerID(m.ID)}, nil
 }
 
-func decodeTimer(raw []byte, _ []string) (honeyplank.Event, error) {
-	var m struct {
-		Ref string `json:"ref"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
-	}
-	return honeyplank.Timer{ID: honeyplank.TimerID(m.Ref)}, nil
+// healthCheckMessage is a honeyplank.HealthCheckResult on the wire.
+type healthCheckMessage struct {
+	Server  string    `json:"server"`
+	Code    int       `json:"state_code"`
+	Elapsed float64   `json:"elapsed_ms"`
+	Load    []float64 `json:"feedback"`
 }
 
-func decodeProbed(raw []byte, fields []string) (honeyplank.Event, error) {
-	var m struct {
-		Server  string    `json:"server"`
-		Code    int       `json:"state_code"`
-		Elapsed float64   `json:"elapsed_ms"`
-		Load    []float64 `json:"feedback"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
-	}
+func (m healthCheckMessage) event(loadFields []string) (honeyplank.Event, error) {
 	code, err := outcomeCode(m.Code)
 	if err != nil {
 		return nil, err
 	}
-	return honeyplank.HealthCheckResult{Server: honeyplank.ServerID(m.Server), Code: code,
-		Elapsed: span(m.Elapsed), Load: report(m.Load, fields)}, nil
+	return honeyplank.HealthCheckResult{
+		Server:  honeyplank.ServerID(m.Server),
+		Code:    code,
+		Elapsed: fromMillis(m.Elapsed),
+		Load:    loadReport(m.Load, loadFields),
+	}, nil
 }
 
-func decodePeer(raw []byte, _ []string) (honeyplank.Event, error) {
-	var m struct {
-		From int    `json:"origin_peer"`
-		Raw  string `json:"raw"`
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
-	}
-	data, err := hex.DecodeString(m.Raw)
+// peerMessage is a honeyplank.PeerMessage on the wire.
+type peerMessage struct {
+	From int    `json:"origin_peer"`
+	Data string `json:"raw"` // hexadecimal
+}
+
+func (m peerMessage) event([]string) (honeyplank.Event, error) {
+	data, err := hex.DecodeString(m.Data)
 	if err != nil {
 		return nil, fmt.Errorf("raw: %w", err)
 	}
 	return honeyplank.PeerMessage{From: m.From, Data: data}, nil
 }
 
-func decodeLapsed(raw []byte, _ []string) (honeyplank.Event, error) {
-	var m struct {
-		Job string `json:"job"`
+// clientGoneMessage is a honeyplank.ClientGone on the wire.
+type clientGoneMessage struct {
+	Op string `json:"job"`
+}
+
+func (m clientGoneMessage) event([]string) (honeyplank.Event, error) {
+	return honeyplank.ClientGone{Op: honeyplank.OpID(m.Op)}, nil
+}
+
+// outcomeCode is the code of an outcome by its number on the wire, which is the same.
+func outcomeCode(number int) (honeyplank.Code, error) {
+	if number < int(honeyplank.Succeeded) || number > int(honeyplank.NotSent) {
+		return 0, fmt.Errorf("state_code %d is unknown", number)
 	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return nil, err
+	return honeyplank.Code(number), nil
+}
+
+// LoadFieldName is the module's name of a value of a load report: that on the wire without its unit.
+func LoadFieldName(field string) string { return strings.TrimSuffix(field, "_ms") }
+
+// loadReport is a load report by the names of its values.
+func loadReport(values []float64, fields []string) map[string]float64 {
+	if len(values) == 0 {
+		return nil
+	}
+	report := map[string]float64{}
+	for i, field := range fields {
+		if i < len(values) {
+			report[LoadFieldName(field)] = values[i]
+		}
 	}
-	return honeyplank.ClientGone{Op: honeyplank.OpID(m.Job)}, nil
+	return report
 }
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,5 +1,9 @@
-// Package simwire speaks the simulator's JSON dialect and translates it to the
-// interface of package honeyplank. Wire names end here.
+// Package simwire speaks the JSON of the simulator and of the platform's settings, and translates it to the types of
+// package honeyplank. The names of the wire end here.
+//
+// It makes no decisions, reads no clock and knows no sockets: Serve reads and writes what it is given. cmd/adapter
+// calls Serve on its only goroutine, and every instance runs there. Package scheduler calls ReadSite and LoadFieldName,
+// which keep no state, on any goroutine.
 package simwire
 
 import (
@@ -14,152 +18,192 @@
 	"honeyplank"
 )
 
-// Start makes an instance from its seed and settings.
-type Start func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
+// NewModule makes the decision module of an instance from its seed and settings.
+type NewModule func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
 
-type batch struct {
-	WallMS *float64          `json:"wall_ms"`
+// bufferSize is that of the buffers of input and output, in bytes.
+const bufferSize = 1 << 20
+
+// batchMessage is the events of one instant.
+type batchMessage struct {
+	Now    *float64          `json:"wall_ms"`
 	Round  json.Number       `json:"round"`
-	News   []json.RawMessage `json:"news"`
+	Events []json.RawMessage `json:"news"`
+}
+
+// replyMessage is the actions that follow from a batch.
+type replyMessage struct {
+	Round    json.Number `json:"round"`
+	Messages []any       `json:"outbox"` // of type actionMessage or panicMessage
+}
+
+// envelope is what all messages to an instance have in common.
+type envelope struct {
+	Op       string `json:"op"`
+	Instance string `json:"scheduler_id"`
 }
 
-type reply struct {
-	Round  json.Number `json:"round"`
-	Outbox []any       `json:"outbox"`
+// The messages that start and end an instance.
+const (
+	opStart = "provision"
+	opStop  = "power_off"
+)
+
+// startMessage starts an instance.
+type startMessage struct {
+	Seed int64       `json:"salt"`
+	Site siteMessage `json:"config"`
 }
 
-type host struct {
-	start     Start
+// simulation is the instances of one simulator.
+type simulation struct {
+	newModule NewModule
 	instances map[string]*instance
 }
 
-// instance is one scheduler with what is needed to translate for it.
+// instance is a decision module with what is needed to translate for it.
 type instance struct {
-	name   string
-	module honeyplank.DecisionModule
-	fields []string // names of the values of a load report
-	failed bool
+	id         string
+	module     honeyplank.DecisionModule
+	loadFields []string // names of the values of a load report
+	failed     bool     // the module has panicked
 }
 
-// Serve answers batches until the input ends.
-func Serve(in io.Reader, out io.Writer, start Start) error {
-	h := &host{start: start, instances: map[string]*instance{}}
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
-	enc := json.NewEncoder(w)
-	enc.SetEscapeHTML(false)
+// Serve answers batches, one a line, until the input ends.
+func Serve(in io.Reader, out io.Writer, newModule NewModule) error {
+	sim := &simulation{newModule: newModule, instances: map[string]*instance{}}
+	reader, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
+	encoder := json.NewEncoder(writer)
+	encoder.SetEscapeHTML(false)
 	for {
-		line, err := r.ReadBytes('\n')
-		if err != nil && !errors.Is(err, io.EOF) {
-			return err
+		line, readErr := reader.ReadBytes('\n')
+		if readErr != nil && !errors.Is(readErr, io.EOF) {
+			return fmt.Errorf("read a batch: %w", readErr)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			rep, err := h.answer(line)
-			if err != nil {
-				return err
-			}
-			if err := enc.Encode(rep); err != nil {
-				return err
-			}
-			if err := w.Flush(); err != nil {
+			if err := sim.serveLine(line, encoder, writer); err != nil {
 				return err
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return nil
 		}
 	}
 }
 
-func (h *host) answer(line []byte) (*reply, error) {
-	var b batch
-	if err := json.Unmarshal(line, &b); err != nil {
+// serveLine answers the batch of a line. The encoder writes to writer, which is flushed.
+func (sim *simulation) serveLine(line []byte, encoder *json.Encoder, writer *bufio.Writer) error {
+	reply, err := sim.answer(line)
+	if err != nil {
+		return err
+	}
+	if err := encoder.Encode(reply); err != nil {
+		return fmt.Errorf("write a reply: %w", err)
+	}
+	if err := writer.Flush(); err != nil {
+		return fmt.Errorf("write a reply: %w", err)
+	}
+	return nil
+}
+
+// answer is the reply to a batch.
+func (sim *simulation) answer(line []byte) (*replyMessage, error) {
+	var batch batchMessage
+	if err := json.Unmarshal(line, &batch); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
 	}
-	if b.WallMS == nil {
+	if batch.Now == nil {
 		return nil, errors.New("batch: wall_ms is missing")
 	}
-	now := span(*b.WallMS)
-	rep := &reply{Round: b.Round, Outbox: []any{}}
-	if rep.Round == "" {
-		rep.Round = "0"
+	reply := &replyMessage{Round: batch.Round, Messages: []any{}}
+	if reply.Round == "" {
+		reply.Round = "0"
 	}
-	for _, raw := range b.News {
-		out, err := h.one(now, raw)
+	for _, raw := range batch.Events {
+		messages, err := sim.handle(fromMillis(*batch.Now), raw)
 		if err != nil {
 			return nil, err
 		}
-		rep.Outbox = append(rep.Outbox, out...)
+		reply.Messages = append(reply.Messages, messages...)
 	}
-	return rep, nil
+	return reply, nil
 }
 
-// one carries a single event to its instance and returns the actions.
-func (h *host) one(now time.Duration, raw json.RawMessage) ([]any, error) {
-	var head struct {
-		Op   string `json:"op"`
-		Inst string `json:"scheduler_id"`
-	}
+// handle carries a message to its instance and returns the messages that follow from it.
+func (sim *simulation) handle(now time.Duration, raw json.RawMessage) ([]any, error) {
+	var head envelope
 	if err := json.Unmarshal(raw, &head); err != nil {
 		return nil, fmt.Errorf("event: %w", err)
 	}
-	if head.Inst == "" {
+	if head.Instance == "" {
 		return nil, fmt.Errorf("%q: scheduler_id is missing", head.Op)
 	}
-	in := h.instances[head.Inst]
 	switch head.Op {
-	case "provision":
-		var p provision
-		if err := json.Unmarshal(raw, &p); err != nil {
-			return nil, fmt.Errorf("provision: %w", err)
-		}
-		values, err := p.Config.settings()
-		if err != nil {
-			return nil, fmt.Errorf("provision: %w", err)
-		}
-		in = &instance{name: head.Inst, fields: p.Config.Report.Fields}
-		h.instances[head.Inst] = in
-		return in.guard(func() []honeyplank.Action {
-			in.module = h.start(p.Salt, values)
-			return nil
-		}), nil
-	case "power_off":
-		delete(h.instances, head.Inst)
+	case opStart:
+		return sim.start(head.Instance, raw)
+	case opStop:
+		delete(sim.instances, head.Instance)
 		return nil, nil
 	}
-	decode, ok := decoders[head.Op]
+	return sim.handleEvent(now, head, raw)
+}
+
+// start starts an instance, in place of one of the same id if there is one.
+func (sim *simulation) start(id string, raw json.RawMessage) ([]any, error) {
+	var message startMessage
+	if err := json.Unmarshal(raw, &message); err != nil {
+		return nil, fmt.Errorf("provision: %w", err)
+	}
+	settings, err := message.Site.settings()
+	if err != nil {
+		return nil, fmt.Errorf("provision: %w", err)
+	}
+	started := &instance{id: id, loadFields: message.Site.LoadReport.Fields}
+	sim.instances[id] = started
+	return started.guard(func() []honeyplank.Action {
+		started.module = sim.newModule(message.Seed, settings)
+		return nil
+	}), nil
+}
+
+// handleEvent has an instance handle an event. Those of unknown and of failed instances are dropped once they are
+// decoded.
+func (sim *simulation) handleEvent(now time.Duration, head envelope, raw json.RawMessage) ([]any, error) {
+	decodeEvent, ok := decoders[head.Op]
 	if !ok {
 		return nil, fmt.Errorf("unknown message %q", head.Op)
 	}
-	var fields []string
-	if in != nil {
-		fields = in.fields
+	receiver := sim.instances[head.Instance]
+	var loadFields []string
+	if receiver != nil {
+		loadFields = receiver.loadFields
 	}
-	event, err := decode(raw, fields)
+	event, err := decodeEvent(raw, loadFields)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", head.Op, err)
 	}
-	if in == nil || in.failed {
+	if receiver == nil || receiver.failed {
 		return nil, nil
 	}
-	return in.guard(func() []honeyplank.Action { return in.module.Handle(now, event) }), nil
+	return receiver.guard(func() []honeyplank.Action { return receiver.module.Handle(now, event) }), nil
 }
 
-// guard runs the module and turns a panic into the instance's own fault.
-func (in *instance) guard(run func() []honeyplank.Action) (out []any) {
+// guard runs the module. A panic ends this instance alone.
+func (i *instance) guard(run func() []honeyplank.Action) (messages []any) {
 	defer func() {
-		if p := recover(); p != nil {
-			in.failed = true
-			out = []any{map[string]any{
-				"op": "bug", "scheduler_id": in.name, "body_text": fmt.Sprint("panic: ", p)}}
+		if value := recover(); value != nil {
+			i.failed = true
+			messages = []any{newPanicMessage(i.id, value)}
 		}
 	}()
-	for _, a := range run() {
-		out = append(out, encode(in.name, a))
+	for _, action := range run() {
+		messages = append(messages, encode(i.id, action))
 	}
-	return out
+	return messages
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMillis(millis float64) time.Duration {
+	return time.Duration(millis * float64(time.Millisecond))
+}
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
