--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	idleExpiry    = 30 * time.Second // records idle for longer are dropped (design page)
+	idleExpiry    = 30 * time.Second // records idle for longer are dropped
 	evictInterval = time.Second      // between two searches for idle records, whose work grows with their number
 )
 
--- a/policy/health.go
+++ b/policy/health.go
@@ -6,7 +6,7 @@
 	"honeyplank"
 )
 
-// Bounds of a server's concurrency window, in ops (design page).
+// Bounds of a server's concurrency window, in ops.
 const (
 	minWindow = 4.0
 	maxWindow = 32.0
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -17,7 +17,7 @@
 	// window, beyond its share of the budget.
 	slowStartMaxOps = 1.5
 	// fewBudgetOps is the budget, in mean-sized ops, below which a server's overload threshold is
-	// wider: N + 3 root N + 3 in place of N + 2 root N + 2 (rule of the platform).
+	// wider: N + 3 root N + 3 in place of N + 2 root N + 2.
 	fewBudgetOps = 30
 )
 
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -107,7 +107,7 @@
 }
 
 // restartedPrefix is that of the ids of servers in slow start.
-const restartedPrefix = "cold"
+const restartedPrefix = "restarted"
 
 func restartedServer(i int) honeyplank.ServerID {
 	return honeyplank.ServerID(fmt.Sprint(restartedPrefix, i))
