--- a/audit/record.go
+++ b/audit/record.go
@@ -83,9 +83,9 @@
 
 func (l *Log) now() time.Duration { return time.Since(l.start) }
 
-// Told notes what a source told a gateway of a server: on, draining or gone; started is when it last started, zero
+// Notified notes what a source told a gateway of a server: on, draining or gone; started is when it last started, zero
 // if long ago.
-func (l *Log) Told(gateway int, source, server, state string, started time.Time) {
+func (l *Log) Notified(gateway int, source, server, state string, started time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := toldRecord{gateway: gateway, source: source, server: server, at: l.now(), state: state}
@@ -95,30 +95,30 @@
 	l.told = append(l.told, r)
 }
 
-// Killed notes the death of a gateway, with all it held.
-func (l *Log) Killed(gateway int) {
+// GatewayKilled notes the death of a gateway, with all it held.
+func (l *Log) GatewayKilled(gateway int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.kills[gateway] = append(l.kills[gateway], l.now())
 }
 
-// Left notes that a client of a gateway is about to break its connection. Only then is nothing owed for its ops: a
+// ClientClosed notes that a client of a gateway is about to break its connection. Only then is nothing owed for its ops: a
 // gateway that hangs up has not answered.
-func (l *Log) Left(gateway int) {
+func (l *Log) ClientClosed(gateway int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaves[gateway] = append(l.leaves[gateway], l.now())
 }
 
-// Server notes where a disk server stands.
-func (l *Log) Server(server string, p Place) {
+// AddServer notes where a disk server stands.
+func (l *Log) AddServer(server string, p Place) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.servers[server] = p
 }
 
-// Started notes that a disk server has just started, and what it bears at an age, in units a second.
-func (l *Log) Started(server string, capacity func(age time.Duration) float64) {
+// ServerStarted notes that a disk server has just started, and what it bears at an age, in units a second.
+func (l *Log) ServerStarted(server string, capacity func(age time.Duration) float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.starts[server] = append(l.starts[server], startRecord{l.now(), capacity})
@@ -199,12 +199,12 @@
 // owed no answer; where the wire repeated a command, no order and no single effect either.
 type Link struct {
 	Tap   func(sent bool, b []byte)
-	Spoil func()
+	MarkCorrupted func()
 }
 
-// Client makes links for the connections of a gateway's clients; block is the block size. The tap sits at the
+// ClientLinks makes links for the connections of a gateway's clients; block is the block size. The tap sits at the
 // client: what it sent came from the host.
-func (l *Log) Client(gateway, block int) func() Link {
+func (l *Log) ClientLinks(gateway, block int) func() Link {
 	return func() Link {
 		w, gone, spoiled := newWire(), false, false
 		spoil := func() {
@@ -217,7 +217,7 @@
 				}
 			}
 		}
-		return Link{Spoil: spoil, Tap: func(sent bool, b []byte) {
+		return Link{MarkCorrupted: spoil, Tap: func(sent bool, b []byte) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if len(b) == 0 {
@@ -252,8 +252,8 @@
 	}
 }
 
-// Disk makes taps for the connections of a disk server; gateways names the hosts by their NQN.
-func (l *Log) Disk(server func() string, gateways map[string]int) func() func(sent bool, b []byte) {
+// ServerTaps makes taps for the connections of a disk server; gateways names the hosts by their NQN.
+func (l *Log) ServerTaps(server func() string, gateways map[string]int) func() func(sent bool, b []byte) {
 	return func() func(bool, []byte) {
 		w := newWire()
 		return func(sent bool, b []byte) {
--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -171,11 +171,11 @@
 	n := r.rng.Intn(len(r.gateways))
 	g := r.gateways[n]
 	address := g.Address()
-	r.log.Killed(n)
+	r.log.GatewayKilled(n)
 	go func() { // Kill waits for the gateway's own loop
 		g.Kill()
 		r.loop.Post(func() {
-			r.log.Killed(n)
+			r.log.GatewayKilled(n)
 			r.after(f.Duration.Duration(), func() {
 				if err := r.startGateway(n, address); err != nil {
 					r.injected = err
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -113,7 +113,7 @@
 			Address:      g.Address(),
 			Subsystem:    r.script.Listen.Subsystem,
 			OnConnection: r.clientWire(n),
-			BeforeClose:  func() { r.log.Left(n) },
+			BeforeClose:  func() { r.log.ClientClosed(n) },
 		})
 	}
 	return options
@@ -123,7 +123,7 @@
 func (r *run) startDiskServer(cell int) (*disk.Server, error) {
 	var server *disk.Server
 	model := r.diskModel
-	model.Tap = r.log.Disk(func() string { return server.Address() }, r.gatewaysByNQN)
+	model.Tap = r.log.ServerTaps(func() string { return server.Address() }, r.gatewaysByNQN)
 	model.OnConnection = r.diskWire(func() *disk.Server { return server })
 	server, err := disk.New(r.loop, anyPort, model, r.rng.Int63())
 	if err != nil {
@@ -131,7 +131,7 @@
 	}
 	r.serverOfCell[cell] = server
 	r.servers = append(r.servers, server)
-	r.log.Server(server.Address(), audit.Place{Zone: zoneOf(cell), Cell: cell})
+	r.log.AddServer(server.Address(), audit.Place{Zone: zoneOf(cell), Cell: cell})
 	return server, nil
 }
 
@@ -218,7 +218,7 @@
 
 // recordStart tells the audit of a start, with the capacity by age: the server may start again before the audit
 // judges.
-func (r *run) recordStart(server *disk.Server) { r.log.Started(server.Address(), server.CapacityAt) }
+func (r *run) recordStart(server *disk.Server) { r.log.ServerStarted(server.Address(), server.CapacityAt) }
 
 // replace drains the disk server of a cell for a time, ends it, and has a cold one take its place.
 func (r *run) replace(cell int, notice time.Duration) {
--- a/faulttest/lists.go
+++ b/faulttest/lists.go
@@ -105,7 +105,7 @@
 			started = time.UnixMilli(record.StartedMS)
 		}
 	}
-	r.log.Told(gateway, sourceEtcd, strings.TrimPrefix(key, r.script.EndpointList.Prefix), state, started)
+	r.log.Notified(gateway, sourceEtcd, strings.TrimPrefix(key, r.script.EndpointList.Prefix), state, started)
 }
 
 // dnsNoticeRecorder returns a function that tells the audit what the answers of a name server tell its gateway. By
@@ -118,7 +118,7 @@
 		for _, record := range records {
 			address := fmt.Sprintf("%s:%d", record.IP, record.Port)
 			now[address] = true
-			r.log.Told(gateway, sourceDNS, address, dnsState(record), startOfTarget(record.Target))
+			r.log.Notified(gateway, sourceDNS, address, dnsState(record), startOfTarget(record.Target))
 		}
 		var missing []string
 		for address := range before {
@@ -130,7 +130,7 @@
 			return // unconfirmed: what was listed before stays
 		}
 		for _, address := range missing {
-			r.log.Told(gateway, sourceDNS, address, stateGone, time.Time{})
+			r.log.Notified(gateway, sourceDNS, address, stateGone, time.Time{})
 		}
 		before = now
 	}
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -179,7 +179,7 @@
 // one connection of an association ends both, admin queue and I/O queue (NVMe/TCP 3.5), so the audit is told for
 // both.
 func (r *run) clientWire(gateway int) func(client int, c *eventloop.Conn) {
-	newLink := r.log.Client(gateway, int(r.script.Volumes.Block))
+	newLink := r.log.ClientLinks(gateway, int(r.script.Volumes.Block))
 	associations := map[int][]audit.Link{}
 	return func(client int, c *eventloop.Conn) {
 		link := newLink()
@@ -197,7 +197,7 @@
 			isFaulty: func() bool { return true },
 			onDamage: func() {
 				for _, l := range associations[client] {
-					l.Spoil()
+					l.MarkCorrupted()
 				}
 			},
 		}
