--- a/audit/record.go
+++ b/audit/record.go
@@ -198,7 +198,7 @@
 // From then on the gateway can't know what its client meant, so its ops that were open, and those that come, are
 // owed no answer; where the wire repeated a command, no order and no single effect either.
 type Link struct {
-	Tap   func(sent bool, b []byte)
+	Tap           func(sent bool, b []byte)
 	MarkCorrupted func()
 }
 
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -218,7 +218,9 @@
 
 // recordStart tells the audit of a start, with the capacity by age: the server may start again before the audit
 // judges.
-func (r *run) recordStart(server *disk.Server) { r.log.ServerStarted(server.Address(), server.CapacityAt) }
+func (r *run) recordStart(server *disk.Server) {
+	r.log.ServerStarted(server.Address(), server.CapacityAt)
+}
 
 // replace drains the disk server of a cell for a time, ends it, and has a cold one take its place.
 func (r *run) replace(cell int, notice time.Duration) {
