--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"net"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -16,19 +16,16 @@
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := bed.moveBehindGate(0)
 	leaves, stays := bed.dialClient(), bed.dialClient()
-	leaves.send("BLK.READ", objectKey, "leaves", opOptions("read", 4000, 0))
-	bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
-	leaves.Close()
-	bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Counts.ClientsGone == 1 })
-	gate.acceptConns()
-	gate.forwardBytes()
-	bed.eventually("a connection", func() bool { _, n := bed.connCounts(0); return n > 0 })
-	if got := stays.do("BLK.READ", objectKey, "stays", opOptions("read", 4000, 0)); got != string(fakeresp.Value(objectKey, "stays")) {
+	leaves.sendRead("leaves", 4000)
+	bed.awaitWaiter()
+	leaves.disconnect()
+	bed.awaitClientGone()
+	gate.open()
+	bed.awaitServerConn()
+	if got := stays.doRead("stays", 4000); got != valueOf("stays") {
 		t.Errorf("%q", got)
 	}
-	if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[stays]" {
-		t.Errorf("%v have reached the disk server", ids)
-	}
+	bed.checkReceived("[stays]")
 	bed.onLoop(func() {
 		if n := bed.scheduler.tracker.Outstanding(); n != 0 {
 			t.Errorf("%d dispatches are out", n)
@@ -36,71 +33,93 @@
 	})
 }
 
+// sharedConn is a connection to a disk server behind a gate, on which each of several clients has one write in flight.
+type sharedConn struct {
+	bed     *testbed
+	gate    *connGate
+	conn    *serverConn
+	clients []*testClient
+	written int // commands that are written whole
+	partial int // the one of which a part is written; -1: none
+}
+
+// newSharedConn starts a scheduler that has written some of n commands to a disk server that does not read.
+func newSharedConn(t *testing.T, n int) *sharedConn {
+	t.Helper()
+	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(n))
+	shared := &sharedConn{bed: bed, gate: bed.moveBehindGate(0), partial: -1}
+	shared.gate.acceptConns()
+	bed.onLoop(func() {
+		bed.module.DecisionModule = singleServerModule{"s-0"}
+		bed.scheduler.config.Sockets = 1024
+		bed.leaveOneServerConn()
+	})
+	for i := range n {
+		c := bed.dialClient()
+		shared.clients = append(shared.clients, c)
+		c.sendWrite(fmt.Sprint("w", i), 9000, strings.Repeat("x", maxBody))
+		bed.eventuallyOnLoop("the command", func() bool { return shared.carries(i + 1) })
+	}
+	bed.onLoop(shared.countWritten)
+	if shared.written == 0 || shared.written > n-2 {
+		t.Fatalf("%d of %d are written whole", shared.written, n)
+	}
+	return shared
+}
+
+// carries reports, on the loop, whether the connection carries n commands.
+func (s *sharedConn) carries(n int) bool {
+	conns := s.bed.scheduler.servers["s-0"].conns
+	if len(conns) != 1 || !conns[0].connected || len(conns[0].inFlight) != n {
+		return false
+	}
+	s.conn = conns[0]
+	s.conn.conn.BeforeWrite = nil // the one of which a part is written is not withdrawn for its age
+	return true
+}
+
+// countWritten determines, on the loop, which commands are written.
+func (s *sharedConn) countWritten() {
+	position := s.conn.writtenBytes()
+	for i, a := range s.conn.inFlight {
+		if a.fullyWritten() {
+			s.written++
+		} else if a.firstByte < position && position < a.endByte {
+			s.partial = i
+		}
+	}
+}
+
 // TestClientGoneOnSharedConn: on a connection that several ops share, and that the disk server does not read, an op
 // whose client goes never arrives, whether nothing or a part of it is written; those before and behind it are served.
 func TestClientGoneOnSharedConn(t *testing.T) {
-	const n = 100                                           // more bytes than the system takes for one connection
-	for _, goneClient := range []int{n - 1, n / 2, 0, -1} { // -1: the one of which a part has left
+	const n = 100 // more bytes than the system takes for one connection
+	const partial = -1
+	for _, goneClient := range []int{n - 1, n / 2, 0, partial} {
 		t.Run(fmt.Sprint(goneClient), func(t *testing.T) {
-			bed := newTestbed(t, 1, withSlowConnect, func(m map[string]any) {
-				m["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = n
-			})
-			gate := bed.moveBehindGate(0)
-			gate.acceptConns()
-			var shared *serverConn
-			bed.onLoop(func() {
-				bed.module.DecisionModule = singleServerModule{"s-0"}
-				bed.scheduler.config.Sockets = 1024
-				bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
-			})
-			body := strings.Repeat("x", maxBody)
-			clients := make([]*testClient, n)
-			for i := range clients {
-				clients[i] = bed.dialClient()
-				clients[i].send("BLK.WRITE", objectKey, fmt.Sprint("w", i), opOptions("write", 9000, 0), body)
-				bed.eventually("the command", func() (ok bool) {
-					bed.onLoop(func() {
-						if ds := bed.scheduler.servers["s-0"]; len(ds.conns) == 1 && ds.conns[0].connected && len(ds.conns[0].inFlight) == i+1 {
-							shared, ok = ds.conns[0], true
-							shared.conn.BeforeWrite = nil // the one of which a part is written is not withdrawn for its age
-						}
-					})
-					return ok
-				})
+			shared := newSharedConn(t, n)
+			if goneClient == partial {
+				goneClient = shared.partial
 			}
-			written := 0
-			bed.onLoop(func() {
-				for i, a := range shared.inFlight {
-					if a.fullyWritten() {
-						written++
-					}
-					if position := shared.writtenBytes(); goneClient < 0 && a.firstByte < position && position < a.endByte {
-						goneClient = i
-					}
-				}
-			})
-			if goneClient < 0 || written == 0 || written > n-2 {
-				t.Fatalf("%d of %d are written whole, %d in part", written, n, goneClient)
+			if goneClient < 0 {
+				t.Fatalf("%d of %d are written whole, none in part", shared.written, n)
 			}
+			bed := shared.bed
 			bed.onLoop(func() { bed.scheduler.serverConnCount = 1 })
-			clients[goneClient].Close()
-			bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Counts.ClientsGone == 1 })
-			gate.forwardBytes()
-			served := 0
-			for i, c := range clients {
+			shared.clients[goneClient].disconnect()
+			bed.awaitClientGone()
+			shared.gate.forwardBytes()
+			for i, c := range shared.clients {
 				if i == goneClient {
 					continue
 				}
-				if got := c.readReply(3 * time.Second); got == string(fakeresp.Value(objectKey, fmt.Sprint("w", i))) {
-					served++
-				} else {
+				if got := c.readReply(3 * time.Second); got != valueOf(fmt.Sprint("w", i)) {
 					t.Errorf("w%d: %q", i, got)
 				}
 			}
-			for _, id := range receivedIDs(bed.disks[0]) {
-				if id == fmt.Sprint("w", goneClient) && goneClient >= written {
-					t.Error("the op whose client is gone has arrived")
-				}
+			arrived := slices.Contains(receivedIDs(bed.disks[0]), fmt.Sprint("w", goneClient))
+			if arrived && goneClient >= shared.written {
+				t.Error("the op whose client is gone has arrived")
 			}
 		})
 	}
@@ -114,9 +133,9 @@
 	c := bed.dialClient()
 	var all []byte
 	for i := range 2 * maxPending {
-		all = append(all, encodeCommand("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 390000, 0))...)
+		all = append(all, encodeCommand(readCommand(fmt.Sprint("a", i), 390000)...)...)
 	}
-	c.Write(all)
+	c.sendBytes(all)
 	bed.eventually("the pause", func() (ok bool) {
 		bed.onLoop(func() {
 			for x := range bed.scheduler.clients {
@@ -130,118 +149,115 @@
 		bed.onLoop(func() { sent = bed.scheduler.tracker.Counts.Dispatches })
 		return sent > 0 && len(bed.disks[0].Commands()) == sent
 	})
-	c.Close()
-	bed.eventuallyOnLoop("the client to be gone", func() bool { return len(bed.scheduler.clients) == 0 && bed.scheduler.tracker.Unanswered() == 0 })
+	c.disconnect()
+	bed.eventuallyOnLoop("the client to be gone", func() bool {
+		return len(bed.scheduler.clients) == 0 && bed.scheduler.tracker.Unanswered() == 0
+	})
 	if n := len(bed.disks[0].Commands()); n != sent {
 		t.Errorf("%d have reached the disk server, %d before the leave", n, sent)
 	}
 }
 
+// holdUpCase is a client that goes during a hold-up.
+type holdUpCase struct {
+	split  bool          // half of its command comes before the hold-up
+	behind string        // what it sends behind its command
+	delay  time.Duration // of the module's dispatch
+	fresh  bool          // its command, or the rest of it, comes during the hold-up
+	gate   bool          // the connection to the disk server opens then
+}
+
 // TestClientGoneDuringHoldUp: a client goes while the scheduler is held up for 0.15 s, in the middle of a round of the
 // loop: nothing is sent for it after that, be it a first attempt or a retry.
 func TestClientGoneDuringHoldUp(t *testing.T) {
-	leave := map[string]func(*testClient){
-		"close": func(c *testClient) { c.Close() },
-		"reset": func(c *testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+	var pings []byte
+	for i := range 2 * maxPending {
+		pings = append(pings, encodeCommand("PING", fmt.Sprint(i))...)
 	}
-	for how, leave := range leave {
-		for name, x := range map[string]struct {
-			before []string      // what its connection has sent before: 'half', 'QUIT', 'protocol error', 'many'
-			after  time.Duration // the delay of the module
-			fresh  bool          // its command comes during the hold-up
-			gate   bool          // the connection to the disk server comes up then
-		}{
-			"fresh command":           {fresh: true},
-			"behind half a line":      {before: []string{"half"}, fresh: true},
-			"a timer":                 {after: 100 * time.Millisecond},
-			"a timer, QUIT":           {after: 100 * time.Millisecond, before: []string{"QUIT"}},
-			"a timer, protocol error": {after: 100 * time.Millisecond, before: []string{"protocol error"}},
-			"a timer, many":           {after: 100 * time.Millisecond, before: []string{"many"}},
-			"a connect":               {gate: true},
-			"a connect, QUIT":         {gate: true, before: []string{"QUIT"}},
-		} {
-			t.Run(name+" "+how, func(t *testing.T) {
-				bed := newTestbed(t, 1, withSlowConnect)
-				var gate *connGate
-				if x.gate {
-					gate = bed.moveBehindGate(0)
-				}
-				bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-				c := bed.dialClient()
-				c.do("PING")
-				if gate == nil { // there is a connection that has been idle for long enough
-					bed.dialClient().do("BLK.READ", objectKey, "warm", opOptions("read", 9000, 0))
-					time.Sleep(2 * reuseDelay)
-				}
-				bed.onLoop(func() { bed.module.DecisionModule = &delayedModule{delay: x.after} })
-				op := encodeCommand("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
-				var behind []byte
-				for _, b := range x.before {
-					switch b {
-					case "half":
-						c.Write(op[:len(op)/2])
-						op = op[len(op)/2:]
-					case "QUIT":
-						behind = append(behind, encodeCommand("QUIT")...)
-					case "protocol error":
-						behind = append(behind, "no command\r\n"...)
-					case "many":
-						for i := range 2 * maxPending {
-							behind = append(behind, encodeCommand("PING", fmt.Sprint(i))...)
-						}
-					}
-				}
-				if !x.fresh {
-					c.Write(append(op, behind...))
-					bed.eventuallyOnLoop("the command", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
-				}
-				bed.onLoop(func() {
-					if gate != nil {
-						gate.acceptConns()
-						gate.forwardBytes()
-					}
-					if x.fresh {
-						c.Write(op)
-					}
-					leave(c)
-					time.Sleep(maxHoldUp)
-				})
-				bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
-				if gate != nil {
-					bed.eventually("a connection", func() bool { _, n := bed.connCounts(0); return n > 0 })
-				}
-				time.Sleep(2 * x.after)
-				for _, id := range receivedIDs(bed.disks[0]) {
-					if id != "warm" {
-						t.Errorf("%s has reached the disk server", id)
-					}
-				}
-			})
+	quit := string(encodeCommand("QUIT"))
+	const delay = 100 * time.Millisecond
+	cases := map[string]holdUpCase{
+		"fresh command":           {fresh: true},
+		"behind half a line":      {split: true, fresh: true},
+		"a timer":                 {delay: delay},
+		"a timer, QUIT":           {delay: delay, behind: quit},
+		"a timer, protocol error": {delay: delay, behind: "no command\r\n"},
+		"a timer, many":           {delay: delay, behind: string(pings)},
+		"a connect":               {gate: true},
+		"a connect, QUIT":         {gate: true, behind: quit},
+	}
+	for name, x := range cases {
+		t.Run(name+" close", func(t *testing.T) { x.run(t, (*testClient).disconnect) })
+		t.Run(name+" reset", func(t *testing.T) { x.run(t, (*testClient).reset) })
+	}
+}
+
+// run has a client leave during a hold-up and checks that its op does not arrive.
+func (x holdUpCase) run(t *testing.T, leave func(*testClient)) {
+	bed := newTestbed(t, 1, withSlowConnect)
+	openGate := func() {}
+	if x.gate {
+		gate := bed.moveBehindGate(0)
+		openGate = gate.open
+	}
+	bed.useModule(singleServerModule{"s-0"})
+	c := bed.dialClient()
+	c.do("PING")
+	if !x.gate { // there is a connection that has been idle for long enough
+		bed.dialClient().doRead("warm", 9000)
+		time.Sleep(2 * reuseDelay)
+	}
+	bed.useModule(&delayedModule{delay: x.delay})
+	op := encodeCommand(readCommand("a", 9000)...)
+	if x.split {
+		c.sendBytes(op[:len(op)/2])
+		op = op[len(op)/2:]
+	}
+	if !x.fresh {
+		c.sendBytes(append(op, x.behind...))
+		bed.eventuallyOnLoop("the command", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
+	}
+	bed.onLoop(func() {
+		openGate()
+		if x.fresh {
+			c.sendBytes(op)
+		}
+		leave(c)
+		time.Sleep(maxHoldUp)
+	})
+	bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
+	if x.gate {
+		bed.awaitServerConn()
+	}
+	time.Sleep(2 * x.delay)
+	for _, id := range receivedIDs(bed.disks[0]) {
+		if id != "warm" {
+			t.Errorf("%s has reached the disk server", id)
 		}
 	}
 }
 
+// holdsUnacked reports whether the system has all bytes of the only command in flight, and the disk server's has not.
+func (sc *serverConn) holdsUnacked() bool {
+	return sc.connected && len(sc.inFlight) == 1 && sc.conn.UnsentBytes() == 0 && sc.conn.UnackedBytes() > 0
+}
+
 // TestClientGoneBeforeServerReads: what a disk server's system has not taken when a client goes, or its time is over,
 // never arrives, also once the server reads on.
 func TestClientGoneBeforeServerReads(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := bed.moveBehindGate(0)
 	gate.acceptConns()
-	bed.onLoop(func() { bed.module.DecisionModule = &cancellingModule{} })
+	bed.useModule(&cancellingModule{})
 	body := strings.Repeat("x", maxBody)
 	for i, ms := range []int{9000, 300} {
 		c := bed.dialClient()
-		c.send("BLK.WRITE", objectKey, fmt.Sprint("w", i), opOptions("write", ms, 0), body)
-		bed.eventually("all bytes to leave", func() (ok bool) {
-			bed.onLoop(func() {
-				for _, sc := range bed.scheduler.servers["s-0"].conns {
-					ok = ok || sc.connected && len(sc.inFlight) == 1 && sc.conn.UnsentBytes() == 0 && sc.conn.UnackedBytes() > 0
-				}
-			})
-			return ok
+		c.sendWrite(fmt.Sprint("w", i), ms, body)
+		bed.eventuallyOnLoop("all bytes to leave", func() bool {
+			return slices.ContainsFunc(bed.scheduler.servers["s-0"].conns, (*serverConn).holdsUnacked)
 		})
 		if ms > 300 {
-			c.Close()
+			c.disconnect()
 		}
 		bed.eventuallyOnLoop("the end", func() bool {
 			return bed.scheduler.tracker.Unanswered() == 0 && bed.scheduler.tracker.Outstanding() == 0
@@ -257,74 +273,69 @@
 // TestRequestCrossesClose: whatever closes a client's connection, a request that crosses the close is not read, so that
 // its client may send it again, and the replies before come whole.
 func TestRequestCrossesClose(t *testing.T) {
-	value := string(fakeresp.Value(objectKey, "a"))
+	value := valueOf("a")
 	for name, x := range map[string]struct {
-		behind string                  // sent behind an op whose answer is delayed
-		end    func(*testbed, *client) // on the loop
+		behind string // sent behind an op whose answer is delayed
 		want   []string
 	}{
-		"quit":           {behind: string(encodeCommand("QUIT")), want: []string{value, "OK"}},
-		"protocol error": {behind: "no command\r\n", want: []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
-		"idle": {want: []string{value}, end: func(bed *testbed, c *client) {
-			c.lastActivity -= 2 * maxIdle
-			bed.scheduler.checkClients()
-		}},
-		"evicted": {want: []string{value}, end: func(bed *testbed, c *client) {
-			c.lastActivity -= 2 * maxIdle
-			bed.scheduler.evictIdleClient()
-		}},
-		"intake closed": {want: []string{value}, end: func(bed *testbed, c *client) { c.closeWhenAnswered() }},
+		"quit":           {string(encodeCommand("QUIT")), []string{value, "OK"}},
+		"protocol error": {"no command\r\n", []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bed := newTestbed(t, 1)
-			bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
-			bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
-			c := bed.dialClient()
-			c.Write(append(encodeCommand("BLK.READ", objectKey, "a", opOptions("read", 9000, 0)), x.behind...))
-			if x.end != nil {
-				if got := c.readReply(3 * time.Second); got != value {
-					t.Fatalf("%q", got)
-				}
-				x.want = nil
-			} else {
-				bed.eventually("the end", func() (ok bool) {
-					bed.onLoop(func() {
-						for x := range bed.scheduler.clients {
-							ok = x.closing
-						}
-					})
-					return ok
-				})
-			}
-			var before, after int64
-			bed.onLoop(func() {
-				for one := range bed.scheduler.clients {
-					if x.end != nil {
-						x.end(bed, one)
-					}
-				}
-				before = bed.scheduler.loop.Stats.BytesIn.Load()
+			bed, c := newCrossingTestbed(t, x.behind)
+			bed.eventuallyOnLoop("the end", func() bool {
+				serverSide := bed.client()
+				return serverSide != nil && serverSide.closing
 			})
-			late := encodeCommand("BLK.READ", objectKey, "late", opOptions("read", 9000, 0))
-			c.Write(late)
-			for _, want := range x.want {
+			bytesIn := bed.bytesIn()
+			c.sendRead("late", 9000)
+			for _, want := range append(x.want, "closed") {
 				if got := c.readReply(3 * time.Second); got != want {
 					t.Errorf("%q, expected %q", got, want)
 				}
 			}
-			if x.want != nil {
-				if got := c.readReply(3 * time.Second); got != "closed" {
-					t.Errorf("%q, expected an end", got)
-				}
-			}
-			bed.onLoop(func() { after = bed.scheduler.loop.Stats.BytesIn.Load() })
-			answer := len(value) + 32 // of the disk server, at most
-			if n := int(after - before); n > answer || x.end != nil && n > 0 {
+			// What the disk server answers is read, and nothing else.
+			if n, answer := bed.bytesIn()-bytesIn, int64(len(value)+32); n > answer {
 				t.Errorf("%d bytes have been read", n)
 			}
-			if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[a]" {
-				t.Errorf("%v have reached the disk server", ids)
+			bed.checkReceived("[a]")
+		})
+	}
+	for name, end := range map[string]func(*Scheduler, *client){ // on the loop, once the op is answered
+		"idle": func(s *Scheduler, c *client) {
+			c.lastActivity -= 2 * maxIdle
+			s.checkClients()
+		},
+		"evicted": func(s *Scheduler, c *client) {
+			c.lastActivity -= 2 * maxIdle
+			s.evictIdleClient()
+		},
+		"intake closed": func(_ *Scheduler, c *client) { c.closeWhenAnswered() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			bed, c := newCrossingTestbed(t, "")
+			if got := c.readReply(3 * time.Second); got != value {
+				t.Fatalf("%q", got)
+			}
+			bed.onLoop(func() { end(bed.scheduler, bed.client()) })
+			bytesIn := bed.bytesIn()
+			c.sendRead("late", 9000)
+			if n := bed.bytesIn() - bytesIn; n > 0 {
+				t.Errorf("%d bytes have been read", n)
 			}
+			bed.checkReceived("[a]")
 		})
 	}
 }
+
+// newCrossingTestbed starts a scheduler with one client, which has sent an op whose answer is delayed, and bytes behind
+// it.
+func newCrossingTestbed(t *testing.T, behind string) (*testbed, *testClient) {
+	t.Helper()
+	bed := newTestbed(t, 1)
+	bed.useModule(singleServerModule{"s-0"})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
+	c := bed.dialClient()
+	c.sendBytes(append(encodeCommand(readCommand("a", 9000)...), behind...))
+	return bed, c
+}
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -20,14 +20,16 @@
 // order, once it reads; until then no more is taken from it than the bounds allow.
 func TestUnreadAnswers(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+	bed.useModule(singleServerModule{"s-0"})
 	large := strings.Repeat("v", maxBody-8)
 	bed.disks[0].SetFaults(fakeresp.Faults{Value: large})
 	c := bed.dialClient()
 	const n = 4 * maxPending // of 64 KB each: more than the system holds on its way
 	go func() {
 		for i := range n {
-			c.Write(encodeCommand("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0)))
+			if _, err := c.Write(encodeCommand(readCommand(fmt.Sprint("a", i), 9000)...)); err != nil {
+				return // the replies that are missing fail the test
+			}
 		}
 	}()
 	bed.eventually("a full connection", func() (ok bool) {
@@ -54,7 +56,7 @@
 	c, other := bed.dialClient(), bed.dialClient()
 	for i, client := range []*testClient{c, other} {
 		id := fmt.Sprint("first", i)
-		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+		if got := client.doRead(id, 390); got != valueOf(id) {
 			t.Fatal(got)
 		}
 	}
@@ -62,14 +64,14 @@
 		for x := range bed.scheduler.clients {
 			x.lastActivity = bed.scheduler.loop.Now() - 2*maxIdle
 		}
-		c.send("BLK.READ", objectKey, "second", opOptions("read", 390, 0))
+		c.sendRead("second", 390)
 		for !bed.hasUnreadInput() {
 		}
 		bed.scheduler.checkClients()
 		for bed.scheduler.evictIdleClient() {
 		}
 	})
-	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "second")) {
+	if got := c.readReply(time.Second); got != valueOf("second") {
 		t.Errorf("%q", got)
 	}
 	if got := other.readReply(time.Second); got != "closed" {
@@ -82,14 +84,14 @@
 func TestIdleWithPartialCommand(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
-	c.do("BLK.READ", objectKey, "first", opOptions("read", 390, 0))
-	text := encodeCommand("BLK.READ", objectKey, "second", opOptions("read", 390, 0))
-	c.Write(text[:20])
+	c.doRead("first", 390)
+	text := encodeCommand(readCommand("second", 390)...)
+	c.sendBytes(text[:20])
 	bed.eventually("a half command", func() (ok bool) {
 		bed.onLoop(func() {
 			for x := range bed.scheduler.clients {
 				ok = x.commandStarted > 0
-				x.lastActivity = bed.scheduler.loop.Now() - maxIdle + time.Second // idle for longer than a crowd lets one be
+				x.lastActivity = bed.scheduler.loop.Now() - maxIdle + time.Second // longer than reducedIdle
 			}
 			if ok {
 				bed.scheduler.activeClients += bed.scheduler.config.Sockets
@@ -101,8 +103,8 @@
 		})
 		return ok
 	})
-	c.Write(text[20:])
-	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "second")) {
+	c.sendBytes(text[20:])
+	if got := c.readReply(time.Second); got != valueOf("second") {
 		t.Errorf("%q", got)
 	}
 }
@@ -143,42 +145,47 @@
 	}
 }
 
+// floodPings sends large PINGs and reads no reply, until the connection ends.
+func (c *testClient) floodPings() {
+	command := encodeCommand("PING", strings.Repeat("v", maxBody))
+	for {
+		if _, err := c.Write(command); err != nil {
+			return
+		}
+	}
+}
+
+// pausedClients counts, on the loop, the clients that do not read their replies and whose input is not read any more.
+func (bed *testbed) pausedClients() (n int) {
+	for c := range bed.scheduler.clients {
+		if c.paused && c.conn.UnsentBytes() > 0 && !c.conn.NoInputPending() {
+			n++
+		}
+	}
+	return n
+}
+
+// ageClients makes all clients appear idle for a time. It is called on the loop.
+func (bed *testbed) ageClients(idle time.Duration) {
+	for c := range bed.scheduler.clients {
+		c.lastActivity = bed.scheduler.loop.Now() - idle
+	}
+}
+
 // TestUnreadCrowd: clients that never brought an op, send commands and read no replies hold no descriptors: one is
 // evicted for another at once, and the rest are closed in time.
 func TestUnreadCrowd(t *testing.T) {
 	bed := newTestbed(t, 1)
-	large := strings.Repeat("v", maxBody)
 	for i := range 2 {
-		c := bed.dialClient(4096)
-		go func() {
-			for {
-				if _, err := c.Write(encodeCommand("PING", large)); err != nil {
-					return
-				}
-			}
-		}()
-		bed.eventually("a connection of which no more is read", func() (ok bool) {
-			n := 0
-			bed.onLoop(func() {
-				for x := range bed.scheduler.clients {
-					if x.paused && x.conn.UnsentBytes() > 0 && !x.conn.NoInputPending() {
-						n++
-					}
-				}
-			})
-			return n == i+1
-		})
+		go bed.dialClient(4096).floodPings()
+		bed.eventuallyOnLoop("a connection of which no more is read", func() bool { return bed.pausedClients() == i+1 })
 	}
 	bed.onLoop(func() {
-		for x := range bed.scheduler.clients {
-			x.lastActivity = bed.scheduler.loop.Now() - commandTimeout - time.Millisecond
-		}
+		bed.ageClients(commandTimeout + time.Millisecond)
 		if !bed.scheduler.evictIdleClient() || len(bed.scheduler.clients) != 1 {
 			t.Errorf("none gives way: %d are left", len(bed.scheduler.clients))
 		}
-		for x := range bed.scheduler.clients {
-			x.lastActivity = bed.scheduler.loop.Now() - commandTimeout - time.Millisecond
-		}
+		bed.ageClients(commandTimeout + time.Millisecond)
 		bed.scheduler.checkClients()
 		if len(bed.scheduler.clients) != 0 {
 			t.Errorf("%d are left", len(bed.scheduler.clients))
@@ -257,33 +264,38 @@
 	}
 }
 
+// openIdleConns opens n connections, as far as the scheduler accepts them. Every other one sends PING, the rest nothing.
+func (bed *testbed) openIdleConns(n int) {
+	bed.t.Helper()
+	for i := range n {
+		conn, err := net.Dial("tcp", bed.scheduler.Address())
+		if err != nil {
+			continue
+		}
+		bed.t.Cleanup(func() { _ = conn.Close() }) // the scheduler may have closed it
+		if i%2 == 0 {
+			_, _ = conn.Write(encodeCommand("PING")) // likewise
+		}
+	}
+}
+
 // TestCrowd: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody else
 // from being served and take no connection from those that bring ops, also during the shutdown; hundreds of commands at
 // once all get their replies, in order.
 func TestCrowd(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
-	if got := c.do("BLK.READ", objectKey, "first", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "first")) {
+	if got := c.doRead("first", 390); got != valueOf("first") {
 		t.Fatal(got)
 	}
-	crowd := func() {
-		for i := range 300 {
-			if x, err := net.Dial("tcp", bed.scheduler.Address()); err == nil {
-				t.Cleanup(func() { x.Close() })
-				if i%2 == 0 {
-					x.Write([]byte("*1\r\n$4\r\nPING\r\n"))
-				}
-			}
-		}
-	}
-	crowd()
-	if got := bed.dialClient().do("BLK.READ", objectKey, "new", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "new")) {
+	bed.openIdleConns(300)
+	if got := bed.dialClient().doRead("new", 390); got != valueOf("new") {
 		t.Fatal(got)
 	}
 	time.Sleep(700 * time.Millisecond)
 	bed.scheduler.Shutdown()
-	crowd()
-	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+	bed.openIdleConns(300)
+	if got := c.doRead("a", 390); got != valueOf("a") {
 		t.Fatal(got)
 	}
 	var open int
@@ -293,7 +305,9 @@
 	}
 	go func() {
 		for i := range 500 {
-			c.Write(resp.AppendCommand(nil, []byte("PING"), []byte(strconv.Itoa(i))))
+			if _, err := c.Write(encodeCommand("PING", strconv.Itoa(i))); err != nil {
+				return // the replies that are missing fail the test
+			}
 		}
 	}()
 	for i := range 500 {
@@ -309,20 +323,17 @@
 	before := runtime.NumGoroutine()
 	for i := range 200 {
 		c := bed.dialClient()
-		c.do("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 390, 0))
-		c.Close()
+		c.doRead(fmt.Sprint("a", i), 390)
+		c.disconnect()
 		member := bed.member(0, "up")
 		member.ID, member.Cell = fmt.Sprint("t-", i), 7
 		bed.discovery.Change(member)
 		member.Phase = "removed"
 		bed.discovery.Change(member)
 	}
-	bed.eventually("the end of all", func() bool {
-		ok := false
-		bed.onLoop(func() {
-			ok = len(bed.scheduler.servers) == 1 && len(bed.scheduler.clients) == 0 && bed.scheduler.clientConnCount == 0 && bed.scheduler.tracker.Outstanding() == 0
-		})
-		return ok
+	bed.eventuallyOnLoop("the end of all", func() bool {
+		s := bed.scheduler
+		return len(s.servers) == 1 && len(s.clients) == 0 && s.clientConnCount == 0 && s.tracker.Outstanding() == 0
 	})
 	if n := runtime.NumGoroutine(); n > before+20 {
 		t.Errorf("%d goroutines, %d before", n, before)
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -18,18 +18,16 @@
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 	c := bed.dialClient()
 	var all []byte
-	for _, args := range [][]string{{"BLK.READ", objectKey, "a", opOptions("read", 390, 0)}, {"QUIT"}, {"BLK.READ", objectKey, "b", opOptions("read", 390, 0)}} {
+	for _, args := range [][]string{readCommand("a", 390), {"QUIT"}, readCommand("b", 390)} {
 		all = append(all, encodeCommand(args...)...)
 	}
-	c.Write(all)
-	for _, want := range []string{string(fakeresp.Value(objectKey, "a")), "OK", "closed"} {
+	c.sendBytes(all)
+	for _, want := range []string{valueOf("a"), "OK", "closed"} {
 		if got := c.readReply(time.Second); got != want {
 			t.Errorf("%q, expected %q", got, want)
 		}
 	}
-	if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[a]" {
-		t.Errorf("%v have reached the disk server", ids)
-	}
+	bed.checkReceived("[a]")
 }
 
 // TestServes: a command reaches the server that holds its data as it came, but for the timeout, and the value that was
@@ -42,44 +40,58 @@
 	}
 	for i, cell := range []int{0, 1, 1, 0} {
 		id := fmt.Sprintf("read%d", i)
-		if got, want := c.do("BLK.READ", objectKey, id, opOptions("read", 390, cell)), string(fakeresp.Value(objectKey, id)); got != want {
+		if got, want := c.do("BLK.READ", objectKey, id, opOptions("read", 390, cell)), valueOf(id); got != want {
 			t.Fatalf("%q, expected %q", got, want)
 		}
 	}
 	body := strings.Repeat("\r\n*\x00", 16<<10)
-	if got := c.do("BLK.WRITE", objectKey, "write", opOptions("write", 600, -1), body); got != string(fakeresp.Value(objectKey, "write")) {
+	if got := c.do("BLK.WRITE", objectKey, "write", opOptions("write", 600, -1), body); got != valueOf("write") {
 		t.Fatal(got)
 	}
 	all := append(bed.disks[0].Commands(), bed.disks[1].Commands()...)
 	if len(all) != 5 || len(bed.disks[0].Commands()) < 2 || len(bed.disks[1].Commands()) < 2 {
 		t.Fatalf("%d commands", len(all))
 	}
-	d := regexp.MustCompile(`,d=(\d+),`)
-	for _, g := range all {
-		most, class := 390, "read"
-		if g.Name == "BLK.WRITE" {
-			most, class = 600, "write"
-			if string(g.Body) != body {
+	for _, command := range all {
+		if command.Name == "BLK.WRITE" {
+			checkForwarded(t, command, "write", 600)
+			if string(command.Body) != body {
 				t.Error("the body has changed")
 			}
-		}
-		ms, _ := strconv.Atoi(d.FindStringSubmatch(g.Attributes)[1])
-		if ms > most || ms < most-200 || g.Piece != objectKey {
-			t.Errorf("%+v", g)
-		}
-		if cell := g.Attributes[strings.Index(g.Attributes, "shard="):]; !strings.HasPrefix(d.ReplaceAllString(g.Attributes, ",d=9,"), "c="+class+",t=gold,d=9,volume=00000003b4d60021,units=2,"+cell) {
-			t.Errorf("%s", g.Attributes)
+		} else {
+			checkForwarded(t, command, "read", 390)
 		}
 	}
 }
 
+// checkForwarded checks that a command has reached a disk server as it came, but for the timeout, which may be shorter.
+func checkForwarded(t *testing.T, command fakeresp.Command, class string, timeoutMS int) {
+	t.Helper()
+	timeout := regexp.MustCompile(`,d=(\d+),`)
+	ms, err := strconv.Atoi(timeout.FindStringSubmatch(command.Attributes)[1])
+	if err != nil || ms > timeoutMS || ms < timeoutMS-200 || command.Piece != objectKey {
+		t.Errorf("%+v", command)
+	}
+	cell := command.Attributes[strings.Index(command.Attributes, "shard="):]
+	want := "c=" + class + ",t=gold,d=9,volume=00000003b4d60021,units=2," + cell
+	if !strings.HasPrefix(timeout.ReplaceAllString(command.Attributes, ",d=9,"), want) {
+		t.Errorf("%s", command.Attributes)
+	}
+}
+
 // TestOtherCommands: commands that are no ops get the replies of the protocol.
 func TestOtherCommands(t *testing.T) {
 	c := newTestbed(t, 1).dialClient()
 	for _, x := range []struct{ command, want string }{
-		{"CLIENT SETINFO LIB-NAME x", "OK"}, {"SELECT 0", "OK"}, {"HELLO 3", "-ERR unknown command \"HELLO\""},
-		{"INFO load", "-ERR unknown command \"INFO\""}, {"ping", "PONG"}, {"PING x", "x"}, {"blk.read a b c", "-ERR unknown command \"blk.read\""},
-		{"QUIT", "OK"}, {"PING", "closed"},
+		{"CLIENT SETINFO LIB-NAME x", "OK"},
+		{"SELECT 0", "OK"},
+		{"HELLO 3", `-ERR unknown command "HELLO"`},
+		{"INFO load", `-ERR unknown command "INFO"`},
+		{"ping", "PONG"},
+		{"PING x", "x"},
+		{"blk.read a b c", `-ERR unknown command "blk.read"`},
+		{"QUIT", "OK"},
+		{"PING", "closed"},
 	} {
 		t.Run(x.command, func(t *testing.T) {
 			if got := c.do(strings.Fields(x.command)...); got != x.want {
@@ -94,23 +106,26 @@
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
 	good := opOptions("read", 300, 0)
+	withOption := func(option, replacement string) []string {
+		return []string{"BLK.READ", objectKey, "a", strings.Replace(good, option, replacement, 1)}
+	}
 	for _, x := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "c=read", "c=scan", 1)}, `class "scan" is unknown`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "t=gold", "t=lead", 1)}, `plan "lead" is unknown`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "d=300", "d=soon", 1)}, `d is "soon"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "d=300", "d=-1", 1)}, `d is "-1"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "d=300", "d=1e3", 1)}, `d is "1e3"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "d=300", "d=NaN", 1)}, `d is "NaN"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "d=300", "d=99999999999", 1)}, `d is "99999999999"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, ",d=300", "", 1)}, "d is missing"},
+		{withOption("c=read", "c=scan"), `class "scan" is unknown`},
+		{withOption("t=gold", "t=lead"), `plan "lead" is unknown`},
+		{withOption("d=300", "d=soon"), `d is "soon"`},
+		{withOption("d=300", "d=-1"), `d is "-1"`},
+		{withOption("d=300", "d=1e3"), `d is "1e3"`},
+		{withOption("d=300", "d=NaN"), `d is "NaN"`},
+		{withOption("d=300", "d=99999999999"), `d is "99999999999"`},
+		{withOption(",d=300", ""), "d is missing"},
 		{[]string{"BLK.READ", objectKey, "a", good + ",d=5"}, "stands twice"},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "units=2", "units=0", 1)}, `units is "0"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "shard=0", "shard=-2", 1)}, `shard is "-2"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "hosts=1", "hosts=x", 1)}, `hosts is "x"`},
-		{[]string{"BLK.READ", objectKey, "a", strings.Replace(good, "volume=0", "volume=", 1)}, "volume is"},
+		{withOption("units=2", "units=0"), `units is "0"`},
+		{withOption("shard=0", "shard=-2"), `shard is "-2"`},
+		{withOption("hosts=1", "hosts=x"), `hosts is "x"`},
+		{withOption("volume=0", "volume="), "volume is"},
 		{[]string{"BLK.READ", objectKey, "a", ""}, "no name and value"},
 		{[]string{"BLK.READ", objectKey, "", good}, "no id"},
 		{[]string{"BLK.READ", "xyz", "a", good}, "the piece of data"},
@@ -124,7 +139,7 @@
 			}
 		})
 	}
-	if got := c.do("BLK.READ", objectKey, "a", good); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := c.do("BLK.READ", objectKey, "a", good); got != valueOf("a") {
 		t.Error(got)
 	}
 	if n := len(bed.disks[0].Commands()); n != 1 {
@@ -137,28 +152,34 @@
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 	one, other := bed.dialClient(), bed.dialClient()
-	one.send("BLK.READ", objectKey, "same", opOptions("read", 390, 0))
+	one.sendRead("same", 390)
 	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 1 })
-	if got := other.do("BLK.READ", objectKey, "same", opOptions("read", 390, 0)); got != "-ERR the id is that of an open request" {
+	if got := other.doRead("same", 390); got != "-ERR the id is that of an open request" {
 		t.Error(got)
 	}
-	if got := one.readReply(time.Second); got != string(fakeresp.Value(objectKey, "same")) {
+	if got := one.readReply(time.Second); got != valueOf("same") {
 		t.Error(got)
 	}
 }
 
-// TestProtocolErrors: input that does not follow the protocol gets an error and a close, at once; half a command, or none, gets a
-// close in time.
+// TestProtocolErrors: input that does not follow the protocol gets an error and a close, at once; half a command, or
+// none, gets a close in time.
 func TestProtocolErrors(t *testing.T) {
 	bed := newTestbed(t, 1)
 	for _, text := range []string{
-		"GET / HTTP/1.1\r\n\r\n", strings.Repeat("x", 100000), "*" + strings.Repeat("9", 100000), "*4\r\n$-5\r\n", "*99999999\r\n",
-		"*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n" + objectKey + "\r\n$1\r\na\r\n$1\r\nx\r\n$60000000\r\n" + strings.Repeat("x", 1<<20),
-		"*1\r\n$4\r\nPINGPONG\r\n", "\x00\x01\x02",
+		"GET / HTTP/1.1\r\n\r\n",
+		strings.Repeat("x", 100000),
+		"*" + strings.Repeat("9", 100000),
+		"*4\r\n$-5\r\n",
+		"*99999999\r\n",
+		"*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n" + objectKey + "\r\n$1\r\na\r\n$1\r\nx\r\n" +
+			"$60000000\r\n" + strings.Repeat("x", 1<<20),
+		"*1\r\n$4\r\nPINGPONG\r\n",
+		"\x00\x01\x02",
 	} {
 		c := bed.dialClient()
 		begun := time.Now()
-		c.Write([]byte(text))
+		_, _ = c.Write([]byte(text)) // the scheduler may close before it has read all
 		got := c.readReply(3 * time.Second)
 		if got != "closed" && !strings.HasPrefix(got, "-ERR Protocol error") {
 			t.Errorf("%.40q: %q", text, got)
@@ -170,7 +191,7 @@
 	for _, text := range []string{"", "*4\r\n$8\r\nBLK.READ\r\n$16\r\n7f3a"} {
 		c := bed.dialClient()
 		begun := time.Now()
-		c.Write([]byte(text))
+		_, _ = c.Write([]byte(text)) // the scheduler may close before it has read all
 		for c.readReply(4*time.Second) != "closed" {
 		}
 		if took := time.Since(begun); took > 2800*time.Millisecond {
@@ -188,10 +209,10 @@
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 40 * time.Millisecond})
 	c := bed.dialClient()
-	c.send("BLK.READ", objectKey, "a", opOptions("read", 390, 0))
+	c.sendRead("a", 390)
 	c.send("PING")
-	c.Write([]byte("rubbish\r\n"))
-	for _, want := range []string{string(fakeresp.Value(objectKey, "a")), "PONG", "-ERR Protocol error: expected '*', got 'r'", "closed"} {
+	c.sendBytes([]byte("rubbish\r\n"))
+	for _, want := range []string{valueOf("a"), "PONG", "-ERR Protocol error: expected '*', got 'r'", "closed"} {
 		if got := c.readReply(2 * time.Second); got != want {
 			t.Errorf("%q, expected %q", got, want)
 		}
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestConfigErrors: the error for a configuration that cannot be used has the line, what is wrong and what would be right, and
-// wraps its cause.
+// TestConfigErrors: the error for a configuration that cannot be used has the line, what is wrong and what would be
+// right, and wraps its cause.
 func TestConfigErrors(t *testing.T) {
 	good := "{\"name\":\"n0\",\n\"listen\":\"127.0.0.1:0\",\n\"discovery\":\"127.0.0.1:1\",\n\"limits\":{\"memory_mb\":64,\n\"sockets\":256},\n\"peers\":[],\n\"settings\":" + testSettings + "}"
 	if _, err := parseConfig("f", []byte(good)); err != nil {
--- a/scheduler/conn_gate_test.go
+++ b/scheduler/conn_gate_test.go
@@ -11,12 +11,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"honeyplank"
 	fakeresp "honeyplank/fake/resp"
 )
 
-// connGate is a proxy before a disk server. Connections to it do not come up before acceptConns, and no bytes pass before
-// forwardBytes, so that a test decides what happens while they wait.
+// connGate is a proxy before a disk server. Connections to it do not come up before acceptConns, and no bytes pass
+// before forwardBytes, so that a test decides what happens while they wait.
 type connGate struct {
 	t          *testing.T
 	fd         int
@@ -58,7 +57,7 @@
 		unix.Shutdown(gate.fd, unix.SHUT_RDWR)
 		unix.Close(gate.fd)
 		for _, c := range gate.backlog {
-			c.Close()
+			_ = c.Close() // it was never accepted
 		}
 	})
 	return gate
@@ -75,7 +74,7 @@
 			}
 			f := os.NewFile(uintptr(fd), "gate")
 			conn, err := net.FileConn(f)
-			f.Close()
+			_ = f.Close() // conn has a descriptor of its own
 			if err != nil {
 				return
 			}
@@ -87,6 +86,12 @@
 // forwardBytes lets bytes pass from now on.
 func (g *connGate) forwardBytes() { g.once.Do(func() { close(g.forwarding) }) }
 
+// open lets connections come up and bytes pass.
+func (g *connGate) open() {
+	g.acceptConns()
+	g.forwardBytes()
+}
+
 // pipe forwards the bytes of a connection in both directions.
 func (g *connGate) pipe(client net.Conn) {
 	defer client.Close()
@@ -96,8 +101,11 @@
 		return
 	}
 	defer server.Close()
-	go func() { io.Copy(client, server); client.Close() }()
-	io.Copy(server, client)
+	go func() {
+		_, _ = io.Copy(client, server) // either end may break the connection
+		_ = client.Close()
+	}()
+	_, _ = io.Copy(server, client) // likewise
 }
 
 // gateServer puts a gate before the n-th disk server and returns the entry of the endpoint list that leads there.
@@ -112,10 +120,7 @@
 // moveBehindGate puts a gate before the n-th disk server and has discovery name its address.
 func (bed *testbed) moveBehindGate(n int) *connGate {
 	bed.t.Helper()
-	gate, member := bed.gateServer(n, "up")
-	bed.discovery.Change(member)
-	bed.eventuallyOnLoop("the address", func() bool {
-		return bed.scheduler.servers[honeyplank.ServerID(member.ID)].address == gate.address
-	})
+	gate, _ := bed.gateServer(n, "up")
+	bed.redirectServer(n, gate.address)
 	return gate
 }
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -11,64 +11,61 @@
 )
 
 // sentTimeout is the timeout that a command names to its disk server.
-func sentTimeout(c fakeresp.Command) time.Duration {
+func sentTimeout(t *testing.T, command fakeresp.Command) time.Duration {
+	t.Helper()
 	var ms int64
-	fmt.Sscanf(c.Attributes[strings.Index(c.Attributes, ",d="):], ",d=%d", &ms)
+	if _, err := fmt.Sscanf(command.Attributes[strings.Index(command.Attributes, ",d="):], ",d=%d", &ms); err != nil {
+		t.Error(err)
+	}
 	return time.Duration(ms) * time.Millisecond
 }
 
+// stuckCommands are the commands of which a part has been written for some time. It is used on the loop.
+type stuckCommands struct {
+	ids         map[string]bool
+	lastWritten uint64        // position of the last byte written
+	since       time.Duration // when it was written
+}
+
+// look updates the commands by what a connection has written.
+func (s *stuckCommands) look(now time.Duration, sc *serverConn) {
+	written := sc.writtenBytes()
+	if written != s.lastWritten {
+		s.lastWritten, s.since = written, now
+	}
+	for _, a := range sc.inFlight {
+		id := string(a.dispatch.Op())
+		if a.firstByte < written && a.endByte > written && now-s.since > maxPartialAge/2 {
+			s.ids[id] = true
+		}
+		restInTime := a.endByte <= written && now-a.encodedAt <= maxPartialAge
+		if s.ids[id] && restInTime {
+			delete(s.ids, id)
+		}
+	}
+}
+
 // TestDeadlineOfDelayedCommand: a command that waits behind a disk server that does not read names the time that is
 // left when it is written, and one of which a part was written by then never arrives whole.
 func TestDeadlineOfDelayedCommand(t *testing.T) {
 	const n, waits = 100, 400 * time.Millisecond
-	bed := newTestbed(t, 1, withSlowConnect, func(m map[string]any) {
-		m["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = n
-	})
+	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(n))
 	gate := bed.moveBehindGate(0)
 	gate.acceptConns()
 	bed.onLoop(func() {
 		bed.module.DecisionModule = singleServerModule{"s-0"}
 		bed.scheduler.config.Sockets = 1024
-		bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 // descriptors for one connection are left
+		bed.leaveOneServerConn()
 	})
-	stuck := map[string]bool{} // those of which a part has been written for some time
+	stuck := stuckCommands{ids: map[string]bool{}}
 	bed.onLoop(func() {
-		var lastWritten uint64
-		var since time.Duration
-		var look func()
-		look = func() {
-			now := bed.scheduler.loop.Now()
+		bed.everyMillisecond(func(now time.Duration) {
 			for _, sc := range bed.scheduler.servers["s-0"].conns {
-				written := sc.writtenBytes()
-				if written != lastWritten {
-					lastWritten, since = written, now
-				}
-				for _, a := range sc.inFlight {
-					id := string(a.dispatch.Op())
-					if a.firstByte < written && a.endByte > written && now-since > maxPartialAge/2 {
-						stuck[id] = true
-					}
-					if stuck[id] && a.endByte <= written && now-a.encodedAt <= maxPartialAge { // the rest was written in time
-						delete(stuck, id)
-					}
-				}
+				stuck.look(now, sc)
 			}
-			bed.scheduler.loop.Schedule(now+time.Millisecond, look)
-		}
-		look()
+		})
 	})
-	body := strings.Repeat("x", maxBody)
-	sent := map[string]time.Time{}
-	var c *testClient
-	for i := range n {
-		if i%(maxPending-1) == 0 {
-			c = bed.dialClient()
-		}
-		id := fmt.Sprint("w", i)
-		sent[id] = time.Now()
-		c.send("BLK.WRITE", objectKey, id, opOptions("write", 9000, 0), body)
-	}
-	bed.eventuallyOnLoop("the commands", func() bool { return bed.scheduler.tracker.Counts.Admitted == n })
+	sent := bed.sendLargeWrites(n, 9*time.Second)
 	time.Sleep(waits)
 	unsent := map[string]bool{}
 	bed.onLoop(func() {
@@ -79,30 +76,44 @@
 		}
 		gate.forwardBytes()
 	})
-	if len(stuck) == 0 {
+	if len(stuck.ids) == 0 {
 		t.Fatal("none is written in part")
 	}
 	bed.eventuallyOnLoop("the end", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
-	for _, c := range bed.disks[0].Commands() {
-		if stuck[c.ID] {
-			t.Errorf("%s, of which a part was written, has arrived", c.ID)
+	for _, command := range bed.disks[0].Commands() {
+		if stuck.ids[command.ID] {
+			t.Errorf("%s, of which a part was written, has arrived", command.ID)
+		}
+		named, left := sentTimeout(t, command), 9*time.Second-command.At.Sub(sent[command.ID])
+		if unsent[command.ID] && named > left+150*time.Millisecond {
+			t.Errorf("%s names %v, %v are left", command.ID, named, left)
 		}
-		if left := 9*time.Second - c.At.Sub(sent[c.ID]); unsent[c.ID] && sentTimeout(c) > left+150*time.Millisecond {
-			t.Errorf("%s names %v, %v are left", c.ID, sentTimeout(c), left)
+	}
+}
+
+// sendLargeWrites sends n writes from several clients and waits until they are admitted. It returns when each was sent.
+func (bed *testbed) sendLargeWrites(n int, timeout time.Duration) map[string]time.Time {
+	bed.t.Helper()
+	body := strings.Repeat("x", maxBody)
+	sent := map[string]time.Time{}
+	var c *testClient
+	for i := range n {
+		if i%(maxPending-1) == 0 {
+			c = bed.dialClient()
 		}
+		id := fmt.Sprint("w", i)
+		sent[id] = time.Now()
+		c.sendWrite(id, int(timeout.Milliseconds()), body)
 	}
+	bed.eventuallyOnLoop("the commands", func() bool { return bed.scheduler.tracker.Counts.Admitted == n })
+	return sent
 }
 
 // TestTimeoutOfLateRead: the timeout of a command that waited to be read, for a loop that was held up or behind others
 // on its connection, counts from when it may have come; that of one that comes later on the same connection does not.
 func TestTimeoutOfLateRead(t *testing.T) {
-	const held, left = 120 * time.Millisecond, 2 * time.Second
-	for name, x := range map[string]struct {
-		first int                    // commands before it on its connection
-		delay time.Duration          // of their answers
-		send  func(*testbed, func()) // sends it
-		late  time.Duration          // how late it is read
-	}{
+	const held = 120 * time.Millisecond
+	for name, x := range map[string]lateReadCase{
 		"at once": {send: func(_ *testbed, send func()) { send() }},
 		"held up": {late: held, send: func(bed *testbed, send func()) {
 			bed.onLoop(func() { send(); time.Sleep(held) })
@@ -115,38 +126,52 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bed := newTestbed(t, 1)
-			var ops []honeyplank.Op
-			var at []time.Duration
-			bed.onLoop(func() {
-				bed.module.DecisionModule = singleServerModule{"s-0"}
-				bed.module.onEvent = func(e honeyplank.Event) {
-					if o, ok := e.(honeyplank.Op); ok {
-						ops, at = append(ops, o), append(at, bed.scheduler.loop.Now())
-					}
-				}
-			})
-			bed.disks[0].SetFaults(fakeresp.Faults{Delay: x.delay})
-			c := bed.dialClient()
-			c.do("PING")
-			for i := range x.first {
-				c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0))
-			}
-			if x.first > 0 {
-				bed.eventuallyOnLoop("the others", func() bool { return len(ops) == x.first })
+			const timeout = 2 * time.Second
+			left := x.run(t, timeout)
+			if left > timeout-x.late*3/4 || x.late == 0 && left < timeout-held/2 {
+				t.Errorf("%v are left of %v", left, timeout)
 			}
-			x.send(bed, func() { c.send("BLK.READ", objectKey, "late", opOptions("read", int(left.Milliseconds()), 0)) })
-			bed.eventuallyOnLoop("it", func() bool { return len(ops) == x.first+1 })
-			bed.onLoop(func() {
-				last := len(ops) - 1
-				if got := ops[last].Timeout - at[last]; got > left-x.late*3/4 || x.late == 0 && got < left-held/2 {
-					t.Errorf("%v are left of %v", got, left)
-				}
-			})
 		})
 	}
 }
 
+// lateReadCase is a command that waits to be read.
+type lateReadCase struct {
+	first int                    // commands before it on its connection
+	delay time.Duration          // of their answers
+	send  func(*testbed, func()) // sends it
+	late  time.Duration          // how late it is read
+}
+
+// run sends the command with a timeout and returns how much of that is left when its op is admitted.
+func (x lateReadCase) run(t *testing.T, timeout time.Duration) time.Duration {
+	t.Helper()
+	bed := newTestbed(t, 1)
+	var left []time.Duration // of each op
+	bed.onLoop(func() {
+		bed.module.DecisionModule = singleServerModule{"s-0"}
+		bed.module.onEvent = func(event honeyplank.Event) {
+			if op, ok := event.(honeyplank.Op); ok {
+				left = append(left, op.Timeout-bed.scheduler.loop.Now())
+			}
+		}
+	})
+	bed.disks[0].SetFaults(fakeresp.Faults{Delay: x.delay})
+	c := bed.dialClient()
+	c.do("PING")
+	for i := range x.first {
+		c.sendRead(fmt.Sprint("a", i), 9000)
+	}
+	if x.first > 0 {
+		bed.eventuallyOnLoop("the others", func() bool { return len(left) == x.first })
+	}
+	x.send(bed, func() { c.sendRead("late", int(timeout.Milliseconds())) })
+	bed.eventuallyOnLoop("it", func() bool { return len(left) == x.first+1 })
+	var last time.Duration
+	bed.onLoop(func() { last = left[len(left)-1] })
+	return last
+}
+
 // TestTimeoutDuringHoldUp: an op whose time is over when a hold-up ends is answered and not sent, where its connection
 // has come up meanwhile or there is a connection for its retry.
 func TestTimeoutDuringHoldUp(t *testing.T) {
@@ -154,18 +179,18 @@
 		t.Run(waits, func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, time.Second)
 			if waits == "for a timer" {
-				gate.acceptConns()
-				gate.forwardBytes()
-				bed.dialClient().do("BLK.READ", objectKey, "warm", opOptions("read", 9000, 0))
+				gate.open()
+				bed.dialClient().doRead("warm", 9000)
 				time.Sleep(2 * reuseDelay)
-				bed.onLoop(func() { bed.module.DecisionModule = &delayedModule{delay: 40 * time.Millisecond} })
+				bed.useModule(&delayedModule{delay: 40 * time.Millisecond})
 			}
 			c := bed.dialClient()
-			c.send("BLK.READ", objectKey, "a", opOptions("read", 60, 0))
-			bed.eventuallyOnLoop("the command", func() bool { return bed.scheduler.tracker.Unanswered() > 0 || bed.scheduler.tracker.Counts.Failed > 0 })
+			c.sendRead("a", 60)
+			bed.eventuallyOnLoop("the command", func() bool {
+				return bed.scheduler.tracker.Unanswered() > 0 || bed.scheduler.tracker.Counts.Failed > 0
+			})
 			bed.onLoop(func() {
-				gate.acceptConns()
-				gate.forwardBytes()
+				gate.open()
 				time.Sleep(maxHoldUp)
 			})
 			if got := c.readReply(time.Second); got != "-ERR failed" {
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"testing"
 	"time"
 )
@@ -14,11 +13,11 @@
 	bed := newTestbed(t, 2, discovery.configure)
 	call := discovery.nextCall(t, time.Second)
 	call.sendHeader()
-	for _, b := range listJSON(7, false, true, bed.member(1, "removed")) {
+	for _, b := range listJSON(7, false, manyLines, bed.member(1, "removed")) {
 		call.sendChunk(string(b))
 	}
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
-	call.sendChunk(listJSON(8, false, false, bed.member(1, "up")) + listJSON(9, false, true, bed.member(0, "removed")))
+	call.sendChunk(deltaJSON(8, bed.member(1, "up")) + listJSON(9, false, manyLines, bed.member(0, "removed")))
 	bed.eventually("both changes", func() bool { return bed.hasServer("s-1") && !bed.hasServer("s-0") })
 	if len(discovery.calls) > 0 {
 		t.Error("another watch has been opened")
@@ -29,7 +28,7 @@
 // never answered is given up: what was missed is received within the time that counts.
 func TestSilentWatch(t *testing.T) {
 	for name, f := range map[string]func(call *discoveryCall){
-		"no head": func(call *discoveryCall) {},
+		"no head": func(*discoveryCall) {},
 		"silent":  func(call *discoveryCall) { call.sendHeader() },
 		"trickle": func(call *discoveryCall) {
 			call.sendHeader()
@@ -49,7 +48,7 @@
 			discovery.nextCall(t, 5*time.Second) // hangs
 			call := discovery.nextCall(t, 2*time.Second)
 			call.sendHeader()
-			call.sendChunk(listJSON(7, false, false, bed.member(1, "removed")))
+			call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 			bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 			if took := time.Since(begun); took > 5500*time.Millisecond {
 				t.Errorf("received after %v", took)
@@ -62,15 +61,16 @@
 // call continues from the last message.
 func TestResetWithinList(t *testing.T) {
 	for name, end := range map[string]func(call *discoveryCall){
-		"reset": func(call *discoveryCall) { call.Conn.(*net.TCPConn).SetLinger(0); call.Close() },
-		"end":   func(call *discoveryCall) { call.Close() },
+		"reset": func(call *discoveryCall) { call.endAfter(0) },
+		"end":   (*discoveryCall).end,
 	} {
 		t.Run(name, func(t *testing.T) {
 			discovery := newScriptedDiscovery(t)
 			bed := newTestbed(t, 2, discovery.configure)
 			call := discovery.nextCall(t, time.Second)
-			whole := listJSON(7, true, false, bed.member(0, "up"))
-			fmt.Fprint(call, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", listJSON(6, false, true, bed.member(1, "draining")), whole[:len(whole)-3])
+			whole := listJSON(7, true, oneLine, bed.member(0, "up"))
+			first := listJSON(6, false, manyLines, bed.member(1, "draining"))
+			call.sendUnbounded(first + whole[:len(whole)-3])
 			bed.eventuallyOnLoop("the first list", func() bool { return bed.scheduler.revisionGuard.revision == 6 })
 			end(call)
 			call = discovery.nextCall(t, time.Second)
@@ -99,10 +99,9 @@
 				failed:   func(error) { received <- false },
 			})
 			call := discovery.nextCall(t, time.Second)
-			text := listJSON(7, true, true)
-			fmt.Fprint(call, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", text[:len(text)-x.cut])
-			call.Conn.(*net.TCPConn).SetLinger(x.linger)
-			call.Close()
+			text := listJSON(7, true, manyLines)
+			call.sendUnbounded(text[:len(text)-x.cut])
+			call.endAfter(x.linger)
 			if got := <-received; got != x.want {
 				t.Errorf("%+v: the list is received: %v", x, got)
 			}
@@ -116,19 +115,19 @@
 	bed := newTestbed(t, 2, one.configure)
 	call := one.nextCall(t, time.Second)
 	call.sendHeader()
-	call.sendChunk(listJSON(9, false, false, bed.member(1, "removed")))
+	call.sendChunk(deltaJSON(9, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 	bed.config["discovery"] = other.address
 	bed.reload()
 	call = other.nextCall(t, time.Second)
 	call.sendHeader()
-	call.sendChunk(listJSON(8, true, false, bed.member(0, "up"), bed.member(1, "up")))
-	call = other.nextCall(t, time.Second) // asks anew at once, for what is newer
+	call.sendChunk(listJSON(8, true, oneLine, bed.member(0, "up"), bed.member(1, "up")))
+	call = other.nextCall(t, time.Second) // retries at once, for what is newer
 	if call.path != "/discovery/hosts?stream=1&index=9" || bed.hasServer("s-1") {
 		t.Errorf("%s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
 	}
 	call.sendHeader()
-	call.sendChunk(listJSON(10, false, false, bed.member(0, "removed")))
+	call.sendChunk(deltaJSON(10, bed.member(0, "removed")))
 	bed.eventually("the newer list", func() bool { return !bed.hasServer("s-0") })
 }
 
@@ -169,24 +168,19 @@
 // time.
 func TestRefusedCalls(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
-	bed := newTestbed(t, 2, discovery.configure, func(m map[string]any) {
-		site := m["settings"].(map[string]any)
-		site["membership_mode"] = "subscribe"
-		site["rules"].(map[string]any)["ask_within_ms"] = 10000
-	})
+	bed := newTestbed(t, 2, discovery.configure, withWatchOnRequest(10000))
 	var at []time.Time
 	for begun := time.Now(); time.Since(begun) < 4*time.Second; {
 		call := discovery.nextCall(t, 3*time.Second)
 		at = append(at, time.Now())
-		fmt.Fprint(call, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		call.Close()
+		call.refuse()
 	}
 	if n := len(at); n < 4 || n > 9 || at[n-1].Sub(at[n-2]) < at[2].Sub(at[1]) {
 		t.Errorf("%d calls, the last after %v, the third after %v", n, at[n-1].Sub(at[n-2]), at[2].Sub(at[1]))
 	}
 	call := discovery.nextCall(t, 3*time.Second)
 	call.sendHeader()
-	call.sendChunk(listJSON(7, false, false, bed.member(1, "removed")))
+	call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
@@ -194,22 +188,17 @@
 // refused calls, is due.
 func TestReloadWhileRefused(t *testing.T) {
 	one, other := newScriptedDiscovery(t), newScriptedDiscovery(t)
-	bed := newTestbed(t, 2, one.configure, func(m map[string]any) {
-		site := m["settings"].(map[string]any)
-		site["membership_mode"] = "subscribe"
-		site["rules"].(map[string]any)["ask_within_ms"] = 60000
-	})
+	bed := newTestbed(t, 2, one.configure, withWatchOnRequest(60000))
 	for range 4 { // by now the next is half a second away at least
 		call := one.nextCall(t, 3*time.Second)
-		fmt.Fprint(call, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-		call.Close()
+		call.refuse()
 	}
 	bed.eventuallyOnLoop("the wait", func() bool { return bed.scheduler.cancelWatch == nil })
 	bed.config["discovery"] = other.address
 	bed.reload()
 	call := other.nextCall(t, 400*time.Millisecond)
 	call.sendHeader()
-	call.sendChunk(listJSON(7, false, false, bed.member(1, "removed")))
+	call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
@@ -217,7 +206,7 @@
 func TestCallWaitsInQueue(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure, func(m map[string]any) {
-		m["settings"].(map[string]any)["membership_mode"] = "subscribe"
+		section(m, "settings")["membership_mode"] = "subscribe"
 	})
 	call := discovery.nextCall(t, time.Second)
 	select {
@@ -226,6 +215,6 @@
 	case <-time.After(2 * time.Second): // as long as other sites have calls wait at most
 	}
 	call.sendHeader()
-	call.sendChunk(listJSON(7, false, false, bed.member(1, "removed")))
+	call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"honeyplank"
-	fakeresp "honeyplank/fake/resp"
 )
 
 // TestDrainWhileConnecting: what waits for a connection to a server that is draining is sent within the grace, and
@@ -14,45 +13,43 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	for name, x := range map[string]struct {
 		phase  string
-		grace  time.Duration // the system tries a connection again after a second
+		grace  time.Duration // the system retries a connect after a second
 		within bool
 		want   string
 	}{
-		"within":  {"draining", 2500 * time.Millisecond, true, string(fakeresp.Value(objectKey, "a"))},
+		"within":  {"draining", 2500 * time.Millisecond, true, valueOf("a")},
 		"past":    {"draining", 400 * time.Millisecond, false, "-ERR failed"},
 		"removed": {"removed", 400 * time.Millisecond, false, "-ERR failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, x.grace)
 			c := bed.dialClient()
-			c.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
-			bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
+			c.sendRead("a", 9000)
+			bed.awaitWaiter()
 			begun := time.Now()
 			member := bed.member(0, x.phase)
 			member.Address = gate.address
 			bed.discovery.Change(member)
 			if x.within {
 				bed.eventuallyOnLoop("the drain", func() bool { return bed.scheduler.servers["s-0"].draining })
-				gate.acceptConns()
-				gate.forwardBytes()
+				gate.open()
 			}
-			if got := c.readReply(3 * time.Second); got != x.want || !x.within && time.Since(begun) > x.grace+100*time.Millisecond {
-				t.Errorf("%q after %v", got, time.Since(begun))
+			got, took := c.readReply(3*time.Second), time.Since(begun)
+			if got != x.want || !x.within && took > x.grace+100*time.Millisecond {
+				t.Errorf("%q after %v", got, took)
 			}
-			gate.acceptConns()
-			gate.forwardBytes()
-			if x.phase == "draining" { // a connection that comes up now carries nothing
-				bed.eventually("a connection", func() bool { _, n := bed.connCounts(0); return n > 0 })
+			gate.open()
+			if x.phase == "draining" { // a connection that opens now carries nothing
+				bed.awaitServerConn()
 			}
-			all := bed.disks[0].Commands()
-			if len(all) > 0 && !x.within {
-				t.Errorf("%d have reached the disk server", len(all))
+			commands := bed.disks[0].Commands()
+			if len(commands) > 0 && !x.within {
+				t.Errorf("%d have reached the disk server", len(commands))
 			}
-			for _, g := range all { // what is told of the time left is what is left when it goes, not when it was meant to
-				var d int64
-				fmt.Sscanf(g.Attributes, "c=read,t=gold,d=%d", &d)
-				if left := 9000 - g.At.Sub(begun).Milliseconds(); d > left+50 || d < left-500 {
-					t.Errorf("%d ms are told, %d are left", d, left)
+			for _, command := range commands { // the timeout that it names is what is left when it is sent
+				named, left := sentTimeout(t, command), 9*time.Second-command.At.Sub(begun)
+				if named > left+50*time.Millisecond || named < left-500*time.Millisecond {
+					t.Errorf("%v are named, %v are left", named, left)
 				}
 			}
 		})
@@ -63,10 +60,10 @@
 func TestAddressChangeWhileConnecting(t *testing.T) {
 	bed, _ := newGatedTestbed(t, 5*time.Second, time.Second)
 	c := bed.dialClient()
-	c.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
-	bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
+	c.sendRead("a", 9000)
+	bed.awaitWaiter()
 	bed.discovery.Change(bed.member(0, "up"))
-	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := c.readReply(time.Second); got != valueOf("a") {
 		t.Errorf("%q", got)
 	}
 }
@@ -78,14 +75,18 @@
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, grace)
 			c := bed.dialClient()
-			c.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
-			bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
+			c.sendRead("a", 9000)
+			bed.awaitWaiter()
 			waits := make(chan int, 1)
 			bed.onLoop(func() {
-				bed.module.onEvent = func(e honeyplank.Event) {
-					if l, ok := e.(honeyplank.List); ok && len(l.Members) > 0 {
-						bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+max(grace-maxHoldUp, 0), func() { waits <- len(bed.scheduler.servers["s-0"].waiting) })
+				bed.module.onEvent = func(event honeyplank.Event) {
+					list, ok := event.(honeyplank.List)
+					if !ok || len(list.Members) == 0 {
+						return
 					}
+					bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+max(grace-maxHoldUp, 0), func() {
+						waits <- len(bed.scheduler.servers["s-0"].waiting)
+					})
 				}
 			})
 			member := bed.member(0, "draining")
--- a/scheduler/fleet_cost_test.go
+++ b/scheduler/fleet_cost_test.go
@@ -18,11 +18,12 @@
 func newFleetTestbed(t *testing.T, n int) *testbed {
 	t.Helper()
 	bed := newTestbed(t, 1, func(config map[string]any) {
-		address := config["known"].(map[string]any)["members"].([]fakeresp.Member)[0].Address
+		member := section(config, "known")["members"].([]fakeresp.Member)[0]
 		var members []fakeresp.Member
 		var peers []string
 		for i := range n {
-			members = append(members, fakeresp.Member{ID: fmt.Sprint("s-", i), Address: address, Zone: "room", Model: "std", Cell: i, Phase: "up", Size: 1})
+			member.ID, member.Cell = string(serverID(i)), i
+			members = append(members, member)
 			peers = append(peers, fmt.Sprintf("127.0.0.1:%d", 20000+i))
 		}
 		config["known"] = map[string]any{"revision": 1, "complete": true, "members": members}
@@ -31,63 +32,68 @@
 	bed.eventually("the list", func() bool { return bed.hasServer(fmt.Sprint("s-", n-1)) })
 	client := bed.dialClient()
 	for i := range idleConnsInFleet {
-		bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{honeyplank.ServerID(fmt.Sprint("s-", i))} })
+		bed.useModule(singleServerModule{honeyplank.ServerID(fmt.Sprint("s-", i))})
 		id := fmt.Sprint("op-", i)
-		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(fakeresp.Value(objectKey, id)) {
+		if got := client.doRead(id, 9000); got != valueOf(id) {
 			t.Fatal(got)
 		}
 	}
 	return bed
 }
 
-// TestFleetCost: the work of steps that come again and again is the same for a small and a large fleet: it grows with what
-// they name or close, not with the number of disk servers or schedulers.
-func TestFleetCost(t *testing.T) {
-	const small, large = 200, 3200
-	steps := map[string]struct {
-		run     func(s *Scheduler, n int)
-		visited func(s *Scheduler) int
-		most    int // entries that one run may look at
-	}{
-		"housekeeping with nothing to close": {
-			run:     func(s *Scheduler, _ int) { s.closeIdleServerConns() },
-			visited: func(s *Scheduler) int { return s.visited.idleConns },
-			most:    1,
-		},
-		"a connection past the quota": {
-			run: func(s *Scheduler, _ int) {
-				open := s.serverConnCount
-				s.serverConnCount = s.descriptorQuota(serverDescriptorShare)
-				s.reserveDescriptor()
-				s.serverConnCount = open
-			},
-			visited: func(s *Scheduler) int { return s.visited.idleConns },
-			most:    1,
+// fleetStep is a step that recurs.
+type fleetStep struct {
+	run     func(s *Scheduler, n int) // n is the number of disk servers
+	visited func(s *Scheduler) int
+	most    int // entries that one run may visit
+}
+
+// fleetSteps are the steps whose cost must not depend on the fleet.
+var fleetSteps = map[string]fleetStep{
+	"housekeeping with nothing to close": {
+		run:     func(s *Scheduler, _ int) { s.closeIdleServerConns() },
+		visited: func(s *Scheduler) int { return s.visited.idleConns },
+		most:    1,
+	},
+	"a connection past the quota": {
+		run: func(s *Scheduler, _ int) {
+			open := s.serverConnCount
+			s.serverConnCount = s.descriptorQuota(serverDescriptorShare)
+			s.reserveDescriptor()
+			s.serverConnCount = open
 		},
-		"a message of a peer": {
-			run: func(s *Scheduler, n int) {
-				s.receiveGossip(netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 20000+n-1)), []byte("x"))
-			},
-			visited: func(s *Scheduler) int { return s.visited.peers },
-			most:    1,
+		visited: func(s *Scheduler) int { return s.visited.idleConns },
+		most:    1,
+	},
+	"a message of a peer": {
+		run: func(s *Scheduler, n int) {
+			s.receiveGossip(netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 20000+n-1)), []byte("x"))
 		},
-		"a message of a stranger": {
-			run: func(s *Scheduler, _ int) {
-				s.receiveGossip(netip.MustParseAddrPort("127.0.0.2:9"), []byte("x"))
-			},
-			visited: func(s *Scheduler) int { return s.visited.peers },
+		visited: func(s *Scheduler) int { return s.visited.peers },
+		most:    1,
+	},
+	"a message of a stranger": {
+		run: func(s *Scheduler, _ int) {
+			s.receiveGossip(netip.MustParseAddrPort("127.0.0.2:9"), []byte("x"))
 		},
-		"a delta of one server": {
-			run: func(s *Scheduler, n int) {
-				member := listMember{ID: fmt.Sprint("s-", n-1), Address: s.servers["s-0"].address, Phase: "draining"}
-				s.applyList(&listMessage{Revision: 2, Members: []listMember{member}}, honeyplank.Delta, s.loop.Now())
-			},
-			visited: func(s *Scheduler) int { return s.visited.members },
-			most:    1,
+		visited: func(s *Scheduler) int { return s.visited.peers },
+	},
+	"a delta of one server": {
+		run: func(s *Scheduler, n int) {
+			member := listMember{ID: fmt.Sprint("s-", n-1), Address: s.servers["s-0"].address, Phase: "draining"}
+			s.applyList(&listMessage{Revision: 2, Members: []listMember{member}}, honeyplank.Delta, s.loop.Now())
 		},
-	}
+		visited: func(s *Scheduler) int { return s.visited.members },
+		most:    1,
+	},
+}
+
+// TestFleetCost: the work of steps that come again and again is the same for a small and a large fleet: it grows with
+// what they name or close, not with the number of disk servers or schedulers.
+func TestFleetCost(t *testing.T) {
+	const small, large = 200, 3200
 	fleets := map[int]*testbed{small: newFleetTestbed(t, small), large: newFleetTestbed(t, large)}
-	for name, step := range steps {
+	for name, step := range fleetSteps {
 		t.Run(name, func(t *testing.T) {
 			visited := map[int]int{}
 			for n, bed := range fleets {
@@ -107,14 +113,14 @@
 	}
 }
 
-// TestIdleConnOrder: of the idle connections to all disk servers the one that has been idle longest is closed first, and
-// one that carries an op again is not among them.
+// TestIdleConnOrder: of the idle connections to all disk servers the one that has been idle longest is closed first,
+// and one that carries an op again is not among them.
 func TestIdleConnOrder(t *testing.T) {
 	bed := newFleetTestbed(t, idleConnsInFleet)
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+	bed.useModule(singleServerModule{"s-0"})
 	time.Sleep(2 * reuseDelay)
 	id := "again"
-	if got := bed.dialClient().do("BLK.READ", objectKey, id, opOptions("read", 9000, 0)); got != string(fakeresp.Value(objectKey, id)) {
+	if got := bed.dialClient().doRead(id, 9000); got != valueOf(id) {
 		t.Fatal(got)
 	}
 	bed.onLoop(func() {
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -30,8 +30,8 @@
 // floodConns is how many bad clients there are.
 const floodConns = 200
 
-// TestMain lets the test program be the bad clients too, in a process of their own: in one with the scheduler they would
-// hold its loop up by themselves.
+// TestMain lets the test program be the bad clients too, in a process of their own: in one with the scheduler they
+// would hold its loop up by themselves.
 func TestMain(m *testing.M) {
 	if kind, address := os.Getenv("FLOOD_KIND"), os.Getenv("FLOOD_ADDRESS"); kind != "" {
 		for range floodConns {
@@ -81,7 +81,8 @@
 	})
 }
 
-// measureStalls measures for how long in all the machine has held up a thread that only sleeps, 10 ms and more each time.
+// measureStalls measures for how long in all the machine has held up a thread that only sleeps, 10 ms and more each
+// time.
 func measureStalls(t *testing.T) func() time.Duration {
 	t.Helper()
 	var total atomic.Int64
@@ -143,7 +144,7 @@
 				}
 			}
 			good := bed.dialClient()
-			good.do("BLK.READ", objectKey, "first", opOptions("read", 300, 0))
+			good.doRead("first", 300)
 			if x.flood != "" {
 				bed.startFlood(x.flood)
 			}
@@ -164,7 +165,7 @@
 				if got == "closed" || took > time.Duration(ms)*time.Millisecond+500*time.Millisecond+late {
 					t.Errorf("%s: %.40q after %v, the machine was held up for %v", id, got, took, late)
 				}
-				if got == string(fakeresp.Value(objectKey, id)) {
+				if got == valueOf(id) {
 					served++
 				}
 			}
--- a/scheduler/late_reply_test.go
+++ b/scheduler/late_reply_test.go
@@ -57,30 +57,33 @@
 	defer func() { _ = conn.Close() }() // it is broken or of no more use
 	s.update(func() { s.connections++ })
 	reader := resp.Reader{Limits: commandLimits}
-	buffer := make([]byte, readSize)
 	spoiled := false // extra bytes have come in time: the connection must not be used any more
 	for {
-		n, err := conn.Read(buffer)
+		command, err := nextCommand(conn, &reader)
 		if err != nil {
 			return
 		}
-		for input := buffer[:n]; len(input) > 0; {
-			frame, err := reader.Next(input)
-			if err != nil {
-				return
-			}
-			input = input[frame.Used:]
-			if !frame.Complete {
-				continue
-			}
-			if spoiled {
-				s.update(func() { s.reused++ })
-			}
-			sent, err := s.answer(conn, frame.Value.List)
-			if err != nil {
-				return
-			}
-			spoiled = spoiled || sent
+		if spoiled {
+			s.update(func() { s.reused++ })
+		}
+		sent, err := s.answer(conn, command)
+		if err != nil {
+			return
+		}
+		spoiled = spoiled || sent
+	}
+}
+
+// nextCommand reads one command, byte by byte, so that none of the next one is read.
+func nextCommand(conn net.Conn, reader *resp.Reader) ([]resp.Value, error) {
+	var b [1]byte
+	for {
+		if _, err := conn.Read(b[:]); err != nil {
+			return nil, err
+		}
+		frame, err := reader.Next(b[:])
+		if err != nil || frame.Complete {
+			return frame.Value.List, err
 		}
 	}
 }
@@ -123,8 +126,8 @@
 	f()
 }
 
-// checkReplies does ops until extra bytes were sent in time behind n of them, and one more. Each must get its own value;
-// overdue extra bytes excuse one failure each. It returns the number of ops.
+// checkReplies does ops until extra bytes were sent in time behind n of them, and one more. Each must get its own
+// value; overdue extra bytes excuse one failure each. It returns the number of ops.
 func (s *lateReplyServer) checkReplies(c *testClient, n int) (ops int) {
 	c.t.Helper()
 	inTime, excused := 0, 0
@@ -134,8 +137,8 @@
 		if ops++; ops > 4*n {
 			c.t.Fatalf("the machine is too busy: extra bytes came in time behind %d of %d answers", inTime, ops)
 		}
-		got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0))
-		if got == string(fakeresp.Value(objectKey, id)) {
+		got := c.doRead(id, 390)
+		if got == valueOf(id) {
 			continue
 		}
 		time.Sleep(reuseDelay) // until the server has counted what it has just written
@@ -152,15 +155,3 @@
 	})
 	return ops
 }
-
-// redirectServer has discovery name another address for the n-th disk server, and waits until that is applied.
-func (bed *testbed) redirectServer(n int, address string) {
-	bed.t.Helper()
-	member := bed.member(n, "up")
-	member.Address = address
-	bed.discovery.Change(member)
-	bed.eventuallyOnLoop("the address", func() bool {
-		ds := bed.scheduler.servers[serverID(n)]
-		return ds != nil && ds.address == address
-	})
-}
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -14,21 +14,21 @@
 // and keeps those in use.
 func TestReloadShrinks(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+	bed.useModule(singleServerModule{"s-0"})
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 100 * time.Millisecond})
 	var clients []*testClient
 	for i := range 40 {
 		c := bed.dialClient()
-		c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0))
+		c.sendRead(fmt.Sprint("a", i), 9000)
 		clients = append(clients, c)
 	}
 	for _, c := range clients {
 		c.readReply(time.Second)
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: time.Second})
-	clients[7].send("BLK.READ", objectKey, "b", opOptions("read", 9000, 0))
+	clients[7].sendRead("b", 9000)
 	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 41 })
-	bed.config["limits"].(map[string]any)["sockets"] = minSockets
+	section(bed.config, "limits")["sockets"] = minSockets
 	bed.reload()
 	bed.eventually("the lower limit", func() (ok bool) {
 		bed.onLoop(func() {
@@ -36,7 +36,7 @@
 		})
 		return ok
 	})
-	if got := clients[7].readReply(2 * time.Second); got != string(fakeresp.Value(objectKey, "b")) {
+	if got := clients[7].readReply(2 * time.Second); got != valueOf("b") {
 		t.Errorf("%q", got)
 	}
 }
@@ -57,7 +57,7 @@
 			t.Cleanup(func() { x.Close() })
 		}
 	}
-	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Errorf("%q", got)
 	}
 	bed.onLoop(func() {
@@ -68,7 +68,7 @@
 	discovery.nextCall(t, time.Second) // was made before discovery came back, and is never answered
 	answer := discovery.nextCall(t, 3*time.Second)
 	answer.sendHeader()
-	answer.sendChunk(listJSON(7, false, false, bed.member(1, "removed")))
+	answer.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
@@ -78,7 +78,7 @@
 	bed := newTestbed(t, 2)
 	c := bed.dialClient()
 	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
-	c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0))
+	c.doRead("a", 390)
 	next := bed.member(1, "up") // the second server takes over the first one's cell
 	next.ID, next.Cell = "s-9", 0
 	bed.discovery.Change(bed.member(0, "draining"), next)
@@ -110,11 +110,7 @@
 // TestListsOnRequest: where lists come only on request, the module's own watch brings them, and it is notified that its
 // watch is established, or has failed.
 func TestListsOnRequest(t *testing.T) {
-	bed := newTestbed(t, 2, func(m map[string]any) {
-		site := m["settings"].(map[string]any)
-		site["membership_mode"] = "subscribe"
-		site["rules"].(map[string]any)["ask_within_ms"] = 2000
-	})
+	bed := newTestbed(t, 2, withWatchOnRequest(2000))
 	received := make(chan honeyplank.List, 64)
 	bed.onLoop(func() {
 		bed.module.onEvent = func(e honeyplank.Event) {
@@ -159,7 +155,7 @@
 	bed.discovery.Stop()
 	other.Change(bed.member(1, "removed"))
 	bed.eventually("the change", func() bool { n := 0; bed.onLoop(func() { n = len(bed.scheduler.servers) }); return n == 1 })
-	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Error(got)
 	}
 }
@@ -182,14 +178,14 @@
 			call.sendChunk(text)
 		}
 	}
-	go answer(first, listJSON(9, false, false, bed.member(0, "removed")))
-	go answer(last, listJSON(7, false, false, bed.member(1, "removed")))
+	go answer(first, deltaJSON(9, bed.member(0, "removed")))
+	go answer(last, deltaJSON(7, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 	time.Sleep(50 * time.Millisecond)
 	if !bed.hasServer("s-0") {
 		t.Error("a watch that has ended is received")
 	}
-	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Error(got)
 	}
 }
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -10,7 +10,7 @@
 
 // TestMessageReader: messages come out whole, however they come in; anything else is an error.
 func TestMessageReader(t *testing.T) {
-	first, second := listJSON(41, true, true), `{"revision":42,"members":[{"id":"a}]\"{\\"}]}`
+	first, second := listJSON(41, true, manyLines), `{"revision":42,"members":[{"id":"a}]\"{\\"}]}`
 	text := "\n\n" + first + "\r\n" + second + second + "\n"
 	for size := 1; size <= len(text); size++ {
 		var r messageReader
--- a/scheduler/op_types_test.go
+++ b/scheduler/op_types_test.go
@@ -11,9 +11,9 @@
 const largeFleet = 300
 
 // withLargeFleet has a scheduler be one of many, with few descriptors and little memory.
-func withLargeFleet(conf map[string]any) {
-	conf["settings"].(map[string]any)["peers_total"] = largeFleet
-	conf["limits"] = map[string]any{"cores": 0.1, "memory_mb": 48, "sockets": 128}
+func withLargeFleet(config map[string]any) {
+	section(config, "settings")["peers_total"] = largeFleet
+	config["limits"] = map[string]any{"cores": 0.1, "memory_mb": 48, "sockets": 128}
 }
 
 // TestUnusualTimeout: a client that names a far longer timeout than others changes nothing for them, and holds nothing
@@ -31,7 +31,7 @@
 			}
 		}
 	})
-	c.do("BLK.READ", objectKey, "unusual", opOptions("read", 1_000_000_000, 0))
+	c.doRead("unusual", 1_000_000_000)
 	if left := <-longest; left > maxDeadlineFactor*400*time.Millisecond {
 		t.Errorf("an op of an unusual timeout may wait for %v", left)
 	}
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -13,12 +13,12 @@
 // all of them fail then, not at their op timeouts.
 func TestWaitersOfOneDial(t *testing.T) {
 	bed, _ := newGatedTestbed(t, 300*time.Millisecond, time.Second)
-	bed.onLoop(func() { bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 })
+	bed.onLoop(bed.leaveOneServerConn)
 	var clients []*testClient
 	begun := time.Now()
 	for i := range 3 {
 		c := bed.dialClient()
-		c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 9000, 0))
+		c.sendRead(fmt.Sprint("a", i), 9000)
 		clients = append(clients, c)
 	}
 	for i, c := range clients {
@@ -33,16 +33,16 @@
 func TestWaiterTakesIdleConn(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := newConnGate(t, bed.disks[0].Address())
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+	bed.useModule(singleServerModule{"s-0"})
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 100 * time.Millisecond})
 	one, other := bed.dialClient(), bed.dialClient()
-	one.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
+	one.sendRead("a", 9000)
 	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 1 })
 	bed.onLoop(func() { bed.scheduler.servers["s-0"].address = gate.address })
-	other.send("BLK.READ", objectKey, "b", opOptions("read", 9000, 0))
-	bed.eventually("the wait for a connection", func() bool { n, _ := bed.connCounts(0); return n == 1 })
+	other.sendRead("b", 9000)
+	bed.awaitWaiter()
 	for id, c := range map[string]*testClient{"a": one, "b": other} {
-		if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, id)) {
+		if got := c.readReply(time.Second); got != valueOf(id) {
 			t.Errorf("%s: %q", id, got)
 		}
 	}
@@ -58,13 +58,13 @@
 	c := bed.dialClient()
 	bed.onLoop(func() {
 		bed.module.DecisionModule = singleServerModule{"s-0"}
-		bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1
+		bed.leaveOneServerConn()
 	})
 	ops := server.checkReplies(c, 30)
 	server.update(func() { server.extra = "" })
 	for i := range 30 {
 		id := fmt.Sprint("b", i)
-		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+		if got := c.doRead(id, 390); got != valueOf(id) {
 			t.Fatalf("op %d: %q", i, got)
 		}
 	}
@@ -81,7 +81,7 @@
 	c := bed.dialClient()
 	for i := range 5 {
 		id := fmt.Sprintf("a%d", i)
-		if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+		if got := c.doRead(id, 390); got != valueOf(id) {
 			t.Fatalf("op %d: %q", i, got)
 		}
 		bed.disks[0].CloseConnections()
@@ -94,11 +94,13 @@
 func TestOwnConnections(t *testing.T) {
 	for sockets, most := range map[int]int{256: 24, minSockets: 9} {
 		t.Run(fmt.Sprint(sockets, " descriptors"), func(t *testing.T) {
-			bed := newTestbed(t, 1, func(m map[string]any) { m["limits"].(map[string]any)["sockets"] = sockets })
+			bed := newTestbed(t, 1, func(config map[string]any) {
+				section(config, "limits")["sockets"] = sockets
+			})
 			bed.disks[0].SetFaults(fakeresp.Faults{Delay: 20 * time.Millisecond})
 			c := bed.dialClient()
 			for i := range 24 {
-				c.send("BLK.READ", objectKey, fmt.Sprint(sockets, "-", i), opOptions("read", 390, 0))
+				c.sendRead(fmt.Sprint(sockets, "-", i), 390)
 			}
 			for i := range 24 {
 				if got, ok := c.readValue(time.Second); !ok {
@@ -134,7 +136,7 @@
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
 			codes := bed.recordOutcomes()
-			bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+			bed.useModule(singleServerModule{"s-0"})
 			c := bed.dialClient()
 			c.do("BLK.WRITE", objectKey, "first", opOptions("write", 9000, 0), "x")
 			time.Sleep(2 * reuseDelay)
@@ -157,16 +159,14 @@
 					act()
 				})
 			}
-			want := string(fakeresp.Value(objectKey, "second"))
+			want := valueOf("second")
 			if x.fails {
 				want = "-ERR failed"
 			}
 			if got := c.readReply(3 * time.Second); got != want {
 				t.Errorf("%q, expected %q", got, want)
 			}
-			if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[first second]" {
-				t.Errorf("%v have reached the disk server", ids)
-			}
+			bed.checkReceived("[first second]")
 			bed.onLoop(func() {
 				if x.fails && (*codes)[len(*codes)-1] != honeyplank.Reset {
 					t.Errorf("outcomes %v", *codes)
@@ -176,18 +176,6 @@
 	}
 }
 
-// repeatingModule is a module that dispatches every op to one disk server twice, and fails it with the first outcome that
-// is no success.
-type repeatingModule struct{ server honeyplank.ServerID }
-
-func (m repeatingModule) Handle(now time.Duration, e honeyplank.Event) []honeyplank.Action {
-	actions := singleServerModule(m).Handle(now, e)
-	if op, ok := e.(honeyplank.Op); ok {
-		actions = append(actions, honeyplank.Dispatch{Op: op.ID, Server: m.server})
-	}
-	return actions
-}
-
 // TestSharedConnBreaks: where a connection that carries two dispatches of an op breaks, the op has its answer, and both
 // dispatches are reported as ones that may have run.
 func TestSharedConnBreaks(t *testing.T) {
@@ -197,9 +185,9 @@
 	codes := bed.recordOutcomes()
 	bed.onLoop(func() {
 		bed.module.DecisionModule = repeatingModule{"s-0"}
-		bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1 // there are descriptors for one
+		bed.leaveOneServerConn()
 	})
-	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 9000, 0)); got != "-ERR failed" {
+	if got := bed.dialClient().doRead("a", 9000); got != "-ERR failed" {
 		t.Errorf("%q", got)
 	}
 	bed.eventuallyOnLoop("both outcomes", func() bool { return len(*codes) == 2 })
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -16,14 +16,14 @@
 func TestHalfAnswer(t *testing.T) {
 	bed := newTestbed(t, 1)
 	codes := bed.recordOutcomes()
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+	bed.useModule(singleServerModule{"s-0"})
 	bed.disks[0].SetFaults(fakeresp.Faults{HalfAnswer: true})
 	c := bed.dialClient()
-	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != "-ERR failed" {
+	if got := c.doRead("a", 390); got != "-ERR failed" {
 		t.Errorf("%q", got)
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{})
-	if got := c.do("BLK.READ", objectKey, "b", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "b")) {
+	if got := c.doRead("b", 390); got != valueOf("b") {
 		t.Errorf("%q", got)
 	}
 	bed.onLoop(func() {
@@ -57,7 +57,7 @@
 			bed.disks[0].SetFaults(f)
 			c := bed.dialClient()
 			begun := time.Now()
-			if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); !strings.HasPrefix(got, "-") {
+			if got := c.doRead("a", 390); !strings.HasPrefix(got, "-") {
 				t.Errorf("%q", got)
 			}
 			if took := time.Since(begun); took > 300*time.Millisecond {
@@ -67,7 +67,7 @@
 			good := 0
 			for i := range 20 {
 				id := fmt.Sprintf("b%d", i)
-				if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got == string(fakeresp.Value(objectKey, id)) {
+				if got := c.doRead(id, 390); got == valueOf(id) {
 					good++
 				} else if !strings.HasPrefix(got, "-") {
 					t.Errorf("%q", got)
@@ -101,7 +101,7 @@
 			c := bed.dialClient()
 			for i := range 30 {
 				id := fmt.Sprintf("a%d", i)
-				if got := c.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+				if got := c.doRead(id, 390); got != valueOf(id) {
 					t.Fatalf("op %d: %q", i, got)
 				}
 			}
@@ -124,7 +124,7 @@
 	}
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{LoadReport: "\x00=\xff,util", Usage: "used=x,,"})
-	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Error(got)
 	}
 }
@@ -136,7 +136,7 @@
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	c := bed.dialClient()
 	begun := time.Now()
-	if got := c.do("BLK.READ", objectKey, "a", opOptions("read", 200, 0)); !strings.HasPrefix(got, "-") {
+	if got := c.doRead("a", 200); !strings.HasPrefix(got, "-") {
 		t.Error(got)
 	}
 	if took := time.Since(begun); took > 255*time.Millisecond {
@@ -151,7 +151,7 @@
 	bed.disks[0].Stop()
 	time.Sleep(20 * time.Millisecond)
 	begun := time.Now()
-	if got := bed.dialClient().do("BLK.READ", objectKey, "a", opOptions("read", 390, 0)); !strings.HasPrefix(got, "-") || time.Since(begun) > 250*time.Millisecond {
+	if got := bed.dialClient().doRead("a", 390); !strings.HasPrefix(got, "-") || time.Since(begun) > 250*time.Millisecond {
 		t.Errorf("%q after %v", got, time.Since(begun))
 	}
 }
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -67,7 +67,8 @@
 // connection is being opened.
 func (sc *serverConn) takesWaiter() bool {
 	ds := sc.server
-	return len(sc.inFlight) == 0 || len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().StreamsPerConn
+	mayShare := len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().StreamsPerConn
+	return len(sc.inFlight) == 0 || mayShare
 }
 
 // send writes the command of an attempt.
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -55,12 +55,12 @@
 				})
 			}
 			for i, c := range clients {
-				c.send("BLK.READ", objectKey, fmt.Sprint("a", i), opOptions("read", 390, 0))
+				c.sendRead(fmt.Sprint("a", i), 390)
 			}
 			for i, c := range clients {
 				want := x.want
 				if want == "" {
-					want = string(fakeresp.Value(objectKey, fmt.Sprint("a", i)))
+					want = valueOf(fmt.Sprint("a", i))
 				}
 				if got := c.readReply(time.Second); got != want && (x.want == "" || got != "-ERR failed") {
 					t.Errorf("%q, expected %q", got, want)
@@ -101,9 +101,7 @@
 
 // TestProbeWaitsForDial: a probe that waits for a connection has its outcome, also where the next dial cannot begin.
 func TestProbeWaitsForDial(t *testing.T) {
-	bed := newTestbed(t, 1, withSlowConnect, func(config map[string]any) {
-		config["settings"].(map[string]any)["caps"].(map[string]any)["streams_per_conn"] = 1
-	})
+	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(1))
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
 	results := make(chan honeyplank.HealthCheckResult, 1)
@@ -115,7 +113,7 @@
 			}
 		}
 	})
-	bed.dialClient().send("BLK.READ", objectKey, "first", opOptions("read", 9000, 0))
+	bed.dialClient().sendRead("first", 9000)
 	bed.eventuallyOnLoop("the op", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
 	bed.onLoop(func() {
 		s := bed.scheduler
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -170,16 +170,16 @@
 // although its client goes on sending.
 func TestFailRemaining(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.onLoop(func() { bed.module.DecisionModule = singleServerModule{"s-0"} })
+	bed.useModule(singleServerModule{"s-0"})
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	c, idle := bed.dialClient(), bed.dialClient()
 	idle.do("PING")
 	bed.scheduler.Shutdown()
 	bed.scheduler.Shutdown() // a second time changes nothing
-	c.send("BLK.READ", objectKey, "a", opOptions("read", 9000, 0))
+	c.sendRead("a", 9000)
 	bed.eventuallyOnLoop("the last part", func() bool { return bed.scheduler.intakeClosed })
 	for i := range 3 * maxPending { // more than is read at a time, none of which is taken any more
-		c.send("BLK.READ", objectKey, fmt.Sprint("b", i), opOptions("read", 9000, 0))
+		c.sendRead(fmt.Sprint("b", i), 9000)
 	}
 	var last int64 // bytes read before the end of the loop
 	bed.onLoop(func() {
@@ -213,9 +213,7 @@
 	if n := atomic.LoadInt64(&last) - before; n > 0 {
 		t.Errorf("%d bytes have been read past the last op that is taken", n)
 	}
-	if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != "[a]" {
-		t.Errorf("%v have reached the disk server", ids)
-	}
+	bed.checkReceived("[a]")
 }
 
 // TestConnectsWhileStopping: a client whose connection the system has accepted at the moment at which no client seemed
@@ -226,11 +224,11 @@
 	var c *testClient
 	bed.onLoop(func() { // in one round of the loop
 		c = bed.dialClient()
-		c.send("BLK.READ", objectKey, "a", opOptions("read", 390, 0))
+		c.sendRead("a", 390)
 		bed.scheduler.graceElapsed = true
 		bed.scheduler.stopIfIdle()
 	})
-	if got := c.readReply(time.Second); got != string(fakeresp.Value(objectKey, "a")) {
+	if got := c.readReply(time.Second); got != valueOf("a") {
 		t.Errorf("%q", got)
 	}
 }
@@ -246,13 +244,13 @@
 	time.Sleep(300 * time.Millisecond)
 	for i, client := range []*testClient{c, bed.dialClient()} {
 		id := fmt.Sprint("a", i)
-		if got := client.do("BLK.READ", objectKey, id, opOptions("read", 390, 0)); got != string(fakeresp.Value(objectKey, id)) {
+		if got := client.doRead(id, 390); got != valueOf(id) {
 			t.Errorf("connection %d: %q", i, got)
 		}
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	time.Sleep(time.Until(begun.Add(650 * time.Millisecond))) // of 1300: ops are taken up to 780
-	late := c.do("BLK.READ", objectKey, "late", opOptions("read", 390, 0))
+	late := c.doRead("late", 390)
 	if !strings.HasPrefix(late, "-") {
 		t.Errorf("%q", late)
 	}
--- a/scheduler/start_tracker_test.go
+++ b/scheduler/start_tracker_test.go
@@ -74,7 +74,7 @@
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			stamp := time.Now().Add(step - 10*time.Millisecond).UnixMilli()
 			bed := newTestbed(t, 2, func(m map[string]any) {
-				known := m["known"].(map[string]any)
+				known := section(m, "known")
 				known["members"] = append([]any{}, map[string]any{"id": "s-0", "host_port": "127.0.0.1:1", "locality": "room",
 					"flavor": "std", "cell": 0, "phase": "up", "size": 1, "up_since_ms": stamp})
 			})
--- a/scheduler/test_client_test.go
+++ b/scheduler/test_client_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -10,13 +11,14 @@
 
 	"golang.org/x/sys/unix"
 
+	fakeresp "honeyplank/fake/resp"
 	"honeyplank/resp"
 )
 
 // objectKey is the key of all ops of these tests.
 const objectKey = "7f3a9c21e0b4d655"
 
-// opOptions is the list of names and values of an op of a class, with a timeout, whose data is held by the server of a cell.
+// opOptions are the options of an op of a class, with a timeout, whose data is at the server of a cell.
 func opOptions(class string, timeoutMS, cell int) string {
 	return fmt.Sprintf("c=%s,t=gold,d=%d,volume=00000003b4d60021,units=2,shard=%d,hosts=1", class, timeoutMS, cell)
 }
@@ -33,24 +35,27 @@
 func (bed *testbed) dialClient(receiveBuffer ...int) *testClient {
 	bed.t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) {
+		var errs []error
+		err := raw.Control(func(fd uintptr) {
 			for _, n := range receiveBuffer {
-				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, n)
+				errs = append(errs, unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, n))
 			}
 		})
+		return errors.Join(append(errs, err)...)
 	}}
 	conn, err := dialer.Dial("tcp", bed.scheduler.Address())
 	if err != nil {
 		bed.t.Fatal(err)
 	}
-	bed.t.Cleanup(func() { conn.Close() })
-	return &testClient{t: bed.t, Conn: conn, reader: resp.Reader{Limits: resp.Limits{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}}}
+	bed.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	limits := resp.Limits{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}
+	return &testClient{t: bed.t, Conn: conn, reader: resp.Reader{Limits: limits}}
 }
 
 // readValue waits for one value; false: the connection has ended, or nothing came in time.
 func (c *testClient) readValue(within time.Duration) (resp.Value, bool) {
 	c.t.Helper()
-	c.SetReadDeadline(time.Now().Add(within))
+	c.waitAtMost(within)
 	b := make([]byte, 4096)
 	for {
 		frame, err := c.reader.Next(c.buffered)
@@ -69,14 +74,71 @@
 	}
 }
 
+// readCommand is a read of the data at the first disk server.
+func readCommand(id string, timeoutMS int) []string {
+	return []string{"BLK.READ", objectKey, id, opOptions("read", timeoutMS, 0)}
+}
+
+// valueOf is the value that a fake disk server returns for an op.
+func valueOf(id string) string { return string(fakeresp.Value(objectKey, id)) }
+
+// sendRead sends a read of the data at the first disk server.
+func (c *testClient) sendRead(id string, timeoutMS int) {
+	c.t.Helper()
+	c.send(readCommand(id, timeoutMS)...)
+}
+
+// doRead reads the data at the first disk server, and returns the reply as readReply does.
+func (c *testClient) doRead(id string, timeoutMS int) string {
+	c.t.Helper()
+	return c.do(readCommand(id, timeoutMS)...)
+}
+
+// sendWrite sends a write of the data at the first disk server.
+func (c *testClient) sendWrite(id string, timeoutMS int, body string) {
+	c.t.Helper()
+	c.send("BLK.WRITE", objectKey, id, opOptions("write", timeoutMS, 0), body)
+}
+
 // send sends a command.
 func (c *testClient) send(args ...string) {
 	c.t.Helper()
-	if _, err := c.Write(encodeCommand(args...)); err != nil {
+	c.sendBytes(encodeCommand(args...))
+}
+
+// sendBytes sends bytes as they are.
+func (c *testClient) sendBytes(b []byte) {
+	c.t.Helper()
+	if _, err := c.Write(b); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
+// disconnect closes the connection.
+func (c *testClient) disconnect() {
+	c.t.Helper()
+	if err := c.Close(); err != nil {
+		c.t.Error(err)
+	}
+}
+
+// reset closes the connection with a reset.
+func (c *testClient) reset() {
+	c.t.Helper()
+	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+		c.t.Error(err)
+	}
+	c.disconnect()
+}
+
+// waitAtMost limits the time until the next bytes.
+func (c *testClient) waitAtMost(timeout time.Duration) {
+	c.t.Helper()
+	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		c.t.Error(err)
+	}
+}
+
 // encodeCommand gives the bytes of a command.
 func encodeCommand(args ...string) []byte {
 	var list [][]byte
@@ -134,7 +196,7 @@
 
 // countReplies counts the whole replies until the connection ends, and returns the error with which it does.
 func (c *testClient) countReplies() (n int, err error) {
-	c.SetReadDeadline(time.Now().Add(10 * time.Second))
+	c.waitAtMost(10 * time.Second)
 	for b := make([]byte, 4096); err == nil; {
 		var got int
 		got, err = c.Read(b)
