--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -109,14 +109,7 @@
 			shared.clients[goneClient].disconnect()
 			bed.awaitClientGone()
 			shared.gate.forwardBytes()
-			for i, c := range shared.clients {
-				if i == goneClient {
-					continue
-				}
-				if got := c.readReply(3 * time.Second); got != valueOf(fmt.Sprint("w", i)) {
-					t.Errorf("w%d: %q", i, got)
-				}
-			}
+			shared.checkServed(goneClient)
 			arrived := slices.Contains(receivedIDs(bed.disks[0]), fmt.Sprint("w", goneClient))
 			if arrived && goneClient >= shared.written {
 				t.Error("the op whose client is gone has arrived")
@@ -125,6 +118,19 @@
 	}
 }
 
+// checkServed checks that every client but the one that is gone gets its value.
+func (s *sharedConn) checkServed(goneClient int) {
+	s.bed.t.Helper()
+	for i, c := range s.clients {
+		if i == goneClient {
+			continue
+		}
+		if got := c.readReply(3 * time.Second); got != valueOf(fmt.Sprint("w", i)) {
+			s.bed.t.Errorf("w%d: %q", i, got)
+		}
+	}
+}
+
 // TestClientGoneWhilePaused: a client that sends more commands than are read at a time, and goes, is noticed to be
 // gone: what waits for it is not sent on.
 func TestClientGoneWhilePaused(t *testing.T) {
@@ -281,27 +287,9 @@
 		"quit":           {string(encodeCommand("QUIT")), []string{value, "OK"}},
 		"protocol error": {"no command\r\n", []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
 	} {
-		t.Run(name, func(t *testing.T) {
-			bed, c := newCrossingTestbed(t, x.behind)
-			bed.eventuallyOnLoop("the end", func() bool {
-				serverSide := bed.client()
-				return serverSide != nil && serverSide.closing
-			})
-			bytesIn := bed.bytesIn()
-			c.sendRead("late", 9000)
-			for _, want := range append(x.want, "closed") {
-				if got := c.readReply(3 * time.Second); got != want {
-					t.Errorf("%q, expected %q", got, want)
-				}
-			}
-			// What the disk server answers is read, and nothing else.
-			if n, answer := bed.bytesIn()-bytesIn, int64(len(value)+32); n > answer {
-				t.Errorf("%d bytes have been read", n)
-			}
-			bed.checkReceived("[a]")
-		})
+		t.Run(name, func(t *testing.T) { checkCrossesOwnClose(t, x.behind, x.want) })
 	}
-	for name, end := range map[string]func(*Scheduler, *client){ // on the loop, once the op is answered
+	for name, end := range map[string]func(*Scheduler, *client){
 		"idle": func(s *Scheduler, c *client) {
 			c.lastActivity -= 2 * maxIdle
 			s.checkClients()
@@ -312,20 +300,45 @@
 		},
 		"intake closed": func(_ *Scheduler, c *client) { c.closeWhenAnswered() },
 	} {
-		t.Run(name, func(t *testing.T) {
-			bed, c := newCrossingTestbed(t, "")
-			if got := c.readReply(3 * time.Second); got != value {
-				t.Fatalf("%q", got)
-			}
-			bed.onLoop(func() { end(bed.scheduler, bed.client()) })
-			bytesIn := bed.bytesIn()
-			c.sendRead("late", 9000)
-			if n := bed.bytesIn() - bytesIn; n > 0 {
-				t.Errorf("%d bytes have been read", n)
-			}
-			bed.checkReceived("[a]")
-		})
+		t.Run(name, func(t *testing.T) { checkCrossesServerClose(t, end) })
+	}
+}
+
+// checkCrossesOwnClose checks a request that crosses a close which the client's own input causes, with the replies
+// expected before.
+func checkCrossesOwnClose(t *testing.T, behind string, replies []string) {
+	bed, c := newCrossingTestbed(t, behind)
+	bed.eventuallyOnLoop("the end", func() bool {
+		serverSide := bed.client()
+		return serverSide != nil && serverSide.closing
+	})
+	bytesIn := bed.bytesIn()
+	c.sendRead("late", 9000)
+	for _, want := range append(replies, "closed") {
+		if got := c.readReply(3 * time.Second); got != want {
+			t.Errorf("%q, expected %q", got, want)
+		}
+	}
+	answer := int64(len(valueOf("a")) + 32) // of the disk server, at most
+	if n := bed.bytesIn() - bytesIn; n > answer {
+		t.Errorf("%d bytes have been read", n)
+	}
+	bed.checkReceived("[a]")
+}
+
+// checkCrossesServerClose checks a request that crosses a close by the scheduler, on the loop, once the op is answered.
+func checkCrossesServerClose(t *testing.T, end func(*Scheduler, *client)) {
+	bed, c := newCrossingTestbed(t, "")
+	if got := c.readReply(3 * time.Second); got != valueOf("a") {
+		t.Fatalf("%q", got)
+	}
+	bed.onLoop(func() { end(bed.scheduler, bed.client()) })
+	bytesIn := bed.bytesIn()
+	c.sendRead("late", 9000)
+	if n := bed.bytesIn() - bytesIn; n > 0 {
+		t.Errorf("%d bytes have been read", n)
 	}
+	bed.checkReceived("[a]")
 }
 
 // newCrossingTestbed starts a scheduler with one client, which has sent an op whose answer is delayed, and bytes behind
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -264,7 +264,7 @@
 	}
 }
 
-// openIdleConns opens n connections, as far as the scheduler accepts them. Every other one sends PING, the rest nothing.
+// openIdleConns opens n connections, as far as the scheduler accepts them. Every other one sends PING, others nothing.
 func (bed *testbed) openIdleConns(n int) {
 	bed.t.Helper()
 	for i := range n {
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -11,7 +11,13 @@
 // TestConfigErrors: the error for a configuration that cannot be used has the line, what is wrong and what would be
 // right, and wraps its cause.
 func TestConfigErrors(t *testing.T) {
-	good := "{\"name\":\"n0\",\n\"listen\":\"127.0.0.1:0\",\n\"discovery\":\"127.0.0.1:1\",\n\"limits\":{\"memory_mb\":64,\n\"sockets\":256},\n\"peers\":[],\n\"settings\":" + testSettings + "}"
+	good := `{"name":"n0",
+"listen":"127.0.0.1:0",
+"discovery":"127.0.0.1:1",
+"limits":{"memory_mb":64,
+"sockets":256},
+"peers":[],
+"settings":` + testSettings + "}"
 	if _, err := parseConfig("f", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
@@ -32,15 +38,16 @@
 	} {
 		t.Run(x.new, func(t *testing.T) {
 			_, err := parseConfig("f", []byte(strings.Replace(good, x.old, x.new, 1)))
-			var fault *ConfigError
-			if !errors.As(err, &fault) || fault.Line != x.line || !strings.Contains(fault.Wrong, x.wrong) || fault.Want == "" {
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Line != x.line || configErr.Want == "" ||
+				!strings.Contains(configErr.Wrong, x.wrong) {
 				t.Errorf("%v, expected line %d: %s", err, x.line, x.wrong)
 			}
 		})
 	}
 	_, err := ReadConfig(filepath.Join(t.TempDir(), "none"))
-	var fault *ConfigError
-	if !errors.As(err, &fault) || fault.Line != 0 || !errors.Is(err, fs.ErrNotExist) {
+	var configErr *ConfigError
+	if !errors.As(err, &configErr) || configErr.Line != 0 || !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v for a file that is not there", err)
 	}
 }
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"honeyplank"
+	fakeresp "honeyplank/fake/resp"
 )
 
 // TestDrainWhileConnecting: what waits for a connection to a server that is draining is sent within the grace, and
@@ -46,16 +47,22 @@
 			if len(commands) > 0 && !x.within {
 				t.Errorf("%d have reached the disk server", len(commands))
 			}
-			for _, command := range commands { // the timeout that it names is what is left when it is sent
-				named, left := sentTimeout(t, command), 9*time.Second-command.At.Sub(begun)
-				if named > left+50*time.Millisecond || named < left-500*time.Millisecond {
-					t.Errorf("%v are named, %v are left", named, left)
-				}
+			for _, command := range commands {
+				checkNamedTimeout(t, command, begun.Add(9*time.Second))
 			}
 		})
 	}
 }
 
+// checkNamedTimeout checks that a command names about the timeout that was left when it was sent.
+func checkNamedTimeout(t *testing.T, command fakeresp.Command, deadline time.Time) {
+	t.Helper()
+	named, left := sentTimeout(t, command), deadline.Sub(command.At)
+	if named > left+50*time.Millisecond || named < left-500*time.Millisecond {
+		t.Errorf("%v are named, %v are left", named, left)
+	}
+}
+
 // TestAddressChangeWhileConnecting: what waits for a connection to a server whose address changes goes to the new one.
 func TestAddressChangeWhileConnecting(t *testing.T) {
 	bed, _ := newGatedTestbed(t, 5*time.Second, time.Second)
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -51,11 +51,12 @@
 			go io.Copy(io.Discard, c)
 		}
 		for err == nil {
-			c.SetWriteDeadline(time.Now().Add(time.Second))
-			_, err = io.WriteString(c, floodPayloads[kind].text)
+			if err = c.SetWriteDeadline(time.Now().Add(time.Second)); err == nil {
+				_, err = io.WriteString(c, floodPayloads[kind].text)
+			}
 		}
 		if c != nil {
-			c.Close()
+			_ = c.Close() // it is broken, and replaced
 		}
 	}
 }
@@ -73,8 +74,10 @@
 		bed.t.Fatal(err)
 	}
 	bed.t.Cleanup(func() {
-		process.Process.Kill()
-		process.Wait()
+		if err := process.Process.Kill(); err != nil {
+			bed.t.Error(err)
+		}
+		_ = process.Wait() // says that it was killed
 	})
 	bed.eventuallyOnLoop("the flood", func() bool {
 		return len(bed.scheduler.clients) > floodConns/4 || bed.scheduler.protocolErrors > floodConns
@@ -102,16 +105,18 @@
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
+// finalAnswerCase is what ails disk servers or other clients do.
+type finalAnswerCase struct {
+	faults fakeresp.Faults
+	gate   bool // connections to the disk servers open, and nothing is read
+	flood  string
+	served bool // some ops succeed nevertheless
+}
+
 // TestFinalAnswers: whatever ails disk servers or other clients do, each request has one final answer, half a second
 // after its timeout at the latest.
 func TestFinalAnswers(t *testing.T) {
-	large := strings.Repeat("v", maxBody)
-	for name, x := range map[string]struct {
-		faults fakeresp.Faults
-		gate   bool // connections to the disk servers come up, and nothing is read
-		flood  string
-		served bool
-	}{
+	for name, x := range map[string]finalAnswerCase{
 		"they hang":               {faults: fakeresp.Faults{Silent: true}},
 		"they never read":         {gate: true},
 		"they break":              {faults: fakeresp.Faults{ResetOnCommand: true}},
@@ -132,15 +137,7 @@
 			for i, disk := range bed.disks {
 				disk.SetFaults(x.faults)
 				if x.gate {
-					gate, member := bed.gateServer(i, "up")
-					gate.acceptConns()
-					bed.discovery.Change(member)
-					bed.eventually("the address", func() (ok bool) {
-						bed.onLoop(func() {
-							ok = bed.scheduler.servers["s-0"].address != "" && (i == 0 || bed.scheduler.servers["s-1"].address == gate.address)
-						})
-						return ok
-					})
+					bed.moveBehindGate(i).acceptConns()
 				}
 			}
 			good := bed.dialClient()
@@ -148,31 +145,39 @@
 			if x.flood != "" {
 				bed.startFlood(x.flood)
 			}
-			stalled := measureStalls(t)
-			served, slowest := 0, time.Duration(0)
-			for i := range 10 {
-				class, ms, args := "read", 300, []string{}
-				if i%2 == 1 {
-					class, args = "write", []string{large}
-				}
-				id := fmt.Sprint("good", i)
-				begun, stalledBefore := time.Now(), stalled()
-				good.send(append([]string{"BLK." + strings.ToUpper(class), objectKey, id, opOptions(class, ms, i%2)}, args...)...)
-				got := good.readReply(3 * time.Second)
-				took := time.Since(begun)
-				slowest = max(slowest, took)
-				late := stalled() - stalledBefore
-				if got == "closed" || took > time.Duration(ms)*time.Millisecond+500*time.Millisecond+late {
-					t.Errorf("%s: %.40q after %v, the machine was held up for %v", id, got, took, late)
-				}
-				if got == valueOf(id) {
-					served++
-				}
-			}
-			t.Logf("%d of 10 served, the slowest answer after %v", served, slowest)
-			if x.served && served < 3 {
+			if served := good.countFinalAnswers(10); x.served && served < 3 {
 				t.Errorf("%d of 10 served", served)
 			}
 		})
 	}
 }
+
+// countFinalAnswers does n ops, reads and writes in turn, checks that each is answered in time, and counts those that
+// succeed.
+func (c *testClient) countFinalAnswers(n int) (served int) {
+	c.t.Helper()
+	large := strings.Repeat("v", maxBody)
+	stalled := measureStalls(c.t)
+	var slowest time.Duration
+	for i := range n {
+		id, timeout := fmt.Sprint("good", i), 300*time.Millisecond
+		args := []string{"BLK.READ", objectKey, id, opOptions("read", 300, 0)}
+		if i%2 == 1 {
+			args = []string{"BLK.WRITE", objectKey, id, opOptions("write", 300, 1), large}
+		}
+		begun, stalledBefore := time.Now(), stalled()
+		c.send(args...)
+		got := c.readReply(3 * time.Second)
+		took := time.Since(begun)
+		slowest = max(slowest, took)
+		late := stalled() - stalledBefore
+		if got == "closed" || took > timeout+500*time.Millisecond+late {
+			c.t.Errorf("%s: %.40q after %v, the machine was held up for %v", id, got, took, late)
+		}
+		if got == valueOf(id) {
+			served++
+		}
+	}
+	c.t.Logf("%d of %d served, the slowest answer after %v", served, n, slowest)
+	return served
+}
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -11,16 +11,8 @@
 
 // TestPeers: datagrams reach peers by their number and carry their sender's; other senders are ignored.
 func TestPeers(t *testing.T) {
-	free := func() string {
-		p, err := net.ListenPacket("udp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer p.Close()
-		return p.LocalAddr().String()
-	}
-	addresses := []string{free(), free()}
-	var worlds []*testbed
+	addresses := []string{freeUDPAddress(t), freeUDPAddress(t)}
+	var beds []*testbed
 	received := make(chan string, 8)
 	for i := range 2 {
 		bed := newTestbed(t, 1, func(m map[string]any) {
@@ -33,21 +25,20 @@
 				}
 			}
 		})
-		worlds = append(worlds, bed)
+		beds = append(beds, bed)
 	}
-	worlds[0].onLoop(func() {
-		worlds[0].scheduler.execute(honeyplank.Gossip{To: 1, Data: make([]byte, 257)})
-		worlds[0].scheduler.execute(honeyplank.Gossip{To: 9, Data: []byte("nobody")})
-		worlds[0].scheduler.execute(honeyplank.Gossip{To: 1, Data: []byte("one")})
+	beds[0].onLoop(func() {
+		beds[0].scheduler.execute(honeyplank.Gossip{To: 1, Data: make([]byte, 257)})
+		beds[0].scheduler.execute(honeyplank.Gossip{To: 9, Data: []byte("nobody")})
+		beds[0].scheduler.execute(honeyplank.Gossip{To: 1, Data: []byte("one")})
 	})
 	if got := <-received; got != "1 from 0: one" {
 		t.Error(got)
 	}
-	if c, err := net.Dial("udp", addresses[0]); err == nil {
-		c.Write([]byte("stranger"))
-		c.Close()
-	}
-	worlds[1].onLoop(func() { worlds[1].scheduler.execute(honeyplank.Gossip{To: honeyplank.AllPeers, Data: []byte("all")}) })
+	sendDatagram(t, addresses[0], "stranger")
+	beds[1].onLoop(func() {
+		beds[1].scheduler.execute(honeyplank.Gossip{To: honeyplank.AllPeers, Data: []byte("all")})
+	})
 	if got := <-received; got != "0 from 1: all" {
 		t.Error(got)
 	}
@@ -55,3 +46,31 @@
 		t.Error(err)
 	}
 }
+
+// freeUDPAddress returns an address of loopback at which nobody receives datagrams.
+func freeUDPAddress(t *testing.T) string {
+	t.Helper()
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return conn.LocalAddr().String()
+}
+
+// sendDatagram sends a datagram from an address that is no peer's.
+func sendDatagram(t *testing.T, address, text string) {
+	t.Helper()
+	conn, err := net.Dial("udp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Write([]byte(text)); err != nil {
+		t.Error(err)
+	}
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -30,11 +30,10 @@
 	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 41 })
 	section(bed.config, "limits")["sockets"] = minSockets
 	bed.reload()
-	bed.eventually("the lower limit", func() (ok bool) {
-		bed.onLoop(func() {
-			ok = bed.scheduler.clientConnCount <= bed.scheduler.descriptorQuota(clientDescriptorShare) && bed.scheduler.serverConnCount <= bed.scheduler.descriptorQuota(serverDescriptorShare)
-		})
-		return ok
+	bed.eventuallyOnLoop("the lower limit", func() bool {
+		s := bed.scheduler
+		return s.clientConnCount <= s.descriptorQuota(clientDescriptorShare) &&
+			s.serverConnCount <= s.descriptorQuota(serverDescriptorShare)
 	})
 	if got := clients[7].readReply(2 * time.Second); got != valueOf("b") {
 		t.Errorf("%q", got)
@@ -54,15 +53,16 @@
 	}
 	for range 400 {
 		if x, err := net.Dial("tcp", bed.scheduler.Address()); err == nil {
-			t.Cleanup(func() { x.Close() })
+			t.Cleanup(func() { _ = x.Close() }) // the scheduler may have closed it
 		}
 	}
 	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Errorf("%q", got)
 	}
 	bed.onLoop(func() {
-		if bed.scheduler.clientConnCount+bed.scheduler.serverConnCount+reservedDescriptors > bed.scheduler.config.Sockets {
-			t.Errorf("%d and %d connections", bed.scheduler.clientConnCount, bed.scheduler.serverConnCount)
+		s := bed.scheduler
+		if s.clientConnCount+s.serverConnCount+reservedDescriptors > s.config.Sockets {
+			t.Errorf("%d and %d connections", s.clientConnCount, s.serverConnCount)
 		}
 	})
 	discovery.nextCall(t, time.Second) // was made before discovery came back, and is never answered
@@ -82,24 +82,18 @@
 	next := bed.member(1, "up") // the second server takes over the first one's cell
 	next.ID, next.Cell = "s-9", 0
 	bed.discovery.Change(bed.member(0, "draining"), next)
-	bed.discovery.SendLine(`{"revision":2,"members":[{"id":"","phase":"up"},{"id":"x","phase":"odd","host_port":"127.0.0.1:1"},{"id":"y","phase":"up","host_port":"nowhere"}]}`)
+	bed.discovery.SendLine(`{"revision":2,"members":[{"id":"","phase":"up"},` +
+		`{"id":"x","phase":"odd","host_port":"127.0.0.1:1"},{"id":"y","phase":"up","host_port":"nowhere"}]}`)
 	bed.discovery.SendLine("no list")
 	bed.eventually("another watch", func() bool { return bed.discovery.Watches() >= 2 })
 	removed := bed.member(0, "removed")
 	removed.Address = ""
 	bed.discovery.Change(removed)
-	bed.eventually("the end of the old server", func() bool {
-		n := 0
-		bed.onLoop(func() {
-			n = len(bed.scheduler.servers)
-			if bed.scheduler.servers["s-0"] != nil {
-				n = -1
-			}
-		})
-		return n == 2
+	bed.eventuallyOnLoop("the end of the old server", func() bool {
+		return len(bed.scheduler.servers) == 2 && bed.scheduler.servers["s-0"] == nil
 	})
 	bed.eventually("the op at the new server", func() bool {
-		c.do("BLK.READ", objectKey, fmt.Sprint("b", time.Now().UnixNano()), opOptions("read", 390, 0))
+		c.doRead(fmt.Sprint("b", time.Now().UnixNano()), 390)
 		return len(bed.disks[1].Commands()) > 0
 	})
 	if now, _ := bed.disks[0].Connections(); now != 0 {
@@ -145,16 +139,11 @@
 	}
 	defer other.Stop()
 	bed.config["discovery"] = other.Address()
-	bed.writeConfig()
-	config, err := ReadConfig(bed.configFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	bed.scheduler.Reload(config)
+	bed.reload()
 	bed.eventually("the watch there", func() bool { return other.Watches() == 1 })
 	bed.discovery.Stop()
 	other.Change(bed.member(1, "removed"))
-	bed.eventually("the change", func() bool { n := 0; bed.onLoop(func() { n = len(bed.scheduler.servers) }); return n == 1 })
+	bed.eventuallyOnLoop("the change", func() bool { return len(bed.scheduler.servers) == 1 })
 	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Error(got)
 	}
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -14,24 +15,17 @@
 	text := "\n\n" + first + "\r\n" + second + second + "\n"
 	for size := 1; size <= len(text); size++ {
 		var r messageReader
-		var got []string
-		for rest := text; rest != ""; {
-			n := min(size, len(rest))
-			list, err := r.feed(0, []byte(rest[:n]))
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, m := range list {
-				got = append(got, string(m))
-			}
-			rest = rest[n:]
-		}
-		if want := []string{strings.TrimSpace(first), second, second}; fmt.Sprint(got) != fmt.Sprint(want) || r.depth != 0 {
+		got := feedPieces(t, &r, text, size)
+		if want := []string{strings.TrimSpace(first), second, second}; !slices.Equal(got, want) || r.depth != 0 {
 			t.Fatalf("in pieces of %d: %q", size, got)
 		}
 	}
-	for text, want := range map[string]error{"no list": errNotJSON, "{}]": errNotJSON, "[]": errNotJSON,
-		`{"` + strings.Repeat("x", maxMessageBytes): errMessageTooLong} {
+	for text, want := range map[string]error{
+		"no list": errNotJSON,
+		"{}]":     errNotJSON,
+		"[]":      errNotJSON,
+		`{"` + strings.Repeat("x", maxMessageBytes): errMessageTooLong,
+	} {
 		t.Run(fmt.Sprintf("%.10s", text), func(t *testing.T) {
 			var r messageReader
 			if _, err := r.feed(0, []byte(text)); !errors.Is(err, want) {
@@ -41,6 +35,23 @@
 	}
 }
 
+// feedPieces gives a text in pieces of a size to a reader and returns the messages.
+func feedPieces(t *testing.T, r *messageReader, text string, size int) (messages []string) {
+	t.Helper()
+	for text != "" {
+		n := min(size, len(text))
+		list, err := r.feed(0, []byte(text[:n]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, message := range list {
+			messages = append(messages, string(message))
+		}
+		text = text[n:]
+	}
+	return messages
+}
+
 // TestMessageReaderDeadline: what puts the deadline of a watch off, and what does not.
 func TestMessageReaderDeadline(t *testing.T) {
 	const s = time.Second
@@ -65,26 +76,34 @@
 			}
 			r.headReceived(0)
 			for i, piece := range x.pieces {
-				r.feed(time.Duration(i+1)*s, []byte(piece))
+				if _, err := r.feed(time.Duration(i+1)*s, []byte(piece)); err != nil {
+					t.Error(err)
+				}
 			}
 			if r.deadline != x.want {
 				t.Errorf("until %v, expected %v", r.deadline, x.want)
 			}
 		})
 	}
+}
+
+// TestNotifiedWithin: the limits of calls to discovery leave enough time to be notified of a change.
+func TestNotifiedWithin(t *testing.T) {
 	// One silence, one call that hangs and one more that is answered fit into notifiedWithin.
 	if watchSilence+watchRetryDelay+headTimeout+watchRetryDelay > 5*time.Second {
 		t.Error("a change is received too late after a silence")
 	}
-	// So do, where the module says when, a call that hangs, the longest it waits then, and the next call's turn.
-	text := "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":64,\"sockets\":256},\"settings\":" +
+	// So do, if the module decides when, a call that hangs, the longest backoff then, and the next call's turn.
+	text := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",` +
+		`"limits":{"memory_mb":64,"sockets":256},"settings":` +
 		strings.Replace(testSettings, `"rules":{`, `"rules":{"ask_within_ms":60000,`, 1) + "}"
 	config, err := parseConfig("f", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if within := config.Site.Settings.Watch.Within; sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
-		t.Errorf("lists are asked for within %v", within)
+	within := config.Site.Settings.Watch.Within
+	if sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
+		t.Errorf("lists are requested within %v", within)
 	}
 }
 
@@ -96,8 +115,14 @@
 		revision int64
 		want     bool
 	}{
-		{1, 40, true}, {2, 42, true}, {3, 41, false}, {3 + oldListTimeout - 1, 41, false}, {4 + oldListTimeout, 43, true},
-		{5 + oldListTimeout, 7, false}, {6 + 2*oldListTimeout, 8, true}, {7 + 2*oldListTimeout, 9, true},
+		{1, 40, true},
+		{2, 42, true},
+		{3, 41, false},
+		{3 + oldListTimeout - 1, 41, false},
+		{4 + oldListTimeout, 43, true},
+		{5 + oldListTimeout, 7, false},
+		{6 + 2*oldListTimeout, 8, true},
+		{7 + 2*oldListTimeout, 9, true},
 	} {
 		if got := guard.accept(x.at, &listMessage{Revision: x.revision}); got != x.want {
 			t.Errorf("%d: revision %d is accepted: %v", i, x.revision, got)
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -89,6 +89,19 @@
 	}
 }
 
+// doReadsTogether sends n reads and waits until each has an answer.
+func (c *testClient) doReadsTogether(name string, n int) {
+	c.t.Helper()
+	for i := range n {
+		c.sendRead(fmt.Sprint(name, i), 390)
+	}
+	for i := range n {
+		if got, ok := c.readValue(time.Second); !ok {
+			c.t.Fatalf("no answer to %d: %v", i, got)
+		}
+	}
+}
+
 // TestOwnConnections: ops in flight together have a connection each, so that a short one does not wait for a long one's
 // answer; where descriptors are short they share, and all are still answered.
 func TestOwnConnections(t *testing.T) {
@@ -99,20 +112,14 @@
 			})
 			bed.disks[0].SetFaults(fakeresp.Faults{Delay: 20 * time.Millisecond})
 			c := bed.dialClient()
-			for i := range 24 {
-				c.sendRead(fmt.Sprint(sockets, "-", i), 390)
-			}
-			for i := range 24 {
-				if got, ok := c.readValue(time.Second); !ok {
-					t.Fatalf("no answer to %d: %v", i, got)
-				}
-			}
+			c.doReadsTogether(fmt.Sprint(sockets, "-"), 24)
 			if _, ever := bed.disks[0].Connections(); ever < 2 || ever > most {
 				t.Errorf("%d connections", ever)
 			}
 			bed.onLoop(func() {
-				if bed.scheduler.serverConnCount > bed.scheduler.descriptorQuota(serverDescriptorShare) {
-					t.Errorf("%d connections of %d", bed.scheduler.serverConnCount, bed.scheduler.descriptorQuota(serverDescriptorShare))
+				count, quota := bed.scheduler.serverConnCount, bed.scheduler.descriptorQuota(serverDescriptorShare)
+				if count > quota {
+					t.Errorf("%d connections of %d", count, quota)
 				}
 			})
 		})
@@ -120,60 +127,72 @@
 }
 
 // TestIdleReset: after a quiet time, whatever disk servers have done with the idle connections, in that very round of
-// the loop too, the next write is served, or reported as one that may have run, and never reaches a server twice.
+// the loop too, the next write is served, and never reaches a server twice.
 func TestIdleReset(t *testing.T) {
 	for name, x := range map[string]struct {
-		idle   func(*fakeresp.Disk)
-		fails  bool
-		before bool // the loop has heard of it
+		end    func(*fakeresp.Disk)
+		before bool // the loop has been notified of it
 	}{
-		"closed":                   {idle: (*fakeresp.Disk).CloseConnections, before: true},
-		"closed in the same round": {idle: (*fakeresp.Disk).CloseConnections},
-		"reset":                    {idle: (*fakeresp.Disk).ResetConnections, before: true},
-		"reset in the same round":  {idle: (*fakeresp.Disk).ResetConnections},
-		"forgotten":                {idle: func(disk *fakeresp.Disk) { disk.SetFaults(fakeresp.Faults{ResetOnCommand: true}) }, fails: true}, // a reset is all that comes back
+		"closed":                   {(*fakeresp.Disk).CloseConnections, true},
+		"closed in the same round": {(*fakeresp.Disk).CloseConnections, false},
+		"reset":                    {(*fakeresp.Disk).ResetConnections, true},
+		"reset in the same round":  {(*fakeresp.Disk).ResetConnections, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bed := newTestbed(t, 1)
-			codes := bed.recordOutcomes()
-			bed.useModule(singleServerModule{"s-0"})
-			c := bed.dialClient()
-			c.do("BLK.WRITE", objectKey, "first", opOptions("write", 9000, 0), "x")
-			time.Sleep(2 * reuseDelay)
-			act := func() {
-				x.idle(bed.disks[0])
-				for deadline := time.Now().Add(2 * time.Second); !x.fails && time.Now().Before(deadline); {
-					if now, _ := bed.disks[0].Connections(); now == 0 {
-						break
-					}
-					time.Sleep(time.Millisecond)
-				}
-			}
+			bed, c := newIdleTestbed(t)
 			if x.before {
-				act()
+				endConnections(bed.disks[0], x.end)
 				bed.eventuallyOnLoop("the end", func() bool { return len(bed.scheduler.servers["s-0"].conns) == 0 })
-				c.send("BLK.WRITE", objectKey, "second", opOptions("write", 9000, 0), "x")
+				c.sendWrite("second", 9000, "x")
 			} else {
 				bed.onLoop(func() {
-					c.send("BLK.WRITE", objectKey, "second", opOptions("write", 9000, 0), "x")
-					act()
+					c.sendWrite("second", 9000, "x")
+					endConnections(bed.disks[0], x.end)
 				})
 			}
-			want := valueOf("second")
-			if x.fails {
-				want = "-ERR failed"
-			}
-			if got := c.readReply(3 * time.Second); got != want {
+			if got, want := c.readReply(3*time.Second), valueOf("second"); got != want {
 				t.Errorf("%q, expected %q", got, want)
 			}
 			bed.checkReceived("[first second]")
-			bed.onLoop(func() {
-				if x.fails && (*codes)[len(*codes)-1] != honeyplank.Reset {
-					t.Errorf("outcomes %v", *codes)
-				}
-			})
 		})
 	}
+	t.Run("forgotten", func(t *testing.T) { // a reset is all that comes back: the write may have run
+		bed, c := newIdleTestbed(t)
+		codes := bed.recordOutcomes()
+		bed.disks[0].SetFaults(fakeresp.Faults{ResetOnCommand: true})
+		bed.onLoop(func() { c.sendWrite("second", 9000, "x") })
+		if got := c.readReply(3 * time.Second); got != "-ERR failed" {
+			t.Errorf("%q, expected -ERR failed", got)
+		}
+		bed.checkReceived("[first second]")
+		bed.onLoop(func() {
+			if (*codes)[len(*codes)-1] != honeyplank.Reset {
+				t.Errorf("outcomes %v", *codes)
+			}
+		})
+	})
+}
+
+// newIdleTestbed starts a scheduler with a connection to its disk server that has been idle for some time.
+func newIdleTestbed(t *testing.T) (*testbed, *testClient) {
+	t.Helper()
+	bed := newTestbed(t, 1)
+	bed.useModule(singleServerModule{"s-0"})
+	c := bed.dialClient()
+	c.sendWrite("first", 9000, "x")
+	c.readReply(3 * time.Second)
+	time.Sleep(2 * reuseDelay)
+	return bed, c
+}
+
+// endConnections ends all connections of a disk server and waits until none is left, for a time.
+func endConnections(disk *fakeresp.Disk, end func(*fakeresp.Disk)) {
+	end(disk)
+	for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if now, _ := disk.Connections(); now == 0 {
+			return
+		}
+	}
 }
 
 // TestSharedConnBreaks: where a connection that carries two dispatches of an op breaks, the op has its answer, and both
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"strings"
 	"testing"
 	"time"
@@ -52,32 +53,36 @@
 		"failed":       {Fail: true},
 		"busy":         {Busy: true},
 	} {
-		t.Run(name, func(t *testing.T) {
-			bed := newTestbed(t, 1)
-			bed.disks[0].SetFaults(f)
-			c := bed.dialClient()
-			begun := time.Now()
-			if got := c.doRead("a", 390); !strings.HasPrefix(got, "-") {
-				t.Errorf("%q", got)
-			}
-			if took := time.Since(begun); took > 300*time.Millisecond {
-				t.Errorf("answered after %v", took)
-			}
-			bed.disks[0].SetFaults(fakeresp.Faults{})
-			good := 0
-			for i := range 20 {
-				id := fmt.Sprintf("b%d", i)
-				if got := c.doRead(id, 390); got == valueOf(id) {
-					good++
-				} else if !strings.HasPrefix(got, "-") {
-					t.Errorf("%q", got)
-				}
-				time.Sleep(10 * time.Millisecond)
-			}
-			if good < 15 {
-				t.Errorf("%d of 20 are served once the server is sound", good)
-			}
-		})
+		t.Run(name, func(t *testing.T) { checkFaultyReplies(t, f) })
+	}
+}
+
+// checkFaultyReplies checks that an op fails at once on a disk server with faults, and that ops are served once these
+// end.
+func checkFaultyReplies(t *testing.T, faults fakeresp.Faults) {
+	bed := newTestbed(t, 1)
+	bed.disks[0].SetFaults(faults)
+	c := bed.dialClient()
+	begun := time.Now()
+	if got := c.doRead("a", 390); !strings.HasPrefix(got, "-") {
+		t.Errorf("%q", got)
+	}
+	if took := time.Since(begun); took > 300*time.Millisecond {
+		t.Errorf("answered after %v", took)
+	}
+	bed.disks[0].SetFaults(fakeresp.Faults{})
+	good := 0
+	for i := range 20 {
+		id := fmt.Sprintf("b%d", i)
+		if got := c.doRead(id, 390); got == valueOf(id) {
+			good++
+		} else if !strings.HasPrefix(got, "-") {
+			t.Errorf("%q", got)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	if good < 15 {
+		t.Errorf("%d of 20 are served once the server is sound", good)
 	}
 }
 
@@ -112,10 +117,18 @@
 // TestLoadReports: a load report gets the module's names, and one that cannot be read counts as none.
 func TestLoadReports(t *testing.T) {
 	fields := []string{"util", "latency_ms"}
-	if got := parseLoadReport("util=0.61,latency_ms=12.5", fields); len(got) != 2 || got["util"] != 0.61 || got["latency"] != 12.5 {
+	want := map[string]float64{"util": 0.61, "latency": 12.5}
+	if got := parseLoadReport("util=0.61,latency_ms=12.5", fields); !maps.Equal(got, want) {
 		t.Error(got)
 	}
-	for _, text := range []string{"", "util=0.61", "util=x,latency_ms=1", "util=NaN,latency_ms=1", "util=-1,latency_ms=1", "\xff=,=,,="} {
+	for _, text := range []string{
+		"",
+		"util=0.61",
+		"util=x,latency_ms=1",
+		"util=NaN,latency_ms=1",
+		"util=-1,latency_ms=1",
+		"\xff=,=,,=",
+	} {
 		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
 			if got := parseLoadReport(text, fields); got != nil {
 				t.Error(got)
@@ -151,31 +164,26 @@
 	bed.disks[0].Stop()
 	time.Sleep(20 * time.Millisecond)
 	begun := time.Now()
-	if got := bed.dialClient().doRead("a", 390); !strings.HasPrefix(got, "-") || time.Since(begun) > 250*time.Millisecond {
-		t.Errorf("%q after %v", got, time.Since(begun))
+	got, took := bed.dialClient().doRead("a", 390), time.Since(begun)
+	if !strings.HasPrefix(got, "-") || took > 250*time.Millisecond {
+		t.Errorf("%q after %v", got, took)
 	}
 }
 
-// TestProbe: a probe brings the load report, and that of a server that refuses connections fails to connect.
-func TestProbe(t *testing.T) {
+// TestHealthCheck: a health check brings the load report, and that of a server that refuses connections fails to
+// connect.
+func TestHealthCheck(t *testing.T) {
 	bed := newTestbed(t, 1)
-	results := make(chan honeyplank.HealthCheckResult, 1)
-	bed.onLoop(func() {
-		bed.module.onEvent = func(e honeyplank.Event) {
-			if p, ok := e.(honeyplank.HealthCheckResult); ok {
-				results <- p
-			}
-		}
-	})
+	results := bed.healthChecks()
 	bed.disks[0].SetFaults(fakeresp.Faults{LoadReport: "util=0.5,latency_ms=3"})
 	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
-	if p := <-results; p.Code != honeyplank.Succeeded || p.Load["latency"] != 3 {
-		t.Errorf("%+v", p)
+	if result := <-results; result.Code != honeyplank.Succeeded || result.Load["latency"] != 3 {
+		t.Errorf("%+v", result)
 	}
 	bed.disks[0].Stop()
 	time.Sleep(20 * time.Millisecond)
 	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
-	if p := <-results; p.Code != honeyplank.ConnectFailed {
-		t.Errorf("%+v", p)
+	if result := <-results; result.Code != honeyplank.ConnectFailed {
+		t.Errorf("%+v", result)
 	}
 }
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -12,72 +12,73 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestNoDial: where this machine cannot even begin a connection, requests are served once it can, or have their answer
+// noDialCase is a machine that cannot begin a connection.
+type noDialCase struct {
+	shortage time.Duration // how long there is no descriptor
+	noRoute  bool          // to the disk server
+	served   bool
+}
+
+// TestNoDial: while this machine cannot even begin a connection, requests are served once it can, or have their answer
 // in time; no server is blamed, the log has one line, and the attempts are few.
 func TestNoDial(t *testing.T) {
-	for name, x := range map[string]struct {
-		short time.Duration // how long there is no descriptor
-		way   bool          // there is a way to the server
-		want  string
-	}{
-		"descriptors for a moment": {30 * time.Millisecond, true, ""},
-		"descriptors for long":     {600 * time.Millisecond, true, "-"},
-		"no way":                   {0, false, "-"},
+	for name, x := range map[string]noDialCase{
+		"descriptors for a moment": {shortage: 30 * time.Millisecond, served: true},
+		"descriptors for long":     {shortage: 600 * time.Millisecond},
+		"no way":                   {noRoute: true},
 	} {
-		t.Run(name, func(t *testing.T) {
-			bed := newTestbed(t, 1)
-			bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
-			var log bytes.Buffer
-			var codes []honeyplank.Code
-			bed.onLoop(func() {
-				bed.scheduler.log = zerolog.New(&log).Level(zerolog.WarnLevel)
-				bed.module.onEvent = func(e honeyplank.Event) {
-					if o, ok := e.(honeyplank.Outcome); ok {
-						codes = append(codes, o.Code)
-					}
-				}
-				bed.module.DecisionModule = singleServerModule{"s-0"}
-				if !x.way {
-					bed.scheduler.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
-				}
-			})
-			var clients []*testClient
-			for range 5 {
-				c := bed.dialClient()
-				c.do("PING")
-				clients = append(clients, c)
-			}
-			if x.way {
-				bed.onLoop(func() {
-					back := takeAllDescriptors()
-					t.Cleanup(back)
-					bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+x.short, back)
-				})
-			}
-			for i, c := range clients {
-				c.sendRead(fmt.Sprint("a", i), 390)
-			}
-			for i, c := range clients {
-				want := x.want
-				if want == "" {
-					want = valueOf(fmt.Sprint("a", i))
-				}
-				if got := c.readReply(time.Second); got != want && (x.want == "" || got != "-ERR failed") {
-					t.Errorf("%q, expected %q", got, want)
-				}
-			}
-			bed.onLoop(func() {
-				for _, code := range codes {
-					if code != honeyplank.NotSent && code != honeyplank.Succeeded {
-						t.Errorf("outcomes %v", codes)
-					}
-				}
-				if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || bed.scheduler.failedDials > 20 {
-					t.Errorf("%d lines after %d tries: %s", n, bed.scheduler.failedDials, log.Bytes())
-				}
-			})
+		t.Run(name, x.run)
+	}
+}
+
+// run does ops during the shortage and checks their replies, the outcomes of their dispatches, and the log.
+func (x noDialCase) run(t *testing.T) {
+	bed := newTestbed(t, 1)
+	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
+	var log bytes.Buffer
+	codes := bed.recordOutcomes()
+	bed.onLoop(func() {
+		bed.scheduler.log = zerolog.New(&log).Level(zerolog.WarnLevel)
+		bed.module.DecisionModule = singleServerModule{"s-0"}
+		if x.noRoute {
+			bed.scheduler.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
+		}
+	})
+	var clients []*testClient
+	for range 5 {
+		c := bed.dialClient()
+		c.do("PING")
+		clients = append(clients, c)
+	}
+	if x.shortage > 0 {
+		bed.onLoop(func() {
+			release := takeAllDescriptors()
+			t.Cleanup(release)
+			bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+x.shortage, release)
 		})
 	}
+	for i, c := range clients {
+		c.sendRead(fmt.Sprint("a", i), 390)
+	}
+	for i, c := range clients {
+		want := "-ERR failed"
+		if x.served {
+			want = valueOf(fmt.Sprint("a", i))
+		}
+		if got := c.readReply(time.Second); got != want {
+			t.Errorf("%q, expected %q", got, want)
+		}
+	}
+	bed.onLoop(func() {
+		for _, code := range *codes {
+			if code != honeyplank.NotSent && code != honeyplank.Succeeded {
+				t.Errorf("outcomes %v", *codes)
+			}
+		}
+		if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || bed.scheduler.failedDials > 20 {
+			t.Errorf("%d lines after %d tries: %s", n, bed.scheduler.failedDials, log.Bytes())
+		}
+	})
 }
 
 // TestListenRetry: a scheduler that lacks a descriptor at its start listens once there is one.
@@ -87,8 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := takeAllDescriptors()
-	time.AfterFunc(200*time.Millisecond, back)
+	time.AfterFunc(200*time.Millisecond, takeAllDescriptors())
 	s, err := New(config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -99,20 +99,14 @@
 	<-done
 }
 
-// TestProbeWaitsForDial: a probe that waits for a connection has its outcome, also where the next dial cannot begin.
-func TestProbeWaitsForDial(t *testing.T) {
+// TestHealthCheckWaitsForDial: a health check that waits for a connection has its outcome, even if the next dial cannot
+// begin.
+func TestHealthCheckWaitsForDial(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(1))
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
-	results := make(chan honeyplank.HealthCheckResult, 1)
-	bed.onLoop(func() {
-		bed.module.DecisionModule = &delayedModule{delay: time.Hour}
-		bed.module.onEvent = func(e honeyplank.Event) {
-			if result, ok := e.(honeyplank.HealthCheckResult); ok {
-				results <- result
-			}
-		}
-	})
+	bed.useModule(&delayedModule{delay: time.Hour})
+	results := bed.healthChecks()
 	bed.dialClient().sendRead("first", 9000)
 	bed.eventuallyOnLoop("the op", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
 	bed.onLoop(func() {
@@ -130,7 +124,7 @@
 		if result.Code != honeyplank.NotSent {
 			t.Errorf("%+v", result)
 		}
-	case <-time.After(4 * time.Second): // less than a probe's own timeout
-		t.Error("the probe has no outcome")
+	case <-time.After(4 * time.Second): // less than the timeout of a health check
+		t.Error("the health check has no outcome")
 	}
 }
--- a/scheduler/testbed_test.go
+++ b/scheduler/testbed_test.go
@@ -248,6 +248,20 @@
 	return codes
 }
 
+// healthChecks receives the results of health checks from now on.
+func (bed *testbed) healthChecks() <-chan honeyplank.HealthCheckResult {
+	bed.t.Helper()
+	results := make(chan honeyplank.HealthCheckResult, 1)
+	bed.onLoop(func() {
+		bed.module.onEvent = func(event honeyplank.Event) {
+			if result, ok := event.(honeyplank.HealthCheckResult); ok {
+				results <- result
+			}
+		}
+	})
+	return results
+}
+
 // checkReceived compares the ids of the ops that have reached the first disk server with those expected.
 func (bed *testbed) checkReceived(want string) {
 	bed.t.Helper()
