--- /dev/null
+++ b/fake/disk/usage_test.go
@@ -0,0 +1,70 @@
+package disk
+
+import (
+	"bytes"
+	"testing"
+	"time"
+)
+
+// TestServedElsewhere counts what others were served of a volume since a host's last answer.
+func TestServedElsewhere(t *testing.T) {
+	usage := newVolumeUsage()
+	for i, c := range []struct {
+		nsid  uint32
+		host  string
+		units float64
+		want  float64
+	}{
+		{1, "a", 2, 0},
+		{1, "b", 3, 2},
+		{2, "a", 5, 0}, // another volume
+		{1, "a", 1, 3},
+		{1, "a", 1, 0},
+		{1, "b", 1, 2},
+	} {
+		if got := usage.servedElsewhere(c.nsid, c.host, c.units); got != c.want {
+			t.Errorf("answer %d: %v units elsewhere, want %v", i, got, c.want)
+		}
+	}
+}
+
+// TestMeter has the usage of the previous period, as a percentage + 1; a period without any answer has none.
+func TestMeter(t *testing.T) {
+	m := &Meter{Period: time.Second, Rate: func(uint32) float64 { return 10 }}
+	for i, c := range []struct {
+		at    time.Duration
+		units float64
+		want  int
+	}{
+		{0, 4, 0}, // nothing is known
+		{999 * time.Millisecond, 4, 0},
+		{time.Second, 1, 81},
+		{1500 * time.Millisecond, 1, 81},
+		{2 * time.Second, 1e9, 21},
+		{3 * time.Second, 1, 65535},
+		{5 * time.Second, 1, 0}, // a period was left out
+	} {
+		if got := m.Serve(c.at, 1, c.units); got != c.want {
+			t.Errorf("answer %d: %d, want %d", i, got, c.want)
+		}
+	}
+}
+
+// TestMeterWithoutPeriod counts nothing.
+func TestMeterWithoutPeriod(t *testing.T) {
+	m := &Meter{}
+	if got := m.Serve(time.Second, 1, 1); got != 0 {
+		t.Errorf("%d", got)
+	}
+}
+
+// TestFill fills blocks: each namespace and number has bytes of its own.
+func TestFill(t *testing.T) {
+	one, two, other := make([]byte, 64), make([]byte, 64), make([]byte, 64)
+	Fill(one, 1, 2)
+	Fill(two, 1, 3)
+	Fill(other, 2, 2)
+	if bytes.Equal(one, two) || bytes.Equal(one, other) || !bytes.Equal(one[:16], one[48:]) {
+		t.Errorf("%x %x %x", one, two, other)
+	}
+}
