--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -15,30 +15,49 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
-			settings := membership.Settings{MaxRemovedShare: 0.5, ConfirmAfter: 10 * time.Second, FlapWindow: time.Minute}
-			ledger, now := membership.New(settings), time.Minute
-			module := policy.New(1, &honeyplank.Settings{OpTypes: honeyplank.OpTypeSettings{TargetLatency: []time.Duration{200 * time.Millisecond}, OpTimeout: []time.Duration{time.Second}}})
-			var reports []membership.Report
-			for i := range n {
-				reports = append(reports, membership.Report{Member: honeyplank.Member{ID: honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i)), Cell: i}, State: membership.Up})
-			}
-			for from := range 2 {
-				for _, l := range ledger.Complete(now, membership.Source(from), reports) {
-					module.Handle(now, l)
+			reports, now := reportsOfFleet(n), time.Minute
+			ledger := membership.New(membership.Settings{
+				MaxRemovedShare: 0.5,
+				ConfirmAfter:    10 * time.Second,
+				FlapWindow:      time.Minute,
+			})
+			module := policy.New(1, &honeyplank.Settings{OpTypes: honeyplank.OpTypeSettings{
+				TargetLatency: []time.Duration{200 * time.Millisecond},
+				OpTimeout:     []time.Duration{time.Second},
+			}})
+			handle := func(lists []honeyplank.List) {
+				for _, list := range lists {
+					module.Handle(now, list)
 				}
 			}
+			handle(ledger.Complete(now, membership.Etcd, reports))
+			handle(ledger.Complete(now, membership.DNS, reports))
 			b.ResetTimer()
 			for i := range b.N {
 				now += time.Millisecond
-				change := reports[i*7919%n]
-				change.State = membership.Draining
-				if i%2 == 1 {
-					change = reports[(i-1)*7919%n]
-				}
-				for _, l := range ledger.Delta(now, membership.Etcd, []membership.Report{change}) {
-					module.Handle(now, l)
-				}
+				handle(ledger.Delta(now, membership.Etcd, []membership.Report{drainOrReturn(reports, i)}))
 			}
 		})
 	}
 }
+
+// reportsOfFleet returns a report for each of n servers, all up.
+func reportsOfFleet(n int) []membership.Report {
+	var reports []membership.Report
+	for i := range n {
+		id := honeyplank.ServerID(fmt.Sprintf("127.0.0.1:%05d", i))
+		reports = append(reports, membership.Report{Member: honeyplank.Member{ID: id, Cell: i}, State: membership.Up})
+	}
+	return reports
+}
+
+// drainOrReturn returns the i-th change: one server drains with an even i, and is up again with the next.
+func drainOrReturn(reports []membership.Report, i int) membership.Report {
+	const stride = 7919 // a prime, so that the changes go through the whole fleet
+	if i%2 == 1 {
+		return reports[(i-1)*stride%len(reports)]
+	}
+	change := reports[i*stride%len(reports)]
+	change.State = membership.Draining
+	return change
+}
--- a/membership/flap.go
+++ b/membership/flap.go
@@ -7,14 +7,14 @@
 
 // flapHold counts the returns of one server and holds those that come too often. It guards against servers that the
 // sources take out and put back again and again, each time moving ops; it could harm where a server restarts often and
-// is well each time.
+// works each time.
 type flapHold struct {
 	returns   []time.Duration // within Settings.FlapWindow, which starts anew at the end of a hold
 	length    time.Duration   // of the last hold; 0: none within the window
 	heldUntil time.Duration   // end of the hold in force; 0: none
 }
 
-// holdReturn takes in that a server that was taken out would be up again, and reports whether it is held out for now.
+// holdReturn records that a server that was taken out would be up again, and reports whether it is held out for now.
 func (f *flapHold) holdReturn(now time.Duration, settings Settings) bool {
 	if f.heldUntil > now {
 		return true
@@ -33,7 +33,7 @@
 	return f.heldUntil > now
 }
 
-// forget drops the returns up to a time. Where none is left, the next hold is as short as the first.
+// forget drops the returns up to a time. Where none remains, the next hold is as short as the first.
 func (f *flapHold) forget(upTo time.Duration) {
 	for len(f.returns) > 0 && f.returns[0] <= upTo {
 		f.returns = f.returns[1:]
--- a/membership/ledger.go
+++ b/membership/ledger.go
@@ -1,7 +1,8 @@
-// Package membership merges what two sources, etcd and DNS, report of the disk servers into one list. Reports go in
-// with the time at which they were received; the changes of the list for the decision module come out. The package does
-// no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule as a table.
+// Package membership merges what two sources, etcd and DNS, report of the disk servers into one endpoint list.
+// Reports go in with the time at which they were received; the changes of the list for the decision module come out.
+// The package does no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule as a table.
 //
+// A gateway has one Ledger and calls it on the goroutine of its event loop; a Ledger is not safe for concurrent use.
 // All times are spans since a fixed moment of the caller's monotonic clock and do not decrease from call to call.
 package membership
 
@@ -84,8 +85,8 @@
 	reportedAt   time.Duration // when the source first reported this state with this start
 	member       honeyplank.Member
 	startedAfter time.Duration
-	// removalUnconfirmed: the source has removed the server with too many others at once. state and reportedAt are those
-	// from before the removal, which came at removedAt.
+	// removalUnconfirmed: the source has removed the server with too many others at once. state and reportedAt are
+	// those from before the removal, which came at removedAt.
 	removalUnconfirmed bool
 	removedAt          time.Duration
 }
@@ -114,7 +115,7 @@
 	waiting  bool              // the node is in Ledger.waiting
 }
 
-// Ledger is the merged list. The zero value is not usable: call New. It is not safe for concurrent use.
+// Ledger is the merged list. The zero value is not usable: call New.
 type Ledger struct {
 	settings Settings
 	now      time.Duration
@@ -138,7 +139,7 @@
 	return &Ledger{settings: settings, nodes: map[honeyplank.ServerID]*node{}}
 }
 
-// Complete takes in the whole list of a source: a server that the source listed before and that is missing now is
+// Complete applies the complete list of a source: a server that the source listed before and that is missing now is
 // removed. It returns what the decision module is to be notified of: nothing, or one list, which is a delta or, the
 // first time, the complete list.
 func (l *Ledger) Complete(now time.Duration, from Source, reports []Report) []honeyplank.List {
@@ -160,7 +161,7 @@
 	return l.update(append(touched, removed...))
 }
 
-// Delta takes in changes of the list of a source, in order, and returns what Complete returns. Of several reports of
+// Delta applies changes of the list of a source, in order, and returns what Complete returns. Of several reports of
 // one server the last decides: a watch that was held up delivers several revisions of etcd at once, and a server that
 // is removed and put back within them has not been removed.
 func (l *Ledger) Delta(now time.Duration, from Source, reports []Report) []honeyplank.List {
@@ -183,7 +184,7 @@
 	return l.update(append(touched, removed...))
 }
 
-// SourceFailed takes in that a source could not be asked, or that its watch broke. Its reports stay in force.
+// SourceFailed records that a source could not be queried, or that its watch failed. Its reports stay in force.
 func (l *Ledger) SourceFailed(now time.Duration, from Source) {
 	l.now = now
 	if l.sources[from].failingSince == 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// Tick takes in that time has passed, and returns what Complete returns.
+// Tick applies the passing of time, and returns what Complete returns.
 func (l *Ledger) Tick(now time.Duration) []honeyplank.List {
 	l.now = now
 	waiting := l.waiting
@@ -211,7 +212,7 @@
 	l.sources[from].heardAt, l.sources[from].failingSince = max(now, 1), 0
 }
 
-// record takes in that a source lists a server.
+// record records that a source lists a server.
 func (l *Ledger) record(from Source, report Report) *node {
 	n := l.nodes[report.Member.ID]
 	if n == nil {
@@ -288,7 +289,11 @@
 
 // dueAt is when time alone may next change the merged state of a node; 0: never.
 func (l *Ledger) dueAt(n *node) (due time.Duration) {
-	for _, at := range [...]time.Duration{n.reports[Etcd].confirmAt(l.settings), n.reports[DNS].confirmAt(l.settings), n.flap.heldUntil} {
+	for _, at := range [...]time.Duration{
+		n.reports[Etcd].confirmAt(l.settings),
+		n.reports[DNS].confirmAt(l.settings),
+		n.flap.heldUntil,
+	} {
 		if at > l.now && (due == 0 || at < due) {
 			due = at
 		}
--- a/membership/ledger_test.go
+++ b/membership/ledger_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand"
+	"slices"
 	"testing"
 	"time"
 
@@ -11,7 +12,13 @@
 
 const second = time.Second
 
-var testSettings = Settings{MaxRemovedShare: 0.5, ConfirmAfter: 10 * second, FlapWindow: 60 * second, FlapThreshold: 3, FlapHold: 5 * second}
+var testSettings = Settings{
+	MaxRemovedShare: 0.5,
+	ConfirmAfter:    10 * second,
+	FlapWindow:      60 * second,
+	FlapThreshold:   3,
+	FlapHold:        5 * second,
+}
 
 // input is one thing that can happen.
 type input struct {
@@ -28,10 +35,15 @@
 func inputs() (list []input) {
 	for from := range sourceCount {
 		for _, x := range []input{
-			{name: "a on", reports: map[string]State{"a": Up}}, {name: "a draining", reports: map[string]State{"a": Draining}},
-			{name: "a gone", reports: map[string]State{"a": Removed}}, {name: "a on, started", reports: map[string]State{"a": Up}, started: true},
-			{name: "b on", reports: map[string]State{"b": Up}}, {name: "all", complete: true, reports: map[string]State{"a": Up, "b": Up}},
-			{name: "none", complete: true}, {name: "b alone", complete: true, reports: map[string]State{"b": Up}}, {name: "fails", fails: true},
+			{name: "a on", reports: map[string]State{"a": Up}},
+			{name: "a draining", reports: map[string]State{"a": Draining}},
+			{name: "a gone", reports: map[string]State{"a": Removed}},
+			{name: "a on, started", reports: map[string]State{"a": Up}, started: true},
+			{name: "b on", reports: map[string]State{"b": Up}},
+			{name: "all", complete: true, reports: map[string]State{"a": Up, "b": Up}},
+			{name: "none", complete: true},
+			{name: "b alone", complete: true, reports: map[string]State{"b": Up}},
+			{name: "fails", fails: true},
 		} {
 			x.from = from
 			x.name = from.String() + ": " + x.name
@@ -59,77 +71,94 @@
 		before[n] = c.model.state[n]
 	}
 	c.model.apply(x)
-	var out []honeyplank.List
-	switch now := c.model.now; {
-	case x.fails:
-		c.ledger.SourceFailed(now, x.from)
-	case x.tick > 0:
-		out = c.ledger.Tick(now)
-	default:
-		var all []Report
-		for _, n := range c.model.nodes {
-			if st, ok := x.reports[n]; ok {
-				all = append(all, Report{honeyplank.Member{ID: honeyplank.ServerID(n), Started: c.model.reports[n][x.from].started}, st, c.model.reports[n][x.from].started})
-			}
-		}
-		if x.complete {
-			out = c.ledger.Complete(now, x.from, all)
-		} else {
-			out = c.ledger.Delta(now, x.from, all)
-		}
-	}
-	for _, l := range out {
-		for _, m := range l.Members {
+	for _, list := range c.applyToLedger(x) {
+		for _, m := range list.Members {
 			c.list[m.ID] = m.State
 		}
 	}
 	for _, n := range c.model.nodes {
-		id := honeyplank.ServerID(n)
-		v, _ := c.ledger.View(id)
-		if v.State != c.model.state[n] {
-			return fmt.Errorf("%s is %v, the model has %v: ledger %+v, model %+v, now %v, held until %v", n, v.State, c.model.state[n], v, c.model.reports[n], c.model.now, c.model.heldUntil[n])
+		if err := c.compare(n); err != nil {
+			return err
 		}
-		for from, report := range c.model.reports[n] {
-			if v.ReportedState[from] != report.state || v.ReportedAt[from] != report.at || v.Unconfirmed[from] != (report.unconfirmedSince > 0) {
-				return fmt.Errorf("%s as %v reports it: ledger %+v, model %+v", n, Source(from), v, report)
-			}
+		if err := c.invariants(n, before[n], x); err != nil {
+			return err
 		}
-		notified, known := c.list[id]
-		if known != (v.State != NeverListed) && v.State == Up || known && (notified == honeyplank.Up) != (v.State == Up) {
-			return fmt.Errorf("%s is %v, the decision module was notified of %v", n, v.State, notified)
+	}
+	return nil
+}
+
+// applyToLedger applies an input to the ledger, with the starts and the time that the model has after it.
+func (c *comparison) applyToLedger(x input) []honeyplank.List {
+	now := c.model.now
+	switch {
+	case x.fails:
+		c.ledger.SourceFailed(now, x.from)
+		return nil
+	case x.tick > 0:
+		return c.ledger.Tick(now)
+	}
+	var all []Report
+	for _, n := range c.model.nodes {
+		if state, ok := x.reports[n]; ok {
+			started := c.model.reports[n][x.from].started
+			member := honeyplank.Member{ID: honeyplank.ServerID(n), Started: started}
+			all = append(all, Report{Member: member, State: state, StartedAfter: started})
 		}
-		if err := c.invariants(n, v, before[n], x); err != nil {
-			return err
+	}
+	if x.complete {
+		return c.ledger.Complete(now, x.from, all)
+	}
+	return c.ledger.Delta(now, x.from, all)
+}
+
+// compare compares the ledger's view of a server with the model, and with what the decision module was notified of.
+func (c *comparison) compare(n string) error {
+	id := honeyplank.ServerID(n)
+	v, _ := c.ledger.View(id)
+	if v.State != c.model.state[n] {
+		return fmt.Errorf("%s is %v, the model has %v: ledger %+v, model %+v, now %v, held until %v",
+			n, v.State, c.model.state[n], v, c.model.reports[n], c.model.now, c.model.heldUntil[n])
+	}
+	for from, report := range c.model.reports[n] {
+		same := v.ReportedState[from] == report.state && v.ReportedAt[from] == report.at
+		if !same || v.Unconfirmed[from] != (report.unconfirmedSince > 0) {
+			return fmt.Errorf("%s as %v reports it: ledger %+v, model %+v", n, Source(from), v, report)
 		}
 	}
+	notified, known := c.list[id]
+	if known != (v.State != NeverListed) && v.State == Up || known && (notified == honeyplank.Up) != (v.State == Up) {
+		return fmt.Errorf("%s is %v, the decision module was notified of %v", n, v.State, notified)
+	}
 	return nil
 }
 
-// invariants are what the rule guarantees, checked without applying it.
-func (c *comparison) invariants(n string, v View, before State, x input) error {
-	etcd, dns := c.model.reports[n][0], c.model.reports[n][1]
-	takenOut := func(report modelReport) bool { return report.state == Draining || report.state == Removed }
-	for i, report := range []modelReport{etcd, dns} {
-		other := []modelReport{dns, etcd}[i]
-		if takenOut(report) && v.State == Up && !(other.state == Up && other.started > report.at) {
+// invariants are what the rule guarantees for a server with a state before, checked without applying the rule.
+func (c *comparison) invariants(n string, before State, x input) error {
+	v, _ := c.ledger.View(honeyplank.ServerID(n))
+	reports := c.model.reports[n]
+	for i, report := range reports {
+		other := reports[1-i]
+		takenOut := report.state == Draining || report.state == Removed
+		if takenOut && v.State == Up && !(other.state == Up && other.started > report.at) {
 			return fmt.Errorf("%s gets work though %v reports %v", n, Source(i), report.state)
 		}
 	}
-	if etcd.state == Up && dns.state == Up && etcd.unconfirmedSince == 0 && dns.unconfirmedSince == 0 && v.State != Up && c.model.heldUntil[n] <= c.model.now {
+	bothUp := reports[Etcd].confirmedUp() && reports[DNS].confirmedUp()
+	if bothUp && v.State != Up && c.model.heldUntil[n] <= c.model.now {
 		return fmt.Errorf("%s is %v though both sources list it as up", n, v.State)
 	}
 	if x.fails && v.State != before {
 		return fmt.Errorf("a failing source changed %s from %v to %v", n, before, v.State)
 	}
-	from, other := c.model.reports[n][x.from], c.model.reports[n][1-x.from]
-	if x.complete && len(x.reports) == 0 && from.unconfirmedSince > 0 && before == Up && v.State != Up && other.state == Up && other.unconfirmedSince == 0 {
+	emptied := x.complete && len(x.reports) == 0 && reports[x.from].unconfirmedSince > 0
+	if emptied && before == Up && v.State != Up && reports[x.from.other()].confirmedUp() {
 		return fmt.Errorf("%s was removed by a source that emptied at once", n)
 	}
 	return nil
 }
 
-// TestExhaustive applies every sequence of some inputs for two servers, both without any report before and after both sources
-// have listed both as up.
+// TestExhaustive applies every sequence of some inputs for two servers, both without any report before and after both
+// sources have listed both as up.
 func TestExhaustive(t *testing.T) {
 	all := inputs()
 	depth := 4
@@ -137,45 +166,50 @@
 		depth = 3
 	}
 	count := 0
-	sequence := make([]int, depth)
 	for _, begin := range [][]input{nil, {all[5], all[14]}} {
 		if len(begin) > 0 && (begin[0].name != "etcd: all" || begin[1].name != "dns: all") {
 			t.Fatal("the inputs have moved")
 		}
-		clear(sequence)
-		for {
-			c := newComparison()
-			c.model.now = second
-			for _, x := range begin {
-				if err := c.apply(x); err != nil {
-					t.Fatal(err)
-				}
-			}
-			for k, i := range sequence {
-				if err := c.apply(all[i]); err != nil {
-					var names []string
-					for _, i := range sequence[:k+1] {
-						names = append(names, all[i].name)
-					}
-					t.Fatalf("begun with %d inputs, %q: %v", len(begin), names, err)
-				}
+		sequence := make([]int, depth) // indices in all
+		for more := true; more; more = nextSequence(sequence, len(all)) {
+			inputs := slices.Clone(begin)
+			for _, i := range sequence {
+				inputs = append(inputs, all[i])
 			}
+			applyAll(t, inputs)
 			count++
-			k := depth - 1
-			for ; k >= 0; k-- {
-				if sequence[k]++; sequence[k] < len(all) {
-					break
-				}
-				sequence[k] = 0
-			}
-			if k < 0 {
-				break
-			}
 		}
 	}
 	t.Logf("%d sequences of %d inputs", count, depth)
 }
 
+// nextSequence counts a sequence up, each of its digits below base. It reports false after the last one.
+func nextSequence(sequence []int, base int) bool {
+	for k := len(sequence) - 1; k >= 0; k-- {
+		if sequence[k]++; sequence[k] < base {
+			return true
+		}
+		sequence[k] = 0
+	}
+	return false
+}
+
+// applyAll applies inputs to a new ledger and a new model.
+func applyAll(t *testing.T, inputs []input) {
+	t.Helper()
+	c := newComparison()
+	c.model.now = second
+	for k, x := range inputs {
+		if err := c.apply(x); err != nil {
+			var names []string
+			for _, x := range inputs[:k+1] {
+				names = append(names, x.name)
+			}
+			t.Fatalf("%q: %v", names, err)
+		}
+	}
+}
+
 // TestGenerated applies long sequences for four nodes, from fixed seeds.
 func TestGenerated(t *testing.T) {
 	for seed := range int64(200) {
@@ -183,22 +217,7 @@
 		c := newComparison()
 		c.model.now = second
 		for step := range 300 {
-			x := input{from: Source(rng.Intn(2)), reports: map[string]State{}, complete: rng.Intn(3) == 0, started: rng.Intn(5) == 0}
-			switch rng.Intn(6) {
-			case 0:
-				x = input{tick: time.Duration(1+rng.Intn(20)) * second}
-			case 1:
-				x = input{fails: true, from: x.from}
-			default:
-				for _, n := range c.model.nodes {
-					if rng.Intn(3) > 0 {
-						x.reports[n] = State(1 + rng.Intn(3))
-						if x.complete && x.reports[n] == Removed {
-							delete(x.reports, n)
-						}
-					}
-				}
-			}
+			x := generate(rng, c.model.nodes)
 			if err := c.apply(x); err != nil {
 				t.Fatalf("seed %d, step %d, %+v: %v", seed, step, x, err)
 			}
@@ -206,13 +225,43 @@
 	}
 }
 
+// generate draws an input.
+func generate(rng *rand.Rand, nodes []string) input {
+	x := input{
+		from:     Source(rng.Intn(2)),
+		reports:  map[string]State{},
+		complete: rng.Intn(3) == 0,
+		started:  rng.Intn(5) == 0,
+	}
+	switch rng.Intn(6) {
+	case 0:
+		return input{tick: time.Duration(1+rng.Intn(20)) * second}
+	case 1:
+		return input{fails: true, from: x.from}
+	}
+	for _, n := range nodes {
+		if rng.Intn(3) == 0 {
+			continue
+		}
+		if state := State(1 + rng.Intn(3)); !x.complete || state != Removed {
+			x.reports[n] = state
+		}
+	}
+	return x
+}
+
 // TestFlapping has a source take a node out and in for ten minutes: the decision module is notified of few returns.
 func TestFlapping(t *testing.T) {
 	c := newComparison()
 	c.model.now = second
 	ups := 0
 	for range 300 {
-		for _, x := range []input{{reports: map[string]State{"a": Up}}, {tick: second}, {reports: map[string]State{"a": Draining}}, {tick: second}} {
+		for _, x := range []input{
+			{reports: map[string]State{"a": Up}},
+			{tick: second},
+			{reports: map[string]State{"a": Draining}},
+			{tick: second},
+		} {
 			was := c.list["a"]
 			if err := c.apply(x); err != nil {
 				t.Fatal(err)
@@ -223,11 +272,12 @@
 		}
 	}
 	if ups > 20 { // 300 without the rule
-		t.Errorf("the module heard the node come back %d times in ten minutes", ups)
+		t.Errorf("the module was notified of %d returns in ten minutes", ups)
 	}
 }
 
-// TestSeveralReportsAtOnce has a source report one server several times at once, as a watch does that was held up: the last report decides.
+// TestSeveralReportsAtOnce has a source report one server several times at once, as a watch does that was held up:
+// the last report decides.
 func TestSeveralReportsAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, reports []State
@@ -252,7 +302,8 @@
 			}
 			var all []Report
 			for i, state := range c.reports { // the start shows which of them the ledger took
-				all = append(all, Report{Member: honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}, State: state})
+				member := honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}
+				all = append(all, Report{Member: member, State: state})
 			}
 			ledger.Delta(now+second, Etcd, all)
 			v, _ := ledger.View("a")
@@ -263,7 +314,8 @@
 	}
 }
 
-// TestSurelyNewerStart has DNS list as up what etcd has taken out: only a start that surely came after that puts it back.
+// TestSurelyNewerStart has DNS list as up what etcd has taken out: only a start that surely came after that puts it
+// back.
 func TestSurelyNewerStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		out            State
@@ -282,7 +334,11 @@
 			ledger := New(Settings{MaxRemovedShare: 1})
 			ledger.Delta(10*second, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: Up}})
 			ledger.Delta(20*second, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: c.out}})
-			ledger.Complete(30*second, DNS, []Report{{Member: honeyplank.Member{ID: "a", Started: c.started}, State: Up, StartedAfter: c.after}})
+			ledger.Complete(30*second, DNS, []Report{{
+				Member:       honeyplank.Member{ID: "a", Started: c.started},
+				State:        Up,
+				StartedAfter: c.after,
+			}})
 			if v, _ := ledger.View("a"); v.State != c.want {
 				t.Errorf("%v, want %v", v.State, c.want)
 			}
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -24,7 +24,9 @@
 
 // String is the cause as logs and the nodes command show it.
 func (c Cause) String() string {
-	return [...]string{"unheard", "agreed", "said", "newer start", "vanishing doubted", "vanishing confirmed", "held back"}[c]
+	return [...]string{
+		"unheard", "agreed", "said", "newer start", "vanishing doubted", "vanishing confirmed", "held back",
+	}[c]
 }
 
 // mergeRule is the merged state by what etcd (row) and DNS (column) report; an unconfirmed removal counts as the state
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -21,8 +21,17 @@
 	unconfirmedSince time.Duration // 0: there is no unconfirmed removal
 }
 
+// confirmedUp reports whether the server is listed as up, without an unconfirmed removal.
+func (r *modelReport) confirmedUp() bool { return r.state == Up && r.unconfirmedSince == 0 }
+
 func newModel() *model {
-	m := &model{reports: map[string]*[2]modelReport{}, heldUntil: map[string]time.Duration{}, returns: map[string][]time.Duration{}, holdLength: map[string]time.Duration{}, state: map[string]State{}}
+	m := &model{
+		reports:    map[string]*[2]modelReport{},
+		heldUntil:  map[string]time.Duration{},
+		returns:    map[string][]time.Duration{},
+		holdLength: map[string]time.Duration{},
+		state:      map[string]State{},
+	}
 	for _, n := range []string{"a", "b", "c", "d"} {
 		m.nodes, m.reports[n] = append(m.nodes, n), &[2]modelReport{}
 	}
@@ -65,10 +74,7 @@
 			if x.started {
 				started = m.now
 			}
-			if report.state != state || report.started != started || report.unconfirmedSince > 0 {
-				report.at = m.now
-			}
-			report.state, report.started, report.unconfirmedSince = state, started, 0
+			report.set(m.now, state, started)
 			touched[n] = true
 		case listedBefore && (reported || x.complete):
 			removed = append(removed, n)
@@ -78,8 +84,16 @@
 	m.remove(x.from, removed, listed)
 }
 
-// remove removes servers of a source that listed so many before.
-func (m *model) remove(from Source, removed []string, listed int) {
+// set is a report of a server as listed.
+func (r *modelReport) set(now time.Duration, state State, started time.Duration) {
+	if r.state != state || r.started != started || r.unconfirmedSince > 0 {
+		r.at = now
+	}
+	r.state, r.started, r.unconfirmedSince = state, started, 0
+}
+
+// tooMany reports whether a source that listed so many servers before removes too many at once.
+func (m *model) tooMany(from Source, removed []string, listed int) bool {
 	recent := 0
 	for _, at := range m.removals[from] {
 		if at > m.now-testSettings.ConfirmAfter {
@@ -92,7 +106,12 @@
 			removedUp++
 		}
 	}
-	tooMany := listed+recent > 1 && float64(removedUp+recent) > testSettings.MaxRemovedShare*float64(listed+recent)
+	return listed+recent > 1 && float64(removedUp+recent) > testSettings.MaxRemovedShare*float64(listed+recent)
+}
+
+// remove removes servers of a source that listed so many before.
+func (m *model) remove(from Source, removed []string, listed int) {
+	tooMany := m.tooMany(from, removed, listed)
 	for _, n := range removed {
 		report := &m.reports[n][from]
 		if tooMany && report.state == Up {
@@ -112,7 +131,8 @@
 func (m *model) merge(n string) {
 	for i := range 2 {
 		report, other := &m.reports[n][i], &m.reports[n][1-i]
-		if report.unconfirmedSince > 0 && m.now >= report.unconfirmedSince+testSettings.ConfirmAfter && (other.state != Up || other.unconfirmedSince > 0) {
+		lasted := report.unconfirmedSince > 0 && m.now >= report.unconfirmedSince+testSettings.ConfirmAfter
+		if lasted && !other.confirmedUp() {
 			report.state, report.at, report.unconfirmedSince = Removed, m.now, 0
 		}
 	}
@@ -120,7 +140,7 @@
 	if worst >= Draining {
 		for i := range 2 {
 			report, other := &m.reports[n][i], &m.reports[n][1-i]
-			if report.state >= Draining && other.state == Up && other.unconfirmedSince == 0 && other.started > report.at {
+			if report.state >= Draining && other.confirmedUp() && other.started > report.at {
 				worst = Up
 			}
 		}
--- a/membership/removal.go
+++ b/membership/removal.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// remove takes in that a source, which listed so many servers before, has removed some. A small part is followed at
+// remove records that a source, which listed so many servers before, has removed some. A small part is followed at
 // once; of a large part within ConfirmAfter the servers that were up stay, as an unconfirmed removal. This guards
 // against a source that empties by mistake, at once or key by key as leases run out. It could harm where a large part
 // of a fleet really goes: dispatches to it then fail until the removal is confirmed. A server that was draining gets no
