--- a/estimates/disk.go
+++ b/estimates/disk.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// fileSystem is the calls of a write to the system. Tests replace it to have calls fail.
+// fileSystem is what a write needs of the system. Tests replace it to have calls fail.
 type fileSystem interface {
 	// Lock takes the lock of a folder without waiting: errLocked where it is held. The lock is free again once its
 	// holder has ended, however it did.
@@ -38,13 +38,13 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // opened for reading only: nothing is lost
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = errLocked
 		}
 		return nil, err
 	}
-	return func() { f.Close() }, nil
+	return func() { _ = f.Close() }, nil // the lock ends with the descriptor, also where Close fails
 }
 
 func (disk) List(folder string) ([]fs.DirEntry, error) { return os.ReadDir(folder) }
--- a/estimates/record.go
+++ b/estimates/record.go
@@ -1,6 +1,9 @@
-// Package estimates reads and writes the file in which an instance keeps its latency estimates of disk servers across a
-// restart. docs/migration.md has the format and which estimates are kept. The package decides nothing: what an estimate
-// is still worth, the decision module decides by its age and the server's last start.
+// Package estimates reads and writes the file in which an instance saves its latency estimates of disk servers for the
+// next start. docs/migration.md has the format and which estimates are saved. The package decides nothing: the decision
+// module decides by age and by the server's last start which estimates it still uses.
+//
+// The package starts no goroutine. Its functions block on the disk, so the program calls them apart from the event
+// loop; a Record that is being written must not be changed.
 package estimates
 
 import (
@@ -49,7 +52,7 @@
 func (r *Record) Encode() ([]byte, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("estimates: %w", err)
 	}
 	return append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(body, checksumTable)), body...), nil
 }
@@ -93,18 +96,28 @@
 func FromEvent(saved honeyplank.SavedEstimates, unit int64, wall func(time.Duration) time.Time) *Record {
 	r := &Record{Unit: unit, TypicalLatency: saved.TypicalLatency}
 	for _, s := range saved.Servers {
-		r.Servers = append(r.Servers, Server{string(s.Server), wall(s.At), s.BestPerUnit, s.Latency})
+		r.Servers = append(r.Servers, Server{
+			ID:          string(s.Server),
+			At:          wall(s.At),
+			BestPerUnit: s.BestPerUnit,
+			Latency:     s.Latency,
+		})
 	}
 	return r
 }
 
-// ToEvent is the record for the decision module of an instance; unit is the size of its units in bytes, and clock
+// ToEvent converts the record for the decision module of an instance; unit is the size of its units in bytes, and clock
 // converts a wall clock time to its clock. Where the record has units of another size, a latency for each unit means
 // something else and is left out.
 func (r *Record) ToEvent(unit int64, clock func(time.Time) time.Duration) honeyplank.SavedEstimates {
 	saved := honeyplank.SavedEstimates{TypicalLatency: r.TypicalLatency}
 	for _, s := range r.Servers {
-		estimate := honeyplank.ServerEstimate{Server: honeyplank.ServerID(s.ID), At: clock(s.At), BestPerUnit: s.BestPerUnit, Latency: s.Latency}
+		estimate := honeyplank.ServerEstimate{
+			Server:      honeyplank.ServerID(s.ID),
+			At:          clock(s.At),
+			BestPerUnit: s.BestPerUnit,
+			Latency:     s.Latency,
+		}
 		if r.Unit != unit {
 			estimate.BestPerUnit = 0
 		}
--- a/estimates/retry.go
+++ b/estimates/retry.go
@@ -5,22 +5,23 @@
 	"errors"
 	"io/fs"
 	"os"
+	"slices"
 	"syscall"
 	"time"
 )
 
-// lockedAttempts is after how many attempts a write goes on without the lock. Its holder may be a program that knows
-// nothing of this use of it, or a writer that the system doesn't let go. It could harm where the holder is a writer that
-// is alive and removes the temporary file: the rename fails then, and the write is tried again.
+// lockedAttempts is the number of attempts after which a write goes on without the lock. Its holder may be another
+// program, or a writer that the system doesn't let go. It could harm where the holder is a writer that is alive and
+// removes the temporary file: the rename fails then, and the write is retried.
 const lockedAttempts = 8
 
-// writeBackoff is the waits between the attempts of a write.
+// writeBackoff has the waits between the attempts of a write.
 var writeBackoff = Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 
-// Backoff is the waits between attempts: Initial after the first that failed, then twice as long each, up to Max.
+// Backoff has the waits between attempts: Initial after the first that failed, then twice as long each, up to Max.
 type Backoff struct{ Initial, Max time.Duration }
 
-// Wait is the wait after so many attempts have failed.
+// Wait returns the wait after so many attempts have failed.
 func (b Backoff) Wait(failed int) time.Duration {
 	wait := b.Initial
 	for ; failed > 1 && wait < b.Max; failed-- {
@@ -29,14 +30,15 @@
 	return min(wait, b.Max)
 }
 
-// WriteWithRetry writes a record as Write does, and again with growing waits until it has succeeded, the context is over,
-// or the error is one that waiting does not mend. failed is called with the first error only. A call of the system may
-// block past the context's end: a caller that can't wait for that runs it on a goroutine.
+// WriteWithRetry writes a record as Write does, and again with growing waits until it has succeeded, the context is
+// over, or the error is one that waiting does not mend. failed is called with the first error only. A call of the
+// system may block past the context's end: a caller that can't wait for that runs it on a goroutine.
 func (r *Record) WriteWithRetry(ctx context.Context, file string, failed func(error)) error {
-	return r.writeWithRetry(ctx, disk{}, file, failed)
+	return r.retryWrite(ctx, disk{}, file, failed)
 }
 
-func (r *Record) writeWithRetry(ctx context.Context, system fileSystem, file string, failed func(error)) error {
+// retryWrite is WriteWithRetry on a file system.
+func (r *Record) retryWrite(ctx context.Context, system fileSystem, file string, failed func(error)) error {
 	content, err := r.Encode()
 	if err != nil {
 		return err
@@ -60,17 +62,22 @@
 	}
 }
 
-// isPermanent reports whether an error is one that waiting does not mend: a folder that is missing or may not be written, a
-// directory in the place of the file. A temporary file that was removed before it was renamed is not.
+// isPermanent reports whether an error is one that waiting does not mend: a folder that is missing or may not be
+// written, a directory in the place of the file. A temporary file that was removed before it was renamed is not.
 func isPermanent(err error) bool {
 	var renamed *os.LinkError
 	if errors.As(err, &renamed) && errors.Is(err, fs.ErrNotExist) {
 		return false
 	}
-	for _, kind := range []error{fs.ErrNotExist, fs.ErrPermission, fs.ErrExist, syscall.ENOTDIR, syscall.EISDIR, syscall.EROFS, syscall.ENAMETOOLONG} {
-		if errors.Is(err, kind) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(permanentErrors, func(kind error) bool { return errors.Is(err, kind) })
+}
+
+var permanentErrors = []error{
+	fs.ErrNotExist,
+	fs.ErrPermission,
+	fs.ErrExist,
+	syscall.ENOTDIR,
+	syscall.EISDIR,
+	syscall.EROFS,
+	syscall.ENAMETOOLONG,
 }
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -11,7 +11,8 @@
 const (
 	// temporaryPattern is the pattern of the names of temporary files, for os.CreateTemp.
 	temporaryPattern = ".learnt-*.tmp"
-	// unlockedWriterAge is the age from which on a temporary file of a version that took no lock has no writer any more.
+	// unlockedWriterAge is the age from which on a temporary file of a version that took no lock has no writer any
+	// more.
 	unlockedWriterAge = time.Hour
 )
 
@@ -25,8 +26,8 @@
 // errLocked: another writer holds the folder's lock.
 var errLocked = errors.New("estimates: another writer holds the folder's lock")
 
-// Write replaces a file as a whole or leaves it as it was, and removes the temporary files of killed writers. It fails at
-// once where another writer is at work in the folder.
+// Write replaces a file as a whole or leaves it as it was, and removes the temporary files of killed writers. It
+// fails at once where another writer is at work in the folder.
 func (r *Record) Write(file string) error {
 	content, err := r.Encode()
 	if err != nil {
@@ -35,9 +36,9 @@
 	return replace(disk{}, file, content)
 }
 
-// replace puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new file
-// is there as a whole, also after a loss of power. After success no temporary file is left. After an error the file may be
-// the old or the new one.
+// replace puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new
+// file is there as a whole, also after a loss of power. After success no temporary file is left. After an error the
+// file may be the old or the new one.
 func replace(system fileSystem, name string, content []byte) error {
 	folder := filepath.Dir(name)
 	unlock, err := system.Lock(folder)
@@ -48,7 +49,7 @@
 	locked := err == nil
 	if locked {
 		defer unlock()
-		removeTemporary(system, name) // before, as they may fill the disk; what fails here is tried again after
+		_ = removeTemporary(system, name) // they may fill the disk; what fails here is retried after the write
 	}
 	if err := writeAndRename(system, name, content); err != nil {
 		return err
@@ -74,18 +75,18 @@
 		err = system.Rename(f.Name(), name)
 	}
 	if err != nil {
-		system.Remove(f.Name()) // where that fails too, the next write removes it
+		_ = system.Remove(f.Name()) // where that fails too, the next write removes it
 	}
 	return err
 }
 
-// removeTemporary removes the temporary files of killed writers from the folder of a file, which is kept itself. Only the
-// holder of the folder's lock may call it: no temporary file has a writer then. Other files are not touched.
+// removeTemporary removes the temporary files of killed writers from the folder of a file, but not the file itself.
+// Only the holder of the folder's lock may call it: no temporary file has a writer then. Other files are not touched.
 func removeTemporary(system fileSystem, name string) error {
-	folder, kept := filepath.Split(filepath.Clean(name))
+	folder, own := filepath.Split(filepath.Clean(name))
 	list, err := system.List(filepath.Dir(name))
 	for _, entry := range list {
-		if entry.Name() == kept || !entry.Type().IsRegular() || !isTemporary(entry) {
+		if entry.Name() == own || !entry.Type().IsRegular() || !isTemporary(entry) {
 			continue
 		}
 		if e := system.Remove(folder + entry.Name()); !errors.Is(e, fs.ErrNotExist) {
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -206,7 +206,7 @@
 							left--
 							return kind, done
 						}}
-						err := versions()[1].writeWithRetry(t.Context(), system, name, func(error) { reported++ })
+						err := versions()[1].retryWrite(t.Context(), system, name, func(error) { reported++ })
 						if err != nil || left != 0 && (call != "remove" || !done) || reported > 1 || reported == 0 && call != "list" && call != "remove" {
 							t.Errorf("%s fails with %v, %d times, done %v: %v, %d not met, reported %d times", call, kind, run, done, err, left, reported)
 						}
@@ -298,7 +298,7 @@
 		}
 		return nil, false
 	}}
-	if err := record().writeWithRetry(ctx, system, name, func(error) { reported++ }); !errors.Is(err, syscall.ENOSPC) || tried < 9 || reported != 1 {
+	if err := record().retryWrite(ctx, system, name, func(error) { reported++ }); !errors.Is(err, syscall.ENOSPC) || tried < 9 || reported != 1 {
 		t.Errorf("%v after %d attempts, reported %d times", err, tried, reported)
 	}
 	readVersion(t, name)
@@ -329,7 +329,7 @@
 		}
 		return nil, false
 	}}
-	if err := versions()[1].writeWithRetry(t.Context(), system, name, nil); err != nil || readVersion(t, name) != 1 || !slices.Equal(otherFiles(t, name), all) {
+	if err := versions()[1].retryWrite(t.Context(), system, name, nil); err != nil || readVersion(t, name) != 1 || !slices.Equal(otherFiles(t, name), all) {
 		t.Errorf("without locks: %v, %v", err, otherFiles(t, name))
 	}
 	if err := versions()[0].Write(name); err != nil || readVersion(t, name) != 0 || !slices.Equal(otherFiles(t, name), others) {
