--- a/estimates/record.go
+++ b/estimates/record.go
@@ -57,7 +57,7 @@
 	return append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(body, checksumTable)), body...), nil
 }
 
-// Decode decodes the content of a file. A file that is damaged in any part is an error as a whole: ErrFormat,
+// Decode decodes the content of a file. A file that is damaged in any part is an error: ErrFormat,
 // ErrChecksum, ErrValue or one of the JSON decoder.
 func Decode(content []byte) (*Record, error) {
 	head, body, ok := bytes.Cut(content, []byte("\n"))
--- a/estimates/record_test.go
+++ b/estimates/record_test.go
@@ -1,6 +1,8 @@
 package estimates
 
 import (
+	"bytes"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"os"
@@ -14,12 +16,14 @@
 
 func record() *Record {
 	return &Record{Unit: 16 << 10, TypicalLatency: 0.03, Servers: []Server{
-		{"127.0.0.1:5001", time.UnixMilli(1_000_000).UTC(), 0.002, 0.01}, {"127.0.0.1:5002", time.UnixMilli(2_000_000).UTC(), 0.02, 0.3}}}
+		{"127.0.0.1:5001", time.UnixMilli(1_000_000).UTC(), 0.002, 0.01},
+		{"127.0.0.1:5002", time.UnixMilli(2_000_000).UTC(), 0.02, 0.3},
+	}}
 }
 
 // TestFile writes and reads a file, and reads it damaged.
 func TestFile(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "learnt")
+	file := filepath.Join(t.TempDir(), "estimates")
 	if _, err := Read(file); !os.IsNotExist(err) {
 		t.Errorf("no file: %v", err)
 	}
@@ -31,12 +35,15 @@
 	if r, err := Read(file); err != nil || !reflect.DeepEqual(r, record()) {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if list, _ := os.ReadDir(filepath.Dir(file)); len(list) != 1 {
-		t.Errorf("left beside it: %v", list)
+	if others := otherFiles(t, file); len(others) > 0 {
+		t.Errorf("left beside it: %v", others)
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
 	}
-	b, _ := os.ReadFile(file)
 	for i := range b { // any one byte changed
-		c := append([]byte(nil), b...)
+		c := bytes.Clone(b)
 		c[i] ^= 1
 		if _, err := Decode(c); err == nil {
 			t.Fatalf("byte %d changed: read as valid", i)
@@ -45,12 +52,18 @@
 			t.Fatalf("cut at %d: read as valid", i)
 		}
 	}
+}
+
+// TestNegativeLatency decodes a record with a latency that can't be.
+func TestNegativeLatency(t *testing.T) {
 	bad := record()
 	bad.Servers[0].BestPerUnit = -1
-	if b, _ := bad.Encode(); b != nil {
-		if _, err := Decode(b); err == nil {
-			t.Error("a negative latency is read as valid")
-		}
+	b, err := bad.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Decode(b); !errors.Is(err, ErrValue) {
+		t.Errorf("a negative latency: %v", err)
 	}
 }
 
@@ -58,13 +71,15 @@
 func TestOtherUnits(t *testing.T) {
 	clock := func(at time.Time) time.Duration { return at.Sub(time.UnixMilli(0)) }
 	same, other := record().ToEvent(16<<10, clock), record().ToEvent(4<<10, clock)
-	if k := same.Servers[1]; k != (honeyplank.ServerEstimate{Server: "127.0.0.1:5002", At: 2000 * time.Second, BestPerUnit: 0.02, Latency: 0.3}) {
+	want := honeyplank.ServerEstimate{Server: "127.0.0.1:5002", At: 2000 * time.Second, BestPerUnit: 0.02, Latency: 0.3}
+	if k := same.Servers[1]; k != want {
 		t.Errorf("same units: %+v", k)
 	}
 	if k := other.Servers[1]; k.BestPerUnit != 0 || k.Latency != 0.3 {
 		t.Errorf("other units: %+v", k)
 	}
-	if back := FromEvent(same, 16<<10, func(d time.Duration) time.Time { return time.UnixMilli(0).Add(d).UTC() }); !reflect.DeepEqual(back, record()) {
+	wall := func(d time.Duration) time.Time { return time.UnixMilli(0).Add(d).UTC() }
+	if back := FromEvent(same, 16<<10, wall); !reflect.DeepEqual(back, record()) {
 		t.Errorf("there and back: %+v", back)
 	}
 }
@@ -72,13 +87,17 @@
 // FuzzDecode reads any bytes, as a file and as the content under a right checksum: no panic, and what is read as valid
 // is written and read back the same.
 func FuzzDecode(f *testing.F) {
-	b, _ := record().Encode()
+	b, err := record().Encode()
+	if err != nil {
+		f.Fatal(err)
+	}
 	f.Add(b)
 	f.Add(b[len(magic)+9:])
 	f.Add([]byte(magic + "00000000\n"))
 	f.Add([]byte(`{"unit":-1,"usual":1e999,"servers":[{"at":"0001-01-01T00:00:00Z","best":-0}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		for _, file := range [][]byte{b, append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(b, checksumTable)), b...)} {
+		withChecksum := append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(b, checksumTable)), b...)
+		for _, file := range [][]byte{b, withChecksum} {
 			r, err := Decode(file)
 			if err != nil {
 				continue
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -26,7 +26,7 @@
 // errLocked: another writer holds the folder's lock.
 var errLocked = errors.New("estimates: another writer holds the folder's lock")
 
-// Write replaces a file as a whole or leaves it as it was, and removes the temporary files of killed writers. It
+// Write replaces a file completely or leaves it as it was, and removes the temporary files of killed writers. It
 // fails at once where another writer is at work in the folder.
 func (r *Record) Write(file string) error {
 	content, err := r.Encode()
@@ -37,7 +37,7 @@
 }
 
 // replace puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new
-// file is there as a whole, also after a loss of power. After success no temporary file is left. After an error the
+// file is there, complete, also after a loss of power. After success no temporary file is left. After an error the
 // file may be the old or the new one.
 func replace(system fileSystem, name string, content []byte) error {
 	folder := filepath.Dir(name)
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -1,10 +1,12 @@
 package estimates
 
 import (
+	"bufio"
 	"bytes"
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"math/rand"
 	"os"
@@ -18,7 +20,7 @@
 	"time"
 )
 
-const writerEnv = "LEARNT_TEST_WRITER"
+const writerEnv = "ESTIMATES_TEST_WRITER"
 
 // TestMain writes a file again and again where the environment names one.
 func TestMain(m *testing.M) {
@@ -36,13 +38,18 @@
 	}
 }
 
-// versions are two records of several pages each, so that a part of one is not the whole.
+// versions are two records of several pages each, so that a part of one is not valid.
 func versions() [2]*Record {
 	var list [2]*Record
 	for i := range list {
 		list[i] = &Record{Unit: 16 << 10, TypicalLatency: float64(i + 1)}
 		for n := range 100 {
-			list[i].Servers = append(list[i].Servers, Server{fmt.Sprintf("127.0.0.1:%d", 5000+n), time.UnixMilli(1_000_000).UTC(), 0.002, float64(i+1) / 64})
+			list[i].Servers = append(list[i].Servers, Server{
+				ID:          fmt.Sprintf("127.0.0.1:%d", 5000+n),
+				At:          time.UnixMilli(1_000_000).UTC(),
+				BestPerUnit: 0.002,
+				Latency:     float64(i+1) / 64,
+			})
 		}
 	}
 	return list
@@ -50,7 +57,11 @@
 
 var encoded = sync.OnceValue(func() (list [2][]byte) {
 	for i, version := range versions() {
-		list[i], _ = version.Encode()
+		b, err := version.Encode()
+		if err != nil {
+			panic(err)
+		}
+		list[i] = b
 	}
 	return list
 })
@@ -64,7 +75,7 @@
 			return i
 		}
 	}
-	t.Fatalf("the file is neither version whole: %d bytes, %v", len(b), err)
+	t.Fatalf("the file is neither complete version: %d bytes, %v", len(b), err)
 	return -1
 }
 
@@ -83,8 +94,8 @@
 	return names
 }
 
-// faultSystem is the system's file system with faults. fault returns the error of each call; done: the call is carried out
-// all the same, a write by half.
+// faultSystem is the system's file system with faults. fault returns the error of each call; done: the call is
+// carried out all the same, a write by half.
 type faultSystem struct {
 	disk
 	calls []string
@@ -98,7 +109,7 @@
 		return do()
 	}
 	if done {
-		do()
+		_ = do() // the call reports its fault, whatever else happened
 	}
 	return err
 }
@@ -129,8 +140,8 @@
 	return f.do("remove", func() error { return f.disk.Remove(name) })
 }
 
-func (f *faultSystem) SyncFolder(folder string) error {
-	return f.do("sync folder", func() error { return nil }) // no power is cut here, and the tests are sooner done
+func (f *faultSystem) SyncFolder(string) error {
+	return f.do("sync folder", func() error { return nil }) // no power is cut here, and the tests are faster
 }
 
 type faultFile struct {
@@ -158,17 +169,19 @@
 func folder(t *testing.T) (name string, others []string) {
 	t.Helper()
 	dir := t.TempDir()
-	name = filepath.Join(dir, "learnt")
+	name = filepath.Join(dir, "estimates")
 	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	others = []string{".learnt-77", ".learnt-backup", "x.learnt-1.tmp"} // .learnt-77 may have a writer that takes no lock
+	// .learnt-77 may have a writer that takes no lock; the others have names of no temporary file.
+	others = []string{".learnt-77", ".learnt-backup", "x.learnt-1.tmp"}
 	for _, other := range append([]string{".learnt-5.tmp", ".learnt-6"}, others...) {
 		if err := os.WriteFile(filepath.Join(dir, other), []byte(magic), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := os.Chtimes(filepath.Join(dir, ".learnt-6"), time.Time{}, time.Now().Add(-2*unlockedWriterAge)); err != nil {
+	old := time.Now().Add(-2 * unlockedWriterAge)
+	if err := os.Chtimes(filepath.Join(dir, ".learnt-6"), time.Time{}, old); err != nil {
 		t.Fatal(err)
 	}
 	return name, others
@@ -183,10 +196,11 @@
 }
 
 // TestFaults has each call fail in each way, once and in runs, before and after it was carried out: at every call the
-// file is the old or the new one as a whole; in the end it is the new one, alone but for what is no temporary file.
+// file is the complete old or new one; in the end it is the new one, and no temporary file is beside it.
 func TestFaults(t *testing.T) {
 	withoutWaits(t)
-	for _, call := range []string{"lock", "list", "create", "write", "sync", "close", "rename", "remove", "sync folder"} {
+	calls := []string{"lock", "list", "create", "write", "sync", "close", "rename", "remove", "sync folder"}
+	for _, call := range calls {
 		kinds := []error{syscall.ENOSPC, syscall.EIO, syscall.EMFILE}
 		if call == "lock" {
 			kinds = []error{errLocked}
@@ -194,80 +208,128 @@
 		t.Run(call, func(t *testing.T) {
 			t.Parallel()
 			for _, kind := range kinds {
-				for _, run := range []int{1, 2, 7} {
-					for _, done := range []bool{false, true} {
-						name, others := folder(t)
-						left, reported := run, 0
-						system := &faultSystem{fault: func(at string) (error, bool) {
-							readVersion(t, name)
-							if at != call || left == 0 {
-								return nil, false
-							}
-							left--
-							return kind, done
-						}}
-						err := versions()[1].retryWrite(t.Context(), system, name, func(error) { reported++ })
-						if err != nil || left != 0 && (call != "remove" || !done) || reported > 1 || reported == 0 && call != "list" && call != "remove" {
-							t.Errorf("%s fails with %v, %d times, done %v: %v, %d not met, reported %d times", call, kind, run, done, err, left, reported)
-						}
-						if n, names := readVersion(t, name), otherFiles(t, name); n != 1 || !slices.Equal(names, others) {
-							t.Errorf("%s fails with %v, %d times, done %v: version %d, beside it %v", call, kind, run, done, n, names)
-						}
-					}
+				for _, times := range []int{1, 2, 7} {
+					faultCase{call, kind, times, false}.check(t)
+					faultCase{call, kind, times, true}.check(t)
 				}
 			}
 		})
 	}
 }
 
-// TestKilledBetween ends a writer before each call of a write, and half through it: the file is whole, and the next
+// faultCase is a call that fails so many times with an error, before or, with done, after it was carried out.
+type faultCase struct {
+	call  string
+	kind  error
+	times int
+	done  bool
+}
+
+// check writes the second version over the first.
+func (c faultCase) check(t *testing.T) {
+	t.Helper()
+	name, others := folder(t)
+	left, reported := c.times, 0
+	system := &faultSystem{fault: func(call string) (error, bool) {
+		readVersion(t, name)
+		if call != c.call || left == 0 {
+			return nil, false
+		}
+		left--
+		return c.kind, c.done
+	}}
+	err := versions()[1].retryWrite(t.Context(), system, name, func(error) { reported++ })
+	if err != nil {
+		t.Errorf("%+v: %v", c, err)
+	}
+	if left != 0 && (c.call != "remove" || !c.done) {
+		t.Errorf("%+v: %d faults not met", c, left)
+	}
+	if reported > 1 || reported == 0 && c.call != "list" && c.call != "remove" {
+		t.Errorf("%+v: reported %d times", c, reported)
+	}
+	checkSecondVersionAlone(t, name, others)
+}
+
+// checkSecondVersionAlone checks that a file is the second version and that there are just the others beside it.
+func checkSecondVersionAlone(t *testing.T, name string, others []string) {
+	t.Helper()
+	if n, names := readVersion(t, name), otherFiles(t, name); n != 1 || !slices.Equal(names, others) {
+		t.Errorf("version %d, beside it %v", n, names)
+	}
+}
+
+// TestKilledBetween ends a writer before each call of a write, and halfway through it: the file is complete, and the next
 // write leaves nothing of it.
 func TestKilledBetween(t *testing.T) {
-	killed := errors.New("killed")
-	seen := [2]int{}
-	for last := 0; ; last++ {
-		for _, done := range []bool{false, true} {
+	seen := map[killOutcome]int{}
+	for completed := 0; seen[notKilled] == 0; completed++ {
+		for _, half := range []bool{false, true} {
 			name, others := folder(t)
-			n := 0
-			system := &faultSystem{fault: func(string) (error, bool) {
-				if n++; n <= last {
-					return nil, false
-				}
-				return killed, done && n == last+1
-			}}
-			if err := replace(system, name, nil); last == 0 && err == nil {
-				t.Fatal("no call at all")
-			}
-			if n <= last { // it was not killed
-				if seen[0] == 0 || seen[1] == 0 {
-					t.Errorf("killed with the old file %d times, with the new one %d", seen[0], seen[1])
-				}
-				return
-			}
-			if b, err := os.ReadFile(name); err != nil || len(b) > 0 {
-				readVersion(t, name)
-				seen[0]++
-			} else {
-				seen[1]++ // the new one is empty here
+			outcome := killedWriter{completed, half}.write(t, name)
+			seen[outcome]++
+			if outcome == notKilled {
+				break
 			}
 			if err := versions()[1].Write(name); err != nil {
 				t.Fatal(err)
 			}
-			if n, names := readVersion(t, name), otherFiles(t, name); n != 1 || !slices.Equal(names, others) {
-				t.Errorf("killed at call %d, done %v: version %d, beside it %v", last, done, n, names)
-			}
+			checkSecondVersionAlone(t, name, others)
 		}
 	}
+	if seen[oldFile] == 0 || seen[newFile] == 0 {
+		t.Errorf("killed with the old file %d times, with the new one %d", seen[oldFile], seen[newFile])
+	}
+}
+
+// killOutcome is what a writer has left.
+type killOutcome int
+
+const (
+	notKilled killOutcome = iota // the write has fewer calls
+	oldFile
+	newFile
+)
+
+// killedWriter is a writer that is killed after so many calls, with half halfway through the next one.
+type killedWriter struct {
+	completed int
+	half      bool
+}
+
+// write replaces the first version by an empty file, until it is killed.
+func (w killedWriter) write(t *testing.T, name string) killOutcome {
+	t.Helper()
+	killed := errors.New("killed")
+	calls := 0
+	system := &faultSystem{fault: func(string) (error, bool) {
+		if calls++; calls <= w.completed {
+			return nil, false
+		}
+		return killed, w.half && calls == w.completed+1
+	}}
+	if err := replace(system, name, nil); w.completed == 0 && err == nil {
+		t.Fatal("no call at all")
+	}
+	if calls <= w.completed {
+		return notKilled
+	}
+	if b, err := os.ReadFile(name); err == nil && len(b) == 0 {
+		return newFile
+	}
+	readVersion(t, name)
+	return oldFile
 }
 
 // TestOrder checks the order of the calls: the content is synced before it takes the file's place, the folder after.
 func TestOrder(t *testing.T) {
 	system := &faultSystem{fault: func(string) (error, bool) { return nil, false }}
-	if err := replace(system, filepath.Join(t.TempDir(), "learnt"), []byte(magic)); err != nil {
+	if err := replace(system, filepath.Join(t.TempDir(), "estimates"), []byte(magic)); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := strings.Join(system.calls, ", "), "lock, list, create, write, sync, close, rename, sync folder, list"; got != want {
-		t.Errorf("%s; want %s", got, want)
+	want := []string{"lock", "list", "create", "write", "sync", "close", "rename", "sync folder", "list"}
+	if !slices.Equal(system.calls, want) {
+		t.Errorf("%q; want %q", system.calls, want)
 	}
 }
 
@@ -280,62 +342,81 @@
 	if err := os.MkdirAll(filepath.Join(taken, "inside"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{filepath.Join(name, "learnt"), filepath.Join(taken, "missing", "learnt"), taken} {
+	for _, bad := range []string{filepath.Join(name, "estimates"), filepath.Join(taken, "missing", "estimates"), taken} {
 		reported := 0
-		if err := record().WriteWithRetry(context.Background(), bad, func(error) { reported++ }); err == nil || reported > 0 {
+		err := record().WriteWithRetry(context.Background(), bad, func(error) { reported++ })
+		if err == nil || reported > 0 {
 			t.Errorf("%s: %v, reported %d times", bad, err, reported)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	tried, reported := 0, 0
+	attempts, reported := 0, 0
 	system := &faultSystem{fault: func(call string) (error, bool) {
 		if call == "create" {
-			if tried++; tried == 9 {
+			if attempts++; attempts == 9 {
 				cancel()
 			}
 			return syscall.ENOSPC, false
 		}
 		return nil, false
 	}}
-	if err := record().retryWrite(ctx, system, name, func(error) { reported++ }); !errors.Is(err, syscall.ENOSPC) || tried < 9 || reported != 1 {
-		t.Errorf("%v after %d attempts, reported %d times", err, tried, reported)
+	err := record().retryWrite(ctx, system, name, func(error) { reported++ })
+	if !errors.Is(err, syscall.ENOSPC) || attempts < 9 || reported != 1 {
+		t.Errorf("%v after %d attempts, reported %d times", err, attempts, reported)
 	}
 	readVersion(t, name)
 }
 
 // TestConcurrentWriter checks that a temporary file stays while another writer may hold the lock, or without locks.
 func TestConcurrentWriter(t *testing.T) {
+	withoutWaits(t)
 	name, others := folder(t)
 	all := otherFiles(t, name)
+	check := func(what string, version int, beside []string) {
+		t.Helper()
+		if n, names := readVersion(t, name), otherFiles(t, name); n != version || !slices.Equal(names, beside) {
+			t.Errorf("%s: version %d, beside it %v", what, n, names)
+		}
+	}
 	unlock, err := disk{}.Lock(filepath.Dir(name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := versions()[1].Write(name); !errors.Is(err, errLocked) || readVersion(t, name) != 0 || !slices.Equal(otherFiles(t, name), all) {
-		t.Errorf("beside another writer: %v, %v", err, otherFiles(t, name))
+	if err := versions()[1].Write(name); !errors.Is(err, errLocked) {
+		t.Errorf("beside another writer: %v", err)
 	}
-	withoutWaits(t)
-	if err := versions()[1].WriteWithRetry(t.Context(), name, func(error) {}); err != nil || readVersion(t, name) != 1 || !slices.Equal(otherFiles(t, name), all) {
-		t.Errorf("beside a writer that never ends: %v, %v", err, otherFiles(t, name))
+	check("beside another writer", 0, all)
+	if err := versions()[1].WriteWithRetry(t.Context(), name, func(error) {}); err != nil {
+		t.Errorf("beside a writer that never ends: %v", err)
 	}
+	check("beside a writer that never ends", 1, all)
 	unlock()
 	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	system := &faultSystem{fault: func(call string) (error, bool) {
+	if err := versions()[1].retryWrite(t.Context(), systemWithoutLocks(), name, nil); err != nil {
+		t.Errorf("without locks: %v", err)
+	}
+	check("without locks", 1, all)
+	if err := versions()[0].Write(name); err != nil {
+		t.Errorf("alone: %v", err)
+	}
+	check("alone", 0, others)
+}
+
+// systemWithoutLocks is a file system that has no locks.
+func systemWithoutLocks() *faultSystem {
+	return &faultSystem{fault: func(call string) (error, bool) {
 		if call == "lock" {
 			return syscall.ENOLCK, false
 		}
 		return nil, false
 	}}
-	if err := versions()[1].retryWrite(t.Context(), system, name, nil); err != nil || readVersion(t, name) != 1 || !slices.Equal(otherFiles(t, name), all) {
-		t.Errorf("without locks: %v, %v", err, otherFiles(t, name))
-	}
-	if err := versions()[0].Write(name); err != nil || readVersion(t, name) != 0 || !slices.Equal(otherFiles(t, name), others) {
-		t.Errorf("alone: %v, %v", err, otherFiles(t, name))
-	}
-	// A file that is named as a temporary one is not removed as one.
+}
+
+// TestTemporaryName writes a file that is named as a temporary one: it is not removed as one.
+func TestTemporaryName(t *testing.T) {
 	own := filepath.Join(t.TempDir(), ".learnt-9.tmp")
 	for n := range 2 {
 		if err := versions()[n].Write(own); err != nil || readVersion(t, own) != n {
@@ -344,6 +425,7 @@
 	}
 }
 
+// TestBackoff checks the waits, whose unit is a millisecond here.
 func TestBackoff(t *testing.T) {
 	b := Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 	for failed, want := range map[int]time.Duration{1: 50, 2: 100, 3: 200, 5: 800, 6: 1000, 1 << 40: 1000} {
@@ -353,51 +435,24 @@
 	}
 }
 
-// TestKill kills writers that are processes, two at a time, at any moment: the file is whole each time, and a write
+// TestKill kills writers that are processes, two at a time, at any moment: the file is complete each time, and a write
 // after them leaves nothing of theirs.
 func TestKill(t *testing.T) {
 	const rounds = 15
-	name := filepath.Join(t.TempDir(), "learnt")
+	name := filepath.Join(t.TempDir(), "estimates")
 	if err := versions()[0].Write(name); err != nil {
 		t.Fatal(err)
 	}
 	random, interrupted := rand.New(rand.NewSource(1)), 0
 	for range rounds {
-		var writers [2]*exec.Cmd
-		for i := range writers {
-			c := exec.Command(os.Args[0])
-			c.Env = append(os.Environ(), writerEnv+"="+name)
-			out, err := c.StdoutPipe()
-			if err == nil {
-				err = c.Start()
-			}
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer c.Process.Kill()
-			if output := make([]byte, 7); i == 0 {
-				if n, _ := out.Read(output); string(output[:n]) != "written" {
-					t.Errorf("a writer prints %q", output[:n])
-				}
-			}
-			go func() {
-				b := make([]byte, 4096)
-				for n, err := out.Read(b); err == nil; n, err = out.Read(b) {
-					if printed := strings.Trim(strings.ReplaceAll(string(b[:n]), "written", ""), "\n"); printed != "" && !strings.HasPrefix("written", printed) && !strings.HasSuffix("written", printed) {
-						t.Errorf("a writer fails: %s", printed)
-					}
-				}
-			}()
-			writers[i] = c
-		}
+		writers := [2]*writer{startWriter(t, name), startWriter(t, name)}
+		writers[0].awaitWrite(t)
 		time.Sleep(time.Duration(random.Int63n(int64(8 * time.Millisecond))))
-		for _, c := range writers {
-			c.Process.Kill()
+		for _, w := range writers {
+			w.kill(t)
 		}
-		for _, c := range writers {
-			if c.Wait(); c.ProcessState.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-				t.Errorf("a writer ended by itself: %v", c.ProcessState)
-			}
+		for _, w := range writers {
+			w.wait(t)
 		}
 		readVersion(t, name)
 		if left := otherFiles(t, name); len(left) > 0 {
@@ -408,7 +463,77 @@
 	if err := versions()[1].Write(name); err != nil {
 		t.Fatal(err)
 	}
-	if left := otherFiles(t, name); readVersion(t, name) != 1 || len(left) > 0 {
-		t.Errorf("left: %v", left)
+	checkSecondVersionAlone(t, name, nil)
+}
+
+// writer is a process that writes a file again and again, see TestMain. It prints a line for each write.
+type writer struct {
+	command *exec.Cmd
+	written chan struct{} // closed after the first write
+	ended   chan error    // nil, or a line that is no report of a write
+}
+
+// startWriter starts a writer, which is killed at the end of the test at the latest.
+func startWriter(t *testing.T, file string) *writer {
+	t.Helper()
+	w := &writer{command: exec.Command(os.Args[0]), written: make(chan struct{}), ended: make(chan error, 1)}
+	w.command.Env = append(os.Environ(), writerEnv+"="+file)
+	out, err := w.command.StdoutPipe()
+	if err == nil {
+		err = w.command.Start()
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = w.command.Process.Kill() }) // it is dead already where the test has passed
+	go func() { w.ended <- w.readOutput(out) }()
+	return w
+}
+
+// readOutput reads what the writer prints until its end. The error is a line that is no report of a write; the last
+// line may be cut off.
+func (w *writer) readOutput(out io.Reader) error {
+	lines := bufio.NewReader(out)
+	for first := true; ; first = false {
+		line, err := lines.ReadString('\n')
+		if err != nil && strings.HasPrefix("written\n", line) {
+			return nil
+		}
+		if line != "written\n" {
+			return fmt.Errorf("a writer fails: %q", line)
+		}
+		if first {
+			close(w.written)
+		}
+	}
+}
+
+// awaitWrite waits until the writer has written the file.
+func (w *writer) awaitWrite(t *testing.T) {
+	t.Helper()
+	select {
+	case <-w.written:
+	case err := <-w.ended:
+		t.Fatalf("a writer has ended before its first write: %v", err)
+	}
+}
+
+func (w *writer) kill(t *testing.T) {
+	t.Helper()
+	if err := w.command.Process.Kill(); err != nil {
+		t.Errorf("a writer can't be killed: %v", err)
+	}
+}
+
+// wait waits for the end of the writer, which must be by the signal and after reports of writes alone.
+func (w *writer) wait(t *testing.T) {
+	t.Helper()
+	if err := <-w.ended; err != nil {
+		t.Error(err)
+	}
+	err := w.command.Wait()
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
+		t.Errorf("a writer ended by itself: %v", err)
 	}
 }
