--- a/audit/record.go
+++ b/audit/record.go
@@ -164,7 +164,7 @@
 		}
 		if c := p.Type == nvme.TypeCapsuleCmd; c {
 			if sqe := p.Command(); sqe.Opcode() == nvme.Fabrics && sqe.FabricsType() == nvme.FabricsConnect && len(p.Data) == nvme.ConnectLen {
-				_, _, _, w.host = nvme.ConnectData(p.Data)
+				w.host = nvme.ParseConnectData(p.Data).Host
 				w.io = sqe.DW(10)>>16 != 0
 				continue
 			}
--- a/fake/disk/disk.go
+++ b/fake/disk/disk.go
@@ -122,7 +122,7 @@
 
 // Kill ends the server as the death of its process; what it keeps on disk stays.
 func (s *Server) Kill() {
-	s.server.Cut(true)
+	s.server.Kill()
 	s.life++
 	s.queue, s.busy, s.got, s.debt, s.frozen = nil, 0, nil, 0, 0
 }
@@ -144,7 +144,7 @@
 	s.Faults = f
 	s.server.DropAllInput, s.server.DropNewInput = f.Silent, f.NoHandshake
 	if f.NoHandshake {
-		s.server.Cut(false)
+		s.server.AbortConnections()
 	}
 	s.dispatchQueued()
 }
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -52,7 +52,7 @@
 // Shutdown it needs Serve.
 func (g *Instance) Kill() {
 	g.loop.Post(func() {
-		g.server.Cut(true)
+		g.server.Kill()
 		g.closeAssociations()
 		g.loop.Stop()
 	})
--- a/gateway/rawclient_test.go
+++ b/gateway/rawclient_test.go
@@ -147,7 +147,9 @@
 func (c *rawClient) connect(qid, cntlid uint16, subsystem, host string) (nvme.Status, uint16) {
 	sqe := nvme.NewConnect(qid, 32, 0)
 	sqe.SetSGL(nvme.SGLInCapsule, nvme.ConnectLen)
-	c.write(c.sendFraming.AppendCommand(nil, &sqe, nvme.AppendConnectData(nil, [16]byte{1}, cntlid, subsystem, host)))
+	c.write(c.sendFraming.AppendCommand(nil, &sqe, nvme.AppendConnectData(nil, nvme.ConnectData{
+		HostID: [16]byte{1}, ControllerID: cntlid, Subsystem: subsystem, Host: host,
+	})))
 	p := c.expect(nvme.TypeCapsuleResp)
 	return c.status(p), uint16(c.result(p))
 }
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -117,11 +117,12 @@
 		size, cntlid = t.Depth+1, a.cntlid
 	}
 	c := nvme.NewConnect(uint16(n), size, uint32(t.KeepAlive/time.Millisecond))
+	data := nvme.ConnectData{HostID: t.HostID, ControllerID: cntlid, Subsystem: t.Subsystem, Host: t.Host}
 	next := a.enable
 	if n == 1 {
 		next = a.begin
 	}
-	s.Submit(c, nvme.AppendConnectData(nil, t.HostID, cntlid, t.Subsystem, t.Host), 0, a.step("Connect", func(r Result) {
+	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.step("Connect", func(r Result) {
 		if n == 0 {
 			a.cntlid = uint16(r.DW0())
 		}
--- a/nvme/command.go
+++ b/nvme/command.go
@@ -5,11 +5,17 @@
 	"encoding/binary"
 )
 
-// Command is a submission queue entry (Base 3.3.3.1, 64 bytes).
-type Command [64]byte
+// Sizes of queue entries in bytes.
+const (
+	CommandLen    = 64
+	CompletionLen = 16
+)
+
+// Command is a submission queue entry (Base 3.3.3.1).
+type Command [CommandLen]byte
 
-// Completion is a completion queue entry (Base 3.3.3.2, 16 bytes).
-type Completion [16]byte
+// Completion is a completion queue entry (Base 3.3.3.2).
+type Completion [CompletionLen]byte
 
 // Opcodes of the admin command set (Base 5), of fabrics (Base 6) and of the NVM command set (NVM 3.2).
 const (
@@ -194,24 +200,46 @@
 // DynamicController as a controller id asks for any.
 const DynamicController = 0xFFFF
 
+// Where the fields of a Connect's data are; names end with a zero.
+const (
+	connectHostID       = 0
+	connectControllerID = 16
+	connectSubsystem    = 256
+	connectHost         = 512
+	connectNameLen      = 256
+)
+
+// ConnectData is the data of a Connect.
+type ConnectData struct {
+	HostID       [16]byte
+	ControllerID uint16
+	Subsystem    string
+	Host         string
+}
+
 // AppendConnectData appends a Connect's data.
-func AppendConnectData(dst []byte, hostID [16]byte, cntlid uint16, subsystem, host string) []byte {
-	at := len(dst)
+func AppendConnectData(dst []byte, c ConnectData) []byte {
+	start := len(dst)
 	dst = append(dst, make([]byte, ConnectLen)...)
-	d := dst[at:]
-	copy(d, hostID[:])
-	binary.LittleEndian.PutUint16(d[16:], cntlid)
-	copy(d[256:511], subsystem)
-	copy(d[512:767], host)
+	d := dst[start:]
+	copy(d[connectHostID:], c.HostID[:])
+	binary.LittleEndian.PutUint16(d[connectControllerID:], c.ControllerID)
+	copy(d[connectSubsystem:connectSubsystem+connectNameLen-1], c.Subsystem)
+	copy(d[connectHost:connectHost+connectNameLen-1], c.Host)
 	return dst
 }
 
-// ConnectData reads a Connect's data of ConnectLen bytes.
-func ConnectData(d []byte) (hostID [16]byte, cntlid uint16, subsystem, host string) {
-	copy(hostID[:], d)
-	return hostID, binary.LittleEndian.Uint16(d[16:]), text(d[256:512]), text(d[512:768])
+// ParseConnectData reads a Connect's data of ConnectLen bytes.
+func ParseConnectData(d []byte) ConnectData {
+	return ConnectData{
+		HostID:       [16]byte(d[connectHostID:]),
+		ControllerID: binary.LittleEndian.Uint16(d[connectControllerID:]),
+		Subsystem:    text(d[connectSubsystem : connectSubsystem+connectNameLen]),
+		Host:         text(d[connectHost : connectHost+connectNameLen]),
+	}
 }
 
+// text is a name without the zeros behind it.
 func text(b []byte) string {
 	if i := bytes.IndexByte(b, 0); i >= 0 {
 		b = b[:i]
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -144,8 +144,8 @@
 	if ids := Active(AppendActive(nil, 2, []uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
 		t.Error("active namespaces", ids)
 	}
-	id, cntlid, sub, host := ConnectData(AppendConnectData(nil, [16]byte{1}, 5, "a", "b"))
-	if id[0] != 1 || cntlid != 5 || sub != "a" || host != "b" {
+	connect := ConnectData{HostID: [16]byte{1}, ControllerID: 5, Subsystem: "a", Host: "b"}
+	if ParseConnectData(AppendConnectData(nil, connect)) != connect {
 		t.Error("Connect data")
 	}
 	l := Load{1, 2, 3, 4}
--- a/target/admin.go
+++ b/target/admin.go
@@ -8,164 +8,226 @@
 	"honeyplank/nvme"
 )
 
-const asyncLimit nvme.Status = 0x105 // Asynchronous Event Request Limit Exceeded
+// asyncLimitExceeded is Asynchronous Event Request Limit Exceeded.
+const asyncLimitExceeded nvme.Status = 0x105
 
-// admin answers a command of the admin queue. docs/protocol.md lists what is accepted.
-func (s *Session) admin(c *nvme.Command, in []byte) {
-	status, dw0, dw1 := nvme.Success, uint32(0), uint32(0)
-	var data []byte
+// handleAdmin answers a command of the admin queue. docs/protocol.md lists what is accepted.
+func (s *Session) handleAdmin(c *nvme.Command, in []byte) {
+	if c.Opcode() == nvme.AdminAsyncEvent && s.asyncEvents < maxAsyncEvents {
+		s.asyncEvents++
+		return
+	}
+	r := s.admin(c, in)
+	if r.data != nil {
+		kind, _, length := c.SGL()
+		if kind != nvme.SGLTransport || int64(length) < int64(len(r.data)) {
+			r.status, r.data = nvme.InvalidSGLLength|nvme.DoNotRetry, nil
+		}
+	}
+	s.respond(c.CID(), r)
+}
+
+func (s *Session) admin(c *nvme.Command, in []byte) response {
 	switch c.Opcode() {
 	case nvme.Fabrics:
-		status, dw0, dw1 = s.property(c)
+		return s.property(c)
 	case nvme.AdminKeepAlive:
+		return response{status: nvme.Success}
 	case nvme.AdminIdentify:
-		status, data = s.identify(c)
+		return s.identify(c)
 	case nvme.AdminGetLogPage:
-		status, data = s.logPage(c)
-	case nvme.AdminSetFeatures, nvme.AdminGetFeatures:
-		status, dw0, data = s.feature(c, in)
+		return s.logPage(c)
+	case nvme.AdminSetFeatures:
+		return s.setFeature(c, in)
+	case nvme.AdminGetFeatures:
+		return s.feature(c)
 	case nvme.AdminAsyncEvent:
-		if s.events < 4 { // AERL; held for ever, since no event is ever told
-			s.events++
-			return
-		}
-		status = asyncLimit
+		return response{status: asyncLimitExceeded}
 	case nvme.AdminAbort:
-		q := s.control.queues[uint16(c.DW(10))]
-		if q == nil || !q.abort(uint16(c.DW(10)>>16)) {
-			dw0 = 1 // not aborted
-		}
-	default:
-		status = nvme.InvalidOpcode | nvme.DoNotRetry
+		return s.abortResponse(c)
 	}
-	if data != nil {
-		kind, _, length := c.SGL()
-		if kind != nvme.SGLTransport || int64(length) < int64(len(data)) {
-			status, data = nvme.InvalidSGLLength|nvme.DoNotRetry, nil
-		}
+	return rejected(nvme.InvalidOpcode)
+}
+
+// abortResponse answers an Abort; bit 0 of the result tells that nothing was aborted (Base 5.1).
+func (s *Session) abortResponse(c *nvme.Command) response {
+	const notAborted = 1
+	queue := s.controller.queues[uint16(c.DW(10))]
+	if queue == nil || !queue.abort(uint16(c.DW(10)>>16)) {
+		return response{status: nvme.Success, dw0: notAborted}
 	}
-	s.answer(c.CID(), status, dw0, dw1, data)
+	return response{status: nvme.Success}
 }
 
-func (s *Session) property(c *nvme.Command) (status nvme.Status, dw0, dw1 uint32) {
-	k := s.control
-	switch {
-	case c.FabricsType() == nvme.FabricsPropertyGet:
-		switch c.PropertyOffset() {
-		case nvme.PropertyCAP: // MQES, CQR, TO of 5 s, NVM command set
-			return nvme.Success, uint32(s.offer.QueueDepth-1) | 1<<16 | 10<<24, 1 << 5
-		case nvme.PropertyVS:
-			return nvme.Success, nvme.Version, 0
-		case nvme.PropertyCC:
-			return nvme.Success, k.config, 0
-		case nvme.PropertyCSTS:
-			status := k.config & 1
-			if k.config>>14&3 != 0 { // SHN: shutdown processing complete
-				status |= 2 << 2
-			}
-			return nvme.Success, status, 0
+func (s *Session) property(c *nvme.Command) response {
+	switch c.FabricsType() {
+	case nvme.FabricsPropertyGet:
+		return s.getProperty(c.PropertyOffset())
+	case nvme.FabricsPropertySet:
+		if c.PropertyOffset() == nvme.PropertyCC {
+			return s.setConfig(uint32(c.PropertyValue()))
 		}
-	case c.FabricsType() == nvme.FabricsPropertySet && c.PropertyOffset() == nvme.PropertyCC:
-		k.config = uint32(c.PropertyValue())
-		if k.config&1 == 0 || k.config>>14&3 != 0 { // a reset or shutdown ends the I/O queues (Base 3.7.2)
-			for id, q := range k.queues {
-				if id != 0 {
-					q.end()
-				}
-			}
+	case nvme.FabricsConnect:
+		return rejected(nvme.SequenceError)
+	}
+	return rejected(nvme.InvalidField)
+}
+
+// Fields of the controller properties (Base 3.1.3).
+const (
+	capQueuesContiguous = 1 << 16 // CAP, CQR
+	capTimeout          = 10 << 24
+	capNVMCommandSet    = 1 << 5 // CAP, CSS, in the upper dword
+	statusReady         = 1      // CSTS, RDY
+	shutdownComplete    = 2 << 2 // CSTS, SHST
+)
+
+func (s *Session) getProperty(offset uint32) response {
+	k := s.controller
+	switch offset {
+	case nvme.PropertyCAP:
+		maxEntries := uint32(s.settings.QueueDepth - 1) // MQES
+		return response{status: nvme.Success, dw0: maxEntries | capQueuesContiguous | capTimeout, dw1: capNVMCommandSet}
+	case nvme.PropertyVS:
+		return response{status: nvme.Success, dw0: nvme.Version}
+	case nvme.PropertyCC:
+		return response{status: nvme.Success, dw0: k.config}
+	case nvme.PropertyCSTS:
+		csts := k.config & statusReady
+		if k.isShutDown() {
+			csts |= shutdownComplete
 		}
-		return nvme.Success, 0, 0
-	case c.FabricsType() == nvme.FabricsConnect:
-		return nvme.SequenceError | nvme.DoNotRetry, 0, 0
+		return response{status: nvme.Success, dw0: csts}
+	}
+	return rejected(nvme.InvalidField)
+}
+
+// setConfig sets CC. A reset or shutdown ends the I/O queues (Base 3.7.2).
+func (s *Session) setConfig(config uint32) response {
+	k := s.controller
+	k.config = config
+	if !k.isEnabled() || k.isShutDown() {
+		k.endIOQueues()
 	}
-	return nvme.InvalidField | nvme.DoNotRetry, 0, 0
+	return response{status: nvme.Success}
 }
 
-func (s *Session) identify(c *nvme.Command) (nvme.Status, []byte) {
+func (s *Session) identify(c *nvme.Command) response {
 	switch cns := uint8(c.DW(10)); cns {
 	case nvme.IdentifyController:
-		k := nvme.Controller{ID: s.control.id, Serial: s.offer.Serial, Model: "honeyplank", Subsystem: s.offer.Subsystem,
-			MaxTransfer: uint8(bits.Len(uint(s.offer.MaxTransfer>>12)) - 1), RetryDelay: s.offer.RetryDelays,
-			Namespaces: uint32(len(s.offer.Namespaces)), MaxCommands: uint16(s.offer.QueueDepth),
-			CapsuleBytes: 64 + s.offer.MaxCapsule, KeepAliveUnits: 1, Discovery: s.control.discovery}
-		if n := len(s.offer.Namespaces); n > 0 { // NN is the largest id
-			k.Namespaces = s.offer.Namespaces[n-1].ID
-		}
-		if k.Discovery {
-			k.Subsystem = DiscoveryNQN
-		}
-		return nvme.Success, nvme.AppendController(nil, k)
+		return response{status: nvme.Success, data: nvme.AppendController(nil, s.controllerData())}
 	case nvme.IdentifyActive:
-		var ids []uint32
-		for _, n := range s.offer.Namespaces {
+		ids := make([]uint32, 0, len(s.settings.Namespaces))
+		for _, n := range s.settings.Namespaces {
 			ids = append(ids, n.ID)
 		}
-		return nvme.Success, nvme.AppendActive(nil, c.NSID(), ids)
+		return response{status: nvme.Success, data: nvme.AppendActive(nil, c.NSID(), ids)}
 	case nvme.IdentifyNamespace, nvme.IdentifyDescriptors:
 		n := s.namespace(c.NSID())
 		if n == nil {
-			return nvme.InvalidNamespace | nvme.DoNotRetry, nil
+			return rejected(nvme.InvalidNamespace)
 		}
 		if cns == nvme.IdentifyDescriptors {
-			return nvme.Success, nvme.AppendDescriptors(nil, n.UUID)
+			return response{status: nvme.Success, data: nvme.AppendDescriptors(nil, n.UUID)}
 		}
-		return nvme.Success, nvme.AppendNamespace(nil, n.Blocks, n.Shift)
+		return response{status: nvme.Success, data: nvme.AppendNamespace(nil, n.Blocks, n.Shift)}
 	}
-	return nvme.InvalidField | nvme.DoNotRetry, nil
+	return rejected(nvme.InvalidField)
 }
 
-func (s *Session) logPage(c *nvme.Command) (nvme.Status, []byte) {
-	var page []byte
-	switch id := uint8(c.DW(10)); id {
-	case nvme.LogError, nvme.LogHealth, nvme.LogFirmware:
-		page = make([]byte, 512)
-	case nvme.LogDiscovery:
-		host, port, _ := net.SplitHostPort(s.subs.address)
-		page = nvme.AppendDiscovery(nil, s.offer.Subsystem, host, port)
-	default:
-		own, ok := s.handler.Log(id)
-		if !ok {
-			return nvme.InvalidLogPage | nvme.DoNotRetry, nil
-		}
-		page = own
+// controllerData is what Identify Controller tells.
+func (s *Session) controllerData() nvme.Controller {
+	const minPageShift = 12 // MDTS counts in pages of 4 KiB
+	k := nvme.Controller{
+		ID:             s.controller.id,
+		Serial:         s.settings.Serial,
+		Model:          "honeyplank",
+		Subsystem:      s.settings.Subsystem,
+		MaxTransfer:    uint8(bits.Len(uint(s.settings.MaxTransfer>>minPageShift)) - 1),
+		RetryDelay:     s.settings.RetryDelays,
+		MaxCommands:    uint16(s.settings.QueueDepth),
+		CapsuleBytes:   nvme.CommandLen + s.settings.MaxCapsule,
+		KeepAliveUnits: 1,
+		Discovery:      s.controller.discovery,
+	}
+	if n := len(s.settings.Namespaces); n > 0 { // NN is the largest id
+		k.Namespaces = s.settings.Namespaces[n-1].ID
+	}
+	if k.Discovery {
+		k.Subsystem = DiscoveryNQN
+	}
+	return k
+}
+
+// emptyLogLen is the size of the log pages that have nothing to tell.
+const emptyLogLen = 512
+
+func (s *Session) logPage(c *nvme.Command) response {
+	page, ok := s.logContent(uint8(c.DW(10)))
+	if !ok {
+		return rejected(nvme.InvalidLogPage)
 	}
 	length := int64(c.DW(10)>>16|c.DW(11)<<16)*4 + 4 // NUMD, 0's based dwords
 	from := uint64(c.DW(12)) | uint64(c.DW(13))<<32
-	if from > uint64(len(page)) || length > int64(s.offer.MaxTransfer) {
-		return nvme.InvalidField | nvme.DoNotRetry, nil
+	if from > uint64(len(page)) || length > int64(s.settings.MaxTransfer) {
+		return rejected(nvme.InvalidField)
 	}
 	data := make([]byte, length) // past the page's end: zeros
 	copy(data, page[from:])
-	return nvme.Success, data
+	return response{status: nvme.Success, data: data}
+}
+
+// logContent is a whole log page; ok tells whether there is one of that id.
+func (s *Session) logContent(id uint8) (page []byte, ok bool) {
+	switch id {
+	case nvme.LogError, nvme.LogHealth, nvme.LogFirmware:
+		return make([]byte, emptyLogLen), true
+	case nvme.LogDiscovery:
+		host, port, _ := net.SplitHostPort(s.associations.address) // the listener's own form
+		return nvme.AppendDiscovery(nil, s.settings.Subsystem, host, port), true
+	}
+	return s.handler.Log(id)
 }
 
-func (s *Session) feature(c *nvme.Command, in []byte) (nvme.Status, uint32, []byte) {
-	set := c.Opcode() == nvme.AdminSetFeatures
-	queues := uint32(s.offer.MaxQueues-1) | uint32(s.offer.MaxQueues-1)<<16
+// queuesResult is the result of the number of queues, for submission and completion queues, both 0's based.
+func (s *Session) queuesResult() response {
+	n := uint32(s.settings.MaxQueues - 1)
+	return response{status: nvme.Success, dw0: n | n<<16}
+}
+
+func (s *Session) feature(c *nvme.Command) response {
 	switch uint8(c.DW(10)) {
 	case nvme.FeatureQueues:
-		return nvme.Success, queues, nil
+		return s.queuesResult()
 	case nvme.FeatureKeepAlive:
-		if set {
-			s.control.keepAlive = time.Duration(c.DW(11)) * time.Millisecond
-			return nvme.Success, 0, nil
-		}
-		return nvme.Success, uint32(s.control.keepAlive / time.Millisecond), nil
+		return response{status: nvme.Success, dw0: uint32(s.controller.keepAlive / time.Millisecond)}
 	case nvme.FeatureAsyncEvents:
-		return nvme.Success, 0, nil
+		return response{status: nvme.Success}
 	case nvme.FeatureHostBehavior:
-		if !set {
-			data := make([]byte, nvme.HostBehaviorLen)
-			if s.control.delays {
-				data[0] = 1
-			}
-			return nvme.Success, 0, data
+		data := make([]byte, nvme.HostBehaviorLen)
+		if s.controller.honoursDelays {
+			data[0] = 1 // ACRE
 		}
+		return response{status: nvme.Success, data: data}
+	}
+	return rejected(nvme.InvalidField)
+}
+
+func (s *Session) setFeature(c *nvme.Command, in []byte) response {
+	switch uint8(c.DW(10)) {
+	case nvme.FeatureQueues:
+		return s.queuesResult()
+	case nvme.FeatureKeepAlive:
+		s.controller.keepAlive = time.Duration(c.DW(11)) * time.Millisecond
+		return response{status: nvme.Success}
+	case nvme.FeatureAsyncEvents:
+		return response{status: nvme.Success}
+	case nvme.FeatureHostBehavior:
 		if len(in) != nvme.HostBehaviorLen || in[0] > 1 {
-			return nvme.InvalidField | nvme.DoNotRetry, 0, nil
+			return rejected(nvme.InvalidField)
 		}
-		s.control.delays = in[0] == 1
-		return nvme.Success, 0, nil
+		s.controller.honoursDelays = in[0] == 1 // ACRE
+		return response{status: nvme.Success}
 	}
-	return nvme.InvalidField | nvme.DoNotRetry, 0, nil
+	return rejected(nvme.InvalidField)
 }
--- /dev/null
+++ b/target/command.go
@@ -0,0 +1,185 @@
+package target
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"honeyplank/nvme"
+)
+
+// Command is a client's Read or Write.
+type Command struct {
+	nvme.Command
+	Data    []byte        // of a Write
+	Bytes   int           // length of the transfer
+	Arrived time.Duration // when the command came; its data may have come later
+	Host    string        // NQN of the client's host
+	User    any           // the handler's own
+
+	session     *Session
+	state       commandState
+	transferTag uint16
+	received    int
+	r2tSent     bool // its bytes count for the client
+	counted     bool // the command counts for the client
+}
+
+type commandState int
+
+const (
+	commandReceiving  commandState = iota // an R2T has been sent, or waits for buffers
+	commandAdmitted                       // with the handler
+	commandDiscarding                     // answered while its data still comes
+	commandOver
+)
+
+// Complete answers an admitted command, with data for a Read. Data is copied. If the client has gone it does nothing.
+func (c *Command) Complete(status nvme.Status, dw0, dw1 uint32, data []byte) {
+	if c.state != commandAdmitted {
+		return
+	}
+	c.state = commandOver
+	delete(c.session.commands, c.CID())
+	c.session.endCounting(c)
+	c.session.respond(c.CID(), response{status, dw0, dw1, data})
+	c.session.connection.flush()
+}
+
+// Truncate answers a Read by half of its PDU and a broken connection: a fault of a fake.
+func (c *Command) Truncate(data []byte) {
+	if c.state == commandAdmitted {
+		c.session.respond(c.CID(), response{status: nvme.Success, data: data})
+		c.session.connection.truncate()
+	}
+}
+
+func (s *Session) namespace(id uint32) *Namespace {
+	byID := func(n Namespace, id uint32) int { return cmp.Compare(n.ID, id) }
+	i, ok := slices.BinarySearchFunc(s.settings.Namespaces, id, byID)
+	if !ok {
+		return nil
+	}
+	return &s.settings.Namespaces[i]
+}
+
+// allNamespaces as the namespace of a Flush means each of them.
+const allNamespaces = 0xFFFFFFFF
+
+// checkIO tells why a Read, Write or Flush is rejected, and how many bytes it transfers.
+func (s *Session) checkIO(c *nvme.Command, data []byte) (status nvme.Status, size int) {
+	switch c.Opcode() {
+	case nvme.Read, nvme.Write:
+		return s.checkTransfer(c, data)
+	case nvme.Flush:
+		if c.NSID() != allNamespaces && s.namespace(c.NSID()) == nil {
+			return nvme.InvalidNamespace | nvme.DoNotRetry, 0
+		}
+		return nvme.Success, 0
+	case nvme.Fabrics:
+		if c.FabricsType() == nvme.FabricsConnect { // the queue has been made (Base 3.3.2.2)
+			return nvme.SequenceError | nvme.DoNotRetry, 0
+		}
+	}
+	return nvme.InvalidOpcode | nvme.DoNotRetry, 0
+}
+
+func (s *Session) checkTransfer(c *nvme.Command, data []byte) (status nvme.Status, size int) {
+	n := s.namespace(c.NSID())
+	if n == nil {
+		return nvme.InvalidNamespace | nvme.DoNotRetry, 0
+	}
+	if c.SLBA() >= n.Blocks || n.Blocks-c.SLBA() < uint64(c.Blocks()) {
+		return nvme.LBAOutOfRange | nvme.DoNotRetry, 0
+	}
+	size = c.Blocks() << n.Shift
+	if size > s.settings.MaxTransfer {
+		return nvme.InvalidField | nvme.DoNotRetry, 0
+	}
+	if status := checkSGL(c, size, data); status != nvme.Success {
+		return status | nvme.DoNotRetry, 0
+	}
+	return nvme.Success, size
+}
+
+// checkSGL holds the descriptor of a Read or Write of size bytes against its capsule.
+func checkSGL(c *nvme.Command, size int, data []byte) nvme.Status {
+	kind, offset, length := c.SGL()
+	switch {
+	case int64(length) != int64(size):
+		return nvme.InvalidSGLLength
+	case kind == nvme.SGLTransport && len(data) == 0:
+		return nvme.Success
+	case kind != nvme.SGLInCapsule || c.Opcode() != nvme.Write:
+		return nvme.InvalidSGLType
+	case offset != 0 || len(data) != size:
+		return nvme.InvalidSGLOffset
+	}
+	return nvme.Success
+}
+
+// handleIO answers a command of an I/O queue, hands it over, or waits for its data.
+func (s *Session) handleIO(now time.Duration, entry *nvme.Command, data []byte) {
+	status, size := s.checkIO(entry, data)
+	if status != nvme.Success || entry.Opcode() == nvme.Flush {
+		// Flush: no volatile write cache is reported (VWC 0), so there is nothing to do (Base 7.1).
+		s.respond(entry.CID(), response{status: status})
+		return
+	}
+	if !s.connection.beginCommand() { // too many in flight for one client: the host may retry
+		s.respond(entry.CID(), response{status: nvme.CommandInterrupted})
+		return
+	}
+	c := &Command{Command: *entry, Bytes: size, Arrived: now, Host: s.controller.host, session: s, counted: true}
+	s.commands[c.CID()] = c
+	if c.Opcode() == nvme.Write && len(data) == 0 {
+		s.connection.awaitData(c)
+		s.associations.waiting = append(s.associations.waiting, c)
+		s.associations.grant(s.settings, s.buffers)
+		return
+	}
+	if len(data) > 0 {
+		c.Data = s.buffers.Get(size)
+		copy(c.Data, data)
+		s.buffers.Copied(size)
+	}
+	c.state = commandAdmitted
+	s.handler.Admit(c)
+}
+
+// endCounting tells once that a command no longer counts for its client.
+func (s *Session) endCounting(c *Command) {
+	if c.counted {
+		c.counted = false
+		s.connection.endCommand()
+	}
+}
+
+// drop forgets a command that is not with the handler.
+func (s *Session) drop(c *Command) {
+	delete(s.commands, c.CID())
+	s.endCounting(c)
+	s.endTransfer(c)
+	c.state = commandOver
+	s.buffers.Put(c.Data)
+	c.Data = nil
+	s.associations.grant(s.settings, s.buffers)
+}
+
+// abort ends a command for its client; it tells whether there was one to end.
+func (s *Session) abort(cid uint16) bool {
+	c := s.commands[cid]
+	if c == nil {
+		return false
+	}
+	switch c.state {
+	case commandReceiving:
+		s.cancelTransfer(c, nvme.AbortRequested)
+	case commandAdmitted:
+		c.Complete(nvme.AbortRequested, 0, 0, nil)
+		s.handler.ClientGone(c)
+	default:
+		return false
+	}
+	return true
+}
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -6,10 +6,9 @@
 	"honeyplank/nvme"
 )
 
-// FuzzSequence plays well-formed frames in any order on an admin and an I/O queue, with the handler's answers and
-// the client's disconnects between. Whatever comes: no panic; no command is answered twice; what is taken is
-// answered by its handler alone; once both connections are gone nothing is held and everything taken has lapsed or
-// been answered.
+// FuzzSequence sends well-formed PDUs in any order on an admin and an I/O queue, with the handler's answers and the
+// client's disconnects between. Whatever comes: no panic; no command is answered twice; what is admitted is answered by
+// its handler alone; once both connections are gone nothing is buffered and every admitted command is over.
 func FuzzSequence(f *testing.F) {
 	f.Add([]byte{1, 0, 9, 0, 2, 1, 9, 1, 3, 2, 4, 2, 9, 2})
 	f.Add([]byte{2, 1, 2, 1, 2, 2, 4, 1, 4, 2, 5, 1, 6, 2, 9, 0, 10, 0})
@@ -17,141 +16,177 @@
 	f.Add([]byte{2, 7, 5, 7, 4, 7, 2, 7, 4, 7, 9, 0, 12, 0, 13, 0})
 	f.Fuzz(func(t *testing.T, script []byte) {
 		admin, io := pair(t)
-		answers := map[uint16]int{}
-		sent, got := map[uint16]int{}, func(out []nvme.PDU) {
-			for _, p := range out {
-				if p.Type == nvme.TypeCapsuleResp {
-					c := p.Completion()
-					answers[c.CID()]++
-				}
-			}
+		s := &sequence{t: t, admin: admin, io: io, sent: map[uint16]int{}, answered: map[uint16]int{}}
+		for ; len(script) >= 2; script = script[2:] {
+			s.step(script[0], script[1])
+			s.check()
 		}
-		tags := func(n byte) uint16 { return uint16(n & 0x0F) }
-		say := func(b *bench, bytes []byte) {
-			if b.s.phase == phaseEnded {
-				return
-			}
-			if out := b.say(bytes); b == io { // the admin queue's ids are its own
-				got(out)
-			}
-		}
-		open := 0 // taken and not yet over, by the handler's own count
-		for len(script) >= 2 {
-			what, n := script[0]%14, script[1]
-			script = script[2:]
-			id := uint16(n >> 4)
-			frame := io.host
-			command := func(c nvme.Command, data []byte) {
-				sent[id]++
-				say(io, io.command(id, c, data))
-			}
-			switch what {
-			case 0:
-				say(io, nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{}))
-			case 1:
-				command(rw(nvme.Read, 1, uint64(n), 1+int(n&3), (1+int(n&3))*4096, nvme.SGLTransport), nil)
-			case 2:
-				command(rw(nvme.Write, 1, uint64(n), 8, 8*4096, nvme.SGLTransport), nil)
-			case 3:
-				command(rw(nvme.Write, 1, 0, 1, 4096, nvme.SGLInCapsule), make([]byte, 4096))
-			case 4: // data: the whole, the first half, the second, or what lies
-				size, from, flags := 8*4096, 0, uint8(nvme.FlagLast)
-				switch n >> 6 {
-				case 1:
-					size, flags = 4*4096, 0
-				case 2:
-					size, from = 4*4096, 4*4096
-				case 3:
-					from = 4096
-				}
-				cid := uint16(0)
-				if c := io.s.tags[tags(n)]; c != nil {
-					cid = c.CID()
-				}
-				frame.MaxData = 1 << 20
-				for at := 0; at < size && io.s.phase != phaseEnded; at += 16 << 10 {
-					piece, last := min(16<<10, size-at), uint8(0)
-					if at+piece == size {
-						last = flags
-					}
-					say(io, frame.AppendData(nil, nvme.TypeH2CData, last, cid, tags(n), from+at, make([]byte, piece)))
-				}
-			case 5: // an Abort of what is there or never was
-				var c nvme.Command
-				c[0] = nvme.AdminAbort
-				c.SetDW(10, uint32(id)<<16|1)
-				say(admin, admin.command(50, c, nil))
-				got(drain(io))
-			case 6:
-				say(io, io.command(id, nvme.NewConnect(1, 8, 0), nvme.AppendConnectData(nil, [16]byte{}, 1, io.s.offer.Subsystem, "h")))
-				sent[id]++
-			case 7: // the handler answers something
-				if k := int(n); len(io.taken) > 0 {
-					io.taken[k%len(io.taken)].Complete(nvme.Success, 0, 0, make([]byte, 4096))
-					got(drain(io))
-				}
-			case 8:
-				say(io, io.host.AppendCommand(nil, &nvme.Command{n}, nil))
-				sent[0]++
-			case 9: // a data wait is over, perhaps long after the data has come
-				if c := io.s.commands[id]; c != nil {
-					io.s.Expire(c)
-				}
-				got(drain(io))
-			case 10:
-				say(admin, admin.command(id, nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, uint32(n&1)), nil))
-				got(drain(io))
-			case 11:
-				say(io, nvme.AppendTerm(nil, nvme.TypeH2CTermReq, &nvme.FatalError{Status: 1}))
-			case 12:
-				io.s.Ended()
-			case 13:
-				say(admin, admin.command(id, nvme.NewConnect(0, 8, 0), nil))
-			}
-			for cid, n := range answers {
-				if n > sent[cid] {
-					t.Fatalf("command id %d was sent %d times and answered %d times", cid, sent[cid], n)
-				}
-			}
-			if held := io.s.buffers.InUse; held > io.s.offer.MaxBuffered+io.s.offer.MaxTransfer+16*8192 {
-				t.Fatalf("%d bytes held", held)
-			}
+		s.finish()
+	})
+}
+
+// sequence plays the steps of an input, and counts what was sent and answered on the I/O queue by command id.
+type sequence struct {
+	t              *testing.T
+	admin, io      *harness
+	sent, answered map[uint16]int
+}
+
+// The steps of a sequence, as an input's byte names them.
+const (
+	stepICReq = iota
+	stepRead
+	stepWrite
+	stepWriteInCapsule
+	stepData
+	stepAbort
+	stepConnect
+	stepComplete
+	stepAnyOpcode
+	stepExpire
+	stepSetConfig
+	stepTermReq
+	stepDisconnect
+	stepAdminConnect
+	stepKinds
+)
+
+func (s *sequence) step(kind, n byte) {
+	id := uint16(n >> 4)
+	switch kind % stepKinds {
+	case stepICReq:
+		s.send(nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{}))
+	case stepRead:
+		s.command(id, transfer(nvme.Read, uint64(n), 1+int(n&3)), nil)
+	case stepWrite:
+		s.command(id, transfer(nvme.Write, uint64(n), 8), nil)
+	case stepWriteInCapsule:
+		s.command(id, nvme.NewRW(nvme.Write, 1, 0, 1), make([]byte, testBlock))
+	case stepData:
+		s.data(n)
+	case stepAbort: // of what is there or never was
+		s.sendAdmin(withDW10(nvme.AdminAbort, uint32(id)<<16|1), 50)
+	case stepConnect:
+		data := nvme.ConnectData{ControllerID: 1, Subsystem: testSubsystem, Host: "h"}
+		s.command(id, nvme.NewConnect(1, 8, 0), nvme.AppendConnectData(nil, data))
+	case stepComplete:
+		if admitted := s.io.admitted; len(admitted) > 0 {
+			admitted[int(n)%len(admitted)].Complete(nvme.Success, 0, 0, make([]byte, testBlock))
+			s.count(s.io.receive())
 		}
-		admin.s.Ended()
-		io.s.Ended()
-		lapsed := map[*Command]bool{}
-		for _, c := range io.lapsed {
-			if lapsed[c] {
-				t.Fatal("a command lapsed twice")
-			}
-			lapsed[c] = true
+	case stepAnyOpcode:
+		s.send(s.io.hostFraming.AppendCommand(nil, &nvme.Command{n}, nil))
+		s.sent[0]++
+	case stepExpire: // perhaps long after the data has come
+		if c := s.io.session.commands[id]; c != nil {
+			s.io.session.Expire(c)
 		}
-		for _, c := range io.taken {
-			if c.state != over {
-				open++
-			}
-			io.s.buffers.Put(c.Data) // the handler's
+		s.count(s.io.receive())
+	case stepSetConfig:
+		s.sendAdmin(nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, uint32(n&1)), id)
+	case stepTermReq:
+		s.send(nvme.AppendTerm(nil, nvme.TypeH2CTermReq, &nvme.FatalError{Status: 1}))
+	case stepDisconnect:
+		s.io.session.Closed()
+	case stepAdminConnect:
+		s.sendAdmin(nvme.NewConnect(0, 8, 0), id)
+	}
+}
+
+// send feeds the I/O queue and counts its answers.
+func (s *sequence) send(bytes []byte) {
+	if s.io.session.phase != phaseEnded {
+		s.count(s.io.send(bytes))
+	}
+}
+
+func (s *sequence) command(id uint16, c nvme.Command, data []byte) {
+	s.sent[id]++
+	s.send(s.io.command(id, c, data))
+}
+
+// sendAdmin feeds the admin queue, which may have the I/O queue answer too. Its own command ids don't count.
+func (s *sequence) sendAdmin(c nvme.Command, id uint16) {
+	if s.admin.session.phase != phaseEnded {
+		s.admin.send(s.admin.command(id, c, nil))
+	}
+	s.count(s.io.receive())
+}
+
+func (s *sequence) count(received []nvme.PDU) {
+	for _, p := range received {
+		if p.Type == nvme.TypeCapsuleResp {
+			c := p.Completion()
+			s.answered[c.CID()]++
 		}
-		if io.begun != 0 {
-			t.Fatalf("%d commands count for their peer after the end", io.begun)
+	}
+}
+
+// data sends the data of a Write: all of it, the first half, the second, or with a wrong offset.
+func (s *sequence) data(n byte) {
+	const total = 8 * testBlock
+	size, from, lastFlags := total, 0, uint8(nvme.FlagLast)
+	switch n >> 6 {
+	case 1:
+		size, lastFlags = total/2, 0
+	case 2:
+		size, from = total/2, total/2
+	case 3:
+		from = testBlock
+	}
+	tag, cid := uint16(n&0x0F), uint16(0)
+	if c := s.io.session.transfers[tag]; c != nil {
+		cid = c.CID()
+	}
+	for at := 0; at < size && s.io.session.phase != phaseEnded; {
+		part, flags := min(16<<10, size-at), uint8(0)
+		if at+part == size {
+			flags = lastFlags
 		}
-		if open > 0 || io.s.buffers.InUse != 0 || len(io.s.subs.byID) != 0 {
-			t.Fatalf("%d commands open, %d bytes held, %d associations after the end", open, io.s.buffers.InUse, len(io.s.subs.byID))
+		s.send(s.io.dataPDU(flags, cid, tag, from+at, part))
+		at += part
+	}
+}
+
+// check wants no more answers than commands, and buffers within their bound.
+func (s *sequence) check() {
+	s.t.Helper()
+	for cid, n := range s.answered {
+		if n > s.sent[cid] {
+			s.t.Fatalf("command id %d was sent %d times and answered %d times", cid, s.sent[cid], n)
 		}
-	})
+	}
+	settings := s.io.session.settings
+	limit := settings.MaxBuffered + settings.MaxTransfer + 16*settings.MaxCapsule
+	if buffered := s.io.session.buffers.InUse; buffered > limit {
+		s.t.Fatalf("%d bytes are buffered", buffered)
+	}
 }
 
-// drain reads what a queue has to say without telling it anything.
-func drain(b *bench) (out []nvme.PDU) {
-	for {
-		p, n, err := b.in.Decode(b.out)
-		if err != nil {
-			b.t.Fatal(err)
+// finish ends both connections; nothing may be left of them.
+func (s *sequence) finish() {
+	s.t.Helper()
+	s.admin.session.Closed()
+	s.io.session.Closed()
+	gone := map[*Command]bool{}
+	for _, c := range s.io.gone {
+		if gone[c] {
+			s.t.Fatal("the client of a command has gone twice")
 		}
-		if n == 0 {
-			return out
+		gone[c] = true
+	}
+	open := 0
+	for _, c := range s.io.admitted {
+		if c.state != commandOver {
+			open++
 		}
-		p.Header = append([]byte(nil), p.Header...)
-		out, b.out = append(out, p), b.out[n:]
+		s.io.session.buffers.Put(c.Data) // the handler's
+	}
+	if s.io.counted != 0 {
+		s.t.Fatalf("%d commands count for their client after the end", s.io.counted)
+	}
+	buffered, associations := s.io.session.buffers.InUse, len(s.io.session.associations.byID)
+	if open > 0 || buffered != 0 || associations != 0 {
+		s.t.Fatalf("%d commands open, %d bytes in use, %d associations after the end", open, buffered, associations)
 	}
 }
--- a/target/model_test.go
+++ b/target/model_test.go
@@ -8,61 +8,68 @@
 	"honeyplank/nvme"
 )
 
-// frame is one thing a host says, before it is encoded: the model judges this, the session the bytes.
+// frame is a PDU of a host before it is encoded: the model judges this, the session the bytes.
 type frame struct {
-	kind   int // of the what constants
-	cid    uint16
-	opcode uint8
-	nsid   uint32
-	lba    uint64
-	blocks int
-	sgl    uint8
-	length int // that the SGL states
-	inside int // bytes of data in the capsule
-	tag    uint16
-	offset int
-	size   int // bytes of an H2CData
-	last   bool
-	bad    bool // the data digest is over other data
+	kind      frameKind
+	cid       uint16
+	opcode    uint8
+	nsid      uint32
+	lba       uint64
+	blocks    int
+	sgl       uint8
+	sglLength int
+	inCapsule int // bytes of data in the capsule
+	tag       uint16
+	offset    int
+	size      int // bytes of an H2CData
+	last      bool
+	badDigest bool // the data digest is over other data
 }
 
+type frameKind int
+
 const (
-	whatCommand = iota
-	whatData
-	whatInit
-	whatTerm
+	frameCommand frameKind = iota
+	frameData
+	frameICReq
+	frameTermReq
 )
 
-// entry is a command as the plain model remembers it.
-type entry struct {
-	cid                     uint16
-	bytes, got              int
-	tag                     uint16
-	receiving, taken, ended bool // ended: answered, but data is still to come
+// modelCommand is a command as the model remembers it.
+type modelCommand struct {
+	cid             uint16
+	bytes, received int
+	tag             uint16
+	receiving       bool
+	admitted        bool
+	discarding      bool // answered, but data is still to come
 }
 
-// plain is the slow plain model of an I/O queue: for each frame it says which ends are allowed, all reasons that hold
-// at once, and looks through everything there ever was.
-type plain struct {
-	depth   int
-	spaces  []Namespace
-	most    int
-	entries []*entry
-	over    bool
+func (c *modelCommand) isOpen() bool { return c.receiving || c.admitted || c.discarding }
+
+// model is the slow and simple model of an I/O queue: for each frame it says which answers are allowed, by all reasons
+// that apply at once, and looks through every command there ever was.
+type model struct {
+	depth       int
+	namespaces  []Namespace
+	maxTransfer int
+	commands    []*modelCommand
+	over        bool
 }
 
-func (m *plain) open(cid uint16) *entry {
-	for _, e := range m.entries {
-		if e.cid == cid && (e.receiving || e.taken || e.ended) {
-			return e
+func (m *model) open(cid uint16) *modelCommand {
+	for _, c := range m.commands {
+		if c.cid == cid && c.isOpen() {
+			return c
 		}
 	}
 	return nil
 }
 
-func (m *plain) count() (n int) {
-	for _, e := range m.entries {
-		if e.receiving || e.taken || e.ended {
+func (m *model) countOpen() int {
+	n := 0
+	for _, c := range m.commands {
+		if c.isOpen() {
 			n++
 		}
 	}
@@ -70,101 +77,124 @@
 }
 
 // verdict is what is allowed: one of the statuses as answer, or one of the fatal ones, or, where both are empty, that
-// it is taken in silence.
+// the frame is accepted without an answer.
 type verdict struct {
 	statuses []nvme.Status
 	fatal    []uint16
-	entry    *entry // it began, or its data came
-	asks     bool   // an R2T is due
-	takes    bool   // the handler is due to have it
+	command  *modelCommand // it began, or its data is complete
+	wantsR2T bool
+	admits   bool
 }
 
-func (m *plain) judge(f frame) (v verdict) {
-	status := func(hold bool, s nvme.Status) {
-		if hold {
-			v.statuses = append(v.statuses, s)
-		}
+func (v *verdict) statusIf(applies bool, s nvme.Status) {
+	if applies {
+		v.statuses = append(v.statuses, s)
 	}
-	fatal := func(hold bool, s uint16) {
-		if hold {
-			v.fatal = append(v.fatal, s)
-		}
+}
+
+func (v *verdict) fatalIf(applies bool, s uint16) {
+	if applies {
+		v.fatal = append(v.fatal, s)
 	}
+}
+
+func (v *verdict) isDecided() bool { return len(v.statuses)+len(v.fatal) > 0 }
+
+func (m *model) judge(f frame) verdict {
 	switch f.kind {
-	case whatInit:
-		fatal(true, nvme.FatalSequence)
-	case whatCommand:
-		if f.bad {
-			status(true, nvme.TransientTransport)
-			return v
-		}
-		status(m.open(f.cid) != nil, nvme.IDConflict)
-		fatal(m.open(f.cid) == nil && m.count() >= m.depth, nvme.FatalSequence)
-		if len(v.fatal)+len(v.statuses) > 0 {
-			return v
-		}
-		const dnr = nvme.DoNotRetry
-		rw := f.opcode == nvme.Read || f.opcode == nvme.Write
-		status(f.opcode == nvme.Fabrics, nvme.SequenceError|dnr)
-		status(!rw && f.opcode != nvme.Flush && f.opcode != nvme.Fabrics, nvme.InvalidOpcode|dnr)
-		at := slices.IndexFunc(m.spaces, func(n Namespace) bool { return n.ID == f.nsid })
-		status(at < 0 && (rw || f.opcode == nvme.Flush && f.nsid != 0xFFFFFFFF), nvme.InvalidNamespace|dnr)
-		if f.opcode == nvme.Flush && len(v.statuses) == 0 {
-			status(true, nvme.Success)
-		}
-		if len(v.statuses) > 0 || !rw {
-			return v
-		}
-		n := m.spaces[at]
-		bytes := f.blocks << n.Shift
-		status(f.lba >= n.Blocks || f.lba+uint64(f.blocks) > n.Blocks, nvme.LBAOutOfRange|dnr)
-		status(bytes > m.most, nvme.InvalidField|dnr)
-		status(f.length != bytes, nvme.InvalidSGLLength|dnr)
-		inside := f.sgl == nvme.SGLInCapsule && f.opcode == nvme.Write
-		status(!inside && f.sgl != nvme.SGLTransport || f.sgl == nvme.SGLTransport && f.inside > 0, nvme.InvalidSGLType|dnr)
-		status(inside && f.inside != bytes, nvme.InvalidSGLOffset|dnr)
-		if len(v.statuses) > 0 {
-			return v
-		}
-		v.entry = &entry{cid: f.cid, bytes: bytes}
-		v.asks = f.opcode == nvme.Write && !inside
-		v.takes = !v.asks
-		v.entry.receiving, v.entry.taken = v.asks, v.takes
-		m.entries = append(m.entries, v.entry)
-	case whatData:
-		var e *entry
-		for _, x := range m.entries {
-			if x.tag == f.tag && x.tag != 0 && x.got < x.bytes && (x.receiving || x.ended) {
-				e = x
-			}
-		}
-		fatal(e == nil || e.cid != f.cid, nvme.FatalSequence)
-		if len(v.fatal) > 0 {
-			return v
-		}
-		fatal(f.size == 0 || f.offset != e.got || f.offset+f.size > e.bytes, nvme.FatalDataRange)
-		fatal(f.last != (f.offset+f.size == e.bytes), nvme.FatalHeaderField)
-		if len(v.fatal) > 0 {
-			return v
-		}
-		e.got += f.size
-		if f.bad && e.receiving {
-			status(true, nvme.TransientTransport)
-			e.receiving, e.ended = false, true
-		}
-		if e.got == e.bytes {
-			v.takes = e.receiving
-			e.receiving, e.ended, e.taken = false, false, v.takes
-			v.entry = e
+	case frameICReq:
+		return verdict{fatal: []uint16{nvme.FatalSequence}}
+	case frameCommand:
+		return m.judgeCommand(f)
+	case frameData:
+		return m.judgeData(f)
+	}
+	return verdict{}
+}
+
+func (m *model) judgeCommand(f frame) (v verdict) {
+	if f.badDigest {
+		v.statusIf(true, nvme.TransientTransport)
+		return v
+	}
+	v.statusIf(m.open(f.cid) != nil, nvme.IDConflict)
+	v.fatalIf(m.open(f.cid) == nil && m.countOpen() >= m.depth, nvme.FatalSequence)
+	if v.isDecided() {
+		return v
+	}
+	const dnr = nvme.DoNotRetry
+	isTransfer, isFlush := f.opcode == nvme.Read || f.opcode == nvme.Write, f.opcode == nvme.Flush
+	v.statusIf(f.opcode == nvme.Fabrics, nvme.SequenceError|dnr)
+	v.statusIf(!isTransfer && !isFlush && f.opcode != nvme.Fabrics, nvme.InvalidOpcode|dnr)
+	at := slices.IndexFunc(m.namespaces, func(n Namespace) bool { return n.ID == f.nsid })
+	v.statusIf(at < 0 && (isTransfer || isFlush && f.nsid != allNamespaces), nvme.InvalidNamespace|dnr)
+	v.statusIf(isFlush && !v.isDecided(), nvme.Success)
+	if v.isDecided() {
+		return v
+	}
+	m.judgeTransfer(&v, f, m.namespaces[at])
+	return v
+}
+
+// judgeTransfer judges a Read or Write, and remembers it where nothing is wrong.
+func (m *model) judgeTransfer(v *verdict, f frame, n Namespace) {
+	const dnr = nvme.DoNotRetry
+	bytes := f.blocks << n.Shift
+	inCapsule, byTransport := f.sgl == nvme.SGLInCapsule && f.opcode == nvme.Write, f.sgl == nvme.SGLTransport
+	v.statusIf(f.lba >= n.Blocks || f.lba+uint64(f.blocks) > n.Blocks, nvme.LBAOutOfRange|dnr)
+	v.statusIf(bytes > m.maxTransfer, nvme.InvalidField|dnr)
+	v.statusIf(f.sglLength != bytes, nvme.InvalidSGLLength|dnr)
+	v.statusIf(!inCapsule && !byTransport || byTransport && f.inCapsule > 0, nvme.InvalidSGLType|dnr)
+	v.statusIf(inCapsule && f.inCapsule != bytes, nvme.InvalidSGLOffset|dnr)
+	if v.isDecided() {
+		return
+	}
+	v.wantsR2T = f.opcode == nvme.Write && !inCapsule
+	v.admits = !v.wantsR2T
+	v.command = &modelCommand{cid: f.cid, bytes: bytes, receiving: v.wantsR2T, admitted: v.admits}
+	m.commands = append(m.commands, v.command)
+}
+
+// awaiting is the command that data with a tag belongs to.
+func (m *model) awaiting(tag uint16) *modelCommand {
+	var found *modelCommand
+	for _, c := range m.commands {
+		if c.tag == tag && c.tag != 0 && c.received < c.bytes && (c.receiving || c.discarding) {
+			found = c
 		}
 	}
+	return found
+}
+
+func (m *model) judgeData(f frame) (v verdict) {
+	c := m.awaiting(f.tag)
+	v.fatalIf(c == nil || c.cid != f.cid, nvme.FatalSequence)
+	if v.isDecided() {
+		return v
+	}
+	end := f.offset + f.size
+	v.fatalIf(f.size == 0 || f.offset != c.received || end > c.bytes, nvme.FatalDataRange)
+	v.fatalIf(f.last != (end == c.bytes), nvme.FatalHeaderField)
+	if v.isDecided() {
+		return v
+	}
+	c.received += f.size
+	if f.badDigest && c.receiving {
+		v.statusIf(true, nvme.TransientTransport)
+		c.receiving, c.discarding = false, true
+	}
+	if c.received == c.bytes {
+		v.admits = c.receiving
+		c.receiving, c.discarding, c.admitted = false, false, v.admits
+		v.command = c
+	}
 	return v
 }
 
-// FuzzModel plays what hosts can say, right and wrong, to a live I/O queue with digests, and holds the session
-// against the plain model: an answer must be one of those allowed, a breach must end the connection with a status
-// that names one of its reasons, and what breaks nothing must be taken. Digests are right over wrong data (which
-// nobody can tell) and wrong over right data.
+// FuzzModel sends what hosts can send, right and wrong, to a live I/O queue with digests, and holds the session against
+// the model: an answer must be one of those allowed, a violation must end the connection with a status that names one
+// of its reasons, and what violates nothing must be accepted. Digests are right over wrong data (which nobody can tell)
+// and wrong over right data.
 func FuzzModel(f *testing.F) {
 	f.Add(byte(0), []byte{0, 0x01, 1, 0x02, 6, 0, 8, 0, 8, 1})
 	f.Add(byte(3), []byte{1, 0x10, 1, 0x20, 6, 0x11, 6, 0x10, 7, 0, 9, 1, 10, 2})
@@ -174,210 +204,324 @@
 	f.Add(byte(2), []byte{1, 0x01, 7, 0x01, 7, 0xC1, 9, 0, 10, 0})
 	f.Add(byte(2), []byte{2, 0x11, 3, 0x12, 4, 0x13, 5, 0x14, 11, 0x10, 12, 0x10, 1, 0x40, 6, 0x80})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
-		admin, io := pairWith(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
-		m := &plain{depth: io.s.size, spaces: io.s.offer.Namespaces, most: io.s.offer.MaxTransfer}
-		io.host.MaxData = 1 << 20
-		answers := func(out []nvme.PDU) (got []string) {
-			for _, p := range out {
-				if p.Type == nvme.TypeCapsuleResp {
-					c := p.Completion()
-					got = append(got, fmt.Sprintf("%d:%#x", c.CID(), uint16(c.Status())))
-				}
-			}
-			return got
+		p := newModelPlay(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
+		for ; len(script) >= 2 && !p.model.over; script = script[2:] {
+			p.step(script[0], script[1])
 		}
-		for len(script) >= 2 && !m.over {
-			what, n := script[0], script[1]
-			script = script[2:]
-			fr := frame{cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7), sgl: nvme.SGLTransport}
-			fr.length = fr.blocks << 12
-			switch what % 16 {
-			case 0:
-				fr.opcode = nvme.Read
-			case 1:
-			case 2:
-				fr.sgl, fr.blocks = nvme.SGLInCapsule, 1+int(n&1)
-				fr.length = fr.blocks << 12
-				fr.inside = fr.length
-			case 3: // out of range, at its very edge, of another namespace or of none
-				fr.opcode, fr.lba, fr.nsid = nvme.Read, [...]uint64{1000 - uint64(fr.blocks), 1001 - uint64(fr.blocks), 999, 1000, 1 << 40, ^uint64(0), 0, 0}[n&7], uint32(1+(n>>3&1)*4)
-				fr.length = fr.blocks << 12
-				if fr.nsid == 5 {
-					fr.length = fr.blocks << 9
-				}
-			case 4: // lengths that lie
-				fr.length = [...]int{0, 1, fr.length - 1, fr.length + 1, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1}[n&7]
-			case 5: // in the capsule something else than the SGL says
-				fr.sgl, fr.blocks, fr.length, fr.inside = nvme.SGLInCapsule, 1, 4096, []int{0, 512, 4092, 8192}[n&3]
-			case 6, 7: // data for one that waits, whole or in pieces that may lie
-				fr.kind, fr.tag, fr.cid, fr.size, fr.last = whatData, uint16(n&7), 99, 4096, true
-				for _, e := range m.entries {
-					if e.tag == fr.tag && (e.receiving || e.ended) && e.got < e.bytes {
-						fr.cid, fr.offset, fr.size = e.cid, e.got, e.bytes-e.got
-					}
-				}
-				if what%16 == 7 {
-					switch n >> 5 {
-					case 0:
-						fr.size, fr.last = min(fr.size, 4096), fr.size <= 4096
-					case 1:
-						fr.offset += 4096
-					case 2:
-						fr.size, fr.last = fr.size+1+3*int(n>>3&1), n&16 != 0
-					case 3:
-						fr.last = false
-					case 4:
-						fr.cid++
-					case 5:
-						fr.offset = max(0, fr.offset-4096)
-					case 6:
-						fr.size, fr.last = 4096, true
-					case 7:
-						fr.bad = digests&2 != 0
-					}
-				}
-			case 8: // the handler answers
-				if len(io.taken) > 0 {
-					c := io.taken[int(n)%len(io.taken)]
-					e := m.entries[slices.IndexFunc(m.entries, func(e *entry) bool { return e == c.User })]
-					c.Complete(nvme.Success, 0, 0, nil)
-					got, want := answers(drain(io)), []string(nil)
-					if e.taken {
-						want = []string{fmt.Sprintf("%d:0x0", c.CID())}
-					}
-					if e.taken = false; !slices.Equal(got, want) {
-						t.Fatalf("the handler's answer came as %v, want %v", got, want)
-					}
-				}
-				continue
-			case 9: // an Abort
-				var c nvme.Command
-				c[0] = nvme.AdminAbort
-				c.SetDW(10, uint32(fr.cid)<<16|1)
-				out := admin.say(admin.command(50, c, nil))
-				if len(out) != 1 {
-					t.Fatalf("%d answers to an Abort", len(out))
-				}
-				done := out[0].Completion()
-				e, want := m.open(fr.cid), []string(nil)
-				if e != nil && !e.ended {
-					want = []string{fmt.Sprintf("%d:%#x", fr.cid, uint16(nvme.AbortRequested))}
-					e.ended, e.receiving, e.taken = e.receiving, false, false
-				}
-				if got := answers(drain(io)); !slices.Equal(got, want) || (done.DW0()&1 == 0) != (want != nil) {
-					t.Fatalf("Abort of %d: %v and %#x, want %v", fr.cid, got, done.DW0(), want)
-				}
-				continue
-			case 10: // data has not come in time
-				if e := m.open(fr.cid); e != nil { // the time may be over whatever has come of the command meanwhile
-					want := []string(nil)
-					if e.receiving {
-						want = []string{fmt.Sprintf("%d:%#x", e.cid, uint16(nvme.DataTransferError))}
-						e.receiving, e.ended = false, true
-					}
-					io.s.Expire(io.s.commands[e.cid])
-					if got := answers(drain(io)); !slices.Equal(got, want) {
-						t.Fatalf("expiry told %v, want %v", got, want)
-					}
-				}
-				continue
-			case 11:
-				fr.opcode, fr.nsid = nvme.Flush, []uint32{1, 5, 2, 0xFFFFFFFF}[n&3]
-				fr.blocks, fr.length = 0, 0
-			case 12:
-				fr.opcode = []uint8{nvme.Fabrics, 0x04, 0x05, 0x7E}[n&3]
-			case 13:
-				fr.kind = whatInit
-			case 14:
-				fr.kind = whatTerm
-			case 15: // right data under a wrong digest
-				fr.sgl, fr.blocks, fr.length, fr.inside, fr.bad = nvme.SGLInCapsule, 1, 4096, 4096, digests&2 != 0
-			}
-			var bytes []byte
-			switch fr.kind {
-			case whatCommand:
-				c := nvme.NewRW(fr.opcode, fr.nsid, fr.lba, max(fr.blocks, 1))
-				c.SetSGL(fr.sgl, fr.length)
-				if fr.opcode == nvme.Fabrics {
-					c = nvme.NewConnect(1, 8, 0)
-				}
-				c.SetCID(fr.cid)
-				bytes = io.host.AppendCommand(nil, &c, make([]byte, fr.inside))
-			case whatData:
-				flags := uint8(0)
-				if fr.last {
-					flags = nvme.FlagLast
-				}
-				// One PDU holds a Piece at most: longer data goes in several, each of which is a frame of its own.
-				for piece := io.s.offer.MaxDataPDU; fr.size > piece && !m.over; {
-					part := fr
-					part.size, part.last, part.bad = piece, false, false
-					check(t, io, m, part, io.host.AppendData(nil, nvme.TypeH2CData, 0, part.cid, part.tag, part.offset, make([]byte, piece)))
-					fr.offset, fr.size = fr.offset+piece, fr.size-piece
-				}
-				bytes = io.host.AppendData(nil, nvme.TypeH2CData, flags, fr.cid, fr.tag, fr.offset, make([]byte, fr.size))
-			case whatInit:
-				bytes = nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{})
-			case whatTerm:
-				bytes = nvme.AppendTerm(nil, nvme.TypeH2CTermReq, &nvme.FatalError{Status: 1})
-			}
-			if fr.bad {
-				bytes[len(bytes)-1] ^= 1
-			}
-			if !m.over {
-				check(t, io, m, fr, bytes)
-			}
+		p.finish()
+	})
+}
+
+// modelPlay plays the steps of an input on a session and on the model.
+type modelPlay struct {
+	t           *testing.T
+	admin, io   *harness
+	model       *model
+	dataDigests bool
+}
+
+func newModelPlay(t *testing.T, i nvme.Init) *modelPlay {
+	t.Helper()
+	admin, io := pairWith(t, i)
+	s := io.session
+	m := &model{depth: s.queueSize, namespaces: s.settings.Namespaces, maxTransfer: s.settings.MaxTransfer}
+	return &modelPlay{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
+}
+
+// The steps of a play, as an input's byte names them.
+const (
+	playRead = iota
+	playWrite
+	playWriteInCapsule
+	playOutOfRange
+	playWrongLength
+	playWrongCapsule
+	playData
+	playWrongData
+	playComplete
+	playAbort
+	playExpire
+	playFlush
+	playOtherOpcode
+	playICReq
+	playTermReq
+	playBadDigest
+	playKinds
+)
+
+func (p *modelPlay) step(kind, n byte) {
+	switch kind % playKinds {
+	case playComplete:
+		p.complete(n)
+	case playAbort:
+		p.abort(uint16(n >> 4))
+	case playExpire:
+		p.expire(uint16(n >> 4))
+	default:
+		p.send(p.frame(kind%playKinds, n))
+	}
+}
+
+// frame makes the frame of a step: a Write of one to eight blocks, changed by the step's kind.
+func (p *modelPlay) frame(kind, n byte) frame {
+	f := frame{
+		cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7), sgl: nvme.SGLTransport,
+	}
+	f.sglLength = f.blocks * testBlock
+	switch kind {
+	case playRead:
+		f.opcode = nvme.Read
+	case playWriteInCapsule:
+		f.sgl, f.blocks = nvme.SGLInCapsule, 1+int(n&1)
+		f.sglLength = f.blocks * testBlock
+		f.inCapsule = f.sglLength
+	case playOutOfRange:
+		f.outOfRange(n)
+	case playWrongLength:
+		lengths := [...]int{0, 1, f.sglLength - 1, f.sglLength + 1, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1}
+		f.sglLength = lengths[n&7]
+	case playWrongCapsule: // something else than the SGL states
+		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, []int{0, 512, 4092, 8192}[n&3]
+	case playData:
+		f.data(p.model, n)
+	case playWrongData:
+		f.data(p.model, n)
+		f.spoilData(n, p.dataDigests)
+	case playFlush:
+		f.opcode, f.nsid = nvme.Flush, []uint32{1, 5, 2, allNamespaces}[n&3]
+		f.blocks, f.sglLength = 0, 0
+	case playOtherOpcode:
+		f.opcode = []uint8{nvme.Fabrics, 0x04, 0x05, 0x7E}[n&3]
+	case playICReq:
+		f.kind = frameICReq
+	case playTermReq:
+		f.kind = frameTermReq
+	case playBadDigest:
+		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, testBlock
+		f.badDigest = p.dataDigests
+	}
+	return f
+}
+
+// outOfRange makes it a Read past the end of its namespace, at its very edge, or of another namespace.
+func (f *frame) outOfRange(n byte) {
+	blocks := uint64(f.blocks)
+	f.opcode = nvme.Read
+	f.lba = [...]uint64{1000 - blocks, 1001 - blocks, 999, 1000, 1 << 40, ^uint64(0), 0, 0}[n&7]
+	f.nsid = uint32(1 + (n>>3&1)*4)
+	f.sglLength = f.blocks * testBlock
+	if f.nsid == 5 {
+		f.sglLength = f.blocks * 512
+	}
+}
+
+// data makes it all the data that a command waits for, or data that none waits for.
+func (f *frame) data(m *model, n byte) {
+	f.kind, f.tag, f.cid, f.size, f.last = frameData, uint16(n&7), 99, testBlock, true
+	for _, c := range m.commands {
+		if c.tag == f.tag && (c.receiving || c.discarding) && c.received < c.bytes {
+			f.cid, f.offset, f.size = c.cid, c.received, c.bytes-c.received
 		}
-		for _, c := range io.taken {
-			io.s.buffers.Put(c.Data)
+	}
+}
+
+// spoilData makes data a part, or wrong in one way.
+func (f *frame) spoilData(n byte, digests bool) {
+	switch n >> 5 {
+	case 0:
+		f.size, f.last = min(f.size, testBlock), f.size <= testBlock
+	case 1:
+		f.offset += testBlock
+	case 2:
+		f.size, f.last = f.size+1+3*int(n>>3&1), n&16 != 0
+	case 3:
+		f.last = false
+	case 4:
+		f.cid++
+	case 5:
+		f.offset = max(0, f.offset-testBlock)
+	case 6:
+		f.size, f.last = testBlock, true
+	case 7:
+		f.badDigest = digests
+	}
+}
+
+// send sends a frame. A PDU has MaxDataPDU bytes of data at most: more goes in several, each a frame of its own.
+func (p *modelPlay) send(f frame) {
+	p.t.Helper()
+	if f.kind == frameData {
+		for part := p.io.session.settings.MaxDataPDU; f.size > part && !p.model.over; {
+			first := f
+			first.size, first.last, first.badDigest = part, false, false
+			p.check(first)
+			f.offset, f.size = f.offset+part, f.size-part
 		}
-		io.s.Ended()
-		if held := io.s.buffers.InUse; held != 0 {
-			t.Fatalf("%d bytes held after the end", held)
+	}
+	if !p.model.over {
+		p.check(f)
+	}
+}
+
+func (p *modelPlay) encode(f frame) []byte {
+	var bytes []byte
+	switch f.kind {
+	case frameCommand:
+		c := nvme.NewRW(f.opcode, f.nsid, f.lba, max(f.blocks, 1))
+		c.SetSGL(f.sgl, f.sglLength)
+		if f.opcode == nvme.Fabrics {
+			c = nvme.NewConnect(1, 8, 0)
 		}
-	})
+		c.SetCID(f.cid)
+		bytes = p.io.hostFraming.AppendCommand(nil, &c, make([]byte, f.inCapsule))
+	case frameData:
+		flags := uint8(0)
+		if f.last {
+			flags = nvme.FlagLast
+		}
+		bytes = p.io.dataPDU(flags, f.cid, f.tag, f.offset, f.size)
+	case frameICReq:
+		bytes = nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{})
+	case frameTermReq:
+		bytes = nvme.AppendTerm(nil, nvme.TypeH2CTermReq, &nvme.FatalError{Status: 1})
+	}
+	if f.badDigest {
+		bytes[len(bytes)-1] ^= 1
+	}
+	return bytes
 }
 
-// check feeds a frame and holds what comes against what the model allows.
-func check(t *testing.T, io *bench, m *plain, f frame, bytes []byte) {
-	t.Helper()
-	taken := len(io.taken)
-	v := m.judge(f)
-	m.over = len(v.fatal) > 0 || f.kind == whatTerm
-	out := io.say(bytes)
+// check sends a frame and holds what comes against what the model allows.
+func (p *modelPlay) check(f frame) {
+	p.t.Helper()
+	admitted := len(p.io.admitted)
+	v := p.model.judge(f)
+	p.model.over = len(v.fatal) > 0 || f.kind == frameTermReq
 	var statuses []nvme.Status
-	asked := false
-	for _, p := range out {
-		switch p.Type {
+	r2t := false
+	for _, pdu := range p.io.send(p.encode(f)) {
+		switch pdu.Type {
 		case nvme.TypeCapsuleResp:
-			c := p.Completion()
+			c := pdu.Completion()
 			if statuses = append(statuses, c.Status()); c.CID() != f.cid {
-				t.Fatalf("%+v: an answer to command %d", f, c.CID())
+				p.t.Fatalf("%+v: an answer to command %d", f, c.CID())
 			}
 		case nvme.TypeR2T:
-			asked = true
-			if v.entry == nil || p.CCCID() != f.cid || p.Offset() != 0 || int(p.Length()) != v.entry.bytes {
-				t.Fatalf("%+v: R2T for command %d, %d bytes from %d", f, p.CCCID(), p.Length(), p.Offset())
-			}
-			v.entry.tag = p.TTAG()
+			r2t = true
+			p.checkR2T(f, &v, &pdu)
 		case nvme.TypeC2HTermReq:
-			if s, _ := p.Term(); !slices.Contains(v.fatal, s) {
-				t.Fatalf("%+v: ended with %d, allowed are %v", f, s, v.fatal)
+			if s, _ := pdu.Term(); !slices.Contains(v.fatal, s) {
+				p.t.Fatalf("%+v: ended with %d, allowed are %v", f, s, v.fatal)
 			}
 		default:
-			t.Fatalf("%+v: PDU type %#x", f, p.Type)
+			p.t.Fatalf("%+v: PDU type %#x", f, pdu.Type)
+		}
+	}
+	if ended := p.io.session.phase == phaseEnded; ended != p.model.over {
+		p.t.Fatalf("%+v: the connection ended: %v; the model: %v, %v", f, ended, p.model.over, v.fatal)
+	}
+	p.checkStatuses(f, &v, statuses)
+	if admits := len(p.io.admitted) > admitted; r2t != v.wantsR2T || admits != v.admits {
+		p.t.Fatalf("%+v: R2T %v, want %v; admitted %v, want %v", f, r2t, v.wantsR2T, admits, v.admits)
+	}
+	if v.admits {
+		p.io.admitted[admitted].User = v.command
+	}
+}
+
+func (p *modelPlay) checkR2T(f frame, v *verdict, r2t *nvme.PDU) {
+	p.t.Helper()
+	if v.command == nil || r2t.CCCID() != f.cid || r2t.Offset() != 0 || int(r2t.Length()) != v.command.bytes {
+		p.t.Fatalf("%+v: R2T for command %d, %d bytes from %d", f, r2t.CCCID(), r2t.Length(), r2t.Offset())
+	}
+	v.command.tag = r2t.TTAG()
+}
+
+// checkStatuses wants one of the allowed answers, or none where none is allowed.
+func (p *modelPlay) checkStatuses(f frame, v *verdict, statuses []nvme.Status) {
+	p.t.Helper()
+	if len(statuses) == 0 && len(v.statuses) == 0 {
+		return
+	}
+	if len(statuses) != 1 || !slices.Contains(v.statuses, statuses[0]) {
+		p.t.Fatalf("%+v: answered %#x, allowed are %#x", f, statuses, v.statuses)
+	}
+}
+
+// answers are the completions that the I/O queue has sent, as "id:status".
+func (p *modelPlay) answers() []string {
+	p.t.Helper()
+	var answers []string
+	for _, pdu := range p.io.receive() {
+		if pdu.Type == nvme.TypeCapsuleResp {
+			c := pdu.Completion()
+			answers = append(answers, answerText(c.CID(), c.Status()))
 		}
 	}
-	if ended := io.s.phase == phaseEnded; ended != m.over {
-		t.Fatalf("%+v: the connection ended: %v; the model: %v, %v", f, ended, m.over, v.fatal)
+	return answers
+}
+
+func answerText(cid uint16, s nvme.Status) string { return fmt.Sprintf("%d:%#x", cid, uint16(s)) }
+
+// complete has the handler answer a command, which may be over.
+func (p *modelPlay) complete(n byte) {
+	p.t.Helper()
+	if len(p.io.admitted) == 0 {
+		return
+	}
+	c := p.io.admitted[int(n)%len(p.io.admitted)]
+	remembered := c.User.(*modelCommand)
+	var want []string
+	if remembered.admitted {
+		want = []string{answerText(c.CID(), nvme.Success)}
 	}
-	if len(statuses) > 1 || (len(statuses) == 1) != (len(v.statuses) > 0) || len(statuses) == 1 && !slices.Contains(v.statuses, statuses[0]) {
-		t.Fatalf("%+v: answered %#x, allowed are %#x", f, statuses, v.statuses)
+	remembered.admitted = false
+	c.Complete(nvme.Success, 0, 0, nil)
+	if got := p.answers(); !slices.Equal(got, want) {
+		p.t.Fatalf("the handler's answer came as %v, want %v", got, want)
 	}
-	if asked != v.asks || (len(io.taken) > taken) != v.takes {
-		t.Fatalf("%+v: asked for data %v, want %v; handed over %v, want %v", f, asked, v.asks, len(io.taken) > taken, v.takes)
+}
+
+func (p *modelPlay) abort(cid uint16) {
+	p.t.Helper()
+	completion := p.admin.abort(cid)
+	c := p.model.open(cid)
+	var want []string
+	if c != nil && !c.discarding {
+		want = []string{answerText(cid, nvme.AbortRequested)}
+		c.discarding, c.receiving, c.admitted = c.receiving, false, false
+	}
+	aborted := completion.DW0()&notAborted == 0
+	if got := p.answers(); !slices.Equal(got, want) || aborted != (want != nil) {
+		p.t.Fatalf("Abort of %d: %v and %#x, want %v", cid, got, completion.DW0(), want)
+	}
+}
+
+// expire has the time for a command's data be over, whatever has come of it meanwhile.
+func (p *modelPlay) expire(cid uint16) {
+	p.t.Helper()
+	c := p.model.open(cid)
+	if c == nil {
+		return
+	}
+	var want []string
+	if c.receiving {
+		want = []string{answerText(cid, nvme.DataTransferError)}
+		c.receiving, c.discarding = false, true
+	}
+	p.io.session.Expire(p.io.session.commands[cid])
+	if got := p.answers(); !slices.Equal(got, want) {
+		p.t.Fatalf("expiry was answered with %v, want %v", got, want)
+	}
+}
+
+func (p *modelPlay) finish() {
+	p.t.Helper()
+	for _, c := range p.io.admitted {
+		p.io.session.buffers.Put(c.Data) // the handler's
 	}
-	if v.takes {
-		io.taken[taken].User = v.entry
+	p.io.session.Closed()
+	if buffered := p.io.session.buffers.InUse; buffered != 0 {
+		p.t.Fatalf("%d bytes are in use after the end", buffered)
 	}
 }
--- /dev/null
+++ b/target/termination.go
@@ -0,0 +1,51 @@
+package target
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Closed tells the session that its connection is gone: its commands end without an answer.
+func (s *Session) Closed() {
+	if s.phase == phaseEnded {
+		return
+	}
+	s.phase = phaseEnded
+	for _, c := range s.openCommands() {
+		if c.state == commandAdmitted {
+			c.state = commandOver
+			s.endCounting(c)
+			s.handler.ClientGone(c)
+		} else {
+			s.drop(c)
+		}
+	}
+	s.commands, s.transfers = nil, nil
+	s.leaveController()
+}
+
+// openCommands are the commands in order of their ids.
+func (s *Session) openCommands() []*Command {
+	open := make([]*Command, 0, len(s.commands))
+	for _, c := range s.commands {
+		open = append(open, c)
+	}
+	slices.SortFunc(open, func(a, b *Command) int { return cmp.Compare(a.CID(), b.CID()) })
+	return open
+}
+
+// leaveController ends the association with its admin queue (TCP 3.5).
+func (s *Session) leaveController() {
+	k := s.controller
+	if k == nil || k.queues[s.queueID] != s {
+		return
+	}
+	delete(k.queues, s.queueID)
+	if s.queueID != 0 {
+		return
+	}
+	delete(s.associations.byID, k.id)
+	for _, queue := range k.queues {
+		queue.connection.end()
+	}
+}
--- /dev/null
+++ b/target/transfer.go
@@ -0,0 +1,120 @@
+package target
+
+import (
+	"honeyplank/eventloop"
+	"honeyplank/nvme"
+)
+
+// grant sends R2Ts while there are buffers for the data, past those whose client has its share already. One always
+// fits, so that none waits for ever.
+func (a *associations) grant(settings *Settings, buffers *eventloop.Buffers) {
+	if a.granting { // sending an R2T has ended a connection, which gave buffers back
+		a.again = true
+		return
+	}
+	a.granting = true
+	for a.again = true; a.again; {
+		a.again = false
+		a.grantWaiting(settings, buffers)
+	}
+	a.granting = false
+}
+
+// grantWaiting goes once through the Writes that wait.
+func (a *associations) grantWaiting(settings *Settings, buffers *eventloop.Buffers) {
+	waiting := a.waiting
+	a.waiting = nil
+	for i, c := range waiting {
+		switch {
+		case c.state != commandReceiving || c.session.phase == phaseEnded:
+		case buffers.InUse > 0 && buffers.InUse+c.Bytes > settings.MaxBuffered:
+			a.waiting = append(a.waiting, waiting[i:]...)
+			return
+		case !c.session.connection.reserveBytes(c.Bytes):
+			a.waiting = append(a.waiting, c)
+		default:
+			c.session.sendR2T(c)
+		}
+	}
+}
+
+// sendR2T asks the client for all data of a Write.
+func (s *Session) sendR2T(c *Command) {
+	for s.lastTag++; s.transfers[s.lastTag] != nil; {
+		s.lastTag++
+	}
+	c.transferTag, c.r2tSent = s.lastTag, true
+	c.Data = s.buffers.Get(c.Bytes)
+	s.transfers[c.transferTag] = c
+	*s.output = s.framing.AppendR2T(*s.output, c.CID(), c.transferTag, 0, c.Bytes)
+	s.connection.flush()
+}
+
+// endTransfer tells once that the bytes of a Write no longer count for its client.
+func (s *Session) endTransfer(c *Command) {
+	if c.r2tSent {
+		c.r2tSent = false
+		s.connection.releaseBytes(c.Bytes)
+	}
+}
+
+// Fields of a PDU's header, as FEI tells which is wrong (TCP 3.6.1, 3.6.2.8).
+const (
+	flagsField      = 1
+	dataOffsetField = 12
+)
+
+func (s *Session) handleData(p *nvme.PDU) error {
+	c := s.transfers[p.TTAG()]
+	if c == nil || c.CID() != p.CCCID() {
+		return sequenceError(p, "H2CData without an R2T")
+	}
+	from, n := int64(p.Offset()), len(p.Data)
+	if from != int64(c.received) || from+int64(n) > int64(c.Bytes) || n == 0 {
+		return fatalError(nvme.FatalDataRange, dataOffsetField, p, "H2CData outside what was asked for")
+	}
+	copy(c.Data[from:], p.Data)
+	s.buffers.Copied(n)
+	c.received += n
+	complete := c.received == c.Bytes
+	if complete != (p.Flags&nvme.FlagLast != 0) {
+		return fatalError(nvme.FatalHeaderField, flagsField, p, "LAST_PDU where it does not belong")
+	}
+	if p.BadData && c.state == commandReceiving {
+		c.state = commandDiscarding
+		s.respond(c.CID(), response{status: nvme.TransientTransport})
+	}
+	if complete {
+		s.completeTransfer(c)
+	}
+	return nil
+}
+
+// completeTransfer hands over a Write whose data is complete, unless it has been answered.
+func (s *Session) completeTransfer(c *Command) {
+	delete(s.transfers, c.transferTag)
+	s.endTransfer(c)
+	if c.state == commandDiscarding {
+		s.drop(c)
+		return
+	}
+	c.state = commandAdmitted
+	s.handler.Admit(c)
+}
+
+// Expire fails a Write whose data has not come by now.
+func (s *Session) Expire(c *Command) {
+	if c.state == commandReceiving && s.phase != phaseEnded {
+		s.cancelTransfer(c, nvme.DataTransferError)
+	}
+}
+
+// cancelTransfer answers a Write whose data is awaited; data that still comes is read and discarded.
+func (s *Session) cancelTransfer(c *Command, status nvme.Status) {
+	s.respond(c.CID(), response{status: status})
+	c.state = commandDiscarding
+	if s.transfers[c.transferTag] != c {
+		s.drop(c)
+	}
+	s.connection.flush()
+}
