--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -41,19 +41,18 @@
 	}
 	g.server = server
 	server.DataTimeout = g.opTimeout
-	server.OnBan = g.logBan
+	server.OnBan, server.OnReject = g.logBan, g.logRejection
 	if limits := g.settings.Limits.Client; limits != nil {
 		server.Guard = peerlimit.New(clientLimits(limits))
 	}
 	return nil
 }
 
-// logBan logs that a client was banned for a time or, with no time, that a connection was rejected.
-func (g *Instance) logBan(client, reason string, duration time.Duration) {
-	if duration == 0 {
-		g.log.Warn().Str("client", client).Str("reason", reason).Msg("client connection rejected")
-		return
-	}
+func (g *Instance) logRejection(client, reason string) {
+	g.log.Warn().Str("client", client).Str("reason", reason).Msg("client connection rejected")
+}
+
+func (g *Instance) logBan(client string, duration time.Duration) {
 	g.log.Warn().Str("client", client).Dur("duration_ms", duration).Msg("client banned")
 }
 
--- a/target/conn.go
+++ b/target/conn.go
@@ -112,12 +112,12 @@
 	}
 	c.server.Violations++
 	if ban := guard.Violation(now, c.client); ban > 0 {
-		c.server.OnBan(c.client, banReason, ban)
+		c.server.OnBan(c.client, ban)
 	}
 }
 
-// checkDeadlines ends the connection when the handshake, a Keep Alive or the rest of a PDU is overdue, resumes its input
-// when the client has read, and schedules the next check.
+// checkDeadlines ends the connection when the handshake, a Keep Alive or the rest of a PDU is overdue, resumes its
+// input when the client has read, and schedules the next check.
 func (c *conn) checkDeadlines() {
 	now, settings := c.server.loop.Now(), &c.server.settings
 	deadline := c.session.Deadline()
--- a/target/server.go
+++ b/target/server.go
@@ -19,9 +19,11 @@
 	OnConnect func(*eventloop.Conn)
 	// DropNewInput drops the input of new connections, DropAllInput that of all: fault injection.
 	DropNewInput, DropAllInput bool
-	// Guard decides what one client may cost; OnBan is called with what it rejects, and for how long.
+	// Guard decides what one client may cost.
 	Guard *peerlimit.Guard
-	OnBan func(client, reason string, duration time.Duration)
+	// OnBan is called when Guard bans a client for a time, OnReject when it rejects a connection.
+	OnBan    func(client string, duration time.Duration)
+	OnReject func(client, reason string)
 	// Draining rejects new connections.
 	Draining bool
 	// Rejected counts rejected connections, Violations those ended for a violation of the protocol.
@@ -35,9 +37,6 @@
 	conns        map[*conn]bool
 }
 
-// banReason is the reason of a ban that OnBan hears of.
-const banReason = "protocol violations"
-
 // Listen starts a server at an address.
 func Listen(l *eventloop.Loop, address string, settings Settings, handler Handler) (*Server, error) {
 	s := &Server{
@@ -46,7 +45,8 @@
 		loop:         l,
 		conns:        map[*conn]bool{},
 		Guard:        peerlimit.New(peerlimit.Settings{}),
-		OnBan:        func(string, string, time.Duration) {},
+		OnBan:        func(string, time.Duration) {},
+		OnReject:     func(string, string) {},
 		associations: associations{byID: map[uint16]*controller{}},
 	}
 	s.Buffers.MaxKept, s.Buffers.Stats = settings.MaxBuffered, &l.Stats
@@ -120,7 +120,7 @@
 	client := raw.RemoteIP.String()
 	if v := s.Guard.Open(now, client); v != peerlimit.Admit {
 		s.Rejected++
-		s.OnBan(client, v.String(), 0)
+		s.OnReject(client, v.String())
 		return nil
 	}
 	c := &conn{Conn: raw, server: s, dropInput: s.DropNewInput, client: client}
