--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -99,7 +99,7 @@
 
 // Kill ends the server as the death of its process does; what it has stored stays.
 func (s *Server) Kill() {
-	s.target.Cut(true)
+	s.target.Kill()
 	s.process = process{}
 	s.generation++
 }
@@ -123,7 +123,7 @@
 	s.Faults = faults
 	s.target.DropAllInput, s.target.DropNewInput = faults.Silent, faults.NoHandshake
 	if faults.NoHandshake {
-		s.target.Cut(false)
+		s.target.AbortConnections()
 	}
 	s.beginQueued()
 }
