--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -32,22 +32,17 @@
 			}
 		}
 	}()
-	bed.eventually("a full connection", func() (ok bool) {
-		bed.onLoop(func() {
-			for x := range bed.scheduler.clients {
-				ok = x.conn.UnsentBytes() > 0 && len(x.pending) == 0 && x.paused
-				if x.replyBacklog() > maxReplyBacklog+2*maxBody {
-					t.Errorf("%d bytes of replies are due", x.replyBacklog())
-				}
-			}
-		})
-		return ok
-	})
-	for i := range n {
-		if got := c.readReply(3 * time.Second); got != large {
-			t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
+	bed.eventuallyOnLoop("a full connection", func() bool {
+		serverSide := bed.client()
+		if serverSide == nil {
+			return false
 		}
-	}
+		if backlog := serverSide.replyBacklog(); backlog > maxReplyBacklog+2*maxBody {
+			t.Errorf("%d bytes of replies are due", backlog)
+		}
+		return serverSide.conn.UnsentBytes() > 0 && len(serverSide.pending) == 0 && serverSide.paused
+	})
+	c.expectValues(n, large, 3*time.Second)
 }
 
 // TestEvictionSparesUnread: a connection with a request that is not read yet is not closed for another, nor as idle.
@@ -109,6 +104,16 @@
 	}
 }
 
+// expectValues reads n replies, each within a time, and checks that each is the value.
+func (c *testClient) expectValues(n int, value string, within time.Duration) {
+	c.t.Helper()
+	for i := range n {
+		if got := c.readReply(within); got != value {
+			c.t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
+		}
+	}
+}
+
 // appendValues appends a value to the output of a connection n times.
 func (c *client) appendValues(n int, value string) {
 	for range n {
@@ -133,11 +138,7 @@
 			}
 		}
 	})
-	for i := range n {
-		if got := c.readReply(time.Second); got != large {
-			t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
-		}
-	}
+	c.expectValues(n, large, time.Second)
 	for _, want := range []string{"-ERR Protocol error: forced", "closed"} {
 		if got := c.readReply(2 * time.Second); got != want {
 			t.Errorf("%q, expected %q", got, want)
@@ -212,11 +213,7 @@
 		bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+1200*time.Millisecond, func() { close(closing) })
 	})
 	<-closing
-	for i := range n {
-		if got := c.readReply(time.Second); got != large {
-			t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
-		}
-	}
+	c.expectValues(n, large, time.Second)
 	if got := c.readReply(time.Second); got != "closed" {
 		t.Errorf("%q", got)
 	}
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -44,7 +44,7 @@
 func readList(text []byte) (list *listMessage, skipped []string, err error) {
 	list = &listMessage{}
 	if err := json.Unmarshal(text, list); err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("unreadable list: %w", err)
 	}
 	usable := list.Members[:0]
 	for _, m := range list.Members {
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -84,18 +84,7 @@
 			c := bed.dialClient()
 			c.sendRead("a", 9000)
 			bed.awaitWaiter()
-			waits := make(chan int, 1)
-			bed.onLoop(func() {
-				bed.module.onEvent = func(event honeyplank.Event) {
-					list, ok := event.(honeyplank.List)
-					if !ok || len(list.Members) == 0 {
-						return
-					}
-					bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+max(grace-maxHoldUp, 0), func() {
-						waits <- len(bed.scheduler.servers["s-0"].waiting)
-					})
-				}
-			})
+			waits := bed.waitersAfterList(max(grace-maxHoldUp, 0))
 			member := bed.member(0, "draining")
 			member.Address = gate.address
 			bed.discovery.Change(member)
@@ -108,3 +97,21 @@
 		})
 	}
 }
+
+// waitersAfterList receives how many attempts wait for the first disk server a delay after each list.
+func (bed *testbed) waitersAfterList(delay time.Duration) <-chan int {
+	bed.t.Helper()
+	waiters := make(chan int, 1)
+	bed.onLoop(func() {
+		bed.module.onEvent = func(event honeyplank.Event) {
+			list, ok := event.(honeyplank.List)
+			if !ok || len(list.Members) == 0 {
+				return
+			}
+			bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+delay, func() {
+				waiters <- len(bed.scheduler.servers["s-0"].waiting)
+			})
+		}
+	})
+	return waiters
+}
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -92,11 +92,11 @@
 // leastLoadedConn returns the connection with the fewest attempts in flight, of the busy ones that may take one more;
 // nil: there is none.
 func (ds *diskServer) leastLoadedConn() *serverConn {
-	most := max(ds.scheduler.site().StreamsPerConn, 1)
+	maxLoad := max(ds.scheduler.site().StreamsPerConn, 1)
 	var least *serverConn
 	for _, sc := range ds.conns {
 		load := len(sc.inFlight)
-		if !sc.connected || sc.retiring || load == 0 || load >= most {
+		if !sc.connected || sc.retiring || load == 0 || load >= maxLoad {
 			continue
 		}
 		if least == nil || load < len(least.inFlight) {
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -21,6 +21,7 @@
 	maxQuotaUsed = 1e9
 )
 
+// replyLimits are the limits of an answer of a disk server.
 var replyLimits = resp.Limits{
 	Line:  maxReplyLine,
 	Bulk:  maxValue,
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -161,8 +161,7 @@
 // TestRefusingServer: a server that refuses connections is answered for at once, not at the op timeout.
 func TestRefusingServer(t *testing.T) {
 	bed := newTestbed(t, 1)
-	bed.disks[0].Stop()
-	time.Sleep(20 * time.Millisecond)
+	bed.stopDisk(0)
 	begun := time.Now()
 	got, took := bed.dialClient().doRead("a", 390), time.Since(begun)
 	if !strings.HasPrefix(got, "-") || took > 250*time.Millisecond {
@@ -180,8 +179,7 @@
 	if result := <-results; result.Code != honeyplank.Succeeded || result.Load["latency"] != 3 {
 		t.Errorf("%+v", result)
 	}
-	bed.disks[0].Stop()
-	time.Sleep(20 * time.Millisecond)
+	bed.stopDisk(0)
 	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
 	if result := <-results; result.Code != honeyplank.ConnectFailed {
 		t.Errorf("%+v", result)
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -253,6 +253,7 @@
 	}
 }
 
+// logClose logs why the connection closes.
 func (sc *serverConn) logClose(err error) {
 	sc.server.scheduler.log.Debug().
 		Str("server", string(sc.server.id)).
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -40,9 +40,6 @@
 	bed.onLoop(func() {
 		bed.scheduler.log = zerolog.New(&log).Level(zerolog.WarnLevel)
 		bed.module.DecisionModule = singleServerModule{"s-0"}
-		if x.noRoute {
-			bed.scheduler.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
-		}
 	})
 	var clients []*testClient
 	for range 5 {
@@ -50,13 +47,37 @@
 		c.do("PING")
 		clients = append(clients, c)
 	}
-	if x.shortage > 0 {
-		bed.onLoop(func() {
+	x.begin(bed)
+	x.checkReplies(t, clients)
+	bed.onLoop(func() {
+		for _, code := range *codes {
+			if code != honeyplank.NotSent && code != honeyplank.Succeeded {
+				t.Errorf("outcomes %v", *codes)
+			}
+		}
+		if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || bed.scheduler.failedDials > 20 {
+			t.Errorf("%d lines after %d tries: %s", n, bed.scheduler.failedDials, log.Bytes())
+		}
+	})
+}
+
+// begin begins the shortage.
+func (x noDialCase) begin(bed *testbed) {
+	bed.onLoop(func() {
+		if x.noRoute {
+			bed.scheduler.applyMember(listMember{ID: "s-0", Address: "255.255.255.255:9", Phase: "up"})
+		}
+		if x.shortage > 0 {
 			release := takeAllDescriptors()
-			t.Cleanup(release)
+			bed.t.Cleanup(release)
 			bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+x.shortage, release)
-		})
-	}
+		}
+	})
+}
+
+// checkReplies sends one op for each client and checks its reply.
+func (x noDialCase) checkReplies(t *testing.T, clients []*testClient) {
+	t.Helper()
 	for i, c := range clients {
 		c.sendRead(fmt.Sprint("a", i), 390)
 	}
@@ -69,16 +90,6 @@
 			t.Errorf("%q, expected %q", got, want)
 		}
 	}
-	bed.onLoop(func() {
-		for _, code := range *codes {
-			if code != honeyplank.NotSent && code != honeyplank.Succeeded {
-				t.Errorf("outcomes %v", *codes)
-			}
-		}
-		if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || bed.scheduler.failedDials > 20 {
-			t.Errorf("%d lines after %d tries: %s", n, bed.scheduler.failedDials, log.Bytes())
-		}
-	})
 }
 
 // TestListenRetry: a scheduler that lacks a descriptor at its start listens once there is one.
--- a/scheduler/testbed_test.go
+++ b/scheduler/testbed_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net"
 	"os"
 	"path/filepath"
 	"sync"
@@ -72,6 +74,19 @@
 	return members
 }
 
+// stopDisk stops the n-th disk server and waits until it refuses connections.
+func (bed *testbed) stopDisk(n int) {
+	bed.t.Helper()
+	bed.disks[n].Stop()
+	bed.eventually("the end of the disk server", func() bool {
+		conn, err := net.Dial("tcp", bed.disks[n].Address())
+		if err == nil {
+			_ = conn.Close() // it is still accepted
+		}
+		return errors.Is(err, unix.ECONNREFUSED)
+	})
+}
+
 // writeConfig writes the configuration file and reads it as a scheduler does.
 func (bed *testbed) writeConfig() *Config {
 	bed.t.Helper()
