--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestIdleWithPartialCommand: a client that has brought ops and writes its next command slowly is not closed as idle in
+// TestIdleWithPartialCommand: a client that has sent ops and writes its next command slowly is not closed as idle in
 // the middle of it.
 func TestIdleWithPartialCommand(t *testing.T) {
 	bed := newTestbed(t, 1)
@@ -173,7 +173,7 @@
 	}
 }
 
-// TestUnreadCrowd: clients that never brought an op, send commands and read no replies hold no descriptors: one is
+// TestUnreadCrowd: clients that never sent an op, send commands and read no replies hold no descriptors: one is
 // evicted for another at once, and the rest are closed in time.
 func TestUnreadCrowd(t *testing.T) {
 	bed := newTestbed(t, 1)
@@ -184,7 +184,7 @@
 	bed.onLoop(func() {
 		bed.ageClients(commandTimeout + time.Millisecond)
 		if !bed.scheduler.evictIdleClient() || len(bed.scheduler.clients) != 1 {
-			t.Errorf("none gives way: %d are left", len(bed.scheduler.clients))
+			t.Errorf("none is evicted: %d are left", len(bed.scheduler.clients))
 		}
 		bed.ageClients(commandTimeout + time.Millisecond)
 		bed.scheduler.checkClients()
@@ -277,8 +277,8 @@
 }
 
 // TestCrowd: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody else
-// from being served and take no connection from those that bring ops, also during the shutdown; hundreds of commands at
-// once all get their replies, in order.
+// from being served and take no connection from clients that send ops, also during the shutdown; hundreds of commands
+// at once all get their replies, in order.
 func TestCrowd(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -67,13 +67,9 @@
 	})
 	sent := bed.sendLargeWrites(n, 9*time.Second)
 	time.Sleep(waits)
-	unsent := map[string]bool{}
+	var unsent map[string]bool
 	bed.onLoop(func() {
-		for _, sc := range bed.scheduler.servers["s-0"].conns {
-			for _, a := range sc.inFlight {
-				unsent[string(a.dispatch.Op())] = a.firstByte >= sc.writtenBytes()
-			}
-		}
+		unsent = bed.unsentOps()
 		gate.forwardBytes()
 	})
 	if len(stuck.ids) == 0 {
@@ -91,6 +87,17 @@
 	}
 }
 
+// unsentOps returns, on the loop, the ops in flight of which nothing is written.
+func (bed *testbed) unsentOps() map[string]bool {
+	unsent := map[string]bool{}
+	for _, sc := range bed.scheduler.servers["s-0"].conns {
+		for _, a := range sc.inFlight {
+			unsent[string(a.dispatch.Op())] = a.firstByte >= sc.writtenBytes()
+		}
+	}
+	return unsent
+}
+
 // sendLargeWrites sends n writes from several clients and waits until they are admitted. It returns when each was sent.
 func (bed *testbed) sendLargeWrites(n int, timeout time.Duration) map[string]time.Time {
 	bed.t.Helper()
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestReadyWithoutDiscovery: a scheduler that starts while discovery is down is ready at once and serves by the cached
-// list; idle clients that take all descriptors meanwhile leave discovery, the disk servers and those who bring ops what
+// list; idle clients that take all descriptors meanwhile leave discovery, the disk servers and those who send ops what
 // they need.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestConnRestsWithoutDescriptors: also where no descriptor is left for another connection, one that has just brought
-// an answer is idle for a moment before it carries the next op: a second answer, a moment late, must not be taken for
+// TestConnRestsWithoutDescriptors: also where no descriptor is left for another connection, one on which an answer has
+// just come is idle for a moment before it carries the next op: a second answer, a moment late, must not be taken for
 // that op's.
 func TestConnRestsWithoutDescriptors(t *testing.T) {
 	bed := newTestbed(t, 1)
@@ -156,20 +156,24 @@
 			bed.checkReceived("[first second]")
 		})
 	}
-	t.Run("forgotten", func(t *testing.T) { // a reset is all that comes back: the write may have run
-		bed, c := newIdleTestbed(t)
-		codes := bed.recordOutcomes()
-		bed.disks[0].SetFaults(fakeresp.Faults{ResetOnCommand: true})
-		bed.onLoop(func() { c.sendWrite("second", 9000, "x") })
-		if got := c.readReply(3 * time.Second); got != "-ERR failed" {
-			t.Errorf("%q, expected -ERR failed", got)
+	t.Run("forgotten", checkForgottenConn)
+}
+
+// checkForgottenConn: where a reset is all that comes back on an idle connection, the write is reported as one that may
+// have run.
+func checkForgottenConn(t *testing.T) {
+	bed, c := newIdleTestbed(t)
+	codes := bed.recordOutcomes()
+	bed.disks[0].SetFaults(fakeresp.Faults{ResetOnCommand: true})
+	bed.onLoop(func() { c.sendWrite("second", 9000, "x") })
+	if got := c.readReply(3 * time.Second); got != "-ERR failed" {
+		t.Errorf("%q, expected -ERR failed", got)
+	}
+	bed.checkReceived("[first second]")
+	bed.onLoop(func() {
+		if (*codes)[len(*codes)-1] != honeyplank.Reset {
+			t.Errorf("outcomes %v", *codes)
 		}
-		bed.checkReceived("[first second]")
-		bed.onLoop(func() {
-			if (*codes)[len(*codes)-1] != honeyplank.Reset {
-				t.Errorf("outcomes %v", *codes)
-			}
-		})
 	})
 }
 
