--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -41,12 +41,7 @@
 			OnRequest: m.watchOnRequest(),
 			Within:    fromMillis(m.Rules.WatchWithin),
 		},
-		Dispatches: honeyplank.DispatchSettings{
-			Max:            m.Capabilities.MaxDispatches,
-			HedgingAllowed: m.Capabilities.HedgingAllowed,
-			CancelAllowed:  m.Capabilities.CancelAllowed,
-			ConnectTimeout: fromMillis(m.Capabilities.ConnectTimeout),
-		},
+		Dispatches: m.Capabilities.dispatches(),
 		RetryAfter: honeyplank.RetryAfterSettings{
 			Allowed: m.Capabilities.RetryAfterAllowed,
 			Max:     fromMillis(m.Capabilities.MaxRetryAfter),
@@ -68,6 +63,15 @@
 	}, nil
 }
 
+func (m *capabilitiesMessage) dispatches() honeyplank.DispatchSettings {
+	return honeyplank.DispatchSettings{
+		Max:            m.MaxDispatches,
+		HedgingAllowed: m.HedgingAllowed,
+		CancelAllowed:  m.CancelAllowed,
+		ConnectTimeout: fromMillis(m.ConnectTimeout),
+	}
+}
+
 func (m *siteMessage) watchOnRequest() bool { return m.Discovery == discoveryByWatch }
 
 func (m *siteMessage) opTypeSettings() (settings honeyplank.OpTypeSettings, err error) {
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -35,12 +35,7 @@
 				fleet.now += ms
 				fleet.playQuickOp(10)
 			}
-			for begun := fleet.now; fleet.now < begun+120*ms; {
-				fleet.advance([]honeyplank.Code{honeyplank.Succeeded})
-				if len(lost.dispatched) == 1 && !lost.dispatched[0].cancelRequested {
-					fleet.dispatchEnds[lost.ID] = lost.Timeout
-				}
-			}
+			fleet.advanceWithout(lost, 120*ms)
 			if len(lost.dispatched) != test.dispatches {
 				t.Errorf("%d dispatches, expected %d", len(lost.dispatched), test.dispatches)
 			}
@@ -69,6 +64,17 @@
 	return fleet.ops["lost0"]
 }
 
+// advanceWithout lets a time pass in which the first dispatch of an op ends only if it is cancelled.
+func (fleet *testFleet) advanceWithout(lost *trackedOp, length time.Duration) {
+	fleet.t.Helper()
+	for begun := fleet.now; fleet.now < begun+length; {
+		fleet.advance([]honeyplank.Code{honeyplank.Succeeded})
+		if len(lost.dispatched) == 1 && !lost.dispatched[0].cancelRequested {
+			fleet.dispatchEnds[lost.ID] = lost.Timeout
+		}
+	}
+}
+
 // playQuickOp plays the i-th op of those that are answered after 5 ms.
 func (fleet *testFleet) playQuickOp(i int) {
 	fleet.admit("quick", i, 9, int64(i), 0)
