--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -92,7 +92,7 @@
 	}
 	e.recordResponse(server, op.dispatches[outcome.Dispatch], meaning)
 	e.applyHealthEvent(server, meaning.evidence)
-	// Any answer may report what was served elsewhere, each time for once.
+	// Any answer may report what was served elsewhere; each amount is reported once.
 	op.volume.servedElsewhere.add(e.now, outcome.ServedElsewhere, e.usageMemory())
 	if meaning.effect != nil {
 		meaning.effect(e, server, op, outcome)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -24,10 +24,12 @@
 	utilityDeficit  []float64     // by op type: the part of the greatest utility that it lacks
 }
 
+// readSettings returns the settings of an engine. The lists in them are shared.
 func readSettings(settings *honeyplank.Settings) *engineSettings {
 	return &engineSettings{Settings: *settings, derivedSettings: deriveSettings(settings)}
 }
 
+// deriveSettings returns the figures that follow from settings, whose lists may be empty.
 func deriveSettings(settings *honeyplank.Settings) derivedSettings {
 	derived := derivedSettings{
 		maxArrivalDelay: settings.Dispatches.ConnectTimeout + holdUp,
