--- /dev/null
+++ b/fake/resp/conn.go
@@ -0,0 +1,182 @@
+package resp
+
+import (
+	"strings"
+	"time"
+
+	"honeyplank/eventloop"
+	"honeyplank/resp"
+)
+
+const (
+	// lateDataDelay is the time from an answer to Faults.LateData.
+	lateDataDelay = 2 * time.Millisecond
+	// maxArguments is how many arguments of a command are looked at, its name included.
+	maxArguments = 5
+)
+
+// commandLimits bound a command that comes.
+var commandLimits = resp.Limits{
+	Line:         64,
+	Bulk:         64 << 10,
+	Items:        8,
+	Depth:        1,
+	Total:        80 << 10,
+	CommandsOnly: true,
+}
+
+// conn is a connection of a client. It runs on the loop.
+type conn struct {
+	disk   *Disk
+	raw    *eventloop.Conn
+	number int
+	reader resp.Reader
+
+	answers     [][]byte // not sent yet, in the order of commands; nil: not ready
+	firstAnswer int      // number of the first of answers
+	nextAnswer  int      // number of the next command's
+}
+
+func newConn(disk *Disk, raw *eventloop.Conn, number int) *conn {
+	return &conn{disk: disk, raw: raw, number: number, reader: resp.Reader{Limits: commandLimits}}
+}
+
+// Opened and Closed are of eventloop.Handler.
+func (c *conn) Opened(*eventloop.Conn) {}
+
+func (c *conn) Closed(*eventloop.Conn, error) {}
+
+// Input serves the commands that have come.
+func (c *conn) Input(_ *eventloop.Conn, b []byte) int {
+	used := 0
+	for used < len(b) {
+		frame, err := c.reader.Next(b[used:])
+		used += frame.Used
+		if err != nil {
+			c.raw.Close()
+			return len(b)
+		}
+		if frame.Complete && !c.serve(arguments(frame.Value.List)) {
+			return len(b)
+		}
+	}
+	return used
+}
+
+// arguments are the arguments of a command; those that it does not have are empty.
+func arguments(list []resp.Value) [maxArguments]string {
+	var args [maxArguments]string
+	for i := range min(len(list), maxArguments) {
+		args[i] = string(list[i].Text)
+	}
+	return args
+}
+
+// serve answers a command. It reports false where the connection has ended.
+func (c *conn) serve(args [maxArguments]string) bool {
+	number := c.nextAnswer
+	c.nextAnswer++
+	c.answers = append(c.answers, nil)
+	command := Command{
+		Name:       args[0],
+		Piece:      args[1],
+		ID:         args[2],
+		Attributes: args[3],
+		Body:       []byte(args[4]),
+		At:         time.Now(),
+		Conn:       c.number,
+	}
+	faults := c.faultsOf(command)
+	if strings.HasPrefix(command.Name, "BLK.") {
+		c.disk.record(command)
+		if faults.ResetOnCommand {
+			c.raw.Reset()
+			return false
+		}
+		if faults.Silent {
+			return true
+		}
+	}
+	c.after(faults.Delay, func() { c.sendAnswer(number, c.answer(command, faults)) })
+	return true
+}
+
+// after calls f on the loop after a delay.
+func (c *conn) after(delay time.Duration, f func()) {
+	loop := c.raw.Loop()
+	loop.Schedule(loop.Now()+delay, f)
+}
+
+// faultsOf are the faults that a command meets.
+func (c *conn) faultsOf(command Command) Faults {
+	faults := c.disk.presentFaults()
+	if faults.Class != "" && !strings.HasPrefix(command.Attributes, "c="+faults.Class+",") {
+		return Faults{}
+	}
+	return faults
+}
+
+// answer is the answer to a command.
+func (c *conn) answer(command Command, faults Faults) []byte {
+	switch command.Name {
+	case "BLK.READ", "BLK.WRITE":
+		return c.answerBlock(command, faults)
+	case "PING":
+		return resp.AppendSimple(nil, "PONG")
+	case "INFO":
+		return resp.AppendBulk(nil, []byte(faults.LoadReport))
+	case "CLIENT", "SELECT":
+		return resp.AppendSimple(nil, "OK")
+	}
+	return resp.AppendError(nil, "ERR unknown command")
+}
+
+// answerBlock is the answer to a read or a write: its value, usage and load report.
+func (c *conn) answerBlock(command Command, faults Faults) []byte {
+	switch {
+	case faults.Fail:
+		return resp.AppendError(nil, "ERR failed")
+	case faults.Busy:
+		return resp.AppendError(nil, "BUSY")
+	case faults.Malformed != "":
+		return []byte(faults.Malformed)
+	}
+	value := []byte(faults.Value)
+	if faults.Value == "" {
+		value = Value(command.Piece, command.ID)
+	}
+	answer := resp.AppendBulk(resp.AppendArray(nil, 3), value)
+	answer = appendBulkOrNull(answer, faults.Usage)
+	answer = appendBulkOrNull(answer, faults.LoadReport)
+	if faults.LateData != "" {
+		c.after(lateDataDelay, func() {
+			c.raw.Output = append(c.raw.Output, faults.LateData...)
+			c.raw.Send()
+		})
+	}
+	return append(answer, faults.TrailingData...)
+}
+
+// appendBulkOrNull appends a bulk string, or null where the text is empty.
+func appendBulkOrNull(b []byte, text string) []byte {
+	if text == "" {
+		return resp.AppendNull(b)
+	}
+	return resp.AppendBulk(b, []byte(text))
+}
+
+// sendAnswer sends an answer once all before it are sent.
+func (c *conn) sendAnswer(number int, answer []byte) {
+	if c.disk.presentFaults().HalfAnswer {
+		c.raw.Output = append(c.raw.Output, answer[:len(answer)/2]...)
+		c.raw.CloseGracefully()
+		return
+	}
+	c.answers[number-c.firstAnswer] = answer
+	for len(c.answers) > 0 && c.answers[0] != nil {
+		c.raw.Output = append(c.raw.Output, c.answers[0]...)
+		c.answers = c.answers[1:]
+		c.firstAnswer++
+	}
+	c.raw.Send()
+}
--- a/fake/resp/discovery.go
+++ b/fake/resp/discovery.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -9,77 +11,89 @@
 	"time"
 )
 
-// Member is an entry of discovery's list.
-type Member struct {
-	ID       string  `json:"id"`
-	Address  string  `json:"host_port"`
-	Zone     string  `json:"locality"`
-	Model    string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	StartedM int64   `json:"up_since_ms"`
-}
-
-// Discovery is the platform's list of disk servers, over HTTP.
-type Discovery struct {
-	server  *http.Server
-	address string
+const (
+	// discoveryPath is the path of the endpoint list.
+	discoveryPath = "/discovery/hosts"
+	// heartbeatInterval is the time between empty lines of a watch on which nothing else is sent.
+	heartbeatInterval = 2 * time.Second
+)
 
-	mu      sync.Mutex
-	news    *sync.Cond
-	changes []message // the n-th has revision n+1
-	raw     []string  // lines to be sent as they are, after the change of that many
-	down    bool
-	watches int
+// Member is an entry of the endpoint list.
+type Member struct {
+	ID        string  `json:"id"`
+	Address   string  `json:"host_port"`
+	Zone      string  `json:"locality"`
+	Model     string  `json:"flavor"`
+	Cell      int     `json:"cell"`
+	Phase     string  `json:"phase"`
+	Size      float64 `json:"size"`
+	UpSinceMS int64   `json:"up_since_ms"`
 }
 
+// message is the complete list, or the members that have changed.
 type message struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
+// Discovery is the platform's discovery: the endpoint list of disk servers, over HTTP.
+type Discovery struct {
+	server  *http.Server
+	address string
+
+	mu       sync.Mutex // guards what follows
+	changed  *sync.Cond // of all that watches send
+	messages []message  // the n-th has revision n+1
+	rawLines []string   // sent as they are, after the messages
+	stopped  bool
+	watches  int // begun
+}
+
 // NewDiscovery starts one on loopback with a first list.
 func NewDiscovery(members ...Member) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("fake discovery: %w", err)
+	}
+	d := &Discovery{
+		address:  listener.Addr().String(),
+		messages: []message{{Revision: 1, Complete: true, Members: members}},
 	}
-	d := &Discovery{address: listener.Addr().String()}
-	d.news = sync.NewCond(&d.mu)
-	d.changes = append(d.changes, message{1, true, members})
+	d.changed = sync.NewCond(&d.mu)
 	d.server = &http.Server{Handler: d}
-	go d.server.Serve(listener)
+	go func() {
+		_ = d.server.Serve(listener) // until Stop; clients see a listener that fails
+	}()
 	return d, nil
 }
 
 // Address is where it listens.
 func (d *Discovery) Address() string { return d.address }
 
-// Stop closes it and all watches.
+// Stop closes it and ends all watches.
 func (d *Discovery) Stop() {
-	d.server.Close()
+	_ = d.server.Close() // the listener is closed either way
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down = true
-	d.news.Broadcast()
+	d.stopped = true
+	d.changed.Broadcast()
 }
 
-// Change tells of entries that have changed.
+// Change sends members that have changed to every watch.
 func (d *Discovery) Change(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.changes = append(d.changes, message{int64(len(d.changes) + 1), false, members})
-	d.news.Broadcast()
+	d.messages = append(d.messages, message{Revision: int64(len(d.messages) + 1), Members: members})
+	d.changed.Broadcast()
 }
 
 // SendLine sends a line to every watch as it is.
 func (d *Discovery) SendLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.raw = append(d.raw, line)
-	d.news.Broadcast()
+	d.rawLines = append(d.rawLines, line)
+	d.changed.Broadcast()
 }
 
 // Watches is how many watches were ever begun.
@@ -89,55 +103,77 @@
 	return d.watches
 }
 
+// ServeHTTP answers a call: with the complete list, or, with stream=1, as a watch from a revision on.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/discovery/hosts" {
+	if r.URL.Path != discoveryPath {
 		http.NotFound(w, r)
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if r.URL.Query().Get("stream") != "1" {
-		json.NewEncoder(w).Encode(d.whole())
+		writeMessage(w, d.completeList())
 		return
 	}
 	d.watches++
-	index, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
-	sent := int(index)
-	said := len(d.raw)
-	if err != nil || index < 1 || sent > len(d.changes) { // what came before is not kept
-		json.NewEncoder(w).Encode(d.whole())
-		sent = len(d.changes)
+	d.watch(w, r)
+}
+
+// watch sends messages and lines until the client has gone or discovery stops. The caller holds mu.
+func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
+	sentLines := len(d.rawLines)
+	sentMessages, ok := d.knownRevision(r.URL.Query().Get("index"))
+	if !ok {
+		writeMessage(w, d.completeList())
+		sentMessages = len(d.messages)
 	}
-	beat := time.AfterFunc(0, func() {})
-	defer func() { beat.Stop() }()
-	for !d.down && r.Context().Err() == nil {
-		for ; sent < len(d.changes); sent++ {
-			json.NewEncoder(w).Encode(d.changes[sent])
+	heartbeat := time.AfterFunc(heartbeatInterval, d.changed.Broadcast)
+	defer heartbeat.Stop()
+	for !d.stopped && r.Context().Err() == nil {
+		for ; sentMessages < len(d.messages); sentMessages++ {
+			writeMessage(w, d.messages[sentMessages])
+		}
+		for ; sentLines < len(d.rawLines); sentLines++ {
+			writeLine(w, d.rawLines[sentLines])
 		}
-		for ; said < len(d.raw); said++ {
-			w.Write([]byte(d.raw[said] + "\n"))
+		writeLine(w, "")
+		if flusher, ok := w.(http.Flusher); ok {
+			flusher.Flush()
 		}
-		w.Write([]byte("\n"))
-		w.(http.Flusher).Flush()
-		beat.Stop()
-		beat = time.AfterFunc(2*time.Second, d.news.Broadcast)
-		d.news.Wait()
+		heartbeat.Reset(heartbeatInterval)
+		d.changed.Wait()
 	}
 }
 
-func (d *Discovery) whole() message {
-	now := map[string]int{}
-	m := message{Revision: int64(len(d.changes)), Complete: true}
-	for _, c := range d.changes {
-		for _, e := range c.Members {
-			i, ok := now[e.ID]
+// knownRevision is the revision of an index that a client names, if its messages are kept. The caller holds mu.
+func (d *Discovery) knownRevision(index string) (int, bool) {
+	revision, err := strconv.ParseInt(index, 10, 64)
+	if err != nil || revision < 1 || revision > int64(len(d.messages)) {
+		return 0, false
+	}
+	return int(revision), true
+}
+
+// writeMessage writes a message. One that can't be written is of no use: its client has gone.
+func writeMessage(w io.Writer, m message) { _ = json.NewEncoder(w).Encode(m) }
+
+// writeLine writes a line. One that can't be written is of no use: its client has gone.
+func writeLine(w io.Writer, line string) { _, _ = io.WriteString(w, line+"\n") }
+
+// completeList is the present list. The caller holds mu.
+func (d *Discovery) completeList() message {
+	list := message{Revision: int64(len(d.messages)), Complete: true}
+	index := map[string]int{} // in list.Members, by id
+	for _, m := range d.messages {
+		for _, member := range m.Members {
+			i, ok := index[member.ID]
 			if !ok {
-				i = len(m.Members)
-				now[e.ID] = i
-				m.Members = append(m.Members, e)
+				i = len(list.Members)
+				index[member.ID] = i
+				list.Members = append(list.Members, member)
 			}
-			m.Members[i] = e
+			list.Members[i] = member
 		}
 	}
-	return m
+	return list
 }
--- a/scheduler/start_tracker_test.go
+++ b/scheduler/start_tracker_test.go
@@ -46,7 +46,7 @@
 // loop's clock, and the time there.
 func (c *steppedClock) announce(id string, startMS int64) (started, now time.Duration) {
 	member := c.member(1, "up")
-	member.ID, member.StartedM = id, startMS
+	member.ID, member.UpSinceMS = id, startMS
 	c.discovery.Change(member)
 	<-c.applied
 	c.onLoop(func() { started, now = c.starts[honeyplank.ServerID(id)], c.scheduler.loop.Now() })
@@ -111,7 +111,7 @@
 			}
 			again := bed.deltaStarts()
 			member := bed.member(0, "up")
-			member.StartedM = startMS
+			member.UpSinceMS = startMS
 			bed.discovery.Change(member)
 			if got := <-again; got != first {
 				t.Errorf("it has started at %v, later at %v", first, got)
