--- /dev/null
+++ b/eventloop/descriptors.go
@@ -0,0 +1,80 @@
+package eventloop
+
+import (
+	"net/netip"
+	"os"
+
+	"golang.org/x/sys/unix"
+)
+
+// file serves the events of a descriptor.
+type file interface {
+	ready(events uint32)
+}
+
+// registration is a use of a descriptor. Each has a generation of its own: it guards against events of a descriptor
+// that was closed, and given out again by the kernel, in the round in which they are served.
+type registration struct {
+	file
+	generation int32
+}
+
+// register notes who serves the events of a descriptor.
+func (l *Loop) register(fd int, f file) {
+	l.lastGeneration++
+	l.files[int32(fd)] = registration{f, l.lastGeneration}
+}
+
+// add registers a descriptor and has epoll watch it; if that fails, the descriptor is closed.
+func (l *Loop) add(fd int, events uint32, f file) error {
+	l.register(fd, f)
+	if err := l.control(unix.EPOLL_CTL_ADD, fd, events); err != nil {
+		l.closeFile(fd)
+		return os.NewSyscallError("epoll_ctl", err)
+	}
+	return nil
+}
+
+// control changes what epoll watches of a descriptor, see epoll_ctl(2). The 64 bits that epoll returns with an event
+// are the descriptor and its generation.
+func (l *Loop) control(operation, fd int, events uint32) error {
+	l.Stats.OtherCalls.Add(1)
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation}
+	return l.sys.EpollCtl(l.epollFD, operation, fd, event)
+}
+
+// closeFile closes a descriptor. Linux releases it whatever close returns, so the call is not repeated, see close(2).
+func (l *Loop) closeFile(fd int) {
+	if _, ok := l.files[int32(fd)]; !ok { // Run has ended
+		return
+	}
+	delete(l.files, int32(fd))
+	l.Stats.OtherCalls.Add(1)
+	_ = l.sys.Close(fd)
+}
+
+// newSocket makes a TCP socket for an address.
+func (l *Loop) newSocket(address netip.Addr) (int, error) {
+	family := unix.AF_INET
+	if address.Unmap().Is6() {
+		family = unix.AF_INET6
+	}
+	fd, err := l.sys.Socket(family, unix.SOCK_STREAM)
+	if err != nil {
+		return -1, os.NewSyscallError("socket", err)
+	}
+	l.setNoDelay(fd)
+	return fd, nil
+}
+
+// setNoDelay sets TCP_NODELAY, see tcp(7): output is written once a round, so Nagle's algorithm would only delay it.
+func (l *Loop) setNoDelay(fd int) {
+	_ = l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the socket works without it, only slower
+}
+
+func sockaddr(address netip.AddrPort) unix.Sockaddr {
+	if ip := address.Addr().Unmap(); ip.Is4() {
+		return &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
+	}
+	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
+}
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -12,9 +12,7 @@
 package eventloop
 
 import (
-	"encoding/binary"
 	"errors"
-	"net/netip"
 	"os"
 	"runtime"
 	"sync"
@@ -71,29 +69,12 @@
 	readSize = 256 << 10
 	// eventsPerPoll is how many events one poll takes at most.
 	eventsPerPoll = 256
-	// wakeRetryDelay is the time between a write to the eventfd that failed and its retry.
-	wakeRetryDelay = time.Millisecond
 	// roundPause is how long a loop sleeps in a round in which something that cannot be served would wake it at once.
 	roundPause = time.Millisecond
 	// maxPollAge is how long ago the last poll may be when timers run and when output is written.
 	maxPollAge = 20 * time.Millisecond
 )
 
-// eventfdIncrement is what a wake-up adds to the eventfd's counter, see eventfd(2).
-var eventfdIncrement = binary.NativeEndian.AppendUint64(nil, 1)
-
-// file serves the events of a descriptor.
-type file interface {
-	ready(events uint32)
-}
-
-// registration is a use of a descriptor. Each has a generation of its own: it guards against events of a descriptor
-// that was closed, and given out again by the kernel, in the round in which they are served.
-type registration struct {
-	file
-	generation int32
-}
-
 // New makes a loop. Now is origin plus the time since New. The loop holds descriptors until Run has ended.
 func New(origin time.Duration) (*Loop, error) { return NewWithSyscalls(origin, Linux{}) }
 
@@ -133,37 +114,6 @@
 // SinceStart converts a time to one of the loop's clock.
 func (l *Loop) SinceStart(at time.Time) time.Duration { return at.Sub(l.start) }
 
-// Post has f run on the loop, in the order of the calls. It may be called from any goroutine. It reports false, and f
-// does not run, once Run has ended; f does not run either where Run ends before its turn.
-func (l *Loop) Post(f func()) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.acceptsPosts {
-		return false
-	}
-	l.posted = append(l.posted, f)
-	l.signalWake()
-	return true
-}
-
-// signalWake makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable already, see
-// eventfd(2). After another error it is retried: a loop that waits without a timer would never run what was posted.
-// The caller holds mu.
-func (l *Loop) signalWake() {
-	if l.wakePending || !l.acceptsPosts || len(l.posted) == 0 {
-		return
-	}
-	if _, err := l.sys.Write(l.wakeFD, eventfdIncrement); err == nil || errors.Is(err, unix.EAGAIN) {
-		l.wakePending = true
-		return
-	}
-	time.AfterFunc(wakeRetryDelay, func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.signalWake()
-	})
-}
-
 // Stop has Run return after the present round. It must be called on the loop, or before Run.
 func (l *Loop) Stop() { l.stopping = true }
 
@@ -273,109 +223,3 @@
 	}
 	l.pendingWrites = l.pendingWrites[:0]
 }
-
-// wakeHandler serves the eventfd.
-type wakeHandler struct{ loop *Loop }
-
-func (w wakeHandler) ready(uint32) {
-	l := w.loop
-	l.Stats.OtherCalls.Add(1)
-	_, err := l.sys.Read(l.wakeFD, l.smallBuffer[:])
-	if err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
-		l.pauseRound = true // it stays readable
-	}
-	l.runPosts()
-}
-
-// runPosts runs what was posted, once epoll has reported the eventfd.
-func (l *Loop) runPosts() {
-	l.mu.Lock()
-	posted := l.takePosts()
-	l.mu.Unlock()
-	runAll(posted)
-}
-
-// runUnsignalledPosts runs what was posted while the eventfd could not be written. Other posts are left to the event
-// that epoll will report.
-func (l *Loop) runUnsignalledPosts() {
-	l.mu.Lock()
-	var posted []func()
-	if !l.wakePending {
-		posted = l.takePosts()
-	}
-	l.mu.Unlock()
-	runAll(posted)
-}
-
-// takePosts returns what was posted and has not run. The caller holds mu.
-func (l *Loop) takePosts() []func() {
-	posted := l.posted
-	l.posted, l.wakePending = nil, false
-	return posted
-}
-
-func runAll(functions []func()) {
-	for _, f := range functions {
-		f()
-	}
-}
-
-// register notes who serves the events of a descriptor.
-func (l *Loop) register(fd int, f file) {
-	l.lastGeneration++
-	l.files[int32(fd)] = registration{f, l.lastGeneration}
-}
-
-// add registers a descriptor and has epoll watch it; if that fails, the descriptor is closed.
-func (l *Loop) add(fd int, events uint32, f file) error {
-	l.register(fd, f)
-	if err := l.control(unix.EPOLL_CTL_ADD, fd, events); err != nil {
-		l.closeFile(fd)
-		return os.NewSyscallError("epoll_ctl", err)
-	}
-	return nil
-}
-
-// control changes what epoll watches of a descriptor, see epoll_ctl(2). The 64 bits that epoll returns with an event
-// are the descriptor and its generation.
-func (l *Loop) control(operation, fd int, events uint32) error {
-	l.Stats.OtherCalls.Add(1)
-	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation}
-	return l.sys.EpollCtl(l.epollFD, operation, fd, event)
-}
-
-// closeFile closes a descriptor. Linux releases it whatever close returns, so the call is not repeated, see close(2).
-func (l *Loop) closeFile(fd int) {
-	if _, ok := l.files[int32(fd)]; !ok { // Run has ended
-		return
-	}
-	delete(l.files, int32(fd))
-	l.Stats.OtherCalls.Add(1)
-	_ = l.sys.Close(fd)
-}
-
-// newSocket makes a TCP socket for an address.
-func (l *Loop) newSocket(address netip.Addr) (int, error) {
-	family := unix.AF_INET
-	if address.Unmap().Is6() {
-		family = unix.AF_INET6
-	}
-	fd, err := l.sys.Socket(family, unix.SOCK_STREAM)
-	if err != nil {
-		return -1, os.NewSyscallError("socket", err)
-	}
-	l.setNoDelay(fd)
-	return fd, nil
-}
-
-// setNoDelay sets TCP_NODELAY, see tcp(7): output is written once a round, so Nagle's algorithm would only delay it.
-func (l *Loop) setNoDelay(fd int) {
-	_ = l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the socket works without it, only slower
-}
-
-func sockaddr(address netip.AddrPort) unix.Sockaddr {
-	if ip := address.Addr().Unmap(); ip.Is4() {
-		return &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
-	}
-	return &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
-}
--- /dev/null
+++ b/eventloop/output.go
@@ -0,0 +1,101 @@
+package eventloop
+
+import (
+	"errors"
+	"slices"
+
+	"golang.org/x/sys/unix"
+)
+
+// UnsentBytes is the number of bytes of Output that are not written to the socket yet.
+func (c *Conn) UnsentBytes() int { return len(c.Output) - c.written }
+
+// DiscardUnsent removes a range of the unsent bytes; from and to count from the first unsent byte. It must not be used
+// together with FaultFilter.
+func (c *Conn) DiscardUnsent(from, to int) {
+	c.Output = slices.Delete(c.Output, c.written+from, c.written+to)
+}
+
+// Send has Output written at the end of the round.
+func (c *Conn) Send() {
+	if !c.writeQueued && !c.closed && !c.dialing && c.written < len(c.Output) {
+		c.writeQueued = true
+		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
+	}
+}
+
+// UnackedBytes is the number of bytes that the other end's system has not acknowledged (SIOCOUTQ, see tcp(7)), unsent
+// ones included. Where the ioctl fails, it is the number of unsent bytes.
+func (c *Conn) UnackedBytes() int {
+	if c.closed || c.dialing {
+		return 0
+	}
+	c.loop.Stats.OtherCalls.Add(1)
+	n, err := c.loop.sys.UnackedBytes(c.fd)
+	if err != nil {
+		n = 0
+	}
+	return n + c.UnsentBytes()
+}
+
+// write writes as much of Output as the socket takes.
+func (c *Conn) write() {
+	if c.closed { // its descriptor may be another's
+		return
+	}
+	if c.FaultFilter != nil {
+		c.filterOutput()
+	}
+	if c.BeforeWrite != nil && !c.closed && c.written < len(c.Output) {
+		c.BeforeWrite()
+	}
+	c.writeUnsent()
+	if c.closed { // by an error or by Tap
+		return
+	}
+	c.releaseWritten()
+	c.updateInterest()
+}
+
+// filterOutput passes what is new in Output through FaultFilter.
+func (c *Conn) filterOutput() {
+	c.filtered = min(c.filtered, len(c.Output))
+	unfiltered := append([]byte(nil), c.Output[c.filtered:]...)
+	c.Output = append(c.Output[:c.filtered], c.FaultFilter.FilterOutput(unfiltered)...)
+	c.filtered = len(c.Output)
+}
+
+// writeUnsent writes until all is written, the socket takes no more or the connection fails.
+func (c *Conn) writeUnsent() {
+	for !c.closed && c.written < len(c.Output) {
+		c.loop.Stats.Writes.Add(1)
+		n, err := c.loop.sys.Write(c.fd, c.Output[c.written:])
+		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll reports when to go on
+			return
+		}
+		if err != nil {
+			c.fail(err)
+			return
+		}
+		if c.Tap != nil {
+			c.Tap(true, c.Output[c.written:c.written+n])
+		}
+		c.loop.Stats.BytesOut.Add(int64(n))
+		c.written += n
+	}
+}
+
+// releaseWritten drops what is written from Output, and goes on with a close that waits for it.
+func (c *Conn) releaseWritten() {
+	switch {
+	case c.written == len(c.Output):
+		c.Output, c.written, c.filtered = c.Output[:0], 0, 0
+		if cap(c.Output) > readSize {
+			c.Output = nil
+		}
+		c.outputWritten()
+	case c.written > readSize:
+		c.Output = append(c.Output[:0], c.Output[c.written:]...)
+		c.filtered, c.written = max(0, c.filtered-c.written), 0
+	}
+}
--- a/eventloop/timers.go
+++ b/eventloop/timers.go
@@ -20,7 +20,7 @@
 	Expire()
 }
 
-// Arm has expirer.Expire called at a time of the loop's clock; a timer that is armed already is set anew.
+// Arm has expirer.Expire called at a time of the loop's clock; a timer that is armed already is armed again.
 func (l *Loop) Arm(t *Timer, at time.Duration, expirer Expirer) {
 	l.Cancel(t)
 	t.at, t.expirer = at, expirer
