--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// expectAcceptedAddFailure has epoll refuse the descriptor of an accepted connection: its handler is told that it ended.
+// expectAcceptedAddFailure has epoll refuse the descriptor of an accepted connection: it is closed.
 func expectAcceptedAddFailure(t *testing.T) {
 	server, client := &endpoint{}, &endpoint{}
 	f := runFixture(t, func(f *fixture) {
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -45,159 +45,159 @@
 	return origin.Add(up).UnixMilli()
 }
 
-const s, h = time.Second, time.Hour
+const sec, hour = time.Second, time.Hour
 
 // startCases has lists, messages and steps of the wall clock in many orders.
 var startCases = map[string][]step{
 	"started before the process": {
-		{100 * s, 0, completeList, -10 * s, 100 * s},
-		{200 * s, 0, completeList, -10 * s, 100 * s},
+		{100 * sec, 0, completeList, -10 * sec, 100 * sec},
+		{200 * sec, 0, completeList, -10 * sec, 100 * sec},
 	},
 	"long ago": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{200 * s, h, completeList, longAgo, 0},
-		{300 * s, -h, watchMessage, longAgo, 0},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{200 * sec, hour, completeList, longAgo, 0},
+		{300 * sec, -hour, watchMessage, longAgo, 0},
 	},
 	"long ago, then a start": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{110 * s, 0, watchMessage, 104 * s, 104 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{110 * sec, 0, watchMessage, 104 * sec, 104 * sec},
 	},
 	"a start, then long ago": {
-		{100 * s, 0, completeList, 90 * s, 100 * s},
-		{110 * s, 0, watchMessage, longAgo, 0},
+		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
+		{110 * sec, 0, watchMessage, longAgo, 0},
 	},
 	"a restart between lists": {
-		{100 * s, 0, completeList, 90 * s, 100 * s},
-		{110 * s, 0, completeList, 104 * s, 104 * s},
-		{120 * s, 0, watchMessage, 104 * s, 104 * s},
+		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
+		{110 * sec, 0, completeList, 104 * sec, 104 * sec},
+		{120 * sec, 0, watchMessage, 104 * sec, 104 * sec},
 	},
 	"a new server": {
-		{100 * s, 0, completeList, absent, 0},
-		{110 * s, 0, watchMessage, 104 * s, 104 * s},
+		{100 * sec, 0, completeList, absent, 0},
+		{110 * sec, 0, watchMessage, 104 * sec, 104 * sec},
 	},
 	"older than its absence from a complete list": {
-		{100 * s, 0, completeList, absent, 0},
-		{110 * s, 0, watchMessage, 50 * s, 100 * s},
+		{100 * sec, 0, completeList, absent, 0},
+		{110 * sec, 0, watchMessage, 50 * sec, 100 * sec},
 	},
 	"no complete list yet": {
-		{100 * s, 0, cachedList, absent, 0},
-		{110 * s, 0, watchMessage, 104 * s, 110 * s},
+		{100 * sec, 0, cachedList, absent, 0},
+		{110 * sec, 0, watchMessage, 104 * sec, 110 * sec},
 	},
 	"in the future": {
-		{100 * s, 0, completeList, absent, 0},
-		{110 * s, 0, completeList, 150 * s, 110 * s},
-		{200 * s, 0, completeList, 150 * s, 110 * s},
+		{100 * sec, 0, completeList, absent, 0},
+		{110 * sec, 0, completeList, 150 * sec, 110 * sec},
+		{200 * sec, 0, completeList, 150 * sec, 110 * sec},
 	},
 	"a start that goes backwards": {
-		{100 * s, 0, completeList, 90 * s, 100 * s},
-		{110 * s, 0, completeList, 80 * s, 100 * s},
-		{120 * s, 0, completeList, 90 * s, 110 * s},
+		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
+		{110 * sec, 0, completeList, 80 * sec, 100 * sec},
+		{120 * sec, 0, completeList, 90 * sec, 110 * sec},
 	},
 	"at the origin of the clock": {
-		{0, 0, completeList, -s, 1},
+		{0, 0, completeList, -sec, 1},
 	},
 	"5 s back before the first list": {
-		{100 * s, -5 * s, completeList, 90 * s, 100 * s},
-		{110 * s, -5 * s, completeList, 90 * s, 100 * s},
+		{100 * sec, -5 * sec, completeList, 90 * sec, 100 * sec},
+		{110 * sec, -5 * sec, completeList, 90 * sec, 100 * sec},
 	},
 	"5 s forward before the first list": {
-		{100 * s, 5 * s, completeList, 90 * s, 100 * s},
-		{110 * s, 5 * s, completeList, 90 * s, 100 * s},
+		{100 * sec, 5 * sec, completeList, 90 * sec, 100 * sec},
+		{110 * sec, 5 * sec, completeList, 90 * sec, 100 * sec},
 	},
 	"an hour back before the first list": {
-		{100 * s, -h, completeList, 90 * s, 100 * s},
-		{110 * s, -h, completeList, 90 * s, 100 * s},
+		{100 * sec, -hour, completeList, 90 * sec, 100 * sec},
+		{110 * sec, -hour, completeList, 90 * sec, 100 * sec},
 	},
 	"an hour forward before the first list": {
-		{100 * s, h, completeList, 90 * s, 100 * s},
-		{110 * s, h, completeList, 90 * s, 100 * s},
+		{100 * sec, hour, completeList, 90 * sec, 100 * sec},
+		{110 * sec, hour, completeList, 90 * sec, 100 * sec},
 	},
 	"5 s back between lists, then a restart": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, -5 * s, completeList, 110*s - 5*s, 110 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, -5 * sec, completeList, 110*sec - 5*sec, 110 * sec},
 	},
 	"5 s back after a restart": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, -5 * s, completeList, 110 * s, 115 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, -5 * sec, completeList, 110 * sec, 115 * sec},
 	},
 	"5 s forward after a restart": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, 5 * s, completeList, 110 * s, 105 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, 5 * sec, completeList, 110 * sec, 105 * sec},
 	},
 	"an hour back between lists, then a restart": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, -h, completeList, 110*s - h, 110 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, -hour, completeList, 110*sec - hour, 110 * sec},
 	},
 	"an hour back after a restart": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, -h, completeList, 110 * s, 120 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, -hour, completeList, 110 * sec, 120 * sec},
 	},
 	"an hour forward after a restart": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, h, completeList, 110 * s, 100 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, hour, completeList, 110 * sec, 100 * sec},
 	},
 	"an hour forward, the start before held last": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{115 * s, 0, mentionsHold, 0, 0},
-		{120 * s, h, watchMessage, 110 * s, 115 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{115 * sec, 0, mentionsHold, 0, 0},
+		{120 * sec, hour, watchMessage, 110 * sec, 115 * sec},
 	},
 	"steps after the first mention": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, 0, completeList, 110 * s, 110 * s},
-		{130 * s, h, completeList, 110 * s, 110 * s},
-		{140 * s, -h, watchMessage, 110 * s, 110 * s},
-		{150 * s, 5 * s, completeList, 110 * s, 110 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, 0, completeList, 110 * sec, 110 * sec},
+		{130 * sec, hour, completeList, 110 * sec, 110 * sec},
+		{140 * sec, -hour, watchMessage, 110 * sec, 110 * sec},
+		{150 * sec, 5 * sec, completeList, 110 * sec, 110 * sec},
 	},
 	"a new process after an hour back": {
-		{100 * s, -h, completeList, 50 * s, 100 * s},
+		{100 * sec, -hour, completeList, 50 * sec, 100 * sec},
 	},
 	"a new process after an hour forward": {
-		{100 * s, h, completeList, 50 * s, 100 * s},
+		{100 * sec, hour, completeList, 50 * sec, 100 * sec},
 	},
 	"cached, then the same": {
-		{100 * s, 0, cachedList, 50 * s, 100 * s},
-		{102 * s, h, completeList, 50 * s, 100 * s},
+		{100 * sec, 0, cachedList, 50 * sec, 100 * sec},
+		{102 * sec, hour, completeList, 50 * sec, 100 * sec},
 	},
 	"cached, then another start": {
-		{100 * s, 0, cachedList, 50 * s, 100 * s},
-		{102 * s, h, completeList, 90 * s, 102 * s},
+		{100 * sec, 0, cachedList, 50 * sec, 100 * sec},
+		{102 * sec, hour, completeList, 90 * sec, 102 * sec},
 	},
 	"cached as long ago, then a start": {
-		{100 * s, 0, cachedList, longAgo, 0},
-		{102 * s, -h, completeList, 90 * s, 102 * s},
+		{100 * sec, 0, cachedList, longAgo, 0},
+		{102 * sec, -hour, completeList, 90 * sec, 102 * sec},
 	},
 	"cached, confirmed by a watch, then another start": {
-		{100 * s, 0, cachedList, 50 * s, 100 * s},
-		{105 * s, 0, mentionsHold, 0, 0},
-		{110 * s, h, watchMessage, 108 * s, 105 * s},
+		{100 * sec, 0, cachedList, 50 * sec, 100 * sec},
+		{105 * sec, 0, mentionsHold, 0, 0},
+		{110 * sec, hour, watchMessage, 108 * sec, 105 * sec},
 	},
 	"back with the same start": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{120 * s, 0, completeList, 110 * s, 110 * s},
-		{130 * s, 0, serverRemoved, 0, 0},
-		{140 * s, h, watchMessage, 110 * s, 110 * s},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{120 * sec, 0, completeList, 110 * sec, 110 * sec},
+		{130 * sec, 0, serverRemoved, 0, 0},
+		{140 * sec, hour, watchMessage, 110 * sec, 110 * sec},
 	},
 	"back with another start": {
-		{100 * s, 0, completeList, 90 * s, 100 * s},
-		{130 * s, 0, serverRemoved, 0, 0},
-		{135 * s, 0, mentionsHold, 0, 0},
-		{140 * s, h, watchMessage, 139 * s, 135 * s},
+		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
+		{130 * sec, 0, serverRemoved, 0, 0},
+		{135 * sec, 0, mentionsHold, 0, 0},
+		{140 * sec, hour, watchMessage, 139 * sec, 135 * sec},
 	},
 	"missing from a complete list, back with the same start": {
-		{100 * s, 0, completeList, 90 * s, 100 * s},
-		{130 * s, 0, completeList, absent, 0},
-		{140 * s, -h, completeList, 90 * s, 100 * s},
+		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
+		{130 * sec, 0, completeList, absent, 0},
+		{140 * sec, -hour, completeList, 90 * sec, 100 * sec},
 	},
 	"back after it was dropped": {
-		{100 * s, 0, completeList, 90 * s, 100 * s},
-		{130 * s, 0, serverRemoved, 0, 0},
-		{130*s + h, 0, mentionsHold, 0, 0},
-		{140*s + h, 0, watchMessage, 90 * s, 130*s + h},
+		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
+		{130 * sec, 0, serverRemoved, 0, 0},
+		{130*sec + hour, 0, mentionsHold, 0, 0},
+		{140*sec + hour, 0, watchMessage, 90 * sec, 130*sec + hour},
 	},
 	"long ago, back as long ago": {
-		{100 * s, 0, completeList, longAgo, 0},
-		{130 * s, 0, serverRemoved, 0, 0},
-		{140 * s, h, watchMessage, longAgo, 0},
+		{100 * sec, 0, completeList, longAgo, 0},
+		{130 * sec, 0, serverRemoved, 0, 0},
+		{140 * sec, hour, watchMessage, longAgo, 0},
 	},
 }
 
@@ -240,8 +240,8 @@
 	for _, up := range []int64{math.MinInt64, -1, 1, origin.UnixMilli(), math.MaxInt64} {
 		for _, wall := range []time.Time{{}, origin, time.UnixMilli(0), time.UnixMilli(math.MaxInt64)} {
 			var tracker Tracker
-			tracker.Complete(100*s, nil)
-			if got := tracker.Start(110*s, wall, id, up); got < 100*s || got > 110*s {
+			tracker.Complete(100*sec, nil)
+			if got := tracker.Start(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
 				t.Errorf("%d at %v: %v", up, wall, got)
 			}
 		}
@@ -284,9 +284,9 @@
 func (f fleet) checkBounded(t *testing.T, tracker *Tracker, maxRemoved int) {
 	t.Helper()
 	const rounds = 40
-	now := s
+	now := sec
 	for round := range rounds {
-		now += s
+		now += sec
 		ids := f.replace(tracker, now, round)
 		servers, removals, room := len(tracker.servers), len(tracker.removed), cap(tracker.removed)
 		if servers > f.size+maxRemoved || removals > maxRemoved || room > 4*maxRemoved {
@@ -332,59 +332,59 @@
 
 // mention has a server mentioned at 100 s, with a step of the wall clock.
 func mention(tracker *Tracker, wallStep, up time.Duration) {
-	const now = 100 * s
+	const now = 100 * sec
 	tracker.Start(now, origin.Add(now+wallStep), id, upSince(up))
 }
 
 // mentionAfterList is mention after a complete list without the server at 90 s.
 func mentionAfterList(tracker *Tracker, wallStep, up time.Duration) {
-	tracker.Complete(90*s, nil)
+	tracker.Complete(90*sec, nil)
 	mention(tracker, wallStep, up)
 }
 
-var adoptedIncarnation = Incarnation{UpSinceMS: upSince(50 * s), Started: 70 * s, StartedAfter: 60 * s}
+var adoptedIncarnation = Incarnation{UpSinceMS: upSince(50 * sec), Started: 70 * sec, StartedAfter: 60 * sec}
 
 var knownCases = map[string]knownCase{
 	"first sight": {
-		setUp: func(tracker *Tracker) { mention(tracker, 0, 50*s) },
-		want:  Incarnation{upSince(50 * s), 100 * s, 0}, again: 100 * s,
+		setUp: func(tracker *Tracker) { mention(tracker, 0, 50*sec) },
+		want:  Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 	"long ago": {
 		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, longAgo) },
 	},
 	"by the wall clock": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 95*s) },
-		want:  Incarnation{upSince(95 * s), 95 * s, 90 * s}, again: 95 * s,
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 95*sec) },
+		want:  Incarnation{upSince(95 * sec), 95 * sec, 90 * sec}, again: 95 * sec,
 	},
 	"by the wall clock before what is known": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 50*s) },
-		want:  Incarnation{upSince(50 * s), 90 * s, 50 * s}, again: 90 * s,
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 50*sec) },
+		want:  Incarnation{upSince(50 * sec), 90 * sec, 50 * sec}, again: 90 * sec,
 	},
 	"an hour back": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, -h, 95*s) },
-		want:  Incarnation{upSince(95 * s), 100 * s, 90 * s}, again: 100 * s,
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, -hour, 95*sec) },
+		want:  Incarnation{upSince(95 * sec), 100 * sec, 90 * sec}, again: 100 * sec,
 	},
 	"an hour forward": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, h, 95*s) },
-		want:  Incarnation{upSince(95 * s), 90 * s, 0}, again: 90 * s,
+		setUp: func(tracker *Tracker) { mentionAfterList(tracker, hour, 95*sec) },
+		want:  Incarnation{upSince(95 * sec), 90 * sec, 0}, again: 90 * sec,
 	},
 	"removed": {
 		setUp: func(tracker *Tracker) {
-			mention(tracker, 0, 50*s)
-			tracker.Removed(110*s, id)
+			mention(tracker, 0, 50*sec)
+			tracker.Removed(110*sec, id)
 		},
-		want: Incarnation{upSince(50 * s), 100 * s, 0}, again: 100 * s,
+		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 	"adopted": {
 		setUp: func(tracker *Tracker) { tracker.Adopt(id, adoptedIncarnation) },
-		want:  adoptedIncarnation, again: 70 * s,
+		want:  adoptedIncarnation, again: 70 * sec,
 	},
 	"adopted after its mention": {
 		setUp: func(tracker *Tracker) {
-			mention(tracker, 0, 50*s)
+			mention(tracker, 0, 50*sec)
 			tracker.Adopt(id, adoptedIncarnation)
 		},
-		want: Incarnation{upSince(50 * s), 100 * s, 0}, again: 100 * s,
+		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 }
 
@@ -400,7 +400,7 @@
 			if got, ok := tracker.Known(id); !ok || got != c.want {
 				t.Errorf("%+v, %v; want %+v", got, ok, c.want)
 			}
-			if got := tracker.Start(200*s, origin.Add(200*s-h), id, c.want.UpSinceMS); got != c.again {
+			if got := tracker.Start(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
 				t.Errorf("started %v when mentioned again, want %v", got, c.again)
 			}
 		})
