--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -65,7 +65,8 @@
 func withUnrequestedData() []byte {
 	b := nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{})
 	framing := nvme.Framing{}
-	return framing.AppendData(b, nvme.TypeH2CData, nvme.FlagLast, 1, 1, 0, make([]byte, opBytes))
+	header := nvme.DataHeader{Type: nvme.TypeH2CData, Flags: nvme.FlagLast, CID: 1, TTAG: 1}
+	return framing.AppendData(b, header, make([]byte, opBytes))
 }
 
 // sendAndStay sends bytes and keeps the connection open.
--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -107,7 +107,12 @@
 		if err != nil {
 			return usageError{err}
 		}
-		r := dns.Record{Target: fmt.Sprintf("n%d--c%d.storage.example.", cell, cell), IP: at.Addr().String(), Port: at.Port(), Weight: 1}
+		r := dns.Record{
+			Target: fmt.Sprintf("n%d--c%d.storage.example.", cell, cell),
+			IP:     at.Addr().String(),
+			Port:   at.Port(),
+			Weight: 1,
+		}
 		if drains {
 			r.Weight = 0
 		}
--- a/fake/disk/service.go
+++ b/fake/disk/service.go
@@ -157,10 +157,10 @@
 func (s *Server) answerLoad(c *target.Command) nvme.Load {
 	units := s.units(c)
 	report := s.load
-	report.Elsewhere = clampUint16(s.usage.servedElsewhere(c.NSID(), c.Host, units))
-	report.Used = 0
+	report.UnitsElsewhere = clampUint16(s.usage.servedElsewhere(c.NSID(), c.Host, units))
+	report.PlanUsage = 0
 	if s.model.Meter != nil {
-		report.Used = uint16(s.model.Meter.Serve(s.loop.Now(), c.NSID(), units))
+		report.PlanUsage = uint16(s.model.Meter.Serve(s.loop.Now(), c.NSID(), units))
 	}
 	return report
 }
--- a/gateway/data_test.go
+++ b/gateway/data_test.go
@@ -36,7 +36,9 @@
 	data := pattern(3, 4)
 	c.write(c.command(1, nvme.Write, 1, 8, 4, nil))
 	p := c.expect(nvme.TypeR2T)
-	c.write(c.sendFraming.AppendData(nil, nvme.TypeH2CData, nvme.FlagLast, 1, p.TTAG(), 0, data))
+	c.write(c.sendFraming.AppendData(nil, nvme.DataHeader{
+		Type: nvme.TypeH2CData, Flags: nvme.FlagLast, CID: 1, TTAG: p.TTAG(),
+	}, data))
 	if p := c.expect(nvme.TypeCapsuleResp); p.Completion() != [16]byte(p.Header[8:24]) || c.status(p) != nvme.Success {
 		t.Fatalf("write: %#x", c.status(p))
 	}
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -79,8 +79,8 @@
 	}
 	load := result.Load()
 	dispatch.Finish(outcome(result.Status()), result.Data, inflight.Feedback{
-		QuotaUsed:       int(load.Used),
-		ServedElsewhere: float64(load.Elsewhere),
+		QuotaUsed:       int(load.PlanUsage),
+		ServedElsewhere: float64(load.UnitsElsewhere),
 		Load:            loadMetrics(load),
 	})
 }
--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -53,14 +53,14 @@
 					}
 				}
 			case 3:
-				_, err = s.Input(frame.AppendData(nil, nvme.TypeC2HData, 0, id, 0, int(n>>7)*4096, make([]byte, 4096<<(n>>5&1))))
+				_, err = s.Input(frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: 0, CID: id, Offset: int(n>>7) * 4096}, make([]byte, 4096<<(n>>5&1))))
 			case 4:
 				c := nvme.NewCompletion(id, nvme.Status(n>>6), 0, 0)
 				_, err = s.Input(frame.AppendCompletion(nil, &c))
 			case 5:
 				_, err = s.Input(frame.AppendR2T(nil, id, 1, int(n>>7)*4096, 4096<<(n>>5&3)))
 			case 6:
-				_, err = s.Input(frame.AppendData(nil, nvme.TypeC2HData, nvme.FlagLast|nvme.FlagSuccess, id, 0, 0, make([]byte, 8192)))
+				_, err = s.Input(frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: nvme.FlagLast | nvme.FlagSuccess, CID: id, Offset: 0}, make([]byte, 8192)))
 			case 7:
 				_, err = s.Input(nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}))
 			case 8:
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -99,7 +99,7 @@
 				if n&0x80 != 0 {
 					offset = 4096 * int(n>>6&1)
 				}
-				say = frame.AppendData(nil, nvme.TypeC2HData, 0, id, 0, offset, make([]byte, size))
+				say = frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: 0, CID: id, Offset: offset}, make([]byte, size))
 				bad := what%10 == 9 && i.DataDigest
 				if bad {
 					say[len(say)-1] ^= 1
@@ -137,7 +137,7 @@
 					wantSent = size
 				}
 			case 6: // all data with success
-				say = frame.AppendData(nil, nvme.TypeC2HData, nvme.FlagLast|nvme.FlagSuccess, id, 0, 0, make([]byte, 8192))
+				say = frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: nvme.FlagLast | nvme.FlagSuccess, CID: id, Offset: 0}, make([]byte, 8192))
 				ends, allowed = m, m != nil && !m.write && m.came == 0
 				if allowed {
 					m.came = m.bytes
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -251,7 +251,8 @@
 			flags = nvme.FlagLast
 		}
 		s.buffers.Copied(len(piece))
-		*s.out = s.outF.AppendData(*s.out, nvme.TypeH2CData, flags, p.CCCID(), p.TTAG(), at, piece)
+		header := nvme.DataHeader{Type: nvme.TypeH2CData, Flags: flags, CID: p.CCCID(), TTAG: p.TTAG(), Offset: at}
+		*s.out = s.outF.AppendData(*s.out, header, piece)
 	}
 	s.flush()
 	return nil
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -34,7 +34,7 @@
 }
 
 func (p *pipe) data(id uint16, at, n int) []byte {
-	return p.frame.AppendData(nil, nvme.TypeC2HData, 0, id, 0, at, make([]byte, n))
+	return p.frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, CID: id, Offset: at}, make([]byte, n))
 }
 
 func (p *pipe) done(id uint16) []byte {
--- a/nvme/bench_test.go
+++ b/nvme/bench_test.go
@@ -1,28 +1,37 @@
 package nvme
 
-import "testing"
+import (
+	"testing"
+)
+
+// benchmarkFramings are what the benchmarks run with.
+func benchmarkFramings() map[string]Framing {
+	return map[string]Framing{
+		"plain":   {MaxData: 1 << 20},
+		"digests": {MaxData: 1 << 20, HeaderDigest: true, DataDigest: true},
+	}
+}
+
+// answerHeader is the header of a Read's only data PDU.
+var answerHeader = DataHeader{Type: TypeC2HData, Flags: FlagLast, CID: 1}
 
 // BenchmarkDecode reads what an op costs at the gateway: a Read's command, its data and completion, with and without
 // digests. docs/fuzzing.md has its ratio to earlier versions.
 func BenchmarkDecode(b *testing.B) {
-	for name, f := range map[string]Framing{"plain": {MaxData: 1 << 20}, "digests": {MaxData: 1 << 20, HeaderDigest: true, DataDigest: true}} {
+	for name, f := range benchmarkFramings() {
 		host := f
 		host.FromHost = true
 		c, d := NewRW(Read, 1, 2, 1), NewCompletion(1, Success, 0, 0)
 		command := host.AppendCommand(nil, &c, nil)
-		answer := f.AppendCompletion(f.AppendData(nil, TypeC2HData, FlagLast, 1, 0, 0, make([]byte, 4096)), &d)
+		answer := f.AppendCompletion(f.AppendData(nil, answerHeader, make([]byte, 4096)), &d)
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, n, err := host.Decode(command); err != nil || n != len(command) {
-					b.Fatal(n, err)
+				if err := decodeAll(&host, command); err != nil {
+					b.Fatal(err)
 				}
-				for at := 0; at < len(answer); {
-					_, n, err := f.Decode(answer[at:])
-					if err != nil || n == 0 {
-						b.Fatal(n, err)
-					}
-					at += n
+				if err := decodeAll(&f, answer); err != nil {
+					b.Fatal(err)
 				}
 			}
 		})
@@ -31,14 +40,14 @@
 
 // BenchmarkAppend writes the same.
 func BenchmarkAppend(b *testing.B) {
-	for name, f := range map[string]Framing{"plain": {MaxData: 1 << 20}, "digests": {MaxData: 1 << 20, HeaderDigest: true, DataDigest: true}} {
+	for name, f := range benchmarkFramings() {
 		c, d, data := NewRW(Read, 1, 2, 1), NewCompletion(1, Success, 0, 0), make([]byte, 4096)
 		var out []byte
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				out = f.AppendCommand(out[:0], &c, nil)
-				out = f.AppendCompletion(f.AppendData(out, TypeC2HData, FlagLast, 1, 0, 0, data), &d)
+				out = f.AppendCompletion(f.AppendData(out, answerHeader, data), &d)
 			}
 		})
 	}
--- a/nvme/command.go
+++ b/nvme/command.go
@@ -151,7 +151,7 @@
 // says. It travels in command dword 3, which is reserved there: docs/protocol.md.
 func (c *Command) ClientTimeout() uint32 { return c.DW(3) }
 
-// SetClientTimeout sets what Patience tells, in milliseconds.
+// SetClientTimeout sets the client timeout, in milliseconds.
 func (c *Command) SetClientTimeout(n uint32) { c.SetDW(3, n) }
 
 // SGL descriptor types a host sends over TCP (TCP 3.3.2; Base 4.1.2): data in the capsule, or moved by the
@@ -289,15 +289,15 @@
 // Load is what a disk server tells of itself. It travels in the result dwords of Read and Write, which the
 // NVM command set leaves reserved, and in the vendor specific log page C0h: docs/protocol.md.
 type Load struct {
-	Latency   uint16 // recent service time without waiting, in tenths of a millisecond
-	Inflight  uint16 // ops it holds
-	Used      uint16 // 1 + percent of the plan's rate that the volume was served everywhere; 0: not told
-	Elsewhere uint16 // units it did for the volume for other schedulers since its last answer to this one
+	Latency        uint16 // recent service time without waiting, in tenths of a millisecond
+	Inflight       uint16 // ops it holds
+	PlanUsage      uint16 // 1 + percent of the plan's rate that the volume was served everywhere; 0: not told
+	UnitsElsewhere uint16 // units it did for the volume for other schedulers since its last answer to this one
 }
 
 // Dwords packs a load into the result dwords.
 func (l Load) Dwords() (dw0, dw1 uint32) {
-	return uint32(l.Latency) | uint32(l.Inflight)<<16, uint32(l.Used) | uint32(l.Elsewhere)<<16
+	return uint32(l.Latency) | uint32(l.Inflight)<<16, uint32(l.PlanUsage) | uint32(l.UnitsElsewhere)<<16
 }
 
 // Load reads the result dwords of a Read or Write from a disk server.
--- a/nvme/frame_test.go
+++ b/nvme/frame_test.go
@@ -6,65 +6,87 @@
 	"testing"
 )
 
-// form is what the specification says of a PDU type, once more and in other words than the decoder's (TCP 3.6.2).
+// form is what the specification says of a PDU type, in other words than the decoder's layout (TCP 3.6.2).
 type form struct {
-	host, data, digests bool
-	header              int
+	fromHost, data, digests bool
+	header                  int
 }
 
 var forms = map[byte]form{
-	0x00: {true, false, false, 128}, 0x01: {false, false, false, 128}, 0x02: {true, true, false, 24}, 0x03: {false, true, false, 24},
-	0x04: {true, true, true, 72}, 0x05: {false, false, true, 24}, 0x06: {true, true, true, 24}, 0x07: {false, true, true, 24}, 0x09: {false, false, true, 24},
+	0x00: {true, false, false, 128},
+	0x01: {false, false, false, 128},
+	0x02: {true, true, false, 24},
+	0x03: {false, true, false, 24},
+	0x04: {true, true, true, 72},
+	0x05: {false, false, true, 24},
+	0x06: {true, true, true, 24},
+	0x07: {false, true, true, 24},
+	0x09: {false, false, true, 24},
 }
 
-// plainDecode is the slow plain model: every rule there is on the fields of a PDU, none of it in an order that
-// matters. It tells whether a whole buffer begins with a PDU, and where that has its data.
-func plainDecode(f Framing, b []byte) (right bool, from, to, size int) {
+// modelPDU is where a PDU has its data and how long it is, by the model.
+type modelPDU struct {
+	dataFrom, dataTo, size int
+}
+
+// modelDecode is the slow and simple model: every rule there is on the fields of a PDU. It tells whether a whole buffer
+// begins with a PDU.
+func modelDecode(f Framing, b []byte) (pdu modelPDU, valid bool) {
 	g, known := forms[b[0]]
-	if !known || g.host != f.FromHost || int(b[2]) != g.header {
-		return
+	if !known || g.fromHost != f.FromHost || int(b[2]) != g.header {
+		return modelPDU{}, false
 	}
-	length := int64(binary.LittleEndian.Uint32(b[4:]))
-	header, data := f.HeaderDigest && g.digests, f.DataDigest && g.digests && g.data
-	if (b[1]&1 == 1) != header {
-		return
+	headerDigest := f.HeaderDigest && g.digests
+	if (b[1]&1 == 1) != headerDigest {
+		return modelPDU{}, false
 	}
 	body := g.header
-	if header {
+	if headerDigest {
 		body += 4
 	}
+	length := int64(binary.LittleEndian.Uint32(b[4:]))
 	if length > int64(len(b)) || length < int64(body) || !g.data && length != int64(body) {
-		return
+		return modelPDU{}, false
 	}
-	size, from, to = int(length), body, int(length)
-	if header && crc32.Checksum(b[:g.header], crc32.MakeTable(crc32.Castagnoli)) != binary.LittleEndian.Uint32(b[g.header:]) {
-		return
+	if headerDigest && !hasDigest(b[:g.header], b[g.header:]) {
+		return modelPDU{}, false
 	}
+	pdu = modelPDU{dataFrom: body, dataTo: int(length), size: int(length)}
 	if !g.digests { // a TermReq: its data follows its header
-		return size <= g.header+128, from, to, size
+		return pdu, pdu.size <= g.header+128
 	}
-	if size > body {
-		from = int(b[3])
-		if from < body || from > size || from%4 != 0 || (b[1]&2 == 2) != data {
-			return
-		}
-		if data {
-			if to -= 4; to < from {
-				return
-			}
-		}
+	if pdu.size > body && !modelPlaceData(f.DataDigest && g.data, b, &pdu) {
+		return modelPDU{}, false
 	}
+	size := pdu.dataTo - pdu.dataFrom
 	if b[0] == 6 || b[0] == 7 {
-		if int64(binary.LittleEndian.Uint32(b[16:])) != int64(to-from) {
-			return
+		if int64(binary.LittleEndian.Uint32(b[16:])) != int64(size) {
+			return modelPDU{}, false
 		}
 	}
-	return to-from <= f.MaxData, from, to, size
+	return pdu, size <= f.MaxData
+}
+
+// modelPlaceData sets where the data is of a PDU that has some behind its header.
+func modelPlaceData(digest bool, b []byte, pdu *modelPDU) (valid bool) {
+	body := pdu.dataFrom
+	pdu.dataFrom = int(b[3])
+	if pdu.dataFrom < body || pdu.dataFrom > pdu.size || pdu.dataFrom%4 != 0 || (b[1]&2 == 2) != digest {
+		return false
+	}
+	if digest {
+		pdu.dataTo -= 4
+	}
+	return pdu.dataTo >= pdu.dataFrom
 }
 
-// FuzzFrame builds PDUs whose fields lie a little: lengths a byte off, offsets within the header or past the end,
-// flags that were not agreed on, data over the bound; their digests are right over what they then cover, so that
-// what lies is looked at. The decoder must agree with the plain model.
+func hasDigest(b, digest []byte) bool {
+	return crc32.Checksum(b, crc32.MakeTable(crc32.Castagnoli)) == binary.LittleEndian.Uint32(digest)
+}
+
+// FuzzFrame builds PDUs whose fields are a little wrong: lengths a byte off, offsets within the header or past the end,
+// flags that were not agreed on, data over the bound; their digests are right over what they then cover, so that what
+// is wrong is looked at. The decoder must agree with the model.
 func FuzzFrame(f *testing.F) {
 	for how := range byte(16) {
 		for _, kind := range []byte{0, 1, 2, 3, 4, 5, 6, 7, 9} {
@@ -75,54 +97,84 @@
 	f.Add(byte(15), byte(4), byte(0), int8(4), int8(0), int16(0), byte(8), int8(0))
 	f.Add(byte(15), byte(4), byte(0), int8(0), int8(0), int16(0), byte(65), int8(0))
 	f.Fuzz(func(t *testing.T, how, kind, flags byte, header, offset int8, length int16, data byte, stated int8) {
-		frame := framings()[how&7]
-		frame.FromHost, frame.MaxData = how&8 != 0, 64
-		hlen := forms[kind].header + int(header)
-		if hlen < 8 || hlen > 255 {
-			return
-		}
-		digests := forms[kind].digests
-		body := hlen
-		flag := flags
-		if frame.HeaderDigest && digests {
-			body, flag = body+4, flag^1
-		}
-		size, pdo := body, 0
-		if data > 0 {
-			pdo = (body+3)/4*4 + int(offset)
-			size = pdo + int(data)
-			if frame.DataDigest && digests {
-				size, flag = size+4, flag^2
-			}
-		}
-		size += int(length)
-		if pdo < 0 || pdo > 255 || size < 8 {
-			return
-		}
-		b := make([]byte, max(size, body, hlen+4)+300)
-		b[0], b[1], b[2], b[3] = kind, flag, byte(hlen), byte(pdo)
-		binary.LittleEndian.PutUint32(b[4:], uint32(size))
-		if kind == 6 || kind == 7 {
-			binary.LittleEndian.PutUint32(b[16:], uint32(int(data)+int(stated)))
-		}
-		if frame.HeaderDigest && digests {
-			binary.LittleEndian.PutUint32(b[hlen:], CRC32C(b[:hlen]))
-		}
-		if end := size - 4; frame.DataDigest && digests && end >= body && pdo >= body && pdo <= end {
-			binary.LittleEndian.PutUint32(b[end:], CRC32C(b[pdo:end]))
-		}
-		p, used, err := frame.Decode(b)
-		right, from, to, whole := plainDecode(frame, b)
-		if right != (err == nil && used > 0) {
-			t.Fatalf("% x...: the decoder says %d used, %v; the model %v", b[:24], used, err, right)
+		framing := framings()[how&7]
+		framing.FromHost, framing.MaxData = how&8 != 0, 64
+		fields := wrongFields{kind, flags, int(header), int(offset), int(length), int(data), int(stated)}
+		if b := fields.encode(framing); b != nil {
+			compareWithModel(t, framing, b)
 		}
-		if right && (used != whole || len(p.Data) != to-from || len(p.Data) > 0 && &p.Data[0] != &b[from] || len(p.Header) != hlen) {
-			t.Fatalf("% x...: data of %d from %d, the model: %d from %d", b[:24], len(p.Data), cap(b)-cap(p.Data), to-from, from)
+	})
+}
+
+// wrongFields are the fields of a PDU: how far each is off, and the bytes of its data.
+type wrongFields struct {
+	kind, flags            byte
+	header, offset, length int
+	data                   int
+	statedLength           int
+}
+
+// encode makes the bytes of a PDU with room behind it; nil where the fields can't be written.
+func (w wrongFields) encode(f Framing) []byte {
+	headerLen := forms[w.kind].header + w.header
+	if headerLen < 8 || headerLen > 255 {
+		return nil
+	}
+	headerDigest := f.HeaderDigest && forms[w.kind].digests
+	dataDigest := f.DataDigest && forms[w.kind].digests
+	body, flags := headerLen, w.flags
+	if headerDigest {
+		body, flags = body+4, flags^FlagHeaderDigest
+	}
+	size, dataOffset := body, 0
+	if w.data > 0 {
+		dataOffset = (body+3)/4*4 + w.offset
+		size = dataOffset + w.data
+		if dataDigest {
+			size, flags = size+4, flags^FlagDataDigest
 		}
-		if used == 0 && err == nil { // more is awaited: never more than the type and the bound allow
-			if most := hlen + 4 + 255 + 128 + 4; size > most {
-				t.Fatalf("% x...: %d bytes are awaited, at most %d can be right", b[:24], size, most)
-			}
+	}
+	size += w.length
+	if dataOffset < 0 || dataOffset > 255 || size < 8 {
+		return nil
+	}
+	const room = 300
+	b := make([]byte, max(size, body, headerLen+4)+room)
+	b[0], b[1], b[2], b[3] = w.kind, flags, byte(headerLen), byte(dataOffset)
+	binary.LittleEndian.PutUint32(b[4:], uint32(size))
+	if w.kind == TypeH2CData || w.kind == TypeC2HData {
+		binary.LittleEndian.PutUint32(b[16:], uint32(w.data+w.statedLength))
+	}
+	if headerDigest {
+		binary.LittleEndian.PutUint32(b[headerLen:], CRC32C(b[:headerLen]))
+	}
+	if end := size - 4; dataDigest && end >= body && dataOffset >= body && dataOffset <= end {
+		binary.LittleEndian.PutUint32(b[end:], CRC32C(b[dataOffset:end]))
+	}
+	return b
+}
+
+// compareWithModel decodes a PDU with room behind it.
+func compareWithModel(t *testing.T, f Framing, b []byte) {
+	t.Helper()
+	headerLen, size := int(b[2]), int(binary.LittleEndian.Uint32(b[4:]))
+	p, used, err := f.Decode(b)
+	want, valid := modelDecode(f, b)
+	if valid != (err == nil && used > 0) {
+		t.Fatalf("% x...: the decoder says %d used, %v; the model %v", b[:24], used, err, valid)
+	}
+	if valid && (used != want.size || len(p.Header) != headerLen) {
+		t.Fatalf("% x...: %d used, header of %d; the model: %d", b[:24], used, len(p.Header), want.size)
+	}
+	dataSize := want.dataTo - want.dataFrom
+	if valid && (len(p.Data) != dataSize || dataSize > 0 && &p.Data[0] != &b[want.dataFrom]) {
+		from := cap(b) - cap(p.Data)
+		t.Fatalf("% x...: data of %d from %d, the model: %d from %d",
+			b[:24], len(p.Data), from, dataSize, want.dataFrom)
+	}
+	if used == 0 && err == nil { // more is awaited: never more than the type and the bound allow
+		if most := headerLen + 4 + 255 + 128 + 4; size > most {
+			t.Fatalf("% x...: %d bytes are awaited, at most %d can be right", b[:24], size, most)
 		}
-	})
+	}
 }
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -4,7 +4,9 @@
 	"bytes"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"math/rand"
+	"slices"
 	"testing"
 
 	"honeyplank/internal/heap"
@@ -22,69 +24,81 @@
 	return list
 }
 
-// sample is a stream of PDUs with what they carry.
-func sample(f Framing, rng *rand.Rand, fromHost bool) (stream []byte, kinds []uint8, data [][]byte) {
-	f.FromHost = fromHost
-	add := func(kind uint8, d []byte) { kinds, data = append(kinds, kind), append(data, d) }
+// sentPDU is what a PDU of a stream carries.
+type sentPDU struct {
+	kind uint8
+	data []byte
+}
+
+// sample is a stream of PDUs of one end, and what they carry.
+func sample(f Framing, rng *rand.Rand) (stream []byte, sent []sentPDU) {
 	for range 20 {
-		d := make([]byte, 4*(1+rng.Intn(3000)))
-		rng.Read(d)
-		if fromHost {
+		data := make([]byte, 4*(1+rng.Intn(3000)))
+		for i := range data {
+			data[i] = byte(rng.Int())
+		}
+		if f.FromHost {
 			c := NewRW(Write, 7, rng.Uint64(), 3)
-			c.SetSGL(SGLInCapsule, len(d))
-			stream = f.AppendCommand(stream, &c, d)
-			add(TypeCapsuleCmd, d)
-			stream = f.AppendData(stream, TypeH2CData, FlagLast, 5, 9, 4096, d)
-			add(TypeH2CData, d)
+			c.SetSGL(SGLInCapsule, len(data))
+			stream = f.AppendCommand(stream, &c, data)
+			written := DataHeader{Type: TypeH2CData, Flags: FlagLast, CID: 5, TTAG: 9, Offset: 4096}
+			stream = f.AppendData(stream, written, data)
+			sent = append(sent, sentPDU{TypeCapsuleCmd, data}, sentPDU{TypeH2CData, data})
 			continue
 		}
 		c := NewCompletion(11, InternalError|DoNotRetry, 1, 2)
 		stream = f.AppendCompletion(stream, &c)
-		add(TypeCapsuleResp, nil)
-		stream = f.AppendData(stream, TypeC2HData, 0, 5, 0, 8, d)
-		add(TypeC2HData, d)
+		stream = f.AppendData(stream, DataHeader{Type: TypeC2HData, CID: 5, Offset: 8}, data)
 		stream = f.AppendR2T(stream, 1, 2, 3, 4)
-		add(TypeR2T, nil)
+		sent = append(sent, sentPDU{TypeCapsuleResp, nil}, sentPDU{TypeC2HData, data}, sentPDU{TypeR2T, nil})
 	}
-	return stream, kinds, data
+	return stream, sent
 }
 
-// TestPieces decodes a stream whole and in pieces of every small size; both must give what was sent.
+// TestPieces decodes a stream whole and in pieces of several sizes; each must give what was sent.
 func TestPieces(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for _, f := range framings() {
-		for _, host := range []bool{true, false} {
-			stream, kinds, data := sample(f, rng, host)
-			in := f
-			in.FromHost = host
-			for _, piece := range []int{1, 3, 7, 100, 4096, len(stream)} {
-				held, n := []byte(nil), 0
-				for at := 0; at < len(stream); at += piece {
-					held = append(held, stream[at:min(at+piece, len(stream))]...)
-					for {
-						p, used, err := in.Decode(held)
-						if err != nil {
-							t.Fatal(err)
-						}
-						if used == 0 {
-							break
-						}
-						if p.Type != kinds[n] || !bytes.Equal(p.Data, data[n]) || p.BadData {
-							t.Fatalf("PDU %d is of type %d with %d bytes, want %d with %d", n, p.Type, len(p.Data), kinds[n], len(data[n]))
-						}
-						n++
-						held = held[used:]
-					}
-				}
-				if n != len(kinds) {
-					t.Fatalf("%d PDUs of %d in pieces of %d", n, len(kinds), piece)
-				}
+		for _, fromHost := range []bool{true, false} {
+			f.FromHost = fromHost
+			stream, sent := sample(f, rng)
+			for _, size := range []int{1, 3, 7, 100, 4096, len(stream)} {
+				t.Run(fmt.Sprintf("%+v in pieces of %d", f, size), func(t *testing.T) {
+					decodePieces(t, f, slices.Collect(slices.Chunk(stream, size)), sent)
+				})
 			}
 		}
 	}
 }
 
-// TestDamage flips every bit of a PDU with digests: no damage passes, and none is taken for more than it is.
+func decodePieces(t *testing.T, f Framing, pieces [][]byte, sent []sentPDU) {
+	t.Helper()
+	var input []byte
+	n := 0
+	for _, piece := range pieces {
+		input = append(input, piece...)
+		for {
+			p, used, err := f.Decode(input)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if used == 0 {
+				break
+			}
+			if want := sent[n]; p.Type != want.kind || !bytes.Equal(p.Data, want.data) || p.BadData {
+				t.Fatalf("PDU %d is of type %d with %d bytes, want %d with %d",
+					n, p.Type, len(p.Data), want.kind, len(want.data))
+			}
+			n++
+			input = input[used:]
+		}
+	}
+	if n != len(sent) {
+		t.Fatalf("%d PDUs of %d", n, len(sent))
+	}
+}
+
+// TestDamage flips every bit of a PDU with digests: no damage goes undetected.
 func TestDamage(t *testing.T) {
 	f := Framing{HeaderDigest: true, DataDigest: true, MaxData: 1 << 16, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
@@ -93,20 +107,20 @@
 		bad := bytes.Clone(pdu)
 		bad[bit/8] ^= 1 << (bit % 8)
 		p, used, err := f.Decode(bad)
-		pad := bit/8 >= cmdLen+digestLen && bit/8 < int(pdu[3])
+		pad := bit/8 >= commandCapsuleLen+digestLen && bit/8 < int(pdu[3])
 		switch {
 		case err != nil || used == 0 || p.BadData || pad:
 		default:
-			t.Fatalf("bit %d of byte %d went unseen", bit%8, bit/8)
+			t.Fatalf("bit %d of byte %d was not detected", bit%8, bit/8)
 		}
 	}
 }
 
-// TestLies gives headers whose lengths are not what the type allows.
-func TestLies(t *testing.T) {
+// TestWrongHeaders decodes headers whose lengths are not what the type allows.
+func TestWrongHeaders(t *testing.T) {
 	f := Framing{MaxData: 8192, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
-	good := f.AppendCommand(nil, &c, make([]byte, 64))
+	valid := f.AppendCommand(nil, &c, make([]byte, 64))
 	for name, change := range map[string]func(b []byte){
 		"unknown type":        func(b []byte) { b[0] = 0x0F },
 		"the other end's":     func(b []byte) { b[0] = TypeR2T },
@@ -119,21 +133,23 @@
 		"odd offset":          func(b []byte) { b[3] = 73 },
 		"digest not agreed":   func(b []byte) { b[1] = FlagHeaderDigest },
 	} {
-		b := bytes.Clone(good)
-		change(b)
-		_, used, err := f.Decode(b[:headLen]) // before a byte of the rest is there
-		if err == nil {
-			_, used, err = f.Decode(b)
-		}
-		var fatal *FatalError
-		if used != 0 || !errors.As(err, &fatal) || fatal.Status == 0 {
-			t.Errorf("%s: %v, %d bytes used", name, err, used)
-		}
+		t.Run(name, func(t *testing.T) {
+			b := bytes.Clone(valid)
+			change(b)
+			_, used, err := f.Decode(b[:headLen]) // before a byte of the rest is there
+			if err == nil {
+				_, used, err = f.Decode(b)
+			}
+			var fatal *FatalError
+			if used != 0 || !errors.As(err, &fatal) || fatal.Status == 0 {
+				t.Errorf("%v, %d bytes used", err, used)
+			}
+		})
 	}
 }
 
-// TestStructures reads back what was written.
-func TestStructures(t *testing.T) {
+// TestIdentify reads back the Identify data structures.
+func TestIdentify(t *testing.T) {
 	d := AppendController(nil, Controller{ID: 3, RetryDelay: [3]uint16{1, 2, 3}, CapsuleBytes: 64 + 8192})
 	if len(d) != IdentifyLen || CapsuleBytes(d) != 64+8192 || RetryDelays(d) != [3]uint16{1, 2, 3} {
 		t.Error("Identify Controller")
@@ -144,47 +160,80 @@
 	if ids := Active(AppendActive(nil, 2, []uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
 		t.Error("active namespaces", ids)
 	}
-	connect := ConnectData{HostID: [16]byte{1}, ControllerID: 5, Subsystem: "a", Host: "b"}
-	if ParseConnectData(AppendConnectData(nil, connect)) != connect {
-		t.Error("Connect data")
+}
+
+// TestConnectData reads back the data of a Connect.
+func TestConnectData(t *testing.T) {
+	want := ConnectData{HostID: [16]byte{1}, ControllerID: 5, Subsystem: "a", Host: "b"}
+	if got := ParseConnectData(AppendConnectData(nil, want)); got != want {
+		t.Errorf("%+v, want %+v", got, want)
 	}
-	l := Load{1, 2, 3, 4}
-	dw0, dw1 := l.Dwords()
+}
+
+// TestCompletion reads back a completion with a load report.
+func TestCompletion(t *testing.T) {
+	load := Load{1, 2, 3, 4}
+	dw0, dw1 := load.Dwords()
 	c := NewCompletion(9, Rejected.WithDelay(2), dw0, dw1)
-	if c.Load() != l || c.CID() != 9 || c.Status().Code() != Rejected || c.Status().Delay() != 2 {
-		t.Error("completion")
+	if c.Load() != load || c.CID() != 9 || c.Status().Code() != Rejected || c.Status().Delay() != 2 {
+		t.Errorf("%x", c)
 	}
-	if CRC32C([]byte("123456789")) != 0xE3069283 { // the check value of CRC-32C
-		t.Error("CRC32C")
+}
+
+func TestCRC32C(t *testing.T) {
+	if got := CRC32C([]byte("123456789")); got != 0xE3069283 { // the check value of CRC-32C
+		t.Errorf("%#x", got)
 	}
 }
 
-// TestNoAllocation reads PDUs that are right, and beginnings of such whose lengths lie: nothing is allocated for what
-// a length says, only the error that tells of it.
+// TestNoAllocation decodes valid PDUs without an allocation.
 func TestNoAllocation(t *testing.T) {
 	f := Framing{MaxData: 64 << 10, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
-	right := f.AppendData(f.AppendCommand(nil, &c, nil), TypeH2CData, FlagLast, 1, 1, 0, make([]byte, 4096))
-	if n := testing.AllocsPerRun(100, func() {
-		for at := 0; at < len(right); {
-			_, n, err := f.Decode(right[at:])
-			if err != nil || n == 0 {
-				t.Fatal(n, err)
-			}
-			at += n
+	header := DataHeader{Type: TypeH2CData, Flags: FlagLast, CID: 1, TTAG: 1}
+	valid := f.AppendData(f.AppendCommand(nil, &c, nil), header, make([]byte, 4096))
+	decode := func() {
+		if err := decodeAll(&f, valid); err != nil {
+			t.Fatal(err)
 		}
-	}); n > 0 {
+	}
+	if n := testing.AllocsPerRun(100, decode); n > 0 {
 		t.Errorf("%v allocations for two PDUs", n)
 	}
+}
+
+var errIncomplete = errors.New("the last PDU is incomplete")
+
+// decodeAll decodes a stream of whole PDUs.
+func decodeAll(f *Framing, stream []byte) error {
+	for len(stream) > 0 {
+		_, n, err := f.Decode(stream)
+		if err != nil {
+			return err
+		}
+		if n == 0 {
+			return errIncomplete
+		}
+		stream = stream[n:]
+	}
+	return nil
+}
+
+// TestWrongLengthAllocation decodes headers whose lengths are wrong: nothing is allocated for what a length states,
+// only the error that tells of it.
+func TestWrongLengthAllocation(t *testing.T) {
+	f := Framing{MaxData: 64 << 10, FromHost: true}
 	for _, length := range []uint32{0, 1, 71, 73, 64 << 10, 64<<10 + 72, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1} {
-		head := append([]byte{TypeCapsuleCmd, 0, 72, 72}, binary.LittleEndian.AppendUint32(nil, length)...)
-		bytes := heap.Bytes(func() {
-			for range 1000 {
-				f.Decode(head)
+		t.Run(fmt.Sprint(length), func(t *testing.T) {
+			head := append([]byte{TypeCapsuleCmd, 0, 72, 72}, binary.LittleEndian.AppendUint32(nil, length)...)
+			allocated := heap.Bytes(func() {
+				for range 1000 {
+					_, _, _ = f.Decode(head) // an error, or more is awaited
+				}
+			})
+			if allocated > 1000*1024 {
+				t.Errorf("%d bytes for a thousand headers", allocated)
 			}
 		})
-		if bytes > 1000*1024 {
-			t.Errorf("a length of %d: %d bytes for a thousand headers", length, bytes)
-		}
 	}
 }
--- a/nvme/pdu.go
+++ b/nvme/pdu.go
@@ -1,10 +1,11 @@
-// Package nvme holds the layouts of NVMe over TCP that honeyplank accepts and sends: PDUs of the TCP
-// transport, and commands, completions and data structures of the base specification. It does no I/O, keeps
-// no connection state beyond what a decoder needs, and decides nothing.
+// Package nvme holds the layouts of NVMe over TCP that honeyplank accepts and sends: PDUs of the TCP transport, and
+// commands, completions and data structures of the base specification. It does no I/O, keeps no connection state beyond
+// what a decoder needs, and decides nothing. Initiators, targets and the auditor call it, each on its own goroutine: a
+// value of this package is not shared between them.
 //
-// Sources: "NVM Express TCP Transport Specification" revision 1.0 (cited as TCP), "NVM Express Base
-// Specification" revision 2.0 (cited as Base) and "NVM Command Set Specification" revision 1.0 (cited as
-// NVM). All integers on the wire are little endian.
+// Sources: "NVM Express TCP Transport Specification" revision 1.0 (cited as TCP), "NVM Express Base Specification"
+// revision 2.0 (cited as Base) and "NVM Command Set Specification" revision 1.0 (cited as NVM). All integers on the
+// wire are little endian.
 package nvme
 
 import (
@@ -45,19 +46,21 @@
 )
 
 const (
-	headLen   = 8
+	headLen   = 8 // of the common header
 	digestLen = 4
-	icLen     = 128
-	cmdLen    = headLen + 64
-	respLen   = headLen + 16
-	dataLen   = 24
-	termLen   = 24
-	termData  = 128 // most bytes of the offending header that a TermReq repeats
+
+	commandCapsuleLen  = headLen + CommandLen
+	responseCapsuleLen = headLen + CompletionLen
+
+	icLen    = 128
+	dataLen  = 24
+	termLen  = 24
+	termData = 128 // most bytes of the offending header that a TermReq repeats
 	// MaxDataOffset is the largest data offset a header can state (one byte, TCP 3.6.1).
 	MaxDataOffset = 255
 )
 
-// FatalError is a breach of the transport after which a connection ends with a TermReq.
+// FatalError is a violation of the transport after which a connection ends with a TermReq.
 type FatalError struct {
 	Status uint16 // one of the Fatal constants
 	Info   uint32 // FEI: offset or digest, by status
@@ -68,7 +71,8 @@
 func (e *FatalError) Error() string { return fmt.Sprintf("nvme/tcp: %s (FES %d)", e.Text, e.Status) }
 
 func fatal(status uint16, info uint32, header []byte, format string, a ...any) error {
-	return &FatalError{status, info, fmt.Sprintf(format, a...), append([]byte(nil), header[:min(len(header), termData)]...)}
+	header = append([]byte(nil), header[:min(len(header), termData)]...)
+	return &FatalError{status, info, fmt.Sprintf(format, a...), header}
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -119,7 +123,13 @@
 // Init reads an ICReq or ICResp.
 func (p *PDU) Init() Init {
 	h := p.Header
-	return Init{binary.LittleEndian.Uint16(h[8:]), h[10], h[11]&1 != 0, h[11]&2 != 0, binary.LittleEndian.Uint32(h[12:])}
+	return Init{
+		Version:      binary.LittleEndian.Uint16(h[8:]),
+		Align:        h[10],
+		HeaderDigest: h[11]&1 != 0,
+		DataDigest:   h[11]&2 != 0,
+		Limit:        binary.LittleEndian.Uint32(h[12:]),
+	}
 }
 
 // Term reads a TermReq.
@@ -140,16 +150,44 @@
 	FromHost bool
 }
 
-// layouts tells for each type its header length, whether it may carry data, and which end sends it.
-var layouts = [...]struct {
-	known, data, host bool
-	hlen              int
-}{
-	TypeICReq: {true, false, true, icLen}, TypeICResp: {true, false, false, icLen},
-	TypeH2CTermReq: {true, true, true, termLen}, TypeC2HTermReq: {true, true, false, termLen},
-	TypeCapsuleCmd: {true, true, true, cmdLen}, TypeCapsuleResp: {true, false, false, respLen},
-	TypeH2CData: {true, true, true, dataLen}, TypeC2HData: {true, true, false, dataLen},
-	TypeR2T: {true, false, false, dataLen},
+// layout is the form of a type of PDU.
+type layout struct {
+	headerLen int  // 0: there is no such type
+	fromHost  bool // which end sends it
+	data      bool // it may carry data
+	digests   bool // it may carry digests
+}
+
+var layouts = [...]layout{
+	TypeICReq:       {headerLen: icLen, fromHost: true},
+	TypeICResp:      {headerLen: icLen},
+	TypeH2CTermReq:  {headerLen: termLen, fromHost: true, data: true},
+	TypeC2HTermReq:  {headerLen: termLen, data: true},
+	TypeCapsuleCmd:  {headerLen: commandCapsuleLen, fromHost: true, data: true, digests: true},
+	TypeCapsuleResp: {headerLen: responseCapsuleLen, digests: true},
+	TypeH2CData:     {headerLen: dataLen, fromHost: true, data: true, digests: true},
+	TypeC2HData:     {headerLen: dataLen, data: true, digests: true},
+	TypeR2T:         {headerLen: dataLen, digests: true},
+}
+
+// Offsets of the fields of the common header (TCP 3.6.1) and of a data PDU's length, as FEI tells which is wrong.
+const (
+	typeField       = 0
+	flagsField      = 1
+	headerLenField  = 2
+	dataOffsetField = 3
+	lengthField     = 4
+	dataLengthField = 16
+)
+
+// extent is where the parts of a PDU are, by its header.
+type extent struct {
+	headerLen    int
+	headerDigest bool // it stands behind the header
+	dataFrom     int
+	dataTo       int
+	dataDigest   bool // it stands behind the data
+	size         int  // of all
 }
 
 // Decode reads the PDU at the start of b. It returns the bytes used, 0 while more are needed, and a
@@ -157,78 +195,100 @@
 // against what the type allows before more bytes are waited for; nothing is allocated.
 func (f *Framing) Decode(b []byte) (p PDU, used int, err error) {
 	if len(b) < headLen {
-		return p, 0, nil
+		return PDU{}, 0, nil
 	}
-	p.Type, p.Flags = b[0], b[1]
-	hlen, pdo, plen := int(b[2]), int(b[3]), binary.LittleEndian.Uint32(b[4:])
-	if int(p.Type) >= len(layouts) || !layouts[p.Type].known {
-		return p, 0, fatal(FatalHeaderField, 0, b, "PDU type %#x is unknown", p.Type)
+	var e extent
+	if err := f.measure(b, &e); err != nil || len(b) < e.size {
+		return PDU{}, 0, err
 	}
-	way := layouts[p.Type]
-	if way.host != f.FromHost {
-		return p, 0, fatal(FatalSequence, 0, b, "PDU type %#x comes from the wrong end", p.Type)
+	p.Type, p.Flags = b[typeField], b[flagsField]
+	p.Header, p.Data = b[:e.headerLen], b[e.dataFrom:e.dataTo]
+	if e.headerDigest {
+		if got, sum := binary.LittleEndian.Uint32(b[e.headerLen:]), CRC32C(p.Header); got != sum {
+			return PDU{}, 0, fatal(FatalHeaderDigest, got, b, "header digest %#x is not %#x", got, sum)
+		}
 	}
-	if hlen != way.hlen {
-		return p, 0, fatal(FatalHeaderField, 2, b, "header length %d of type %#x is not %d", hlen, p.Type, way.hlen)
+	if e.dataDigest {
+		p.BadData = binary.LittleEndian.Uint32(b[e.dataTo:]) != CRC32C(p.Data)
 	}
-	plain := p.Type == TypeICReq || p.Type == TypeICResp || p.Type == TypeH2CTermReq || p.Type == TypeC2HTermReq
-	wantHeader, wantData := f.HeaderDigest && !plain, f.DataDigest && !plain && way.data
-	if (p.Flags&FlagHeaderDigest != 0) != wantHeader {
-		return p, 0, fatal(FatalHeaderField, 1, b, "header digest flag does not match what was agreed")
+	if (p.Type == TypeH2CData || p.Type == TypeC2HData) && int(p.Length()) != len(p.Data) {
+		return PDU{}, 0, fatal(FatalHeaderField, dataLengthField, b,
+			"data length %d is not the %d bytes that came", p.Length(), len(p.Data))
 	}
-	least := hlen
-	if wantHeader {
-		least += digestLen
+	if len(p.Data) > f.MaxData && layouts[p.Type].digests {
+		return PDU{}, 0, fatal(FatalTransferLimit, 0, b, "%d bytes of data are over %d", len(p.Data), f.MaxData)
 	}
-	most := least
-	if way.data {
-		most = max(least, MaxDataOffset) + max(f.MaxData, termData) + digestLen
+	return p, e.size, nil
+}
+
+// measure checks the common header of a PDU and sets where its parts are.
+func (f *Framing) measure(b []byte, e *extent) error {
+	kind, headerLen, length := b[typeField], int(b[headerLenField]), binary.LittleEndian.Uint32(b[lengthField:])
+	if int(kind) >= len(layouts) || layouts[kind].headerLen == 0 {
+		return fatal(FatalHeaderField, typeField, b, "PDU type %#x is unknown", kind)
 	}
-	if plen < uint32(least) || plen > uint32(most) {
-		return p, 0, fatal(FatalHeaderField, 4, b, "PDU length %d is not within %d and %d", plen, least, most)
+	l := &layouts[kind]
+	if l.fromHost != f.FromHost {
+		return fatal(FatalSequence, 0, b, "PDU type %#x comes from the wrong end", kind)
 	}
-	size, from := int(plen), least
-	switch {
-	case p.Type == TypeH2CTermReq || p.Type == TypeC2HTermReq:
-		if size > termLen+termData {
-			return p, 0, fatal(FatalHeaderField, 4, b, "PDU length %d of a TermReq is over %d", size, termLen+termData)
-		}
-	case size > least:
-		if pdo < least || pdo > size || pdo%4 != 0 {
-			return p, 0, fatal(FatalHeaderField, 3, b, "data offset %d is not within %d and %d", pdo, least, size)
-		}
-		from = pdo
-		if (p.Flags&FlagDataDigest != 0) != wantData {
-			return p, 0, fatal(FatalHeaderField, 1, b, "data digest flag does not match what was agreed")
-		}
-		if wantData && size < from+digestLen {
-			return p, 0, fatal(FatalHeaderField, 4, b, "no room for the data digest")
-		}
+	if headerLen != l.headerLen {
+		return fatal(FatalHeaderField, headerLenField, b,
+			"header length %d of type %#x is not %d", headerLen, kind, l.headerLen)
+	}
+	headerDigest := f.HeaderDigest && l.digests
+	if (b[flagsField]&FlagHeaderDigest != 0) != headerDigest {
+		return fatal(FatalHeaderField, flagsField, b, "header digest flag does not match what was agreed")
+	}
+	minLen := headerLen
+	if headerDigest {
+		minLen += digestLen
+	}
+	maxLen := minLen
+	if l.data {
+		maxLen = max(minLen, MaxDataOffset) + max(f.MaxData, termData) + digestLen
+	}
+	if length < uint32(minLen) || length > uint32(maxLen) {
+		return fatal(FatalHeaderField, lengthField, b,
+			"PDU length %d is not within %d and %d", length, minLen, maxLen)
 	}
-	if len(b) < size {
-		return p, 0, nil
+	e.size, e.headerLen, e.headerDigest = int(length), headerLen, headerDigest
+	e.dataFrom, e.dataTo = minLen, e.size
+	if e.size > minLen {
+		return f.placeData(b, e)
 	}
-	p.Header = b[:hlen]
-	if wantHeader {
-		if got, sum := binary.LittleEndian.Uint32(b[hlen:]), CRC32C(p.Header); got != sum {
-			return p, 0, fatal(FatalHeaderDigest, got, b, "header digest %#x is not %#x", got, sum)
+	return nil
+}
+
+// placeData checks the part of a PDU behind its header, and sets where its data is.
+func (f *Framing) placeData(b []byte, e *extent) error {
+	if !layouts[b[typeField]].digests { // a TermReq: its data follows its header
+		if e.size > termLen+termData {
+			return fatal(FatalHeaderField, lengthField, b,
+				"PDU length %d of a TermReq is over %d", e.size, termLen+termData)
 		}
+		return nil
 	}
-	p.Data = b[from:size]
-	if wantData && size > least {
-		p.Data = b[from : size-digestLen]
-		p.BadData = binary.LittleEndian.Uint32(b[size-digestLen:]) != CRC32C(p.Data)
+	offset := int(b[dataOffsetField])
+	if offset < e.dataFrom || offset > e.size || offset%4 != 0 {
+		return fatal(FatalHeaderField, dataOffsetField, b,
+			"data offset %d is not within %d and %d", offset, e.dataFrom, e.size)
 	}
-	if (p.Type == TypeH2CData || p.Type == TypeC2HData) && int(p.Length()) != len(p.Data) {
-		return p, 0, fatal(FatalHeaderField, 16, b, "data length %d is not the %d bytes that came", p.Length(), len(p.Data))
+	e.dataFrom = offset
+	e.dataDigest = f.DataDigest
+	if (b[flagsField]&FlagDataDigest != 0) != e.dataDigest {
+		return fatal(FatalHeaderField, flagsField, b, "data digest flag does not match what was agreed")
+	}
+	if !e.dataDigest {
+		return nil
 	}
-	if len(p.Data) > f.MaxData && !plain {
-		return p, 0, fatal(FatalTransferLimit, 0, b, "%d bytes of data are over %d", len(p.Data), f.MaxData)
+	if e.size < e.dataFrom+digestLen {
+		return fatal(FatalHeaderField, lengthField, b, "no room for the data digest")
 	}
-	return p, size, nil
+	e.dataTo = e.size - digestLen
+	return nil
 }
 
-// begin appends a header of hlen bytes with type and flags set and the rest zero; finish completes it.
+// begin appends a header with type and flags set and the rest zero; finish completes it.
 func begin(dst []byte, kind, flags uint8, hlen int) []byte {
 	n := len(dst)
 	dst = append(dst, make([]byte, hlen)...)
@@ -236,9 +296,9 @@
 	return dst
 }
 
-// finish adds digests, padding and data behind a header that began at dst[at:], and sets the lengths.
-func (f *Framing) finish(dst []byte, at int, data []byte) []byte {
-	h := dst[at:]
+// finish adds digests, padding and data behind a header that begins at dst[start:], and sets the lengths.
+func (f *Framing) finish(dst []byte, start int, data []byte) []byte {
+	h := dst[start:]
 	hlen := len(h)
 	size := hlen
 	if f.HeaderDigest {
@@ -258,11 +318,11 @@
 	}
 	binary.LittleEndian.PutUint32(h[4:], uint32(size))
 	if f.HeaderDigest {
-		dst = binary.LittleEndian.AppendUint32(dst, CRC32C(dst[at:at+hlen]))
+		dst = binary.LittleEndian.AppendUint32(dst, CRC32C(dst[start:start+hlen]))
 	}
 	if len(data) > 0 {
 		var zero [MaxDataOffset + 1]byte
-		dst = append(dst, zero[:pdo-(len(dst)-at)]...)
+		dst = append(dst, zero[:pdo-(len(dst)-start)]...)
 		dst = append(dst, data...)
 		if f.DataDigest {
 			dst = binary.LittleEndian.AppendUint32(dst, CRC32C(data))
@@ -273,9 +333,9 @@
 
 // AppendInit appends an ICReq or ICResp.
 func AppendInit(dst []byte, kind uint8, i Init) []byte {
-	at := len(dst)
+	start := len(dst)
 	dst = begin(dst, kind, 0, icLen)
-	h := dst[at:]
+	h := dst[start:]
 	binary.LittleEndian.PutUint16(h[8:], i.Version)
 	h[10] = i.Align
 	if i.HeaderDigest {
@@ -291,9 +351,9 @@
 
 // AppendTerm appends the TermReq by which the end kind names ends a connection.
 func AppendTerm(dst []byte, kind uint8, e *FatalError) []byte {
-	at := len(dst)
+	start := len(dst)
 	dst = begin(dst, kind, 0, termLen)
-	h := dst[at:]
+	h := dst[start:]
 	binary.LittleEndian.PutUint16(h[8:], e.Status)
 	binary.LittleEndian.PutUint32(h[10:], e.Info)
 	binary.LittleEndian.PutUint32(h[4:], uint32(termLen+len(e.Header)))
@@ -302,34 +362,43 @@
 
 // AppendCommand appends a CapsuleCmd, with in-capsule data where there is some.
 func (f *Framing) AppendCommand(dst []byte, c *Command, data []byte) []byte {
-	at := len(dst)
-	dst = begin(dst, TypeCapsuleCmd, 0, cmdLen)
-	copy(dst[at+headLen:], c[:])
-	return f.finish(dst, at, data)
+	start := len(dst)
+	dst = begin(dst, TypeCapsuleCmd, 0, commandCapsuleLen)
+	copy(dst[start+headLen:], c[:])
+	return f.finish(dst, start, data)
 }
 
 // AppendCompletion appends a CapsuleResp.
 func (f *Framing) AppendCompletion(dst []byte, c *Completion) []byte {
-	at := len(dst)
-	dst = begin(dst, TypeCapsuleResp, 0, respLen)
-	copy(dst[at+headLen:], c[:])
-	return f.finish(dst, at, nil)
+	start := len(dst)
+	dst = begin(dst, TypeCapsuleResp, 0, responseCapsuleLen)
+	copy(dst[start+headLen:], c[:])
+	return f.finish(dst, start, nil)
+}
+
+// DataHeader is what the header of an H2CData or C2HData PDU tells of its data.
+type DataHeader struct {
+	Type   uint8
+	Flags  uint8 // FlagLast and FlagSuccess
+	CID    uint16
+	TTAG   uint16
+	Offset int // from the start of the command's data
 }
 
-// AppendData appends one H2CData or C2HData PDU; offset counts from the start of the command's data.
-func (f *Framing) AppendData(dst []byte, kind, flags uint8, cid, ttag uint16, offset int, data []byte) []byte {
-	at := len(dst)
-	dst = begin(dst, kind, flags, dataLen)
-	putData(dst[at:], cid, ttag, uint32(offset), uint32(len(data)))
-	return f.finish(dst, at, data)
+// AppendData appends one H2CData or C2HData PDU.
+func (f *Framing) AppendData(dst []byte, h DataHeader, data []byte) []byte {
+	start := len(dst)
+	dst = begin(dst, h.Type, h.Flags, dataLen)
+	putData(dst[start:], h.CID, h.TTAG, uint32(h.Offset), uint32(len(data)))
+	return f.finish(dst, start, data)
 }
 
 // AppendR2T appends an R2T for length bytes from offset.
 func (f *Framing) AppendR2T(dst []byte, cid, ttag uint16, offset, length int) []byte {
-	at := len(dst)
+	start := len(dst)
 	dst = begin(dst, TypeR2T, 0, dataLen)
-	putData(dst[at:], cid, ttag, uint32(offset), uint32(length))
-	return f.finish(dst, at, nil)
+	putData(dst[start:], cid, ttag, uint32(offset), uint32(length))
+	return f.finish(dst, start, nil)
 }
 
 func putData(h []byte, cid, ttag uint16, offset, length uint32) {
--- a/target/model_test.go
+++ b/target/model_test.go
@@ -265,7 +265,8 @@
 // frame makes the frame of a step: a Write of one to eight blocks, changed by the step's kind.
 func (p *modelPlay) frame(kind, n byte) frame {
 	f := frame{
-		cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7), sgl: nvme.SGLTransport,
+		cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7),
+		sgl: nvme.SGLTransport,
 	}
 	f.sglLength = f.blocks * testBlock
 	switch kind {
--- a/target/session.go
+++ b/target/session.go
@@ -217,7 +217,8 @@
 		if from+len(part) == len(data) {
 			flags = lastFlags
 		}
-		*s.output = s.framing.AppendData(*s.output, nvme.TypeC2HData, flags, cid, 0, from, part)
+		header := nvme.DataHeader{Type: nvme.TypeC2HData, Flags: flags, CID: cid, Offset: from}
+		*s.output = s.framing.AppendData(*s.output, header, part)
 	}
 }
 
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -131,7 +131,8 @@
 
 // dataPDU is a data PDU of the host.
 func (h *harness) dataPDU(flags uint8, cid, tag uint16, offset, size int) []byte {
-	return h.hostFraming.AppendData(nil, nvme.TypeH2CData, flags, cid, tag, offset, make([]byte, size))
+	header := nvme.DataHeader{Type: nvme.TypeH2CData, Flags: flags, CID: cid, TTAG: tag, Offset: offset}
+	return h.hostFraming.AppendData(nil, header, make([]byte, size))
 }
 
 func (h *harness) connect(queueID, controllerID uint16, size int) nvme.Status {
