--- /dev/null
+++ b/initiator/admin.go
@@ -0,0 +1,42 @@
+package initiator
+
+import (
+	"honeyplank/nvme"
+)
+
+// Identify sends an Identify.
+func (a *Association) Identify(cns uint8, nsid uint32, call Call) {
+	c := nvme.Command{nvme.AdminIdentify}
+	c.SetNSID(nsid)
+	c.SetDW(10, uint32(cns))
+	a.Admin.Submit(c, nil, nvme.IdentifyLen, call)
+}
+
+// GetLogPage asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
+func (a *Association) GetLogPage(id uint8, n int, call Call) bool {
+	if !a.IsReady() {
+		return false
+	}
+	c := nvme.Command{nvme.AdminGetLogPage}
+	c.SetDW(10, uint32(id)|uint32(n/4-1)<<16) // NUMD, 0's based dwords
+	_, ok := a.Admin.Submit(c, nil, n, call)
+	return ok
+}
+
+// keepAliveAttempts is how many Keep Alives are sent in the time after which the association ends.
+const keepAliveAttempts = 4
+
+// sendKeepAlive sends Keep Alives at intervals, and ends the association once none has been answered for
+// Settings.KeepAlive (Base 3.9).
+func (a *Association) sendKeepAlive() {
+	now := a.loop.Now()
+	if now-a.keepAliveAnswered >= a.settings.KeepAlive {
+		a.end(errKeepAliveTimeout)
+		return
+	}
+	if a.Admin.Free() > adminDepth/2 {
+		answered := func(Result) { a.keepAliveAnswered = a.loop.Now() }
+		a.Admin.Submit(nvme.Command{nvme.AdminKeepAlive}, nil, 0, a.step("Keep Alive", answered))
+	}
+	a.timer = a.loop.Schedule(now+a.settings.KeepAlive/keepAliveAttempts, a.sendKeepAlive)
+}
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"time"
 
 	"honeyplank/eventloop"
@@ -15,13 +14,13 @@
 	Subsystem      string
 	Host           string // NQN of this host
 	HostID         [16]byte
-	Depth          int           // commands out at a time on the I/O queue, at most MaxDepth
+	Depth          int           // commands in flight at a time on the I/O queue, at most MaxDepth
 	MaxData        int           // bytes of one Read
 	Digests        bool          // ask for header and data digests
-	ConnectTimeout time.Duration // for all of the handshake
+	ConnectTimeout time.Duration // for the whole handshake
 	KeepAlive      time.Duration // 0: none. Silence of this long on the admin queue ends the association
 	Tap            func() func(sent bool, b []byte)
-	// OnConnect, where set, is handed each new connection, and sets its tap: the faults of a stand-in's wire.
+	// OnConnect, where set, is called with each new connection, for fault injection.
 	OnConnect func(*eventloop.Conn)
 }
 
@@ -29,246 +28,146 @@
 type Handler interface {
 	// Ready tells that the I/O queue may be used.
 	Ready(*Association)
-	// Ended tells, once, that the association is over. Commands that were out have been told before.
+	// Ended tells, once, that the association is over. Commands in flight have been told before.
 	Ended(*Association, error)
 }
 
+// queueID tells which of an association's queues it is.
+type queueID int
+
+const (
+	adminQueue queueID = iota
+	ioQueue
+	queueCount
+)
+
+// adminDepth is how many commands may be in flight on the admin queue.
+const adminDepth = 32
+
+// maxKeptReads bounds the memory that is kept for reads, in reads of the largest size.
+const maxKeptReads = 64
+
+var (
+	errHandshakeTimeout = errors.New("initiator: the handshake was not complete in time")
+	errKeepAliveTimeout = errors.New("initiator: Keep Alive was not answered in time")
+	errClosed           = errors.New("initiator: the controller closed the connection")
+	errNotReady         = errors.New("initiator: the controller did not become ready")
+	errNoIdentifyData   = errors.New("initiator: Identify brought no data")
+)
+
 // Association is an admin queue and one I/O queue to a controller.
 type Association struct {
-	IO      *Session
+	IO      *Session // it takes commands once the association is ready
 	Admin   *Session
 	Buffers eventloop.Buffers
 	// RetryDelays are CRDT1 to CRDT3 of the controller, in units of 100 ms.
 	RetryDelays [3]uint16
 
-	terms      Settings
-	loop       *eventloop.Loop
-	handler    Handler
-	conns      [2]*eventloop.Conn
-	sessions   [2]*Session
-	cntlid     uint16
-	ready      bool
-	over       bool
-	timer      *eventloop.Timer
-	answeredAt time.Duration // last answer to a Keep Alive
-}
-
-// queue is one of the association's connections.
-type queue struct {
-	a *Association
-	n int
+	settings          Settings
+	loop              *eventloop.Loop
+	handler           Handler
+	conns             [queueCount]*eventloop.Conn
+	sessions          [queueCount]*Session
+	controllerID      uint16
+	ioCapsule         int // bytes of data in a capsule of the I/O queue
+	ready             bool
+	closed            bool
+	timer             *eventloop.Timer // of the handshake, then of Keep Alive
+	keepAliveAnswered time.Duration    // when a Keep Alive was last answered
 }
 
-const adminDepth = 32
-
-var errHandshake = errors.New("initiator: the handshake was not complete in time")
-var errKeepAlive = errors.New("initiator: Keep Alive was not answered in time")
-
 // Dial begins an association; the handler hears of it later, never during the call.
-func Dial(l *eventloop.Loop, terms Settings, h Handler) *Association {
-	a := &Association{terms: terms, loop: l, handler: h}
-	a.Buffers.MaxKept, a.Buffers.Stats = 64*terms.MaxData, &l.Stats
-	a.timer = l.Schedule(l.Now()+terms.ConnectTimeout, func() { a.end(errHandshake) })
-	if err := a.connect(0); err != nil {
+func Dial(l *eventloop.Loop, settings Settings, h Handler) *Association {
+	a := &Association{IO: &Session{}, settings: settings, loop: l, handler: h}
+	a.Buffers.MaxKept, a.Buffers.Stats = maxKeptReads*settings.MaxData, &l.Stats
+	a.timer = l.Schedule(l.Now()+settings.ConnectTimeout, func() { a.end(errHandshakeTimeout) })
+	if err := a.dial(adminQueue); err != nil {
 		l.Schedule(0, func() { a.end(err) })
 	}
 	return a
 }
 
-func (a *Association) connect(n int) (err error) {
-	if a.conns[n], err = a.loop.Dial(a.terms.Address, &queue{a, n}); err == nil && a.terms.Tap != nil {
-		a.conns[n].Tap = a.terms.Tap()
+// dial opens the connection of a queue.
+func (a *Association) dial(id queueID) error {
+	conn, err := a.loop.Dial(a.settings.Address, &queue{a, id})
+	a.conns[id] = conn
+	if err != nil {
+		return err
+	}
+	if a.settings.Tap != nil {
+		conn.Tap = a.settings.Tap()
 	}
-	if err == nil && a.terms.OnConnect != nil {
-		a.terms.OnConnect(a.conns[n])
+	if a.settings.OnConnect != nil {
+		a.settings.OnConnect(conn)
 	}
-	return err
+	return nil
+}
+
+// queue is one of the association's connections, as its eventloop.Handler.
+type queue struct {
+	association *Association
+	id          queueID
 }
 
 func (q *queue) Opened(c *eventloop.Conn) {
-	depth, most := adminDepth, nvme.IdentifyLen
-	if q.n == 1 {
-		depth, most = q.a.terms.Depth, max(q.a.terms.MaxData, nvme.IdentifyLen)
+	a := q.association
+	options := sessionOptions{
+		depth:   adminDepth,
+		maxData: nvme.IdentifyLen,
+		digests: a.settings.Digests,
+		buffers: &a.Buffers,
+		output:  &c.Output,
+		flush:   c.Send,
+		onReady: func() { a.join(q.id) },
+	}
+	if q.id == ioQueue {
+		options.depth, options.maxData = a.settings.Depth, max(a.settings.MaxData, nvme.IdentifyLen)
 	}
-	q.a.sessions[q.n] = newSession(depth, most, q.a.terms.Digests, &q.a.Buffers, &c.Output, c.Send, func() { q.a.join(q.n) })
+	a.sessions[q.id] = newSession(options)
 }
 
 func (q *queue) Input(_ *eventloop.Conn, b []byte) int {
-	used, err := q.a.sessions[q.n].Input(b)
+	used, err := q.association.sessions[q.id].Input(b)
 	if err != nil {
-		q.a.end(err)
+		q.association.end(err)
 	}
 	return used
 }
 
 func (q *queue) Closed(_ *eventloop.Conn, err error) {
 	if err == nil {
-		err = errors.New("initiator: the controller closed the connection")
+		err = errClosed
 	}
-	q.a.end(err)
-}
-
-// join sends the Connect of a queue.
-func (a *Association) join(n int) {
-	s, t := a.sessions[n], a.terms
-	s.Capsule = nvme.ConnectLen
-	size, cntlid := adminDepth+1, uint16(nvme.DynamicController)
-	if n == 1 {
-		size, cntlid = t.Depth+1, a.cntlid
-	}
-	c := nvme.NewConnect(uint16(n), size, uint32(t.KeepAlive/time.Millisecond))
-	data := nvme.ConnectData{HostID: t.HostID, ControllerID: cntlid, Subsystem: t.Subsystem, Host: t.Host}
-	next := a.enable
-	if n == 1 {
-		next = a.begin
-	}
-	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.step("Connect", func(r Result) {
-		if n == 0 {
-			a.cntlid = uint16(r.DW0())
-		}
-		next()
-	}))
-}
-
-// step is a Call that ends the association if its command fails.
-func (a *Association) step(what string, next func(Result)) Call {
-	return CallFunc(func(r Result) {
-		switch {
-		case r.Lost || a.over:
-		case r.Status() != nvme.Success:
-			a.end(fmt.Errorf("initiator: %s was answered with status %#x", what, r.Status()))
-		default:
-			next(r)
-		}
-	})
-}
-
-// enable sets CC.EN (Base 3.5.1, 3.1.3.5), then asks who is there.
-func (a *Association) enable() {
-	const enabled = 1 | 6<<16 | 4<<20 // EN, IOSQES, IOCQES
-	a.Admin = a.sessions[0]
-	a.Admin.Submit(nvme.NewProperty(nvme.FabricsPropertyGet, nvme.PropertyCAP, 0), nil, 0, a.step("Property Get", func(r Result) {
-		a.terms.Depth = min(a.terms.Depth, int(r.DW0()&0xFFFF)) // MQES: one entry of a queue stays empty
-	}))
-	a.Admin.Submit(nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, enabled), nil, 0, a.step("Property Set", func(Result) {
-		a.Admin.Submit(nvme.NewProperty(nvme.FabricsPropertyGet, nvme.PropertyCSTS, 0), nil, 0, a.step("Property Get", func(r Result) {
-			if r.DW0()&1 == 0 {
-				a.end(errors.New("initiator: the controller did not become ready"))
-				return
-			}
-			a.identify()
-		}))
-	}))
-}
-
-func (a *Association) identify() {
-	a.Identify(nvme.IdentifyController, 0, a.step("Identify", func(r Result) {
-		if len(r.Data) != nvme.IdentifyLen {
-			a.end(errors.New("initiator: Identify brought no data"))
-			return
-		}
-		capsule := max(nvme.CapsuleBytes(r.Data)-64, 0)
-		if a.RetryDelays = nvme.RetryDelays(r.Data); a.RetryDelays != [3]uint16{} {
-			a.honour()
-		}
-		if err := a.connect(1); err != nil {
-			a.end(err)
-			return
-		}
-		a.terms.MaxData = max(a.terms.MaxData, nvme.IdentifyLen)
-		a.IO = &Session{Capsule: capsule} // its Capsule is taken over by begin
-	}))
-}
-
-// honour tells the controller that this host honours its retry delays (ACRE). A controller that does not know
-// the feature keeps its delays to itself.
-func (a *Association) honour() {
-	var c nvme.Command
-	c[0] = nvme.AdminSetFeatures
-	c.SetDW(10, nvme.FeatureHostBehavior)
-	behaviour := make([]byte, nvme.HostBehaviorLen)
-	behaviour[0] = 1
-	a.Admin.Submit(c, behaviour, 0, CallFunc(func(Result) {}))
-}
-
-// Identify sends an Identify.
-func (a *Association) Identify(cns uint8, nsid uint32, call Call) {
-	var c nvme.Command
-	c[0] = nvme.AdminIdentify
-	c.SetNSID(nsid)
-	c.SetDW(10, uint32(cns))
-	a.Admin.Submit(c, nil, nvme.IdentifyLen, call)
-}
-
-// GetLogPage asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
-func (a *Association) GetLogPage(id uint8, n int, call Call) bool {
-	if !a.ready || a.over {
-		return false
-	}
-	var c nvme.Command
-	c[0] = nvme.AdminGetLogPage
-	c.SetDW(10, uint32(id)|uint32(n/4-1)<<16)
-	_, ok := a.Admin.Submit(c, nil, n, call)
-	return ok
-}
-
-func (a *Association) begin() {
-	capsule := a.IO.Capsule
-	a.IO = a.sessions[1]
-	a.IO.Capsule = capsule
-	a.ready = true
-	a.loop.Cancel(a.timer)
-	a.answeredAt = a.loop.Now()
-	if a.terms.KeepAlive > 0 {
-		a.alive()
-	}
-	a.handler.Ready(a)
-}
-
-// alive sends a Keep Alive every quarter of the time, and ends the association once none has been answered
-// for all of it (Base 3.9).
-func (a *Association) alive() {
-	now := a.loop.Now()
-	if now-a.answeredAt >= a.terms.KeepAlive {
-		a.end(errKeepAlive)
-		return
-	}
-	if a.Admin.Free() > adminDepth/2 {
-		var c nvme.Command
-		c[0] = nvme.AdminKeepAlive
-		a.Admin.Submit(c, nil, 0, a.step("Keep Alive", func(Result) { a.answeredAt = a.loop.Now() }))
-	}
-	a.timer = a.loop.Schedule(now+a.terms.KeepAlive/4, a.alive)
+	q.association.end(err)
 }
 
 // IsReady tells whether commands may be submitted.
-func (a *Association) IsReady() bool { return a.ready && !a.over }
+func (a *Association) IsReady() bool { return a.ready && !a.closed }
 
 // IsClosed tells whether the association has ended.
-func (a *Association) IsClosed() bool { return a.over }
-
-// Close ends the association; commands that are out are told Lost, the handler is not called.
-func (a *Association) Close() { a.shut() }
+func (a *Association) IsClosed() bool { return a.closed }
 
-func (a *Association) shut() bool {
-	if a.over {
-		return false
+// Close ends the association; commands in flight are told Lost, the handler is not called.
+func (a *Association) Close() {
+	if a.closed {
+		return
 	}
-	a.over = true
+	a.closed = true
 	a.loop.Cancel(a.timer)
-	for n, c := range a.conns {
-		if c != nil {
-			c.CloseGracefully()
+	for id, conn := range a.conns {
+		if conn != nil {
+			conn.CloseGracefully()
 		}
-		if s := a.sessions[n]; s != nil {
-			s.lost()
+		if s := a.sessions[id]; s != nil {
+			s.lose()
 		}
 	}
-	return true
 }
 
+// end closes the association and tells the handler why.
 func (a *Association) end(err error) {
-	if a.shut() {
+	if !a.closed {
+		a.Close()
 		a.handler.Ended(a, err)
 	}
 }
--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -3,90 +3,124 @@
 import (
 	"testing"
 
-	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
-// FuzzController plays a controller that says well-formed things in any order to a host with reads and writes out:
+const transferBytes = 2 * testBlock // of the fuzz targets' commands
+
+// FuzzController plays a controller that sends well-formed PDUs in any order to a host with reads and writes in flight:
 // no panic; every command ends once, at the latest with its connection; a slot is free or busy, never both; nothing
-// stays held.
+// stays in use.
 func FuzzController(f *testing.F) {
 	f.Add([]byte{0, 0, 3, 0, 4, 0, 0, 1, 3, 1, 4, 1})
 	f.Add([]byte{1, 0, 5, 0, 4, 0, 2, 0, 4, 0, 1, 1})
 	f.Add([]byte{0, 0, 2, 0, 0, 1, 4, 0, 4, 1, 4, 1, 6, 1})
 	f.Add([]byte{1, 0, 1, 1, 0, 2, 5, 0, 5, 1, 4, 0x10, 7, 2, 8, 0})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		buffers := &eventloop.Buffers{}
-		var out []byte
-		s := newSession(4, 64<<10, false, buffers, &out, func() {}, func() {})
-		if _, err := s.Input(nvme.AppendInit(nil, nvme.TypeICResp, nvme.Init{Limit: 4096})); err != nil {
-			t.Fatal(err)
-		}
-		frame := nvme.Framing{MaxData: 1 << 20}
-		ended, abandoned := map[int]int{}, map[int]bool{}
-		var ids []uint16 // by command
+		s := &sequence{controller: readyController(t), ended: map[int]int{}, abandoned: map[int]bool{}}
 		var err error
-		for len(script) >= 2 && err == nil {
-			what, n := script[0]%9, script[1]
-			script = script[2:]
-			id := uint16(n)
-			k := -1
-			if len(ids) > 0 {
-				k = int(n) % len(ids)
-				id = ids[k]
-			}
-			switch what {
-			case 0, 1:
-				command := len(ids)
-				c, data, read := nvme.NewRW(nvme.Read, 1, 0, 2), []byte(nil), 8192
-				if what == 1 {
-					c, data, read = nvme.NewRW(nvme.Write, 1, 0, 2), make([]byte, 8192), 0
-				}
-				if cid, ok := s.Submit(c, data, read, CallFunc(func(Result) { ended[command]++ })); ok {
-					ids = append(ids, cid)
-				}
-			case 2:
-				if k >= 0 {
-					s.Abandon(id)
-					if ended[k] == 0 && s.find(id) != nil {
-						abandoned[k] = true
-					}
-				}
-			case 3:
-				_, err = s.Input(frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: 0, CID: id, Offset: int(n>>7) * 4096}, make([]byte, 4096<<(n>>5&1))))
-			case 4:
-				c := nvme.NewCompletion(id, nvme.Status(n>>6), 0, 0)
-				_, err = s.Input(frame.AppendCompletion(nil, &c))
-			case 5:
-				_, err = s.Input(frame.AppendR2T(nil, id, 1, int(n>>7)*4096, 4096<<(n>>5&3)))
-			case 6:
-				_, err = s.Input(frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: nvme.FlagLast | nvme.FlagSuccess, CID: id, Offset: 0}, make([]byte, 8192)))
-			case 7:
-				_, err = s.Input(nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}))
-			case 8:
-				_, err = s.Input([]byte{n})
-			}
-			busy := 0
-			for i := range s.slots {
-				if s.slots[i].busy {
-					busy++
-				}
-			}
-			if busy+len(s.free) != len(s.slots) {
-				t.Fatalf("%d slots busy, %d free of %d", busy, len(s.free), len(s.slots))
-			}
-			if buffers.InUse > 4*16384 {
-				t.Fatalf("%d bytes held by four commands", buffers.InUse)
-			}
+		for ; len(script) >= 2 && err == nil; script = script[2:] {
+			err = s.step(script[0], script[1])
+			s.check(t)
 		}
-		s.lost()
-		for k := range ids {
-			if n := ended[k]; n > 1 || n == 0 && !abandoned[k] {
-				t.Fatalf("command %d ended %d times", k, n)
-			}
+		s.finish(t)
+	})
+}
+
+// sequence plays the steps of an input; commands are numbered in the order they were submitted.
+type sequence struct {
+	*controller
+	ids       []uint16
+	ended     map[int]int
+	abandoned map[int]bool
+}
+
+// The steps of a sequence, as an input's byte names them.
+const (
+	stepRead = iota
+	stepWrite
+	stepAbandon
+	stepData
+	stepCompletion
+	stepR2T
+	stepDataWithSuccess
+	stepTermReq
+	stepByte
+	stepKinds
+)
+
+// step does a step for a command, or an id that was never used; it returns the error that ends the connection.
+func (s *sequence) step(kind, n byte) error {
+	number, cid := -1, uint16(n)
+	if len(s.ids) > 0 {
+		number = int(n) % len(s.ids)
+		cid = s.ids[number]
+	}
+	switch kind % stepKinds {
+	case stepRead:
+		s.submit(nvme.NewRW(nvme.Read, 1, 0, 2), nil, transferBytes)
+	case stepWrite:
+		s.submit(nvme.NewRW(nvme.Write, 1, 0, 2), make([]byte, transferBytes), 0)
+	case stepAbandon:
+		s.abandon(number, cid)
+	case stepData:
+		return s.send(s.data(cid, int(n>>7)*testBlock, testBlock<<(n>>5&1)))
+	case stepCompletion:
+		return s.send(s.completion(cid, nvme.Status(n>>6)))
+	case stepR2T:
+		return s.send(s.r2t(cid, int(n>>7)*testBlock, testBlock<<(n>>5&3)))
+	case stepDataWithSuccess:
+		return s.send(s.dataWithSuccess(cid, transferBytes))
+	case stepTermReq:
+		return s.send(nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}))
+	case stepByte:
+		return s.send([]byte{n})
+	}
+	return nil
+}
+
+func (s *sequence) submit(c nvme.Command, data []byte, read int) {
+	number := len(s.ids)
+	if cid, ok := s.session.Submit(c, data, read, CallFunc(func(Result) { s.ended[number]++ })); ok {
+		s.ids = append(s.ids, cid)
+	}
+}
+
+func (s *sequence) abandon(number int, cid uint16) {
+	if number < 0 {
+		return
+	}
+	s.session.Abandon(cid)
+	if s.ended[number] == 0 && s.session.find(cid) != nil {
+		s.abandoned[number] = true
+	}
+}
+
+func (s *sequence) check(t *testing.T) {
+	t.Helper()
+	busy, free, slots := 0, len(s.session.free), len(s.session.slots)
+	for _, v := range s.session.slots {
+		if v.busy {
+			busy++
 		}
-		if buffers.InUse != 0 {
-			t.Fatalf("%d bytes are still held", buffers.InUse)
+	}
+	if busy+free != slots {
+		t.Fatalf("%d slots busy, %d free of %d", busy, free, slots)
+	}
+	if s.buffers.InUse > testDepth*2*transferBytes {
+		t.Fatalf("%d bytes in use by %d commands", s.buffers.InUse, testDepth)
+	}
+}
+
+func (s *sequence) finish(t *testing.T) {
+	t.Helper()
+	s.session.lose()
+	for number := range s.ids {
+		if n := s.ended[number]; n > 1 || n == 0 && !s.abandoned[number] {
+			t.Fatalf("command %d ended %d times", number, n)
 		}
-	})
+	}
+	if s.buffers.InUse != 0 {
+		t.Fatalf("%d bytes are still in use", s.buffers.InUse)
+	}
 }
--- /dev/null
+++ b/initiator/handshake.go
@@ -0,0 +1,109 @@
+package initiator
+
+import (
+	"fmt"
+	"time"
+
+	"honeyplank/nvme"
+)
+
+// join sends the Connect of a queue, whose connection is ready.
+func (a *Association) join(id queueID) {
+	size, controllerID, next := adminDepth+1, uint16(nvme.DynamicController), a.adminJoined
+	if id == ioQueue {
+		size, controllerID, next = a.settings.Depth+1, a.controllerID, a.ioJoined
+	}
+	s := a.sessions[id]
+	s.Capsule = nvme.ConnectLen
+	c := nvme.NewConnect(uint16(id), size, uint32(a.settings.KeepAlive/time.Millisecond))
+	data := nvme.ConnectData{
+		HostID:       a.settings.HostID,
+		ControllerID: controllerID,
+		Subsystem:    a.settings.Subsystem,
+		Host:         a.settings.Host,
+	}
+	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.step("Connect", next))
+}
+
+// step is a Call that ends the association if its command fails.
+func (a *Association) step(what string, next func(Result)) Call {
+	return CallFunc(func(r Result) {
+		switch {
+		case r.Lost || a.closed:
+		case r.Status() != nvme.Success:
+			a.end(fmt.Errorf("initiator: %s was answered with status %#x", what, r.Status()))
+		default:
+			next(r)
+		}
+	})
+}
+
+// adminJoined sets CC.EN (Base 3.5.1, 3.1.3.5) and waits until the controller is ready.
+func (a *Association) adminJoined(r Result) {
+	const enabled = 1 | 6<<16 | 4<<20 // EN, IOSQES, IOCQES
+	a.controllerID = uint16(r.DW0())
+	a.Admin = a.sessions[adminQueue]
+	a.getProperty(nvme.PropertyCAP, func(r Result) {
+		maxEntries := int(r.DW0() & 0xFFFF) // MQES, 0's based: one entry of a queue stays empty
+		a.settings.Depth = min(a.settings.Depth, maxEntries)
+	})
+	enable := nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, enabled)
+	a.Admin.Submit(enable, nil, 0, a.step("Property Set", func(Result) {
+		a.getProperty(nvme.PropertyCSTS, a.enabled)
+	}))
+}
+
+func (a *Association) getProperty(offset uint32, next func(Result)) {
+	get := nvme.NewProperty(nvme.FabricsPropertyGet, offset, 0)
+	a.Admin.Submit(get, nil, 0, a.step("Property Get", next))
+}
+
+// enabled reads CSTS.RDY, then asks who the controller is.
+func (a *Association) enabled(r Result) {
+	if r.DW0()&1 == 0 {
+		a.end(errNotReady)
+		return
+	}
+	a.Identify(nvme.IdentifyController, 0, a.step("Identify", a.identified))
+}
+
+// identified connects the I/O queue by what the controller tells.
+func (a *Association) identified(r Result) {
+	if len(r.Data) != nvme.IdentifyLen {
+		a.end(errNoIdentifyData)
+		return
+	}
+	a.ioCapsule = max(nvme.CapsuleBytes(r.Data)-nvme.CommandLen, 0)
+	a.RetryDelays = nvme.RetryDelays(r.Data)
+	if a.RetryDelays != [3]uint16{} {
+		a.honourRetryDelays()
+	}
+	if err := a.dial(ioQueue); err != nil {
+		a.end(err)
+		return
+	}
+	a.settings.MaxData = max(a.settings.MaxData, nvme.IdentifyLen)
+}
+
+// honourRetryDelays tells the controller that this host honours its retry delays (ACRE). A controller that does not
+// know the feature does not send any.
+func (a *Association) honourRetryDelays() {
+	c := nvme.Command{nvme.AdminSetFeatures}
+	c.SetDW(10, nvme.FeatureHostBehavior)
+	behaviour := make([]byte, nvme.HostBehaviorLen)
+	behaviour[0] = 1 // ACRE
+	a.Admin.Submit(c, behaviour, 0, CallFunc(func(Result) {}))
+}
+
+// ioJoined makes the association ready.
+func (a *Association) ioJoined(Result) {
+	a.IO = a.sessions[ioQueue]
+	a.IO.Capsule = a.ioCapsule
+	a.ready = true
+	a.loop.Cancel(a.timer)
+	a.keepAliveAnswered = a.loop.Now()
+	if a.settings.KeepAlive > 0 {
+		a.sendKeepAlive()
+	}
+	a.handler.Ready(a)
+}
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -3,189 +3,285 @@
 import (
 	"testing"
 
-	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
-// memory is a command as the plain model remembers it.
-type memory struct {
-	cid                   uint16
-	write, capsule        bool
-	bytes, came, wanted   int // data that a Read has brought; that a Write was asked for
-	bad, abandoned, ended bool
-	told                  []Result
+// modelCommand is a command as the model remembers it.
+type modelCommand struct {
+	cid              uint16
+	write, inCapsule bool
+	bytes            int
+	received         int // data that a Read has brought
+	requested        int // data that a Write was asked for
+	damaged          bool
+	abandoned        bool
+	ended            bool
+	results          []Result
 }
 
-// FuzzModel plays what a controller can say to a host with commands out, and holds the session against a plain model
-// that searches all commands there ever were: what is allowed must be taken, with the end that follows from it; what
-// is not must end the connection. A success that comes before the data of its command is no success.
+// inCapsuleBytes is the capsule's size and that of the Writes whose data is in it.
+const inCapsuleBytes = 512
+
+// FuzzModel plays what a controller can send to a host with commands in flight, and holds the session against a simple
+// model that searches all commands there ever were: what is allowed must be accepted, with the end that follows from
+// it; what is not must end the connection. A success that comes before the data of its command is no success.
 func FuzzModel(f *testing.F) {
 	f.Add(byte(0), []byte{0, 0, 3, 0, 4, 0, 0, 1, 3, 1, 4, 1})
 	f.Add(byte(1), []byte{1, 0, 5, 0x20, 4, 0, 2, 0, 4, 0, 1, 1})
 	f.Add(byte(3), []byte{1, 0, 4, 0, 0, 0, 6, 1, 7, 0, 8, 0x41})
 	f.Add(byte(2), []byte{8, 0, 4, 0, 0, 0, 9, 1, 4, 1})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
-		buffers := &eventloop.Buffers{}
-		var out []byte
-		s := newSession(4, 64<<10, true, buffers, &out, func() {}, func() {})
-		i := nvme.Init{Limit: 4096, HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0}
-		if _, err := s.Input(nvme.AppendInit(nil, nvme.TypeICResp, i)); err != nil {
-			t.Fatal(err)
+		c := newController(true)
+		c.accept(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
+		c.session.Capsule = inCapsuleBytes
+		p := &modelPlay{controller: c, t: t}
+		for ; len(script) >= 2 && !p.over; script = script[2:] {
+			p.step(script[0], script[1])
 		}
-		s.Capsule = 512
-		out = out[:0]
-		frame := nvme.Framing{MaxData: 1 << 20, HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest}
-		host := nvme.Framing{MaxData: 1 << 20, HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest, FromHost: true}
-		var all []*memory
-		find := func(cid uint16) *memory {
-			for _, m := range all {
-				if m.cid == cid && !m.ended {
-					return m
-				}
-			}
-			return nil
+		p.finish()
+	})
+}
+
+// modelPlay plays the steps of an input on a session and on the model.
+type modelPlay struct {
+	*controller
+	t        *testing.T
+	commands []*modelCommand
+	over     bool // the connection has ended
+}
+
+// The steps of a play, as an input's byte names them.
+const (
+	playRead = iota
+	playWrite
+	playAbandon
+	playData
+	playCompletion
+	playR2T
+	playDataWithSuccess
+	playTermReq
+	playWriteInCapsule
+	playDamagedData
+	playKinds
+)
+
+// verdict is what the model says of bytes that the controller sends.
+type verdict struct {
+	allowed  bool
+	wantSent int           // bytes that the session is to send
+	ends     *modelCommand // by this status
+	status   nvme.Status
+}
+
+func (p *modelPlay) step(kind, n byte) {
+	kind %= playKinds
+	cid := p.commandID(n)
+	if n&0x10 != 0 && kind > playAbandon { // an id that is not in flight, or no longer
+		cid += 1 << slotBits
+	}
+	m := p.find(cid)
+	switch kind {
+	case playRead:
+		p.submit(&modelCommand{bytes: transferBytes})
+	case playWrite:
+		p.submit(&modelCommand{write: true, bytes: transferBytes})
+	case playWriteInCapsule:
+		p.submit(&modelCommand{write: true, inCapsule: true, bytes: inCapsuleBytes})
+	case playAbandon:
+		p.session.Abandon(cid)
+		if m != nil {
+			m.abandoned = true
 		}
-		var err error
-		for len(script) >= 2 && err == nil {
-			what, n := script[0], script[1]
-			script = script[2:]
-			id := uint16(n) << 8
-			if len(all) > 0 {
-				id = all[int(n&15)%len(all)].cid
-			}
-			if n&0x10 != 0 && what%10 > 2 { // an id that is not out, or no longer
-				id += 1 << slotBits
-			}
-			allowed, wantSent := true, 0
-			var ends *memory
-			status := nvme.Success
-			m := find(id)
-			var say []byte
-			switch what % 10 {
-			case 0, 1, 8:
-				m := &memory{write: what%10 != 0, bytes: 8192}
-				c, data, read := nvme.NewRW(nvme.Read, 1, 0, 2), []byte(nil), 8192
-				if m.write {
-					c, data, read = nvme.NewRW(nvme.Write, 1, 0, 2), make([]byte, 8192), 0
-				}
-				if m.capsule = what%10 == 8; m.capsule {
-					data, m.bytes = data[:512], 512
-				}
-				open := 0
-				for _, x := range all {
-					if !x.ended {
-						open++
-					}
-				}
-				cid, ok := s.Submit(c, data, read, CallFunc(func(r Result) { m.told = append(m.told, r) }))
-				if ok != (open < 4) || ok && find(cid) != nil {
-					t.Fatalf("with %d out, submitted %v as %d", open, ok, cid)
-				}
-				if m.cid = cid; ok {
-					all = append(all, m)
-				}
-				out = out[:0]
-				continue
-			case 2:
-				if s.Abandon(id); m != nil {
-					m.abandoned = true
-				}
-				continue
-			case 3, 9: // data of a Read: the next piece, or one that lies; a digest that is wrong
-				offset, size := 0, 4096<<(n>>5&1)
-				if m != nil {
-					offset = m.came
-				}
-				if n&0x80 != 0 {
-					offset = 4096 * int(n>>6&1)
-				}
-				say = frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: 0, CID: id, Offset: offset}, make([]byte, size))
-				bad := what%10 == 9 && i.DataDigest
-				if bad {
-					say[len(say)-1] ^= 1
-				}
-				allowed = m != nil && !m.write && offset == m.came && offset+size <= m.bytes
-				if allowed {
-					m.came += size
-					m.bad = m.bad || bad
-				}
-			case 4: // a completion
-				status = nvme.Status(n >> 6)
-				c := nvme.NewCompletion(id, status, 0, 0)
-				say = frame.AppendCompletion(nil, &c)
-				ends = m
-				if allowed = m != nil; allowed && status == nvme.Success {
-					switch {
-					case !m.write:
-						allowed = m.came == m.bytes
-					case !m.capsule:
-						allowed = m.wanted == m.bytes
-					}
-				}
-			case 5: // an R2T
-				offset, size := 0, 4096<<(n>>5&1)
-				if m != nil {
-					offset = m.wanted
-				}
-				if n&0x80 != 0 {
-					offset, size = 4096*int(n>>6&1), int(n&0x20)<<8+int(n>>3&1)
-				}
-				say = frame.AppendR2T(nil, id, 1, offset, size)
-				allowed = m != nil && m.write && !m.capsule && size > 0 && offset == m.wanted && offset+size <= m.bytes
-				if allowed {
-					m.wanted += size
-					wantSent = size
-				}
-			case 6: // all data with success
-				say = frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, Flags: nvme.FlagLast | nvme.FlagSuccess, CID: id, Offset: 0}, make([]byte, 8192))
-				ends, allowed = m, m != nil && !m.write && m.came == 0
-				if allowed {
-					m.came = m.bytes
-				}
-			case 7:
-				say, allowed = nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}), false
-			}
-			_, err = s.Input(say)
-			if (err == nil) != allowed {
-				t.Fatalf("step %d %#x for id %d: %v; the model allows it: %v", what%10, n, id, err, allowed)
-			}
-			if err != nil {
-				break
-			}
-			sent := 0
-			for len(out) > 0 {
-				p, used, err := host.Decode(out)
-				if err != nil || used == 0 || p.Type != nvme.TypeH2CData || p.CCCID() != id || len(p.Data) > 4096 {
-					t.Fatalf("after an R2T: %+v, %v", p, err)
-				}
-				sent += len(p.Data)
-				out = out[used:]
-			}
-			if sent != wantSent {
-				t.Fatalf("%d bytes were sent, %d asked for", sent, wantSent)
-			}
-			if ends == nil {
-				continue
-			}
-			if ends.ended = true; ends.bad && status == nvme.Success {
-				status = nvme.TransientTransport
-			}
-			switch {
-			case ends.abandoned && len(ends.told) == 0:
-			case ends.abandoned || len(ends.told) != 1:
-				t.Fatalf("%+v was told of %d times", ends, len(ends.told))
-			case ends.told[0].Status() != status || ends.told[0].Lost:
-				t.Fatalf("ended with %+v, the model says %#x", ends.told[0], status)
-			}
+	default:
+		bytes, v := p.message(kind, n, cid, m)
+		p.check(cid, bytes, v)
+	}
+}
+
+// commandID is the id of a command that was submitted, if there is one.
+func (p *modelPlay) commandID(n byte) uint16 {
+	if len(p.commands) > 0 {
+		return p.commands[int(n&15)%len(p.commands)].cid
+	}
+	return uint16(n) << 8
+}
+
+func (p *modelPlay) find(cid uint16) *modelCommand {
+	for _, m := range p.commands {
+		if m.cid == cid && !m.ended {
+			return m
 		}
-		s.lost()
-		for k, m := range all {
-			if n := len(m.told); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.told[0].Lost {
-				t.Fatalf("command %d: %+v", k, m)
+	}
+	return nil
+}
+
+func (p *modelPlay) countOpen() int {
+	n := 0
+	for _, m := range p.commands {
+		if !m.ended {
+			n++
+		}
+	}
+	return n
+}
+
+func (p *modelPlay) submit(m *modelCommand) {
+	p.t.Helper()
+	c, data, read := nvme.NewRW(nvme.Read, 1, 0, 2), []byte(nil), m.bytes
+	if m.write {
+		c, data, read = nvme.NewRW(nvme.Write, 1, 0, 2), make([]byte, m.bytes), 0
+	}
+	open := p.countOpen()
+	cid, ok := p.session.Submit(c, data, read, CallFunc(func(r Result) { m.results = append(m.results, r) }))
+	if ok != (open < testDepth) || ok && p.find(cid) != nil {
+		p.t.Fatalf("with %d in flight, submitted %v as %d", open, ok, cid)
+	}
+	if m.cid = cid; ok {
+		p.commands = append(p.commands, m)
+	}
+	p.output = nil
+}
+
+// message makes the bytes of a step for a command, which is nil where there is none of the id, and judges them.
+func (p *modelPlay) message(kind, n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+	switch kind {
+	case playData:
+		return p.dataMessage(n, cid, m)
+	case playDamagedData:
+		bytes, v := p.dataMessage(n, cid, m)
+		if p.framing.DataDigest {
+			bytes[len(bytes)-1] ^= 1
+			if v.allowed {
+				m.damaged = true
 			}
 		}
-		if buffers.InUse != 0 {
-			t.Fatalf("%d bytes are still held", buffers.InUse)
+		return bytes, v
+	case playCompletion:
+		status := nvme.Status(n >> 6)
+		return p.completion(cid, status), m.judgeCompletion(status)
+	case playR2T:
+		return p.r2tMessage(n, cid, m)
+	case playDataWithSuccess:
+		v := verdict{allowed: m != nil && !m.write && m.received == 0, ends: m}
+		if v.allowed {
+			m.received = m.bytes
 		}
-	})
+		return p.dataWithSuccess(cid, transferBytes), v
+	}
+	return nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}), verdict{}
+}
+
+// dataMessage is data of a Read: the next piece, or one at another offset.
+func (p *modelPlay) dataMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+	offset, size := 0, testBlock<<(n>>5&1)
+	if m != nil {
+		offset = m.received
+	}
+	if n&0x80 != 0 {
+		offset = testBlock * int(n>>6&1)
+	}
+	allowed := m != nil && !m.write && offset == m.received && offset+size <= m.bytes
+	if allowed {
+		m.received += size
+	}
+	return p.data(cid, offset, size), verdict{allowed: allowed}
+}
+
+// judgeCompletion allows a success only once all data was transferred.
+func (m *modelCommand) judgeCompletion(status nvme.Status) verdict {
+	v := verdict{allowed: m != nil, ends: m, status: status}
+	if m == nil || status != nvme.Success {
+		return v
+	}
+	switch {
+	case !m.write:
+		v.allowed = m.received == m.bytes
+	case !m.inCapsule:
+		v.allowed = m.requested == m.bytes
+	}
+	return v
+}
+
+// r2tMessage is an R2T for the next piece of a Write, or another.
+func (p *modelPlay) r2tMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+	offset, size := 0, testBlock<<(n>>5&1)
+	if m != nil {
+		offset = m.requested
+	}
+	if n&0x80 != 0 {
+		offset, size = testBlock*int(n>>6&1), int(n&0x20)<<8+int(n>>3&1)
+	}
+	bytes := p.r2t(cid, offset, size)
+	hasData := m != nil && m.write && !m.inCapsule
+	if !hasData || size == 0 || offset != m.requested || offset+size > m.bytes {
+		return bytes, verdict{}
+	}
+	m.requested += size
+	return bytes, verdict{allowed: true, wantSent: size}
+}
+
+// check sends bytes and holds what comes of them against the model.
+func (p *modelPlay) check(cid uint16, bytes []byte, v verdict) {
+	p.t.Helper()
+	err := p.send(bytes)
+	if (err == nil) != v.allowed {
+		p.t.Fatalf("% x... for id %d: %v; the model allows it: %v", bytes[:8], cid, err, v.allowed)
+	}
+	if err != nil {
+		p.over = true
+		return
+	}
+	if sent := p.receiveData(cid); sent != v.wantSent {
+		p.t.Fatalf("%d bytes were sent, %d requested", sent, v.wantSent)
+	}
+	if v.ends != nil {
+		p.checkEnd(v.ends, v.status)
+	}
+}
+
+// receiveData reads the data that the session has sent of a command, and nothing else.
+func (p *modelPlay) receiveData(cid uint16) int {
+	p.t.Helper()
+	sent := 0
+	for len(p.output) > 0 {
+		pdu, used, err := p.input.Decode(p.output)
+		if err != nil || used == 0 {
+			p.t.Fatalf("after an R2T: %d bytes used, %v", used, err)
+		}
+		if pdu.Type != nvme.TypeH2CData || pdu.CCCID() != cid || len(pdu.Data) > maxPDUData {
+			p.t.Fatalf("after an R2T: %+v", pdu)
+		}
+		sent += len(pdu.Data)
+		p.output = p.output[used:]
+	}
+	return sent
+}
+
+// checkEnd wants a command to have ended once with a status, or to have been abandoned.
+func (p *modelPlay) checkEnd(m *modelCommand, status nvme.Status) {
+	p.t.Helper()
+	m.ended = true
+	if m.damaged && status == nvme.Success {
+		status = nvme.TransientTransport
+	}
+	switch {
+	case m.abandoned && len(m.results) == 0:
+	case m.abandoned || len(m.results) != 1:
+		p.t.Fatalf("%+v ended %d times", m, len(m.results))
+	case m.results[0].Status() != status || m.results[0].Lost:
+		p.t.Fatalf("ended with %+v, the model says %#x", m.results[0], status)
+	}
+}
+
+func (p *modelPlay) finish() {
+	p.t.Helper()
+	p.session.lose()
+	for number, m := range p.commands {
+		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].Lost {
+			p.t.Fatalf("command %d: %+v", number, m)
+		}
+	}
+	if p.buffers.InUse != 0 {
+		p.t.Fatalf("%d bytes are still in use", p.buffers.InUse)
+	}
 }
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -2,107 +2,202 @@
 
 import (
 	"errors"
+	"slices"
 	"testing"
 
 	"honeyplank/eventloop"
 	"honeyplank/nvme"
 )
 
-// pipe is a session in memory and the frames of a controller that says what it likes.
-type pipe struct {
-	s     *Session
-	out   []byte
-	frame nvme.Framing
+const (
+	testDepth  = 4
+	testBlock  = 4096
+	maxPDUData = 4096 // that the controller takes in one PDU
+)
+
+// controller is a session in memory, and the controller at its other end, which sends what it likes.
+type controller struct {
+	session *Session
+	buffers eventloop.Buffers
+	output  []byte       // of the session
+	framing nvme.Framing // of what the controller sends
+	input   nvme.Framing // of what it receives
 }
 
-func newPipe(t *testing.T) *pipe {
+// newController makes a session that waits for its ICResp.
+func newController(digests bool) *controller {
+	c := &controller{}
+	c.session = newSession(sessionOptions{
+		depth:   testDepth,
+		maxData: 64 << 10,
+		digests: digests,
+		buffers: &c.buffers,
+		output:  &c.output,
+		flush:   func() {},
+		onReady: func() {},
+	})
+	return c
+}
+
+// accept sends the ICResp.
+func (c *controller) accept(t *testing.T, i nvme.Init) {
 	t.Helper()
-	p := &pipe{frame: nvme.Framing{MaxData: 1 << 20}}
-	p.s = newSession(4, 64<<10, false, &eventloop.Buffers{}, &p.out, func() {}, func() {})
-	if _, ok := p.s.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, 4096, CallFunc(func(Result) {})); ok {
-		t.Error("a command before ICResp")
-	}
-	if _, err := p.s.Input(nvme.AppendInit(nil, nvme.TypeICResp, nvme.Init{Limit: 4096})); err != nil {
+	i.Limit = maxPDUData
+	if err := c.send(nvme.AppendInit(nil, nvme.TypeICResp, i)); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	c.output = nil
+	c.framing = nvme.Framing{MaxData: 1 << 20, HeaderDigest: i.HeaderDigest, DataDigest: i.DataDigest}
+	c.input = c.framing
+	c.input.FromHost = true
+}
+
+// readyController makes a session that is ready, without digests.
+func readyController(t *testing.T) *controller {
+	t.Helper()
+	c := newController(false)
+	c.accept(t, nvme.Init{})
+	return c
+}
+
+func (c *controller) send(bytes []byte) error {
+	_, err := c.session.Input(bytes)
+	return err
+}
+
+// readBlock submits a Read of a block, and has its result appended.
+func (c *controller) readBlock(results *[]Result) (cid uint16, ok bool) {
+	done := func(r Result) { *results = append(*results, r) }
+	return c.session.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, testBlock, CallFunc(done))
+}
+
+func (c *controller) mustReadBlock(t *testing.T, results *[]Result) uint16 {
+	t.Helper()
+	cid, ok := c.readBlock(results)
+	if !ok {
+		t.Fatal("a Read was not taken")
+	}
+	return cid
 }
 
-func (p *pipe) read(got *[]Result) uint16 {
-	id, _ := p.s.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, 4096, CallFunc(func(r Result) { *got = append(*got, r) }))
-	return id
+func (c *controller) data(cid uint16, offset, size int) []byte {
+	header := nvme.DataHeader{Type: nvme.TypeC2HData, CID: cid, Offset: offset}
+	return c.framing.AppendData(nil, header, make([]byte, size))
 }
 
-func (p *pipe) data(id uint16, at, n int) []byte {
-	return p.frame.AppendData(nil, nvme.DataHeader{Type: nvme.TypeC2HData, CID: id, Offset: at}, make([]byte, n))
+// dataWithSuccess is data that stands for a completion too.
+func (c *controller) dataWithSuccess(cid uint16, size int) []byte {
+	header := nvme.DataHeader{Type: nvme.TypeC2HData, Flags: nvme.FlagLast | nvme.FlagSuccess, CID: cid}
+	return c.framing.AppendData(nil, header, make([]byte, size))
 }
 
-func (p *pipe) done(id uint16) []byte {
-	c := nvme.NewCompletion(id, nvme.Success, 0, 0)
-	return p.frame.AppendCompletion(nil, &c)
+func (c *controller) completion(cid uint16, status nvme.Status) []byte {
+	completion := nvme.NewCompletion(cid, status, 0, 0)
+	return c.framing.AppendCompletion(nil, &completion)
 }
 
-// TestController has a controller say well-formed things in an impossible order: each ends the connection, and
-// every command still ends once.
-func TestController(t *testing.T) {
-	join := func(parts ...[]byte) (all []byte) {
-		for _, b := range parts {
-			all = append(all, b...)
+func (c *controller) success(cid uint16) []byte { return c.completion(cid, nvme.Success) }
+
+func (c *controller) r2t(cid uint16, offset, size int) []byte {
+	return c.framing.AppendR2T(nil, cid, 1, offset, size)
+}
+
+// abandoned is how many abandoned commands wait for an answer.
+func (c *controller) abandoned() int {
+	n := 0
+	for _, v := range c.session.slots {
+		if v.busy && v.call == nil {
+			n++
 		}
-		return all
 	}
-	for name, bytes := range map[string]func(p *pipe, id uint16) []byte{
-		"an answer to what was never asked": func(p *pipe, id uint16) []byte { return p.done(id + 1) },
-		"an answer to an earlier use":       func(p *pipe, id uint16) []byte { return p.done(id ^ 1<<slotBits) },
-		"two answers to one command":        func(p *pipe, id uint16) []byte { return join(p.data(id, 0, 4096), p.done(id), p.done(id)) },
-		"data for a finished read":          func(p *pipe, id uint16) []byte { return join(p.data(id, 0, 4096), p.done(id), p.data(id, 0, 4096)) },
-		"data past what was asked":          func(p *pipe, id uint16) []byte { return p.data(id, 0, 8192) },
-		"data twice":                        func(p *pipe, id uint16) []byte { return join(p.data(id, 0, 2048), p.data(id, 0, 2048)) },
-		"an R2T for a read":                 func(p *pipe, id uint16) []byte { return p.frame.AppendR2T(nil, id, 1, 0, 4096) },
-		"a completion before its data":      func(p *pipe, id uint16) []byte { return join(p.data(id, 0, 2048), p.done(id)) },
-		"a second ICResp":                   func(*pipe, uint16) []byte { return nvme.AppendInit(nil, nvme.TypeICResp, nvme.Init{Limit: 4096}) },
+	return n
+}
+
+func TestSubmitBeforeReady(t *testing.T) {
+	var results []Result
+	if _, ok := newController(false).readBlock(&results); ok {
+		t.Error("a command was taken before ICResp")
+	}
+}
+
+// TestSequence has a controller send well-formed PDUs in an impossible order: each ends the connection, and every
+// command still ends once.
+func TestSequence(t *testing.T) {
+	for name, bytes := range map[string]func(c *controller, cid uint16) []byte{
+		"an answer to what was never sent": func(c *controller, cid uint16) []byte { return c.success(cid + 1) },
+		"an answer to an earlier use": func(c *controller, cid uint16) []byte {
+			return c.success(cid ^ 1<<slotBits)
+		},
+		"two answers to one command": func(c *controller, cid uint16) []byte {
+			return slices.Concat(c.data(cid, 0, testBlock), c.success(cid), c.success(cid))
+		},
+		"data for a finished read": func(c *controller, cid uint16) []byte {
+			return slices.Concat(c.data(cid, 0, testBlock), c.success(cid), c.data(cid, 0, testBlock))
+		},
+		"data past what was asked": func(c *controller, cid uint16) []byte { return c.data(cid, 0, 2*testBlock) },
+		"data twice": func(c *controller, cid uint16) []byte {
+			return slices.Concat(c.data(cid, 0, testBlock/2), c.data(cid, 0, testBlock/2))
+		},
+		"an R2T for a read": func(c *controller, cid uint16) []byte { return c.r2t(cid, 0, testBlock) },
+		"a completion before its data": func(c *controller, cid uint16) []byte {
+			return slices.Concat(c.data(cid, 0, testBlock/2), c.success(cid))
+		},
+		"a second ICResp": func(*controller, uint16) []byte {
+			return nvme.AppendInit(nil, nvme.TypeICResp, nvme.Init{Limit: maxPDUData})
+		},
 	} {
-		p := newPipe(t)
-		var got []Result
-		id := p.read(&got)
-		_, err := p.s.Input(bytes(p, id))
-		var fatal *nvme.FatalError
-		if !errors.As(err, &fatal) {
-			t.Errorf("%s: %v", name, err)
-		}
-		p.s.lost()
-		if len(got) != 1 {
-			t.Errorf("%s: the command ended %d times", name, len(got))
-		}
+		t.Run(name, func(t *testing.T) {
+			c := readyController(t)
+			var results []Result
+			cid := c.mustReadBlock(t, &results)
+			err := c.send(bytes(c, cid))
+			var fatal *nvme.FatalError
+			if !errors.As(err, &fatal) {
+				t.Errorf("%v", err)
+			}
+			c.session.lose()
+			if len(results) != 1 {
+				t.Errorf("the command ended %d times", len(results))
+			}
+		})
 	}
 }
 
-// TestLateAnswer abandons a command and uses every id that is free: the late answer is nobody's, and its id
-// comes back only then.
+// TestLateAnswer abandons a command and uses every id that is free: the late answer is discarded, and its id comes back
+// only then.
 func TestLateAnswer(t *testing.T) {
-	p := newPipe(t)
-	var first, rest []Result
-	id := p.read(&first)
-	p.s.Abandon(id)
+	c := readyController(t)
+	var first, others []Result
+	cid := c.mustReadBlock(t, &first)
+	c.session.Abandon(cid)
 	for range 10 {
-		for p.s.Free() > 0 {
-			next := p.read(&rest)
-			if next&(MaxDepth-1) == id&(MaxDepth-1) {
-				t.Fatal("an id that is still out was used again")
-			}
-			if _, err := p.s.Input(append(p.data(next, 0, 4096), p.done(next)...)); err != nil {
-				t.Fatal(err)
-			}
-			if len(rest) > 8 {
-				break
-			}
-		}
+		c.useFreeIDs(t, cid, &others)
 	}
-	n := len(rest)
-	if _, err := p.s.Input(append(p.data(id, 0, 4096), p.done(id)...)); err != nil {
+	before := len(others)
+	if err := c.send(slices.Concat(c.data(cid, 0, testBlock), c.success(cid))); err != nil {
 		t.Fatal(err)
 	}
-	if len(first) != 0 || len(rest) != n || p.s.Abandoned() != 0 || p.s.Free() != 4 {
-		t.Errorf("the late answer reached somebody, or its id is lost: %d, %d, %d free", len(first), len(rest)-n, p.s.Free())
+	if len(first) != 0 || len(others) != before {
+		t.Errorf("the late answer reached %d and %d", len(first), len(others)-before)
+	}
+	if n, free := c.abandoned(), c.session.Free(); n != 0 || free != testDepth {
+		t.Errorf("its id is lost: %d abandoned, %d free", n, free)
+	}
+}
+
+// useFreeIDs reads blocks one after another until more than eight have been read in all.
+func (c *controller) useFreeIDs(t *testing.T, abandoned uint16, results *[]Result) {
+	t.Helper()
+	for c.session.Free() > 0 {
+		cid := c.mustReadBlock(t, results)
+		if cid&(MaxDepth-1) == abandoned&(MaxDepth-1) {
+			t.Fatal("an id that is in flight was used again")
+		}
+		if err := c.send(slices.Concat(c.data(cid, 0, testBlock), c.success(cid))); err != nil {
+			t.Fatal(err)
+		}
+		if len(*results) > 8 {
+			return
+		}
 	}
 }
--- /dev/null
+++ b/initiator/transfer.go
@@ -0,0 +1,64 @@
+package initiator
+
+import (
+	"honeyplank/nvme"
+)
+
+// handleData takes in data of a Read.
+func (s *Session) handleData(p *nvme.PDU) error {
+	v := s.find(p.CCCID())
+	if v == nil || v.write {
+		return protocolError(nvme.FatalSequence, p, "data for command id %d, which reads nothing", p.CCCID())
+	}
+	from, n := int64(p.Offset()), len(p.Data)
+	if from != int64(v.received) || from+int64(n) > int64(v.readBytes) || n == 0 {
+		return protocolError(nvme.FatalDataRange, p,
+			"data from %d to %d of %d, %d have come", from, from+int64(n), v.readBytes, v.received)
+	}
+	if v.call != nil {
+		if v.data == nil {
+			v.data = s.options.buffers.Get(v.readBytes)
+		}
+		copy(v.data[from:], p.Data)
+		s.options.buffers.Copied(n)
+	}
+	v.received += n
+	v.damaged = v.damaged || p.BadData
+	if p.Flags&nvme.FlagSuccess == 0 {
+		return nil
+	}
+	if p.Flags&nvme.FlagLast == 0 || v.received != v.readBytes {
+		return protocolError(nvme.FatalHeaderField, p, "success before the last byte")
+	}
+	s.complete(v, nvme.NewCompletion(p.CCCID(), nvme.Success, 0, 0))
+	return nil
+}
+
+// handleR2T sends the data of a Write that the controller asks for.
+func (s *Session) handleR2T(p *nvme.PDU) error {
+	v := s.find(p.CCCID())
+	if v == nil || !v.write || v.data == nil {
+		return protocolError(nvme.FatalSequence, p, "R2T for command id %d, which has nothing to send", p.CCCID())
+	}
+	from, n := int64(p.Offset()), int64(p.Length())
+	if from != int64(v.requested) || n == 0 || from+n > int64(len(v.data)) {
+		return protocolError(nvme.FatalDataRange, p, "R2T from %d to %d of %d", from, from+n, len(v.data))
+	}
+	v.requested += int(n)
+	s.sendData(p, v.data[:from+n], int(from))
+	s.options.flush()
+	return nil
+}
+
+// sendData answers an R2T with the data from an offset on, in as many PDUs as the controller's bound needs.
+func (s *Session) sendData(r2t *nvme.PDU, data []byte, from int) {
+	for ; from < len(data); from += s.framing.MaxData {
+		part := data[from:min(from+s.framing.MaxData, len(data))]
+		header := nvme.DataHeader{Type: nvme.TypeH2CData, CID: r2t.CCCID(), TTAG: r2t.TTAG(), Offset: from}
+		if from+len(part) == len(data) {
+			header.Flags = nvme.FlagLast
+		}
+		s.options.buffers.Copied(len(part))
+		*s.options.output = s.framing.AppendData(*s.options.output, header, part)
+	}
+}
