--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -40,7 +40,7 @@
 
 // Update is what a source has received.
 type Update struct {
-	// Kind is Complete for a whole list, Delta for changes, and WatchFailed where a request or watch failed: Err has
+	// Kind is Complete for a complete list, Delta for changes, and WatchFailed where a request or watch failed: Err has
 	// the reason then, and there are no nodes.
 	Kind     honeyplank.ListKind
 	Revision int64 // of etcd
--- a/discovery/dns/resolver.go
+++ b/discovery/dns/resolver.go
@@ -41,8 +41,8 @@
 
 const (
 	inputAnswer      resolverInput = iota
-	inputFailure                   // there are servers left in this round
-	inputLastFailure               // there is none left
+	inputFailure                   // there are more servers in this round
+	inputLastFailure               // there are no more
 )
 
 // resolverTransition is what is done on an outcome, and whether it is the outcome of the round.
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// TestKilledBetween ends a writer before each call of a write, and halfway through it: the file is complete, and the next
-// write leaves nothing of it.
+// TestKilledBetween ends a writer before each call of a write, and halfway through it: the file is complete, and the
+// next write leaves nothing of it.
 func TestKilledBetween(t *testing.T) {
 	seen := map[killOutcome]int{}
 	for completed := 0; seen[notKilled] == 0; completed++ {
@@ -342,7 +342,7 @@
 	if err := os.MkdirAll(filepath.Join(taken, "inside"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{filepath.Join(name, "estimates"), filepath.Join(taken, "missing", "estimates"), taken} {
+	for _, bad := range []string{filepath.Join(name, "inside"), filepath.Join(taken, "missing", "inside"), taken} {
 		reported := 0
 		err := record().WriteWithRetry(context.Background(), bad, func(error) { reported++ })
 		if err == nil || reported > 0 {
--- a/gateway/estimates.go
+++ b/gateway/estimates.go
@@ -10,7 +10,7 @@
 // restoreEstimates delivers the estimates that an earlier instance saved to the module, each with its age.
 //
 // The record has times of the wall clock only. If one of them is in the future, the clock has been set back since and
-// no age can be computed, so the whole record is discarded: otherwise old estimates would look fresh. This could harm
+// no age can be computed, so the record is discarded: otherwise old estimates would look fresh. This could harm
 // if a clock is set back by a moment just at a restart; the instance then starts without estimates.
 func (g *Instance) restoreEstimates(record *estimates.Record) {
 	wall, now := g.options.Wall(), g.loop.Now()
--- a/membership/flap.go
+++ b/membership/flap.go
@@ -9,7 +9,7 @@
 // sources take out and put back again and again, each time moving ops; it could harm where a server restarts often and
 // works each time.
 type flapHold struct {
-	returns   []time.Duration // within Settings.FlapWindow, which starts anew at the end of a hold
+	returns   []time.Duration // within Settings.FlapWindow, which begins again at the end of a hold
 	length    time.Duration   // of the last hold; 0: none within the window
 	heldUntil time.Duration   // end of the hold in force; 0: none
 }
