--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -28,7 +28,10 @@
 func (r *run) scheduleFaults() {
 	for _, fault := range r.script.FaultTest.Faults {
 		r.after(warmUp+fault.Start.Duration(), func() {
-			r.options.Log.Info().Str("kind", fault.Kind).Dur("duration_ms", fault.Duration.Duration()).Msg("fault injected")
+			r.options.Log.Info().
+				Str("kind", fault.Kind).
+				Dur("duration_ms", fault.Duration.Duration()).
+				Msg("fault injected")
 			injectors[fault.Kind](r, fault)
 		})
 	}
