--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -58,7 +58,10 @@
 	fmt.Println(d.Address())
 	ctx, stop := untilSignal()
 	defer stop()
-	go func() { <-ctx.Done(); l.Post(l.Stop) }()
+	go func() { // it ends with the process, if the loop fails first
+		<-ctx.Done()
+		l.Post(l.Stop)
+	}()
 	return l.Run()
 }
 
@@ -75,7 +78,10 @@
 	}
 	defer s.Close()
 	for cell, address := range c.Nodes {
-		value, _ := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
+		value, err := json.Marshal(discovery.Record{State: "on", Size: 1, Cell: cell})
+		if err != nil {
+			return err
+		}
 		s.Set(c.Prefix+address, value)
 	}
 	fmt.Println(s.Address())
--- a/cmd/honeyplank/filereader.go
+++ b/cmd/honeyplank/filereader.go
@@ -17,7 +17,7 @@
 const (
 	readTimeout     = 3 * time.Second        // while the system can't read the file
 	replaceTimeout  = 500 * time.Millisecond // while its content is wrong: it may be half written
-	minReadAttempts = 5                      // even if the process was held up in between
+	minReadAttempts = 5                      // even if the process was suspended in between
 )
 
 var readBackoff = estimates.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond}
--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -98,8 +98,8 @@
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(config.MemoryMB) * bytesInMB))
 }
 
-// unlessTerminated does what may take a while, unless a signal to terminate comes first. What was begun then ends with
-// the process.
+// unlessTerminated calls do, which may block, and returns errTerminated if a signal to terminate comes first. The
+// call's goroutine then ends with the process.
 func unlessTerminated[T any](terminate <-chan os.Signal, do func() (T, error)) (T, error) {
 	type result struct {
 		value T
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -26,9 +26,9 @@
 
 // Handler hears of an association. It is called on the loop.
 type Handler interface {
-	// Ready tells that the I/O queue may be used.
+	// Ready is called once the I/O queue may be used.
 	Ready(*Association)
-	// Ended tells, once, that the association is over. Commands in flight have been told before.
+	// Ended is called once when the association has ended, after the calls of its commands in flight.
 	Ended(*Association, error)
 }
 
@@ -147,7 +147,7 @@
 // IsClosed tells whether the association has ended.
 func (a *Association) IsClosed() bool { return a.closed }
 
-// Close ends the association; commands in flight are told Lost, the handler is not called.
+// Close ends the association; commands in flight end as Lost, the handler is not called.
 func (a *Association) Close() {
 	if a.closed {
 		return
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -21,7 +21,7 @@
 	Lost bool
 }
 
-// Call is told, once, how a command ended.
+// Call is called once, with how a command ended.
 type Call interface{ Done(Result) }
 
 // CallFunc is a function as a Call.
--- a/nvme/command.go
+++ b/nvme/command.go
@@ -119,7 +119,7 @@
 	return c[39], binary.LittleEndian.Uint64(c[24:]), binary.LittleEndian.Uint32(c[32:])
 }
 
-// SetSGL writes the descriptor and says by PSDT that it is an SGL.
+// SetSGL writes the descriptor, and sets PSDT to SGL.
 func (c *Command) SetSGL(kind uint8, length int) {
 	c[1] = c[1]&0x3F | 0x40
 	binary.LittleEndian.PutUint32(c[32:], uint32(length))
--- a/nvme/encode.go
+++ b/nvme/encode.go
@@ -90,7 +90,7 @@
 	return f.finish(dst, start, nil)
 }
 
-// DataHeader is what the header of an H2CData or C2HData PDU tells of its data.
+// DataHeader is the header of an H2CData or C2HData PDU, without lengths.
 type DataHeader struct {
 	Type   uint8
 	Flags  uint8 // FlagLast and FlagSuccess
--- a/nvme/identify.go
+++ b/nvme/identify.go
@@ -5,7 +5,7 @@
 // IdentifyLen is the size of every Identify data structure (Base 5.17).
 const IdentifyLen = 4096
 
-// Controller is what Identify Controller tells of a controller here (Base 5.17.2.1); all else is zero.
+// Controller holds the fields of Identify Controller that are used (Base 5.17.2.1); all others are zero.
 type Controller struct {
 	ID             uint16
 	Serial         string
--- a/settings/document.go
+++ b/settings/document.go
@@ -84,7 +84,7 @@
 		return nil, p.at.fault("the file is too large", fmt.Sprintf("at most %d bytes", maxFileSize))
 	}
 	for {
-		p.at.line, _ = p.decoder.InputPos()
+		p.at.line, _ = p.decoder.InputPos() // the column is not used
 		token, err := p.decoder.Token()
 		if err == io.EOF && p.root != nil && len(p.open) == 0 {
 			return p.root, nil
--- a/settings/types.go
+++ b/settings/types.go
@@ -34,14 +34,14 @@
 	ScopeCell DedupScope = "cell"
 )
 
-// Listen says where clients connect and which NQNs the gateway bears.
+// Listen is where clients connect, and the NQNs of the gateway.
 type Listen struct {
 	Address   string `xml:"address,attr"`
 	Subsystem string `xml:"subsystem,attr"` // that clients see
 	Host      string `xml:"host,attr"`      // towards disk servers and etcd
 }
 
-// EndpointList says where the list of disk servers comes from.
+// EndpointList is where the list of disk servers comes from, and the bounds of following it.
 type EndpointList struct {
 	Etcd        []EtcdSource `xml:"etcd"`
 	DNS         *DNSSource   `xml:"dns"`
@@ -70,7 +70,7 @@
 	Address string `xml:"address,attr"`
 }
 
-// SourceTrust says when a source's removals and changes are accepted: docs/sources.md.
+// SourceTrust is when a source's removals and changes are accepted: docs/sources.md.
 type SourceTrust struct {
 	MaxRemovedShare float64 `xml:"vanish,attr"`
 	ConfirmAfter    Span    `xml:"confirm,attr"`
@@ -174,7 +174,7 @@
 	From     float64 `xml:"from,attr"` // share of the full rate that it begins with
 	Time     Span    `xml:"time,attr"` // after which it is warm
 	Window   Span    `xml:"window,attr"`
-	Units    float64 `xml:"units,attr"`    // that it always bears in a window
+	Units    float64 `xml:"units,attr"`    // that it may always be sent in a window
 	Multiple float64 `xml:"multiple,attr"` // of its rate that overloads it
 }
 
@@ -211,7 +211,7 @@
 	MaxBan           Span  `xml:"most,attr"`
 }
 
-// DiskServers says how to talk to disk servers.
+// DiskServers is how the gateway connects to disk servers.
 type DiskServers struct {
 	Subsystem      string `xml:"subsystem,attr"`
 	ConnectTimeout Span   `xml:"connect-within,attr"`
--- a/settings/validation.go
+++ b/settings/validation.go
@@ -200,7 +200,7 @@
 // opTypeCoverage wants each length that a command may have in an op type.
 func (v validator) opTypeCoverage() []constraint {
 	if v.Volumes.Block == 0 {
-		return nil // blockSizes has told
+		return nil // blockSizes has reported it
 	}
 	at := v.section("op-types")
 	var constraints []constraint
--- a/target/session.go
+++ b/target/session.go
@@ -18,8 +18,8 @@
 	phaseEnded
 )
 
-// maxAsyncEvents is AERL: how many Asynchronous Event Requests a controller holds. No event is ever told, so that
-// they stay open.
+// maxAsyncEvents is AERL: how many Asynchronous Event Requests may be open on a controller. It reports no events, so
+// that they stay open.
 const maxAsyncEvents = 4
 
 // Session is one connection's state machine.
@@ -79,7 +79,7 @@
 	return len(b)
 }
 
-// terminate ends the connection with a TermReq that tells of a violation.
+// terminate ends the connection with a TermReq for a violation of the protocol.
 func (s *Session) terminate(err error) {
 	if s.phase == phaseEnded {
 		return
@@ -92,7 +92,7 @@
 	s.connection.end()
 }
 
-// fatalError tells of a violation; info is the offset of the field that is wrong, where it is one.
+// fatalError is the error for a violation; info is the offset of the field that is wrong, where it is one.
 func fatalError(status uint16, info uint32, p *nvme.PDU, text string) error {
 	return &nvme.FatalError{Status: status, Info: info, Text: text, Header: append([]byte(nil), p.Header...)}
 }
@@ -194,7 +194,7 @@
 		r.status = r.status.WithDelay(0)
 	}
 	s.buffers.Copied(len(r.data))
-	// With flow control off the last data PDU can stand for a completion that says nothing more.
+	// With flow control off the last data PDU can stand for a completion without results.
 	withoutCompletion := s.flowControlOff && r.dw0 == 0 && r.dw1 == 0 && r.status == nvme.Success && len(r.data) > 0
 	lastFlags := uint8(nvme.FlagLast)
 	if withoutCompletion {
