--- a/discovery/dns/resolver.go
+++ b/discovery/dns/resolver.go
@@ -15,7 +15,7 @@
 
 // resolverSettings bound the queries.
 type resolverSettings struct {
-	servers     int // number of name servers, asked in turn
+	servers     int // number of name servers, queried in turn
 	minInterval time.Duration
 	maxInterval time.Duration
 	seed        int64
--- a/discovery/etcd/client.go
+++ b/discovery/etcd/client.go
@@ -20,12 +20,12 @@
 
 // Settings say which list a Client watches, and where.
 type Settings struct {
-	Endpoints []string // asked in turn
+	Endpoints []string // used in turn
 	UserAgent string   // by which the client names itself to etcd
 	Prefix    string   // of the keys of the list
 	MaxNodes  int      // nodes beyond this number are skipped
 	// Timeout is the time within which a call must be answered and a watch created. A watch on which nothing arrives
-	// for as long, not even a progress notification that was asked for, has failed. 0: no limit for a watch.
+	// for as long, not even a progress notification on request, has failed. 0: no limit for a watch.
 	Timeout time.Duration
 }
 
--- a/discovery/etcd/client_test.go
+++ b/discovery/etcd/client_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestResume has the list change while nobody watches: the next watch goes on from the last revision passed on.
+// TestResume has the list change while nobody watches: the next watch resumes from the last revision passed on.
 func TestResume(t *testing.T) {
 	s, c, updates := watchFleet(t)
 	breakWatch(t, s, updates)
@@ -214,7 +214,7 @@
 }
 
 // TestWatchNotCreated has the next endpoint take a call and not create a watch: that is broken after
-// Settings.Timeout, and the endpoint after it is asked.
+// Settings.Timeout, and the endpoint after it is used.
 func TestWatchNotCreated(t *testing.T) {
 	for name, newEndpoint := range map[string]func(t *testing.T, s *fakeetcd.Server) string{
 		"no handshake": func(t *testing.T, _ *fakeetcd.Server) string {
@@ -251,7 +251,7 @@
 	}
 }
 
-// TestDelayedEvents has events delivered late, while the watch is asked for its progress: none is missed.
+// TestDelayedEvents has events delivered late, while its progress is requested: none is missed.
 func TestDelayedEvents(t *testing.T) {
 	s, c, updates := watch(t)
 	c.Watch()
@@ -265,7 +265,7 @@
 	}
 }
 
-// TestLongHistory has a watch go on after thousands of revisions: etcd sends them in several responses, each with
+// TestLongHistory has a watch resume after thousands of revisions: etcd sends them in several responses, each with
 // the present revision in its header. None may be taken for one that was passed on before.
 func TestLongHistory(t *testing.T) {
 	s, c, updates := watch(t)
--- a/discovery/etcd/rpc.go
+++ b/discovery/etcd/rpc.go
@@ -29,7 +29,7 @@
 	// ErrNotCreated means that etcd did not confirm the watch in time: there is no connection, or the endpoint accepted
 	// the call and did not answer it.
 	ErrNotCreated = errors.New("the watch was not created in time")
-	// ErrSilent means that nothing came on the watch, not even the progress that was asked for.
+	// ErrSilent means that nothing came on the watch, not even the progress that was requested.
 	ErrSilent = errors.New("nothing came on the watch in time")
 )
 
@@ -63,7 +63,7 @@
 	return s.watch(ctx, conn)
 }
 
-// hasRevision reports whether there is a revision from which a watch can go on.
+// hasRevision reports whether there is a revision from which a watch can resume.
 func (s session) hasRevision() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/discovery/etcd/watch.go
+++ b/discovery/etcd/watch.go
@@ -10,7 +10,7 @@
 	"honeyplank/discovery"
 )
 
-// errHistoryLost: a watch can't go on from where it was, and the complete list is needed.
+// errHistoryLost: a watch can't resume from where it was, and the complete list is needed.
 var errHistoryLost = errors.New("discovery: the history since the last revision is compacted or inconsistent")
 
 // errCancelled: etcd has cancelled the watch for a reason other than compaction.
@@ -31,7 +31,7 @@
 
 const (
 	inputCreated   watchInput = iota
-	inputCompacted            // cancelled, since the revision to go on from is compacted
+	inputCompacted            // cancelled, since the revision to resume from is compacted
 	inputCancelled            // cancelled for another reason
 	inputFragment             // events, and more fragments of the same response follow
 	inputEvents               // events: a complete response, or its last fragment
@@ -104,7 +104,7 @@
 	case r.Created:
 		return inputCreated
 	case len(r.Events) == 0 && !r.Fragment && l.state == receivingFragments && r.WatchId >= 0:
-		return inputEvents // the last fragment may be empty; progress that was asked for has no watch id
+		return inputEvents // the last fragment may be empty; requested progress has no watch id
 	case len(r.Events) == 0 && !r.Fragment:
 		return inputProgress
 	}
--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -33,7 +33,7 @@
 }
 
 // startWatch starts etcd's watch. Without etcd there is none that could fail, since DNS is polled all the time: the
-// module is told at once that it works.
+// module is notified at once that it works.
 func (g *Instance) startWatch() {
 	if g.etcd == nil {
 		g.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta})
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -80,7 +80,7 @@
 // Succeeded implements inflight.Client.
 func (o *op) Succeeded(data []byte) { o.answer(nvme.Success, 0, data) }
 
-// Failed implements inflight.Client. The op may have run, so the client is told not to retry.
+// Failed implements inflight.Client. The op may have run, so the client must not retry.
 func (o *op) Failed() { o.answer(nvme.InternalError|nvme.DoNotRetry, 0, nil) }
 
 // Rejected implements inflight.Client. The client may retry after the given time; 0: no delay is given.
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -24,7 +24,7 @@
 	return d
 }
 
-// isConnected tells whether the association takes commands.
+// isConnected reports whether the association takes commands.
 func (d *diskServer) isConnected() bool { return d.association != nil && d.association.IsReady() }
 
 // whenConnected calls f once the association is ready (at once, if it is) or has failed. It connects if needed.
--- a/gateway/rawclient_test.go
+++ b/gateway/rawclient_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// expect reads the next PDU, which must be of a type.
+// expect reads the next PDU, which must be of that type.
 func (c *rawClient) expect(kind uint8) nvme.PDU {
 	c.t.Helper()
 	p := c.readPDU(kind)
--- a/membership/ledger.go
+++ b/membership/ledger.go
@@ -206,7 +206,7 @@
 // NextTick is when a Tick may change something; 0: no time is awaited. A Tick before that does no harm.
 func (l *Ledger) NextTick() time.Duration { return l.nextTick }
 
-// received notes that a source has reported.
+// received records that a source has reported.
 func (l *Ledger) received(now time.Duration, from Source) {
 	l.now = now
 	l.sources[from].heardAt, l.sources[from].failingSince = max(now, 1), 0
