--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -16,8 +16,8 @@
 	"honeyplank/resp"
 )
 
-// TestUnreadAnswers: a client that sends all commands it may and reads nothing meanwhile gets every reply, whole and in
-// order, once it reads; until then no more is taken from it than the bounds allow.
+// TestUnreadAnswers: a client that sends all commands it may and reads nothing meanwhile gets every reply, whole and
+// in order, once it reads; until then no more is taken from it than the bounds allow.
 func TestUnreadAnswers(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.useModule(singleServerModule{"s-0"})
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestProtocolErrorBehindUnread: where input that does not follow the protocol comes behind replies that the client has
-// not read yet, more than the system buffers, these arrive whole before the error.
+// TestProtocolErrorBehindUnread: where input that does not follow the protocol comes behind replies that the client
+// has not read yet, more than the system buffers, these arrive whole before the error.
 func TestProtocolErrorBehindUnread(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient(4096)
@@ -156,10 +156,12 @@
 	}
 }
 
-// pausedClients counts, on the loop, the clients that do not read their replies and whose input is not read any more.
+// pausedClients counts, on the loop, the clients that do not read their replies and whose input is not read any more
+// for that reason: one that is only throttled is read again by itself.
 func (bed *testbed) pausedClients() (n int) {
 	for c := range bed.scheduler.clients {
-		if c.paused && c.conn.UnsentBytes() > 0 && !c.conn.NoInputPending() {
+		unread := c.replyBacklog() >= maxReplyBacklog/2 && !c.throttled
+		if c.paused && unread && !c.conn.NoInputPending() {
 			n++
 		}
 	}
@@ -261,7 +263,8 @@
 	}
 }
 
-// openIdleConns opens n connections, as far as the scheduler accepts them. Every other one sends PING, others nothing.
+// openIdleConns opens n connections, as far as the scheduler accepts them. Every other one sends PING, others
+// nothing.
 func (bed *testbed) openIdleConns(n int) {
 	bed.t.Helper()
 	for i := range n {
@@ -276,9 +279,9 @@
 	}
 }
 
-// TestCrowd: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody else
-// from being served and take no connection from clients that send ops, also during the shutdown; hundreds of commands
-// at once all get their replies, in order.
+// TestCrowd: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody
+// else from being served and take no connection from clients that send ops, also during the shutdown; hundreds of
+// commands at once all get their replies, in order.
 func TestCrowd(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
