--- a/fake/disk/service.go
+++ b/fake/disk/service.go
@@ -54,31 +54,24 @@
 		s.begin(c)
 	}
 	if now < p.stalledUntil && len(p.queue) > 0 {
-		s.scheduleInProcess(p.stalledUntil, s.beginQueued)
+		s.loop.Schedule(p.stalledUntil, s.beginQueued)
 	}
 }
 
 // begin serves an op on a free core.
 func (s *Server) begin(c *target.Command) {
 	s.process.busyCores++
-	serviceTime := s.serviceTime(c)
-	s.scheduleInProcess(s.loop.Now()+serviceTime, func() {
+	serviceTime, generation := s.serviceTime(c), s.generation
+	s.loop.Schedule(s.loop.Now()+serviceTime, func() {
+		if s.generation != generation { // the server was killed
+			return
+		}
 		s.process.busyCores--
 		s.finish(c, serviceTime)
 		s.beginQueued()
 	})
 }
 
-// scheduleInProcess has f called at a time of the loop's clock, unless the server is killed before.
-func (s *Server) scheduleInProcess(at time.Duration, f func()) {
-	generation := s.generation
-	s.loop.Schedule(at, func() {
-		if s.generation == generation {
-			f()
-		}
-	})
-}
-
 // units is the size of an op.
 func (s *Server) units(c *target.Command) float64 {
 	return float64(max((c.Bytes+s.model.Unit-1)/s.model.Unit, 1))
