--- a/audit/drains.go
+++ b/audit/drains.go
@@ -22,15 +22,15 @@
 		stopped := stoppedBy(notices[noticeKey{dispatch.gateway, dispatch.server}], dispatch.at)
 		for source, notice := range stopped {
 			if dispatch.at > notice.at+grace+slack {
-				j.violation("%s was sent an op by gateway %d at %v, %v after %s told that it is %s",
+				j.violation("%s was sent an op by gateway %d at %v, %v after %s reported it as %s",
 					dispatch.server, dispatch.gateway, dispatch.at, dispatch.at-notice.at, source, notice.state)
 			}
 		}
 	}
 }
 
-// stoppedBy are the sources by which a disk server drains or is gone at a time, each with its first notice of that and
-// its last state. A source that tells of a start which is newer than another's notice overrules it.
+// stoppedBy are the sources by which a disk server drains or is gone at a time, each with its first notice of that
+// and its last state. A source that tells of a start which is newer than another's notice overrules it.
 func stoppedBy(notices []noticeRecord, at time.Duration) map[string]noticeRecord {
 	stopped := map[string]noticeRecord{}
 	for _, notice := range notices {
--- a/audit/log.go
+++ b/audit/log.go
@@ -1,9 +1,9 @@
-// Package audit judges the seven rules of a gateway from what crossed the sockets of clients and disk servers, and from
-// what the sources of the endpoint list notified whom of.
+// Package audit judges the seven rules of a gateway from what crossed the sockets of clients and disk servers, and
+// from what the sources of the endpoint list notified whom of.
 //
-// It shares no code with the gateway or the decision module: it reads the bytes by the codec of package nvme and keeps
-// its own records. It sends nothing and changes nothing. An op is known by its volume, block and opcode, which the load
-// never uses twice.
+// It shares no code with the gateway or the decision module: it reads the bytes by the codec of package nvme and
+// keeps its own records. It sends nothing and changes nothing. An op is known by its volume, block and opcode, which
+// the load never uses twice.
 //
 // Package faulttest writes the Log from its event loop and from goroutines of the fakes, and judges it at the end.
 package audit
@@ -76,7 +76,7 @@
 	stateGone     = "gone"
 )
 
-// noticeRecord is what a source of the endpoint list told a gateway of a disk server.
+// noticeRecord is what a source of the endpoint list reported to a gateway about a disk server.
 type noticeRecord struct {
 	gateway int
 	source  string
@@ -109,8 +109,8 @@
 
 func (l *Log) now() time.Duration { return time.Since(l.start) }
 
-// Notified records what a source told a gateway of a disk server: that it is on, draining or gone. started is when it
-// last started, zero if long ago.
+// Notified records what a source reported to a gateway about a disk server: that it is on, draining or gone. started
+// is when it last started, zero if long ago.
 func (l *Log) Notified(gateway int, source, server, state string, started time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/audit/taps.go
+++ b/audit/taps.go
@@ -10,9 +10,9 @@
 type Link struct {
 	// Tap is called with what crosses the socket; empty data tells that the connection has ended.
 	Tap func(sent bool, data []byte)
-	// MarkCorrupted records that the wire has damaged what crossed. From then on the gateway can't know what its client
-	// meant, so its ops that were open, and those that come, are owed no answer; where the wire repeated a command, no
-	// order and no single effect either.
+	// MarkCorrupted records that the wire has damaged what crossed. From then on the gateway can't know what its
+	// client meant, so its ops that were open, and those that come, are owed no answer; where the wire repeated a
+	// command, no order and no single effect either.
 	MarkCorrupted func()
 }
 
@@ -60,7 +60,7 @@
 	c.wire.read(from, data, c.handle)
 }
 
-// close records the end of the connection, the first time that it is told.
+// close records the end of the connection, at the first call only.
 func (c *clientConnection) close() {
 	if c.closed {
 		return
--- a/audit/wire.go
+++ b/audit/wire.go
@@ -17,7 +17,7 @@
 // wire reads both directions of one NVMe/TCP connection. R is the record of a command.
 type wire[R any] struct {
 	framing [directions]nvme.Framing
-	pending [directions][]byte // bytes of a PDU that has not come whole
+	pending [directions][]byte // bytes of an incomplete PDU
 	broken  bool               // what came is no NVMe/TCP; the rest is not read
 	ioQueue bool               // it is of an I/O queue
 	hostNQN string
--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -44,10 +44,10 @@
 // Reset ends the connection as a reset by the other end does.
 func (c *Conn) Reset() { c.fail(unix.ECONNRESET) }
 
-// CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed once
-// the other end has closed too, or after a second. To close at once would have the kernel answer what still comes with
-// a reset, which can take from the other end what it has not read yet. Nothing more is read: a request that crosses the
-// end stays unread, so that its sender may send it again. Handler.Closed is not called.
+// CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed
+// once the other end has closed too, or after a second. To close at once would have the kernel answer what still
+// comes with a reset, which can take from the other end what it has not read yet. Nothing more is read: a request
+// that crosses the end stays unread, so that its sender may send it again. Handler.Closed is not called.
 func (c *Conn) CloseGracefully() {
 	if c.closing || c.closed {
 		return
@@ -59,8 +59,8 @@
 	c.closeAfterOutput(gracefulCloseTimeout, unreadCloseTimeout)
 }
 
-// CloseAfterFlush ends a connection whose further input is of no use: Output is written, nothing more is read, and the
-// socket is closed after a delay in which the other end can read the output, or a second later where it has not.
+// CloseAfterFlush ends a connection whose further input is not needed: Output is written, nothing more is read, and
+// the socket is closed after a delay in which the other end can read the output, or a second later where it has not.
 // Handler.Closed is not called.
 func (c *Conn) CloseAfterFlush(delay time.Duration) {
 	if c.closing || c.closed {
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -46,8 +46,8 @@
 	BeforeWrite func()
 	// OnClosed, where set, is called once the socket is closed, by whichever end.
 	OnClosed func()
-	// NotifyHalfClose has Closed called at once when the other end has ended its sending, also while the connection is
-	// paused; what came before that and was not read is lost. It must be set before the connection is on the loop.
+	// NotifyHalfClose has Closed called at once when the other end has ended its sending, also while the connection
+	// is paused; what came before that and was not read is lost. It must be set before the connection is on the loop.
 	NotifyHalfClose bool
 
 	loop    *Loop
@@ -67,7 +67,7 @@
 
 	closed      bool          // the socket is closed
 	closing     bool          // the socket is closed once Output is written
-	writeClosed bool          // Output is written, and the other end has been told that nothing follows
+	writeClosed bool          // Output is written, and its end has been sent (FIN)
 	closeDelay  time.Duration // from then until the close, after CloseAfterFlush and CloseGracefully
 }
 
--- a/eventloop/input.go
+++ b/eventloop/input.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrival bounds when the input of a connection has arrived. What waits in the socket while the loop is held up, or the
-// connection paused, has arrived earlier than it is read.
+// arrival bounds when the input of a connection has arrived. What waits in the socket while the loop is held up, or
+// the connection paused, has arrived earlier than it is read.
 type arrival struct {
 	after    time.Duration // what was read last has arrived after this
 	lastPoll time.Duration // the poll that the last read followed
@@ -16,7 +16,7 @@
 	resumed  uint64        // number of the poll at which reading went on
 }
 
-// noteRead takes in a read. mayHaveMore says that the read filled its buffer, so that more input may wait.
+// noteRead records a read. mayHaveMore says that the read filled its buffer, so that more input may wait.
 func (a *arrival) noteRead(l *Loop, mayHaveMore bool) {
 	a.after = l.eventsAfter
 	if a.backlog && l.polls <= a.resumed+1 { // it waited already when reading went on
@@ -130,8 +130,8 @@
 // maxInterruptions is how often in one round a call that does not wait is repeated after EINTR.
 const maxInterruptions = 16
 
-// NoInputPending reports whether everything received so far has been used, and the other end has not closed: bytes that
-// come from now on can answer what is sent now. It is false where that is not known.
+// NoInputPending reports whether everything received so far has been used, and the other end has not closed: bytes
+// that come from now on can answer what is sent now. It is false where that is not known.
 func (c *Conn) NoInputPending() bool {
 	if c.closed || c.dialing || len(c.input) > 0 {
 		return false
--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -1,9 +1,9 @@
-// Package disk is a fake disk server: it speaks the same NVMe/TCP subset, has cores, a bounded queue and service times,
-// stores what is written, and has faults on command. It keeps its data in memory, and its service times are a model's:
-// they say nothing about real disks. It must not be used but by tests and fault tests.
+// Package disk is a fake disk server: it speaks the same NVMe/TCP subset, has cores, a bounded queue and service
+// times, stores what is written, and has faults on command. It keeps its data in memory, and its service times are a
+// model's: they say nothing about real disks. It must not be used but by tests and fault tests.
 //
-// All of it runs on the event loop that it is given: functions, methods and fields may be used on the goroutine of that
-// loop only. The package starts no goroutine.
+// All of it runs on the event loop that it is given: functions, methods and fields may be used on the goroutine of
+// that loop only. The package starts no goroutine.
 package disk
 
 import (
@@ -136,7 +136,7 @@
 	return nvme.AppendLoad(nil, s.load), true
 }
 
-// reportLoad makes the load report anew.
+// reportLoad computes the load report.
 func (s *Server) reportLoad() {
 	const latencyUnitsPerSecond = 10000 // of nvme.Load.Latency
 	s.load = nvme.Load{
--- a/fake/dns/answer.go
+++ b/fake/dns/answer.go
@@ -94,7 +94,7 @@
 	return !wrong && !reply.Truncated && reply.Rcode != dns.RcodeServerFailure
 }
 
-// answered is the records that a sound reply has. The caller holds mu.
+// answered is the records that a valid reply has. The caller holds mu.
 func (s *Server) answered() []Record {
 	if s.faults.NameError {
 		return nil
--- a/fake/dns/server.go
+++ b/fake/dns/server.go
@@ -1,8 +1,8 @@
-// Package dns is a fake name server: SRV, A and AAAA records of one name over UDP and TCP. It can truncate, fail, give
-// wrong answers and be silent on command. It caches and resolves nothing, and must not be used but by tests.
+// Package dns is a fake name server: SRV, A and AAAA records of one name over UDP and TCP. It can truncate, fail,
+// give wrong answers and be silent on command. It caches and resolves nothing, and must not be used but by tests.
 //
-// The methods of a Server may be called from any goroutine. Queries are answered on goroutines of the DNS library, one
-// at a time; Close ends them.
+// The methods of a Server may be called from any goroutine. Queries are answered on goroutines of the DNS library,
+// one at a time; Close ends them.
 package dns
 
 import (
@@ -52,7 +52,7 @@
 
 // Server is one fake name server.
 type Server struct {
-	// OnAnswer, where set before the first query, is called with the records of each sound answer to a query for SRV.
+	// OnAnswer, where set before the first query, is called with the records of each valid answer to a query for SRV.
 	OnAnswer func([]Record)
 
 	name    string
--- a/fake/resp/discovery.go
+++ b/fake/resp/discovery.go
@@ -154,10 +154,10 @@
 	return int(revision), true
 }
 
-// writeMessage writes a message. One that can't be written is of no use: its client has gone.
+// writeMessage writes a message. One that can't be written is dropped: its client has gone.
 func writeMessage(w io.Writer, m message) { _ = json.NewEncoder(w).Encode(m) }
 
-// writeLine writes a line. One that can't be written is of no use: its client has gone.
+// writeLine writes a line. One that can't be written is dropped: its client has gone.
 func writeLine(w io.Writer, line string) { _, _ = io.WriteString(w, line+"\n") }
 
 // completeList is the present list. The caller holds mu.
--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -40,7 +40,7 @@
 	Class string
 }
 
-// Command is a command that has come whole.
+// Command is a complete command.
 type Command struct {
 	Name, Piece, ID, Attributes string
 	Body                        []byte
--- a/faulttest/lists.go
+++ b/faulttest/lists.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// recordEtcdNotice tells the audit what etcd has told a gateway. Any goroutine may call it.
+// recordEtcdNotice records for the audit what etcd has sent to a gateway. Any goroutine may call it.
 func (r *run) recordEtcdNotice(agent, key string, value []byte) {
 	r.mu.Lock()
 	gateway, known := r.gatewaysByNQN[agent]
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -38,8 +38,7 @@
 	queuesOfAssociation = 2
 )
 
-// wireFaults is how the connections of some clients and disk servers are damaged now. All others are sound all the
-// time.
+// wireFaults is how the connections of some clients and disk servers are damaged now. All others are never damaged.
 type wireFaults struct {
 	kind   string // "": none
 	chance float64
@@ -176,7 +175,7 @@
 }
 
 // clientWire returns what connects a client's connections to a gateway with the audit, and with faults. What damages
-// one connection of an association ends both, admin queue and I/O queue (NVMe/TCP 3.5), so the audit is told for
+// one connection of an association ends both, admin queue and I/O queue (NVMe/TCP 3.5), so the audit is notified for
 // both.
 func (r *run) clientWire(gateway int) func(client int, c *eventloop.Conn) {
 	newLink := r.log.ClientLinks(gateway, int(r.script.Volumes.Block))
--- a/fuzzcorpus/coverage.go
+++ b/fuzzcorpus/coverage.go
@@ -76,7 +76,7 @@
 	target    Target
 	directory string // of its package
 	path      string
-	profile   string // is written anew by each measurement
+	profile   string // is overwritten by each measurement
 }
 
 // buildForCoverage builds the test binary of a target into a directory.
--- a/inflight/dispatch.go
+++ b/inflight/dispatch.go
@@ -62,10 +62,10 @@
 	return &o.firstDispatch
 }
 
-// cancelUnsent cancels the dispatches of an op that is over which are not written whole: one that waits for a
-// connection, or whose last byte waits to be sent, never ran and is of no use. It guards against ops that begin at a
-// disk server after their client has gone. It would harm with a sender that reports a dispatch as not written although
-// it has left: an op that runs would count as not sent.
+// cancelUnsent cancels the dispatches of an op that is over which are not written completely: one that waits for a
+// connection, or whose last byte waits to be sent, never ran and is not needed any more. It guards against ops that
+// begin at a disk server after their client has gone. It would harm with a sender that reports a dispatch as not
+// written although it has left: an op that runs would count as not sent.
 func (t *Tracker) cancelUnsent(o *op) {
 	for i := 0; i < len(o.dispatches); i++ { // it may grow meanwhile
 		if d := o.dispatches[i]; !d.ended && !t.sender.Written(d) {
@@ -104,7 +104,7 @@
 }
 
 // Finish gives the dispatch its outcome; calls after the first do nothing. The first outcome of an op that is
-// honeyplank.Succeeded answers the op, with data. The module is told of each outcome.
+// honeyplank.Succeeded answers the op, with data. The module is notified of each outcome.
 func (d *Dispatch) Finish(code honeyplank.Code, data []byte, feedback Feedback) {
 	if d.ended {
 		return
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -1,7 +1,8 @@
 // Package initiator is the host's side of NVMe over TCP: what talks to a controller. Session is one queue's state
-// machine, in memory; Association drives an admin queue and one I/O queue on an event loop, and all of the package runs
-// on that loop's goroutine. It must not retry, choose or time a command out: every command ends once, by its answer or
-// with its connection. The gateway uses it towards disk servers, the load generator and the benchmarks as clients.
+// machine, in memory; Association drives an admin queue and one I/O queue on an event loop, and all of the package
+// runs on that loop's goroutine. It must not retry, choose or time a command out: every command ends once, by its
+// answer or with its connection. The gateway uses it towards disk servers, the load generator and the benchmarks as
+// clients.
 package initiator
 
 import (
@@ -71,7 +72,8 @@
 // Free is how many commands may be submitted now.
 func (s *Session) Free() int { return len(s.free) }
 
-// Submit sends a command with the data of a Write, or expecting read bytes. Data is copied. It returns the command id.
+// Submit sends a command with the data of a Write, or expecting read bytes. Data is copied. It returns the command
+// id.
 func (s *Session) Submit(c nvme.Command, data []byte, read int, call Call) (cid uint16, ok bool) {
 	if !s.ready || len(s.free) == 0 {
 		return 0, false
@@ -110,7 +112,7 @@
 	return &nvme.FatalError{Status: status, Text: fmt.Sprintf(format, a...), Header: header}
 }
 
-// Input takes in bytes and returns how many it used; after an error the connection is of no more use.
+// Input handles bytes and returns how many it used; after an error the connection must be closed.
 func (s *Session) Input(b []byte) (used int, err error) {
 	for {
 		p, n, err := s.input.Decode(b[used:])
--- a/initiator/slot.go
+++ b/initiator/slot.go
@@ -1,8 +1,8 @@
 package initiator
 
-// slot holds a command that is in flight. Its command id is its index with a count of its uses above, so that an answer
-// to an earlier use is told from one to this. A slot is used again only when its command has been answered: a late
-// answer finds the slot abandoned, never another's op in it.
+// slot holds a command that is in flight. Its command id is its index with a count of its uses above, so that an
+// answer to an earlier use is distinguished from one to this. A slot is used again only when its command has been
+// answered: a late answer finds the slot abandoned, never another's op in it.
 type slot struct {
 	index     uint16
 	uses      uint16
--- a/initiator/transfer.go
+++ b/initiator/transfer.go
@@ -4,7 +4,7 @@
 	"honeyplank/nvme"
 )
 
-// handleData takes in data of a Read.
+// handleData handles data of a Read.
 func (s *Session) handleData(p *nvme.PDU) error {
 	v := s.find(p.CCCID())
 	if v == nil || v.write {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -18,7 +18,7 @@
 	Unconfirmed
 	// Confirmed means that such a removal has lasted.
 	Confirmed
-	// FlapHeld means that the server has returned too often and is held out for a while.
+	// FlapHeld means that the server has returned too often and is held out for some time.
 	FlapHeld
 )
 
@@ -29,9 +29,9 @@
 	}[c]
 }
 
-// mergeRule is the merged state by what etcd (row) and DNS (column) report; an unconfirmed removal counts as the state
-// from before. The worse report holds, whichever source it comes from. This guards against work for a server that one
-// source has taken out while the other still lists it; it could harm where one source is wrong for long.
+// mergeRule is the merged state by what etcd (row) and DNS (column) report; an unconfirmed removal counts as the
+// state from before. The worse report holds, whichever source it comes from. This guards against work for a server
+// that one source has taken out while the other still lists it; it could harm where one source is wrong for long.
 var mergeRule = [stateCount][stateCount]State{
 	//           DNS: NeverListed  Up        Draining  Removed
 	NeverListed: {NeverListed, Up, Draining, Removed},
@@ -41,8 +41,8 @@
 }
 
 // merge is the merged state of a server and its cause. The one way past the rule is a start that is surely newer than
-// the report that took the server out, shown by a source that lists it as up: the first source has not received the new
-// start yet.
+// the report that took the server out, shown by a source that lists it as up: the first source has not received the
+// new start yet.
 func merge(reports *[sourceCount]sourceReport) (State, Cause) {
 	etcd, dns := &reports[Etcd], &reports[DNS]
 	state, cause := mergeRule[etcd.state][dns.state], Agreed
@@ -59,8 +59,8 @@
 	return state, cause
 }
 
-// putBack reports whether a source shows a start that is surely newer than the report by which the other one has taken
-// the server out.
+// putBack reports whether a source shows a start that is surely newer than the report by which the other one has
+// taken the server out.
 func putBack(out, other *sourceReport) bool {
 	return out.state.takenOut() && other.confirmedUp() && other.startedAfter > out.reportedAt
 }
--- a/nvme/load.go
+++ b/nvme/load.go
@@ -7,7 +7,7 @@
 type Load struct {
 	Latency        uint16 // recent service time without waiting, in tenths of a millisecond
 	Inflight       uint16 // ops it holds
-	PlanUsage      uint16 // 1 + percent of the plan's rate that the volume was served everywhere; 0: not told
+	PlanUsage      uint16 // 1 + percent of the plan's rate that the volume was served everywhere; 0: not reported
 	UnitsElsewhere uint16 // units it did for the volume for other schedulers since its last answer to this one
 }
 
--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -1,7 +1,7 @@
 // Package peerlimit decides what one peer may use of a gateway before an op is admitted: connections, incomplete
-// handshakes, commands, bytes of write data, the time for a PDU, and the protocol violations after which it is banned.
-// Events go in, verdicts come out: the package does no I/O, reads no clock and starts no goroutine. docs/peers.md has
-// its tables.
+// handshakes, commands, bytes of write data, the time for a PDU, and the protocol violations after which it is
+// banned. Events go in, verdicts come out: the package does no I/O, reads no clock and starts no goroutine.
+// docs/peers.md has its tables.
 //
 // The server that accepts the connections has a Guard and calls it on the goroutine of its event loop; a Guard is not
 // safe for concurrent use.
@@ -112,8 +112,8 @@
 	p.handshakes--
 }
 
-// Violation notes that a peer violated the protocol or a timeout. It returns how long the peer is banned for it; 0: it
-// is not banned by this violation.
+// Violation notes that a peer violated the protocol or a timeout. It returns how long the peer is banned for it; 0:
+// it is not banned by this violation.
 func (g *Guard) Violation(now time.Duration, id string) time.Duration {
 	p := g.peer(now, id)
 	if p.standing == banned {
@@ -137,8 +137,8 @@
 	return 0
 }
 
-// ReserveBytes reports whether a peer may be asked for n more bytes of write data; if so they count until ReleaseBytes.
-// A peer without any may always be asked, so that none waits for ever.
+// ReserveBytes reports whether a peer may be asked for n more bytes of write data; if so they count until
+// ReleaseBytes. A peer without any may always be asked, so that none waits forever.
 func (g *Guard) ReserveBytes(now time.Duration, id string, n int) bool {
 	p := g.peer(now, id)
 	if g.settings.MaxBytes > 0 && p.bytes > 0 && p.bytes+n > g.settings.MaxBytes {
@@ -151,8 +151,8 @@
 // ReleaseBytes notes that n reserved bytes have come, or will not come any more.
 func (g *Guard) ReleaseBytes(now time.Duration, id string, n int) { g.peer(now, id).bytes -= n }
 
-// BeginCommand reports whether a command of a peer may begin; if so it counts until EndCommand. One that may not is to
-// be answered at once: to queue it would use the memory that the limit is to save.
+// BeginCommand reports whether a command of a peer may begin; if so it counts until EndCommand. One that may not is
+// to be answered at once: to queue it would use the memory that the limit is to save.
 func (g *Guard) BeginCommand(now time.Duration, id string) bool {
 	p := g.peer(now, id)
 	if reached(p.commands, g.settings.MaxCommands) {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -210,7 +210,7 @@
 }
 
 // maxOpTime is the longest timeout of an op of a type, a multiple of the settings' op timeout. It guards against
-// dispatches without an answer that would hold a connection and capacity for ever; a client with a longer timeout gets
+// dispatches without an answer that would hold a connection and capacity forever; a client with a longer timeout gets
 // its answer early.
 func maxOpTime(site *simwire.Site, opType int) time.Duration {
 	if timeouts := site.Settings.OpTypes.OpTimeout; timeouts[opType] > 0 {
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -93,8 +93,9 @@
 	a.endByte = sc.appendedBytes
 }
 
-// refreshDeadlines is called before output is written. It encodes old commands again, which a disk server that does not
-// read, or a hold-up, has delayed, and withdraws a partly written one if the time that it names is too inaccurate.
+// refreshDeadlines is called before output is written. It encodes old commands again, which a disk server that does
+// not read, or a hold-up, has delayed, and withdraws a partly written one if the time that it names is too
+// inaccurate.
 func (sc *serverConn) refreshDeadlines() {
 	now := sc.server.scheduler.loop.Now()
 	written := sc.writtenBytes()
@@ -129,8 +130,8 @@
 	}
 }
 
-// withdraw takes back an attempt whose last byte is not written, so that its command never arrives whole. It guards
-// against commands that run although they were reported as not sent, once the disk server resumes reading.
+// withdraw takes back an attempt whose last byte is not written, so that its command never arrives completely. It
+// guards against commands that run although they were reported as not sent, once the disk server resumes reading.
 func (sc *serverConn) withdraw(a *attempt) {
 	if a.firstByte >= sc.writtenBytes() {
 		sc.withdrawUnsent(a)
@@ -157,8 +158,8 @@
 	}
 }
 
-// withdrawPartial takes back an attempt of which a part is written. The connection must not be written to any more, and
-// the attempts behind it move to other connections.
+// withdrawPartial takes back an attempt of which a part is written. The connection must not be written to any more,
+// and the attempts behind it move to other connections.
 func (sc *serverConn) withdrawPartial(a *attempt) {
 	i := slices.Index(sc.inFlight, a)
 	behind := slices.Clone(sc.inFlight[i+1:])
--- a/target/admin.go
+++ b/target/admin.go
@@ -177,7 +177,7 @@
 	return response{status: nvme.Success, data: data}
 }
 
-// logContent is a whole log page; ok tells whether there is one of that id.
+// logContent is a complete log page; ok reports whether there is one of that id.
 func (s *Session) logContent(id uint8) (page []byte, ok bool) {
 	switch id {
 	case nvme.LogError, nvme.LogHealth, nvme.LogFirmware:
--- a/target/session.go
+++ b/target/session.go
@@ -59,7 +59,7 @@
 // rejected is the response with an error that the host must not retry.
 func rejected(status nvme.Status) response { return response{status: status | nvme.DoNotRetry} }
 
-// Input takes in bytes and returns how many it used.
+// Input handles bytes and returns how many it used.
 func (s *Session) Input(now time.Duration, b []byte) (used int) {
 	for s.phase != phaseEnded {
 		p, n, err := s.input.Decode(b[used:])
--- a/target/transfer.go
+++ b/target/transfer.go
@@ -6,7 +6,7 @@
 )
 
 // grant sends R2Ts while there are buffers for the data, past those whose client has its share already. One always
-// fits, so that none waits for ever.
+// fits, so that none waits forever.
 func (a *associations) grant(settings *Settings, buffers *eventloop.Buffers) {
 	if a.granting { // sending an R2T has ended a connection, which gave buffers back
 		a.again = true
