--- a/events.go
+++ b/events.go
@@ -19,8 +19,8 @@
 	ID        OpID
 	Units     float64       // its size
 	Timeout   time.Duration // the clock time at which the client gives up
-	Plan      int           // number of the volume's plan, see PlanSettings
-	Type      int           // number of the op type, see OpTypeSettings
+	Plan      int           // number of the volume's plan, see Settings.Plans
+	Type      int           // number of the op type, see Settings.OpTypes
 	Key       int64         // number of the object that is read or written, if HasKey
 	HasKey    bool          // ops of an ordered type are ordered by Key
 	Write     bool          // it changes data
--- a/honeyplank.go
+++ b/honeyplank.go
@@ -22,7 +22,7 @@
 // The semantics of an op type.
 const (
 	Idempotent   Semantics = iota // a repeat does no harm
-	Deduplicated                  // repeats are dropped within a DedupScope, for OpTypeSettings.DedupWindow
+	Deduplicated                  // repeats are dropped within a DedupScope, for OpType.DedupWindow
 	AtMostOnce                    // it must never run twice
 )
 
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -25,7 +25,7 @@
 
 // settings are the module's settings.
 func (m *siteMessage) settings() (*honeyplank.Settings, error) {
-	opTypes, err := m.opTypeSettings()
+	opTypes, err := m.opTypes()
 	if err != nil {
 		return nil, err
 	}
@@ -34,7 +34,7 @@
 		Instances:    m.InstanceCount,
 		Ordinal:      m.Ordinal,
 		OpTypes:      opTypes,
-		Plans:        m.planSettings(),
+		Plans:        m.plans(),
 		MeanUnits:    m.Work.MeanUnits,
 		LargestUnits: m.Work.LargestUnits,
 		Watch: honeyplank.WatchSettings{
@@ -74,38 +74,44 @@
 
 func (m *siteMessage) watchOnRequest() bool { return m.Discovery == discoveryByWatch }
 
-func (m *siteMessage) opTypeSettings() (settings honeyplank.OpTypeSettings, err error) {
+func (m *siteMessage) opTypes() ([]honeyplank.OpType, error) {
+	var opTypes []honeyplank.OpType
 	for i, opType := range m.OpTypes {
 		semantics, ok := semanticsByName[opType.Semantics]
 		if !ok {
-			return settings, fmt.Errorf("classes[%d].semantics %q is unknown", i, opType.Semantics)
+			return nil, fmt.Errorf("classes[%d].semantics %q is unknown", i, opType.Semantics)
 		}
 		scope, ok := dedupScopesByName[opType.DedupScope]
 		if !ok {
-			return settings, fmt.Errorf("classes[%d].dedup_scope %q is unknown", i, opType.DedupScope)
+			return nil, fmt.Errorf("classes[%d].dedup_scope %q is unknown", i, opType.DedupScope)
 		}
-		settings.TargetLatency = append(settings.TargetLatency, fromMillis(opType.TargetLatency))
-		settings.OpTimeout = append(settings.OpTimeout, fromMillis(opType.OpTimeout))
-		settings.Utility = append(settings.Utility, opType.Utility)
-		settings.Semantics = append(settings.Semantics, semantics)
-		settings.DedupScope = append(settings.DedupScope, scope)
-		settings.DedupWindow = append(settings.DedupWindow, fromMillis(opType.DedupWindow))
-		settings.Ordered = append(settings.Ordered, opType.Ordered)
+		opTypes = append(opTypes, honeyplank.OpType{
+			TargetLatency: fromMillis(opType.TargetLatency),
+			OpTimeout:     fromMillis(opType.OpTimeout),
+			Utility:       opType.Utility,
+			Semantics:     semantics,
+			DedupScope:    scope,
+			DedupWindow:   fromMillis(opType.DedupWindow),
+			Ordered:       opType.Ordered,
+		})
 	}
-	return settings, nil
+	return opTypes, nil
 }
 
-func (m *siteMessage) planSettings() (settings honeyplank.PlanSettings) {
+func (m *siteMessage) plans() []honeyplank.Plan {
+	var plans []honeyplank.Plan
 	for _, plan := range m.Plans {
-		settings.Rate = append(settings.Rate, plan.Rate)
-		settings.Reserve = append(settings.Reserve, plan.Reserve)
-		settings.Weight = append(settings.Weight, plan.Weight)
-		settings.Value = append(settings.Value, plan.Value)
-		settings.Limit = append(settings.Limit, plan.Limit)
-		settings.Burst = append(settings.Burst, plan.Burst)
-		settings.Slack = append(settings.Slack, plan.Slack)
+		plans = append(plans, honeyplank.Plan{
+			Rate:    plan.Rate,
+			Reserve: plan.Reserve,
+			Weight:  plan.Weight,
+			Value:   plan.Value,
+			Limit:   plan.Limit,
+			Burst:   plan.Burst,
+			Slack:   plan.Slack,
+		})
 	}
-	return settings
+	return plans
 }
 
 // retryBudget is the retry budget; there is one only where the rules state its share or its window.
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -11,8 +11,8 @@
 type Site struct {
 	Settings       *honeyplank.Settings
 	LoadFields     []string      // names of the values of a load report
-	OpTypes        []string      // names, in the order of the lists in Settings.OpTypes
-	Plans          []string      // names, in the order of the lists in Settings.Plans
+	OpTypes        []string      // names, in the order of Settings.OpTypes
+	Plans          []string      // names, in the order of Settings.Plans
 	Models         []string      // names of the hardware models, by number
 	Zones          []string      // names of the zones, by number
 	IdleTimeout    time.Duration // after which an idle connection to a disk server is closed
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -21,9 +21,8 @@
 				ConfirmAfter:    10 * time.Second,
 				FlapWindow:      time.Minute,
 			})
-			module := policy.New(1, &honeyplank.Settings{OpTypes: honeyplank.OpTypeSettings{
-				TargetLatency: []time.Duration{200 * time.Millisecond},
-				OpTimeout:     []time.Duration{time.Second},
+			module := policy.New(1, &honeyplank.Settings{OpTypes: []honeyplank.OpType{
+				{TargetLatency: 200 * time.Millisecond, OpTimeout: time.Second},
 			}})
 			handle := func(lists []honeyplank.List) {
 				for _, list := range lists {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -47,9 +47,10 @@
 	e.unitsSquaredAdmitted += event.Units * event.Units
 	// The target latency of a retry runs from its client's first attempt. An op that brings less
 	// time than its target latency is to be answered within the time it brings.
-	op.target = min(e.now+valueAt(e.settings.OpTypes.TargetLatency, event.Type)-e.alreadyWaited(op), event.Timeout)
+	opType := e.settings.opType(event.Type)
+	op.target = min(e.now+opType.TargetLatency-e.alreadyWaited(op), event.Timeout)
 	e.ops[event.ID] = op
-	if event.HasKey && valueAt(e.settings.OpTypes.Ordered, event.Type) {
+	if event.HasKey && opType.Ordered {
 		e.joinKeyQueue(op)
 	}
 	e.openVolume(op)
@@ -85,7 +86,7 @@
 // alreadyWaited is how long the client of an op has waited since its first attempt: the time that
 // the op has less than an earlier one of the same identity that failed.
 func (e *Engine) alreadyWaited(op *op) time.Duration {
-	total := valueAt(e.settings.OpTypes.OpTimeout, op.Type)
+	total := e.settings.opType(op.Type).OpTimeout
 	if !op.HasKey || total <= 0 {
 		return 0
 	}
@@ -252,7 +253,7 @@
 
 // largestConcurrencyLimit is the largest concurrency limit of a server over all op types.
 func (e *Engine) largestConcurrencyLimit(server *server, class demandClass) (largest float64) {
-	for opType := range e.settings.OpTypes.TargetLatency {
+	for opType := range e.settings.OpTypes {
 		largest = max(largest, e.concurrencyLimit(server, opType, spareLatencyShare))
 		if class == reserveDemand {
 			largest = max(largest, e.concurrencyLimit(server, opType, reserveLatencyShare))
@@ -274,7 +275,7 @@
 		return false
 	}
 	e.refillBuckets(op.volume)
-	limited := valueAt(e.settings.Plans.Limit, op.volume.plan) > 0
+	limited := e.settings.plan(op.volume.plan).Limit > 0
 	if limited && !isRetry && op.volume.limit < e.limitHeadroom(op) {
 		return false
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -101,7 +101,7 @@
 		keyQueues:       map[int64]*keyQueue{},
 		earlierAttempts: map[requestIdentity]*earlierAttempt{},
 		demandByCell:    map[int]*cellDemand{},
-		latencyByType:   make([]typeLatency, len(settings.OpTypes.TargetLatency)),
+		latencyByType:   make([]typeLatency, len(settings.OpTypes)),
 		savedEstimates:  map[honeyplank.ServerID]honeyplank.ServerEstimate{},
 	}
 }
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -133,7 +133,7 @@
 // earliestAnswerOfAnyType is the least earliestAnswer over all op types.
 func (e *Engine) earliestAnswerOfAnyType(server *server) time.Duration {
 	earliest := time.Duration(math.MaxInt64)
-	for opType := range e.settings.OpTypes.TargetLatency {
+	for opType := range e.settings.OpTypes {
 		earliest = min(earliest, e.earliestAnswer(server, opType))
 	}
 	return earliest
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -14,14 +14,14 @@
 	engine := policy.New(1, &honeyplank.Settings{
 		Instances: 1,
 		MeanUnits: 1,
-		OpTypes: honeyplank.OpTypeSettings{
-			TargetLatency: []time.Duration{200 * time.Millisecond},
-			OpTimeout:     []time.Duration{time.Second},
-			Utility:       []float64{1},
-			Semantics:     []honeyplank.Semantics{honeyplank.Idempotent},
-		},
+		OpTypes: []honeyplank.OpType{{
+			TargetLatency: 200 * time.Millisecond,
+			OpTimeout:     time.Second,
+			Utility:       1,
+			Semantics:     honeyplank.Idempotent,
+		}},
 		Dispatches: honeyplank.DispatchSettings{Max: 2},
-		Plans:      honeyplank.PlanSettings{Rate: []float64{100}, Reserve: []float64{50}, Weight: []float64{1}},
+		Plans:      []honeyplank.Plan{{Rate: 100, Reserve: 50, Weight: 1}},
 	})
 	handle := func(now time.Duration, event honeyplank.Event) {
 		for _, action := range engine.Handle(now, event) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -17,22 +17,11 @@
 // testSettings are settings with two op types and one plan; tests change what they are about.
 func testSettings() *honeyplank.Settings {
 	return &honeyplank.Settings{
-		OpTypes: honeyplank.OpTypeSettings{
-			TargetLatency: []time.Duration{200 * ms, 1500 * ms},
-			OpTimeout:     []time.Duration{1200 * ms, 5000 * ms},
-			Utility:       []float64{2, 1},
-			Semantics:     []honeyplank.Semantics{0, 0},
-			DedupScope:    []honeyplank.DedupScope{0, 0},
-			DedupWindow:   []time.Duration{time.Second, time.Second},
-		},
-		Plans: honeyplank.PlanSettings{
-			Rate:    []float64{20},
-			Reserve: []float64{10},
-			Weight:  []float64{1},
-			Limit:   []float64{0},
-			Burst:   []float64{0},
-			Slack:   []float64{0},
+		OpTypes: []honeyplank.OpType{
+			{TargetLatency: 200 * ms, OpTimeout: 1200 * ms, Utility: 2, DedupWindow: time.Second},
+			{TargetLatency: 1500 * ms, OpTimeout: 5000 * ms, Utility: 1, DedupWindow: time.Second},
 		},
+		Plans:        []honeyplank.Plan{{Rate: 20, Reserve: 10, Weight: 1}},
 		Instances:    1,
 		Step:         2 * ms,
 		Dispatches:   honeyplank.DispatchSettings{Max: 4},
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -78,7 +78,7 @@
 	} {
 		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
 			settings := testSettings()
-			settings.Plans.Reserve = []float64{1e6}
+			settings.Plans[0].Reserve = 1e6
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
 			engine, sent := fleet.instances[0], 0
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -30,8 +30,8 @@
 	settings.SlowStart = honeyplank.SlowStartSettings{From: 0.3, Units: 40, Time: 2 * time.Second, Window: 500 * ms}
 	settings.Dispatches.ConnectTimeout = 200 * ms
 	settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: 3, Share: 0.2, Window: 5 * time.Second}
-	settings.Plans.Reserve = []float64{1000}
-	settings.Plans.Limit, settings.Plans.Burst = []float64{1000}, []float64{2000}
+	settings.Plans[0].Reserve = 1000
+	settings.Plans[0].Limit, settings.Plans[0].Burst = 1000, 2000
 	fleet := &idleFleet{testFleet: newTestFleet(t, 3, settings), lastDispatch: map[honeyplank.ServerID]time.Duration{}}
 	fleet.longestDispatch, fleet.now = 30*ms, time.Second
 	fleet.onWatch = func(instance int) {
@@ -128,7 +128,7 @@
 		Units:     float64(1 + fleet.rng.Intn(2)),
 		Type:      opType,
 		Instances: 2,
-		Timeout:   fleet.now + valueAt(fleet.settings.OpTypes.OpTimeout, opType),
+		Timeout:   fleet.now + fleet.settings.OpTypes[opType].OpTimeout,
 		Volume:    fleet.rng.Int63n(9),
 		Cell:      max(cell, honeyplank.NewObject),
 	}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -25,13 +25,15 @@
 // settings have one op type and one plan.
 func (scenario loadScenario) settings() *honeyplank.Settings {
 	settings := testSettings()
-	settings.OpTypes.TargetLatency = []time.Duration{200 * ms}
-	settings.OpTypes.OpTimeout = []time.Duration{1200 * ms}
-	settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Idempotent}
-	settings.OpTypes.DedupScope = []honeyplank.DedupScope{honeyplank.ScopeAll}
-	settings.OpTypes.DedupWindow = []time.Duration{0}
+	settings.OpTypes = []honeyplank.OpType{{
+		TargetLatency: 200 * ms,
+		OpTimeout:     1200 * ms,
+		Utility:       2,
+		Semantics:     honeyplank.Idempotent,
+		DedupScope:    honeyplank.ScopeAll,
+	}}
 	rate := unitsPerSecond * float64(scenario.servers) / float64(scenario.volumes)
-	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate / 2}
+	settings.Plans[0].Rate, settings.Plans[0].Reserve = rate, rate/2
 	settings.MeanUnits, settings.LargestUnits = 1, 4
 	settings.Usage.Period = time.Second
 	return settings
--- a/policy/means.go
+++ b/policy/means.go
@@ -79,15 +79,6 @@
 	return mean + weight*(value-mean)
 }
 
-// mean is the arithmetic mean of a list, 0 for an empty one.
-func mean(list []float64) float64 {
-	average := 0.0
-	for _, value := range list {
-		average += value / float64(len(list))
-	}
-	return average
-}
-
 // dropBefore drops the times before one from a sorted list.
 func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i := sort.Search(len(times), func(i int) bool { return times[i] >= from })
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -102,11 +102,12 @@
 
 // mayRetry is ruleRepeat for a retry that runs at a server a time after its decision.
 func (m *ruleModel) mayRetry(op *trackedOp, server honeyplank.ServerID, after time.Duration) bool {
-	semantics := m.semanticsOf(op)
+	opType := m.opType(op)
 	for _, dispatch := range op.dispatched {
 		repeatDropped := m.inDedupScope(op, dispatch.server, server) &&
-			m.now+after-dispatch.sentAt < valueAt(m.settings.OpTypes.DedupWindow, op.Type)
-		harmless := semantics == honeyplank.Idempotent || semantics == honeyplank.Deduplicated && repeatDropped
+			m.now+after-dispatch.sentAt < opType.DedupWindow
+		harmless := opType.Semantics == honeyplank.Idempotent ||
+			opType.Semantics == honeyplank.Deduplicated && repeatDropped
 		if !dispatch.done && !m.settings.Dispatches.HedgingAllowed {
 			return false
 		}
@@ -117,14 +118,14 @@
 	return true
 }
 
-func (m *ruleModel) semanticsOf(op *trackedOp) honeyplank.Semantics {
-	return valueAt(m.settings.OpTypes.Semantics, op.Type)
+func (m *ruleModel) opType(op *trackedOp) honeyplank.OpType {
+	return valueAt(m.settings.OpTypes, op.Type)
 }
 
 // inDedupScope reports whether a server drops repeats of an op that another one was sent.
 func (m *ruleModel) inDedupScope(op *trackedOp, earlier, later honeyplank.ServerID) bool {
 	first, second := m.servers[earlier], m.servers[later]
-	switch valueAt(m.settings.OpTypes.DedupScope, op.Type) {
+	switch m.opType(op).DedupScope {
 	case honeyplank.ScopeZone:
 		return first.Zone == second.Zone
 	case honeyplank.ScopeCell:
@@ -135,9 +136,9 @@
 
 // mayReject is ruleRepeat for a rejection.
 func (m *ruleModel) mayReject(op *trackedOp) bool {
-	semantics, scope := m.semanticsOf(op), valueAt(m.settings.OpTypes.DedupScope, op.Type)
-	return op.neverRan() || semantics == honeyplank.Idempotent ||
-		semantics == honeyplank.Deduplicated && scope == honeyplank.ScopeAll
+	opType := m.opType(op)
+	return op.neverRan() || opType.Semantics == honeyplank.Idempotent ||
+		opType.Semantics == honeyplank.Deduplicated && opType.DedupScope == honeyplank.ScopeAll
 }
 
 // isNextOfKey is ruleOrder.
@@ -155,7 +156,7 @@
 }
 
 func (m *ruleModel) isOrdered(op *trackedOp) bool {
-	return op.HasKey && valueAt(m.settings.OpTypes.Ordered, op.Type)
+	return op.HasKey && m.opType(op).Ordered
 }
 
 // longestHoldUp is for how long a process may stand still between a decision and the dispatch.
@@ -216,14 +217,14 @@
 
 // useLimit takes an op out of the bucket of its volume's limit.
 func (m *ruleModel) useLimit(op *trackedOp) {
-	limit := valueAt(m.settings.Plans.Limit, op.Plan)
-	if limit <= 0 {
+	plan := valueAt(m.settings.Plans, op.Plan)
+	if plan.Limit <= 0 {
 		return
 	}
-	refilled := limit * (m.now - m.limitUsedAt[op.Volume]).Seconds()
+	refilled := plan.Limit * (m.now - m.limitUsedAt[op.Volume]).Seconds()
 	used := max(0, m.limitUsed[op.Volume]-refilled) + op.Units
 	m.limitUsed[op.Volume], m.limitUsedAt[op.Volume] = used, m.now
-	if left := valueAt(m.settings.Plans.Burst, op.Plan) - used; left < -valueAt(m.settings.Plans.Slack, op.Plan) {
+	if left := plan.Burst - used; left < -plan.Slack {
 		m.violate(ruleLimit, "volume %d at %.1f", op.Volume, left)
 	}
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -168,7 +168,7 @@
 	op.volume.servedHere.add(e.now, op.Units, e.usageMemory())
 	if outcome.QuotaUsed > 0 {
 		share := float64(outcome.QuotaUsed-1) / 100
-		op.volume.servedEverywhere = share * valueAt(e.settings.Plans.Rate, op.Plan)
+		op.volume.servedEverywhere = share * e.settings.plan(op.Plan).Rate
 	}
 }
 
@@ -217,17 +217,16 @@
 // rejectIsSafe reports whether an op may be answered as rejected: another attempt of the client
 // must do no harm.
 func (e *Engine) rejectIsSafe(op *op) bool {
-	semantics := valueAt(e.settings.OpTypes.Semantics, op.Type)
-	dedupEverywhere := valueAt(e.settings.OpTypes.DedupScope, op.Type) == honeyplank.ScopeAll
-	return semantics == honeyplank.Idempotent ||
-		semantics == honeyplank.Deduplicated && dedupEverywhere ||
+	opType := e.settings.opType(op.Type)
+	return opType.Semantics == honeyplank.Idempotent ||
+		opType.Semantics == honeyplank.Deduplicated && opType.DedupScope == honeyplank.ScopeAll ||
 		op.neverRan()
 }
 
 // giveUp answers an op without success: as rejected where that is safe, else as failed.
 func (e *Engine) giveUp(op *op) {
 	if e.rejectIsSafe(op) {
-		retryAfter := min(valueAt(e.settings.OpTypes.TargetLatency, op.Type), e.settings.maxRetryAfter)
+		retryAfter := min(e.settings.opType(op.Type).TargetLatency, e.settings.maxRetryAfter)
 		e.emit(honeyplank.Reject{Op: op.ID, RetryAfter: retryAfter})
 	} else {
 		e.emit(honeyplank.Fail{Op: op.ID})
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"time"
+
+	"honeyplank"
 )
 
 // limitHeadroomShare is the share of a limit's bucket that is kept from an op type of no utility.
@@ -35,11 +37,10 @@
 func (e *Engine) refillBuckets(volume *volume) {
 	elapsed, instances := (e.now - volume.refilledAt).Seconds(), float64(volume.instances)
 	volume.refilledAt = e.now
-	reserve := valueAt(e.settings.Plans.Reserve, volume.plan)
-	limit := valueAt(e.settings.Plans.Limit, volume.plan)
-	refillRate := e.reserveRefillRate(volume, reserve)
-	volume.reserve = min(volume.reserve+elapsed*refillRate, reserve+e.settings.LargestUnits)
-	volume.limit = min(volume.limit+elapsed*limit/instances, e.bucketCapacity(volume.plan, volume.instances))
+	plan := e.settings.plan(volume.plan)
+	refillRate := e.reserveRefillRate(volume, plan.Reserve)
+	volume.reserve = min(volume.reserve+elapsed*refillRate, plan.Reserve+e.settings.LargestUnits)
+	volume.limit = min(volume.limit+elapsed*plan.Limit/instances, e.bucketCapacity(plan, volume.instances))
 }
 
 // reserveRefillRate is this instance's share of a volume's reserve, in units a second: its share of
@@ -64,10 +65,9 @@
 // dispatched from a full bucket may be delayed by holdUp and arrive together with what refilled it
 // since: the capacity is less by that, unless the limit's slack covers it. It still holds one op of
 // the largest size if the whole bucket does.
-func (e *Engine) bucketCapacity(plan, instances int) float64 {
-	burst := valueAt(e.settings.Plans.Burst, plan)
-	margin := max(0, holdUp.Seconds()*valueAt(e.settings.Plans.Limit, plan)-valueAt(e.settings.Plans.Slack, plan))
-	burst, margin = burst/float64(instances), margin/float64(instances)
+func (e *Engine) bucketCapacity(plan *honeyplank.Plan, instances int) float64 {
+	margin := max(0, holdUp.Seconds()*plan.Limit-plan.Slack)
+	burst, margin := plan.Burst/float64(instances), margin/float64(instances)
 	return max(burst-margin, min(burst, e.settings.LargestUnits))
 }
 
@@ -88,7 +88,7 @@
 // surges of large ops of little utility that use up a limit which others then lack. It could harm
 // where ops of more utility never come.
 func (e *Engine) limitHeadroom(op *op) float64 {
-	capacity := e.bucketCapacity(op.Plan, op.volume.instances)
+	capacity := e.bucketCapacity(e.settings.plan(op.Plan), op.volume.instances)
 	kept := limitHeadroomShare * valueAt(e.settings.utilityDeficit, op.Type) * capacity
 	return max(op.Units, min(op.Units+kept, capacity))
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -47,7 +47,7 @@
 	for up, want := range map[time.Duration]int{0: 0, 2 * time.Second: 4, time.Minute: 6} {
 		t.Run(fmt.Sprint("up for ", up), func(t *testing.T) {
 			settings := testSettings()
-			settings.Plans.Limit, settings.Plans.Burst = []float64{2}, []float64{6}
+			settings.Plans[0].Limit, settings.Plans[0].Burst = 2, 6
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0), member(1, 0))
 			fleet.now += up
@@ -74,8 +74,8 @@
 // TestLimitHeadroom: ops of less utility leave a part of a limit's bucket to those of more.
 func TestLimitHeadroom(t *testing.T) {
 	settings := testSettings()
-	settings.Plans.Limit, settings.Plans.Burst, settings.Plans.Reserve = []float64{1}, []float64{12}, []float64{20}
-	settings.Plans.Slack = []float64{1}      // what a hold-up adds
+	settings.Plans[0].Limit, settings.Plans[0].Burst, settings.Plans[0].Reserve = 1, 12, 20
+	settings.Plans[0].Slack = 1              // what a hold-up adds
 	for opType, want := range []int{12, 9} { // utilities 2 and 1: half of half is left by the second
 		t.Run(fmt.Sprint("op type ", opType), func(t *testing.T) {
 			fleet := newTestFleet(t, 1, settings)
@@ -97,7 +97,7 @@
 // more than the bucket can hold.
 func TestLimitAfterIdleExpiry(t *testing.T) {
 	settings := testSettings()
-	settings.Plans.Limit, settings.Plans.Burst = []float64{0.1}, []float64{8}
+	settings.Plans[0].Limit, settings.Plans[0].Burst = 0.1, 8
 	fleet := newTestFleet(t, 1, settings)
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	admit := func(n int, units float64) int {
@@ -155,8 +155,8 @@
 	} {
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			settings := testSettings()
-			settings.Plans.Limit, settings.Plans.Burst = []float64{test.limit}, []float64{test.burst}
-			settings.Plans.Slack = []float64{test.slack}
+			settings.Plans[0].Limit, settings.Plans[0].Burst = test.limit, test.burst
+			settings.Plans[0].Slack = test.slack
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, membersUpTo(50)...)
 			sent, begin := 0.0, time.Hour
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -73,7 +73,7 @@
 	rng := rand.New(rand.NewSource(seed))
 	settings := testSettings()
 	settings.SlowStart = honeyplank.SlowStartSettings{From: 0.2, Units: 20, Time: time.Minute, Window: time.Second}
-	settings.Plans.Limit, settings.Plans.Burst = []float64{float64(rng.Intn(2)) * 50}, []float64{100}
+	settings.Plans[0].Limit, settings.Plans[0].Burst = float64(rng.Intn(2))*50, 100
 	fleet := &rankingFleet{t: t, seed: seed, rng: rng, engine: New(seed, settings), now: time.Minute}
 	for range []int{1, 5, 40, maxTopServers, maxTopServers + 1, 200, 700}[seed%7] {
 		fleet.members = append(fleet.members, fleet.newMember())
@@ -210,7 +210,7 @@
 // largeFleet is one instance with a number of servers and a reserve that covers all new objects.
 func largeFleet(servers int) *Engine {
 	settings := testSettings()
-	settings.Plans.Reserve = []float64{1e6}
+	settings.Plans[0].Reserve = 1e6
 	engine := New(1, settings)
 	engine.Handle(time.Second, honeyplank.List{Kind: honeyplank.Complete, Members: membersUpTo(servers)})
 	return engine
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -34,20 +34,19 @@
 // run within it, though it may be delayed, wait for its connection and be queued at the server. It
 // could harm where the settings state less time than that: such ops are never sent twice.
 func (e *Engine) retryAllowed(op *op, server *server) bool {
-	semantics := valueAt(e.settings.OpTypes.Semantics, op.Type)
-	scope := valueAt(e.settings.OpTypes.DedupScope, op.Type)
+	opType := e.settings.opType(op.Type)
 	runsAt := e.now + e.settings.maxArrivalDelay + 2*e.earliestAnswer(server, op.Type)
 	for _, dispatch := range op.dispatches {
-		outOfScope := scope == honeyplank.ScopeZone && dispatch.server.Zone != server.Zone ||
-			scope == honeyplank.ScopeCell && dispatch.server.Cell != server.Cell
-		tooLate := runsAt >= dispatch.sentAt+valueAt(e.settings.OpTypes.DedupWindow, op.Type)
+		outOfScope := opType.DedupScope == honeyplank.ScopeZone && dispatch.server.Zone != server.Zone ||
+			opType.DedupScope == honeyplank.ScopeCell && dispatch.server.Cell != server.Cell
+		tooLate := runsAt >= dispatch.sentAt+opType.DedupWindow
 		switch {
 		case !dispatch.done && !e.settings.Dispatches.HedgingAllowed:
 			return false
 		case dispatch.done && !dispatch.mayHaveRun:
-		case semantics == honeyplank.AtMostOnce:
+		case opType.Semantics == honeyplank.AtMostOnce:
 			return false
-		case semantics == honeyplank.Deduplicated && (outOfScope || tooLate):
+		case opType.Semantics == honeyplank.Deduplicated && (outOfScope || tooLate):
 			return false
 		}
 	}
@@ -112,7 +111,7 @@
 }
 
 func (e *Engine) mayCancel(dispatch *outstandingDispatch) bool {
-	atMostOnce := valueAt(e.settings.OpTypes.Semantics, dispatch.op.Type) == honeyplank.AtMostOnce
+	atMostOnce := e.settings.opType(dispatch.op.Type).Semantics == honeyplank.AtMostOnce
 	return !dispatch.cancelRequested && !dispatch.op.responseStarted && !atMostOnce
 }
 
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -22,7 +22,9 @@
 		{"overtaken", func(*honeyplank.Settings) {}, true, 2},
 		{"alone", func(*honeyplank.Settings) {}, false, 1},
 		{"once-only", func(settings *honeyplank.Settings) {
-			settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.AtMostOnce, honeyplank.AtMostOnce}
+			for i := range settings.OpTypes {
+				settings.OpTypes[i].Semantics = honeyplank.AtMostOnce
+			}
 		}, true, 1},
 		{"not allowed", func(settings *honeyplank.Settings) { settings.Dispatches.CancelAllowed = false }, true, 1},
 		{"one at a time", func(settings *honeyplank.Settings) { settings.Dispatches.HedgingAllowed = false }, true, 1},
@@ -124,8 +126,10 @@
 	} {
 		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
 			settings := testSettings()
-			settings.OpTypes.Semantics = []honeyplank.Semantics{honeyplank.Deduplicated, honeyplank.Deduplicated}
-			settings.OpTypes.DedupWindow = []time.Duration{test.dedupWindow, test.dedupWindow}
+			for i := range settings.OpTypes {
+				settings.OpTypes[i].Semantics = honeyplank.Deduplicated
+				settings.OpTypes[i].DedupWindow = test.dedupWindow
+			}
 			settings.Dispatches.ConnectTimeout = test.connectTimeout
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -13,11 +13,11 @@
 // randomSettings draws settings, also such as no deployment has.
 func randomSettings(rng *rand.Rand) *honeyplank.Settings {
 	settings := testSettings()
-	opTypes := &settings.OpTypes
-	opTypes.Semantics = []honeyplank.Semantics{honeyplank.Semantics(rng.Intn(3)), honeyplank.Semantics(rng.Intn(3))}
-	opTypes.DedupScope = []honeyplank.DedupScope{honeyplank.DedupScope(rng.Intn(3)), honeyplank.DedupScope(rng.Intn(3))}
-	opTypes.Ordered = []bool{rng.Intn(2) == 0, rng.Intn(2) == 0}
-	opTypes.DedupWindow = []time.Duration{time.Duration(rng.Intn(600)) * ms, time.Second}
+	first, second := &settings.OpTypes[0], &settings.OpTypes[1]
+	first.Semantics, second.Semantics = honeyplank.Semantics(rng.Intn(3)), honeyplank.Semantics(rng.Intn(3))
+	first.DedupScope, second.DedupScope = honeyplank.DedupScope(rng.Intn(3)), honeyplank.DedupScope(rng.Intn(3))
+	first.Ordered, second.Ordered = rng.Intn(2) == 0, rng.Intn(2) == 0
+	first.DedupWindow = time.Duration(rng.Intn(600)) * ms
 	settings.Dispatches.HedgingAllowed, settings.Dispatches.Max = rng.Intn(2) == 0, rng.Intn(5)
 	settings.Dispatches.CancelAllowed = rng.Intn(4) > 0
 	settings.Instances, settings.OrderSettle = 1+rng.Intn(3), time.Duration(rng.Intn(150))*ms
@@ -25,7 +25,7 @@
 		free := float64(rng.Intn(3))
 		settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: free, Share: 0.1, Window: 500 * ms}
 	}
-	settings.Plans.Limit, settings.Plans.Burst = []float64{float64(30 * rng.Intn(2))}, []float64{36}
+	settings.Plans[0].Limit, settings.Plans[0].Burst = float64(30*rng.Intn(2)), 36
 	settings.Dispatches.ConnectTimeout = time.Duration(rng.Intn(2)*rng.Intn(300)) * ms
 	settings.SlowStart = honeyplank.SlowStartSettings{From: 0.2, Units: 20, Time: 2 * time.Second, Window: 300 * ms}
 	settings.Watch.OnRequest, settings.Watch.Within = rng.Intn(2) == 0, time.Second
@@ -34,7 +34,8 @@
 	settings.Usage.Elsewhere = settings.RetryAfter.Allowed
 	dropSettings(rng, settings)
 	if rng.Intn(4) == 0 {
-		settings.Plans.Weight, opTypes.TargetLatency = []float64{0}, []time.Duration{0, 0}
+		changeOpTypes(settings, func(opType *honeyplank.OpType) { opType.TargetLatency = 0 })
+		changePlans(settings, func(plan *honeyplank.Plan) { plan.Weight = 0 })
 	}
 	return settings
 }
@@ -42,13 +43,13 @@
 // dropSettings drops up to three settings, which the module must bear.
 func dropSettings(rng *rand.Rand, settings *honeyplank.Settings) {
 	drop := []func(){
-		func() { settings.OpTypes.TargetLatency = nil },
-		func() { settings.OpTypes.Utility = nil },
-		func() { settings.Plans.Weight = nil },
-		func() { settings.Plans.Reserve = nil },
-		func() { settings.Plans.Rate = nil },
+		func() { settings.OpTypes = nil },
+		func() { changeOpTypes(settings, func(opType *honeyplank.OpType) { opType.Utility = 0 }) },
+		func() { settings.Plans = nil },
+		func() { changePlans(settings, func(plan *honeyplank.Plan) { plan.Reserve = 0 }) },
+		func() { changePlans(settings, func(plan *honeyplank.Plan) { plan.Rate = 0 }) },
 		func() { settings.LargestUnits = 0 },
-		func() { settings.OpTypes.Semantics = nil },
+		func() { changeOpTypes(settings, func(opType *honeyplank.OpType) { opType.Semantics = 0 }) },
 		func() { settings.Instances = 0 },
 	}
 	for i := range rng.Intn(2) * rng.Intn(4) {
@@ -56,6 +57,20 @@
 	}
 }
 
+// changeOpTypes changes each op type of settings.
+func changeOpTypes(settings *honeyplank.Settings, change func(*honeyplank.OpType)) {
+	for i := range settings.OpTypes {
+		change(&settings.OpTypes[i])
+	}
+}
+
+// changePlans changes each plan of settings.
+func changePlans(settings *honeyplank.Settings, change func(*honeyplank.Plan)) {
+	for i := range settings.Plans {
+		change(&settings.Plans[i])
+	}
+}
+
 // fuzzedCodes are the codes by which dispatches of FuzzRules end, those of successes more often.
 var fuzzedCodes = []honeyplank.Code{
 	honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Succeeded,
@@ -118,12 +133,13 @@
 	}
 }
 
-// admitSome sends up to two ops to instances at random.
+// admitSome sends up to two ops to instances at random. Their timeouts are those of testSettings, also where the
+// fleet's settings have no op types.
 func (fleet *fuzzedFleet) admitSome(step int) {
 	rng := fleet.events
 	for range rng.Intn(3) {
 		opType := rng.Intn(2)
-		left := valueAt(fleet.settings.OpTypes.OpTimeout, opType) / time.Duration(1+rng.Intn(20))
+		left := testSettings().OpTypes[opType].OpTimeout / time.Duration(1+rng.Intn(20))
 		instance := rng.Intn(len(fleet.instances))
 		fleet.handle(instance, honeyplank.Op{
 			ID:        honeyplank.OpID(fmt.Sprint(step, fleet.rng.Int63())),
--- a/policy/service_scenarios_test.go
+++ b/policy/service_scenarios_test.go
@@ -95,7 +95,7 @@
 			{0.4, 6, 15 * ms, 1000 * ms, 4000 * ms, 1, honeyplank.Deduplicated, honeyplank.ScopeCell},
 		},
 		change: func(settings *honeyplank.Settings) {
-			settings.Plans.Limit, settings.Plans.Burst = []float64{20}, []float64{60}
+			settings.Plans[0].Limit, settings.Plans[0].Burst = 20, 60
 			settings.RetryBudget = honeyplank.RetryBudget{Limited: true, Free: 3, Share: 0.1, Window: 5 * time.Second}
 		},
 	},
@@ -110,7 +110,7 @@
 	}
 	settings.MeanUnits, settings.LargestUnits, settings.Instances = mean, float64(largest), fleetInstances
 	rate := volumeInstances * requestRate * mean / fleetVolumes
-	settings.Plans.Rate, settings.Plans.Reserve = []float64{rate}, []float64{rate}
+	settings.Plans[0].Rate, settings.Plans[0].Reserve = rate, rate
 	settings.Dispatches.HedgingAllowed, settings.Dispatches.CancelAllowed = true, true
 	settings.SlowStart = honeyplank.SlowStartSettings{
 		From: 0.21, Units: 21, Time: 8 * time.Second, Window: 2 * time.Second,
@@ -121,14 +121,16 @@
 	return settings
 }
 
-func (d deployment) opTypes() (opTypes honeyplank.OpTypeSettings) {
+func (d deployment) opTypes() (opTypes []honeyplank.OpType) {
 	for _, class := range d.classes {
-		opTypes.TargetLatency = append(opTypes.TargetLatency, class.target)
-		opTypes.OpTimeout = append(opTypes.OpTimeout, class.timeout)
-		opTypes.Utility = append(opTypes.Utility, class.utility)
-		opTypes.Semantics = append(opTypes.Semantics, class.semantics)
-		opTypes.DedupScope = append(opTypes.DedupScope, class.scope)
-		opTypes.DedupWindow = append(opTypes.DedupWindow, 4*time.Second)
+		opTypes = append(opTypes, honeyplank.OpType{
+			TargetLatency: class.target,
+			OpTimeout:     class.timeout,
+			Utility:       class.utility,
+			Semantics:     class.semantics,
+			DedupScope:    class.scope,
+			DedupWindow:   4 * time.Second,
+		})
 	}
 	return opTypes
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"slices"
 	"time"
 
 	"honeyplank"
@@ -24,28 +23,33 @@
 	utilityDeficit  []float64     // by op type: the part of the greatest utility that it lacks
 }
 
-// readSettings returns the settings of an engine. The lists in them are shared.
+// readSettings returns the settings of an engine. The op types and plans in them are shared.
 func readSettings(settings *honeyplank.Settings) *engineSettings {
 	return &engineSettings{Settings: *settings, derivedSettings: deriveSettings(settings)}
 }
 
-// deriveSettings returns the figures that follow from settings, whose lists may be empty.
+// deriveSettings returns the figures that follow from settings, which may be without op types and plans.
 func deriveSettings(settings *honeyplank.Settings) derivedSettings {
 	derived := derivedSettings{
 		maxArrivalDelay: settings.Dispatches.ConnectTimeout + holdUp,
-		meanRate:        mean(settings.Plans.Rate),
-		meanWeight:      mean(settings.Plans.Weight),
+	}
+	for _, plan := range settings.Plans {
+		derived.meanRate += plan.Rate / float64(len(settings.Plans))
+		derived.meanWeight += plan.Weight / float64(len(settings.Plans))
 	}
 	if settings.RetryAfter.Allowed {
 		derived.maxRetryAfter = settings.RetryAfter.Max
 	}
-	if targets := settings.OpTypes.TargetLatency; len(targets) > 0 {
-		derived.shortestTarget = slices.Min(targets)
-		derived.longestTarget = max(0, slices.Max(targets))
+	greatestUtility := minUtility
+	for i, opType := range settings.OpTypes {
+		if i == 0 || opType.TargetLatency < derived.shortestTarget {
+			derived.shortestTarget = opType.TargetLatency
+		}
+		derived.longestTarget = max(derived.longestTarget, opType.TargetLatency)
+		greatestUtility = max(greatestUtility, opType.Utility)
 	}
-	for _, utility := range settings.OpTypes.Utility {
-		greatest := max(slices.Max(settings.OpTypes.Utility), minUtility)
-		derived.utilityDeficit = append(derived.utilityDeficit, 1-utility/greatest)
+	for _, opType := range settings.OpTypes {
+		derived.utilityDeficit = append(derived.utilityDeficit, 1-opType.Utility/greatestUtility)
 	}
 	return derived
 }
@@ -53,6 +57,22 @@
 // minUtility keeps a division by the greatest utility finite.
 const minUtility = 1e-9
 
+// opType is the op type of a number, to be read only; a zero value where there is none of it.
+func (s *engineSettings) opType(number int) *honeyplank.OpType {
+	if number < 0 || number >= len(s.OpTypes) {
+		return &honeyplank.OpType{}
+	}
+	return &s.OpTypes[number]
+}
+
+// plan is the plan of a number, to be read only; a zero value where there is none of it.
+func (s *engineSettings) plan(number int) *honeyplank.Plan {
+	if number < 0 || number >= len(s.Plans) {
+		return &honeyplank.Plan{}
+	}
+	return &s.Plans[number]
+}
+
 // valueAt is the i-th value of a list, or the zero value where the list has none.
 func valueAt[T any](list []T, i int) (value T) {
 	if i >= 0 && i < len(list) {
@@ -63,7 +83,7 @@
 
 // relativeWeight is the weight of a plan over the mean weight; 1 where it has none.
 func (e *Engine) relativeWeight(plan int) float64 {
-	weight := valueAt(e.settings.Plans.Weight, plan) / e.settings.meanWeight
+	weight := e.settings.plan(plan).Weight / e.settings.meanWeight
 	if weight > 0 {
 		return weight
 	}
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -241,7 +241,7 @@
 			return true
 		}
 	}
-	limited := valueAt(e.settings.Plans.Limit, volume.plan) > 0
+	limited := e.settings.plan(volume.plan).Limit > 0
 	return limited && queue.retryCount == 0 && volume.limit < queue.smallestUnits
 }
 
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -35,7 +35,7 @@
 	fleet := fullServerFleet(t)
 	engine := fleet.instances[0]
 	server := engine.servers["osd0"]
-	fleet.settings.Plans.Weight = []float64{1, 3}
+	fleet.settings.Plans = []honeyplank.Plan{{Rate: 20, Reserve: 10, Weight: 1}, {Rate: 20, Weight: 3}}
 	engine.settings = readSettings(fleet.settings)
 	engine.startSlice(server, &volumeQueue{volume: &volume{plan: 0}})
 	light := server.sliceEnd - engine.now
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -64,15 +64,16 @@
 func (scenario slowStartFleet) settings() *honeyplank.Settings {
 	settings := testSettings()
 	clientTimeout := scenario.clientTimeout()
-	settings.OpTypes.TargetLatency = []time.Duration{200 * ms, 200 * ms}
-	settings.OpTypes.OpTimeout = []time.Duration{clientTimeout, clientTimeout}
+	for i := range settings.OpTypes {
+		settings.OpTypes[i].TargetLatency, settings.OpTypes[i].OpTimeout = 200*ms, clientTimeout
+	}
 	settings.Instances, settings.MeanUnits, settings.LargestUnits = scenario.instances, slowStartMeanUnits, 6
 	if scenario.statedInstances > 0 {
 		settings.Instances = scenario.statedInstances
 	}
 	settings.Dispatches.ConnectTimeout = scenario.connectTimeout
 	if scenario.connectDelay > 0 {
-		settings.OpTypes.TargetLatency = []time.Duration{200 * ms, 3 * time.Second}
+		settings.OpTypes[1].TargetLatency = 3 * time.Second
 	}
 	if scenario.connectDelay > 0 && scenario.instances >= 300 { // fewer sweeps, to keep the test short
 		settings.Step = 50 * ms
@@ -83,9 +84,9 @@
 		From:   slowStartFrom,
 		Units:  scenario.budget * slowStartMeanUnits,
 	}
-	settings.Plans.Rate, settings.Plans.Reserve = []float64{1000}, []float64{0}
+	settings.Plans[0].Rate, settings.Plans[0].Reserve = 1000, 0
 	if scenario.withinReserve {
-		settings.Plans.Reserve = []float64{1e6}
+		settings.Plans[0].Reserve = 1e6
 	}
 	return settings
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -213,8 +213,8 @@
 // dispatches without an answer that would hold a connection and capacity forever; a client with a longer timeout gets
 // its answer early.
 func maxOpTime(site *simwire.Site, opType int) time.Duration {
-	if timeouts := site.Settings.OpTypes.OpTimeout; timeouts[opType] > 0 {
-		return maxDeadlineFactor * timeouts[opType]
+	if timeout := site.Settings.OpTypes[opType].OpTimeout; timeout > 0 {
+		return maxDeadlineFactor * timeout
 	}
 	return math.MaxInt64 / 2 // a time of the loop can be added without an overflow
 }
--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -1,8 +1,9 @@
 package scheduler
 
 import (
-	"slices"
 	"time"
+
+	"honeyplank"
 )
 
 const (
@@ -44,7 +45,7 @@
 	s.shuttingDown = true
 	s.log.Info().Int("unanswered", s.tracker.Unanswered()).Msg("graceful shutdown started")
 	s.logCounters()
-	s.shutdown = planShutdown(notified, slices.Max(append([]time.Duration{0}, s.site().Settings.OpTypes.OpTimeout...)))
+	s.shutdown = planShutdown(notified, longestOpTimeout(s.site().Settings.OpTypes))
 	s.loop.Schedule(notified+killGrace, func() {
 		s.graceElapsed = true
 		s.stopIfIdle()
@@ -54,6 +55,14 @@
 	})
 }
 
+// longestOpTimeout is the longest op timeout, 0 without op types.
+func longestOpTimeout(opTypes []honeyplank.OpType) (longest time.Duration) {
+	for _, opType := range opTypes {
+		longest = max(longest, opType.OpTimeout)
+	}
+	return longest
+}
+
 // shutdownPlan has the times of the steps of a shutdown on the loop's clock.
 type shutdownPlan struct {
 	closeIntake   time.Duration // no more ops are admitted
--- a/settings.go
+++ b/settings.go
@@ -12,8 +12,8 @@
 	// Ordinal is the number of this instance among them, from 0.
 	Ordinal int
 
-	OpTypes OpTypeSettings
-	Plans   PlanSettings
+	OpTypes []OpType // by number, see Op.Type
+	Plans   []Plan   // by number, see Op.Plan
 
 	// MeanUnits is the mean size of an op, in units.
 	MeanUnits float64
@@ -35,27 +35,26 @@
 	OrderSettle time.Duration
 }
 
-// OpTypeSettings has a list for each figure of an op type. The index in the lists is the number of the type, see
-// Op.Type.
-type OpTypeSettings struct {
-	TargetLatency []time.Duration // an answer within it earns the full utility
-	OpTimeout     []time.Duration // how long clients wait for an answer, all their attempts together
-	Utility       []float64       // the priority weight of an op
-	Semantics     []Semantics
-	DedupScope    []DedupScope    // of a deduplicated type
-	DedupWindow   []time.Duration // how long repeats of a deduplicated op are dropped
-	Ordered       []bool          // ops of one key run in the order of their arrival
+// OpType is what is known of an op type.
+type OpType struct {
+	TargetLatency time.Duration // an answer within it earns the full utility
+	OpTimeout     time.Duration // how long clients wait for an answer, all their attempts together
+	Utility       float64       // the priority weight of an op
+	Semantics     Semantics
+	DedupScope    DedupScope    // of a deduplicated type
+	DedupWindow   time.Duration // how long repeats of a deduplicated op are dropped
+	Ordered       bool          // ops of one key run in the order of their arrival
 }
 
-// PlanSettings has a list for each figure of a plan. The index in the lists is the number of the plan, see Op.Plan.
-type PlanSettings struct {
-	Rate    []float64 // expected rate of a volume, in units a second
-	Reserve []float64 // promised rate of a volume, in units a second
-	Weight  []float64 // share of a volume relative to others, beyond their reserves
-	Value   []float64 // factor of the utility of a volume's ops
-	Limit   []float64 // highest allowed rate of a volume, in units a second; 0: none
-	Burst   []float64 // size of the limit's token bucket, in units
-	Slack   []float64 // by how much a limit may be exceeded, in units
+// Plan is what is known of a volume's plan.
+type Plan struct {
+	Rate    float64 // expected rate of a volume, in units a second
+	Reserve float64 // promised rate of a volume, in units a second
+	Weight  float64 // share of a volume relative to others, beyond their reserves
+	Value   float64 // factor of the utility of a volume's ops
+	Limit   float64 // highest allowed rate of a volume, in units a second; 0: none
+	Burst   float64 // size of the limit's token bucket, in units
+	Slack   float64 // by how much a limit may be exceeded, in units
 }
 
 // WatchSettings tell how the endpoint list is watched.
--- a/settings/module.go
+++ b/settings/module.go
@@ -76,32 +76,36 @@
 	}
 }
 
-func moduleOpTypes(types []OpType) honeyplank.OpTypeSettings {
-	var m honeyplank.OpTypeSettings
+func moduleOpTypes(types []OpType) []honeyplank.OpType {
+	var opTypes []honeyplank.OpType
 	for _, t := range types {
-		m.TargetLatency = append(m.TargetLatency, t.TargetLatency.Duration())
-		m.OpTimeout = append(m.OpTimeout, t.OpTimeout.Duration())
-		m.Utility = append(m.Utility, t.Utility)
-		m.Semantics = append(m.Semantics, moduleSemantics[t.Semantics])
-		m.DedupScope = append(m.DedupScope, moduleDedupScopes[t.DedupScope])
-		m.DedupWindow = append(m.DedupWindow, t.DedupWindow.Duration())
-		m.Ordered = append(m.Ordered, t.Ordered)
+		opTypes = append(opTypes, honeyplank.OpType{
+			TargetLatency: t.TargetLatency.Duration(),
+			OpTimeout:     t.OpTimeout.Duration(),
+			Utility:       t.Utility,
+			Semantics:     moduleSemantics[t.Semantics],
+			DedupScope:    moduleDedupScopes[t.DedupScope],
+			DedupWindow:   t.DedupWindow.Duration(),
+			Ordered:       t.Ordered,
+		})
 	}
-	return m
+	return opTypes
 }
 
-func modulePlans(plans []Plan) honeyplank.PlanSettings {
-	var m honeyplank.PlanSettings
-	for _, p := range plans {
-		m.Rate = append(m.Rate, p.Rate)
-		m.Reserve = append(m.Reserve, p.Reserve)
-		m.Weight = append(m.Weight, p.Weight)
-		m.Value = append(m.Value, cmp.Or(p.Value, 1))
-		m.Limit = append(m.Limit, p.Limit)
-		m.Burst = append(m.Burst, p.Burst)
-		m.Slack = append(m.Slack, p.Slack)
+func modulePlans(list []Plan) []honeyplank.Plan {
+	var plans []honeyplank.Plan
+	for _, p := range list {
+		plans = append(plans, honeyplank.Plan{
+			Rate:    p.Rate,
+			Reserve: p.Reserve,
+			Weight:  p.Weight,
+			Value:   cmp.Or(p.Value, 1),
+			Limit:   p.Limit,
+			Burst:   p.Burst,
+			Slack:   p.Slack,
+		})
 	}
-	return m
+	return plans
 }
 
 // Units is the size of an op in units: whole ones, at least one.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -185,13 +185,13 @@
 func TestModuleSettings(t *testing.T) {
 	g := mustParse(t, example(t))
 	m := g.ModuleSettings()
-	if s := m.OpTypes.Semantics; s[3] != honeyplank.AtMostOnce || s[0] != honeyplank.Idempotent {
-		t.Error("semantics", s)
+	if m.OpTypes[3].Semantics != honeyplank.AtMostOnce || m.OpTypes[0].Semantics != honeyplank.Idempotent {
+		t.Error("semantics", m.OpTypes)
 	}
-	if d := m.OpTypes.TargetLatency; d[1] != 900*time.Millisecond {
-		t.Error("target latency", d)
+	if latency := m.OpTypes[1].TargetLatency; latency != 900*time.Millisecond {
+		t.Error("target latency", latency)
 	}
-	if m.LargestUnits != 8.0 || m.Plans.Value[1] != 1 {
+	if m.LargestUnits != 8.0 || m.Plans[1].Value != 1 {
 		t.Error("sizes and plans", m)
 	}
 	if m.RetryBudget.Share != 0.25 || m.SlowStart.Window != time.Second {
