--- a/fuzzcorpus/targets.go
+++ b/fuzzcorpus/targets.go
@@ -62,33 +62,44 @@
 	if err != nil {
 		return nil, err
 	}
+	files, err := testFiles(root)
+	if err != nil {
+		return nil, err
+	}
 	var targets []Target
-	err = filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	for _, path := range files {
+		found, err := targetsOf(root, path)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		if entry.IsDir() {
-			if path != root && isSkipped(entry.Name()) {
-				return filepath.SkipDir
-			}
-			return nil
-		}
-		if !strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
-		found, err := targetsOf(root, path)
 		for _, t := range found {
 			if match.MatchString(t.Name) || match.MatchString(t.Package) {
 				targets = append(targets, t)
 			}
 		}
-		return err
-	})
-	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.String(), b.String()) })
-	if err == nil && len(targets) == 0 {
-		err = fmt.Errorf("fuzzcorpus: no fuzz target below %s matches %q", root, pattern)
 	}
-	return targets, err
+	if len(targets) == 0 {
+		return nil, fmt.Errorf("fuzzcorpus: no fuzz target below %s matches %q", root, pattern)
+	}
+	slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.String(), b.String()) })
+	return targets, nil
+}
+
+// testFiles returns the paths of all test files below a root.
+func testFiles(root string) ([]string, error) {
+	var files []string
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case entry.IsDir() && path != root && isSkipped(entry.Name()):
+			return filepath.SkipDir
+		case !entry.IsDir() && strings.HasSuffix(path, "_test.go"):
+			files = append(files, path)
+		}
+		return nil
+	})
+	return files, err
 }
 
 // isSkipped reports whether a directory below the root has no packages.
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -12,7 +12,7 @@
 // that the work of an event does not grow with the fleet.
 const (
 	maxTopServers = 64                // kept of a volume's ranking
-	minTopServers = maxTopServers / 2 // with fewer left the ranking is made anew from all servers
+	minTopServers = maxTopServers / 2 // with fewer left the ranking is rebuilt from all servers
 )
 
 // rankedServer is a server with its rendezvous hash for a volume.
@@ -55,7 +55,7 @@
 
 // topRanked returns the first servers of a volume's ranking that are up, in order: exactly those of
 // a ranking of all servers, in which ones that came up are inserted and ones that left are deleted.
-// When few are left it is made anew.
+// When few are left it is rebuilt.
 func (e *Engine) topRanked(volume *volume, id int64) []rankedServer {
 	volume.topServers = slices.DeleteFunc(volume.topServers, func(candidate rankedServer) bool {
 		return !candidate.server.listedUp
