--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -17,7 +17,7 @@
 		"from the handshake on": {NoHandshake: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHarness(t, tolerateHoldUps)
+			h := newHarness(t)
 			a := h.connect("client")
 			h.onLoop(func() { h.disks[1].SetFaults(fault) })
 			checkOneServerSilent(t, h, a)
@@ -66,7 +66,7 @@
 // TestOnceOnly loses the answers of at-most-once writes: they fail, since a rejection would promise that they did
 // not run.
 func TestOnceOnly(t *testing.T) {
-	h := newHarness(t, tolerateHoldUps)
+	h := newHarness(t)
 	a := h.connect("client")
 	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{LoseShare: 1}) })
 	r := <-h.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
@@ -83,7 +83,7 @@
 // TestTornAnswer has a disk server close the connection in the middle of a PDU: the op is retried, and its client
 // gets one complete answer.
 func TestTornAnswer(t *testing.T) {
-	h := newHarness(t, tolerateHoldUps)
+	h := newHarness(t)
 	a := h.connect("client")
 	for i := range 5 {
 		h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{Truncate: true}) })
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -70,26 +70,6 @@
 	nodePrefix = "/honeyplank/nodes/" // of keys in etcd, as in testSettings
 )
 
-// maxHoldUp is how long a process may be held up between reading its clock and writing (docs/glossary.md).
-const maxHoldUp = 150 * time.Millisecond
-
-// tolerateHoldUps has a gateway's time limits leave room for hold-ups of a busy machine, so that they don't count as a
-// second fault beside the one that a test injects: a disk server is silent after half the target latency, a connection
-// is not made after ConnectTimeout, and an answer is late after the op timeout less the answer margin.
-func tolerateHoldUps(s *settings.Gateway) {
-	for i := range s.OpTypes {
-		s.OpTypes[i].TargetLatency = settings.Span(time.Second)
-		s.OpTypes[i].OpTimeout = settings.Span(2 * time.Second)
-	}
-	s.Policy.AnswerMargin = settings.Span(2 * maxHoldUp) // the loop's before the answer, and the client's after it
-	s.DiskServers.ConnectTimeout = settings.Span(time.Second)
-	s.DiskServers.KeepAlive = settings.Span(2 * time.Second)
-	s.Limits.HandshakeTimeout = settings.Span(time.Second)
-	if s.Limits.Client != nil {
-		s.Limits.Client.PDUTimeout = settings.Span(time.Second)
-	}
-}
-
 // opTimeout is the time after which a client gives up an op; the settings have the same for all op types.
 func (h *harness) opTimeout() time.Duration { return h.settings.OpTypes[0].OpTimeout.Duration() }
 
--- a/gateway/peerlimit_test.go
+++ b/gateway/peerlimit_test.go
@@ -113,7 +113,7 @@
 // TestBytesOfOnePeer has a peer ask for many Writes and send the data of none: the buffers reserved for it are
 // limited, and another peer's Writes go on.
 func TestBytesOfOnePeer(t *testing.T) {
-	h := newHarness(t, withPeerLimits, tolerateHoldUps)
+	h := newHarness(t, withPeerLimits)
 	greedy := connectRaw(t, h, "greedy")
 	for id := range uint16(20) {
 		greedy.write(greedy.command(id, nvme.Write, 1, 0, 16, nil))
