--- a/fuzzcorpus/targets.go
+++ b/fuzzcorpus/targets.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	files, err := testFiles(root)
+	files, err := findTestFiles(root)
 	if err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 	return targets, nil
 }
 
-// testFiles returns the paths of all test files below a root.
-func testFiles(root string) ([]string, error) {
+// findTestFiles returns the paths of all test files below a root.
+func findTestFiles(root string) ([]string, error) {
 	var files []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
