--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -207,6 +207,7 @@
 	bed.onLoop(func() {
 		for x := range bed.scheduler.clients {
 			x.appendValues(n, large)
+			x.closing = true // as after QUIT: no timeout of an idle connection applies any more
 			x.conn.CloseGracefully()
 			if x.conn.UnsentBytes() == 0 {
 				t.Error("the system holds all of it")
