--- a/actions.go
+++ b/actions.go
@@ -10,7 +10,7 @@
 type Dispatch struct {
 	Op      OpID
 	Server  ServerID
-	Timeout time.Duration // from now until the outcome; 0: until Op.Timeout
+	Timeout time.Duration // from now until the outcome; 0: until Op.Deadline
 }
 
 // Reject answers an op with the promise that another attempt of the client is harmless: the op has not run, or its
--- a/events.go
+++ b/events.go
@@ -18,7 +18,7 @@
 type Op struct {
 	ID        OpID
 	Units     float64       // its size
-	Timeout   time.Duration // the clock time at which the client gives up
+	Deadline  time.Duration // the clock time at which the client gives up
 	Plan      int           // number of the volume's plan, see Settings.Plans
 	Type      int           // number of the op type, see Settings.OpTypes
 	Key       int64         // number of the object that is read or written, if HasKey
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -54,7 +54,7 @@
 	return honeyplank.Op{
 		ID:        o.id,
 		Units:     float64(g.settings.Units(size)),
-		Timeout:   command.Arrived + g.opTimeout(command),
+		Deadline:  command.Arrived + g.opTimeout(command),
 		Plan:      volume.plan,
 		Type:      g.settings.OpTypeIndex(command.Opcode(), size),
 		Key:       namespace<<32 ^ extent,
--- a/inflight/tracker.go
+++ b/inflight/tracker.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	t.lastSequence++
-	t.ops[event.ID] = &op{id: event.ID, sequence: t.lastSequence, client: client, deadline: event.Timeout}
+	t.ops[event.ID] = &op{id: event.ID, sequence: t.lastSequence, client: client, deadline: event.Deadline}
 	t.unansweredCount++
 	t.Counts.Admitted++
 	t.Deliver(event)
--- a/inflight/tracker_test.go
+++ b/inflight/tracker_test.go
@@ -94,7 +94,7 @@
 func (h *harness) admit(id string, within time.Duration) *recordingClient {
 	h.t.Helper()
 	client := &recordingClient{}
-	if !h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: h.loop.Now() + within}, client) {
+	if !h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Deadline: h.loop.Now() + within}, client) {
 		h.t.Fatalf("op %s is not admitted", id)
 	}
 	return client
@@ -192,18 +192,18 @@
 func TestDuplicateID(t *testing.T) {
 	h := newHarness(t)
 	first, again := h.admit("a", time.Second), &recordingClient{}
-	if h.tracker.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+	if h.tracker.Admit(honeyplank.Op{ID: "a", Deadline: time.Hour}, again) {
 		t.Error("an id without an answer is admitted twice")
 	}
 	h.written[h.sent[0]] = true
 	h.tracker.ClientGone("a")
-	if h.tracker.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+	if h.tracker.Admit(honeyplank.Op{ID: "a", Deadline: time.Hour}, again) {
 		t.Error("an id with a dispatch outstanding is admitted twice")
 	}
 	h.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
 	expectAnswers(t, first)
 	expectAnswers(t, again)
-	if !h.tracker.Admit(honeyplank.Op{ID: "a", Timeout: time.Hour}, again) {
+	if !h.tracker.Admit(honeyplank.Op{ID: "a", Deadline: time.Hour}, again) {
 		t.Error("an id that is over is not admitted")
 	}
 }
@@ -296,7 +296,7 @@
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		client := &funcClient{func(string) { order = append(order, id) }}
-		h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Timeout: time.Hour}, client)
+		h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Deadline: time.Hour}, client)
 	}
 	h.tracker.FailAll()
 	if fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19]" || h.tracker.Unanswered() != 0 {
@@ -377,7 +377,7 @@
 
 // step admits an op. Then a dispatch may end, and a client may go.
 func (r *randomRun) step(i int) {
-	op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Timeout: time.Hour}
+	op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Deadline: time.Hour}
 	r.tracker.Admit(op, &funcClient{func(string) { r.answers[i]++ }})
 	if len(r.sent) > 0 && r.rng.Intn(2) == 0 {
 		r.sent[r.rng.Intn(len(r.sent))].Finish(honeyplank.Code(1+r.rng.Intn(8)), nil, Feedback{})
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -120,7 +120,7 @@
 	op := honeyplank.Op{
 		ID:        honeyplank.OpID(m.ID),
 		Units:     m.Units,
-		Timeout:   fromMillis(m.Deadline),
+		Deadline:  fromMillis(m.Deadline),
 		Plan:      m.Plan,
 		Type:      m.Type,
 		HasKey:    m.Key != nil,
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -48,7 +48,7 @@
 	// The target latency of a retry runs from its client's first attempt. An op that brings less
 	// time than its target latency is to be answered within the time it brings.
 	opType := e.settings.opType(event.Type)
-	op.target = min(e.now+opType.TargetLatency-e.alreadyWaited(op), event.Timeout)
+	op.target = min(e.now+opType.TargetLatency-e.alreadyWaited(op), event.Deadline)
 	e.ops[event.ID] = op
 	if event.HasKey && opType.Ordered {
 		e.joinKeyQueue(op)
@@ -90,7 +90,7 @@
 	if !op.HasKey || total <= 0 {
 		return 0
 	}
-	left := op.Timeout - e.now
+	left := op.Deadline - e.now
 	attempt := e.earlierAttempts[identityOf(op)]
 	if attempt == nil || !attempt.op.answered || e.now >= attempt.expires {
 		attempt = &earlierAttempt{timeLeft: left, expires: e.now + total}
@@ -198,7 +198,7 @@
 // instances that add up to more than a server serves in time, whatever slows it. It could harm
 // where ops that take long are the rule.
 func (e *Engine) hasCapacity(server *server, op *op) bool {
-	clientGone := e.now+e.earliestAnswer(server, op.Type) >= op.Timeout
+	clientGone := e.now+e.earliestAnswer(server, op.Type) >= op.Deadline
 	if server.health == honeyplank.HealthDown || e.halfOpenBusy(server) || clientGone {
 		return false
 	}
@@ -216,7 +216,7 @@
 // guards crowded servers against attempts that their clients are about to give up. It could harm
 // where the latency estimate is out of date.
 func (e *Engine) successProbability(server *server, op *op) float64 {
-	left := max(min(op.Timeout, op.target)-e.now, 0)
+	left := max(min(op.Deadline, op.target)-e.now, 0)
 	part := min(1, left.Seconds()/max(e.expectedLatency(server, op.Type), 1e-9))
 	return part * part
 }
@@ -271,7 +271,7 @@
 // mayDispatchAnywhere checks the rules that do not depend on the server.
 func (e *Engine) mayDispatchAnywhere(op *op) bool {
 	isRetry := len(op.dispatches) > 0
-	if op.responseStarted || op.Timeout <= e.now || isRetry && !e.retryBudgetAllows() {
+	if op.responseStarted || op.Deadline <= e.now || isRetry && !e.retryBudgetAllows() {
 		return false
 	}
 	e.refillBuckets(op.volume)
@@ -303,5 +303,5 @@
 	if op.server != nil {
 		earliest += e.earliestAnswer(op.server, op.Type)
 	}
-	return earliest >= op.target || e.now+e.sweepInterval() >= op.Timeout
+	return earliest >= op.target || e.now+e.sweepInterval() >= op.Deadline
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -40,7 +40,7 @@
 	engine := fleet.instances[0]
 	var chosen []honeyplank.ServerID
 	for _, id := range []honeyplank.OpID{"a", "b", "c"} {
-		fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Timeout: time.Second, Volume: 5, Cell: honeyplank.NewObject})
+		fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Deadline: time.Second, Volume: 5, Cell: honeyplank.NewObject})
 		chosen = append(chosen, fleet.ops[id].dispatched[0].server)
 		engine.setServerLatency(engine.servers[chosen[0]], max(0.2*float64(len(chosen)-1), 0.001))
 	}
@@ -64,7 +64,7 @@
 			engine.setTypicalLatency(0.2)
 			engine.setServerLatency(server, 0.2)
 			candidate := &op{
-				Op:            honeyplank.Op{Timeout: time.Second, Units: 1},
+				Op:            honeyplank.Op{Deadline: time.Second, Units: 1},
 				target:        time.Second,
 				volume:        &volume{instances: 1},
 				admissionDraw: 0.5,
@@ -89,7 +89,7 @@
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	fleet.admit("usual", 0, 8, 1, 0)
-	fleet.handle(0, honeyplank.Op{ID: "short", Units: 1, Timeout: fleet.now + 60*ms, Instances: 1, Volume: 7})
+	fleet.handle(0, honeyplank.Op{ID: "short", Units: 1, Deadline: fleet.now + 60*ms, Instances: 1, Volume: 7})
 	short := fleet.instances[0].ops["short"]
 	if short == nil || len(short.dispatches) != 1 || short.target != fleet.now+60*ms {
 		t.Errorf("%+v", short)
@@ -108,8 +108,8 @@
 		time.Second: 1, 400 * ms: 1, 200 * ms: 0.25, 0: 0, -time.Second: 0,
 	} {
 		t.Run(fmt.Sprint(left, " left"), func(t *testing.T) {
-			late := &op{Op: honeyplank.Op{Timeout: time.Hour}, target: engine.now + left}
-			gone := &op{Op: honeyplank.Op{Timeout: engine.now + left}, target: time.Hour}
+			late := &op{Op: honeyplank.Op{Deadline: time.Hour}, target: engine.now + left}
+			gone := &op{Op: honeyplank.Op{Deadline: engine.now + left}, target: time.Hour}
 			for _, candidate := range []*op{late, gone} {
 				if got := engine.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
 					t.Errorf("%v left: %v, want %v", left, got, want)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -33,7 +33,7 @@
 		{ID: "server-a", Cell: 0},
 		{ID: "server-b", Cell: 1},
 	}})
-	handle(5*time.Millisecond, honeyplank.Op{ID: "op-1", Units: 1, Timeout: time.Second, Cell: 1, Instances: 1})
+	handle(5*time.Millisecond, honeyplank.Op{ID: "op-1", Units: 1, Deadline: time.Second, Cell: 1, Instances: 1})
 	handle(8*time.Millisecond, honeyplank.Outcome{
 		Op: "op-1", Server: "server-b", Code: honeyplank.Rejected, Elapsed: 3 * time.Millisecond,
 	})
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -157,7 +157,7 @@
 	fleet.handle(0, honeyplank.Op{
 		ID:        honeyplank.OpID(fmt.Sprint(name, i)),
 		Units:     1,
-		Timeout:   fleet.now + time.Second,
+		Deadline:  fleet.now + time.Second,
 		Type:      opType,
 		HasKey:    true,
 		Key:       key,
@@ -200,7 +200,7 @@
 	case honeyplank.Dispatch:
 		fleet.dispatch(instance, action)
 		took := time.Duration(fleet.rng.Int63n(int64(fleet.longestDispatch)))
-		fleet.dispatchEnds[action.Op] = min(fleet.now+took, fleet.ops[action.Op].Timeout)
+		fleet.dispatchEnds[action.Op] = min(fleet.now+took, fleet.ops[action.Op].Deadline)
 	case honeyplank.Reject:
 		fleet.recordReject(action)
 	case honeyplank.Fail:
@@ -273,7 +273,7 @@
 	if op.dispatched[len(op.dispatched)-1].cancelRequested {
 		code = honeyplank.Cancelled
 	}
-	if fleet.now < op.Timeout {
+	if fleet.now < op.Deadline {
 		fleet.endDispatch(op, code)
 	} else if !op.responseStarted {
 		fleet.endDispatch(op, honeyplank.TimedOut)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -88,7 +88,7 @@
 				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 				fleet.endTimedOut()
 				id := honeyplank.OpID(fmt.Sprint(i))
-				fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Timeout: fleet.now + left, Instances: 1})
+				fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Deadline: fleet.now + left, Instances: 1})
 				sent += len(fleet.order[i].dispatched)
 			}
 			if sent < 4 {
@@ -104,7 +104,7 @@
 // endTimedOut ends the dispatches of the ops that have timed out.
 func (fleet *testFleet) endTimedOut() {
 	for _, op := range fleet.order {
-		if op.outstanding() && fleet.now >= op.Timeout {
+		if op.outstanding() && fleet.now >= op.Deadline {
 			fleet.endDispatch(op, honeyplank.TimedOut)
 		}
 	}
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -128,7 +128,7 @@
 		Units:     float64(1 + fleet.rng.Intn(2)),
 		Type:      opType,
 		Instances: 2,
-		Timeout:   fleet.now + fleet.settings.OpTypes[opType].OpTimeout,
+		Deadline:  fleet.now + fleet.settings.OpTypes[opType].OpTimeout,
 		Volume:    fleet.rng.Int63n(9),
 		Cell:      max(cell, honeyplank.NewObject),
 	}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -107,7 +107,7 @@
 	op := honeyplank.Op{
 		ID:        honeyplank.OpID(fmt.Sprint(run.ops)),
 		Units:     1,
-		Timeout:   run.now + 1200*ms,
+		Deadline:  run.now + 1200*ms,
 		Volume:    int64(run.rng.Intn(run.volumes)),
 		Cell:      run.rng.Intn(run.servers),
 		Instances: 1,
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -258,7 +258,7 @@
 
 // recordAnswer holds the time of a rejection or a failure to the rules and records it.
 func (m *ruleModel) recordAnswer(op *trackedOp) {
-	if op.answered || op.responseStarted || m.now > op.Timeout+m.settings.AnswerGrace {
+	if op.answered || op.responseStarted || m.now > op.Deadline+m.settings.AnswerGrace {
 		m.violate(ruleAnswer, "%s answered twice or late", op.ID)
 	}
 	op.answered = true
@@ -294,7 +294,7 @@
 
 // checkAnswered is ruleAnswer for an op whose time is over.
 func (m *ruleModel) checkAnswered(op *trackedOp) {
-	if !op.answered && !op.responseStarted && m.now > op.Timeout+m.settings.AnswerGrace {
+	if !op.answered && !op.responseStarted && m.now > op.Deadline+m.settings.AnswerGrace {
 		m.violate(ruleAnswer, "%s has no answer", op.ID)
 		op.answered = true
 	}
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -55,7 +55,7 @@
 		volume.reserve -= op.Units
 	}
 	// A server may drop an op with little time left without an answer: its silence is no evidence.
-	shortDeadline := op.Timeout-e.now < 2*e.earliestAnswer(server, op.Type)
+	shortDeadline := op.Deadline-e.now < 2*e.earliestAnswer(server, op.Type)
 	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == honeyplank.HealthHalfOpen {
 		server.unansweredSince = e.now
 	}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -66,7 +66,7 @@
 // how many dispatches it has at once.
 func (fleet *testFleet) admitIn(cell int, op honeyplank.Op) int {
 	op.ID, op.Cell = honeyplank.OpID(fmt.Sprint(len(fleet.order))), cell
-	op.Timeout, op.Instances = fleet.now+time.Second, 1
+	op.Deadline, op.Instances = fleet.now+time.Second, 1
 	fleet.handle(0, op)
 	return len(fleet.ops[op.ID].dispatched)
 }
@@ -102,7 +102,7 @@
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	admit := func(n int, units float64) int {
 		id := honeyplank.OpID(fmt.Sprint(n))
-		fleet.handle(0, honeyplank.Op{ID: id, Units: units, Type: 1, Timeout: fleet.now + 5*time.Second, Instances: 1})
+		fleet.handle(0, honeyplank.Op{ID: id, Units: units, Type: 1, Deadline: fleet.now + 5*time.Second, Instances: 1})
 		return len(fleet.order[n].dispatched)
 	}
 	fleet.now = time.Hour
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -32,7 +32,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			fleet := newQuickFleet(t, test.change)
 			lost := fleet.admitLost()
-			fleet.dispatchEnds[lost.ID] = lost.Timeout
+			fleet.dispatchEnds[lost.ID] = lost.Deadline
 			if test.overtaken {
 				fleet.now += ms
 				fleet.playQuickOp(10)
@@ -72,7 +72,7 @@
 	for begun := fleet.now; fleet.now < begun+length; {
 		fleet.advance([]honeyplank.Code{honeyplank.Succeeded})
 		if len(lost.dispatched) == 1 && !lost.dispatched[0].cancelRequested {
-			fleet.dispatchEnds[lost.ID] = lost.Timeout
+			fleet.dispatchEnds[lost.ID] = lost.Deadline
 		}
 	}
 }
@@ -134,7 +134,7 @@
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, member(0, 0))
 			fleet.instances[0].setTypicalLatency(0.001)
-			fleet.handle(0, honeyplank.Op{ID: "a", Units: 1, Timeout: 5 * time.Second, Type: 1, Instances: 1})
+			fleet.handle(0, honeyplank.Op{ID: "a", Units: 1, Deadline: 5 * time.Second, Type: 1, Instances: 1})
 			fleet.now += test.failsAfter
 			fleet.endDispatch(fleet.ops["a"], honeyplank.Reset)
 			if n := len(fleet.ops["a"].dispatched); n != test.want || len(fleet.violations) > 0 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -144,7 +144,7 @@
 		fleet.handle(instance, honeyplank.Op{
 			ID:        honeyplank.OpID(fmt.Sprint(step, fleet.rng.Int63())),
 			Units:     float64(1 + rng.Intn(6)),
-			Timeout:   fleet.now + left,
+			Deadline:  fleet.now + left,
 			Type:      opType,
 			HasKey:    true,
 			Key:       int64(rng.Intn(6)),
@@ -198,7 +198,7 @@
 // startResponse starts the streamed answer to the outstanding dispatch of an op, if there is one that
 // ends before the op times out.
 func (fleet *fuzzedFleet) startResponse(op *trackedOp) {
-	if op.answered || !op.outstanding() || fleet.dispatchEnds[op.ID] >= op.Timeout-10*ms {
+	if op.answered || !op.outstanding() || fleet.dispatchEnds[op.ID] >= op.Deadline-10*ms {
 		return
 	}
 	op.responseStarted = true
@@ -238,7 +238,7 @@
 	for i := range 300 {
 		now := time.Duration(i) * ms
 		op := honeyplank.Op{
-			ID: honeyplank.OpID(fmt.Sprint(i)), Units: 2, Timeout: 2 * time.Second, Volume: int64(i % 9), Cell: i%4 - 1,
+			ID: honeyplank.OpID(fmt.Sprint(i)), Units: 2, Deadline: 2 * time.Second, Volume: int64(i % 9), Cell: i%4 - 1,
 		}
 		events := []honeyplank.Event{honeyplank.List{Members: membersUpTo(3)}, op, honeyplank.Timer{ID: sweepTimer}}
 		for _, event := range events {
--- a/policy/service_run_test.go
+++ b/policy/service_run_test.go
@@ -207,7 +207,7 @@
 	request.attempts++
 	request.dispatches = 0
 	request.op.ID = honeyplank.OpID(fmt.Sprint(run.attempts))
-	request.op.Timeout = request.deadline
+	request.op.Deadline = request.deadline
 	run.requests[request.op.ID] = request
 	run.undispatched[request.class]++
 	run.handle(request.op)
@@ -253,8 +253,8 @@
 		code, took = run.answer(request, memberNumber(action.Server), took)
 	}
 	end := run.now + took
-	if end >= request.op.Timeout {
-		code, end = honeyplank.TimedOut, request.op.Timeout
+	if end >= request.op.Deadline {
+		code, end = honeyplank.TimedOut, request.op.Deadline
 	}
 	run.events.add(end, honeyplank.Outcome{
 		Op: action.Op, Dispatch: request.dispatches, Server: action.Server, Code: code, Elapsed: end - run.now,
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -250,7 +250,7 @@
 func (e *Engine) allClientsGone(server *server, queue *volumeQueue) bool {
 	earliest := e.now + e.earliestAnswerOfAnyType(server)
 	for i := len(queue.ops) - 1; i >= 0; i-- {
-		if earliest < queue.ops[i].Timeout {
+		if earliest < queue.ops[i].Deadline {
 			return false
 		}
 	}
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -240,7 +240,7 @@
 	op := honeyplank.Op{
 		ID:        honeyplank.OpID(fmt.Sprint(cell, "/", run.events.added)),
 		Units:     1 + float64(run.rng.Intn(3)),
-		Timeout:   at + run.clientTimeout(),
+		Deadline:  at + run.clientTimeout(),
 		Volume:    run.rng.Int63n(50),
 		Cell:      cell,
 		Instances: run.instances,
@@ -329,10 +329,10 @@
 	if isRestarted(action.Server) {
 		arrivesAt = max(run.now, run.startBefore(run.now)+run.connectDelay)
 	}
-	if latest := run.now + run.connectTimeout; arrivesAt > latest && latest < op.Timeout {
+	if latest := run.now + run.connectTimeout; arrivesAt > latest && latest < op.Deadline {
 		arrivesAt, arriving.failure = latest, honeyplank.ConnectFailed
-	} else if arrivesAt > op.Timeout {
-		arrivesAt, arriving.failure = op.Timeout, honeyplank.TimedOut
+	} else if arrivesAt > op.Deadline {
+		arrivesAt, arriving.failure = op.Deadline, honeyplank.TimedOut
 	}
 	run.add(arrivesAt, instance, arriving)
 }
@@ -345,7 +345,7 @@
 	retried := &retriedOp{simulatedOp: simulatedOp{Op: op.Op}, retries: op.retries + 1}
 	at := run.now + time.Duration(run.rng.Int63n(int64(100*ms)))
 	retried.ID += "+"
-	retried.Timeout = at + run.clientTimeout()
+	retried.Deadline = at + run.clientTimeout()
 	run.ops[retried.ID] = retried
 	run.add(at, instance, retried.Op)
 }
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -159,7 +159,7 @@
 		bed.module.DecisionModule = singleServerModule{"s-0"}
 		bed.module.onEvent = func(event honeyplank.Event) {
 			if op, ok := event.(honeyplank.Op); ok {
-				left = append(left, op.Timeout-bed.scheduler.loop.Now())
+				left = append(left, op.Deadline-bed.scheduler.loop.Now())
 			}
 		}
 	})
--- a/scheduler/op_types_test.go
+++ b/scheduler/op_types_test.go
@@ -27,7 +27,7 @@
 	bed.onLoop(func() {
 		bed.module.onEvent = func(e honeyplank.Event) {
 			if op, ok := e.(honeyplank.Op); ok && op.ID == "unusual" {
-				longest <- op.Timeout - bed.scheduler.loop.Now()
+				longest <- op.Deadline - bed.scheduler.loop.Now()
 			}
 		}
 	})
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -153,7 +153,7 @@
 	if err := r.parseOptions(&op, received); err != nil {
 		return op, err
 	}
-	op.Timeout = min(op.Timeout, received+maxOpTime(r.client.scheduler.site(), op.Type))
+	op.Deadline = min(op.Deadline, received+maxOpTime(r.client.scheduler.site(), op.Type))
 	return op, nil
 }
 
@@ -194,7 +194,7 @@
 	case "d":
 		var ms float64
 		ms, err = parseDecimal(name, value, maxTimeoutMS)
-		op.Timeout = received + time.Duration(ms*float64(time.Millisecond))
+		op.Deadline = received + time.Duration(ms*float64(time.Millisecond))
 	case "r":
 		op.Retry = value == "1"
 	case "volume":
