--- a/events.go
+++ b/events.go
@@ -27,7 +27,7 @@
 	Instances int           // number of instances through which the ops of the volume come
 	Retry     bool          // the client has sent the request before
 	Volume    int64         // number of the volume
-	Cell      int           // number of the cell that holds the data, or NewObject
+	Cell      int           // number of the cell that holds the data, or AnyCell
 }
 
 // Outcome tells how a dispatch ended. Each dispatch has one.
--- a/honeyplank.go
+++ b/honeyplank.go
@@ -84,8 +84,8 @@
 	State   MemberState
 }
 
-// NewObject as Op.Cell tells that any disk server may take the op.
-const NewObject = -1
+// AnyCell as Op.Cell tells that any disk server may take the op.
+const AnyCell = -1
 
 // DecisionModule decides what happens to ops: policy.Engine, or another one in tests and as a baseline to measure
 // against. It does no I/O and reads no clock. It is not safe for concurrent use.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -104,7 +104,7 @@
 // chooseNewServer returns. Where there is none the op stays unassigned.
 func (e *Engine) assignServer(op *op) {
 	var chosen *server
-	if op.Cell == honeyplank.NewObject {
+	if op.Cell == honeyplank.AnyCell {
 		chosen = e.chooseNewServer(op)
 	} else {
 		chosen = e.healthiestOfCell(op.Cell)
@@ -284,7 +284,7 @@
 
 // mayDispatchTo checks the rules that depend on the server.
 func (e *Engine) mayDispatchTo(op *op, server *server, class demandClass) bool {
-	holdsData := op.Cell == honeyplank.NewObject || op.Cell == server.Cell
+	holdsData := op.Cell == honeyplank.AnyCell || op.Cell == server.Cell
 	if !holdsData || server.State != honeyplank.Up {
 		return false
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -40,7 +40,7 @@
 	engine := fleet.instances[0]
 	var chosen []honeyplank.ServerID
 	for _, id := range []honeyplank.OpID{"a", "b", "c"} {
-		fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Deadline: time.Second, Volume: 5, Cell: honeyplank.NewObject})
+		fleet.handle(0, honeyplank.Op{ID: id, Units: 1, Deadline: time.Second, Volume: 5, Cell: honeyplank.AnyCell})
 		chosen = append(chosen, fleet.ops[id].dispatched[0].server)
 		engine.setServerLatency(engine.servers[chosen[0]], max(0.2*float64(len(chosen)-1), 0.001))
 	}
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -44,7 +44,7 @@
 // and are left out. The demand on all is remembered for no longer than a slow-start window, where
 // there is one, so that it shows a burst within it.
 func (e *Engine) recordDemand(op *op, class demandClass) {
-	if op.Cell == honeyplank.NewObject {
+	if op.Cell == honeyplank.AnyCell {
 		return
 	}
 	memory := 2 * e.settings.longestTarget
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -130,7 +130,7 @@
 		Instances: 2,
 		Deadline:  fleet.now + fleet.settings.OpTypes[opType].OpTimeout,
 		Volume:    fleet.rng.Int63n(9),
-		Cell:      max(cell, honeyplank.NewObject),
+		Cell:      max(cell, honeyplank.AnyCell),
 	}
 	fleet.handle(fleet.rng.Intn(2), op)
 	return fleet.ops[op.ID]
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -203,7 +203,7 @@
 	if since, stopped := m.stoppedSince[server.ID]; stopped && m.now > since+m.settings.DrainGrace {
 		m.violate(ruleStopped, "%s goes to %s", op.ID, server.ID)
 	}
-	if op.Cell != honeyplank.NewObject && op.Cell != server.Cell {
+	if op.Cell != honeyplank.AnyCell && op.Cell != server.Cell {
 		m.violate(ruleRepeat, "%s goes to a server without its data", op.ID)
 	}
 	delay := m.settings.Dispatches.ConnectTimeout + longestHoldUp
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -146,7 +146,7 @@
 	id := int64(fleet.rng.Intn(4))
 	candidate := &op{
 		Op: honeyplank.Op{
-			Units: 1, Deadline: fleet.now + time.Second, Volume: id, Instances: 1, Cell: honeyplank.NewObject,
+			Units: 1, Deadline: fleet.now + time.Second, Volume: id, Instances: 1, Cell: honeyplank.AnyCell,
 		},
 		admissionDraw: fleet.rng.Float64(),
 		target:        fleet.now + 200*ms,
@@ -245,7 +245,7 @@
 func playNewObject(engine *Engine, now time.Duration, i int) {
 	id := honeyplank.OpID(fmt.Sprint(i))
 	actions := engine.Handle(now, honeyplank.Op{
-		ID: id, Units: 1, Deadline: now + time.Second, Volume: int64(i % 200), Instances: 1, Cell: honeyplank.NewObject,
+		ID: id, Units: 1, Deadline: now + time.Second, Volume: int64(i % 200), Instances: 1, Cell: honeyplank.AnyCell,
 	})
 	for _, action := range actions {
 		if dispatch, ok := action.(honeyplank.Dispatch); ok {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -202,7 +202,7 @@
 	case "units":
 		op.Units, err = parseDecimal(name, value, maxUnits)
 	case "shard":
-		op.Cell, err = parseInteger(name, value, honeyplank.NewObject)
+		op.Cell, err = parseInteger(name, value, honeyplank.AnyCell)
 	case "hosts":
 		op.Instances, err = parseInteger(name, value, 1)
 	}
