--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -64,7 +64,7 @@
 	module := func(seed int64, values *honeyplank.Settings) honeyplank.DecisionModule {
 		return recordingModule{policy.New(seed, values), &c.mu, &c.notified, &c.estimates}
 	}
-	c.serve(gateway.Options{Seed: 2, Estimates: known, Wall: c.wall, Module: module})
+	c.serve(gateway.Options{Seed: 2, Estimates: known, WallClock: c.wall, Module: module})
 	c.eventually("the list", func() bool {
 		return c.lastNotification(c.disks[0].Address()).now > 0 && c.lastNotification(c.disks[1].Address()).now > 0
 	})
--- a/gateway/estimates.go
+++ b/gateway/estimates.go
@@ -13,7 +13,7 @@
 // no age can be computed, so the record is discarded: otherwise old estimates would look fresh. This could harm
 // if a clock is set back by a moment just at a restart; the instance then starts without estimates.
 func (g *Instance) restoreEstimates(record *estimates.Record) {
-	wall, now := g.options.Wall(), g.loop.Now()
+	wall, now := g.options.WallClock(), g.loop.Now()
 	for _, server := range record.Servers {
 		if server.At.After(wall) {
 			g.log.Warn().
@@ -44,7 +44,7 @@
 		return nil, false
 	}
 	return query(g, func() *estimates.Record {
-		loopStart := g.options.Wall().Add(-g.loop.Now())
+		loopStart := g.options.WallClock().Add(-g.loop.Now())
 		return estimates.FromEvent(module.SavedEstimates(), int64(g.settings.Volumes.Unit), loopStart.Add)
 	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,9 +36,9 @@
 	Module func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
 	// Estimates holds the estimates of the disk servers that an earlier instance saved; nil: none.
 	Estimates *estimates.Record
-	// Wall reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline depends on it.
-	Wall func() time.Time
-	Log  zerolog.Logger
+	// WallClock reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline depends on it.
+	WallClock func() time.Time
+	Log       zerolog.Logger
 }
 
 // Instance is one gateway. Its state belongs to the event loop's goroutine; other goroutines reach it through
@@ -96,8 +96,8 @@
 			return policy.New(seed, values)
 		}
 	}
-	if o.Wall == nil {
-		o.Wall = time.Now
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
 	return o
 }
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -21,7 +21,7 @@
 		g.log.Warn().Stringer("source", source).Str("reason", reason).Msg("endpoint list entry skipped")
 	}
 	// The wall clock is read first: a hold-up between the two places starts later, not earlier.
-	received := receipt{source: source, wall: g.options.Wall(), now: g.loop.Now()}
+	received := receipt{source: source, wall: g.options.WallClock(), now: g.loop.Now()}
 	reports := g.makeReports(received, update)
 	var lists []honeyplank.List
 	switch update.Kind {
