--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -103,24 +103,24 @@
 
 // opMessage is a honeyplank.Op on the wire.
 type opMessage struct {
-	ID        string   `json:"job"`
-	Units     float64  `json:"units"`
-	Deadline  float64  `json:"deadline_ms"`
-	Plan      int      `json:"tier"`
-	Key       *int64   `json:"chunk"`
-	Write     bool     `json:"is_write"`
-	Type      int      `json:"priority"`
-	Instances float64  `json:"set_size"`
-	Retry     bool     `json:"retry"`
-	Volume    int64    `json:"share_id"`
-	Cell      *float64 `json:"placement"`
+	ID             string   `json:"job"`
+	Units          float64  `json:"units"`
+	DeadlineMillis float64  `json:"deadline_ms"`
+	Plan           int      `json:"tier"`
+	Key            *int64   `json:"chunk"`
+	Write          bool     `json:"is_write"`
+	Type           int      `json:"priority"`
+	Instances      float64  `json:"set_size"`
+	Retry          bool     `json:"retry"`
+	Volume         int64    `json:"share_id"`
+	Cell           *float64 `json:"placement"`
 }
 
 func (m opMessage) event([]string) (honeyplank.Event, error) {
 	op := honeyplank.Op{
 		ID:        honeyplank.OpID(m.ID),
 		Units:     m.Units,
-		Deadline:  fromMillis(m.Deadline),
+		Deadline:  fromMillis(m.DeadlineMillis),
 		Plan:      m.Plan,
 		Type:      m.Type,
 		HasKey:    m.Key != nil,
