--- a/actions.go
+++ b/actions.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Action is what a decision module orders. It is one of Dispatch, Reject, Fail, Cancel, HealthCheck, CloseIdle, Gossip,
-// LogHealth, LogEstimateIgnored, Watch, Fetch and SetTimer.
+// Action is an instruction of a decision module to its host. It is one of Dispatch, Reject, Fail, Cancel, HealthCheck,
+// CloseIdle, Gossip, LogHealth, LogEstimateIgnored, Watch, Fetch and SetTimer.
 type Action interface{ action() }
 
 // Dispatch sends an op to a disk server. Its Outcome follows.
 type Dispatch struct {
 	Op      OpID
 	Server  ServerID
-	Timeout time.Duration // from now until the outcome; 0: until Op.Deadline
+	Timeout time.Duration // longest time from now to the outcome; 0: until Op.Deadline
 }
 
-// Reject answers an op with the promise that another attempt of the client is harmless: the op has not run, or its
+// Reject answers an op with a rejection. It guarantees that the client may safely retry: the op has not run, or its
 // semantics allow a repeat.
 type Reject struct {
 	Op         OpID
-	RetryAfter time.Duration // after which to send it again; 0: no advice
+	RetryAfter time.Duration // time after which the client may retry; 0: no advice
 }
 
-// Fail answers an op that may have run.
+// Fail answers an op that may have run with an error.
 type Fail struct{ Op OpID }
 
-// Cancel ends a dispatch, with the code Cancelled.
+// Cancel ends a dispatch with the code Cancelled.
 type Cancel struct {
 	Op       OpID
-	Dispatch int // number of the dispatch among those of the op, from 0
+	Dispatch int // index of the dispatch among those of the op
 }
 
 // HealthCheck checks the health of a disk server. Its HealthCheckResult follows.
@@ -35,9 +35,9 @@
 // CloseIdle closes the idle connections to a disk server.
 type CloseIdle struct{ Server ServerID }
 
-// Gossip sends a message to another instance, or to all.
+// Gossip sends a message to one other instance or to all of them.
 type Gossip struct {
-	To   int // number of the receiver among the instances, from 0, or AllPeers
+	To   int // ordinal of the receiving instance, or AllPeers
 	Data []byte
 }
 
@@ -56,16 +56,16 @@
 // Watch starts or ends the watch of the endpoint list.
 type Watch struct{ Enabled bool }
 
-// Fetch asks for a complete endpoint list, once.
+// Fetch requests a complete endpoint list once.
 type Fetch struct{}
 
-// SetTimer asks for a Timer event.
+// SetTimer requests a Timer event.
 type SetTimer struct {
-	At time.Duration // the clock time of the event
-	ID TimerID       // of the event
+	At time.Duration // clock time of the event
+	ID TimerID       // id of the event
 }
 
-// AllPeers as Gossip.To addresses all other instances.
+// AllPeers is the Gossip.To that addresses all other instances.
 const AllPeers = -1
 
 func (Dispatch) action()           {}
--- a/honeyplank.go
+++ b/honeyplank.go
@@ -1,11 +1,12 @@
-// Package honeyplank is the interface between a decision module (package policy) and what surrounds it: events go in,
-// actions come out. It holds their types, those of the ids and codes in them, and the module's Settings.
+// Package honeyplank defines the interface between a decision module (package policy) and its host, such as package
+// gateway: the host delivers events, and the module returns actions. The package holds the types of events and
+// actions, of the ids and codes in them, and of the module's Settings.
 //
 // It makes no decisions, does no I/O, keeps no state and imports no other package of the project. Its values are made
-// and read on the goroutine of an instance's event loop; Settings, which never change, may be shared by instances.
+// and read on the goroutine of an instance's event loop. Settings never change, so instances may share them.
 //
-// All times are spans on the clock of the instance, since its start. An amount of work is measured in units, as the
-// deployment defines them.
+// All times are durations since the start of the instance's clock. An amount of work is measured in units, which the
+// deployment defines.
 package honeyplank
 
 import "time"
@@ -13,42 +14,42 @@
 // OpID is the id of an op, unique among the ops in flight of an instance.
 type OpID string
 
-// ServerID is the id of a disk server, as the endpoint list gives it.
+// ServerID is the id of a disk server in the endpoint list.
 type ServerID string
 
-// Semantics tells what a repeat of an op may do.
+// Semantics says whether an op may be repeated.
 type Semantics int
 
 // The semantics of an op type.
 const (
-	Idempotent   Semantics = iota // a repeat does no harm
-	Deduplicated                  // repeats are dropped within a DedupScope, for OpType.DedupWindow
-	AtMostOnce                    // it must never run twice
+	Idempotent   Semantics = iota // a repeat is harmless
+	Deduplicated                  // disk servers drop repeats within a DedupScope, for OpType.DedupWindow
+	AtMostOnce                    // the op must never run twice
 )
 
-// DedupScope is the group of disk servers that drops repeats of a deduplicated op.
+// DedupScope is the group of disk servers within which repeats of a deduplicated op are dropped.
 type DedupScope int
 
 // The scopes of deduplication.
 const (
 	ScopeAll  DedupScope = iota // all disk servers
-	ScopeZone                   // those of one zone
-	ScopeCell                   // those of one cell
+	ScopeZone                   // the disk servers of one zone
+	ScopeCell                   // the disk servers of one cell
 )
 
-// Code tells how a dispatch or a health check ended. The zero value is none.
+// Code is the outcome of a dispatch or a health check. The zero value is not a valid code.
 type Code int
 
 // The outcomes of a dispatch or a health check.
 const (
-	Succeeded     Code = 1 + iota // it was served
-	Failed                        // an error came back; the op may have run
-	Rejected                      // the disk server refused it; the op did not run
-	TimedOut                      // no answer came in time; the op may have run
+	Succeeded     Code = 1 + iota // the disk server served the op
+	Failed                        // the disk server answered with an error; the op may have run
+	Rejected                      // the disk server rejected the op; it did not run
+	TimedOut                      // no answer arrived in time; the op may have run
 	ConnectFailed                 // no connection was established; the op did not run
 	Reset                         // the connection was lost; the op may have run
-	Cancelled                     // the module cancelled it; the op may have run
-	NotSent                       // it was not sent; the op did not run
+	Cancelled                     // the module cancelled the dispatch; the op may have run
+	NotSent                       // the dispatch was not sent; the op did not run
 )
 
 // MemberState is the state of a disk server in the endpoint list.
@@ -56,27 +57,27 @@
 
 // The states of a member.
 const (
-	Up       MemberState = iota // it takes ops
-	Draining                    // it is about to be removed; see Settings.DrainGrace
-	Removed                     // it is not in the list any more
+	Up       MemberState = iota // accepts ops
+	Draining                    // about to be removed; see Settings.DrainGrace
+	Removed                     // no longer in the list
 )
 
-// ListKind tells how to read the members of a List event.
+// ListKind says how the members of a List event relate to the list that the module has.
 type ListKind int
 
 // The kinds of a List event.
 const (
-	Delta       ListKind = iota // changes of the list before
-	Complete                    // replaces the list before
+	Delta       ListKind = iota // changes to the previous list
+	Complete                    // replaces the previous list
 	Cached                      // a complete list that was saved earlier and may be stale
 	WatchFailed                 // a watch or a fetch failed, or a watch ended; there are no members
-	OutOfBand                   // changes from another source than the watch; no evidence that the watch works
+	OutOfBand                   // changes from a source other than the watch; they do not show that the watch works
 )
 
-// Member is a disk server of the endpoint list.
+// Member is a disk server in the endpoint list.
 type Member struct {
 	ID      ServerID
-	Started time.Duration // when it last started; 0: long ago, or not known
+	Started time.Duration // clock time of its last start; 0: long ago, or unknown
 	Size    float64       // its capacity relative to other disk servers
 	Model   int           // number of the hardware model
 	Zone    int           // number of the zone
@@ -84,30 +85,30 @@
 	State   MemberState
 }
 
-// AnyCell as Op.Cell tells that any disk server may take the op.
+// AnyCell is the Op.Cell of an op that any disk server may serve.
 const AnyCell = -1
 
-// DecisionModule decides what happens to ops: policy.Engine, or another one in tests and as a baseline to measure
-// against. It does no I/O and reads no clock. It is not safe for concurrent use.
+// DecisionModule decides what happens to ops. policy.Engine implements it; so do modules of tests and a baseline for
+// comparison. A module does no I/O and reads no clock. It is not safe for concurrent use.
 type DecisionModule interface {
-	// Handle takes one event and returns the actions that follow from it, in order. now is the time on the clock of the
-	// instance; it must not go back between calls.
+	// Handle handles one event and returns the resulting actions in the order in which they must be executed. now is
+	// the time on the instance's clock; it must not decrease between calls.
 	Handle(now time.Duration, event Event) []Action
 }
 
-// TimerID tells the timers of a decision module apart. Its values are chosen by the module.
+// TimerID identifies a timer of a decision module. The module chooses its values.
 type TimerID string
 
-// Health is the health of a disk server as one instance sees it.
+// Health is the health of a disk server as estimated by one instance.
 type Health int
 
 // The states of health, the healthiest first.
 const (
 	HealthUp       Health = iota
-	HealthSuspect         // one piece of evidence against it
+	HealthSuspect         // one observation suggests a failure
 	HealthDown            // nothing is sent to it until its backoff has elapsed
-	HealthHalfOpen        // one op at a time is sent to it, until it responds
+	HealthHalfOpen        // one op at a time is sent to it until it responds
 )
 
-// String returns the state as it stands in log lines.
+// String returns the name of the state in log lines.
 func (h Health) String() string { return [...]string{"up", "suspect", "down", "half-open"}[h] }
--- a/inflight/dispatch.go
+++ b/inflight/dispatch.go
@@ -7,30 +7,31 @@
 	"honeyplank/eventloop"
 )
 
-// Dispatch is one sending of an op to a disk server.
+// Dispatch is one transmission of an op to a disk server.
 type Dispatch struct {
 	Server   honeyplank.ServerID
-	Started  time.Duration // clock time at which the module ordered it
-	Deadline time.Duration // clock time at which the wait for its outcome ends
-	// SenderState and SenderTag belong to the Sender; the Tracker does not use them.
+	Started  time.Duration // clock time of the module's Dispatch action
+	Deadline time.Duration // clock time at which the dispatch times out
+	// SenderState and SenderTag are for the Sender's use; the Tracker does not use them.
 	SenderState any
 	SenderTag   uint64
 
 	tracker *Tracker
 	op      *op
-	index   int // among the op's dispatches, from 0
+	index   int // index among the op's dispatches
 	timer   eventloop.Timer
 	ended   bool
 }
 
-// Feedback is what a disk server reports beside an outcome. The fields are those of honeyplank.Outcome.
+// Feedback is what a disk server reports in addition to an outcome. The fields have the same meaning as in
+// honeyplank.Outcome.
 type Feedback struct {
 	QuotaUsed       int
 	ServedElsewhere float64
 	Load            map[string]float64
 }
 
-// dispatch sends an op, or ends the dispatch as not sent where the op is over.
+// dispatch sends an op. If the op already has its answer or its deadline has passed, the dispatch ends as not sent.
 func (t *Tracker) dispatch(action honeyplank.Dispatch) {
 	o := t.ops[action.Op]
 	if o == nil {
@@ -53,7 +54,8 @@
 	t.sender.Send(d)
 }
 
-// newDispatch returns room for the op's next dispatch: the first needs no allocation.
+// newDispatch returns storage for the op's next dispatch. The first dispatch is stored in the op itself and needs no
+// allocation.
 func (o *op) newDispatch() *Dispatch {
 	if len(o.dispatches) > 0 {
 		return &Dispatch{}
@@ -62,31 +64,31 @@
 	return &o.firstDispatch
 }
 
-// cancelUnsent cancels the dispatches of an op that is over which are not written completely: one that waits for a
-// connection, or whose last byte waits to be sent, never ran and is not needed any more. It guards against ops that
-// begin at a disk server after their client has gone. It would harm with a sender that reports a dispatch as not
-// written although it has left: an op that runs would count as not sent.
+// cancelUnsent cancels the dispatches of a finished op that are not written completely. A dispatch that waits for a
+// connection, or whose last byte waits to be sent, has not run and is no longer needed. This prevents ops from starting
+// on a disk server after their client has gone. Limitation: if a sender reports a dispatch as not written although it
+// has been sent, an op that runs counts as not sent.
 func (t *Tracker) cancelUnsent(o *op) {
-	for i := 0; i < len(o.dispatches); i++ { // it may grow meanwhile
+	for i := 0; i < len(o.dispatches); i++ { // the slice may grow during the loop
 		if d := o.dispatches[i]; !d.ended && !t.sender.Written(d) {
 			d.cancel(honeyplank.NotSent)
 		}
 	}
 }
 
-// Op is the id of the dispatch's op.
+// Op returns the id of the dispatch's op.
 func (d *Dispatch) Op() honeyplank.OpID { return d.op.id }
 
-// Client is the client of the dispatch's op.
+// Client returns the client of the dispatch's op.
 func (d *Dispatch) Client() Client { return d.op.client }
 
-// Abandoned reports whether the op has its final answer or its client has gone, so that nobody waits for the outcome.
+// Abandoned reports whether the op has its final answer or its client has gone, so that the outcome is not needed.
 func (d *Dispatch) Abandoned() bool { return d.op.answered }
 
 // Ended reports whether the dispatch has its outcome.
 func (d *Dispatch) Ended() bool { return d.ended }
 
-// Expire ends a dispatch at its deadline. The event loop calls it.
+// Expire ends a dispatch at its deadline. Only the event loop calls it.
 func (d *Dispatch) Expire() {
 	if d.tracker.sender.Written(d) {
 		d.cancel(honeyplank.TimedOut)
@@ -95,7 +97,7 @@
 	}
 }
 
-// cancel has the sender give the dispatch up and ends it.
+// cancel cancels the dispatch at the sender and finishes it with the code, unless it has ended.
 func (d *Dispatch) cancel(code honeyplank.Code) {
 	if !d.ended {
 		d.tracker.sender.Cancel(d)
@@ -103,8 +105,8 @@
 	}
 }
 
-// Finish gives the dispatch its outcome; calls after the first do nothing. The first outcome of an op that is
-// honeyplank.Succeeded answers the op, with data. The module is notified of each outcome.
+// Finish sets the dispatch's outcome and delivers it to the module; calls after the first do nothing. The first outcome
+// honeyplank.Succeeded of an op answers the op with data.
 func (d *Dispatch) Finish(code honeyplank.Code, data []byte, feedback Feedback) {
 	if d.ended {
 		return
--- a/inflight/tracker.go
+++ b/inflight/tracker.go
@@ -1,9 +1,9 @@
-// Package inflight tracks the ops and dispatches in flight of one instance, between a decision module and the code
-// that talks to clients and disk servers. It hands what happens to the module as events and executes the module's
-// actions. It knows no protocol and makes no decisions.
+// Package inflight tracks the ops and dispatches in flight of one instance. It is the layer between a decision module
+// and the code that communicates with clients and disk servers: it delivers events to the module and executes the
+// module's actions. It is independent of protocols and makes no decisions.
 //
 // A Tracker guarantees that
-//   - each op that was admitted has one final answer, unless its client has gone before,
+//   - each admitted op has one final answer, unless its client goes first,
 //   - each dispatch has one timer and one outcome, and
 //   - the module handles one event at a time, in the order in which they happened.
 //
@@ -19,34 +19,35 @@
 	"honeyplank/eventloop"
 )
 
-// Client receives the final answer of an op. One of its methods is called for each op admitted, once, and none after
-// Tracker.ClientGone.
+// Client receives the final answer of an op. For each admitted op exactly one of its methods is called once, and none
+// after Tracker.ClientGone. The calls are made on the event loop.
 type Client interface {
-	// Succeeded brings the data of the first dispatch that succeeded.
+	// Succeeded delivers the data of the first dispatch that succeeded.
 	Succeeded(data []byte)
-	// Rejected promises that the op did not run; it may be retried after a time, where that is not 0.
+	// Rejected reports that the op may safely be retried, after retryAfter if that is not 0.
 	Rejected(retryAfter time.Duration)
-	// Failed makes no promise: the op may have run.
+	// Failed reports an error. The op may have run.
 	Failed()
 }
 
 // Sender sends dispatches to disk servers.
 type Sender interface {
-	// Send sends a dispatch to its disk server. It must lead to a call of Dispatch.Finish or to Cancel.
+	// Send sends a dispatch to its disk server. The Sender must call Dispatch.Finish with the outcome, unless the
+	// dispatch is cancelled first.
 	Send(dispatch *Dispatch)
-	// Written reports whether the last byte has left, so that the op may run.
+	// Written reports whether the last byte has been sent, so that the op may run.
 	Written(dispatch *Dispatch) bool
-	// Cancel gives a dispatch up; the sender discards an answer that still comes.
+	// Cancel cancels a dispatch; the Sender discards an answer that arrives later.
 	Cancel(dispatch *Dispatch)
 }
 
-// Counts are totals since the Tracker was made.
+// Counts are totals since the Tracker was created.
 type Counts struct {
-	// Admitted counts ops, the other four how they ended.
+	// Admitted is the number of ops; the other four are the numbers of ops by the way in which they ended.
 	Admitted, Succeeded, Rejected, Failed, ClientsGone int
-	// Dispatches counts the dispatches that the module ordered, also those that were not sent.
+	// Dispatches is the number of the module's Dispatch actions, including those that were not sent.
 	Dispatches int
-	// Events counts the events that the module has handled.
+	// Events is the number of events that the module has handled.
 	Events int
 }
 
@@ -55,30 +56,30 @@
 	Counts Counts
 	// OnAction executes the module's actions that concern neither ops nor timers.
 	OnAction func(honeyplank.Action)
-	// OnIdle, where set, is called after each event that leaves no op without an answer.
+	// OnIdle, if set, is called after events have been handled and no op is awaiting an answer.
 	OnIdle func()
 
 	loop            *eventloop.Loop
 	module          honeyplank.DecisionModule
 	sender          Sender
-	events          []honeyplank.Event // not handled yet
-	delivering      bool               // Deliver runs
+	events          []honeyplank.Event // events that are not handled yet
+	delivering      bool               // whether Deliver is running
 	ops             map[honeyplank.OpID]*op
 	unansweredCount int
 	lastSequence    uint64
 }
 
-// op is an op that the module knows. It is kept until it is answered and each of its dispatches has an outcome.
+// op is an op in flight. It is kept until it is answered and each of its dispatches has an outcome.
 type op struct {
 	id               honeyplank.OpID
-	sequence         uint64 // in the order of admission
+	sequence         uint64 // number in the order of admission
 	client           Client
-	deadline         time.Duration // clock time by which it must have its answer
+	deadline         time.Duration // clock time by which it must be answered
 	dispatches       []*Dispatch
-	firstDispatch    Dispatch // in place, since most ops need no other
+	firstDispatch    Dispatch // stored inline, since most ops have only one dispatch
 	inlineDispatches [1]*Dispatch
-	outstanding      int  // dispatches without an outcome
-	answered         bool // answered, or its client has gone
+	outstanding      int  // number of dispatches without an outcome
+	answered         bool // whether it is answered or its client has gone
 }
 
 // New returns a Tracker without ops.
@@ -92,7 +93,7 @@
 	}
 }
 
-// Admit takes an op and delivers it to the module. It reports false, and does nothing, where an op with the same id is
+// Admit admits an op and delivers it to the module. It returns false and does nothing if an op with the same id is
 // still in flight.
 func (t *Tracker) Admit(event honeyplank.Op, client Client) bool {
 	if t.ops[event.ID] != nil {
@@ -106,7 +107,7 @@
 	return true
 }
 
-// ClientGone ends an op whose client has closed or cancelled, and delivers that to the module.
+// ClientGone ends an op whose client has closed its connection or cancelled the op, and notifies the module.
 func (t *Tracker) ClientGone(id honeyplank.OpID) {
 	if o := t.unansweredOp(id); o != nil {
 		t.Counts.ClientsGone++
@@ -126,7 +127,7 @@
 	}
 	slices.SortFunc(unanswered, func(a, b *op) int { return cmp.Compare(a.sequence, b.sequence) })
 	for _, o := range unanswered {
-		if o.answered { // the module has answered it meanwhile
+		if o.answered { // the module answered it while handling an earlier ClientGone
 			continue
 		}
 		t.Counts.Failed++
@@ -137,10 +138,10 @@
 	}
 }
 
-// Unanswered is the number of ops without a final answer.
+// Unanswered returns the number of ops without a final answer.
 func (t *Tracker) Unanswered() int { return t.unansweredCount }
 
-// Outstanding is the number of dispatches without an outcome.
+// Outstanding returns the number of dispatches without an outcome.
 func (t *Tracker) Outstanding() int {
 	count := 0
 	for _, o := range t.ops {
@@ -149,15 +150,15 @@
 	return count
 }
 
-// Deliver has the module handle an event and executes its actions. Events that these cause are handled afterwards, in
-// the order in which they come.
+// Deliver passes an event to the module and executes the resulting actions. Events that these actions cause are handled
+// afterwards, in the order in which they occur.
 func (t *Tracker) Deliver(event honeyplank.Event) {
 	t.events = append(t.events, event)
 	if t.delivering {
 		return
 	}
 	t.delivering = true
-	for i := 0; i < len(t.events); i++ { // it may grow meanwhile
+	for i := 0; i < len(t.events); i++ { // the slice may grow during the loop
 		t.Counts.Events++
 		for _, action := range t.module.Handle(t.loop.Now(), t.events[i]) {
 			t.execute(action)
@@ -170,7 +171,7 @@
 	}
 }
 
-// execute does what an action says. Actions on ops that are no longer in flight do nothing.
+// execute executes an action. Actions on ops that are no longer in flight have no effect.
 func (t *Tracker) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.Dispatch:
@@ -208,7 +209,7 @@
 	}
 }
 
-// unansweredOp is the op with an id if it has no answer yet, else nil.
+// unansweredOp returns the op with an id, or nil if there is none or it has its answer.
 func (t *Tracker) unansweredOp(id honeyplank.OpID) *op {
 	if o := t.ops[id]; o != nil && !o.answered {
 		return o
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// markAnswered notes that an op gets no further answer.
+// markAnswered records that an op gets no further answer.
 func (t *Tracker) markAnswered(o *op) {
 	o.answered = true
 	t.unansweredCount--
