--- a/gateway/actions.go
+++ b/gateway/actions.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// startWatch starts etcd's watch. Without etcd there is none that could fail, since DNS is polled all the time: the
-// module is notified at once that it works.
+// startWatch starts the etcd watch. Without etcd there is no watch that could fail, because DNS is polled continuously:
+// the module is notified at once that the watch works.
 func (g *Instance) startWatch() {
 	if g.etcd == nil {
 		g.tracker.Deliver(honeyplank.List{Kind: honeyplank.Delta})
@@ -42,7 +42,7 @@
 	g.etcd.Watch()
 }
 
-// stopWatch ends etcd's watch, if there is one.
+// stopWatch ends the etcd watch, if there is one.
 func (g *Instance) stopWatch() {
 	if g.etcd != nil {
 		g.etcd.StopWatch()
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -12,15 +12,15 @@
 // opIDBase is the base in which op IDs are written; a large one keeps them short.
 const opIDBase = 36
 
-// op is a client's command that the tracker has admitted. The tracker answers the client through it.
+// op is a client's command that the tracker has admitted. It is the inflight.Client through which the tracker answers.
 type op struct {
 	instance *Instance
 	id       honeyplank.OpID
 	command  *target.Command
 }
 
-// opTimeout returns how long after its arrival a command must be answered: the client's own timeout or the op type's,
-// whichever is shorter, less the time that the answer needs to reach the client.
+// opTimeout returns the time after its arrival within which a command must be answered: the client's own timeout or the
+// op type's, whichever is shorter, minus the time that the answer needs to reach the client.
 func (g *Instance) opTimeout(command *target.Command) time.Duration {
 	timeout := time.Duration(command.ClientTimeout()) * time.Millisecond
 	if opType := g.settings.OpTypeIndex(command.Opcode(), int64(command.Bytes)); opType >= 0 {
@@ -44,7 +44,7 @@
 	g.tracker.Admit(g.opEvent(o), o)
 }
 
-// opEvent describes an op to the module.
+// opEvent returns the event that reports an op to the module.
 func (g *Instance) opEvent(o *op) honeyplank.Op {
 	command, size := o.command, int64(o.command.Bytes)
 	namespace := int64(command.NSID())
@@ -80,10 +80,10 @@
 // Succeeded implements inflight.Client.
 func (o *op) Succeeded(data []byte) { o.answer(nvme.Success, 0, data) }
 
-// Failed implements inflight.Client. The op may have run, so the client must not retry.
+// Failed implements inflight.Client. The status forbids a retry, because the op may have run.
 func (o *op) Failed() { o.answer(nvme.InternalError|nvme.DoNotRetry, 0, nil) }
 
-// Rejected implements inflight.Client. The client may retry after the given time; 0: no delay is given.
+// Rejected implements inflight.Client. The client may retry after retryAfter; 0: no delay is given.
 func (o *op) Rejected(retryAfter time.Duration) {
 	o.instance.log.Debug().Uint32("volume", o.command.NSID()).Dur("retry_after_ms", retryAfter).Msg("op rejected")
 	status := nvme.CommandInterrupted.WithDelay(o.instance.retryDelayIndex(retryAfter))
@@ -95,7 +95,7 @@
 	o.release()
 }
 
-// release returns the buffer of a Write's data.
+// release returns the buffer of a Write's data to the server's pool.
 func (o *op) release() {
 	o.instance.server.Release(o.command.Data)
 	o.command.Data = nil
--- a/gateway/counts.go
+++ b/gateway/counts.go
@@ -7,20 +7,21 @@
 	"honeyplank/inflight"
 )
 
-// Counts are what an instance has done since New, and what it has in flight.
+// Counts are an instance's totals since New and the resources that it currently uses.
 type Counts struct {
 	inflight.Counts
-	Unanswered    int           // admitted ops without an answer
-	Outstanding   int           // dispatches without an outcome
+	Unanswered    int           // number of admitted ops without an answer
+	Outstanding   int           // number of dispatches without an outcome
 	BufferedBytes int           // bytes of write data in buffers
-	Connections   int           // of clients
-	CPU           time.Duration // used by the event loop
+	Connections   int           // number of client connections
+	CPU           time.Duration // CPU time used by the event loop
 }
 
 // Stats returns the counters of the instance's event loop.
 func (g *Instance) Stats() *eventloop.Stats { return &g.loop.Stats }
 
-// Counts returns the instance's counts; ok is false if the instance has ended. It waits for the event loop.
+// Counts returns the instance's counts; ok is false if the instance has ended. Counts blocks until the event loop has
+// run the query, so it must not be called on the loop.
 func (g *Instance) Counts() (counts Counts, ok bool) {
 	return query(g, func() Counts {
 		return Counts{
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -8,7 +8,8 @@
 	"honeyplank/settings"
 )
 
-// membershipSettings returns the settings of the ledger. Without any, each removal by a source is followed at once.
+// membershipSettings returns the settings of the membership ledger. If none are configured, each removal by a source
+// takes effect at once.
 func membershipSettings(config *settings.Gateway) membership.Settings {
 	trust := config.EndpointList.SourceTrust
 	if trust == nil {
@@ -23,7 +24,7 @@
 	}
 }
 
-// configureDiscovery makes the etcd client and prepares the DNS client; DNS is polled from Serve on.
+// configureDiscovery creates the etcd client and prepares the DNS client, which Serve starts.
 func (g *Instance) configureDiscovery() {
 	if len(g.settings.EndpointList.Etcd) > 0 {
 		g.etcd = etcd.New(etcdSettings(g.settings), g.updateHandler(membership.Etcd))
@@ -62,7 +63,7 @@
 	return source
 }
 
-// updateHandler returns the function that passes a source's updates to the loop. The source's goroutine calls it.
+// updateHandler returns the function that passes a source's updates to the event loop. The source's goroutine calls it.
 func (g *Instance) updateHandler(source membership.Source) func(discovery.Update) {
 	return func(update discovery.Update) {
 		g.loop.Post(func() { g.handleUpdate(source, update) })
--- a/gateway/diskserver.go
+++ b/gateway/diskserver.go
@@ -5,16 +5,16 @@
 	"honeyplank/initiator"
 )
 
-// diskServer is the connection to one disk server. The association is made when something is to be sent.
+// diskServer manages the connection to one disk server. The association is created when something must be sent.
 type diskServer struct {
 	instance    *Instance
 	id          honeyplank.ServerID
 	association *initiator.Association // nil: none, or closed
-	waiting     []func(ready bool)     // called when the association is ready or has failed
-	outstanding int                    // submitted commands without an outcome
+	waiting     []func(ready bool)     // callbacks for the time when the association is ready or has failed
+	outstanding int                    // number of submitted commands without an outcome
 }
 
-// diskServer returns the disk server with an ID, and makes it if there is none.
+// diskServer returns the disk server with an ID, and creates it if there is none.
 func (g *Instance) diskServer(id honeyplank.ServerID) *diskServer {
 	d := g.diskServers[id]
 	if d == nil {
@@ -27,7 +27,8 @@
 // isConnected reports whether the association takes commands.
 func (d *diskServer) isConnected() bool { return d.association != nil && d.association.IsReady() }
 
-// whenConnected calls f once the association is ready (at once, if it is) or has failed. It connects if needed.
+// whenConnected calls f when the association is ready or has failed; at once if it is ready already. It connects if
+// necessary.
 func (d *diskServer) whenConnected(f func(ready bool)) {
 	if d.isConnected() {
 		f(true)
@@ -58,9 +59,9 @@
 // Ready implements initiator.Handler: the association takes commands.
 func (d *diskServer) Ready(*initiator.Association) { d.notifyWaiting(true) }
 
-// Ended implements initiator.Handler: the association has ended or could not be made.
+// Ended implements initiator.Handler: the association has ended or could not be established.
 func (d *diskServer) Ended(association *initiator.Association, err error) {
-	if d.association != association { // replaced by a later one, or closed by this instance
+	if d.association != association { // it was replaced by a later one, or closed by this instance
 		return
 	}
 	d.instance.log.Info().Str("server", string(d.id)).Err(err).Msg("connection to disk server closed")
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -20,8 +20,8 @@
 	}
 	server.whenConnected(func(ready bool) {
 		switch {
-		case dispatch.Ended(): // cancelled while the connection was made
-		case dispatch.Abandoned(): // its client has gone while the connection was made
+		case dispatch.Ended(): // cancelled while the connection was established
+		case dispatch.Abandoned(): // no longer needed: the client went while the connection was established
 			dispatch.Finish(honeyplank.NotSent, nil, inflight.Feedback{})
 		case !ready:
 			dispatch.Finish(honeyplank.ConnectFailed, nil, inflight.Feedback{})
@@ -34,7 +34,7 @@
 // Written reports whether a dispatch has been submitted, so that the op may run.
 func (s sender) Written(dispatch *inflight.Dispatch) bool { return dispatch.SenderState != nil }
 
-// Cancel abandons the command of a dispatch; its answer is discarded.
+// Cancel abandons the command of a dispatch; an answer that arrives later is discarded.
 func (s sender) Cancel(dispatch *inflight.Dispatch) {
 	server, submitted := dispatch.SenderState.(*diskServer)
 	if !submitted {
@@ -66,7 +66,7 @@
 // submission is a dispatch that has been submitted.
 type submission inflight.Dispatch
 
-// Done implements initiator.Call: it finishes the dispatch with the outcome of its command.
+// Done implements initiator.Call. It finishes the dispatch with the outcome of its command.
 func (s *submission) Done(result initiator.Result) {
 	dispatch := (*inflight.Dispatch)(s)
 	if dispatch.Ended() {
@@ -85,7 +85,7 @@
 	})
 }
 
-// outcome converts the status of a command's answer.
+// outcome converts the NVMe status of an answer to the code of the dispatch.
 func outcome(status nvme.Status) honeyplank.Code {
 	switch status.Code() {
 	case nvme.Success:
--- a/gateway/estimates.go
+++ b/gateway/estimates.go
@@ -9,9 +9,9 @@
 
 // restoreEstimates delivers the estimates that an earlier instance saved to the module, each with its age.
 //
-// The record has times of the wall clock only. If one of them is in the future, the clock has been set back since and
-// no age can be computed, so the record is discarded: otherwise old estimates would look fresh. This could harm
-// if a clock is set back by a moment just at a restart; the instance then starts without estimates.
+// The record contains only wall-clock times. If one of them is in the future, the clock has been set back since the
+// record was saved and the ages cannot be computed. The record is then discarded, because old estimates would otherwise
+// appear recent. Limitation: if a clock is set back slightly during a restart, the instance starts without estimates.
 func (g *Instance) restoreEstimates(record *estimates.Record) {
 	wall, now := g.options.WallClock(), g.loop.Now()
 	for _, server := range record.Servers {
@@ -34,8 +34,9 @@
 	g.tracker.Deliver(record.ToEvent(unit, func(at time.Time) time.Duration { return now - wall.Sub(at) }))
 }
 
-// Estimates returns the module's estimates of the disk servers, to be saved for a later instance. ok is false if the
-// module has no SavedEstimates method or the instance has ended. It waits for the event loop.
+// Estimates returns the module's estimates of the disk servers, which can be saved for a later instance. ok is false if
+// the module has no SavedEstimates method or the instance has ended. Estimates blocks until the event loop has run the
+// query, so it must not be called on the loop.
 func (g *Instance) Estimates() (record *estimates.Record, ok bool) {
 	module, ok := g.module.(interface {
 		SavedEstimates() honeyplank.SavedEstimates
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,11 +1,11 @@
-// Package gateway is honeyplank as a library. An Instance admits Reads and Writes from NVMe/TCP clients and
+// Package gateway provides honeyplank as a library. An Instance admits Reads and Writes from NVMe/TCP clients and
 // dispatches them to disk servers: call New, then Serve, then Shutdown. It delivers events to the decision module and
-// executes the actions that the module returns; it makes no decisions itself. Instances share no state other than
-// what the caller hands to several of them.
+// executes the actions that the module returns; it makes no decisions itself. Instances share no state except for
+// values that the caller passes to several of them.
 //
 // Serve runs the event loop on the goroutine of its caller. All state of an Instance belongs to that goroutine, which
-// also calls the module. The exported methods may be called from any goroutine. The goroutines of discovery, which end
-// before Serve returns, pass their updates to the loop.
+// also calls the module. The exported methods may be called from any goroutine. The goroutines of discovery pass their
+// updates to the loop and end before Serve returns.
 package gateway
 
 import (
@@ -31,17 +31,18 @@
 // Options configure an instance. Settings is required.
 type Options struct {
 	Settings *settings.Gateway
-	Seed     int64 // of all random numbers of the instance
-	// Module makes the decision module; nil: policy.New.
+	Seed     int64 // seed of all random numbers of the instance
+	// Module creates the decision module; nil: policy.New.
 	Module func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
 	// Estimates holds the estimates of the disk servers that an earlier instance saved; nil: none.
 	Estimates *estimates.Record
-	// WallClock reads the wall clock; nil: time.Now. It may step at any time: no wait, window or deadline depends on it.
+	// WallClock reads the wall clock; nil: time.Now. The clock may step at any time: no wait, window or deadline
+	// depends on it.
 	WallClock func() time.Time
 	Log       zerolog.Logger
 }
 
-// Instance is one gateway. Its state belongs to the event loop's goroutine; other goroutines reach it through
+// Instance is one gateway. Its state belongs to the event loop's goroutine; other goroutines access it through
 // loop.Post.
 type Instance struct {
 	options      Options
@@ -49,29 +50,29 @@
 	loop         *eventloop.Loop
 	module       honeyplank.DecisionModule
 	server       *target.Server
-	etcd         *etcd.Client // nil: not a source
-	dns          *dns.Client  // nil: not a source, or not started yet
-	startDNS     func()       // starts polling DNS; nil: not a source
+	etcd         *etcd.Client // nil: not configured
+	dns          *dns.Client  // nil: not configured, or not started yet
+	startDNS     func()       // starts polling DNS; nil: not configured
 	ledger       *membership.Ledger
-	incarnations [2]incarnation.Tracker // by membership.Source
-	ledgerTimer  *eventloop.Timer       // for what changes in the ledger by the passing of time alone
+	incarnations [2]incarnation.Tracker // indexed by membership.Source
+	ledgerTimer  *eventloop.Timer       // calls ledger.Tick when the ledger changes with time alone
 	log          zerolog.Logger
 
 	tracker     *inflight.Tracker
 	lastOpID    uint64
 	diskServers map[honeyplank.ServerID]*diskServer
 	volumes     map[uint32]*volume // by namespace ID
-	retryDelays []time.Duration    // what CRDT1 to CRDT3 stand for, ascending
-	draining    bool               // no more ops are admitted
-	onDrained   func()             // called once no op is owed an answer; nil: not draining, or called already
+	retryDelays []time.Duration    // values of CRDT1 to CRDT3, ascending
+	draining    bool               // whether no more ops are admitted
+	onDrained   func()             // called when no op is awaiting an answer; nil: not draining, or called already
 	done        chan struct{}      // closed when Serve returns
 }
 
-// clockStart is the time of the loop's clock at New. It is not 0, which stands for never or long ago.
+// clockStart is the time on the loop's clock at New. It is not 0, because 0 means never or long ago.
 const clockStart = time.Second
 
-// New makes an instance and listens on the address in the settings. Nothing is served before Serve. It fails if there
-// are no settings, the event loop can't be made or the address can't be listened on.
+// New creates an instance and listens on the address in the settings. Nothing is served before Serve. New fails if
+// there are no settings, the event loop can't be created or listening on the address fails.
 func New(options Options) (*Instance, error) {
 	if options.Settings == nil {
 		return nil, errors.New("gateway: no settings")
@@ -83,13 +84,13 @@
 	g := makeInstance(options.withDefaults(), loop)
 	if err := g.listen(); err != nil {
 		loop.Stop()
-		return nil, errors.Join(err, loop.Run()) // Run releases what the loop has opened
+		return nil, errors.Join(err, loop.Run()) // Run releases the loop's resources
 	}
 	g.configureDiscovery()
 	return g, nil
 }
 
-// withDefaults returns the options with defaults for what is nil.
+// withDefaults returns the options with defaults for the fields that are nil.
 func (o Options) withDefaults() Options {
 	if o.Module == nil {
 		o.Module = func(seed int64, values *honeyplank.Settings) honeyplank.DecisionModule {
@@ -102,7 +103,7 @@
 	return o
 }
 
-// makeInstance makes an instance that does not listen yet.
+// makeInstance creates an instance that does not listen yet.
 func makeInstance(options Options, loop *eventloop.Loop) *Instance {
 	config := options.Settings
 	g := &Instance{
--- a/gateway/healthcheck.go
+++ b/gateway/healthcheck.go
@@ -34,10 +34,10 @@
 	})
 }
 
-// latencyUnitsPerMillisecond: a load report gives latency in tenths of a millisecond.
+// latencyUnitsPerMillisecond is 10 because a load report states latency in tenths of a millisecond.
 const latencyUnitsPerMillisecond = 10
 
-// loadMetrics returns the metrics of a load report by the names that the module knows; nil if the report has none.
+// loadMetrics returns the metrics of a load report under the names that the module uses; nil if the report is empty.
 func loadMetrics(load nvme.Load) map[string]float64 {
 	if load.Latency == 0 && load.Inflight == 0 {
 		return nil
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -7,8 +7,8 @@
 )
 
 // Serve runs the instance until Shutdown or Kill has ended it, or ctx is done. When ctx is done, the instance drains
-// first: every admitted op is answered, within the longest op timeout. Serve must be called exactly once; its error is
-// the event loop's.
+// first: every admitted op is answered within the longest op timeout. Serve must be called exactly once. It returns the
+// error of the event loop.
 func (g *Instance) Serve(ctx context.Context) error {
 	defer close(g.done)
 	stop := context.AfterFunc(ctx, func() { g.loop.Post(func() { g.drain(g.loop.Stop) }) })
@@ -16,7 +16,7 @@
 	if record := g.options.Estimates; record != nil {
 		g.loop.Post(func() { g.restoreEstimates(record) })
 	}
-	// An empty cached list starts the module, which then asks for the watch.
+	// An empty cached list starts the module, which then requests the watch.
 	g.loop.Post(func() { g.tracker.Deliver(honeyplank.List{Kind: honeyplank.Cached}) })
 	if g.startDNS != nil {
 		g.startDNS()
@@ -32,8 +32,8 @@
 }
 
 // Shutdown stops admitting ops, waits until every admitted op has been answered and its answer sent, and ends Serve.
-// If ctx is done first, the remaining ops are failed at once and the context's error is returned. Serve must have been
-// called, or be called later: without it Shutdown does not return.
+// If ctx is done first, Shutdown fails the remaining ops at once, waits for Serve to end and returns the context's
+// error. Serve must be called before or during Shutdown; otherwise Shutdown does not return.
 func (g *Instance) Shutdown(ctx context.Context) error {
 	if !g.loop.Post(func() { g.drain(g.loop.Stop) }) {
 		return nil
@@ -48,8 +48,8 @@
 	return ctx.Err()
 }
 
-// Kill ends the instance as the death of its process would: connections are cut and admitted ops get no answer. Like
-// Shutdown it needs Serve.
+// Kill ends the instance as a crash of its process would: connections are closed and admitted ops get no answer. Like
+// Shutdown, it does not return unless Serve is called.
 func (g *Instance) Kill() {
 	g.loop.Post(func() {
 		g.server.Kill()
@@ -68,8 +68,8 @@
 	}
 }
 
-// drain stops admitting ops and calls drained once every admitted op has been answered and its answer sent. Only the
-// first call counts.
+// drain stops admitting ops and calls drained when every admitted op has been answered and its answer sent. Calls after
+// the first have no effect.
 func (g *Instance) drain(drained func()) {
 	if g.draining {
 		return
@@ -86,7 +86,7 @@
 	g.checkDrained()
 }
 
-// checkDrained calls onDrained if the instance drains and no op is owed an answer.
+// checkDrained calls onDrained if the instance drains and no op is awaiting an answer.
 func (g *Instance) checkDrained() {
 	if g.onDrained != nil && g.tracker.Unanswered() == 0 {
 		g.onDrained()
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -13,14 +13,14 @@
 	"honeyplank/target"
 )
 
-// queuesPerController is the largest number of I/O queues that a client may create.
-const queuesPerController = 64
+// maxQueuesPerController is the largest number of I/O queues that a client may create.
+const maxQueuesPerController = 64
 
-// volume is what the settings say of one namespace.
+// volume holds the settings of one namespace.
 type volume struct {
-	plan      int   // number of the plan in the settings
-	instances int   // number of instances through which its ops come
-	cells     []int // by extent, modulo their number
+	plan      int   // index of the plan in the settings
+	instances int   // number of instances that serve the volume's ops
+	cells     []int // cell of each extent, indexed by the extent's number modulo the length
 }
 
 // makeVolumes returns the volumes of the settings by namespace ID.
@@ -33,7 +33,7 @@
 	return volumes
 }
 
-// listen makes the NVMe/TCP target, which listens from then on and accepts connections once the loop runs.
+// listen creates the NVMe/TCP target, which listens at once and accepts connections when the loop runs.
 func (g *Instance) listen() error {
 	server, err := target.Listen(g.loop, g.settings.Listen.Address, g.targetSettings(), g)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// targetSettings returns what the instance offers to its clients.
+// targetSettings returns the settings of the NVMe/TCP target: its identity, limits, namespaces and retry delays.
 func (g *Instance) targetSettings() target.Settings {
 	config, limits := g.settings, &g.settings.Limits
 	offer := target.Settings{
@@ -81,7 +81,7 @@
 		MaxCapsule:       int(limits.MaxCapsule),
 		MaxDataPDU:       int(limits.MaxDataPDU),
 		QueueDepth:       limits.QueueDepth,
-		MaxQueues:        queuesPerController,
+		MaxQueues:        maxQueuesPerController,
 		HandshakeTimeout: limits.HandshakeTimeout.Duration(),
 		MaxConnections:   limits.MaxConnections,
 		MaxUnsent:        int(limits.MaxUnsent),
--- a/gateway/nodes.go
+++ b/gateway/nodes.go
@@ -9,8 +9,8 @@
 	"honeyplank/membership"
 )
 
-// Node is the state of a disk server in the membership ledger, its cause, and what each source reports. Since is a
-// duration up to now, rounded to seconds.
+// Node is the state of a disk server in the membership ledger, its cause, and the state that each source reports. Since
+// is the duration for which State has held, rounded to seconds.
 type Node struct {
 	Server string `json:"osd"`
 	Cell   int    `json:"cell"`
@@ -21,8 +21,8 @@
 	DNS    string `json:"dns"`
 }
 
-// Nodes returns the state of each disk server, sorted by address; ok is false if the instance has ended. It waits for
-// the event loop.
+// Nodes returns the state of each disk server, sorted by address; ok is false if the instance has ended. Nodes blocks
+// until the event loop has run the query, so it must not be called on the loop.
 func (g *Instance) Nodes() (list []Node, ok bool) {
 	return query(g, func() (list []Node) {
 		ids := g.ledger.Nodes()
@@ -48,7 +48,7 @@
 	}
 }
 
-// sourceText says what a source reports of a disk server, and for how long.
+// sourceText returns the state that a source reports of a disk server, and for how long it has reported it.
 func sourceText(now time.Duration, source membership.Source, view membership.View) string {
 	state := view.ReportedState[source]
 	if state == membership.NeverListed {
--- a/gateway/retrydelay.go
+++ b/gateway/retrydelay.go
@@ -7,14 +7,14 @@
 	"honeyplank/settings"
 )
 
-// retryDelayUnit is the unit of CRDT1 to CRDT3 (Base 5.17.2.1).
+// retryDelayUnit is the unit of CRDT1 to CRDT3 (NVMe Base Specification, section 5.17.2.1).
 const retryDelayUnit = 100 * time.Millisecond
 
 // maxRetryDelays is the number of CRDT fields: CRDT1 to CRDT3.
 const maxRetryDelays = 3
 
-// possibleRetryDelays returns the retry delays that the module can give by the settings, ascending. Where there are
-// more than maxRetryDelays, the shortest and the longest ones are kept.
+// possibleRetryDelays returns the retry delays that the module can give with these settings, ascending. If there are
+// more than maxRetryDelays, only the shortest one and the two longest ones are kept.
 func possibleRetryDelays(config *settings.Gateway) (list []time.Duration) {
 	if config.Dispatches.MaxRetryAfter <= 0 {
 		return nil
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -8,7 +8,8 @@
 	"honeyplank/membership"
 )
 
-// receipt says which source an update came from, and when it was received by the loop's clock and by the wall clock.
+// receipt holds the source of an update, and the times on the loop's clock and on the wall clock at which it was
+// received.
 type receipt struct {
 	source membership.Source
 	now    time.Duration
@@ -20,7 +21,8 @@
 	for _, reason := range update.Skipped {
 		g.log.Warn().Stringer("source", source).Str("reason", reason).Msg("endpoint list entry skipped")
 	}
-	// The wall clock is read first: a hold-up between the two places starts later, not earlier.
+	// The wall clock is read first. A process pause between the two reads then makes the computed start times of nodes
+	// later, not earlier.
 	received := receipt{source: source, wall: g.options.WallClock(), now: g.loop.Now()}
 	reports := g.makeReports(received, update)
 	var lists []honeyplank.List
@@ -42,8 +44,8 @@
 	g.deliverLists(lists)
 }
 
-// handleSourceFailure records that a source can't be followed. The module is notified of etcd's failures only: it
-// retries the watch, and DNS has none.
+// handleSourceFailure records that a source is unavailable. The module is notified of etcd failures only: it retries
+// the watch, and DNS has no watch.
 func (g *Instance) handleSourceFailure(received receipt, err error) {
 	g.log.Warn().Stringer("source", received.source).Err(err).Msg("endpoint list watch failed")
 	g.ledger.SourceFailed(received.now, received.source)
@@ -52,7 +54,7 @@
 	}
 }
 
-// makeReports converts an update to reports for the ledger, and records the incarnations that it names or implies.
+// makeReports converts an update to reports for the ledger, and records the incarnations that it states or implies.
 func (g *Instance) makeReports(received receipt, update discovery.Update) []membership.Report {
 	var reports []membership.Report
 	for _, node := range update.Nodes {
@@ -81,10 +83,10 @@
 	return report
 }
 
-// startTime returns when a node has started, on the loop's clock, and a time that the start surely came after; 0
-// stands for long ago and for no such time. upSinceMS is the start that the source gives, in Unix milliseconds. DNS
-// gives starts in whole seconds: where the other source has given one within the same second before, it is the same
-// incarnation.
+// startTime returns the start time of a node on the loop's clock, or 0 if it was long ago, and a lower bound of that
+// time, or 0 if none is known. upSinceMS is the start time that the source reports, in Unix milliseconds. DNS reports
+// start times in whole seconds: if the other source has already reported one within the same second, both belong to the
+// same incarnation.
 func (g *Instance) startTime(
 	received receipt, id honeyplank.ServerID, upSinceMS int64,
 ) (started, startedAfter time.Duration) {
@@ -96,12 +98,12 @@
 		own.Adopt(id, known)
 	}
 	started = own.Start(received.now, received.wall, id, upSinceMS)
-	known, _ = own.Known(id) // known since Start
+	known, _ = own.Known(id) // always found, because Start records it
 	return started, known.StartedAfter
 }
 
-// recordCurrent records what an update implies for the nodes that it doesn't mention: a start that is reported later
-// came after this update.
+// recordCurrent records what an update implies for the nodes that it doesn't mention: if a start of such a node is
+// reported later, it happened after this update.
 func (g *Instance) recordCurrent(received receipt, update discovery.Update) {
 	switch {
 	case update.Kind == honeyplank.Complete:
@@ -115,7 +117,7 @@
 	}
 }
 
-// outOfBand marks lists as changes that don't show that the watch works.
+// outOfBand marks lists as changes that do not show that the watch works.
 func outOfBand(lists []honeyplank.List) []honeyplank.List {
 	for i := range lists {
 		lists[i].Kind = honeyplank.OutOfBand
@@ -139,7 +141,7 @@
 
 // logMember logs a changed member, unless it is up and the sources agree.
 func (g *Instance) logMember(member honeyplank.Member) {
-	view, _ := g.ledger.View(member.ID) // known, since the ledger has listed it
+	view, _ := g.ledger.View(member.ID) // always found, because the ledger has listed it
 	if member.State == honeyplank.Up && view.Cause == membership.Agreed {
 		return
 	}
