--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
-// Command adapter hosts instances of the decision module in the simulator, whose messages it reads from standard input
-// and answers on standard output. The instances share nothing and run on one goroutine. The command decides nothing and
-// opens neither files nor sockets.
+// Command adapter hosts instances of the decision module for the simulator. It reads the simulator's messages from
+// standard input and writes the replies to standard output. The instances share no state and run on one goroutine. The
+// command makes no decisions and opens neither files nor sockets.
 package main
 
 import (
@@ -17,7 +17,7 @@
 		return policy.New(seed, settings)
 	}
 	if err := simwire.Serve(os.Stdin, os.Stdout, newModule); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "adapter:", err) // there is nowhere else to report to
+		_, _ = fmt.Fprintln(os.Stderr, "adapter:", err) // a failed write can't be reported anywhere
 		os.Exit(1)
 	}
 }
--- a/internal/heap/heap.go
+++ b/internal/heap/heap.go
@@ -1,18 +1,18 @@
-// Package heap measures what a call allocates, for tests that hold parsers to a bound. Programs don't use it. Bytes may
-// be called on any goroutine, but counts what all of them allocate.
+// Package heap measures the bytes that a call allocates. Tests use it to bound the allocations of parsers; programs do
+// not use it. Bytes may be called on any goroutine, but counts the allocations of all goroutines.
 package heap
 
 import "runtime/metrics"
 
-// Bytes is how much call allocated, to within a span of the allocator (some 10 KiB a size class). Other goroutines'
-// allocations count too.
+// Bytes returns the number of bytes that call allocated, to within one span of the allocator (about 10 KiB per size
+// class). It includes the allocations of other goroutines.
 func Bytes(call func()) uint64 {
 	before := allocatedBytes()
 	call()
 	return allocatedBytes() - before
 }
 
-// allocatedBytes is how much the process has allocated since its start.
+// allocatedBytes returns the number of bytes that the process has allocated since its start.
 func allocatedBytes() uint64 {
 	samples := []metrics.Sample{{Name: "/gc/heap/allocs:bytes"}}
 	metrics.Read(samples)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -7,7 +7,7 @@
 	"honeyplank"
 )
 
-// actionMessage is an action on the wire; absent fields mean the same as zero.
+// actionMessage is the wire form of an action. An absent field has the same meaning as zero.
 type actionMessage struct {
 	Op         string   `json:"op"`
 	Instance   string   `json:"scheduler_id"`
@@ -16,7 +16,7 @@
 	Timeout    float64  `json:"give_up_after_ms,omitempty"`
 	RetryAfter float64  `json:"backoff_ms,omitempty"`
 	Dispatch   *int     `json:"leg,omitempty"`
-	Peer       any      `json:"addressee,omitempty"` // number of an instance, or allPeers
+	Peer       any      `json:"addressee,omitempty"` // ordinal of an instance, or allPeers
 	Data       *string  `json:"raw,omitempty"`       // hexadecimal
 	Text       string   `json:"body_text,omitempty"`
 	Enabled    *bool    `json:"enable,omitempty"`
@@ -24,10 +24,10 @@
 	Timer      string   `json:"ref,omitempty"`
 }
 
-// allPeers addresses all other instances.
+// allPeers is the actionMessage.Peer that addresses all other instances.
 const allPeers = "*"
 
-// panicMessage tells that an instance has failed.
+// panicMessage reports that an instance has failed.
 type panicMessage struct {
 	Text     string `json:"body_text"`
 	Op       string `json:"op"`
@@ -38,7 +38,7 @@
 	return panicMessage{Text: fmt.Sprint("panic: ", value), Op: "bug", Instance: instance}
 }
 
-// encode is an action of an instance as it is sent.
+// encode converts an action of an instance to its wire form.
 func encode(instance string, action honeyplank.Action) actionMessage {
 	message := actionMessage{Instance: instance}
 	switch action := action.(type) {
@@ -75,7 +75,7 @@
 	return message
 }
 
-// setGossip sets the receiver and the data of a message to peers.
+// setGossip sets the receiver and the data of a gossip message.
 func (m *actionMessage) setGossip(gossip honeyplank.Gossip) {
 	data := hex.EncodeToString(gossip.Data)
 	m.Data, m.Peer = &data, gossip.To
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,10 +9,10 @@
 	"honeyplank"
 )
 
-// decoder reads an event. loadFields are the names of the values of a load report.
+// decoder decodes an event. loadFields are the names of the values in a load report.
 type decoder func(raw []byte, loadFields []string) (honeyplank.Event, error)
 
-// decoders are the decoders by the message's op.
+// decoders maps the op of a message to its decoder.
 var decoders = map[string]decoder{
 	"discovery":   decode[listMessage],
 	"request":     decode[opMessage],
@@ -24,12 +24,12 @@
 	"lapsed":      decode[clientGoneMessage],
 }
 
-// eventMessage is an event on the wire.
+// eventMessage is the wire form of an event.
 type eventMessage interface {
 	event(loadFields []string) (honeyplank.Event, error)
 }
 
-// decode is the decoder of a message type.
+// decode is a decoder for messages of type M.
 func decode[M eventMessage](raw []byte, loadFields []string) (honeyplank.Event, error) {
 	var message M
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -51,14 +51,14 @@
 	"off":    honeyplank.Removed,
 }
 
-// listMessage is a honeyplank.List on the wire.
+// listMessage is the wire form of honeyplank.List.
 type listMessage struct {
 	Kind    string          `json:"how"`
 	Version int64           `json:"epoch"`
 	Members []memberMessage `json:"nodes_list"`
 }
 
-// memberMessage is a honeyplank.Member on the wire.
+// memberMessage is the wire form of honeyplank.Member.
 type memberMessage struct {
 	Server  string  `json:"server"`
 	Started float64 `json:"last_start_ms"`
@@ -101,7 +101,7 @@
 	}, nil
 }
 
-// opMessage is a honeyplank.Op on the wire.
+// opMessage is the wire form of honeyplank.Op.
 type opMessage struct {
 	ID             string   `json:"job"`
 	Units          float64  `json:"units"`
@@ -138,7 +138,7 @@
 	return op, nil
 }
 
-// outcomeMessage is a honeyplank.Outcome on the wire.
+// outcomeMessage is the wire form of honeyplank.Outcome.
 type outcomeMessage struct {
 	Op              string    `json:"job"`
 	Dispatch        int       `json:"leg"`
@@ -169,7 +169,7 @@
 	}, nil
 }
 
-// responseStartedMessage is a honeyplank.ResponseStarted on the wire.
+// responseStartedMessage is the wire form of honeyplank.ResponseStarted.
 type responseStartedMessage struct {
 	Op       string  `json:"job"`
 	Dispatch int     `json:"leg"`
@@ -186,7 +186,7 @@
 	}, nil
 }
 
-// timerMessage is a honeyplank.Timer on the wire.
+// timerMessage is the wire form of honeyplank.Timer.
 type timerMessage struct {
 	ID string `json:"ref"`
 }
@@ -195,7 +195,7 @@
 	return honeyplank.Timer{ID: honeyplank.TimerID(m.ID)}, nil
 }
 
-// healthCheckMessage is a honeyplank.HealthCheckResult on the wire.
+// healthCheckMessage is the wire form of honeyplank.HealthCheckResult.
 type healthCheckMessage struct {
 	Server  string    `json:"server"`
 	Code    int       `json:"state_code"`
@@ -216,7 +216,7 @@
 	}, nil
 }
 
-// peerMessage is a honeyplank.PeerMessage on the wire.
+// peerMessage is the wire form of honeyplank.PeerMessage.
 type peerMessage struct {
 	From int    `json:"origin_peer"`
 	Data string `json:"raw"` // hexadecimal
@@ -230,7 +230,7 @@
 	return honeyplank.PeerMessage{From: m.From, Data: data}, nil
 }
 
-// clientGoneMessage is a honeyplank.ClientGone on the wire.
+// clientGoneMessage is the wire form of honeyplank.ClientGone.
 type clientGoneMessage struct {
 	Op string `json:"job"`
 }
@@ -239,7 +239,7 @@
 	return honeyplank.ClientGone{Op: honeyplank.OpID(m.Op)}, nil
 }
 
-// outcomeCode is the code of an outcome by its number on the wire, which is the same.
+// outcomeCode converts the number of an outcome on the wire, which has the same value as its honeyplank.Code.
 func outcomeCode(number int) (honeyplank.Code, error) {
 	if number < int(honeyplank.Succeeded) || number > int(honeyplank.NotSent) {
 		return 0, fmt.Errorf("state_code %d is unknown", number)
@@ -247,10 +247,11 @@
 	return honeyplank.Code(number), nil
 }
 
-// LoadFieldName is the module's name of a value of a load report: that on the wire without its unit.
+// LoadFieldName returns the module's name of a value in a load report: its name on the wire without the unit "_ms".
 func LoadFieldName(field string) string { return strings.TrimSuffix(field, "_ms") }
 
-// loadReport is a load report by the names of its values.
+// loadReport returns the values of a load report by the module's names, or nil if it is empty. Values without a name
+// are dropped.
 func loadReport(values []float64, fields []string) map[string]float64 {
 	if len(values) == 0 {
 		return nil
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,9 +1,9 @@
-// Package simwire speaks the JSON of the simulator and of the platform's settings, and translates it to the types of
-// package honeyplank. The names of the wire end here.
+// Package simwire converts between the JSON messages of the simulator, which include the platform's settings, and the
+// types of package honeyplank. No other package uses the names of this wire format.
 //
-// It makes no decisions, reads no clock and knows no sockets: Serve reads and writes what it is given. cmd/adapter
-// calls Serve on its only goroutine, and every instance runs there. Package scheduler calls ReadSite and LoadFieldName,
-// which keep no state, on any goroutine.
+// It makes no decisions, reads no clock and opens no sockets: Serve uses the reader and the writer that it is given.
+// cmd/adapter calls Serve on its only goroutine, and every instance runs there. Package scheduler calls ReadSite and
+// LoadFieldName, which keep no state, on any goroutine.
 package simwire
 
 import (
@@ -18,32 +18,32 @@
 	"honeyplank"
 )
 
-// NewModule makes the decision module of an instance from its seed and settings.
+// NewModule creates the decision module of an instance from its seed and settings.
 type NewModule func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
 
-// bufferSize is that of the buffers of input and output, in bytes.
+// bufferSize is the size of the input and output buffers, in bytes.
 const bufferSize = 1 << 20
 
-// batchMessage is the events of one instant.
+// batchMessage holds the events of one point in time.
 type batchMessage struct {
 	Now    *float64          `json:"wall_ms"`
 	Round  json.Number       `json:"round"`
 	Events []json.RawMessage `json:"news"`
 }
 
-// replyMessage is the actions that follow from a batch.
+// replyMessage holds the actions that result from a batch.
 type replyMessage struct {
 	Round    json.Number `json:"round"`
 	Messages []any       `json:"outbox"` // of type actionMessage or panicMessage
 }
 
-// envelope is what all messages to an instance have in common.
+// envelope holds the fields that all messages to an instance have.
 type envelope struct {
 	Op       string `json:"op"`
 	Instance string `json:"scheduler_id"`
 }
 
-// The messages that start and end an instance.
+// The ops of the messages that start and end an instance.
 const (
 	opStart = "provision"
 	opStop  = "power_off"
@@ -55,21 +55,22 @@
 	Site siteMessage `json:"config"`
 }
 
-// simulation is the instances of one simulator.
+// simulation hosts the instances of one simulator.
 type simulation struct {
 	newModule NewModule
 	instances map[string]*instance
 }
 
-// instance is a decision module with what is needed to translate for it.
+// instance is a decision module and the state that the conversion of its messages needs.
 type instance struct {
 	id         string
 	module     honeyplank.DecisionModule
-	loadFields []string // names of the values of a load report
-	failed     bool     // the module has panicked
+	loadFields []string // names of the values in a load report
+	failed     bool     // whether the module has panicked
 }
 
-// Serve answers batches, one a line, until the input ends.
+// Serve reads batches from in, one per line, and writes a reply line to out for each, until the input ends. It returns
+// an error if a batch is invalid, or if reading or writing fails.
 func Serve(in io.Reader, out io.Writer, newModule NewModule) error {
 	sim := &simulation{newModule: newModule, instances: map[string]*instance{}}
 	reader, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
@@ -91,7 +92,7 @@
 	}
 }
 
-// serveLine answers the batch of a line. The encoder writes to writer, which is flushed.
+// serveLine writes the reply to the batch on a line. The encoder must write to writer, which serveLine flushes.
 func (sim *simulation) serveLine(line []byte, encoder *json.Encoder, writer *bufio.Writer) error {
 	reply, err := sim.answer(line)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// answer is the reply to a batch.
+// answer handles a batch and returns the reply.
 func (sim *simulation) answer(line []byte) (*replyMessage, error) {
 	var batch batchMessage
 	if err := json.Unmarshal(line, &batch); err != nil {
@@ -129,7 +130,7 @@
 	return reply, nil
 }
 
-// handle carries a message to its instance and returns the messages that follow from it.
+// handle passes a message to its instance and returns the resulting messages.
 func (sim *simulation) handle(now time.Duration, raw json.RawMessage) ([]any, error) {
 	var head envelope
 	if err := json.Unmarshal(raw, &head); err != nil {
@@ -148,7 +149,7 @@
 	return sim.handleEvent(now, head, raw)
 }
 
-// start starts an instance, in place of one of the same id if there is one.
+// start starts an instance. It replaces an instance with the same id.
 func (sim *simulation) start(id string, raw json.RawMessage) ([]any, error) {
 	var message startMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -166,8 +167,8 @@
 	}), nil
 }
 
-// handleEvent has an instance handle an event. Those of unknown and of failed instances are dropped once they are
-// decoded.
+// handleEvent decodes an event and passes it to its instance. Events of unknown and failed instances are checked for
+// errors and dropped.
 func (sim *simulation) handleEvent(now time.Duration, head envelope, raw json.RawMessage) ([]any, error) {
 	decodeEvent, ok := decoders[head.Op]
 	if !ok {
@@ -188,7 +189,7 @@
 	return receiver.guard(func() []honeyplank.Action { return receiver.module.Handle(now, event) }), nil
 }
 
-// guard runs the module. A panic ends this instance alone.
+// guard runs a call of the module and encodes the actions. If the module panics, only this instance fails.
 func (i *instance) guard(run func() []honeyplank.Action) (messages []any) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -6,7 +6,7 @@
 	"honeyplank"
 )
 
-// discoveryByWatch is the siteMessage.Discovery of a list that is watched.
+// discoveryByWatch is the siteMessage.Discovery of a deployment whose endpoint list is watched.
 const discoveryByWatch = "subscribe"
 
 var semanticsByName = map[string]honeyplank.Semantics{
@@ -23,7 +23,7 @@
 	"cell": honeyplank.ScopeCell,
 }
 
-// settings are the module's settings.
+// settings converts the message to the module's settings.
 func (m *siteMessage) settings() (*honeyplank.Settings, error) {
 	opTypes, err := m.opTypes()
 	if err != nil {
@@ -114,7 +114,7 @@
 	return plans
 }
 
-// retryBudget is the retry budget; there is one only where the rules state its share or its window.
+// retryBudget returns the retry budget. Retries are limited only if the rules state the budget's share or its window.
 func (m *rulesMessage) retryBudget() (budget honeyplank.RetryBudget) {
 	if m.RetryBudgetWindow == nil && m.RetryBudgetShare == nil {
 		return budget
--- a/internal/simwire/site.go
+++ b/internal/simwire/site.go
@@ -7,23 +7,23 @@
 	"honeyplank"
 )
 
-// Site is the settings of a deployment, for an instance that serves it elsewhere than on the simulator's wire.
+// Site holds the settings of a deployment for an instance that runs outside the simulator.
 type Site struct {
 	Settings       *honeyplank.Settings
-	LoadFields     []string      // names of the values of a load report
+	LoadFields     []string      // names of the values in a load report, as on the wire
 	OpTypes        []string      // names, in the order of Settings.OpTypes
 	Plans          []string      // names, in the order of Settings.Plans
 	Models         []string      // names of the hardware models, by number
 	Zones          []string      // names of the zones, by number
-	IdleTimeout    time.Duration // after which an idle connection to a disk server is closed
-	ConnectTimeout time.Duration
-	StreamsPerConn int  // dispatches that one connection carries at once
-	WatchOnRequest bool // the endpoint list is watched; else it is polled
-	HealthChecks   bool // disk servers can be asked for their health
-	Gossip         bool // instances can send each other messages
+	IdleTimeout    time.Duration // time after which an idle connection to a disk server is closed
+	ConnectTimeout time.Duration // longest time that connecting to a disk server may take
+	StreamsPerConn int           // number of dispatches that one connection carries at once
+	WatchOnRequest bool          // whether the endpoint list is watched; otherwise it is polled
+	HealthChecks   bool          // whether disk servers answer health checks
+	Gossip         bool          // whether instances can send messages to each other
 }
 
-// ReadSite reads the settings in the form of the simulator's first message.
+// ReadSite decodes the settings of a deployment, which have the form of "config" in the simulator's start message.
 func ReadSite(raw []byte) (*Site, error) {
 	var message siteMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -54,8 +54,8 @@
 	return site, nil
 }
 
-// siteMessage is the settings of a deployment on the wire. Some of its fields are read by no one, but must have the
-// right type.
+// siteMessage is the wire form of a deployment's settings. Some fields are not used, but are decoded so that a value of
+// the wrong type is rejected.
 type siteMessage struct {
 	Capabilities  capabilitiesMessage `json:"caps"`
 	OpTypes       []opTypeMessage     `json:"classes"`
@@ -72,7 +72,7 @@
 	Step          float64             `json:"step_ms"`
 }
 
-// capabilitiesMessage is what the platform of a deployment can do.
+// capabilitiesMessage states the capabilities of a deployment's platform.
 type capabilitiesMessage struct {
 	CancelAllowed     bool    `json:"cancel"`
 	MaxDispatches     int     `json:"max_attempts"`
@@ -86,7 +86,7 @@
 	StreamsPerConn    int     `json:"streams_per_conn"`
 }
 
-// opTypeMessage is an op type.
+// opTypeMessage is the wire form of an op type.
 type opTypeMessage struct {
 	Name          string  `json:"name"`
 	DedupScope    string  `json:"dedup_scope"`
@@ -100,7 +100,7 @@
 	Ordered       bool    `json:"in_order"`
 }
 
-// workMessage is what ops are like and what is known of their volumes' use.
+// workMessage states the properties of ops and the usage figures that disk servers report for their volumes.
 type workMessage struct {
 	Writes          []bool  `json:"changes_data"`
 	ServedElsewhere bool    `json:"counts_others"`
@@ -112,7 +112,7 @@
 	SlowStartUnits  float64 `json:"young_limit"`
 }
 
-// planMessage is a plan.
+// planMessage is the wire form of a plan.
 type planMessage struct {
 	Name    string  `json:"name"`
 	Limit   float64 `json:"ceiling_rate"`
@@ -124,12 +124,12 @@
 	Weight  float64 `json:"weight"`
 }
 
-// loadReportMessage is what the load reports of disk servers hold.
+// loadReportMessage names the values in the load reports of disk servers.
 type loadReportMessage struct {
 	Fields []string `json:"fields"`
 }
 
-// rulesMessage is the rules that every instance keeps.
+// rulesMessage holds the rules that every instance must follow.
 type rulesMessage struct {
 	WatchWithin       float64  `json:"ask_within_ms"`
 	SlowStartFrom     float64  `json:"cold_from"`
