--- a/inflight/tracker_test.go
+++ b/inflight/tracker_test.go
@@ -11,20 +11,20 @@
 	"honeyplank/eventloop"
 )
 
-// harness is a Tracker whose decision module and Sender are played by a test.
+// harness is a Tracker with a test double as its decision module and Sender.
 type harness struct {
 	t         *testing.T
 	loop      *eventloop.Loop
 	tracker   *Tracker
-	decide    func(honeyplank.Event) []honeyplank.Action
-	onSend    func(*Dispatch) // where set, is called by Send
+	decide    func(honeyplank.Event) []honeyplank.Action // the module's decisions
+	onSend    func(*Dispatch)                            // called by Send, if set
 	events    []honeyplank.Event
 	sent      []*Dispatch
 	cancelled []*Dispatch
 	written   map[*Dispatch]bool
 }
 
-// recordingClient lists the answers that it gets.
+// recordingClient records the answers that it gets.
 type recordingClient struct{ answers []string }
 
 func (c *recordingClient) Succeeded(data []byte) {
@@ -49,7 +49,7 @@
 func (h *harness) Written(d *Dispatch) bool { return h.written[d] }
 func (h *harness) Cancel(d *Dispatch)       { h.cancelled = append(h.cancelled, d) }
 
-// newHarness has a module that dispatches each op once and fails it unless that succeeds.
+// newHarness returns a harness whose module dispatches each op once and fails it unless the dispatch succeeds.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	loop, err := eventloop.New(time.Second)
@@ -90,12 +90,12 @@
 	}
 }
 
-// admit admits an op that must have its answer within a time from now.
+// admit admits an op whose deadline is after the duration within from now.
 func (h *harness) admit(id string, within time.Duration) *recordingClient {
 	h.t.Helper()
 	client := &recordingClient{}
 	if !h.tracker.Admit(honeyplank.Op{ID: honeyplank.OpID(id), Deadline: h.loop.Now() + within}, client) {
-		h.t.Fatalf("op %s is not admitted", id)
+		h.t.Fatalf("op %s was not admitted", id)
 	}
 	return client
 }
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestFirstSuccessAnswers: the first success answers the op; a second outcome of the same dispatch, and a success of
-// another, do not.
+// TestFirstSuccessAnswers checks that the first success answers the op, and that a second outcome of the same dispatch
+// and a success of another dispatch do not.
 func TestFirstSuccessAnswers(t *testing.T) {
 	h := newHarness(t)
 	h.decide = func(e honeyplank.Event) []honeyplank.Action {
@@ -134,7 +134,7 @@
 	h.sent[1].Finish(honeyplank.Succeeded, []byte("1"), Feedback{QuotaUsed: 3})
 	h.sent[1].Finish(honeyplank.Reset, nil, Feedback{})
 	if h.tracker.Unanswered() != 0 || h.tracker.Outstanding() != 1 {
-		t.Errorf("%d unanswered, %d outstanding", h.tracker.Unanswered(), h.tracker.Outstanding())
+		t.Errorf("%d unanswered, %d outstanding; want 0 and 1", h.tracker.Unanswered(), h.tracker.Outstanding())
 	}
 	h.sent[0].Finish(honeyplank.Succeeded, []byte("2"), Feedback{})
 	expectAnswers(t, client, "succeeded 1")
@@ -143,18 +143,18 @@
 		t.Fatalf("%d outcomes, want 2", len(got))
 	}
 	if got[0].Dispatch != 1 || got[0].QuotaUsed != 3 || !got[0].Answered {
-		t.Errorf("first outcome %+v", got[0])
+		t.Errorf("first outcome %+v, want that of dispatch 1, answered, with quota 3", got[0])
 	}
 	if got[1].Dispatch != 0 || !got[1].Answered {
-		t.Errorf("second outcome %+v", got[1])
+		t.Errorf("second outcome %+v, want that of dispatch 0, answered", got[1])
 	}
 	if len(h.tracker.ops) != 0 {
-		t.Error("an op that is over is kept")
+		t.Error("an op without outstanding dispatches is kept after its answer")
 	}
 }
 
-// TestOpDeadline: at the deadline a dispatch that was written has timed out and one that was not counts as a failed
-// connect; the sender cancels both.
+// TestOpDeadline checks that at the deadline of an op a written dispatch ends as timed out and an unwritten one as a
+// failed connect, and that both are cancelled at the sender.
 func TestOpDeadline(t *testing.T) {
 	h := newHarness(t)
 	written, unwritten := h.admit("a", 20*time.Millisecond), h.admit("b", 20*time.Millisecond)
@@ -164,14 +164,14 @@
 	expectAnswers(t, unwritten, "failed")
 	got := h.outcomes()
 	if len(got) != 2 || len(h.cancelled) != 2 {
-		t.Fatalf("%+v, %d cancelled, want 2 of each", got, len(h.cancelled))
+		t.Fatalf("outcomes %+v, %d dispatches cancelled; want 2 of each", got, len(h.cancelled))
 	}
 	if got[0].Code != honeyplank.TimedOut || got[1].Code != honeyplank.ConnectFailed {
-		t.Errorf("%+v", got)
+		t.Errorf("outcomes %+v, want one timeout and one failed connect", got)
 	}
 }
 
-// TestDispatchTimeout: a dispatch's own timeout ends it before the op's deadline.
+// TestDispatchTimeout checks that a dispatch's own timeout ends it before the op's deadline.
 func TestDispatchTimeout(t *testing.T) {
 	h := newHarness(t)
 	h.decide = func(e honeyplank.Event) []honeyplank.Action {
@@ -188,28 +188,29 @@
 	expectAnswers(t, client, "rejected 1s")
 }
 
-// TestDuplicateID: an id is refused while its op has no answer, or a dispatch of it has no outcome.
+// TestDuplicateID checks that an id is not admitted while an op with this id has no answer or a dispatch without an
+// outcome.
 func TestDuplicateID(t *testing.T) {
 	h := newHarness(t)
 	first, again := h.admit("a", time.Second), &recordingClient{}
 	if h.tracker.Admit(honeyplank.Op{ID: "a", Deadline: time.Hour}, again) {
-		t.Error("an id without an answer is admitted twice")
+		t.Error("an id is admitted again before its op is answered")
 	}
 	h.written[h.sent[0]] = true
 	h.tracker.ClientGone("a")
 	if h.tracker.Admit(honeyplank.Op{ID: "a", Deadline: time.Hour}, again) {
-		t.Error("an id with a dispatch outstanding is admitted twice")
+		t.Error("an id is admitted again while a dispatch of its op is outstanding")
 	}
 	h.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
 	expectAnswers(t, first)
 	expectAnswers(t, again)
 	if !h.tracker.Admit(honeyplank.Op{ID: "a", Deadline: time.Hour}, again) {
-		t.Error("an id that is over is not admitted")
+		t.Error("the id of a finished op is not admitted again")
 	}
 }
 
-// TestCancelUnsent: once an op is over, because its client has gone, it was answered or all ops fail, its dispatches
-// that are not written are cancelled and reported as not sent; those that are written are waited for.
+// TestCancelUnsent ends an op in each possible way: its unwritten dispatches must be cancelled and reported as not
+// sent, and its written dispatches must stay outstanding until they have outcomes.
 func TestCancelUnsent(t *testing.T) {
 	for name, end := range map[string]func(*harness){
 		"client gone": func(h *harness) { h.tracker.ClientGone("a") },
@@ -225,21 +226,22 @@
 			h.written[h.sent[0]], h.written[h.sent[1]] = true, true
 			end(h)
 			if len(h.cancelled) != 1 || h.cancelled[0] != h.sent[2] || !h.sent[2].Ended() {
-				t.Errorf("%d dispatches are cancelled", len(h.cancelled))
+				t.Errorf("%d dispatches cancelled, want only the unwritten one", len(h.cancelled))
 			}
 			if notSent := h.notSent(); !slices.Equal(notSent, []int{2}) {
-				t.Errorf("dispatches %v are reported as not sent, want [2]", notSent)
+				t.Errorf("dispatches %v reported as not sent, want [2]", notSent)
 			}
 			h.sent[0].Finish(honeyplank.Succeeded, nil, Feedback{})
 			h.sent[1].Finish(honeyplank.Succeeded, nil, Feedback{})
 			if h.tracker.Outstanding() != 0 || len(h.tracker.ops) != 0 {
-				t.Errorf("%d outstanding, %d ops kept", h.tracker.Outstanding(), len(h.tracker.ops))
+				t.Errorf("%d dispatches outstanding, %d ops kept; want none",
+					h.tracker.Outstanding(), len(h.tracker.ops))
 			}
 		})
 	}
 }
 
-// dispatchThrice dispatches each op three times and does nothing more.
+// dispatchThrice dispatches each op three times and ignores other events.
 func dispatchThrice(e honeyplank.Event) []honeyplank.Action {
 	op, ok := e.(honeyplank.Op)
 	if !ok {
@@ -249,7 +251,7 @@
 	return []honeyplank.Action{d, d, d}
 }
 
-// notSent is the dispatches that were reported as not sent once their op was over.
+// notSent returns the indexes of the dispatches that were reported as not sent after their op had ended.
 func (h *harness) notSent() []int {
 	var dispatches []int
 	for _, o := range h.outcomes() {
@@ -260,7 +262,7 @@
 	return dispatches
 }
 
-// TestEventsAreHandledInOrder: an event that comes while the module handles another waits.
+// TestEventsAreHandledInOrder checks that an event that occurs while the module handles another one is handled later.
 func TestEventsAreHandledInOrder(t *testing.T) {
 	h := newHarness(t)
 	h.onSend = func(d *Dispatch) { d.Finish(honeyplank.Rejected, nil, Feedback{}) }
@@ -275,21 +277,21 @@
 	client := h.admit("a", time.Second)
 	expectAnswers(t, client, "failed")
 	if maxDepth != 1 || len(h.events) != 2 {
-		t.Errorf("%d events, %d at a time", len(h.events), maxDepth)
+		t.Errorf("%d events, %d at a time; want 2, one at a time", len(h.events), maxDepth)
 	}
 }
 
-// TestNotSentPastDeadline: an op whose deadline has passed is not sent.
+// TestNotSentPastDeadline checks that an op is not sent if its deadline has passed.
 func TestNotSentPastDeadline(t *testing.T) {
 	h := newHarness(t)
 	client := h.admit("a", 0)
 	expectAnswers(t, client, "failed")
 	if got := h.outcomes(); len(got) != 1 || got[0].Code != honeyplank.NotSent || len(h.sent) != 0 {
-		t.Errorf("%+v, %d sent", got, len(h.sent))
+		t.Errorf("outcomes %+v, %d dispatches sent; want one not sent", got, len(h.sent))
 	}
 }
 
-// TestFailAll: all ops fail in the order of admission.
+// TestFailAll checks that FailAll fails all ops in the order of their admission.
 func TestFailAll(t *testing.T) {
 	h := newHarness(t)
 	var order []string
@@ -300,7 +302,7 @@
 	}
 	h.tracker.FailAll()
 	if fmt.Sprint(order) != "[0 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19]" || h.tracker.Unanswered() != 0 {
-		t.Errorf("%v, %d unanswered", order, h.tracker.Unanswered())
+		t.Errorf("ops failed in the order %v, %d unanswered; want 0 to 19 and none", order, h.tracker.Unanswered())
 	}
 }
 
@@ -311,8 +313,8 @@
 func (c *funcClient) Rejected(time.Duration) { c.onAnswer("rejected") }
 func (c *funcClient) Failed()                { c.onAnswer("failed") }
 
-// FuzzTracker plays any module and any sender: each op has at most one answer, and one in the end unless its client has
-// gone; each dispatch has one outcome.
+// FuzzTracker runs a Tracker with a module, a sender and clients that act at random: each op must get exactly one
+// answer, or none if its client goes first, and each dispatch must get exactly one outcome.
 func FuzzTracker(f *testing.F) {
 	for seed := range int64(8) {
 		f.Add(seed)
@@ -343,16 +345,16 @@
 // randomOps is the number of ops of a randomRun.
 const randomOps = 30
 
-// randomRun is a harness on which module, sender and clients act at random.
+// randomRun is a harness whose module, sender and clients act at random.
 type randomRun struct {
 	*harness
 	rng      *rand.Rand
-	outcomes map[string]int // by dispatch
-	answers  map[int]int    // by op
-	gone     map[int]bool   // ops whose client has gone before an answer
+	outcomes map[string]int // number of outcomes by dispatch
+	answers  map[int]int    // number of answers by op
+	gone     map[int]bool   // ops whose client went before an answer
 }
 
-// randomActions counts outcomes and returns up to two actions, on ops of which some are not in flight.
+// randomActions counts outcomes and returns up to two actions on random ops, some of which are not in flight.
 func (r *randomRun) randomActions(e honeyplank.Event) (actions []honeyplank.Action) {
 	if o, ok := e.(honeyplank.Outcome); ok {
 		r.outcomes[fmt.Sprintf("%s/%d", o.Op, o.Dispatch)]++
@@ -375,7 +377,7 @@
 	return actions
 }
 
-// step admits an op. Then a dispatch may end, and a client may go.
+// step admits op i. Then, at random, a dispatch ends and the client of an op goes.
 func (r *randomRun) step(i int) {
 	op := honeyplank.Op{ID: honeyplank.OpID(fmt.Sprint(i)), Deadline: time.Hour}
 	r.tracker.Admit(op, &funcClient{func(string) { r.answers[i]++ }})
@@ -396,18 +398,18 @@
 			want = 0
 		}
 		if r.answers[i] != want {
-			r.t.Fatalf("op %d has %d answers, want %d; client gone before: %v", i, r.answers[i], want, r.gone[i])
+			r.t.Fatalf("op %d has %d answers, want %d; client gone first: %v", i, r.answers[i], want, r.gone[i])
 		}
 	}
 	for name, n := range r.outcomes {
 		if n != 1 {
-			r.t.Fatalf("dispatch %s has %d outcomes", name, n)
+			r.t.Fatalf("dispatch %s has %d outcomes, want 1", name, n)
 		}
 	}
 	if unanswered := r.tracker.Unanswered(); unanswered != 0 {
 		r.t.Fatalf("%d ops are unanswered", unanswered)
 	}
 	if dispatches := r.tracker.Counts.Dispatches; len(r.outcomes) != dispatches {
-		r.t.Fatalf("%d outcomes of %d dispatches", len(r.outcomes), dispatches)
+		r.t.Fatalf("%d dispatches have outcomes, want all %d", len(r.outcomes), dispatches)
 	}
 }
--- a/internal/simwire/fuzz_test.go
+++ b/internal/simwire/fuzz_test.go
@@ -17,8 +17,8 @@
 
 func newIdleModule(int64, *honeyplank.Settings) honeyplank.DecisionModule { return idleModule{} }
 
-// FuzzServe reads any batches: no panic; a line is answered by one line, or ends with an error. What is allocated is
-// bounded by the input.
+// FuzzServe serves arbitrary input: Serve must not panic, must answer each batch with one line unless it returns an
+// error, and must allocate an amount of memory that is bounded by the size of the input.
 func FuzzServe(f *testing.F) {
 	f.Add(`{"wall_ms":0,"round":1,"news":[]}`)
 	f.Add(`{"wall_ms":1,"round":2,"news":[` +
@@ -33,16 +33,16 @@
 		var err error
 		allocated := heap.Bytes(func() { err = Serve(strings.NewReader(in), &out, newIdleModule) })
 		if allocated > uint64(4<<20+1000*len(in)) {
-			t.Fatalf("%d bytes are allocated for an input of %d", allocated, len(in))
+			t.Fatalf("%d bytes allocated for an input of %d bytes", allocated, len(in))
 		}
 		batches := countBatches(in)
 		if answers := strings.Count(out.String(), "\n"); err == nil && answers != batches || answers > batches {
-			t.Fatalf("%d batches, %d answers, %v", batches, answers, err)
+			t.Fatalf("%d batches, %d replies, error %v; want one reply per batch", batches, answers, err)
 		}
 	})
 }
 
-// countBatches is the number of lines that are not blank.
+// countBatches returns the number of lines that are not blank.
 func countBatches(in string) (count int) {
 	for _, line := range strings.Split(in, "\n") {
 		if strings.TrimSpace(line) != "" {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -8,7 +8,7 @@
 	"honeyplank"
 )
 
-// echoModule is a decision module that takes an action of each form for every op and panics on every timer.
+// echoModule is a decision module that returns the same four actions for every op and panics on every timer.
 type echoModule struct{}
 
 func (echoModule) Handle(_ time.Duration, event honeyplank.Event) []honeyplank.Action {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// serveLines has Serve answer some lines for echoModules.
+// serveLines returns the output of Serve for some input lines, with echoModules as decision modules.
 func serveLines(lines ...string) (string, error) {
 	var out strings.Builder
 	newModule := func(int64, *honeyplank.Settings) honeyplank.DecisionModule { return echoModule{} }
@@ -34,10 +34,12 @@
 	return out.String(), err
 }
 
-// startBatch starts the instance s.
+// startBatch is a batch that starts the instance s.
 const startBatch = `{"wall_ms":1,"round":1,"news":[{"op":"provision","scheduler_id":"s","salt":7,` +
 	`"config":{"new":1,"classes":[{"target_ms":200,"semantics":"token","dedup_scope":"cell"}]}}]}`
 
+// TestReplies checks the wire form of actions, that unknown fields and unknown instances are ignored, and that a panic
+// is reported once and disables the instance.
 func TestReplies(t *testing.T) {
 	out, err := serveLines(startBatch,
 		`{"wall_ms":2,"round":2,"news":[{"op":"request","scheduler_id":"s","job":"c:1","units":2,"extra":[1]},`+
@@ -56,7 +58,7 @@
 	}
 }
 
-// TestBadInput: bad input ends the adapter with one line that names the message.
+// TestBadInput checks that Serve ends at bad input with a one-line error that names the message.
 func TestBadInput(t *testing.T) {
 	for line, name := range map[string]string{
 		`{"wall_ms":1,`:                              "batch",
@@ -73,25 +75,25 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := serveLines(startBatch, line)
 			if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v", line, err)
+				t.Errorf("%s: error %v, want one line that names the message", line, err)
 			}
 		})
 	}
 }
 
-// TestEndOfInput: the end of the input is no error.
+// TestEndOfInput checks that Serve returns no error at the end of the input.
 func TestEndOfInput(t *testing.T) {
 	if _, err := serveLines(); err != nil {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("error at the end of the input: %v", err)
 	}
 }
 
-// batchOf is a batch of one message to the instance s, with some fields.
+// batchOf returns a batch with one message to the instance s that has the given fields.
 func batchOf(fields string) string {
 	return `{"wall_ms":2,"round":2,"news":[{"scheduler_id":"s",` + fields + `}]}`
 }
 
-// TestConnectTimeout: how long a connection may take reaches both the module and whoever connects.
+// TestConnectTimeout checks that the connect timeout is set both for the module and for the code that connects.
 func TestConnectTimeout(t *testing.T) {
 	for raw, want := range map[string]time.Duration{
 		`{"caps":{"connect_timeout_ms":250}}`: 250 * time.Millisecond,
@@ -103,7 +105,7 @@
 				t.Fatal(err)
 			}
 			if got := site.Settings.Dispatches.ConnectTimeout; got != want || site.ConnectTimeout != want {
-				t.Errorf("%v to the module, %v to the network, want %v", got, site.ConnectTimeout, want)
+				t.Errorf("connect timeout of the module %v, of the site %v, want %v", got, site.ConnectTimeout, want)
 			}
 		})
 	}
