--- a/gateway/example_test.go
+++ b/gateway/example_test.go
@@ -11,8 +11,8 @@
 	"honeyplank/settings"
 )
 
-// An instance is made from settings, serves on a goroutine and is shut down in order. Disk servers come from etcd; here
-// nothing listens at its endpoint, and the instance serves its clients none.
+// An instance is created from settings, serves on a goroutine and is shut down gracefully. It reads the list of disk
+// servers from etcd; in this example nothing listens at the etcd endpoint, so no disk servers are known.
 func Example() {
 	config, err := settings.Parse("example.xml", []byte(testSettings))
 	if err != nil {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -33,7 +33,7 @@
 	serving  sync.WaitGroup // of each Serve
 }
 
-// testSettings has volume 1 on cells 0 and 1 by turns, in extents of 256 blocks, and volume 2 on cell 1.
+// testSettings has volume 1, whose extents of 256 blocks alternate between cells 0 and 1, and volume 2 on cell 1.
 const testSettings = `<honeyplank version="1">
   <listen address="127.0.0.1:0" subsystem="nqn.2026-12.org.honeyplank:test"
     host="nqn.2026-12.org.honeyplank:gateway-0"/>
@@ -65,15 +65,15 @@
 </honeyplank>`
 
 const (
-	blockBytes = 4096 // of the volumes in testSettings
+	blockBytes = 4096 // block size of the volumes in testSettings
 	nqnPrefix  = "nqn.2026-12.org.honeyplank:"
-	nodePrefix = "/honeyplank/nodes/" // of keys in etcd, as in testSettings
+	nodePrefix = "/honeyplank/nodes/" // prefix of the keys in etcd, as in testSettings
 )
 
-// opTimeout is the time after which a client gives up an op; the settings have the same for all op types.
+// opTimeout returns the time after which a client gives up an op, which is the same for all op types in testSettings.
 func (h *harness) opTimeout() time.Duration { return h.settings.OpTypes[0].OpTimeout.Duration() }
 
-// newHarness starts a harness whose settings a test may change first.
+// newHarness starts a harness, which ends with the test. The change functions modify its settings first.
 func newHarness(t *testing.T, change ...func(*settings.Gateway)) *harness {
 	t.Helper()
 	s, err := settings.Parse("test", []byte(testSettings))
@@ -109,14 +109,14 @@
 		<-ended
 		h.etcd.Close()
 	})
-	h.eventually("the list has arrived", func() bool {
+	h.eventually("a read is served after the endpoint list has arrived", func() bool {
 		_, status := h.do(h.connect("readiness"), nvme.NewRW(nvme.Read, 2, 0, 1), nil)
 		return status == nvme.Success
 	})
 	return h
 }
 
-// addDisk brings up a fake disk server for a cell; before the loop runs.
+// addDisk starts a fake disk server for a cell and registers it. It must be called before the loop runs or on the loop.
 func (h *harness) addDisk(cell int) *disk.Server {
 	d, err := disk.New(h.loop, "127.0.0.1:0", faulttest.Model(h.settings), int64(cell))
 	if err != nil {
@@ -127,7 +127,7 @@
 	return d
 }
 
-// serve makes a gateway with the harness's settings, which takes the place of the one before, and serves.
+// serve starts a gateway with the harness's settings, which replaces the previous one in the harness.
 func (h *harness) serve(options gateway.Options) {
 	h.t.Helper()
 	options.Settings, options.Log = h.settings, zerolog.Nop()
@@ -143,7 +143,7 @@
 	})
 }
 
-// register lists a disk server in etcd.
+// register adds or replaces the record of a disk server in etcd.
 func (h *harness) register(address string, cell int, state string) {
 	h.t.Helper()
 	h.registerRecord(address, discovery.Record{State: state, Size: 1, Cell: cell})
@@ -158,10 +158,10 @@
 	h.etcd.Set(nodePrefix+address, value)
 }
 
-// deregister deletes a disk server from etcd.
+// deregister deletes the record of a disk server from etcd.
 func (h *harness) deregister(address string) { h.etcd.Delete(nodePrefix + address) }
 
-// node returns the gateway's state of a disk server; ok is false if it knows none.
+// node returns the gateway's state of a disk server; ok is false if the gateway has none.
 func (h *harness) node(address string) (node gateway.Node, ok bool) {
 	nodes, _ := h.gateway.Nodes()
 	return findNode(nodes, address)
@@ -182,12 +182,12 @@
 	<-done
 }
 
-// eventually waits until f is true, and fails the test after five seconds.
+// eventually waits until f returns true, and fails the test after five seconds. what describes the condition.
 func (h *harness) eventually(what string, f func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatalf("never: %s", what)
+			h.t.Fatalf("condition not met within 5 s: %s", what)
 		}
 	}
 }
@@ -200,16 +200,17 @@
 	return c
 }
 
-// waitIdle waits until no op is unanswered, no dispatch outstanding and no buffer in use.
+// waitIdle waits until no op is unanswered, no dispatch is outstanding and no buffer is in use.
 func (h *harness) waitIdle() {
 	h.t.Helper()
-	h.eventually("idle", func() bool {
+	h.eventually("no op, dispatch or buffer is left", func() bool {
 		c := h.counts()
 		return c.Unanswered == 0 && c.Outstanding == 0 && c.BufferedBytes == 0
 	})
 }
 
-// associationWaiter receives nil once an association is ready, or the error with which it has ended.
+// associationWaiter implements initiator.Handler. Its channel gets nil when the association is ready, or the error with
+// which it ended.
 type associationWaiter struct{ ready chan error }
 
 func (waiter associationWaiter) Ready(*initiator.Association) { waiter.ready <- nil }
@@ -221,13 +222,13 @@
 	}
 }
 
-// connect connects a client; one by the name of "digests" uses digests.
+// connect connects a client. The client with the name "digests" uses digests.
 func (h *harness) connect(name string) *initiator.Association {
 	h.t.Helper()
 	waiter := associationWaiter{make(chan error, 2)}
-	var a *initiator.Association
+	var association *initiator.Association
 	h.onLoop(func() {
-		a = initiator.Dial(h.loop, initiator.Settings{
+		association = initiator.Dial(h.loop, initiator.Settings{
 			Address:        h.gateway.Address(),
 			Subsystem:      h.settings.Listen.Subsystem,
 			Host:           nqnPrefix + name,
@@ -240,31 +241,31 @@
 	if err := <-waiter.ready; err != nil {
 		h.t.Fatal(err)
 	}
-	return a
+	return association
 }
 
-// answer is what a client got for a command.
+// answer is a client's result of a command.
 type answer struct {
 	data   []byte
 	status nvme.Status
-	lost   bool
+	lost   bool // whether the command ended without an answer
 	took   time.Duration
 	dw0    uint32
 }
 
-// submit sends a Read or Write; its one answer comes on the channel.
-func (h *harness) submit(a *initiator.Association, c nvme.Command, data []byte) chan answer {
+// submit sends a Read or Write. The channel gets its answer.
+func (h *harness) submit(client *initiator.Association, command nvme.Command, data []byte) chan answer {
 	out := make(chan answer, 4)
 	read := 0
-	if c.Opcode() == nvme.Read {
-		read = c.Blocks() * blockBytes
+	if command.Opcode() == nvme.Read {
+		read = command.Blocks() * blockBytes
 	}
 	h.onLoop(func() {
 		began := time.Now()
 		done := initiator.CallFunc(func(r initiator.Result) {
 			out <- answer{bytes.Clone(r.Data), r.Status(), r.Lost, time.Since(began), r.DW0()}
 		})
-		if _, ok := a.IO.Submit(c, data, read, done); !ok {
+		if _, ok := client.IO.Submit(command, data, read, done); !ok {
 			out <- answer{lost: true}
 		}
 	})
@@ -272,12 +273,12 @@
 }
 
 // do sends a Read or Write and waits for its answer.
-func (h *harness) do(a *initiator.Association, c nvme.Command, data []byte) ([]byte, nvme.Status) {
-	r := <-h.submit(a, c, data)
+func (h *harness) do(client *initiator.Association, command nvme.Command, data []byte) ([]byte, nvme.Status) {
+	r := <-h.submit(client, command, data)
 	return r.data, r.status
 }
 
-// pattern is data that differs by seed and by 512-byte sector.
+// pattern returns test data that differ by seed and by 512-byte sector.
 func pattern(seed byte, blocks int) []byte {
 	b := make([]byte, blocks*blockBytes)
 	for i := range b {
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -15,20 +15,20 @@
 	"honeyplank/nvme"
 )
 
-// TestShutdown shuts down a gateway with ops queued, dispatched and half received: all admitted ops are answered, and
-// the answers arrive.
+// TestShutdown shuts down a gateway with queued, dispatched and partly received ops: all admitted ops must be answered,
+// and the answers must reach the client.
 func TestShutdown(t *testing.T) {
 	h := newHarness(t)
-	a := h.connect("client")
-	half := connectRaw(t, h, "half")
-	half.write(half.command(9, nvme.Write, 1, 0, 16, nil))
-	half.expect(nvme.TypeR2T)
+	client := h.connect("client")
+	partialWrite := connectRaw(t, h, "partial-write")
+	partialWrite.write(partialWrite.command(9, nvme.Write, 1, 0, 16, nil))
+	partialWrite.expect(nvme.TypeR2T)
 	h.onLoop(func() { h.disks[1].Stall(300 * time.Millisecond) })
 	var answers []chan answer
 	for i := range 40 {
-		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
+		answers = append(answers, h.submit(client, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
 	}
-	h.eventually("queued and dispatched", func() bool {
+	h.eventually("some ops are dispatched, some queued", func() bool {
 		c := h.counts()
 		return c.Unanswered == 40 && c.Outstanding > 0 && c.Outstanding < 40
 	})
@@ -41,27 +41,27 @@
 	for i, c := range answers {
 		r := <-c
 		if r.lost || r.status != nvme.Success && r.status.Code() != nvme.CommandInterrupted {
-			t.Errorf("op %d: lost %v, %#x", i, r.lost, r.status)
+			t.Errorf("op %d: lost %v, status %#x; want success or a rejection", i, r.lost, r.status)
 		}
 		if r.status == nvme.Success {
 			succeeded++
 		}
 	}
 	if succeeded == 0 {
-		t.Error("no dispatched op has succeeded")
+		t.Error("no dispatched op succeeded")
 	}
 }
 
-// TestShutdownDeadline shuts down with a context that is done: remaining ops fail at once and are not dropped.
+// TestShutdownDeadline shuts down with a context that is done: remaining ops must fail at once and not be dropped.
 func TestShutdownDeadline(t *testing.T) {
 	h := newHarness(t)
-	a := h.connect("client")
+	client := h.connect("client")
 	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{Silent: true}) })
 	answers := []chan answer{
-		h.submit(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil),
-		h.submit(a, nvme.NewRW(nvme.Read, 2, 2, 1), nil),
+		h.submit(client, nvme.NewRW(nvme.Read, 2, 1, 1), nil),
+		h.submit(client, nvme.NewRW(nvme.Read, 2, 2, 1), nil),
 	}
-	h.eventually("admitted", func() bool { return h.counts().Unanswered == 2 })
+	h.eventually("both ops are admitted", func() bool { return h.counts().Unanswered == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := h.gateway.Shutdown(ctx); err == nil {
@@ -69,13 +69,14 @@
 	}
 	for _, c := range answers {
 		if r := <-c; r.lost || r.status != nvme.InternalError|nvme.DoNotRetry {
-			t.Errorf("%#x, lost %v", r.status, r.lost)
+			t.Errorf("op at the deadline of the shutdown: status %#x, lost %v; want a failure", r.status, r.lost)
 		}
 	}
 }
 
-// TestInstancesShareNothing runs several gateways in one process against the same fakes.
-func TestInstancesShareNothing(t *testing.T) {
+// TestInstancesAreIndependent runs several gateways in one process with the same fakes and ends them: the first gateway
+// must still serve.
+func TestInstancesAreIndependent(t *testing.T) {
 	h := newHarness(t)
 	var group sync.WaitGroup
 	for n := range 3 {
@@ -91,7 +92,7 @@
 			}
 		})
 		if c, ok := g.Counts(); !ok || c.Admitted != 0 {
-			t.Errorf("a fresh instance has admitted %d ops", c.Admitted)
+			t.Errorf("a new instance has admitted %d ops, want 0", c.Admitted)
 		}
 		if n == 0 {
 			g.Kill()
@@ -101,6 +102,6 @@
 	}
 	group.Wait()
 	if _, status := h.do(h.connect("client"), nvme.NewRW(nvme.Read, 2, 1, 1), nil); status != nvme.Success {
-		t.Errorf("the first instance after the others' end: %#x", status)
+		t.Errorf("op on the first instance after the others have ended: status %#x, want success", status)
 	}
 }
--- a/gateway/rawclient_test.go
+++ b/gateway/rawclient_test.go
@@ -11,14 +11,14 @@
 	"honeyplank/nvme"
 )
 
-// rawClient is a client that can send anything: a blocking socket and the codec.
+// rawClient is a client that can send arbitrary bytes. It consists of a blocking socket and the PDU codec.
 type rawClient struct {
 	t              *testing.T
 	conn           net.Conn
-	sendFraming    nvme.Framing // what it sends
-	receiveFraming nvme.Framing
-	unread         []byte
-	writeSize      int // bytes written at a time; 0: all
+	sendFraming    nvme.Framing // framing of the PDUs that it sends
+	receiveFraming nvme.Framing // framing of the PDUs that it receives
+	unread         []byte       // received bytes that are not decoded yet
+	writeSize      int          // number of bytes per write; 0: all at once
 }
 
 func dialRaw(t *testing.T, address string) *rawClient {
@@ -30,7 +30,8 @@
 	return newRawClient(t, conn)
 }
 
-// dialRawFrom dials from a loopback address of its own, as another peer; nil: it was rejected.
+// dialRawFrom connects from a given loopback address, so that the gateway treats the client as another peer. It returns
+// nil if the connection is rejected.
 func dialRawFrom(t *testing.T, from, address string) *rawClient {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
@@ -75,17 +76,17 @@
 	}
 }
 
-// expect reads the next PDU, which must be of that type.
+// expect reads the next PDU and fails the test unless it has the type kind.
 func (c *rawClient) expect(kind uint8) nvme.PDU {
 	c.t.Helper()
 	p := c.readPDU(kind)
 	if p.Type != kind {
-		c.t.Fatalf("PDU of type %d, want %d", p.Type, kind)
+		c.t.Fatalf("PDU has type %d, want %d", p.Type, kind)
 	}
 	return p
 }
 
-// expectAny reads PDUs until one is of a type.
+// expectAny reads PDUs until one has the type kind, and skips the others.
 func (c *rawClient) expectAny(kind uint8) nvme.PDU {
 	c.t.Helper()
 	for {
@@ -95,7 +96,7 @@
 	}
 }
 
-// readPDU reads the next PDU, of any type; wanted is for the message of a failure.
+// readPDU reads the next PDU, of any type. wanted is the type that error messages name.
 func (c *rawClient) readPDU(wanted uint8) nvme.PDU {
 	c.t.Helper()
 	b := make([]byte, 1<<16)
@@ -111,7 +112,7 @@
 		}
 		read, err := c.conn.Read(b)
 		if err != nil {
-			c.t.Fatalf("while waiting for type %d: %v", wanted, err)
+			c.t.Fatalf("waiting for a PDU of type %d: %v", wanted, err)
 		}
 		c.unread = append(c.unread, b[:read]...)
 	}
@@ -127,7 +128,7 @@
 	return d.DW0()
 }
 
-// command makes a Read or Write without data in its capsule.
+// command returns the capsule of a Read or Write, with data in the capsule unless data is nil.
 func (c *rawClient) command(id uint16, opcode uint8, nsid uint32, lba uint64, blocks int, data []byte) []byte {
 	sqe := nvme.NewRW(opcode, nsid, lba, blocks)
 	sqe.SetCID(id)
@@ -143,7 +144,7 @@
 	c.expect(nvme.TypeICResp)
 }
 
-// connect sends a Connect and returns its status and controller id.
+// connect sends a Connect command and returns its status and the controller id.
 func (c *rawClient) connect(qid, cntlid uint16, subsystem, host string) (nvme.Status, uint16) {
 	sqe := nvme.NewConnect(qid, 32, 0)
 	sqe.SetSGL(nvme.SGLInCapsule, nvme.ConnectLen)
@@ -154,7 +155,8 @@
 	return c.status(p), uint16(c.result(p))
 }
 
-// connectRaw makes a controller by hand and returns its I/O queue; the admin queue stays open with the test.
+// connectRaw creates a controller with raw PDUs and returns its I/O queue. The admin queue stays open until the test
+// ends.
 func connectRaw(t *testing.T, h *harness, name string) *rawClient {
 	t.Helper()
 	return connectRawFrom(t, h, name, "127.0.0.1")
@@ -165,19 +167,19 @@
 	host := nqnPrefix + name
 	admin, io := dialRawFrom(t, from, h.gateway.Address()), dialRawFrom(t, from, h.gateway.Address())
 	if admin == nil || io == nil {
-		t.Fatal("rejected")
+		t.Fatal("connection of the admin or the I/O queue rejected")
 	}
 	admin.initialize()
 	status, id := admin.connect(0, nvme.DynamicController, h.settings.Listen.Subsystem, host)
 	if status != nvme.Success {
-		t.Fatalf("Connect: %#x", status)
+		t.Fatalf("Connect of the admin queue: status %#x", status)
 	}
 	enable := nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, 1)
 	admin.write(admin.sendFraming.AppendCommand(nil, &enable, nil))
 	admin.expect(nvme.TypeCapsuleResp)
 	io.initialize()
 	if status, _ := io.connect(1, id, h.settings.Listen.Subsystem, host); status != nvme.Success {
-		t.Fatalf("Connect of the I/O queue: %#x", status)
+		t.Fatalf("Connect of the I/O queue: status %#x", status)
 	}
 	return io
 }
--- a/gateway/sources_test.go
+++ b/gateway/sources_test.go
@@ -14,10 +14,11 @@
 	"honeyplank/settings"
 )
 
-// TestServerReplaced stops etcd and restarts it with a server replaced: ops queued for the old one move.
+// TestServerReplaced stops etcd and restarts it with a disk server replaced: ops that were queued for the old server
+// must be dispatched to the new one.
 func TestServerReplaced(t *testing.T) {
 	h := newHarness(t)
-	a := h.connect("client")
+	client := h.connect("client")
 	var fresh *disk.Server
 	h.onLoop(func() {
 		h.disks[1].Kill()
@@ -25,25 +26,25 @@
 		h.deregister(fresh.Address())
 	})
 	h.etcd.SetUnavailable(true)
-	queued := h.submit(a, nvme.NewRW(nvme.Read, 2, 7, 1), nil)
+	queued := h.submit(client, nvme.NewRW(nvme.Read, 2, 7, 1), nil)
 	h.deregister(h.disks[1].Address())
 	h.register(fresh.Address(), 1, "on")
 	h.etcd.SetUnavailable(false)
 	if r := <-queued; r.lost {
-		t.Error("a queued op was lost")
+		t.Error("a queued op got no answer")
 	}
 	h.eventually("served by the replacement", func() bool {
-		data, status := h.do(a, nvme.NewRW(nvme.Read, 2, 9, 1), nil)
+		data, status := h.do(client, nvme.NewRW(nvme.Read, 2, 9, 1), nil)
 		return status == nvme.Success && data[8] == 9
 	})
 	h.eventually("an op was queued until the gateway was notified of the replacement", func() bool {
-		return queuedOpMoves(h, a, fresh.Address())
+		return queuedOpMoves(h, client, fresh.Address())
 	})
 }
 
 // queuedOpMoves sends an op while no server holds cell 1 and then registers a replacement. The op must be served if
-// it is still unanswered when the gateway is notified of the replacement. An op that has timed out by then shows
-// nothing: the result is false.
+// it is still unanswered when the gateway is notified of the replacement. If the op has timed out by then, the attempt
+// is inconclusive and the result is false.
 func queuedOpMoves(h *harness, client *initiator.Association, replacement string) bool {
 	h.t.Helper()
 	h.deregister(replacement)
@@ -51,7 +52,7 @@
 		return (<-h.submit(client, nvme.NewRW(nvme.Read, 2, 9, 1), nil)).status != nvme.Success
 	})
 	moved := h.submit(client, nvme.NewRW(nvme.Read, 2, 11, 1), nil)
-	h.eventually("the op waits", func() bool { return h.counts().Unanswered > 0 || len(moved) > 0 })
+	h.eventually("the op is queued", func() bool { return h.counts().Unanswered > 0 || len(moved) > 0 })
 	h.register(replacement, 1, "on")
 	h.eventually("the replacement is up", func() bool {
 		node, ok := h.node(replacement)
@@ -61,31 +62,32 @@
 	r := <-moved
 	served := r.status == nvme.Success && r.data[8] == 11
 	if unanswered && !served {
-		h.t.Errorf("the queued op did not move: %#x", r.status)
+		h.t.Errorf("the queued op was not served by the replacement: status %#x", r.status)
 	}
 	return unanswered || served
 }
 
-// TestMassReregistration has a thousand nodes register again within a second, twice; ops go on, and the list is right.
+// TestMassReregistration registers a thousand nodes within a second, twice: ops must be served meanwhile, and all nodes
+// must be up afterwards.
 func TestMassReregistration(t *testing.T) {
 	h := newHarness(t)
-	a := h.connect("client")
+	client := h.connect("client")
 	for round := range 2 {
 		began := time.Now()
 		for i := range 1000 {
 			h.register(fmt.Sprintf("127.0.9.%d:%d", i%250, 8000+i/250), 100+i, "on")
 			if i%100 == 0 {
-				if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
-					t.Errorf("op while %d nodes register: %#x", i, status)
+				if _, status := h.do(client, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
+					t.Errorf("op after %d registrations: status %#x, want success", i, status)
 				}
 			}
 		}
-		t.Logf("round %d: a thousand registered in %v", round, time.Since(began))
+		t.Logf("round %d: a thousand nodes registered in %v", round, time.Since(began))
 	}
-	h.eventually("all are up", func() bool { return nodesUp(h) == 1002 })
+	h.eventually("all nodes are up", func() bool { return nodesUp(h) == 1002 })
 }
 
-// nodesUp returns how many nodes are up.
+// nodesUp returns the number of nodes that are up.
 func nodesUp(h *harness) int {
 	nodes, _ := h.gateway.Nodes()
 	up := 0
@@ -97,7 +99,7 @@
 	return up
 }
 
-// addDNS adds a name server as a source beside etcd, polled for _h._tcp.x. at short intervals.
+// addDNS adds a name server as a source in addition to etcd, polled for _h._tcp.x. at short intervals.
 func addDNS(s *settings.Gateway, address string) {
 	s.EndpointList.DNS = &settings.DNSSource{
 		Name:        "_h._tcp.x.",
@@ -114,22 +116,22 @@
 	}
 }
 
-// TestMassRemoval has every key in etcd go, one by one, as leases do that run out together, while DNS holds the
-// servers on: no server is removed. A drain in DNS alone then takes out that server only.
+// TestMassRemoval deletes every key in etcd one by one, as happens when leases expire together, while DNS still lists
+// the servers: no server must be removed. A drain in DNS alone must then affect that server only.
 func TestMassRemoval(t *testing.T) {
-	names := newNameServer(t)
-	h := newHarness(t, func(s *settings.Gateway) { addDNS(s, names.Address()) })
+	nameServer := newNameServer(t)
+	h := newHarness(t, func(s *settings.Gateway) { addDNS(s, nameServer.Address()) })
 	records := diskRecords(h)
-	names.SetRecords(1, records)
+	nameServer.SetRecords(1, records)
 	states := func() string { return mergedAndDNSStates(h) }
 	h.eventually("both sources have reported", func() bool { return states() == "on on;on on;" })
 	for _, d := range h.disks {
 		h.deregister(d.Address())
 	}
-	a := h.connect("client")
-	for i := range 60 { // for twice the time that confirms a removal
-		if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
-			t.Fatalf("op %d after etcd emptied: %#x; %s", i, status, states())
+	client := h.connect("client")
+	for i := range 60 { // for twice the time after which a removal is confirmed
+		if _, status := h.do(client, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil); status != nvme.Success {
+			t.Fatalf("op %d after all keys were deleted: status %#x, want success; states %s", i, status, states())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -137,28 +139,28 @@
 		h.register(d.Address(), cell, "on")
 	}
 	records[1].Weight = 0
-	names.SetRecords(1, records)
-	h.eventually("the drain in DNS", func() bool { return states() == "on on;draining draining;" })
-	if _, status := h.do(a, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status == nvme.Success {
-		t.Error("work for a server that DNS drains")
+	nameServer.SetRecords(1, records)
+	h.eventually("the drain in DNS takes effect", func() bool { return states() == "on on;draining draining;" })
+	if _, status := h.do(client, nvme.NewRW(nvme.Read, 2, 1, 1), nil); status == nvme.Success {
+		t.Error("an op was dispatched to a server that drains in DNS")
 	}
-	if _, status := h.do(a, nvme.NewRW(nvme.Read, 1, 1, 1), nil); status != nvme.Success {
-		t.Errorf("the other server: %#x", status)
+	if _, status := h.do(client, nvme.NewRW(nvme.Read, 1, 1, 1), nil); status != nvme.Success {
+		t.Errorf("op on the other server: status %#x, want success", status)
 	}
 }
 
-// newNameServer starts a fake name server for _h._tcp.x., which ends with the test.
+// newNameServer starts a fake name server for _h._tcp.x., which is closed when the test ends.
 func newNameServer(t *testing.T) *dns.Server {
 	t.Helper()
-	names, err := dns.New("_h._tcp.x.")
+	nameServer, err := dns.New("_h._tcp.x.")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(names.Close)
-	return names
+	t.Cleanup(nameServer.Close)
+	return nameServer
 }
 
-// diskRecords returns a record of each disk server of the harness.
+// diskRecords returns a DNS record for each disk server of the harness.
 func diskRecords(h *harness) []dns.Record {
 	var records []dns.Record
 	for cell, d := range h.disks {
@@ -172,7 +174,8 @@
 	return records
 }
 
-// mergedAndDNSStates returns the merged state of each disk server and the one that DNS reports, of one moment.
+// mergedAndDNSStates returns, for each disk server, the merged state and the state that DNS reports, both at the same
+// point in time.
 func mergedAndDNSStates(h *harness) (text string) {
 	nodes, _ := h.gateway.Nodes()
 	for _, d := range h.disks {
