--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,25 +7,25 @@
 	"honeyplank"
 )
 
-// Shares of the shortest target latency up to which a server's latency leaves its whole window to
-// ops.
+// Latencies, as shares of the shortest target latency, up to which ops may use a server's whole
+// window.
 const (
 	spareLatencyShare   = 0.04 // for ops beyond the reserve
 	reserveLatencyShare = 0.18 // for ops within the reserve
 )
 
-// medianAdmissionDraw stands for the admission draw of an op that is not known yet.
+// medianAdmissionDraw replaces the admission draw of an op that is not known yet.
 const medianAdmissionDraw = 0.5
 
-// requestIdentity is what the attempts of one client request have in common.
+// requestIdentity holds the properties that all attempts of one client request have in common.
 type requestIdentity struct {
 	volume, key int64
 	opType      int
 	units       float64
 }
 
-// earlierAttempt is the last op of a request identity, with the time left to its client at the
-// first attempt.
+// earlierAttempt is the last op of a request identity, with the time that its client had left at
+// the first attempt.
 type earlierAttempt struct {
 	op       *op
 	timeLeft time.Duration
@@ -36,7 +36,8 @@
 	return requestIdentity{op.Volume, op.Key, op.Type, op.Units}
 }
 
-// admit takes in a new op: it is assigned to a server, and dispatched, queued or given up at once.
+// admit handles a new op: it assigns the op to a server, and dispatches, queues or gives up the op
+// at once.
 func (e *Engine) admit(event honeyplank.Op) {
 	if e.ops[event.ID] != nil {
 		return
@@ -45,15 +46,15 @@
 	op := &op{Op: event, admissionDraw: e.rng.Float64(), sampledAt: e.now}
 	e.unitsAdmitted += event.Units
 	e.unitsSquaredAdmitted += event.Units * event.Units
-	// The target latency of a retry runs from its client's first attempt. An op that brings less
-	// time than its target latency is to be answered within the time it brings.
+	// The target latency of a retry runs from the first attempt of its client. An op that has less
+	// time left than its target latency is to be answered within the time left.
 	opType := e.settings.opType(event.Type)
 	op.target = min(e.now+opType.TargetLatency-e.alreadyWaited(op), event.Timeout)
 	e.ops[event.ID] = op
 	if event.HasKey && opType.Ordered {
 		e.joinKeyQueue(op)
 	}
-	e.openVolume(op)
+	e.registerOp(op)
 	e.recordDemand(op, e.demandClass(op))
 	e.assignServer(op)
 	if op.queue != nil {
@@ -66,8 +67,8 @@
 	}
 }
 
-// openVolume appends an op to the queued ones and links it to the record of its volume.
-func (e *Engine) openVolume(op *op) {
+// registerOp links an op to the record of its volume and appends the op to the list of queued ops.
+func (e *Engine) registerOp(op *op) {
 	record := e.volumes[op.Volume]
 	if record == nil {
 		record = &volume{plan: op.Plan, refilledAt: e.noDispatchSince(), reserve: math.Inf(1)}
@@ -83,8 +84,9 @@
 	e.appendQueued(op)
 }
 
-// alreadyWaited is how long the client of an op has waited since its first attempt: the time that
-// the op has less than an earlier one of the same identity that failed.
+// alreadyWaited returns how long the client of an op has waited since its first attempt. If an
+// earlier op of the same identity failed, this is the time left at the first attempt minus the time
+// left now.
 func (e *Engine) alreadyWaited(op *op) time.Duration {
 	total := e.settings.opType(op.Type).OpTimeout
 	if !op.HasKey || total <= 0 {
@@ -100,8 +102,8 @@
 	return max(attempt.timeLeft-left, 0)
 }
 
-// assignServer enqueues a queued op at the server of its data, or for a new object at the one that
-// chooseNewServer returns. Where there is none the op stays unassigned.
+// assignServer enqueues a queued op at the server that holds its data, or for a new object at the
+// server that chooseNewServer returns. If there is no such server, the op stays unassigned.
 func (e *Engine) assignServer(op *op) {
 	var chosen *server
 	if op.Cell == honeyplank.NewObject {
@@ -118,8 +120,8 @@
 	op.queue.lastSeen = e.now
 }
 
-// healthiestOfCell is the healthiest server that holds a cell's data, of equal ones the one that
-// started first.
+// healthiestOfCell returns the healthiest server that holds a cell's data. Among equally healthy
+// servers it returns the one that started first. It returns nil if no server holds the data.
 func (e *Engine) healthiestOfCell(cell int) (healthiest *server) {
 	for _, server := range e.serversByCell[cell] {
 		if healthiest == nil || server.health < healthiest.health ||
@@ -131,8 +133,8 @@
 }
 
 // chooseNewServer returns the server for a new object: the first of the volume's top-ranked servers
-// with a relative load below 1, else the least loaded of them. All servers are searched only where
-// none of those may get new objects.
+// with a relative load below 1, or else the least loaded of them. It searches all servers only if
+// none of the top-ranked ones may get new objects.
 func (e *Engine) chooseNewServer(op *op) (chosen *server) {
 	if !e.mayDispatchAnywhere(op) {
 		return nil
@@ -154,26 +156,28 @@
 	return e.leastLoadedAccepting(op, class)
 }
 
-// leastLoadedAccepting searches all servers that accept new objects, in no order of rank: it
-// returns the first in rank of those with a relative load below 1, else of the least loaded ones.
+// leastLoadedAccepting searches all servers that accept new objects, in no order of rank. It
+// returns the highest-ranked server with a relative load below 1, or else the highest-ranked of the
+// least loaded servers.
 func (e *Engine) leastLoadedAccepting(op *op, class demandClass) (chosen *server) {
-	hash, leastLoad, firstRank := volumeHash(op.Volume), math.Inf(1), uint64(0)
+	hash, leastLoad, highestHash := volumeHash(op.Volume), math.Inf(1), uint64(0)
 	for _, server := range e.acceptingServers() {
 		e.serversVisited++
 		load := e.relativeLoad(op, server, class)
-		if load < 1 { // any free capacity counts alike
+		if load < 1 { // all servers with free capacity are equivalent
 			load = 0
 		}
-		rank := rendezvousHash(hash, server.ID)
-		if load < leastLoad || load == leastLoad && !math.IsInf(load, 1) && rank > firstRank {
-			chosen, leastLoad, firstRank = server, load, rank
+		candidateHash := rendezvousHash(hash, server.ID)
+		if load < leastLoad || load == leastLoad && !math.IsInf(load, 1) && candidateHash > highestHash {
+			chosen, leastLoad, highestHash = server, load, candidateHash
 		}
 	}
 	return chosen
 }
 
-// relativeLoad is the number of ops outstanding and queued at a server, with a new object added,
-// over its concurrency limit for new objects; infinite where the op may not go.
+// relativeLoad returns the number of ops outstanding and queued at a server, with a new object
+// added, divided by the server's concurrency limit for new objects. It is infinite if the op may
+// not go to the server.
 func (e *Engine) relativeLoad(op *op, server *server, class demandClass) float64 {
 	if !e.acceptsNewObjects(server) || !e.mayDispatchTo(op, server, class) {
 		return math.Inf(1)
@@ -183,9 +187,10 @@
 }
 
 // acceptsNewObjects reports whether a server may get new objects: it is up, its failure rate is
-// low, and its slow start would allow an op beyond the reserve with a median admission draw. It
-// guards against servers whose errors, resets or rejections come back fast, which would look like
-// free capacity. It could harm when most servers fail at once.
+// low, and its slow start would allow an op beyond the reserve with a median admission draw. This
+// keeps new objects away from servers whose errors, resets or rejections come back fast, because
+// such servers appear to have free capacity. Limitation: the check does harm if most servers fail
+// at once.
 func (e *Engine) acceptsNewObjects(server *server) bool {
 	halfOpenIdle := server.health == honeyplank.HealthHalfOpen && server.outstanding == 0
 	usable := server.health == honeyplank.HealthUp || halfOpenIdle
@@ -193,10 +198,10 @@
 		e.slowStartAllows(server, 1, medianAdmissionDraw, spareDemand)
 }
 
-// hasCapacity reports whether a server's window has capacity for an op: only the part that the
-// server's latency leaves, less for ops beyond the reserve. It guards against windows of many
-// instances that add up to more than a server serves in time, whatever slows it. It could harm
-// where ops that take long are the rule.
+// hasCapacity reports whether a server's window has capacity for an op. Ops may use only the part
+// of the window that the server's latency leaves, and ops beyond the reserve a smaller part. This
+// prevents the windows of many instances from adding up to more than a server serves in time, for
+// whatever reason it is slow. Limitation: service suffers if most ops normally take long.
 func (e *Engine) hasCapacity(server *server, op *op) bool {
 	clientGone := e.now+e.earliestAnswer(server, op.Type) >= op.Timeout
 	if server.health == honeyplank.HealthDown || e.halfOpenBusy(server) || clientGone {
@@ -212,31 +217,32 @@
 	return op.admissionDraw*excess < e.successProbability(server, op)*limit/(1-limit)
 }
 
-// successProbability estimates how likely an op with little time left is answered in time. It
-// guards crowded servers against attempts that their clients are about to give up. It could harm
-// where the latency estimate is out of date.
+// successProbability estimates the probability that an op with little time left is answered in
+// time. This keeps attempts that clients are about to give up away from heavily loaded servers.
+// Limitation: the estimate is wrong if the latency estimate is out of date.
 func (e *Engine) successProbability(server *server, op *op) float64 {
 	left := max(min(op.Timeout, op.target)-e.now, 0)
 	part := min(1, left.Seconds()/max(e.expectedLatency(server, op.Type), 1e-9))
 	return part * part
 }
 
-// demandExcess is a volume's demand at a server over its share by weight, as seen by this instance.
-// It takes the place of the slices where an instance has so few ops at a server that no queue
-// forms.
+// demandExcess returns a volume's demand at a server, as measured by this instance, divided by the
+// volume's share by weight. It replaces the slices if an instance has so few ops at a server that
+// no queue forms.
 func (e *Engine) demandExcess(op *op) float64 {
-	usual := e.relativeWeight(op.Plan) * e.settings.meanRate / float64(op.volume.instances)
-	if usual <= 0 || op.queue == nil {
+	expectedRate := e.relativeWeight(op.Plan) * e.settings.meanRate / float64(op.volume.instances)
+	if expectedRate <= 0 || op.queue == nil {
 		return 1
 	}
-	return op.queue.demand.rateWithPrior(usual, 2*e.settings.longestTarget) / usual
+	return op.queue.demand.rateWithPrior(expectedRate, 2*e.settings.longestTarget) / expectedRate
 }
 
-// concurrencyLimit is the part of a server's window, in ops, that its latency leaves to ops of a
-// type, where latencyShare is the latency, as a share of the target latency, up to which that is
-// the whole window. Below one op it falls with the power 1.5, but not below an even share among the
-// instances of what the server serves within twice the shortest target latency, two at a time: with
-// few instances, one op of each always fits.
+// concurrencyLimit returns the part of a server's window, in ops, that its latency leaves to ops of
+// a type. This is the whole window up to a latency of latencyShare times the shortest target
+// latency. Below one op, the limit falls with the power 1.5, but not below an even share among the
+// instances of the mean-sized ops that the server serves within twice the shortest target latency
+// (or within that target latency, two at a time). With few instances, one op of each therefore
+// always fits.
 func (e *Engine) concurrencyLimit(server *server, opType int, latencyShare float64) float64 {
 	latency, target := e.expectedLatency(server, opType), e.settings.shortestTarget.Seconds()
 	if latency <= 0 || target <= 0 {
@@ -247,11 +253,11 @@
 		return limit
 	}
 	instances := float64(max(e.settings.Instances, 1))
-	evenShare := farPastBest * target / (instances * server.bestPerUnit * e.settings.MeanUnits)
+	evenShare := elevatedLatencyFactor * target / (instances * server.bestPerUnit * e.settings.MeanUnits)
 	return min(1, max(limit*math.Sqrt(limit), evenShare))
 }
 
-// largestConcurrencyLimit is the largest concurrency limit of a server over all op types.
+// largestConcurrencyLimit returns the largest concurrency limit of a server over all op types.
 func (e *Engine) largestConcurrencyLimit(server *server, class demandClass) (largest float64) {
 	for opType := range e.settings.OpTypes {
 		largest = max(largest, e.concurrencyLimit(server, opType, spareLatencyShare))
@@ -295,9 +301,9 @@
 }
 
 // deadlineUnreachable reports whether a queued op can no longer earn its utility: its target
-// latency would be over before an early answer, or the client is about to give up. It guards
-// against late answers, which cost a server as much as timely ones. It could harm after a short pause of a
-// server: some ops are given up too early.
+// latency would be over before an early answer, or its client is about to give up. This avoids late
+// answers, which cost a server as much as timely ones. Limitation: after a short pause of a server,
+// some ops are given up too early.
 func (e *Engine) deadlineUnreachable(op *op) bool {
 	earliest := e.now
 	if op.server != nil {
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -6,8 +6,8 @@
 	"honeyplank"
 )
 
-// demandClass tells ops within the reserve of their volume from those beyond it. It is the index of
-// rates that are kept for each.
+// demandClass distinguishes ops within the reserve of their volume from ops beyond it. It is the
+// index of the rates that are kept for each class.
 type demandClass int
 
 const (
@@ -16,23 +16,23 @@
 	demandClasses // number of classes
 )
 
-// unitsByClass is an amount of work of each demandClass, in units.
+// unitsByClass is an amount of work for each demandClass, in units.
 type unitsByClass [demandClasses]float64
 
-// ratesByClass is a rate of each demandClass.
+// ratesByClass is a rate for each demandClass.
 type ratesByClass [demandClasses]decayedRate
 
-// cellMemoryFactor is how much longer the demand on one cell is remembered than that on all, whose
-// ops are more frequent.
+// cellMemoryFactor is the ratio between the time constant of the demand on one cell and that of the
+// demand on all cells, whose ops are more frequent.
 const cellMemoryFactor = 8
 
 // cellDemand is the demand on the servers of a cell, in units.
 type cellDemand struct {
 	requested ratesByClass // through this instance
-	fleet     decayedRate  // through all instances, for the volumes that this one sees here
+	fleet     decayedRate  // through all instances, for the volumes with ops at this instance and cell
 }
 
-// demandClass is the class of an op now.
+// demandClass returns the current class of an op.
 func (e *Engine) demandClass(op *op) demandClass {
 	if e.withinReserve(op) {
 		return reserveDemand
@@ -40,9 +40,9 @@
 	return spareDemand
 }
 
-// recordDemand adds an op to the demand on its cell and on all; ops for new objects have no cell
-// and are left out. The demand on all is remembered for no longer than a slow-start window, where
-// there is one, so that it shows a burst within it.
+// recordDemand adds an op to the demand on its cell and to the demand on all cells. Ops for new
+// objects have no cell and are left out. If there is slow start, the time constant of the demand on
+// all cells is at most one slow-start window, so that the demand includes a burst within it.
 func (e *Engine) recordDemand(op *op, class demandClass) {
 	if op.Cell == honeyplank.NewObject {
 		return
@@ -69,8 +69,8 @@
 	cell.fleet.add(e.now, fleetUnits, cellMemoryFactor*memory)
 }
 
-// recordResample adds a queued op with a new admission draw to the demand on its server: for random
-// admission it counts as another op.
+// recordResample adds a queued op with a new admission draw to the demand on its server, because
+// random admission treats it as another op.
 func (e *Engine) recordResample(op *op) {
 	if op.queue != nil {
 		class := e.demandClass(op)
@@ -78,7 +78,7 @@
 	}
 }
 
-// resampleRate is the recent rate, in units a second, at which ops queued for a server got new
+// resampleRate returns the recent rate, in units a second, at which ops queued for a server got new
 // admission draws.
 func (e *Engine) resampleRate(server *server, class demandClass) float64 {
 	resampled := &server.resampledDemand[class]
@@ -89,9 +89,9 @@
 	return resampled.rate()
 }
 
-// demandSplit is the demand of this instance on a server within a window: that on a mean server, or
-// on the server's cell where that is more, scaled up by a current surge, and what queued ops add by
-// new admission draws.
+// demandSplit returns the demand of this instance on a server within a window, by class: the demand
+// on a mean server, or the demand on the server's cell, scaled up by a current surge, if that is
+// higher. The units of queued ops that get new admission draws are added.
 func (e *Engine) demandSplit(server *server, window time.Duration) unitsByClass {
 	var units unitsByClass
 	surge := 1.0
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,41 +9,41 @@
 	"honeyplank"
 )
 
-// Bounds of the backoff of watch requests, as divisors of the time within which changes are to be
-// notified.
+// Bounds of the backoff of watch requests, as divisors of the time within which changes of the
+// endpoint list must be notified.
 const (
-	longestWatchBackoff  = 4
-	shortestWatchBackoff = 16 // of the longest
+	longestWatchBackoffDivisor  = 4
+	shortestWatchBackoffDivisor = 16 // divides the longest backoff
 )
 
 // server is the record of a disk server.
 type server struct {
 	honeyplank.Member
 	listedUp    bool
-	wasListedUp bool // before the complete list that is being read
+	wasListedUp bool // listedUp before the complete list that is being applied
 	active      bool // visited by sweeps
 
 	health      honeyplank.Health
 	healthSince time.Duration
-	backoff     time.Duration // for which it gets nothing once it is down
+	backoff     time.Duration // time for which nothing is sent to it once it is down
 
 	// Outstanding dispatches of this instance.
-	window                 float64 // most of them, in ops
+	window                 float64 // concurrency window: maximum of outstanding, in ops
 	outstanding            int
 	dispatches             []outstandingDispatch // in the order sent
-	fullDeadlineDispatches int                   // those with time left for a usual answer
-	unansweredSince        time.Duration         // since when one has been outstanding without any answer
+	fullDeadlineDispatches int                   // those of ops with enough time left for a typical answer
+	unansweredSince        time.Duration         // since when a dispatch has been outstanding without any answer
 	unitsOutstanding       float64
 	retryCredit            float64 // retries that answers have earned
 	lastKey                int64   // key of the last op sent
 
 	// Estimates.
-	slowness           float64 // recent latency over the typical one of the op types; 0: not known
+	slowness           float64 // recent latency relative to the typical one of the op types; 0: not known
 	slownessAt         time.Duration
 	perUnit            float64 // recent latency per unit, in seconds
-	bestPerUnit        float64 // least of perUnit, decaying slowly towards it
+	bestPerUnit        float64 // lowest perUnit, which decays slowly towards perUnit
 	answersSinceGrowth float64 // answers since the window last grew
-	latencyElevated    bool    // perUnit has been past a multiple of bestPerUnit
+	latencyElevated    bool    // perUnit exceeds a multiple of bestPerUnit
 	failureShare       float64 // recent share of failed dispatches, at failedAt
 	failedAt           time.Duration
 
@@ -67,7 +67,8 @@
 	round       int
 }
 
-// applyList takes in news of the endpoint list, and dispatches what may be sent after it.
+// applyList applies an event of the endpoint list, and dispatches the ops that may be sent after
+// it.
 func (e *Engine) applyList(list honeyplank.List) {
 	switch list.Kind {
 	case honeyplank.WatchFailed:
@@ -77,7 +78,7 @@
 		e.watchActive, e.backoff = true, 0
 	}
 	complete := list.Kind != honeyplank.Delta && list.Kind != honeyplank.OutOfBand
-	if complete { // servers that are not in it are removed
+	if complete { // servers that are not in the list are removed
 		e.markAllRemoved()
 	}
 	changed := make([]*server, 0, len(list.Members))
@@ -94,54 +95,54 @@
 	e.assignQueued(changed)
 }
 
-// backOffWatch sets the timer of the next watch request, later with each failure, with random
-// jitter. It does not rely on any sign that a watch is still active.
+// backOffWatch sets the timer of the next watch request. The backoff grows with each failure and
+// has random jitter. It does not rely on any sign that a watch is still active.
 func (e *Engine) backOffWatch() {
 	e.watchActive = false
-	longest := e.settings.Watch.Within / longestWatchBackoff
-	shortest := max(longest/shortestWatchBackoff, e.sweepInterval())
+	longest := e.settings.Watch.Within / longestWatchBackoffDivisor
+	shortest := max(longest/shortestWatchBackoffDivisor, e.sweepInterval())
 	e.backoff = min(max(2*e.backoff, shortest), max(longest, e.sweepInterval()))
 	jitter := time.Duration(e.rng.Int63n(int64(e.backoff/2) + 1))
 	e.setTimer(e.now+e.backoff/2+jitter, watchTimer)
 }
 
-// requestWatch asks for changes of the endpoint list from now on.
+// requestWatch requests the changes of the endpoint list from now on.
 func (e *Engine) requestWatch() {
 	e.watchRequested = e.now
 	e.emit(honeyplank.Watch{Enabled: true})
 }
 
-// applyMember takes in an entry of the endpoint list and returns the server's record.
+// applyMember applies an entry of the endpoint list and returns the server's record.
 func (e *Engine) applyMember(member honeyplank.Member) *server {
-	known := e.servers[member.ID]
-	if known == nil {
-		known = e.addServer(member)
+	record := e.servers[member.ID]
+	if record == nil {
+		record = e.addServer(member)
 	}
-	if member.Started > known.Started {
-		known.respondedSinceStart = false
-		e.applyHealthEvent(known, restarted)
+	if member.Started > record.Started {
+		record.respondedSinceStart = false
+		e.applyHealthEvent(record, restarted)
 	}
-	e.updateMember(known, member)
-	return known
+	e.updateMember(record, member)
+	return record
 }
 
-// addServer makes the record of a server. What an earlier instance sent to it is unknown: for slow
-// start that counts as infinitely many units, sent when this instance started.
+// addServer creates the record of a server. The units that an earlier instance sent to the server
+// are unknown. For slow start they count as infinitely many units, sent when this instance started.
 func (e *Engine) addServer(member honeyplank.Member) *server {
-	added := &server{
+	record := &server{
 		Member:      member,
 		window:      minWindow,
 		retryCredit: maxRetryCredit,
 		sentLog:     []sentUnits{{e.startedAt, math.Inf(1)}},
 	}
-	e.servers[added.ID] = added
-	e.serversByID = insertByID(e.serversByID, added)
-	e.applySavedEstimate(added)
-	return added
+	e.servers[record.ID] = record
+	e.serversByID = insertByID(e.serversByID, record)
+	e.applySavedEstimate(record)
+	return record
 }
 
-// updateMember takes over an entry of the endpoint list into a server's record, the number of
-// servers that are up, and the servers of its cell. Its work does not grow with the fleet.
+// updateMember copies an entry of the endpoint list into a server's record, and updates the number
+// of servers that are up and the servers of its cell. Its work does not grow with the fleet.
 func (e *Engine) updateMember(server *server, member honeyplank.Member) {
 	wasUp := server.listedUp || server.wasListedUp
 	if server.listedUp {
@@ -159,7 +160,7 @@
 	}
 }
 
-// markAllRemoved marks all servers as removed, before a complete list is read.
+// markAllRemoved marks all servers as removed, before a complete list is applied.
 func (e *Engine) markAllRemoved() {
 	for _, server := range e.serversByID {
 		server.wasListedUp = server.listedUp
@@ -169,7 +170,7 @@
 	}
 }
 
-// unassignStopped takes the queued ops from those servers of a list that are not up.
+// unassignStopped unassigns the queued ops of those servers of a list that are not up.
 func (e *Engine) unassignStopped(list []*server) {
 	for _, server := range list {
 		if !server.listedUp {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,16 +1,16 @@
 // Package policy is the decision module: it makes every decision on the ops of one instance. New
-// makes an Engine from a seed and the settings; its method Handle takes one event after another and
+// creates an Engine from a seed and the settings. Engine.Handle takes one event after another and
 // returns the actions to carry out. Events, actions and settings are defined in package honeyplank.
 //
 // The package does no I/O, reads no clock, starts no goroutine and keeps no package state that
-// changes: the same seed, settings and events give the same actions. It knows neither protocols nor
-// connections.
+// changes: the same seed, settings and events give the same actions. It does not depend on
+// protocols or connections.
 //
 // An Engine belongs to the goroutine of the event loop of its instance, on which package inflight
-// calls Handle and package gateway SavedEstimates. In the simulator's adapter, package simwire calls
-// Handle on the only goroutine.
+// calls Handle and package gateway SavedEstimates. In the simulator's adapter, package simwire
+// calls Handle on the only goroutine.
 //
-// docs/design.md describes the mechanism, iShare, and what was changed in it.
+// docs/design.md describes the mechanism, iShare, and how it was changed.
 package policy
 
 import (
@@ -20,12 +20,12 @@
 	"honeyplank"
 )
 
-// sweepShare is the interval of sweeps, as a share of the shortest target latency.
+// sweepShare is the interval between sweeps, as a share of the shortest target latency.
 const sweepShare = 1.0 / 20
 
-// holdUp is the longest time for which the process may be delayed between reading its clock and
-// writing: a dispatch may leave that much later than it was decided.
-const holdUp = 150 * time.Millisecond
+// processPause is the longest time for which the process may be delayed between reading its clock
+// and writing. A dispatch may be sent that much later than it was decided.
+const processPause = 150 * time.Millisecond
 
 // The timers that the module sets.
 const (
@@ -37,9 +37,9 @@
 type Engine struct {
 	settings  *engineSettings
 	rng       *rand.Rand
-	now       time.Duration       // of the event that is being handled
-	started   bool                // it has handled an event
-	startedAt time.Duration       // when it handled the first one
+	now       time.Duration       // time of the event that is being handled
+	started   bool                // an event has been handled
+	startedAt time.Duration       // when the first event was handled
 	actions   []honeyplank.Action // returned for that event
 	evictedAt time.Duration
 
@@ -54,37 +54,37 @@
 	backoff        time.Duration // of the next watch request
 
 	// Ranking for new objects.
-	joinedServers  []*server // servers that came up, in that order
-	rankingEpoch   int       // counts the times that joinedServers was emptied
+	joinedServers  []*server // servers that came up, in the order in which they did
+	rankingEpoch   int       // number of times that joinedServers was emptied, from 1
 	acceptingCache []*server // servers that accepted new objects at acceptingAt
 	acceptingAt    time.Duration
-	serversVisited int // servers looked at for new objects and in sweeps
+	serversVisited int // number of servers examined for new objects and in sweeps
 
 	// Ops.
 	ops             map[honeyplank.OpID]*op
 	firstQueued     *op // list of the queued ops in the order queued, unassigned ones included
 	lastQueued      *op
-	serial          int // of the op queued last
-	unassigned      int // queued ops without a server
+	serial          int // serial number of the op queued last
+	unassigned      int // number of queued ops without a server
 	volumes         map[int64]*volume
 	keyQueues       map[int64]*keyQueue
 	earlierAttempts map[requestIdentity]*earlierAttempt
 	admissions      []time.Duration // times of admissions within the retry budget's window
 	retries         []time.Duration // times of retries within it
-	lostShare       float64         // recent share of dispatches that were cancelled as lost
+	lostShare       float64         // recent share of dispatches that were cancelled because their answers seemed lost
 
 	// Demand, in units.
 	demand               ratesByClass // of ops that have a cell
-	cellBoundDemand      decayedRate  // the same over a longer time
-	fleetDemand          decayedRate  // of all instances, for the volumes that this one sees
+	cellBoundDemand      decayedRate  // of the same ops, over a longer time
+	fleetDemand          decayedRate  // through all instances, for the volumes with ops at this one
 	demandByCell         map[int]*cellDemand
 	maxInstancesSeen     int     // largest number of instances that a volume came through
-	unitsAdmitted        float64 // sum over all ops
-	unitsSquaredAdmitted float64 // sum of the squares
+	unitsAdmitted        float64 // sum of the units of all ops
+	unitsSquaredAdmitted float64 // sum of the squares of these units
 
 	// Estimates.
 	latencyByType  []typeLatency                                     // by op type
-	savedEstimates map[honeyplank.ServerID]honeyplank.ServerEstimate // of servers not listed so far
+	savedEstimates map[honeyplank.ServerID]honeyplank.ServerEstimate // of servers not listed yet
 }
 
 // New returns an engine that has handled no event. All its random numbers follow from the seed. The
@@ -106,8 +106,8 @@
 	}
 }
 
-// Handle takes an event and returns the actions to carry out at once, in their order. now is the
-// time on the clock of the instance; it must not go back between calls.
+// Handle processes an event and returns the actions to carry out at once, in their order. now is
+// the time on the clock of the instance; it must not go back between calls.
 func (e *Engine) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 	e.now, e.actions = now, nil
 	if !e.started {
@@ -136,7 +136,7 @@
 	return e.actions
 }
 
-// start sets the timer of the first sweep, and asks for the watch where that is to be asked for.
+// start sets the timer of the first sweep, and requests the watch if the settings demand that.
 func (e *Engine) start() {
 	e.started, e.startedAt = true, e.now
 	e.setTimer(e.now+e.sweepInterval(), sweepTimer)
@@ -160,12 +160,13 @@
 	return max(time.Duration(sweepShare*float64(e.settings.shortestTarget)), e.settings.Step, time.Millisecond)
 }
 
-// sweep does what depends on time alone: health, lost answers, new admission draws, dispatches of
-// queued ops, ops that can no longer be answered in time, the watch, and idle records.
+// sweep does the work that depends on time alone: it checks health and lost answers, draws new
+// admission draws, dispatches queued ops, gives up ops that can no longer be answered in time,
+// requests the watch, and drops idle records.
 func (e *Engine) sweep() {
 	e.setTimer(e.now+e.sweepInterval(), sweepTimer)
 	e.deactivateIdle()
-	// A cancelled dispatch may run on.
+	// A cancelled dispatch may keep running, so that a retry of its op is a hedged request.
 	mayCancel := e.settings.Dispatches.CancelAllowed && e.settings.Dispatches.HedgingAllowed
 	for _, server := range e.activeServers {
 		e.checkHealth(server)
@@ -185,9 +186,9 @@
 	}
 }
 
-// resampleQueued draws new admission draws for ops that have been queued for a shortest target
-// latency since the last one, as for a new attempt of the client: an op with a high draw would wait
-// in vain.
+// resampleQueued draws a new admission draw for each op that has been queued for the shortest
+// target latency since its last draw, as for a new attempt of the client. Otherwise an op with a
+// high draw would wait in vain.
 func (e *Engine) resampleQueued() {
 	for op := e.firstQueued; op != nil; op = op.nextQueued {
 		if e.now-op.sampledAt >= e.settings.shortestTarget {
@@ -211,7 +212,7 @@
 // emit appends an action to those that Handle returns.
 func (e *Engine) emit(action honeyplank.Action) { e.actions = append(e.actions, action) }
 
-// setTimer has a timer's event come at a clock time.
+// setTimer requests a timer event at the given clock time.
 func (e *Engine) setTimer(at time.Duration, id honeyplank.TimerID) {
 	e.emit(honeyplank.SetTimer{At: at, ID: id})
 }
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -4,10 +4,10 @@
 
 const (
 	idleExpiry    = 30 * time.Second // records idle for longer are dropped
-	evictInterval = time.Second      // between two searches for idle records, whose work grows with their number
+	evictInterval = time.Second      // between searches for idle records, whose work grows with the number of records
 )
 
-// evictIdle drops the records that have been idle for a time, or have expired.
+// evictIdle drops the records that have been idle for the given time, or have expired.
 func (e *Engine) evictIdle(idle time.Duration) {
 	for _, server := range e.serversByID {
 		e.evictIdleQueues(server, idle)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// memberIn is the i-th disk server in another state than up.
-func memberIn(i int, state honeyplank.MemberState) honeyplank.Member {
+// memberInState is the i-th disk server in another state than up.
+func memberInState(i int, state honeyplank.MemberState) honeyplank.Member {
 	stopped := member(i, 0)
 	stopped.State = state
 	return stopped
--- a/policy/health.go
+++ b/policy/health.go
@@ -12,29 +12,30 @@
 	maxWindow = 32.0
 )
 
-// maxFailureRate is the share of failed dispatches from which a server gets no new objects.
+// maxFailureRate is the share of failed dispatches at which a server stops getting new objects.
 const maxFailureRate = 0.2
 
-// healthEvent is what a health state depends on.
+// healthEvent is an event that may change the health of a server.
 type healthEvent int
 
 const (
 	noEvidence     healthEvent = iota
 	responded                  // any answer
-	unresponsive               // no connection, a reset, or no answer for long
+	unresponsive               // no connection, a reset, or no answer for a long time
 	restarted                  // the endpoint list shows a newer start
-	backoffElapsed             // the time for which a server that is down gets nothing
+	backoffElapsed             // the backoff of a server that is down has elapsed
 )
 
-// healthTransition is a row of healthTransitions.
+// healthTransition is the entry of healthTransitions for a state and an event.
 type healthTransition struct {
 	next   honeyplank.Health
 	effect func(*Engine, *server) // nil: none
 }
 
-// healthTransitions is the table of applyHealthEvent; a pair that is missing changes nothing. It
-// guards against servers that died, are silent or are cut off from this instance. It could harm
-// where a server merely pauses for long: it then gets one op at a time until it answers.
+// healthTransitions is the transition table of applyHealthEvent. A missing pair changes nothing.
+// The table keeps ops away from servers that have died, do not answer or are cut off from this
+// instance. Limitation: a server that merely pauses for a long time gets one op at a time until it
+// answers.
 var healthTransitions = map[honeyplank.Health]map[healthEvent]healthTransition{
 	honeyplank.HealthUp: {
 		unresponsive: {honeyplank.HealthSuspect, resetWindow},
@@ -68,7 +69,7 @@
 		e.emit(honeyplank.LogHealth{Server: server.ID, Health: transition.next, Previous: server.health})
 	}
 	server.health, server.healthSince = transition.next, e.now
-	if server.health == honeyplank.HealthDown { // the sweep has to see the end of its backoff
+	if server.health == honeyplank.HealthDown { // sweeps check when its backoff has elapsed
 		e.markActive(server)
 	}
 	if transition.effect != nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// checkHealth is a sweep's part of the health of a server: no answer for long, and the end of its
-// backoff.
+// checkHealth updates the health of a server in a sweep: after a long time without an answer, and
+// when its backoff has elapsed.
 func (e *Engine) checkHealth(server *server) {
 	silence := e.settings.longestTarget / 2
 	if server.fullDeadlineDispatches > 0 && e.now-server.unansweredSince > silence {
@@ -89,34 +90,35 @@
 	}
 }
 
-// halfOpenBusy reports whether a half-open server has its one op outstanding, for no longer than
-// its backoff.
+// halfOpenBusy reports whether the one op that a half-open server may get is outstanding, for no
+// longer than the backoff.
 func (e *Engine) halfOpenBusy(server *server) bool {
 	busy := server.health == honeyplank.HealthHalfOpen && server.outstanding > 0
 	return busy && e.now-server.unansweredSince <= server.backoff
 }
 
-// resetWindow starts a server's concurrency window and its backoff from the least.
+// resetWindow resets a server's concurrency window and its backoff to their minimum.
 func resetWindow(_ *Engine, server *server) { server.window, server.backoff = minWindow, 0 }
 
-// halveWindow halves a server's concurrency window, to the least one at most.
+// halveWindow halves a server's concurrency window, down to minWindow.
 func halveWindow(server *server) { server.window = max(minWindow, server.window/2) }
 
-// backOff doubles the time for which a server that is down gets nothing, up to the longest target
-// latency.
+// backOff doubles the time for which nothing is sent to a server that is down, up to the longest
+// target latency.
 func (e *Engine) backOff(server *server) {
-	doubled := time.Duration(farPastBest * float64(server.backoff))
+	doubled := time.Duration(elevatedLatencyFactor * float64(server.backoff))
 	server.backoff = min(max(doubled, e.settings.shortestTarget/2), e.settings.longestTarget)
 }
 
-// recordFailure counts a dispatch that failed.
+// recordFailure adds a failed dispatch to the failure share of a server.
 func (e *Engine) recordFailure(server *server, _ *op, _ honeyplank.Outcome) {
 	rate := e.failureRate(server)
 	server.failureShare, server.failedAt = rate+ewmaWeight*(1-rate), e.now
 }
 
-// failureRate is the recent share of failed dispatches to a server. It decays over time: an
-// instance whose clients only write new objects would never send to the server again.
+// failureRate returns the recent share of failed dispatches to a server. It decays over time,
+// because otherwise an instance whose clients only write new objects would never send to the server
+// again.
 func (e *Engine) failureRate(server *server) float64 {
 	return server.failureShare * e.decay(server.failedAt)
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -40,7 +40,7 @@
 			engine := fleet.instances[0]
 			server, other := engine.servers["osd0"], engine.servers["osd1"]
 			engine.setTypicalLatency(0.02)
-			fleet.playOpsEndedBy(code)
+			fleet.simulateOpsEndedBy(code)
 			if engine.acceptsNewObjects(server) {
 				t.Errorf("%v: %s still accepts new objects", code, server.ID)
 			}
@@ -58,8 +58,8 @@
 	}
 }
 
-// playOpsEndedBy plays eight ops whose first dispatch ends by a code.
-func (fleet *testFleet) playOpsEndedBy(code honeyplank.Code) {
+// simulateOpsEndedBy plays eight ops whose first dispatch ends by a code.
+func (fleet *testFleet) simulateOpsEndedBy(code honeyplank.Code) {
 	for i := range 8 {
 		fleet.admit("a", i, 1, int64(i), 0)
 		if len(fleet.order[i].dispatched) == 1 {
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -77,7 +77,7 @@
 // idle lets ops end, and then nothing happen but the modules' timers.
 func (fleet *idleFleet) idle(length time.Duration) {
 	fleet.t.Helper()
-	fleet.serve(6*time.Second, 0, honeyplank.Succeeded)
+	fleet.runLoad(6*time.Second, 0, honeyplank.Succeeded)
 	for end := fleet.now + length; ; {
 		instance, id, at := fleet.nextTimer(end)
 		fleet.now = at
@@ -103,8 +103,8 @@
 	return instance, id, at
 }
 
-// serve sends ops for a time, whose dispatches end by one of some codes, and returns these ops.
-func (fleet *idleFleet) serve(length time.Duration, rate int, codes ...honeyplank.Code) (admitted []*trackedOp) {
+// runLoad sends ops for a time, whose dispatches end by one of some codes, and returns these ops.
+func (fleet *idleFleet) runLoad(length time.Duration, rate int, codes ...honeyplank.Code) (admitted []*trackedOp) {
 	fleet.t.Helper()
 	next := fleet.now
 	for end := fleet.now + length; fleet.now < end; {
@@ -113,7 +113,7 @@
 			admitted = append(admitted, fleet.admitNext())
 		}
 		fleet.advance(codes)
-		fleet.forgetFinished()
+		fleet.dropFinished()
 	}
 	return admitted
 }
@@ -136,8 +136,8 @@
 	return fleet.ops[op.ID]
 }
 
-// forgetFinished drops the ops that have ended and no longer count for the retry budget, for speed.
-func (fleet *idleFleet) forgetFinished() {
+// dropFinished drops the ops that have ended and no longer count for the retry budget, for speed.
+func (fleet *idleFleet) dropFinished() {
 	open := fleet.order[:0]
 	for _, op := range fleet.order {
 		if n := len(op.dispatched); n > 0 {
@@ -156,40 +156,40 @@
 var faultsAfterIdle = map[string]func(*idleFleet){
 	"none": func(*idleFleet) {},
 	"silence": func(fleet *idleFleet) {
-		fleet.serve(4*time.Second, idleFleetRate, honeyplank.TimedOut)
+		fleet.runLoad(4*time.Second, idleFleetRate, honeyplank.TimedOut)
 	},
 	"idle connections were reset": func(fleet *idleFleet) {
-		fleet.serve(200*ms, idleFleetRate, honeyplank.Reset)
+		fleet.runLoad(200*ms, idleFleetRate, honeyplank.Reset)
 	},
 	"no connections": func(fleet *idleFleet) {
-		fleet.serve(4*time.Second, idleFleetRate, honeyplank.ConnectFailed)
+		fleet.runLoad(4*time.Second, idleFleetRate, honeyplank.ConnectFailed)
 	},
 	"no descriptors, full queues and errors": func(fleet *idleFleet) {
-		fleet.serve(3*time.Second, idleFleetRate, honeyplank.NotSent, honeyplank.Rejected, honeyplank.Failed)
+		fleet.runLoad(3*time.Second, idleFleetRate, honeyplank.NotSent, honeyplank.Rejected, honeyplank.Failed)
 	},
 	"discovery refuses for minutes": func(fleet *idleFleet) {
 		fleet.failWatches()
-		fleet.serve(5*time.Second, idleFleetRate, honeyplank.Succeeded)
+		fleet.runLoad(5*time.Second, idleFleetRate, honeyplank.Succeeded)
 		fleet.idle(4 * time.Minute)
-		fleet.serve(5*time.Second, idleFleetRate, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Reset)
+		fleet.runLoad(5*time.Second, idleFleetRate, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Reset)
 		fleet.watchFails = false
 		fleet.members(honeyplank.Complete, 0, idleServers, honeyplank.Up, fleet.now-time.Minute)
 	},
 	"restarts and drains together": func(fleet *idleFleet) {
 		fleet.members(honeyplank.Delta, 0, 3, honeyplank.Up, fleet.now)
 		fleet.members(honeyplank.Delta, 3, 6, honeyplank.Draining, 0)
-		fleet.serve(time.Second, idleFleetRate, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Reset)
+		fleet.runLoad(time.Second, idleFleetRate, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Reset)
 		fleet.members(honeyplank.Delta, 9, 12, honeyplank.Up, fleet.now)
-		fleet.serve(time.Second, idleFleetRate, honeyplank.Succeeded)
+		fleet.runLoad(time.Second, idleFleetRate, honeyplank.Succeeded)
 		fleet.members(honeyplank.Delta, 3, 6, honeyplank.Removed, 0)
 	},
 	"all servers replaced while discovery refuses": func(fleet *idleFleet) {
 		fleet.failWatches()
-		fleet.serve(3*time.Second, idleFleetRate, honeyplank.ConnectFailed)
+		fleet.runLoad(3*time.Second, idleFleetRate, honeyplank.ConnectFailed)
 		fleet.idle(2 * time.Minute)
 		fleet.watchFails = false
 		fleet.replaceAll(idleServers, 2*idleServers)
-		fleet.serve(3*time.Second, idleFleetRate, honeyplank.Succeeded)
+		fleet.runLoad(3*time.Second, idleFleetRate, honeyplank.Succeeded)
 	},
 }
 
@@ -202,13 +202,13 @@
 			t.Run(strings.ReplaceAll(fmt.Sprint(quiet, " ", name), " ", "_"), func(t *testing.T) {
 				t.Parallel()
 				fleet := newIdleFleet(t)
-				fleet.serve(2*time.Second, idleFleetRate, honeyplank.Succeeded)
+				fleet.runLoad(2*time.Second, idleFleetRate, honeyplank.Succeeded)
 				fleet.idle(quiet)
 				fault(fleet)
-				fleet.serve(10*time.Second, idleFleetRate, honeyplank.Succeeded)
+				fleet.runLoad(10*time.Second, idleFleetRate, honeyplank.Succeeded)
 				since := fleet.now
-				last := fleet.serve(5*time.Second, idleFleetRate, honeyplank.Succeeded)
-				fleet.serve(11*time.Second, 0, honeyplank.Succeeded)
+				last := fleet.runLoad(5*time.Second, idleFleetRate, honeyplank.Succeeded)
+				fleet.runLoad(11*time.Second, 0, honeyplank.Succeeded)
 				fleet.checkRecovered(last, since)
 			})
 		}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -62,8 +62,8 @@
 	dispatches int
 }
 
-// play plays the scenario for a time and returns the number of ops.
-func (scenario loadScenario) play(seed int64, length time.Duration, handle eventHandler) int {
+// simulate plays the scenario for a time and returns the number of ops.
+func (scenario loadScenario) simulate(seed int64, length time.Duration, handle eventHandler) int {
 	run := &loadRun{
 		loadScenario: scenario,
 		rng:          rand.New(rand.NewSource(seed)),
@@ -172,15 +172,16 @@
 			ops, queued, events := 0, 0, 0
 			for b.Loop() {
 				engine := New(5, scenario.settings())
-				ops += scenario.play(5, 500*ms, func(now time.Duration, event honeyplank.Event) []honeyplank.Action {
-					began := time.Now()
-					actions := engine.Handle(now, event)
-					spent += time.Since(began)
-					if events++; events%1000 == 0 {
-						queued = max(queued, engine.queuedOps())
-					}
-					return actions
-				})
+				ops += scenario.simulate(5, 500*ms,
+					func(now time.Duration, event honeyplank.Event) []honeyplank.Action {
+						began := time.Now()
+						actions := engine.Handle(now, event)
+						spent += time.Since(began)
+						if events++; events%1000 == 0 {
+							queued = max(queued, engine.queuedOps())
+						}
+						return actions
+					})
 			}
 			b.ReportMetric(float64(spent.Microseconds())/float64(ops), "us/op")
 			b.ReportMetric(float64(queued), "queued")
--- a/policy/means.go
+++ b/policy/means.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Decay, scale and offset of a decayed mean: the paper's a, b and c (its footnote on equations 2
-// and 3).
+// Decay, scale and offset of a decayed mean: a, b and c in the paper (in its footnote on equations
+// 2 and 3).
 const (
 	meanDecay  = 7.0 / 8
 	meanScale  = 32
@@ -28,7 +28,7 @@
 	seen       bool
 }
 
-// observe takes in an event; the first one has no time before it.
+// observe records an event. The first event has no interval before it.
 func (m *decayedMean) observe(now time.Duration) {
 	if m.seen {
 		m.total = meanDecay*m.total + meanScale*float64(now-m.last)/float64(time.Millisecond)
@@ -37,7 +37,7 @@
 	m.last, m.seen = now, true
 }
 
-// value is the mean time between events; the longest duration while there were none.
+// value returns the mean time between events, or the longest duration if no interval was recorded.
 func (m *decayedMean) value() time.Duration {
 	if m.sum == 0 {
 		return math.MaxInt64
@@ -45,33 +45,35 @@
 	return time.Duration((m.total + meanOffset) / m.sum * float64(time.Millisecond))
 }
 
-// decayedRate is an exponentially decayed rate: units over the time in which they came.
+// decayedRate is an exponentially decayed rate: units, divided by the time in which they were
+// added.
 type decayedRate struct {
 	units, time float64 // time in seconds
 	last        time.Duration
 }
 
-// add takes in units that came now; what came before decays with the time constant memory. A rate
-// starts as if nothing had come within that.
+// add adds units at the time now. Earlier units decay with the time constant memory. A new rate
+// starts as if nothing had been added within the time constant.
 func (r *decayedRate) add(now time.Duration, units float64, memory time.Duration) {
 	memory = max(memory, time.Millisecond)
 	if r.time == 0 {
 		r.last = now - memory
 	}
 	elapsed := (now - r.last).Seconds()
-	kept := math.Exp(-elapsed / memory.Seconds())
-	r.units, r.time, r.last = r.units*kept+units, r.time*kept+elapsed, now
+	weight := math.Exp(-elapsed / memory.Seconds())
+	r.units, r.time, r.last = r.units*weight+units, r.time*weight+elapsed, now
 }
 
-// rate is in units a second; NaN before the first add.
+// rate returns the rate in units a second. It is NaN before the first add.
 func (r *decayedRate) rate() float64 { return r.units / r.time }
 
-// rateWithPrior is the rate averaged with a prior one, which counts as if observed for a time.
+// rateWithPrior returns the rate averaged with a prior rate, which has the weight of a rate that
+// was observed for the given time.
 func (r *decayedRate) rateWithPrior(prior float64, observed time.Duration) float64 {
 	return (r.units + prior*observed.Seconds()) / max(r.time+observed.Seconds(), minSeconds)
 }
 
-// ewma moves a mean towards a new value by a weight; a mean of 0 is taken for none.
+// ewma moves a mean towards a new value by a weight. A mean of 0 stands for no mean.
 func ewma(mean, value, weight float64) float64 {
 	if mean == 0 {
 		return value
@@ -79,7 +81,7 @@
 	return mean + weight*(value-mean)
 }
 
-// dropBefore drops the times before one from a sorted list.
+// dropBefore returns a sorted list of times without those before from.
 func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i := sort.Search(len(times), func(i int) bool { return times[i] >= from })
 	return times[i:]
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -159,8 +159,8 @@
 	return op.HasKey && m.opType(op).Ordered
 }
 
-// longestHoldUp is for how long a process may stand still between a decision and the dispatch.
-const longestHoldUp = 150 * ms
+// maxProcessPause is for how long a process may stand still between a decision and the dispatch.
+const maxProcessPause = 150 * ms
 
 // withinRetryBudget is ruleRetryBudget for one more retry, when this or earlier ones are delayed.
 func (m *ruleModel) withinRetryBudget(instance int) bool {
@@ -170,11 +170,11 @@
 	}
 	from, admitted := m.now-budget.Window, 0.0
 	for _, op := range m.order {
-		if op.instance == instance && op.admittedAt >= from+longestHoldUp {
+		if op.instance == instance && op.admittedAt >= from+maxProcessPause {
 			admitted++
 		}
 	}
-	recent := dropBefore(m.retries[instance], from-longestHoldUp)
+	recent := dropBefore(m.retries[instance], from-maxProcessPause)
 	return float64(1+len(recent)) <= budget.Free+budget.Share*admitted
 }
 
@@ -206,7 +206,7 @@
 	if op.Cell != honeyplank.NewObject && op.Cell != server.Cell {
 		m.violate(ruleRepeat, "%s goes to a server without its data", op.ID)
 	}
-	delay := m.settings.Dispatches.ConnectTimeout + longestHoldUp
+	delay := m.settings.Dispatches.ConnectTimeout + maxProcessPause
 	if !m.mayRetry(op, server.ID, delay) || len(op.dispatched) >= max(m.settings.Dispatches.Max, 1) {
 		m.violate(ruleRepeat, "%s repeated", op.ID)
 	}
--- a/policy/ops.go
+++ b/policy/ops.go
@@ -6,7 +6,7 @@
 	"honeyplank"
 )
 
-// op is the record of an op that this instance has to answer.
+// op is the record of an op that this instance must answer.
 type op struct {
 	honeyplank.Op
 	target          time.Duration // clock time at which its target latency is over
@@ -15,15 +15,15 @@
 	dispatches      []opDispatch
 	inlineDispatch  [1]opDispatch // holds the first dispatch, mostly the only one, without an allocation
 	responseStarted bool
-	answered        bool // answered, or its client has gone; kept while a dispatch has no outcome
+	answered        bool // answered, or its client has gone; the record is kept while a dispatch has no outcome
 	volume          *volume
-	server          *server      // where it is queued or was last dispatched
-	queue           *volumeQueue // that it is in; nil while it is dispatched or unassigned
+	server          *server      // at which it is queued, or to which it was last dispatched
+	queue           *volumeQueue // that holds it; nil while it is dispatched or unassigned
 	keyQueue        *keyQueue    // of an ordered type; else nil
-	queuedSerial    int          // order of the list of queued ops; 0: not in it
+	queuedSerial    int          // position in the list of queued ops; 0: not in the list
 	previousQueued  *op          // neighbours in the list of queued ops
 	nextQueued      *op
-	isRetry         bool // queued for another dispatch: it goes before others of its volume
+	isRetry         bool // queued for another dispatch: it precedes the other ops of its volume
 }
 
 // opDispatch is one dispatch of an op.
@@ -32,11 +32,12 @@
 	sentAt        time.Duration
 	done          bool // its outcome is known
 	mayHaveRun    bool
-	shortDeadline bool // the op had less time left than a usual answer takes
+	shortDeadline bool // the op had less time left than a typical answer takes
 }
 
-// keyQueue keeps the ops of ordered types with one key in order: only the first may be dispatched,
-// and not before settledAt, unless it is settlingOp, whose own dispatch may be running still.
+// keyQueue keeps the ops of ordered types with one key in order. Only the first op may be
+// dispatched, and not before settledAt, unless it is settlingOp, whose own dispatch may still be
+// running.
 type keyQueue struct {
 	ops        []*op // in the order of admission
 	settledAt  time.Duration
@@ -63,8 +64,8 @@
 	return true
 }
 
-// finishOp ends an op. Its record stays while a dispatch has no outcome, since the next op of its
-// key waits for that.
+// finishOp ends an op. Its record stays while a dispatch has no outcome, because the next op of its
+// key waits for that outcome.
 func (e *Engine) finishOp(op *op) {
 	op.dequeue()
 	e.removeQueued(op)
@@ -90,7 +91,7 @@
 	op.keyQueue = queue
 }
 
-// isNextOfKey reports whether the order of an op's key allows its dispatch.
+// isNextOfKey reports whether the order of the ops of a key allows the dispatch of an op.
 func (e *Engine) isNextOfKey(op *op) bool {
 	queue := op.keyQueue
 	if queue == nil {
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -6,16 +6,16 @@
 	"honeyplank"
 )
 
-// outcomeMeaning is what an outcome means for a dispatch and its server.
+// outcomeMeaning describes what an outcome implies for a dispatch and its server.
 type outcomeMeaning struct {
-	arrived     bool // the server may have received it
+	arrived     bool // the server may have received the dispatch
 	mayHaveRun  bool
 	mayStillRun bool
 	evidence    healthEvent
 	effect      func(*Engine, *server, *op, honeyplank.Outcome)
 }
 
-// outcomeMeanings is the table of handleOutcome.
+// outcomeMeanings maps codes to their meanings, for handleOutcome.
 var outcomeMeanings = map[honeyplank.Code]outcomeMeaning{
 	honeyplank.Succeeded: {
 		arrived: true, mayHaveRun: true, evidence: responded, effect: (*Engine).recordSuccess,
@@ -42,7 +42,7 @@
 	honeyplank.NotSent: {},
 }
 
-// dispatch sends an op to a server, and takes its units from its volume's buckets.
+// dispatch sends an op to a server, and takes the op's units from the buckets of its volume.
 func (e *Engine) dispatch(op *op, server *server) {
 	volume := op.volume
 	if len(op.dispatches) > 0 {
@@ -51,10 +51,11 @@
 	} else {
 		volume.limit -= op.Units
 	}
-	if volume.reserve > 0 { // an empty bucket stays as it is: its debt is never more than one op
+	if volume.reserve > 0 { // an empty bucket is not charged, so that its debt never exceeds one op
 		volume.reserve -= op.Units
 	}
-	// A server may drop an op with little time left without an answer: its silence is no evidence.
+	// A server may drop an op that has little time left, without an answer. Its silence is then no
+	// evidence against it.
 	shortDeadline := op.Timeout-e.now < 2*e.earliestAnswer(server, op.Type)
 	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == honeyplank.HealthHalfOpen {
 		server.unansweredSince = e.now
@@ -83,8 +84,8 @@
 	}
 }
 
-// handleOutcome takes in the end of a dispatch: it updates the records, answers or retries the op,
-// and dispatches what may be sent now.
+// handleOutcome handles the end of a dispatch: it updates the records, answers or retries the op,
+// and dispatches the ops that may be sent now.
 func (e *Engine) handleOutcome(outcome honeyplank.Outcome) {
 	server, op, meaning := e.servers[outcome.Server], e.ops[outcome.Op], outcomeMeanings[outcome.Code]
 	if server == nil || op == nil || !e.closeDispatch(op, outcome.Dispatch, meaning) {
@@ -92,7 +93,8 @@
 	}
 	e.recordResponse(server, op.dispatches[outcome.Dispatch], meaning)
 	e.applyHealthEvent(server, meaning.evidence)
-	// Any answer may report what was served elsewhere; each amount is reported once.
+	// Any answer may report units that were served through other instances. Each amount is reported
+	// once.
 	op.volume.servedElsewhere.add(e.now, outcome.ServedElsewhere, e.usageMemory())
 	if meaning.effect != nil {
 		meaning.effect(e, server, op, outcome)
@@ -112,8 +114,8 @@
 	e.runSlices(server)
 }
 
-// closeDispatch records the end of an op's dispatch; it returns false where that was known or there
-// is none.
+// closeDispatch records the end of an op's dispatch. It returns false if the end was known already
+// or there is no such dispatch.
 func (e *Engine) closeDispatch(op *op, index int, meaning outcomeMeaning) bool {
 	if index < 0 || index >= len(op.dispatches) || op.dispatches[index].done {
 		return false
@@ -124,7 +126,7 @@
 		return dispatch.op == op && dispatch.index == index
 	})
 	server.unitsOutstanding -= op.Units
-	if len(server.dispatches) == 0 { // no rounding error is kept
+	if len(server.dispatches) == 0 { // discard rounding errors
 		server.unitsOutstanding = 0
 	}
 	if meaning.arrived && e.inSlowStart(server) {
@@ -133,8 +135,7 @@
 	return true
 }
 
-// recordResponse updates what a server's record knows of outstanding dispatches after the end of
-// one.
+// recordResponse updates a server's record of its outstanding dispatches after one of them ended.
 func (e *Engine) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
 	server.outstanding--
 	if !dispatch.shortDeadline {
@@ -147,7 +148,8 @@
 	}
 }
 
-// runSlicesOfNextInKey dispatches what may be sent where the next op of an op's key is queued.
+// runSlicesOfNextInKey dispatches the ops that may be sent to the server at which the next op of an
+// op's key is queued.
 func (e *Engine) runSlicesOfNextInKey(op *op) {
 	queue := op.keyQueue
 	if queue != nil && len(queue.ops) > 0 && queue.ops[0].server != nil {
@@ -168,13 +170,13 @@
 	op.volume.servedHere.add(e.now, op.Units, e.usageMemory())
 	if outcome.QuotaUsed > 0 {
 		share := float64(outcome.QuotaUsed-1) / 100
-		op.volume.servedEverywhere = share * e.settings.plan(op.Plan).Rate
+		op.volume.totalServedRate = share * e.settings.plan(op.Plan).Rate
 	}
 }
 
-// recordLatencyPerUnit takes in the latency per unit of an answer, in seconds, and adapts the
-// window to it: it grows by one op per window of answers near the best latency, and halves once
-// when latency passes a multiple of the best.
+// recordLatencyPerUnit records the latency per unit of an answer, in seconds, and adapts the window
+// to it. The window grows by one op for each window of answers near the best latency. It is halved
+// once when the latency rises above a multiple of the best.
 func (server *server) recordLatencyPerUnit(perUnit float64) {
 	server.perUnit = ewma(server.perUnit, perUnit, ewmaWeight)
 	if server.bestPerUnit == 0 || server.perUnit < server.bestPerUnit {
@@ -182,8 +184,8 @@
 	}
 	server.bestPerUnit += bestLatencyDecay * (server.perUnit - server.bestPerUnit)
 	server.answersSinceGrowth++
-	elevated := server.perUnit > farPastBest*server.bestPerUnit
-	nearBestLatency := server.perUnit < nearBest*server.bestPerUnit
+	elevated := server.perUnit > elevatedLatencyFactor*server.bestPerUnit
+	nearBestLatency := server.perUnit < nearBestLatencyFactor*server.bestPerUnit
 	if elevated && !server.latencyElevated {
 		halveWindow(server)
 	} else if nearBestLatency && server.answersSinceGrowth >= server.window {
@@ -192,10 +194,11 @@
 	server.latencyElevated = elevated
 }
 
-// recordTimeout takes a time-out for an answer with the latency so far, up to the shortest target
-// latency (past that it may be lost rather than late), and a rejection for one with the longest
-// target latency, for that server alone. It guards the other servers against one that rejects
-// everything. It could harm where all are full at once.
+// recordTimeout treats a time-out as an answer with the latency so far, up to the shortest target
+// latency, beyond which the answer may be lost rather than late. It treats a rejection as an answer
+// with the longest target latency, for that server alone. A server that rejects everything
+// therefore does not affect the estimates of other servers. Limitation: this does harm if all
+// servers are full at once.
 func (e *Engine) recordTimeout(server *server, op *op, outcome honeyplank.Outcome) {
 	rejected := outcome.Code == honeyplank.Rejected
 	latency := min(outcome.Elapsed, e.settings.shortestTarget)
@@ -214,8 +217,8 @@
 	}
 }
 
-// rejectIsSafe reports whether an op may be answered as rejected: another attempt of the client
-// must do no harm.
+// rejectIsSafe reports whether an op may be answered with a rejection, which requires that another
+// attempt of the client does no harm.
 func (e *Engine) rejectIsSafe(op *op) bool {
 	opType := e.settings.opType(op.Type)
 	return opType.Semantics == honeyplank.Idempotent ||
@@ -223,7 +226,7 @@
 		op.neverRan()
 }
 
-// giveUp answers an op without success: as rejected where that is safe, else as failed.
+// giveUp answers an op without success: with a rejection if that is safe, or else with a failure.
 func (e *Engine) giveUp(op *op) {
 	if e.rejectIsSafe(op) {
 		retryAfter := min(e.settings.opType(op.Type).TargetLatency, e.settings.maxRetryAfter)
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -17,11 +17,11 @@
 	opsByKey      map[int64]int // number of queued ops for each key
 	smallestUnits float64       // lower bound of the queued ops' units
 	retryCount    int           // queued ops that have been dispatched before
-	round         int           // in which it was last served
+	round         int           // round in which it was last served
 	lastSeen      time.Duration
 }
 
-// queueOf returns a volume's queue for a server; it is made if there is none.
+// queueOf returns a volume's queue for a server. It creates the queue if there is none.
 func (server *server) queueOf(owner *volume) *volumeQueue {
 	queue := server.queueByVolume[owner]
 	if queue == nil {
@@ -88,7 +88,8 @@
 	}
 }
 
-// appendQueued appends an op to the list of queued ops; those without a server are counted.
+// appendQueued appends an op to the list of queued ops, and counts it as unassigned if it has no
+// server.
 func (e *Engine) appendQueued(op *op) {
 	e.serial++
 	op.queuedSerial, op.previousQueued, op.nextQueued = e.serial, e.lastQueued, nil
@@ -124,7 +125,7 @@
 	op.queuedSerial, op.previousQueued, op.nextQueued = 0, nil, nil
 }
 
-// unassignAll empties the queues of a server; their ops stay queued, without a server.
+// unassignAll empties the queues of a server. Their ops stay queued without a server.
 func (e *Engine) unassignAll(server *server) {
 	for _, queue := range server.queues {
 		for _, op := range queue.ops {
@@ -137,12 +138,13 @@
 	server.servedQueue, server.sliceState, server.queuedCount, server.nonEmpty = nil, sliceIdle, 0, nil
 }
 
-// indexAfterSerial is the index in nonEmpty of the first queue with a greater serial.
+// indexAfterSerial returns the index in nonEmpty of the first queue with a greater serial.
 func (server *server) indexAfterSerial(serial int) int {
 	return sort.Search(len(server.nonEmpty), func(i int) bool { return server.nonEmpty[i].serial > serial })
 }
 
-// ringStart is the index in nonEmpty after the served queue, where a pass over the ring starts.
+// ringStart returns the index in nonEmpty after the served queue, at which a pass over the ring
+// starts.
 func (server *server) ringStart() int {
 	if server.servedQueue == nil {
 		return 0
@@ -150,11 +152,11 @@
 	return server.indexAfterSerial(server.servedQueue.serial)
 }
 
-// busyVolumes is the number of volumes with queued ops.
+// busyVolumes returns the number of volumes with queued ops.
 func (server *server) busyVolumes() int { return len(server.nonEmpty) }
 
-// assignAllQueued assigns queued ops without a server, and dispatches what may be sent to any
-// active server.
+// assignAllQueued assigns queued ops without a server, and dispatches the ops that may be sent to
+// any active server.
 func (e *Engine) assignAllQueued() {
 	for op := e.firstQueued; op != nil && e.unassigned > 0; op = op.nextQueued {
 		if op.server == nil {
@@ -168,9 +170,9 @@
 	}
 }
 
-// assignQueued assigns queued ops without a server, and dispatches what may be sent to the changed
-// servers and to those that got an op here. Only these can have changed; the others are visited by
-// the next sweep.
+// assignQueued assigns queued ops without a server, and dispatches the ops that may be sent to the
+// changed servers and to those that got an op here. Only these servers can have changed; the next
+// sweep visits the others.
 func (e *Engine) assignQueued(changed []*server) {
 	for op := e.firstQueued; op != nil && e.unassigned > 0; op = op.nextQueued {
 		if op.server == nil {
@@ -187,7 +189,8 @@
 	}
 }
 
-// orderedBefore is the order of a queue: retries first, then by target, then in the order queued.
+// orderedBefore reports whether op comes before other in a queue: retries first, then by target,
+// then in the order queued.
 func orderedBefore(op, other *op) bool {
 	if op.isRetry != other.isRetry {
 		return op.isRetry
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -27,7 +27,7 @@
 				settings.Usage.Period = time.Second
 			}
 			engine := New(1, settings)
-			record := &volume{instances: 10, reserve: -1.5, servedEverywhere: test.total}
+			record := &volume{instances: 10, reserve: -1.5, totalServedRate: test.total}
 			for range 10 {
 				engine.now += 100 * ms
 				record.servedHere.add(engine.now, 1, 2*time.Second)
@@ -139,10 +139,10 @@
 	}
 }
 
-// TestLimitWithHoldUp: what is decided within a hold-up may arrive at one instant, and then takes no
+// TestLimitWithProcessPause: what is decided within a hold-up may arrive at one instant, and then takes no
 // more from a limit's bucket than that holds; one that holds little more than a largest op still allows
 // it.
-func TestLimitWithHoldUp(t *testing.T) {
+func TestLimitWithProcessPause(t *testing.T) {
 	for _, test := range []struct {
 		limit, burst, slack float64
 		units               float64 // of an op
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -8,17 +8,17 @@
 	"honeyplank"
 )
 
-// Each volume keeps the first servers of its ranking, and sweeps visit active servers alone, so
-// that the work of an event does not grow with the fleet.
+// Each volume keeps only the first servers of its ranking, and sweeps visit only active servers.
+// The work of an event therefore does not grow with the fleet.
 const (
-	maxTopServers = 64                // kept of a volume's ranking
-	minTopServers = maxTopServers / 2 // with fewer left the ranking is rebuilt from all servers
+	maxTopServers = 64                // number of servers that a volume keeps of its ranking
+	minTopServers = maxTopServers / 2 // with fewer servers left, the ranking is rebuilt from all servers
 )
 
 // rankedServer is a server with its rendezvous hash for a volume.
 type rankedServer struct {
 	server *server
-	rank   uint64
+	hash   uint64
 }
 
 // Parameters of FNV-1a with 64 bits.
@@ -27,8 +27,8 @@
 	hashPrime = 1099511628211
 )
 
-// volumeHash is the FNV-1a hash of a volume's number in decimal, with which all its rendezvous
-// hashes start.
+// volumeHash returns the FNV-1a hash of a volume's number in decimal. All rendezvous hashes of the
+// volume start from it.
 func volumeHash(volume int64) uint64 {
 	var digits [20]byte
 	hash := uint64(hashStart)
@@ -38,24 +38,26 @@
 	return hash
 }
 
-// rendezvousHash is the rendezvous hash of a server for a volume, given by its volumeHash.
+// rendezvousHash returns the rendezvous hash of a server for a volume. hash is the volumeHash of
+// the volume.
 func rendezvousHash(hash uint64, id honeyplank.ServerID) uint64 {
 	for i := range len(id) {
 		hash = (hash ^ uint64(id[i])) * hashPrime
 	}
-	hash ^= hash >> 33 // finalizer of MurmurHash3, its first round
+	hash ^= hash >> 33 // first round of the MurmurHash3 finalizer
 	hash *= 0xff51afd7ed558ccd
 	return hash ^ hash>>33
 }
 
-// ranksBefore is the order of a ranking: by descending hash, equal ones by id.
-func (candidate rankedServer) ranksBefore(than rankedServer) bool {
-	return candidate.rank > than.rank || candidate.rank == than.rank && candidate.server.ID < than.server.ID
+// ranksBefore reports whether candidate comes before other in a ranking: by descending hash, then
+// by ascending id.
+func (candidate rankedServer) ranksBefore(other rankedServer) bool {
+	return candidate.hash > other.hash || candidate.hash == other.hash && candidate.server.ID < other.server.ID
 }
 
-// topRanked returns the first servers of a volume's ranking that are up, in order: exactly those of
-// a ranking of all servers, in which ones that came up are inserted and ones that left are deleted.
-// When few are left it is rebuilt.
+// topRanked returns the first servers of a volume's ranking that are listed as up, in order. They
+// are exactly the first ones of a ranking of all servers: servers that came up are inserted, and
+// servers that left are deleted. The ranking is rebuilt when few servers are left.
 func (e *Engine) topRanked(volume *volume, id int64) []rankedServer {
 	volume.topServers = slices.DeleteFunc(volume.topServers, func(candidate rankedServer) bool {
 		return !candidate.server.listedUp
@@ -77,7 +79,7 @@
 	return volume.topServers
 }
 
-// insertRanked inserts a server that is up into topServers, if it ranks among them.
+// insertRanked inserts a server into topServers if it is listed as up and ranks among them.
 func (volume *volume) insertRanked(server *server, hash uint64) {
 	if !server.listedUp {
 		return
@@ -96,15 +98,15 @@
 	}
 }
 
-// joinRankings notes that a server came up, for the rankings that exist.
+// joinRankings records that a server came up, so that the existing rankings can insert it.
 func (e *Engine) joinRankings(server *server) {
-	if len(e.joinedServers) > 2*len(e.serversByID)+maxTopServers { // most rankings have taken in most of them
+	if len(e.joinedServers) > 2*len(e.serversByID)+maxTopServers { // most rankings have inserted most of them
 		e.joinedServers, e.rankingEpoch = nil, e.rankingEpoch+1
 	}
 	e.joinedServers = append(e.joinedServers, server)
 }
 
-// acceptingServers returns the servers that accepted new objects at most a sweep ago.
+// acceptingServers returns the servers that accepted new objects at most one sweep interval ago.
 func (e *Engine) acceptingServers() []*server {
 	if e.now-e.acceptingAt >= e.sweepInterval() || e.acceptingAt == 0 {
 		e.acceptingAt, e.acceptingCache = e.now, e.acceptingCache[:0]
@@ -126,8 +128,8 @@
 	}
 }
 
-// deactivateIdle removes servers without outstanding or queued ops from those that sweeps visit,
-// but for those that are down.
+// deactivateIdle removes servers without outstanding or queued ops from those that sweeps visit.
+// Servers that are down stay.
 func (e *Engine) deactivateIdle() {
 	e.activeServers = slices.DeleteFunc(e.activeServers, func(server *server) bool {
 		server.active = server.outstanding > 0 || server.queuedCount > 0 || server.health == honeyplank.HealthDown
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -14,8 +14,8 @@
 	"honeyplank"
 )
 
-// modelRank is the hash of a volume and a server, as the library computes it.
-func modelRank(volume int64, id honeyplank.ServerID) uint64 {
+// modelHash is the hash of a volume and a server, as the library computes it.
+func modelHash(volume int64, id honeyplank.ServerID) uint64 {
 	hasher := fnv.New64a()
 	_, _ = fmt.Fprintf(hasher, "%d%s", volume, id) // writing to a hash never fails
 	hash := hasher.Sum64()
@@ -31,7 +31,7 @@
 			list = append(list, server)
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return modelRank(volume, list[i].ID) > modelRank(volume, list[j].ID) })
+	sort.SliceStable(list, func(i, j int) bool { return modelHash(volume, list[i].ID) > modelHash(volume, list[j].ID) })
 	return list
 }
 
@@ -151,7 +151,7 @@
 		admissionDraw: fleet.rng.Float64(),
 		target:        fleet.now + 200*ms,
 	}
-	engine.openVolume(candidate)
+	engine.registerOp(candidate)
 	list := modelRanking(engine, id)
 	want, hasCapacity := modelChoice(engine, candidate, list)
 	got := engine.chooseNewServer(candidate)
@@ -224,25 +224,25 @@
 	oneByOne     replacement = "servers replaced one by one"
 )
 
-// playNewObjects plays n new objects of 200 volumes, each answered after 4 ms, with a sweep every 10 ms,
+// simulateNewObjects plays n new objects of 200 volumes, each answered after 4 ms, with a sweep every 10 ms,
 // and servers that may be replaced meanwhile. from is the number of objects played before.
-func playNewObjects(engine *Engine, from, n int, replaced replacement) {
+func simulateNewObjects(engine *Engine, from, n int, replaced replacement) {
 	servers := len(engine.serversByID)
 	for i := from; i < from+n; i++ {
 		now := time.Second + time.Duration(i)*5*ms
-		playNewObject(engine, now, i)
+		simulateNewObject(engine, now, i)
 		if i%2 == 0 {
 			engine.Handle(now+4*ms, honeyplank.Timer{ID: sweepTimer})
 		}
 		if replaced == oneByOne && i%50 == 0 {
-			replace := []honeyplank.Member{memberIn(i/50, honeyplank.Removed), member(servers+i, 0)}
+			replace := []honeyplank.Member{memberInState(i/50, honeyplank.Removed), member(servers+i, 0)}
 			engine.Handle(now+4*ms, honeyplank.List{Kind: honeyplank.Delta, Members: replace})
 		}
 	}
 }
 
-// playNewObject plays the i-th new object, which is answered after 4 ms.
-func playNewObject(engine *Engine, now time.Duration, i int) {
+// simulateNewObject plays the i-th new object, which is answered after 4 ms.
+func simulateNewObject(engine *Engine, now time.Duration, i int) {
 	id := honeyplank.OpID(fmt.Sprint(i))
 	actions := engine.Handle(now, honeyplank.Op{
 		ID: id, Units: 1, Timeout: now + time.Second, Volume: int64(i % 200), Instances: 1, Cell: honeyplank.NewObject,
@@ -267,11 +267,11 @@
 func costOfObjects(servers int, replaced replacement) objectCost {
 	const objects = 4000
 	engine := largeFleet(servers)
-	playNewObjects(engine, 0, 200, noneReplaced) // each volume has its ranking
+	simulateNewObjects(engine, 0, 200, noneReplaced) // each volume has its ranking
 	engine.serversVisited = 0
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	playNewObjects(engine, 200, objects, replaced)
+	simulateNewObjects(engine, 200, objects, replaced)
 	runtime.ReadMemStats(&after)
 	cost := objectCost{
 		visited:     float64(engine.serversVisited) / objects,
@@ -311,7 +311,7 @@
 			engine := largeFleet(servers)
 			n := 0
 			for b.Loop() {
-				playNewObjects(engine, n, 100, noneReplaced)
+				simulateNewObjects(engine, n, 100, noneReplaced)
 				n += 100
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(n), "us/object")
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// maxRetryCredit is how many retries a server's answers can earn in advance; each answer earns
-	// one.
+	// maxRetryCredit is the number of retries that a server's answers can earn in advance. Each
+	// successful answer earns one.
 	maxRetryCredit = 2 * minWindow
-	// overdueFactor is how many times the usual latency an overtaken dispatch may take before it is
-	// cancelled; overdueReduction multiplies it while more than highLostShare of the recent
-	// dispatches were cancelled so.
+	// overdueFactor is the multiple of the typical latency that an overtaken dispatch may take
+	// before it is cancelled. It is multiplied by overdueReduction while more than highLostShare of
+	// the recent dispatches were cancelled for this reason.
 	overdueFactor    = 8.0
 	overdueReduction = 0.5
 	highLostShare    = 1.0 / 50
-	// lostShareWeight is the weight of the newest dispatch in the share of lost ones.
+	// lostShareWeight is the weight of the newest dispatch in the share of lost dispatches.
 	lostShareWeight = ewmaWeight / 8
 )
 
-// outstandingDispatch is a dispatch without an outcome, as its server's record keeps it.
+// outstandingDispatch is a dispatch without an outcome, in the record of its server.
 type outstandingDispatch struct {
 	op              *op
-	index           int // of the op's dispatches
+	index           int // number of the dispatch among those of the op, from 0
 	sentAt          time.Duration
-	overtakenAt     time.Duration // when a later dispatch was first answered; 0: none was
+	overtakenAt     time.Duration // when a later dispatch was first answered; 0: none has been
 	cancelRequested bool
 }
 
-// retryAllowed reports whether the semantics of an op allow another dispatch, to a server. Servers
-// drop repeats for a time that runs from the first dispatch at the earliest, and the new one has to
-// run within it, though it may be delayed, wait for its connection and be queued at the server. It
-// could harm where the settings state less time than that: such ops are never sent twice.
+// retryAllowed reports whether the semantics of an op allow another dispatch, to the given server.
+// Servers drop repeats for a time that starts no earlier than the first dispatch. The new dispatch
+// has to run within that time, although it may be delayed, wait for its connection and be queued at
+// the server. Limitation: if the settings state less time than that, such ops are never sent twice.
 func (e *Engine) retryAllowed(op *op, server *server) bool {
 	opType := e.settings.opType(op.Type)
 	runsAt := e.now + e.settings.maxArrivalDelay + 2*e.earliestAnswer(server, op.Type)
@@ -54,22 +54,22 @@
 }
 
 // retryBudgetAllows reports whether the sliding window of the retry budget allows one more retry.
-// Each dispatch may be delayed by holdUp: an earlier retry may be seen later than it was counted,
-// and by then some admissions lie outside of the window.
+// Each dispatch may be delayed by processPause, so an earlier retry may reach its server later than
+// it was counted, when some admissions already lie outside of the window.
 func (e *Engine) retryBudgetAllows() bool {
 	if !e.settings.RetryBudget.Limited {
 		return true
 	}
 	from := e.now - e.settings.RetryBudget.Window
-	e.admissions = dropBefore(e.admissions, from+holdUp)
-	e.retries = dropBefore(e.retries, from-holdUp)
+	e.admissions = dropBefore(e.admissions, from+processPause)
+	e.retries = dropBefore(e.retries, from-processPause)
 	budget := e.settings.RetryBudget.Free + e.settings.RetryBudget.Share*float64(len(e.admissions))
 	return float64(len(e.retries)+1) <= budget
 }
 
-// retry queues an op again after a dispatch without an answer, or gives it up. The servers' credit
-// bounds retries: it guards against retries to a server that answers few ops. It could harm where a
-// healthy server has not answered yet.
+// retry queues an op again after a dispatch without an answer, or gives the op up. The retry credit
+// of the servers limits retries, so that a server that answers few ops gets few retries.
+// Limitation: it also limits the retries to a healthy server that has not answered yet.
 func (e *Engine) retry(op *op, server *server) {
 	if len(op.dispatches) < e.settings.Dispatches.Max && e.retryAllowed(op, server) && e.now < op.target {
 		op.isRetry, op.server = true, nil
@@ -81,10 +81,10 @@
 	e.giveUp(op)
 }
 
-// cancelOverdue cancels dispatches whose answers seem lost: later ones to the server were answered
-// a while ago, and they take far longer than usual there. It guards against answers that never
-// come, which use up the window until the op timeout. It could harm where a server delays some ops
-// for long while it serves others.
+// cancelOverdue cancels dispatches whose answers are probably lost: later dispatches to the server
+// were answered some time ago, and these ones take far longer than is typical there. This prevents
+// answers that never come from using up the window until the op timeout. Limitation: it cancels too
+// early if a server delays some ops for long while it serves others.
 func (e *Engine) cancelOverdue(server *server) {
 	factor := time.Duration(overdueFactor)
 	if e.lostShare > highLostShare {
@@ -101,13 +101,13 @@
 	}
 }
 
-// overdue reports whether a dispatch was overtaken longer ago than the usual latency, and takes
-// longer than a factor of that.
+// overdue reports whether a dispatch was overtaken longer ago than the typical latency and has
+// taken longer than factor times that latency.
 func (e *Engine) overdue(server *server, dispatch *outstandingDispatch, factor time.Duration) bool {
 	expected := e.expectedLatency(server, dispatch.op.Type)
-	usual := time.Duration(max(expected, server.perUnit*dispatch.op.Units) * float64(time.Second))
-	overtaken := dispatch.overtakenAt > 0 && e.now-dispatch.overtakenAt > usual
-	return overtaken && e.now-dispatch.sentAt > factor*usual
+	typical := time.Duration(max(expected, server.perUnit*dispatch.op.Units) * float64(time.Second))
+	overtaken := dispatch.overtakenAt > 0 && e.now-dispatch.overtakenAt > typical
+	return overtaken && e.now-dispatch.sentAt > factor*typical
 }
 
 func (e *Engine) mayCancel(dispatch *outstandingDispatch) bool {
@@ -115,7 +115,8 @@
 	return !dispatch.cancelRequested && !dispatch.op.responseStarted && !atMostOnce
 }
 
-// markOvertaken records that a dispatch sent at a time was answered, for those sent before it.
+// markOvertaken marks the dispatches that were sent before sentAt as overtaken at the time now,
+// because a dispatch sent at sentAt was answered.
 func (server *server) markOvertaken(sentAt, now time.Duration) {
 	for i := range server.dispatches {
 		dispatch := &server.dispatches[i]
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -30,12 +30,12 @@
 		{"one at a time", func(settings *honeyplank.Settings) { settings.Dispatches.HedgingAllowed = false }, true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			fleet := newQuickFleet(t, test.change)
+			fleet := newFastFleet(t, test.change)
 			lost := fleet.admitLost()
 			fleet.dispatchEnds[lost.ID] = lost.Timeout
 			if test.overtaken {
 				fleet.now += ms
-				fleet.playQuickOp(10)
+				fleet.simulateFastOp(10)
 			}
 			fleet.advanceWithout(lost, 120*ms)
 			if len(lost.dispatched) != test.dispatches {
@@ -45,9 +45,9 @@
 	}
 }
 
-// newQuickFleet is one instance that may cancel and hedge, and one server that has answered ten ops.
+// newFastFleet is one instance that may cancel and hedge, and one server that has answered ten ops.
 // change changes the settings.
-func newQuickFleet(t *testing.T, change func(*honeyplank.Settings)) *testFleet {
+func newFastFleet(t *testing.T, change func(*honeyplank.Settings)) *testFleet {
 	t.Helper()
 	settings := testSettings()
 	settings.Dispatches.CancelAllowed, settings.Dispatches.HedgingAllowed = true, true
@@ -55,7 +55,7 @@
 	fleet := newTestFleet(t, 1, settings)
 	fleet.sendList(honeyplank.Cached, member(0, 0))
 	for i := range 10 {
-		fleet.playQuickOp(i)
+		fleet.simulateFastOp(i)
 	}
 	return fleet
 }
@@ -77,8 +77,8 @@
 	}
 }
 
-// playQuickOp plays the i-th op of those that are answered after 5 ms.
-func (fleet *testFleet) playQuickOp(i int) {
+// simulateFastOp plays the i-th op of those that are answered after 5 ms.
+func (fleet *testFleet) simulateFastOp(i int) {
 	fleet.admit("quick", i, 9, int64(i), 0)
 	fleet.now += 5 * ms
 	fleet.endDispatch(fleet.order[len(fleet.order)-1], honeyplank.Succeeded)
@@ -89,12 +89,12 @@
 func TestFrequentlyLostAnswers(t *testing.T) {
 	for share, want := range map[float64]int{0: 1, 0.05: 2} {
 		t.Run(fmt.Sprintf("share of %v lost", share), func(t *testing.T) {
-			fleet := newQuickFleet(t, func(*honeyplank.Settings) {})
+			fleet := newFastFleet(t, func(*honeyplank.Settings) {})
 			fleet.instances[0].lostShare = share
 			lost := fleet.admitLost()
 			fleet.now += ms
 			for i := range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
-				fleet.playQuickOp(10 + i)
+				fleet.simulateFastOp(10 + i)
 				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 				if lost.dispatched[0].cancelRequested && !lost.dispatched[0].done {
 					fleet.endDispatch(lost, honeyplank.Cancelled)
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestRetryBudgetWithHoldUp: retries are seen at their servers up to a hold-up after they were counted.
-func TestRetryBudgetWithHoldUp(t *testing.T) {
+// TestRetryBudgetWithProcessPause: retries are seen at their servers up to a hold-up after they were counted.
+func TestRetryBudgetWithProcessPause(t *testing.T) {
 	for _, test := range []struct {
 		free, share     float64
 		admitted, retry time.Duration // how long ago one was; 0: none
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -87,8 +87,8 @@
 	f.Fuzz(func(t *testing.T, seed int64) {
 		fleet := newFuzzedFleet(t, seed)
 		for step := range 1500 {
-			fleet.admitSome(step)
-			fleet.disturb()
+			fleet.admitRandomOps(step)
+			fleet.sendRandomEvent()
 			fleet.advance(fuzzedCodes)
 			fleet.compareRules()
 		}
@@ -133,9 +133,9 @@
 	}
 }
 
-// admitSome sends up to two ops to instances at random. Their timeouts are those of testSettings, also where the
+// admitRandomOps sends up to two ops to instances at random. Their timeouts are those of testSettings, also where the
 // fleet's settings have no op types.
-func (fleet *fuzzedFleet) admitSome(step int) {
+func (fleet *fuzzedFleet) admitRandomOps(step int) {
 	rng := fleet.events
 	for range rng.Intn(3) {
 		opType := rng.Intn(2)
@@ -155,8 +155,8 @@
 	}
 }
 
-// disturb sends an event that is neither of an op nor of a dispatch's end, or nothing.
-func (fleet *fuzzedFleet) disturb() {
+// sendRandomEvent sends an event that is neither of an op nor of a dispatch's end, or nothing.
+func (fleet *fuzzedFleet) sendRandomEvent() {
 	rng := fleet.events
 	kind := rng.Intn(150)
 	server := rng.Intn(4)
@@ -167,7 +167,7 @@
 	case 0: // a restart
 		fleet.sendList(honeyplank.Delta, member(server, fleet.now))
 	case 1:
-		fleet.sendList(honeyplank.Delta, memberIn(server, honeyplank.MemberState(1+rng.Intn(2))))
+		fleet.sendList(honeyplank.Delta, memberInState(server, honeyplank.MemberState(1+rng.Intn(2))))
 	case 2:
 		fleet.sendList(honeyplank.WatchFailed)
 	case 3:
@@ -221,7 +221,7 @@
 		}
 		for _, server := range engine.serversByID {
 			latency := time.Duration(engine.expectedLatency(server, queued.Type) * float64(time.Second))
-			after := fleet.settings.Dispatches.ConnectTimeout + longestHoldUp + latency
+			after := fleet.settings.Dispatches.ConnectTimeout + maxProcessPause + latency
 			module = append(module, engine.retryAllowed(queued, server))
 			model = append(model, fleet.mayRetry(tracked, server.ID, after))
 		}
--- a/policy/service_run_test.go
+++ b/policy/service_run_test.go
@@ -64,7 +64,7 @@
 	starved      string // what was found; empty: nothing
 
 	// What a fault changes.
-	surging       float64                                   // factor of the rate; 0: none
+	rateFactor    float64                                   // factor of the rate; 0: none
 	clientTimeout func(timeout time.Duration) time.Duration // nil: as the class has it
 	answer        answerFunc                                // nil: success
 }
@@ -100,7 +100,7 @@
 		}
 		if !ended && next.at >= faultEnds {
 			ended, run.now = true, next.at
-			run.answer, run.surging = nil, 0
+			run.answer, run.rateFactor = nil, 0
 			if run.fault.end != nil {
 				run.fault.end(run)
 			}
@@ -140,8 +140,8 @@
 // arriveNext has a request of a class at random arrive, and sets the time of the next.
 func (run *serviceRun) arriveNext() {
 	rate := requestRate
-	if run.surging > 0 {
-		rate *= run.surging
+	if run.rateFactor > 0 {
+		rate *= run.rateFactor
 	}
 	at := run.now + time.Duration(run.rng.ExpFloat64()/rate*float64(time.Second))
 	run.events.add(at, honeyplank.Timer{ID: arrivalTimer})
@@ -161,7 +161,7 @@
 		draw -= run.classes[class].share
 		class++
 	}
-	if run.surging > 0 && run.rng.Float64() > 1/run.surging {
+	if run.rateFactor > 0 && run.rng.Float64() > 1/run.rateFactor {
 		return 0
 	}
 	return class
--- a/policy/service_scenarios_test.go
+++ b/policy/service_scenarios_test.go
@@ -139,10 +139,10 @@
 const (
 	minServedBefore          = 0.5 // before the fault
 	minServed                = 0.9 // during a fault that takes no capacity from the class
-	minServedOfRest          = 0.6 // during a fault in which a quarter of the servers serve nothing
+	minServedPartialFault    = 0.6 // during a fault in which a quarter of the servers serve nothing
 	minServedWithLostAnswers = 0.3 // while a quarter of the answers get lost and use up the window
-	chanceErrors             = 3.0 // standard errors by which chance may lower these
-	maxLossAfterwards        = 0.1 // of what was served before the fault, once it is over
+	marginStandardErrors     = 3.0 // standard errors by which chance may lower these
+	maxLossAfterFault        = 0.1 // of what was served before the fault, once it is over
 )
 
 // serviceFault changes how clients, servers or the list behave, from faultBegins to faultEnds.
@@ -165,7 +165,7 @@
 	if fault.firstClassSlow && class == 0 || fault.lastClassSlow && class == classes-1 {
 		return 0
 	}
-	return fault.least - chanceErrors*math.Sqrt(fault.least*(1-fault.least)/requests)
+	return fault.least - marginStandardErrors*math.Sqrt(fault.least*(1-fault.least)/requests)
 }
 
 const (
@@ -246,21 +246,24 @@
 		},
 	},
 	{name: "all servers slow", begin: slowed(fleetServers, anyClass), noCapacity: true},
-	{name: "a quarter of the servers slow", least: minServedOfRest, begin: slowed(fleetServers/4, anyClass)},
+	{name: "a quarter of the servers slow", least: minServedPartialFault, begin: slowed(fleetServers/4, anyClass)},
 	{name: "the first class slow", least: minServed, firstClassSlow: true, begin: slowed(fleetServers, firstClass)},
 	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: slowed(fleetServers, lastClass)},
 	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
 	{
-		name: "silence of a quarter", least: minServedOfRest,
+		name: "silence of a quarter", least: minServedPartialFault,
 		begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4),
 	},
 	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), noCapacity: true},
-	{name: "errors of a quarter", least: minServedOfRest, begin: answeredBy(honeyplank.Failed, ms, fleetServers/4)},
+	{
+		name: "errors of a quarter", least: minServedPartialFault,
+		begin: answeredBy(honeyplank.Failed, ms, fleetServers/4),
+	},
 	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), noCapacity: true},
 	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), noCapacity: true},
 	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), noCapacity: true},
 	{
-		name: "full queues of a quarter", least: minServedOfRest,
+		name: "full queues of a quarter", least: minServedPartialFault,
 		begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4),
 	},
 	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
@@ -268,7 +271,7 @@
 	{name: "lost answers", least: minServedWithLostAnswers, begin: loseAnswers},
 	{
 		name: "the first class surges", least: minServed, surge: true,
-		begin: func(run *serviceRun) { run.surging = surgeFactor },
+		begin: func(run *serviceRun) { run.rateFactor = surgeFactor },
 	},
 	{
 		name: "all servers are gone and come back", noCapacity: true,
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -18,14 +18,14 @@
 			fault := &serviceFaults[i]
 			t.Run(strings.ReplaceAll(d.name+": "+fault.name, " ", "_"), func(t *testing.T) {
 				t.Parallel()
-				playFault(t, d, fault).check(t, d, fault)
+				simulateFault(t, d, fault).check(t, d, fault)
 			})
 		}
 	}
 }
 
-// playFault plays some runs of a deployment with a fault, in which no class may be starved.
-func playFault(t *testing.T, d deployment, fault *serviceFault) *serviceCounts {
+// simulateFault plays some runs of a deployment with a fault, in which no class may be starved.
+func simulateFault(t *testing.T, d deployment, fault *serviceFault) *serviceCounts {
 	t.Helper()
 	service := newServiceCounts(len(d.classes))
 	// A surge uses up a limit: what is left of it goes to the class of more utility, until it is over.
@@ -77,7 +77,7 @@
 			t.Errorf("class %d: served %.2f of its %v requests during the fault, at least %.2f expected",
 				class, servedDuring, during.sent[class], floor)
 		}
-		if servedAfter < servedBefore-maxLossAfterwards {
+		if servedAfter < servedBefore-maxLossAfterFault {
 			t.Errorf("class %d: served %.2f of its requests before the fault, %.2f once it is over",
 				class, servedBefore, servedAfter)
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,13 +6,13 @@
 	"honeyplank"
 )
 
-// engineSettings are the settings of an engine, with the figures that follow from them alone.
+// engineSettings are the settings of an engine, with the values that are derived from them.
 type engineSettings struct {
 	honeyplank.Settings
 	derivedSettings
 }
 
-// derivedSettings are the figures that follow from the settings.
+// derivedSettings are the values that are derived from the settings alone.
 type derivedSettings struct {
 	shortestTarget  time.Duration // least target latency
 	longestTarget   time.Duration // greatest target latency
@@ -20,18 +20,20 @@
 	maxRetryAfter   time.Duration // 0: rejections carry no advice
 	meanRate        float64       // over the plans
 	meanWeight      float64       // over the plans
-	utilityDeficit  []float64     // by op type: the part of the greatest utility that it lacks
+	utilityDeficit  []float64     // by op type: 1 - utility / greatest utility
 }
 
-// readSettings returns the settings of an engine. The op types and plans in them are shared.
+// readSettings returns the settings of an engine. It shares the op types and plans with its
+// argument.
 func readSettings(settings *honeyplank.Settings) *engineSettings {
 	return &engineSettings{Settings: *settings, derivedSettings: deriveSettings(settings)}
 }
 
-// deriveSettings returns the figures that follow from settings, which may be without op types and plans.
+// deriveSettings returns the values that are derived from settings, which may have no op types and
+// no plans.
 func deriveSettings(settings *honeyplank.Settings) derivedSettings {
 	derived := derivedSettings{
-		maxArrivalDelay: settings.Dispatches.ConnectTimeout + holdUp,
+		maxArrivalDelay: settings.Dispatches.ConnectTimeout + processPause,
 	}
 	for _, plan := range settings.Plans {
 		derived.meanRate += plan.Rate / float64(len(settings.Plans))
@@ -57,7 +59,8 @@
 // minUtility keeps a division by the greatest utility finite.
 const minUtility = 1e-9
 
-// opType is the op type of a number, to be read only; a zero value where there is none of it.
+// opType returns the op type with the given number, or a zero value if there is none. The caller
+// must not change it.
 func (s *engineSettings) opType(number int) *honeyplank.OpType {
 	if number < 0 || number >= len(s.OpTypes) {
 		return &honeyplank.OpType{}
@@ -65,7 +68,8 @@
 	return &s.OpTypes[number]
 }
 
-// plan is the plan of a number, to be read only; a zero value where there is none of it.
+// plan returns the plan with the given number, or a zero value if there is none. The caller must
+// not change it.
 func (s *engineSettings) plan(number int) *honeyplank.Plan {
 	if number < 0 || number >= len(s.Plans) {
 		return &honeyplank.Plan{}
@@ -73,7 +77,7 @@
 	return &s.Plans[number]
 }
 
-// valueAt is the i-th value of a list, or the zero value where the list has none.
+// valueAt returns the i-th value of a list, or the zero value if the list has none.
 func valueAt[T any](list []T, i int) (value T) {
 	if i >= 0 && i < len(list) {
 		value = list[i]
@@ -81,7 +85,8 @@
 	return value
 }
 
-// relativeWeight is the weight of a plan over the mean weight; 1 where it has none.
+// relativeWeight returns the weight of a plan divided by the mean weight, or 1 if the plan has no
+// weight.
 func (e *Engine) relativeWeight(plan int) float64 {
 	weight := e.settings.plan(plan).Weight / e.settings.meanWeight
 	if weight > 0 {
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -16,47 +16,47 @@
 const (
 	sliceIdle    sliceState = iota // no queue is served
 	sliceServing                   // a queue is served
-	sliceWaiting                   // the served queue is empty, its next op is waited for
+	sliceWaiting                   // the served queue is empty, and its slice is held for its next op
 )
 
-// sliceSignal is what runSlices acts on.
+// sliceSignal is the input of the state machine that runSlices runs.
 type sliceSignal int
 
 const (
-	nothingReady     sliceSignal = iota // no op may be dispatched now
-	othersReady                         // no queue is served, and one has an op that may be dispatched
-	servedReady                         // the served queue has one
-	reserveWaiting                      // the served queue has none within its reserve, another has
-	sliceExpired                        // the slice is over, and another queue has an op
-	thinkTimeTooLong                    // the served queue has none, nor is its next due within the slice
-	cheaperReady                        // the served queue has none, and one with a shorter await has one
-	worthWaiting                        // the served queue has none, and its next is worth the wait
+	nothingReady      sliceSignal = iota // no op may be dispatched now
+	othersReady                          // no queue is served, and one has an op that may be dispatched
+	servedReady                          // the served queue has an op that may be dispatched
+	reserveWaiting                       // the served queue has no such op within its reserve, another queue has
+	sliceExpired                         // the slice is over, and another queue has such an op
+	thinkTimeTooLong                     // the served queue has none, and its next op is not expected within the slice
+	shorterAwaitReady                    // the served queue has none, and a queue with a shorter await has one
+	worthWaiting                         // the served queue has none, and its next op is due soon enough to wait for it
 )
 
-// sliceTransition is a row of sliceTransitions.
+// sliceTransition is the entry of sliceTransitions for a state and a signal.
 type sliceTransition struct {
 	next   sliceState
 	effect func(*Engine, *server)
 }
 
-// sliceTransitions is the table of runSlices; a pair that is missing ends its loop.
+// sliceTransitions is the transition table of runSlices. A missing pair ends the loop of runSlices.
 var sliceTransitions = map[sliceState]map[sliceSignal]sliceTransition{
-	sliceIdle: {othersReady: {sliceServing, (*Engine).beginSlice}},
+	sliceIdle: {othersReady: {sliceServing, (*Engine).startNextSlice}},
 	sliceServing: {
-		servedReady:      {sliceServing, (*Engine).sendFromServed},
-		reserveWaiting:   {sliceIdle, (*Engine).endSlice},
-		sliceExpired:     {sliceIdle, (*Engine).endSlice},
-		thinkTimeTooLong: {sliceIdle, (*Engine).endSlice},
-		cheaperReady:     {sliceServing, (*Engine).handOverSlice},
-		worthWaiting:     {sliceWaiting, (*Engine).idleWait},
+		servedReady:       {sliceServing, (*Engine).dispatchFromServed},
+		reserveWaiting:    {sliceIdle, (*Engine).endSlice},
+		sliceExpired:      {sliceIdle, (*Engine).endSlice},
+		thinkTimeTooLong:  {sliceIdle, (*Engine).endSlice},
+		shorterAwaitReady: {sliceServing, (*Engine).handOverSlice},
+		worthWaiting:      {sliceWaiting, (*Engine).idleWait},
 	},
 	sliceWaiting: {
-		servedReady:      {sliceServing, (*Engine).sendFromServed},
-		reserveWaiting:   {sliceIdle, (*Engine).endSlice},
-		sliceExpired:     {sliceIdle, (*Engine).endSlice},
-		thinkTimeTooLong: {sliceIdle, (*Engine).endSlice},
-		cheaperReady:     {sliceServing, (*Engine).handOverSlice},
-		worthWaiting:     {sliceWaiting, (*Engine).sendFromOthers},
+		servedReady:       {sliceServing, (*Engine).dispatchFromServed},
+		reserveWaiting:    {sliceIdle, (*Engine).endSlice},
+		sliceExpired:      {sliceIdle, (*Engine).endSlice},
+		thinkTimeTooLong:  {sliceIdle, (*Engine).endSlice},
+		shorterAwaitReady: {sliceServing, (*Engine).handOverSlice},
+		worthWaiting:      {sliceWaiting, (*Engine).dispatchFromOthers},
 	},
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// nextSignal is the paper's algorithm 1, with the reserve before it.
+// nextSignal is algorithm 1 of the paper, extended so that ops within their reserve go first.
 func (e *Engine) nextSignal(server *server) sliceSignal {
 	var served *op
 	if server.sliceState != sliceIdle {
@@ -92,18 +92,18 @@
 		return servedReady
 	case server.servedQueue.thinkTime.value() >= server.sliceEnd-e.now:
 		return thinkTimeTooLong
-	case e.cheaperQueue(server) != nil:
-		return cheaperReady
+	case e.shorterAwaitQueue(server) != nil:
+		return shorterAwaitReady
 	case server.outstanding == 0 || server.sliceState == sliceWaiting && e.now >= server.waitEnd:
 		return thinkTimeTooLong
 	}
 	return worthWaiting
 }
 
-// cheaperQueue is the paper's await test: the first queue not served this round whose await is no
-// longer than the served queue's. The mean await of the server takes the place of the longest seek
-// as an upper bound.
-func (e *Engine) cheaperQueue(server *server) *volumeQueue {
+// shorterAwaitQueue is the await test of the paper. It returns the first queue not served this
+// round whose await is no longer than that of the served queue, or nil. The mean await of the
+// server replaces the longest seek as an upper bound.
+func (e *Engine) shorterAwaitQueue(server *server) *volumeQueue {
 	longest, servedAwait := server.meanAwait(), server.servedQueue.await.value()
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
 		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// nextQueue is the queue whose slice comes next, in ring order: one with an op within its reserve
-// goes first, then one not served this round.
+// nextQueue returns the queue whose slice comes next, in ring order, or nil. Queues with an op
+// within their reserve go first, then queues not served this round.
 func (e *Engine) nextQueue(server *server) (next *volumeQueue) {
 	lowestRank := math.MaxInt
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
@@ -133,8 +133,8 @@
 	return next
 }
 
-// sliceRank orders the queues for the next slice, the lowest first, by their next op and by whether
-// they have been served this round.
+// sliceRank returns the rank of a queue for the next slice, the lowest first. The rank depends on
+// the next op of the queue and on whether the queue has been served this round.
 func (e *Engine) sliceRank(server *server, queue *volumeQueue, next *op) int {
 	const servedThisRound, beyondReserve = 1, 2
 	rank := 0
@@ -147,9 +147,9 @@
 	return rank
 }
 
-// beginSlice starts the slice of the next queue, and a new round where all have been served in this
-// one.
-func (e *Engine) beginSlice(server *server) {
+// startNextSlice starts the slice of the next queue. It starts a new round if all queues have been
+// served in the current one.
+func (e *Engine) startNextSlice(server *server) {
 	queue := e.nextQueue(server)
 	if queue.round >= server.round {
 		server.round++
@@ -157,7 +157,7 @@
 	e.startSlice(server, queue)
 }
 
-// startSlice starts a queue's slice: the queues that are not empty share a round by the weights of
+// startSlice starts a queue's slice. The queues that are not empty share a round by the weights of
 // their volumes.
 func (e *Engine) startSlice(server *server, queue *volumeQueue) {
 	weight := e.relativeWeight(queue.volume.plan)
@@ -168,44 +168,45 @@
 
 func (e *Engine) endSlice(server *server) { server.servedQueue = nil }
 
-func (e *Engine) handOverSlice(server *server) { e.startSlice(server, e.cheaperQueue(server)) }
+func (e *Engine) handOverSlice(server *server) { e.startSlice(server, e.shorterAwaitQueue(server)) }
 
-func (e *Engine) sendFromServed(server *server) {
+func (e *Engine) dispatchFromServed(server *server) {
 	e.dispatch(e.chooseOp(server, server.servedQueue), server)
 }
 
-func (e *Engine) sendFromOthers(server *server) {
+func (e *Engine) dispatchFromOthers(server *server) {
 	e.dispatch(e.chooseOp(server, e.nextQueue(server)), server)
 }
 
-// idleWait starts the wait for the served queue's next op. Other queues use the window meanwhile.
+// idleWait starts the wait for the next op of the served queue. Other queues use the window in the
+// meantime.
 func (e *Engine) idleWait(server *server) {
 	server.waitEnd = min(e.now+server.servedQueue.thinkTime.value(), server.sliceEnd)
-	e.sendFromOthers(server)
+	e.dispatchFromOthers(server)
 }
 
-// chooseOp is the op of a queue to dispatch next: a retry, then one with the key of the last op
-// sent, then the one whose target latency is over first. It is nil where none may be dispatched
-// now.
+// chooseOp returns the op of a queue to dispatch next: a retry, then an op with the key of the last
+// op sent, then the op whose target latency is over first. It returns nil if no op may be
+// dispatched now.
 func (e *Engine) chooseOp(server *server, queue *volumeQueue) (chosen *op) {
-	if e.nothingCanLeave(server, queue) {
+	if e.nothingDispatchable(server, queue) {
 		return nil
 	}
 	continuesRun := queue.opsByKey[server.lastKey] > 0
 	for _, op := range queue.ops {
-		if chosen != nil && !continuesRun { // without a run the queue is sorted already
+		if chosen != nil && !continuesRun { // without a run of one key, the queue is in dispatch order
 			break
 		}
-		if goesBefore(server, op, chosen) && e.hasCapacity(server, op) && e.mayDispatch(op, server) {
+		if dispatchesBefore(server, op, chosen) && e.hasCapacity(server, op) && e.mayDispatch(op, server) {
 			chosen = op
 		}
 	}
 	return chosen
 }
 
-// goesBefore reports whether an op is to be dispatched to a server before another, which may be
+// dispatchesBefore reports whether op is to be dispatched to a server before other, which may be
 // nil.
-func goesBefore(server *server, op, other *op) bool {
+func dispatchesBefore(server *server, op, other *op) bool {
 	if other == nil {
 		return true
 	}
@@ -220,10 +221,10 @@
 	return op.target < other.target
 }
 
-// nothingCanLeave reports, without a check of each op, that chooseOp would find none in a queue:
-// the server gets nothing, the clients would be gone, or the window or the limit is used up for
-// all.
-func (e *Engine) nothingCanLeave(server *server, queue *volumeQueue) bool {
+// nothingDispatchable reports, without a check of each op, that chooseOp would return nil for a
+// queue: the server may get no op, the clients would have given up, or the window or the limit is
+// used up for all ops.
+func (e *Engine) nothingDispatchable(server *server, queue *volumeQueue) bool {
 	if len(queue.ops) == 0 || server.health == honeyplank.HealthDown || e.halfOpenBusy(server) {
 		return true
 	}
@@ -246,7 +247,7 @@
 }
 
 // allClientsGone reports whether no client of a queue's ops would wait for the earliest answer of a
-// server. The op queued last mostly has the most time left.
+// server. It checks the op queued last first, because that op usually has the most time left.
 func (e *Engine) allClientsGone(server *server, queue *volumeQueue) bool {
 	earliest := e.now + e.earliestAnswerOfAnyType(server)
 	for i := len(queue.ops) - 1; i >= 0; i-- {
@@ -257,7 +258,7 @@
 	return true
 }
 
-// meanAwait is the mean await of a server's queues that have one.
+// meanAwait returns the mean await of those of a server's queues that have one, or 0 if none has.
 func (server *server) meanAwait() time.Duration {
 	var sum, known time.Duration
 	for _, queue := range server.queues {
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -53,7 +53,7 @@
 		want                            sliceSignal
 	}{
 		{80 * ms, 10 * ms, 20 * ms, thinkTimeTooLong},
-		{5 * ms, 30 * ms, 10 * ms, cheaperReady},
+		{5 * ms, 30 * ms, 10 * ms, shorterAwaitReady},
 		{5 * ms, 10 * ms, 30 * ms, worthWaiting},
 	} {
 		name := fmt.Sprintf("think time %v, await %v and %v", test.thinkTime, test.ownAwait, test.otherAwait)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// slowStartTarget bounds the mean of what instances send by random admission, as a share of a
-	// server's budget; the rest is left for the deviation from that mean.
+	// slowStartTarget is the largest share of a server's budget that instances use on average by
+	// random admission. The rest covers the deviation from that mean.
 	slowStartTarget = 7.0 / 8
-	// slowStartDeviations is how many standard deviations above that mean stay below a server's
+	// slowStartDeviations is the number of standard deviations between that mean and a server's
 	// overload threshold.
 	slowStartDeviations = 4.0
-	// slowStartMaxOps is how many mean-sized ops an instance may send by random admission within a
-	// window, beyond its share of the budget.
+	// slowStartMaxOps is the number of mean-sized ops that an instance may send by random admission
+	// within a window, beyond its share of the budget.
 	slowStartMaxOps = 1.5
-	// fewBudgetOps is the budget, in mean-sized ops, below which a server's overload threshold is
-	// wider: N + 3 root N + 3 in place of N + 2 root N + 2.
-	fewBudgetOps = 30
+	// smallBudgetOps is the budget, in mean-sized ops, below which a server's overload threshold is
+	// wider: N + 3 sqrt(N) + 3 instead of N + 2 sqrt(N) + 2.
+	smallBudgetOps = 30
 )
 
-// sentUnits is the end of a dispatch that may have arrived at a server in slow start.
+// sentUnits records the end of a dispatch that may have arrived at a server in slow start.
 type sentUnits struct {
 	at    time.Duration
 	units float64
 }
 
-// inSlowStart reports whether a server started so recently that its budget binds.
+// inSlowStart reports whether a server started so recently that its budget applies.
 func (e *Engine) inSlowStart(server *server) bool {
 	window := e.settings.SlowStart.Window
 	return server.Started > 0 && window > 0 && e.now < server.Started+e.settings.SlowStart.Time+window
 }
 
-// slowStartBudget is what a server that is warming up can take by now within a window, in units.
+// slowStartBudget returns the number of units that a server in slow start can currently serve
+// within a window.
 func (e *Engine) slowStartBudget(server *server) float64 {
 	from, growth, warmUp := e.settings.SlowStart.From, 1.0, e.settings.SlowStart.Time
 	if age := e.now - server.Started; from > 0 && from < 1 && age > 0 && warmUp > 0 {
@@ -42,18 +43,19 @@
 	return growth * e.settings.SlowStart.Units
 }
 
-// slowStartShare is the share of a server's budget that random admission may use in the mean. A
-// server is overloaded at N + 2 root N + 2 mean-sized ops, where N is its budget (N + 3 root N + 3
-// below fewBudgetOps); the mean and some standard deviations stay below that. What many instances
-// admit independently has the variance of a Poisson count of ops of several sizes: the mean times
-// the ratio of the mean square of the sizes to the square of their mean.
+// slowStartShare returns the share of a server's budget that random admission may use on average. A
+// server is overloaded at N + 2 sqrt(N) + 2 mean-sized ops, where N is its budget (N + 3 sqrt(N) +
+// 3 below smallBudgetOps). The mean plus slowStartDeviations standard deviations stays below that
+// threshold. The ops that many instances admit independently have the variance of a Poisson count
+// of ops of several sizes: the mean times the ratio of the mean square of the sizes to the square
+// of their mean.
 func (e *Engine) slowStartShare(budget float64) float64 {
 	if e.settings.MeanUnits <= 0 || e.unitsAdmitted <= 0 || budget <= 0 {
 		return slowStartTarget
 	}
 	budgetOps := budget / e.settings.MeanUnits
 	overloadOps := budgetOps + 2*math.Sqrt(budgetOps) + 2
-	if budgetOps < fewBudgetOps {
+	if budgetOps < smallBudgetOps {
 		overloadOps = budgetOps + 3*math.Sqrt(budgetOps) + 3
 	}
 	deviation := slowStartDeviations * math.Sqrt(e.unitsSquaredAdmitted/e.unitsAdmitted/e.settings.MeanUnits)
@@ -62,13 +64,15 @@
 }
 
 // slowStartAllows reports whether an op may be sent to a server within this instance's share of the
-// server's budget. What counts is what may arrive within one window: every outstanding dispatch,
-// since it may wait for its connection and arrive with others at once, and every one that ended
-// less than a window ago. Where the share is below the largest op, ops are admitted at random by
-// their admission draw, such that the mean over all instances stays below the budget, those within
-// reserves first. It guards against overloading a server that is warming up. It could harm service
-// where instances with little traffic can't use their shares or answers take long, and would not
-// hold where a server's data comes into demand within that window.
+// server's budget. It counts the units that may arrive within one window: those of every
+// outstanding dispatch, because a dispatch may wait for its connection and arrive together with
+// others, and those of every dispatch that ended less than a window ago. If the share is below the
+// largest op, ops are admitted at random by their admission draw, so that the mean over all
+// instances stays below the budget. Ops within reserves are admitted first.
+//
+// This prevents the overload of a server that is warming up. Limitation: service suffers if
+// instances with little traffic cannot use their shares, or if answers take long. The bound does
+// not hold if demand for a server's data begins within the window.
 func (e *Engine) slowStartAllows(server *server, units, admissionDraw float64, class demandClass) bool {
 	window := e.settings.SlowStart.Window
 	server.trimSentLog(e.now - window)
@@ -83,8 +87,8 @@
 	if used > share+slowStartMaxOps*e.settings.MeanUnits {
 		return false
 	}
-	// Until a response shows that connections are set up, those of many instances may be late and
-	// arrive together.
+	// Until a response shows that connections are established, those of many instances may be
+	// late, and the dispatches that wait for them may arrive together.
 	delay := e.settings.maxArrivalDelay
 	if !server.respondedSinceStart && e.now < server.Started+delay+window {
 		window += delay
@@ -95,11 +99,12 @@
 		admissionDraw*demand[spareDemand] < share-demand[reserveDemand]
 }
 
-// trafficShare is this instance's share of all demand on a server, an even one at least. The demand
-// through others is estimated from what this instance is asked of a mean server, and from the
-// number of instances that the volumes with ops at this server come through.
+// trafficShare returns this instance's share of the total demand on a server, but at least an even
+// share. The demand through other instances is estimated from the demand on a mean server through
+// this instance, and from the number of instances through which the volumes with ops at this server
+// come.
 func (e *Engine) trafficShare(server *server) float64 {
-	// The settings may lag behind what the volumes report.
+	// The volumes may report more instances than the settings, which may be out of date.
 	instances := float64(max(e.settings.Instances, e.maxInstancesSeen, 1))
 	mean := e.cellBoundDemand.rate() / float64(max(e.serversUp, 1))
 	if !(mean > 0) {
@@ -114,19 +119,19 @@
 	return max(1/instances, here/(instances*mean+fleetHere-fleetMean))
 }
 
-// trimSentLog drops the entries before a time.
+// trimSentLog drops the log entries that are older than the time from.
 func (server *server) trimSentLog(from time.Duration) {
 	old := 0
 	for old < len(server.sentLog) && server.sentLog[old].at < from {
 		old++
 	}
-	if old > 0 { // moved down, so that the array is used again
+	if old > 0 { // shift the rest down, so that the array is reused
 		server.sentLog = slices.Delete(server.sentLog, 0, old)
 	}
 }
 
-// sentInWindow is how many units may arrive within the window: outstanding ones and those in the
-// log.
+// sentInWindow returns the number of units that may arrive within the window: the outstanding ones
+// and those in the log.
 func (server *server) sentInWindow() float64 {
 	sum := server.unitsOutstanding
 	for _, sent := range server.sentLog {
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -12,21 +12,21 @@
 
 // slowStartFleet is many instances and some servers, of which one or several have just started.
 type slowStartFleet struct {
-	instances       int
-	budget          float64       // mean ops within the window that a server takes right after its start
-	demand          float64       // mean ops within the window that clients want of it, in parts of that
-	otherDemand     float64       // the same of each other server
-	skewed          bool          // a tenth of the instances have half of the traffic
-	withinReserve   bool          // ops are within their volumes' reserves
-	retries         bool          // a rejected op comes again soon, up to three times
-	volumeInstances int           // instances through which a volume's ops come, seven volumes a server; 0: all
-	hotVolume       bool          // one volume has half of the demand on the first server
-	statedInstances int           // instances that the settings state; 0: as many as run
-	burst           float64       // factor of the demand a second after the start; 0: none
-	restarts        int           // servers that start at once, as when a zone comes back; 0: one
-	secondStart     time.Duration // after the first start the servers start once more; 0: they don't
-	connectDelay    time.Duration // no connection comes up for so long after a start; what waits arrives at once
-	connectTimeout  time.Duration
+	instances           int
+	budget              float64       // mean ops within the window that a server takes right after its start
+	demand              float64       // mean ops within the window that clients want of it, in parts of that
+	otherDemand         float64       // the same of each other server
+	skewed              bool          // a tenth of the instances have half of the traffic
+	withinReserve       bool          // ops are within their volumes' reserves
+	retries             bool          // a rejected op comes again soon, up to three times
+	volumeInstances     int           // instances through which a volume's ops come, seven volumes a server; 0: all
+	hotVolume           bool          // one volume has half of the demand on the first server
+	configuredInstances int           // instances that the settings state; 0: as many as run
+	burst               float64       // factor of the demand a second after the start; 0: none
+	restarts            int           // servers that start at once, as when a zone comes back; 0: one
+	secondStart         time.Duration // after the first start the servers start once more; 0: they don't
+	connectDelay        time.Duration // no connection comes up for so long after a start; what waits arrives at once
+	connectTimeout      time.Duration
 }
 
 // Figures of every scenario.
@@ -37,7 +37,7 @@
 	slowStartWarmUp     = 5 * time.Second
 	slowStartFrom       = 0.21
 	firstStart          = 8 * time.Second
-	volumesOfServer     = 7 // where volumeInstances is set
+	volumesPerServer    = 7 // where volumeInstances is set
 	slowStartRunEnds    = firstStart + slowStartWarmUp
 )
 
@@ -68,8 +68,8 @@
 		settings.OpTypes[i].TargetLatency, settings.OpTypes[i].OpTimeout = 200*ms, clientTimeout
 	}
 	settings.Instances, settings.MeanUnits, settings.LargestUnits = scenario.instances, slowStartMeanUnits, 6
-	if scenario.statedInstances > 0 {
-		settings.Instances = scenario.statedInstances
+	if scenario.configuredInstances > 0 {
+		settings.Instances = scenario.configuredInstances
 	}
 	settings.Dispatches.ConnectTimeout = scenario.connectTimeout
 	if scenario.connectDelay > 0 {
@@ -130,8 +130,8 @@
 type arrivalEvent struct {
 	honeyplank.Event
 	arrival
-	decided time.Duration
-	failure honeyplank.Code // of what arrives nowhere; 0: it arrives
+	decidedAt time.Duration
+	failure   honeyplank.Code // of what arrives nowhere; 0: it arrives
 }
 
 // instanceEvent is an event of one of many instances.
@@ -149,21 +149,21 @@
 // slowStartRun is a run of a slowStartFleet, on a clock of its own.
 type slowStartRun struct {
 	slowStartFleet
-	rng        *rand.Rand
-	engines    []*Engine
-	now        time.Duration
-	events     eventQueue
-	notifiedOf []time.Duration // by instance: the start that it knows of
-	ops        map[honeyplank.OpID]*retriedOp
-	arrivals   map[honeyplank.ServerID][]arrival // at servers in slow start
-	sent       int                               // number of these
+	rng           *rand.Rand
+	engines       []*Engine
+	now           time.Duration
+	events        eventQueue
+	notifiedStart []time.Duration // by instance: the start that it knows of
+	ops           map[honeyplank.OpID]*retriedOp
+	arrivals      map[honeyplank.ServerID][]arrival // at servers in slow start
+	sent          int                               // number of these
 }
 
-// play returns the most that reaches a server in slow start within any window, over its overload
+// simulate returns the most that reaches a server in slow start within any window, over its overload
 // threshold then, and how much reaches all of them. What counts is when a dispatch arrives, not when it
 // was decided: it waits for its connection. A window with a third or more from instances that were not
 // notified of the start is left out.
-func (scenario slowStartFleet) play(seed int64) (worst float64, sent int) {
+func (scenario slowStartFleet) simulate(seed int64) (worst float64, sent int) {
 	run := newSlowStartRun(scenario, seed)
 	for !run.events.empty() {
 		next := run.events.next()
@@ -183,7 +183,7 @@
 		slowStartFleet: scenario,
 		rng:            rand.New(rand.NewSource(seed)),
 		now:            time.Second,
-		notifiedOf:     make([]time.Duration, scenario.instances),
+		notifiedStart:  make([]time.Duration, scenario.instances),
 		ops:            map[honeyplank.OpID]*retriedOp{},
 		arrivals:       map[honeyplank.ServerID][]arrival{},
 	}
@@ -217,7 +217,7 @@
 		for i := range max(run.restarts, 1) {
 			fresh := member(i, start)
 			fresh.ID = restartedServer(i)
-			changed = append(changed, memberIn(i, honeyplank.Removed), fresh)
+			changed = append(changed, memberInState(i, honeyplank.Removed), fresh)
 		}
 		run.add(at, instance, honeyplank.List{Kind: honeyplank.Delta, Members: changed})
 	}
@@ -252,11 +252,11 @@
 		run.add(at, run.drawInstance(), op)
 		return
 	}
-	volume := run.rng.Intn(volumesOfServer)
+	volume := run.rng.Intn(volumesPerServer)
 	if run.hotVolume && cell == 0 && run.rng.Intn(2) == 0 {
 		volume = 0
 	}
-	number := volumesOfServer*cell + volume
+	number := volumesPerServer*cell + volume
 	op.Instances, op.Volume = run.volumeInstances, int64(number)
 	run.add(at, (number+run.rng.Intn(run.volumeInstances)*101)%run.instances, op)
 }
@@ -278,7 +278,7 @@
 		}
 	case honeyplank.List:
 		if event.Kind == honeyplank.Delta {
-			run.notifiedOf[received.instance] = run.startBefore(run.now)
+			run.notifiedStart[received.instance] = run.startBefore(run.now)
 		}
 	case arrivalEvent:
 		run.arrive(received.instance, event)
@@ -299,10 +299,10 @@
 		outcome.Code, outcome.Answered, took = event.failure, false, 0
 	} else if isRestarted(event.server) {
 		run.sent++
-		event.at, event.notified = run.now, run.notifiedOf[instance] == run.startBefore(run.now)
+		event.at, event.notified = run.now, run.notifiedStart[instance] == run.startBefore(run.now)
 		run.arrivals[event.server] = append(run.arrivals[event.server], event.arrival)
 	}
-	outcome.Elapsed = run.now + took - event.decided
+	outcome.Elapsed = run.now + took - event.decidedAt
 	run.add(run.now+took, instance, outcome)
 }
 
@@ -321,8 +321,8 @@
 func (run *slowStartRun) dispatch(instance int, action honeyplank.Dispatch) {
 	op := run.ops[action.Op]
 	arriving := arrivalEvent{
-		arrival: arrival{op: action.Op, dispatch: op.dispatches, server: action.Server, units: op.Units},
-		decided: run.now,
+		arrival:   arrival{op: action.Op, dispatch: op.dispatches, server: action.Server, units: op.Units},
+		decidedAt: run.now,
 	}
 	op.dispatches++
 	arrivesAt := run.now
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -96,15 +96,15 @@
 		connectDelay: 1500 * ms, connectTimeout: 2 * time.Second,
 	},
 	{
-		instances: 30, statedInstances: 60, budget: 60, demand: 3, otherDemand: 1,
+		instances: 30, configuredInstances: 60, budget: 60, demand: 3, otherDemand: 1,
 		connectDelay: 1500 * ms, connectTimeout: 2 * time.Second,
 	},
 	{
-		instances: 33, statedInstances: 30, budget: 60, demand: 3, otherDemand: 1,
+		instances: 33, configuredInstances: 30, budget: 60, demand: 3, otherDemand: 1,
 		connectDelay: 1500 * ms, connectTimeout: 2 * time.Second,
 	},
 	{
-		instances: 330, statedInstances: 300, budget: 60, demand: 3, otherDemand: 1,
+		instances: 330, configuredInstances: 300, budget: 60, demand: 3, otherDemand: 1,
 		connectDelay: 1500 * ms, connectTimeout: 2 * time.Second,
 	},
 }
@@ -120,7 +120,7 @@
 				seeds = 1
 			}
 			for seed := int64(1); seed <= seeds; seed++ {
-				worst, sent := scenario.play(seed)
+				worst, sent := scenario.simulate(seed)
 				t.Logf("%+v: %.2f, %d sent", fields(scenario), worst, sent)
 				if worst > 1 {
 					t.Errorf("%+v: %.2f times its overload threshold", fields(scenario), worst)
@@ -145,7 +145,7 @@
 			for second := range 5 {
 				budget += scenario.budget * (0.21 + 0.79*(float64(second)+0.5)/5) / 0.21
 			}
-			_, sent := scenario.play(1)
+			_, sent := scenario.simulate(1)
 			if part := float64(sent) / budget; part < least {
 				t.Errorf("%+v: sent %.2f of its budget", fields(scenario), part)
 			}
@@ -181,7 +181,7 @@
 			admitted += 1.0 / 1000
 		}
 	}
-	if want := 0.175 / (0.5 * (1 + holdUp.Seconds())); math.Abs(admitted-want) > 0.002 {
+	if want := 0.175 / (0.5 * (1 + processPause.Seconds())); math.Abs(admitted-want) > 0.002 {
 		t.Errorf("%v of the ops may be dispatched before an answer, want %v", admitted, want)
 	}
 }
