--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -10,9 +10,9 @@
 	"honeyplank"
 )
 
-// TestReserveFirstOnSlowServers: windows of many instances add up past what a server serves in time
-// (incidents i9adade, i340d5f): ops beyond the reserve get less of the window as latency grows, and ops
-// within it are dispatched first.
+// TestReserveFirstOnSlowServers: the windows of many instances add up to more than a server serves
+// in time (incidents i9adade, i340d5f). Ops beyond the reserve therefore get less of the window as
+// latency grows, and ops within the reserve are dispatched first.
 func TestReserveFirstOnSlowServers(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("spare", 0, 8, 2, 0)
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestNewObjectsLeaveSlowServers: new objects go elsewhere than to the first server in rank where its
-// latency leaves no capacity.
-func TestNewObjectsLeaveSlowServers(t *testing.T) {
+// TestNewObjectsAvoidSlowServers: a new object does not go to the first server in rank if the
+// latency of that server leaves no capacity.
+func TestNewObjectsAvoidSlowServers(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, membersUpTo(3)...)
 	engine := fleet.instances[0]
@@ -45,13 +45,13 @@
 		engine.setServerLatency(engine.servers[chosen[0]], max(0.2*float64(len(chosen)-1), 0.001))
 	}
 	if chosen[0] != chosen[1] || chosen[0] == chosen[2] {
-		t.Errorf("%v, of which the first was slow before the last", chosen)
+		t.Errorf("servers %v, want the first twice, then another since the first is slow", chosen)
 	}
 }
 
-// TestConcurrencyLimitBelowOne: where one op of each instance is more than a server serves in time
-// (incident i65239e), ops beyond the reserve are admitted at random, those of a volume with more demand
-// than others less often; with few instances one op always fits.
+// TestConcurrencyLimitBelowOne: if one op of each instance is more than a server serves in time
+// (incident i65239e), ops beyond the reserve are admitted at random, and those of a volume with
+// more demand than others less often. With few instances one op always fits.
 func TestConcurrencyLimitBelowOne(t *testing.T) {
 	for instances, want := range map[int][]bool{3: {true, true, true}, 200: {false, true, false}} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -76,15 +76,15 @@
 				got = append(got, engine.hasCapacity(server, candidate))
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("capacity for the median draw, a low one, a low one of a volume with high demand: %v, want %v",
+				t.Errorf("capacity for the median draw, a low one, a low one with high demand: %v, want %v",
 					got, want)
 			}
 		})
 	}
 }
 
-// TestShortClientTimeout: a client with a short timeout is not one that has waited for long: its op is
-// dispatched at once.
+// TestShortClientTimeout: an op with a short timeout does not count as one whose client has waited
+// for long. It is dispatched at once.
 func TestShortClientTimeout(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -92,12 +92,12 @@
 	fleet.handle(0, honeyplank.Op{ID: "short", Units: 1, Timeout: fleet.now + 60*ms, Instances: 1, Volume: 7})
 	short := fleet.instances[0].ops["short"]
 	if short == nil || len(short.dispatches) != 1 || short.target != fleet.now+60*ms {
-		t.Errorf("%+v", short)
+		t.Errorf("op with a short timeout: %+v, want one dispatch and the timeout as its target", short)
 	}
 }
 
-// TestSuccessProbability: where a server is crowded, an op with less time left than answers take is
-// admitted with the square of the part of that time.
+// TestSuccessProbability: on a heavily loaded server, an op with less time left than answers take
+// is admitted with the square of the ratio of these times.
 func TestSuccessProbability(t *testing.T) {
 	engine := New(1, testSettings())
 	server := &server{}
@@ -112,7 +112,7 @@
 			gone := &op{Op: honeyplank.Op{Timeout: engine.now + left}, target: time.Hour}
 			for _, candidate := range []*op{late, gone} {
 				if got := engine.successProbability(server, candidate); math.Abs(got-want) > 1e-9 {
-					t.Errorf("%v left: %v, want %v", left, got, want)
+					t.Errorf("%v left: success probability %v, want %v", left, got, want)
 				}
 			}
 		})
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,8 +7,8 @@
 	"honeyplank"
 )
 
-// TestWatchIsRenewed: the watch of the endpoint list is asked for, and again after a failure, within
-// the time that the settings state.
+// TestWatchIsRenewed: the watch of the endpoint list is requested, and requested again after a
+// failure, within the time that the settings state.
 func TestWatchIsRenewed(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.settings.Watch.OnRequest, fleet.settings.Watch.Within = true, time.Second
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -8,9 +8,9 @@
 	"honeyplank"
 )
 
-// TestLatencyEstimate: what was seen of a server long ago gives way to what is seen everywhere;
-// timeouts count up to the shortest target latency and rejections past the longest (incident i65239e:
-// servers whose ops all timed out looked healthy).
+// TestLatencyEstimate: an old latency of one server decays towards the latency of all servers.
+// Timeouts count up to the shortest target latency, and rejections as the longest (incident
+// i65239e: servers whose ops all timed out appeared healthy).
 func TestLatencyEstimate(t *testing.T) {
 	engine := fullServerFleet(t).instances[0]
 	server := engine.servers["osd0"]
@@ -20,7 +20,7 @@
 	for _, test := range []struct {
 		code    honeyplank.Code
 		elapsed time.Duration
-		least   float64 // expected latency, in seconds; at most twice that
+		least   float64 // expected latency, in seconds; the maximum is twice that
 	}{
 		{honeyplank.TimedOut, 10 * ms, 0.04},
 		{honeyplank.TimedOut, 5 * time.Second, 0.15},
@@ -29,19 +29,20 @@
 		t.Run(fmt.Sprintf("code %d after %v", test.code, test.elapsed), func(t *testing.T) {
 			engine.recordTimeout(server, &op{}, honeyplank.Outcome{Code: test.code, Elapsed: test.elapsed})
 			if got := engine.expectedLatency(server, 0); got < test.least || got > 2*test.least {
-				t.Errorf("%v s after %+v", got, test)
+				t.Errorf("expected latency %v s, want from least to twice that in %+v", got, test)
 			}
 		})
 	}
 }
 
-// TestSavedEstimates: what an instance before this one knew of a slow server holds from the first op,
-// fades with its age, and is void where the server has started since; what a server has not answered
-// since its start is not saved again. That of osd1, which is never listed, is saved again.
+// TestSavedEstimates: the saved estimate of a slow server applies from the first op, decays with
+// its age, and is ignored if the server has started since. An estimate is not saved again if the
+// server has not answered since its start. The estimate of osd1, which is never listed, is saved
+// again.
 func TestSavedEstimates(t *testing.T) {
 	for _, test := range []struct {
 		at, started       time.Duration
-		dispatched, saved int // how many of eight ops are dispatched at once, and servers saved afterwards
+		dispatched, saved int // number of eight ops dispatched at once, and of servers saved afterwards
 	}{
 		{10 * time.Second, 0, 1, 2},
 		{10 * time.Second, 5 * time.Second, 1, 2},
@@ -70,7 +71,7 @@
 			}
 			saved := fleet.instances[0].SavedEstimates()
 			if len(saved.Servers) != test.saved || saved.TypicalLatency != 0.02 {
-				t.Errorf("saved %+v, want %d servers and the typical latency as it was", saved, test.saved)
+				t.Errorf("saved %+v, want %d servers and a typical latency of 0.02 s", saved, test.saved)
 			}
 		})
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,8 +8,8 @@
 	"honeyplank/policy"
 )
 
-// An engine is told of two disk servers and of an op on data of the second one. The caller carries out
-// the actions. The disk server rejects the op, and the engine retries it.
+// An engine gets a list of two disk servers, and an op on data of the second one. The caller
+// carries out the actions. The disk server rejects the op, and the engine retries it.
 func Example() {
 	engine := policy.New(1, &honeyplank.Settings{
 		Instances: 1,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -14,7 +14,8 @@
 
 const ms = time.Millisecond
 
-// testSettings are settings with two op types and one plan; tests change what they are about.
+// testSettings returns settings with two op types and one plan. Tests change the settings that they
+// are about.
 func testSettings() *honeyplank.Settings {
 	return &honeyplank.Settings{
 		OpTypes: []honeyplank.OpType{
@@ -31,21 +32,22 @@
 	}
 }
 
-// member is the i-th disk server of a list, which holds the data of the cell of the same number.
+// member returns the i-th disk server of a list. It holds the data of the cell with the same
+// number.
 func member(i int, started time.Duration) honeyplank.Member {
 	return honeyplank.Member{
 		ID: honeyplank.ServerID(fmt.Sprint("osd", i)), Started: started, Cell: i, Zone: i % 2, Size: 1,
 	}
 }
 
-// memberInState is the i-th disk server in another state than up.
+// memberInState returns the i-th disk server in a state other than up.
 func memberInState(i int, state honeyplank.MemberState) honeyplank.Member {
 	stopped := member(i, 0)
 	stopped.State = state
 	return stopped
 }
 
-// membersUpTo are the first n disk servers, which started long ago.
+// membersUpTo returns the first n disk servers, which started long ago.
 func membersUpTo(n int) []honeyplank.Member {
 	var members []honeyplank.Member
 	for i := range n {
@@ -54,23 +56,24 @@
 	return members
 }
 
-// memberNumber is the number of a disk server by its id.
+// memberNumber returns the number of a disk server from its id.
 func memberNumber(id honeyplank.ServerID) int {
 	number, err := strconv.Atoi(strings.TrimPrefix(string(id), "osd"))
 	if err != nil {
-		panic(fmt.Sprintf("server %q is not of this test: %v", id, err))
+		panic(fmt.Sprintf("server id %q without a number: %v", id, err))
 	}
 	return number
 }
 
-// scheduledEvent is an event to come.
+// scheduledEvent is an event of a simulation that has not happened yet.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
 	event    honeyplank.Event
 }
 
-// eventHeap is a heap of events to come: the earliest is first, of equal ones the one added first.
+// eventHeap is a heap of scheduled events. The earliest event is first; among events at the same
+// time, the one that was added first.
 type eventHeap []scheduledEvent
 
 func (h eventHeap) Len() int { return len(h) }
@@ -90,7 +93,7 @@
 	return last
 }
 
-// eventQueue is the events to come of a simulation.
+// eventQueue holds the scheduled events of a simulation.
 type eventQueue struct {
 	heap  eventHeap
 	added int // number of events added so far
@@ -103,14 +106,14 @@
 
 func (q *eventQueue) empty() bool { return len(q.heap) == 0 }
 
-// nextAt is the time of the next event. The queue must not be empty.
+// nextAt returns the time of the next event. The queue must not be empty.
 func (q *eventQueue) nextAt() time.Duration { return q.heap[0].at }
 
-// next takes the next event out of the queue, which must not be empty.
+// next removes the next event from the queue, which must not be empty, and returns it.
 func (q *eventQueue) next() scheduledEvent { return heap.Pop(&q.heap).(scheduledEvent) }
 
-// testFleet feeds events to instances that share disk servers, and their actions to the model of the
-// rules.
+// testFleet sends events to instances that share disk servers, and checks their actions against the
+// model of the rules.
 type testFleet struct {
 	*ruleModel
 	t               *testing.T
@@ -118,9 +121,9 @@
 	instances       []*Engine
 	timers          []map[honeyplank.TimerID]time.Duration
 	dispatchEnds    map[honeyplank.OpID]time.Duration // when an outstanding dispatch ends
-	succeeded       int                               // number of ops
-	longestDispatch time.Duration                     // the most that a dispatch takes
-	onWatch         func(instance int)                // an instance asks for the watch
+	succeeded       int                               // number of ops that succeeded
+	longestDispatch time.Duration                     // upper bound of the time that a dispatch takes
+	onWatch         func(instance int)                // called when an instance requests the watch
 }
 
 func newTestFleet(t *testing.T, seed int64, settings *honeyplank.Settings) *testFleet {
@@ -140,8 +143,8 @@
 	return fleet
 }
 
-// fullServerFleet is one instance and one server whose window of four is full; ops of several
-// volumes are queued behind it.
+// fullServerFleet returns one instance and one server whose window of four is full, so that ops of
+// several volumes are queued.
 func fullServerFleet(t *testing.T) *testFleet {
 	t.Helper()
 	fleet := newTestFleet(t, 1, testSettings())
@@ -152,7 +155,7 @@
 	return fleet
 }
 
-// admit sends the i-th op of a name to the first instance.
+// admit sends the i-th op with a name to the first instance.
 func (fleet *testFleet) admit(name string, i int, volume, key int64, opType int) {
 	fleet.handle(0, honeyplank.Op{
 		ID:        honeyplank.OpID(fmt.Sprint(name, i)),
@@ -181,7 +184,7 @@
 	}
 }
 
-// handle sends an event to an instance, and its actions to the model.
+// handle sends an event to an instance, and the resulting actions to the model.
 func (fleet *testFleet) handle(instance int, event honeyplank.Event) []honeyplank.Action {
 	if op, ok := event.(honeyplank.Op); ok {
 		tracked := &trackedOp{Op: op, instance: instance, admittedAt: fleet.now}
@@ -239,8 +242,8 @@
 	})
 }
 
-// advance moves the clock by a step: timers come due, dispatches end by one of some codes, and ops
-// without an answer in time are found.
+// advance moves the clock by one step: due timers fire, due dispatches end with one of the codes at
+// random, and ops that were not answered in time are reported.
 func (fleet *testFleet) advance(codes []honeyplank.Code) {
 	fleet.t.Helper()
 	fleet.now += fleet.settings.Step
@@ -258,7 +261,7 @@
 	}
 }
 
-// fireTimers sends an instance the timers that are due.
+// fireTimers sends the due timers to an instance.
 func (fleet *testFleet) fireTimers(instance int) {
 	for _, id := range []honeyplank.TimerID{sweepTimer, watchTimer} {
 		if at, set := fleet.timers[instance][id]; set && at <= fleet.now {
@@ -268,7 +271,8 @@
 	}
 }
 
-// endDue ends the dispatch of an op that is due, by a code unless it is cancelled or out of time.
+// endDue ends the due dispatch of an op, with the given code unless it was cancelled or the op has
+// timed out.
 func (fleet *testFleet) endDue(op *trackedOp, code honeyplank.Code) {
 	if op.dispatched[len(op.dispatched)-1].cancelRequested {
 		code = honeyplank.Cancelled
@@ -280,14 +284,14 @@
 	}
 }
 
-// setTypicalLatency has all types answered in a time just now, in seconds.
+// setTypicalLatency sets the current latency of all op types, in seconds.
 func (e *Engine) setTypicalLatency(seconds float64) {
 	for i := range e.latencyByType {
 		e.latencyByType[i] = typeLatency{mean: seconds, fastest: seconds, updatedAt: e.now}
 	}
 }
 
-// setServerLatency has a server take a time for an op of the first type, in seconds.
+// setServerLatency sets the current latency of a server for ops of the first type, in seconds.
 func (e *Engine) setServerLatency(server *server, seconds float64) {
 	server.slowness, server.slownessAt = seconds/e.typicalLatency(0), e.now
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -8,8 +8,8 @@
 	"honeyplank"
 )
 
-// TestSilenceAndRecovery: a server that does not answer is down after two times of silence, and an
-// answer brings it back (incident i9adade: timeouts).
+// TestSilenceAndRecovery: a server that does not answer is down after two periods without an answer
+// (incident i9adade: timeouts), and up again after an answer.
 func TestSilenceAndRecovery(t *testing.T) {
 	fleet := fullServerFleet(t)
 	server, seen := fleet.instances[0].servers["osd0"], map[honeyplank.Health]bool{}
@@ -22,16 +22,16 @@
 	states := []honeyplank.Health{honeyplank.HealthSuspect, honeyplank.HealthDown, honeyplank.HealthHalfOpen}
 	for _, want := range states {
 		if !seen[want] {
-			t.Errorf("never %v", want)
+			t.Errorf("the server was never %v", want)
 		}
 	}
 	if server.health != honeyplank.HealthUp || server.window != minWindow {
-		t.Errorf("after an answer %v, window %v", server.health, server.window)
+		t.Errorf("after an answer the server is %v, window %v, want up and minWindow", server.health, server.window)
 	}
 }
 
-// TestServerThatRejectsAll: a server that rejects ops or breaks connections gets no new objects for a
-// while, and is no evidence against the others.
+// TestServerThatRejectsAll: a server that rejects ops or resets connections gets no new objects for
+// a while, and does not affect the estimates of the others.
 func TestServerThatRejectsAll(t *testing.T) {
 	for _, code := range []honeyplank.Code{honeyplank.Rejected, honeyplank.Reset} {
 		t.Run(fmt.Sprint("code ", code), func(t *testing.T) {
@@ -42,23 +42,23 @@
 			engine.setTypicalLatency(0.02)
 			fleet.simulateOpsEndedBy(code)
 			if engine.acceptsNewObjects(server) {
-				t.Errorf("%v: %s still accepts new objects", code, server.ID)
+				t.Errorf("code %v: %s still accepts new objects", code, server.ID)
 			}
 			if !engine.acceptsNewObjects(other) {
-				t.Errorf("%v: %s accepts no new objects", code, other.ID)
+				t.Errorf("code %v: %s accepts no new objects", code, other.ID)
 			}
 			if latency := engine.expectedLatency(other, 0); latency > 0.03 {
-				t.Errorf("%v: expected latency of the other %v s", code, latency)
+				t.Errorf("code %v: expected latency of the other server is %v s, want at most 0.03 s", code, latency)
 			}
 			server.health = honeyplank.HealthUp
 			if engine.now += time.Minute; !engine.acceptsNewObjects(server) {
-				t.Errorf("%v: not tried again", code)
+				t.Errorf("code %v: no new objects after a minute", code)
 			}
 		})
 	}
 }
 
-// simulateOpsEndedBy plays eight ops whose first dispatch ends by a code.
+// simulateOpsEndedBy simulates eight ops whose first dispatch ends with the given code.
 func (fleet *testFleet) simulateOpsEndedBy(code honeyplank.Code) {
 	for i := range 8 {
 		fleet.admit("a", i, 1, int64(i), 0)
@@ -70,9 +70,10 @@
 	}
 }
 
-// TestSilenceToShortTimeouts: ops with less time than a usual answer takes may be dropped without an
-// answer, which is no evidence against the server; no answer to ops with time is.
-func TestSilenceToShortTimeouts(t *testing.T) {
+// TestUnansweredShortTimeouts: a server may drop ops that have less time left than a typical answer
+// takes. Their missing answers are no evidence against the server, but those of ops with enough
+// time are.
+func TestUnansweredShortTimeouts(t *testing.T) {
 	for left, want := range map[time.Duration]honeyplank.Health{
 		30 * ms: honeyplank.HealthUp, 400 * ms: honeyplank.HealthDown,
 	} {
@@ -92,10 +93,10 @@
 				sent += len(fleet.order[i].dispatched)
 			}
 			if sent < 4 {
-				t.Errorf("%v left: %d sent", left, sent)
+				t.Errorf("%v left: %d ops dispatched, want at least 4", left, sent)
 			}
 			if got := engine.servers["osd0"].health; (got == honeyplank.HealthUp) != (want == honeyplank.HealthUp) {
-				t.Errorf("%v left: the server counts as %v", left, got)
+				t.Errorf("%v left: the server is %v", left, got)
 			}
 		})
 	}
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -9,11 +9,11 @@
 	"honeyplank"
 )
 
-// idleFleet is a fleet in which for long nothing happens, then a fault, then service.
+// idleFleet is a fleet that is idle for a long time, then has a fault, and then serves ops again.
 type idleFleet struct {
 	*testFleet
 	opCount      int
-	watchFails   bool // discovery refuses every watch
+	watchFails   bool // every watch fails
 	lastDispatch map[honeyplank.ServerID]time.Duration
 }
 
@@ -45,7 +45,7 @@
 	return fleet
 }
 
-// members sends a list with the servers of some numbers.
+// members sends a list with the servers from one number up to another.
 func (fleet *idleFleet) members(
 	kind honeyplank.ListKind, from, to int, state honeyplank.MemberState, started time.Duration,
 ) {
@@ -58,23 +58,24 @@
 	fleet.sendList(kind, members...)
 }
 
-// failWatches has discovery refuse the watches of all instances, and every further one.
+// failWatches ends the watches of all instances with a failure, and lets every further watch fail.
 func (fleet *idleFleet) failWatches() {
 	fleet.watchFails = true
 	fleet.handle(0, honeyplank.List{Kind: honeyplank.WatchFailed})
 	fleet.handle(1, honeyplank.List{Kind: honeyplank.WatchFailed})
 }
 
-// replaceAll sends a complete list of servers with some numbers in place of all that there are.
+// replaceAll sends a complete list of the servers from one number up to another, in place of all
+// others.
 func (fleet *idleFleet) replaceAll(from, to int) {
-	for id, m := range fleet.servers { // a complete list leaves out what is gone
+	for id, m := range fleet.servers { // a complete list leaves out removed servers
 		m.State = honeyplank.Removed
 		fleet.servers[id], fleet.stoppedSince[id] = m, fleet.now
 	}
 	fleet.members(honeyplank.Complete, from, to, honeyplank.Up, fleet.now)
 }
 
-// idle lets ops end, and then nothing happen but the modules' timers.
+// idle lets the ops end, and then fires only the timers of the instances for a time.
 func (fleet *idleFleet) idle(length time.Duration) {
 	fleet.t.Helper()
 	fleet.runLoad(6*time.Second, 0, honeyplank.Succeeded)
@@ -89,8 +90,8 @@
 	}
 }
 
-// nextTimer is the next timer of any instance before a time, and that time without an instance if
-// there is none.
+// nextTimer returns the next timer of any instance that is due before end, with its instance and
+// time. If there is none, the instance is -1 and the time is end.
 func (fleet *idleFleet) nextTimer(end time.Duration) (instance int, id honeyplank.TimerID, at time.Duration) {
 	instance, at = -1, end
 	for i, timers := range fleet.timers {
@@ -103,7 +104,8 @@
 	return instance, id, at
 }
 
-// runLoad sends ops for a time, whose dispatches end by one of some codes, and returns these ops.
+// runLoad sends ops at a rate for a time, ends their dispatches with one of the codes at random,
+// and returns the ops.
 func (fleet *idleFleet) runLoad(length time.Duration, rate int, codes ...honeyplank.Code) (admitted []*trackedOp) {
 	fleet.t.Helper()
 	next := fleet.now
@@ -118,7 +120,7 @@
 	return admitted
 }
 
-// admitNext sends an op to an instance at random.
+// admitNext sends an op to a random instance.
 func (fleet *idleFleet) admitNext() *trackedOp {
 	fleet.opCount++
 	cell := fleet.rng.Intn(idleServers+2) - 2
@@ -136,7 +138,8 @@
 	return fleet.ops[op.ID]
 }
 
-// dropFinished drops the ops that have ended and no longer count for the retry budget, for speed.
+// dropFinished drops the ops that have ended and no longer count for the retry budget, to keep the
+// test fast.
 func (fleet *idleFleet) dropFinished() {
 	open := fleet.order[:0]
 	for _, op := range fleet.order {
@@ -152,10 +155,10 @@
 	fleet.order = open
 }
 
-// faultsAfterIdle are what TestFaultsAfterLongIdle plays, by name.
+// faultsAfterIdle are the faults of TestFaultsAfterLongIdle, by name.
 var faultsAfterIdle = map[string]func(*idleFleet){
 	"none": func(*idleFleet) {},
-	"silence": func(fleet *idleFleet) {
+	"no answers": func(fleet *idleFleet) {
 		fleet.runLoad(4*time.Second, idleFleetRate, honeyplank.TimedOut)
 	},
 	"idle connections were reset": func(fleet *idleFleet) {
@@ -164,10 +167,10 @@
 	"no connections": func(fleet *idleFleet) {
 		fleet.runLoad(4*time.Second, idleFleetRate, honeyplank.ConnectFailed)
 	},
-	"no descriptors, full queues and errors": func(fleet *idleFleet) {
+	"dispatches not sent, rejected and failed": func(fleet *idleFleet) {
 		fleet.runLoad(3*time.Second, idleFleetRate, honeyplank.NotSent, honeyplank.Rejected, honeyplank.Failed)
 	},
-	"discovery refuses for minutes": func(fleet *idleFleet) {
+	"watches fail for minutes": func(fleet *idleFleet) {
 		fleet.failWatches()
 		fleet.runLoad(5*time.Second, idleFleetRate, honeyplank.Succeeded)
 		fleet.idle(4 * time.Minute)
@@ -183,7 +186,7 @@
 		fleet.runLoad(time.Second, idleFleetRate, honeyplank.Succeeded)
 		fleet.members(honeyplank.Delta, 3, 6, honeyplank.Removed, 0)
 	},
-	"all servers replaced while discovery refuses": func(fleet *idleFleet) {
+	"all servers replaced while watches fail": func(fleet *idleFleet) {
 		fleet.failWatches()
 		fleet.runLoad(3*time.Second, idleFleetRate, honeyplank.ConnectFailed)
 		fleet.idle(2 * time.Minute)
@@ -193,17 +196,17 @@
 	},
 }
 
-// TestFaultsAfterLongIdle: whatever begins after ten minutes or an hour in which nothing happened, each
-// op gets exactly one answer in time, the rules hold, and once the fault is over the servers are used
-// again.
+// TestFaultsAfterLongIdle: if a fault begins after ten minutes or an hour without ops, each op
+// still gets exactly one answer in time, the rules hold, and the servers are used again once the
+// fault is over.
 func TestFaultsAfterLongIdle(t *testing.T) {
 	for name, fault := range faultsAfterIdle {
-		for _, quiet := range []time.Duration{10 * time.Minute, time.Hour} {
-			t.Run(strings.ReplaceAll(fmt.Sprint(quiet, " ", name), " ", "_"), func(t *testing.T) {
+		for _, idleTime := range []time.Duration{10 * time.Minute, time.Hour} {
+			t.Run(strings.ReplaceAll(fmt.Sprint(idleTime, " ", name), " ", "_"), func(t *testing.T) {
 				t.Parallel()
 				fleet := newIdleFleet(t)
 				fleet.runLoad(2*time.Second, idleFleetRate, honeyplank.Succeeded)
-				fleet.idle(quiet)
+				fleet.idle(idleTime)
 				fault(fleet)
 				fleet.runLoad(10*time.Second, idleFleetRate, honeyplank.Succeeded)
 				since := fleet.now
@@ -215,12 +218,12 @@
 	}
 }
 
-// checkRecovered checks that all ops have ended, that most of the last ones were served, and that every
-// server that is up was used since a time.
+// checkRecovered checks that all ops have ended, that most of the last ones were served, and that
+// every server that is up was used after the given time.
 func (fleet *idleFleet) checkRecovered(last []*trackedOp, since time.Duration) {
 	fleet.t.Helper()
 	if len(fleet.order) > 0 {
-		fleet.t.Errorf("%d ops have not ended", len(fleet.order))
+		fleet.t.Errorf("%d ops have not ended, want 0", len(fleet.order))
 	}
 	served := 0
 	for _, op := range last {
@@ -229,11 +232,11 @@
 		}
 	}
 	if float64(served) < 0.9*float64(len(last)) {
-		fleet.t.Errorf("%d of %d ops served once the fault was over", served, len(last))
+		fleet.t.Errorf("%d of %d ops served once the fault was over, want nine tenths", served, len(last))
 	}
 	for id, m := range fleet.servers {
 		if m.State == honeyplank.Up && fleet.lastDispatch[id] < since {
-			fleet.t.Errorf("%s was not used after %v, last at %v", id, since, fleet.lastDispatch[id])
+			fleet.t.Errorf("%s was not used after %v, but last at %v", id, since, fleet.lastDispatch[id])
 		}
 	}
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -9,20 +9,20 @@
 	"honeyplank"
 )
 
-// loadScenario is one instance and a fleet under a load of so many times what it serves: servers that
-// serve 1,000 units a second each, one op after another, and volumes whose ops come at random. All is
-// simulated.
+// loadScenario is one instance and a fleet under a load that is given as a multiple of the fleet's
+// capacity. Each server serves 1,000 units a second, one op after another, and the ops of the
+// volumes arrive at random. Everything is simulated.
 type loadScenario struct {
 	servers, volumes int
 	load             float64
-	metered          bool // answers report what a volume is served through all instances
-	keyRuns          bool // ops have keys, and come as runs of them
+	metered          bool // answers report the units served to a volume through all instances
+	keyRuns          bool // ops have keys, and arrive in runs of ops with one key
 }
 
-// unitsPerSecond is what a server of a loadScenario serves, in units a second.
+// unitsPerSecond is the capacity of a server in a loadScenario, in units a second.
 const unitsPerSecond = 1000
 
-// settings have one op type and one plan.
+// settings returns settings with one op type and one plan.
 func (scenario loadScenario) settings() *honeyplank.Settings {
 	settings := testSettings()
 	settings.OpTypes = []honeyplank.OpType{{
@@ -42,27 +42,27 @@
 // eventHandler handles an event at a time and returns the actions.
 type eventHandler func(now time.Duration, event honeyplank.Event) []honeyplank.Action
 
-// loadRun is a loadScenario on a clock of its own.
+// loadRun is a run of a loadScenario with its own clock.
 type loadRun struct {
 	loadScenario
 	rng    *rand.Rand
 	handle eventHandler
 	now    time.Duration
 	events eventQueue
-	freeAt []time.Duration // by server: when it has served what was dispatched to it
+	freeAt []time.Duration // by server: the time at which it has served all ops dispatched to it
 	open   map[honeyplank.OpID]*simulatedOp
 	ops    int // sent so far
 	nextOp time.Duration
-	key    int64 // of the run of keys
+	key    int64 // of the current run of keys
 }
 
-// simulatedOp is an op with the number of its dispatches.
+// simulatedOp is an op and the number of its dispatches.
 type simulatedOp struct {
 	honeyplank.Op
 	dispatches int
 }
 
-// simulate plays the scenario for a time and returns the number of ops.
+// simulate runs the scenario for a time and returns the number of ops.
 func (scenario loadScenario) simulate(seed int64, length time.Duration, handle eventHandler) int {
 	run := &loadRun{
 		loadScenario: scenario,
@@ -82,7 +82,7 @@
 	return run.ops
 }
 
-// handleNext has the next event or op handled, and returns the actions.
+// handleNext sends the next event or op to the module and returns the actions.
 func (run *loadRun) handleNext() []honeyplank.Action {
 	if run.events.empty() || run.nextOp < run.events.nextAt() {
 		run.now = run.nextOp
@@ -96,7 +96,7 @@
 	return run.handle(run.now, next.event)
 }
 
-// newOp is the op that comes now.
+// newOp returns the op that arrives now, and sets the arrival time of the next one.
 func (run *loadRun) newOp() honeyplank.Op {
 	interval := time.Duration(float64(time.Second) / (unitsPerSecond * float64(run.servers) * run.load))
 	run.nextOp += time.Duration(run.rng.ExpFloat64() * float64(interval))
@@ -131,7 +131,7 @@
 	}
 }
 
-// dispatch has a server answer an op once it has served what was dispatched to it before.
+// dispatch lets a server answer an op once it has served all ops dispatched to it before.
 func (run *loadRun) dispatch(action honeyplank.Dispatch) {
 	op, server := run.open[action.Op], memberNumber(action.Server)
 	run.freeAt[server] = max(run.freeAt[server], run.now) + time.Duration(op.Units*float64(time.Second/unitsPerSecond))
@@ -150,7 +150,7 @@
 	run.events.add(run.freeAt[server], outcome)
 }
 
-// loadScenarios are those that the table of docs/cost.md shows.
+// loadScenarios are the scenarios in the table of docs/cost.md.
 var loadScenarios = map[string]loadScenario{
 	"half of 10":     {servers: 10, volumes: 100, load: 0.5},
 	"twice 10":       {servers: 10, volumes: 100, load: 2},
@@ -163,8 +163,8 @@
 	"late meters":    {servers: 10, volumes: 100, load: 2, metered: true},
 }
 
-// BenchmarkLoadScenarios is the cost of an op in the module, that of Handle alone, over half a second of
-// each scenario.
+// BenchmarkLoadScenarios measures the cost of an op in the module, which is the time in Handle
+// alone, over half a second of each scenario.
 func BenchmarkLoadScenarios(b *testing.B) {
 	for name, scenario := range loadScenarios {
 		b.Run(name, func(b *testing.B) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// queuedOps is the number of queued ops.
+// queuedOps returns the number of queued ops.
 func (e *Engine) queuedOps() (count int) {
 	for op := e.firstQueued; op != nil; op = op.nextQueued {
 		count++
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -10,26 +10,27 @@
 
 // The rules that every instance keeps, by their numbers.
 const (
-	ruleCancel      = 0 // only what was dispatched is cancelled, and only where that is allowed
+	ruleCancel      = 0 // only dispatches that were made are cancelled, and only if cancelling is allowed
 	ruleAnswer      = 1 // each op gets exactly one answer in time
-	ruleRepeat      = 2 // an op goes where its data is, and is repeated only as its semantics allow
-	ruleStopped     = 3 // nothing goes to a server that drains or is gone, after the grace
-	ruleSlowStart   = 4 // no server in slow start gets more than its budget
+	ruleRepeat      = 2 // an op goes to a server with its data, and is repeated only as its semantics allow
+	ruleStopped     = 3 // nothing is sent to a draining or removed server after the grace
+	ruleSlowStart   = 4 // no server in slow start is sent more than its budget
 	ruleOrder       = 5 // ops of one key of an ordered type run one after another
 	ruleRetryBudget = 6
-	ruleLimit       = 7 // no volume gets more than the limit of its plan
+	ruleLimit       = 7 // no volume exceeds the limit of its plan
 )
 
-// ruleModel is a slow, plain reading of the rules. It sees what every instance receives and does.
+// ruleModel is a slow and simple implementation of the rules. It checks what every instance
+// receives and does.
 type ruleModel struct {
 	settings     *honeyplank.Settings
 	now          time.Duration
 	ops          map[honeyplank.OpID]*trackedOp
 	order        []*trackedOp // in the order of admission
 	servers      map[honeyplank.ServerID]honeyplank.Member
-	stoppedSince map[honeyplank.ServerID]time.Duration // since when the instances know that it drains or is gone
+	stoppedSince map[honeyplank.ServerID]time.Duration // when the instances learned that it is draining or removed
 	slowStart    map[honeyplank.ServerID][]slowStartDispatch
-	limitUsed    map[int64]float64 // by volume: out of the limit's bucket, in units
+	limitUsed    map[int64]float64 // by volume: units taken from the limit's bucket
 	limitUsedAt  map[int64]time.Duration
 	retries      map[int][]time.Duration // by instance
 	violations   []string
@@ -48,7 +49,7 @@
 	}
 }
 
-// trackedOp is what the model knows of an op.
+// trackedOp is the model's record of an op.
 type trackedOp struct {
 	honeyplank.Op
 	instance        int
@@ -56,15 +57,15 @@
 	dispatched      []trackedDispatch
 	answered        bool
 	responseStarted bool
-	settledAt       time.Duration // until when the next op of its key waits
+	settledAt       time.Duration // the next op of its key waits until then
 }
 
-// trackedDispatch is what the model knows of a dispatch.
+// trackedDispatch is the model's record of a dispatch.
 type trackedDispatch struct {
 	server          honeyplank.ServerID
 	sentAt          time.Duration
 	cancelRequested bool
-	done            bool // it has ended, at endedAt
+	done            bool // it ended at endedAt
 	endedAt         time.Duration
 	mayHaveRun      bool
 	notArrived      bool // it reached no server
@@ -76,8 +77,8 @@
 	index int
 }
 
-// mayArrive reports whether a dispatch made since a time may reach its server at another one or
-// later.
+// mayArrive reports whether a dispatch may reach its server at the time at or later. Dispatches
+// made before since do not count.
 func (sent slowStartDispatch) mayArrive(since, at time.Duration) bool {
 	dispatch := sent.op.dispatched[sent.index]
 	return dispatch.sentAt >= since && !dispatch.notArrived && (!dispatch.done || dispatch.endedAt >= at)
@@ -100,7 +101,7 @@
 	})
 }
 
-// mayRetry is ruleRepeat for a retry that runs at a server a time after its decision.
+// mayRetry checks ruleRepeat for a retry that runs at a server the time after later than now.
 func (m *ruleModel) mayRetry(op *trackedOp, server honeyplank.ServerID, after time.Duration) bool {
 	opType := m.opType(op)
 	for _, dispatch := range op.dispatched {
@@ -122,7 +123,8 @@
 	return valueAt(m.settings.OpTypes, op.Type)
 }
 
-// inDedupScope reports whether a server drops repeats of an op that another one was sent.
+// inDedupScope reports whether the later server drops a repeat of an op that was sent to the
+// earlier one.
 func (m *ruleModel) inDedupScope(op *trackedOp, earlier, later honeyplank.ServerID) bool {
 	first, second := m.servers[earlier], m.servers[later]
 	switch m.opType(op).DedupScope {
@@ -134,14 +136,14 @@
 	return true
 }
 
-// mayReject is ruleRepeat for a rejection.
+// mayReject checks ruleRepeat for a rejection.
 func (m *ruleModel) mayReject(op *trackedOp) bool {
 	opType := m.opType(op)
 	return op.neverRan() || opType.Semantics == honeyplank.Idempotent ||
 		opType.Semantics == honeyplank.Deduplicated && opType.DedupScope == honeyplank.ScopeAll
 }
 
-// isNextOfKey is ruleOrder.
+// isNextOfKey checks ruleOrder.
 func (m *ruleModel) isNextOfKey(op *trackedOp) bool {
 	if !m.isOrdered(op) {
 		return true
@@ -159,10 +161,12 @@
 	return op.HasKey && m.opType(op).Ordered
 }
 
-// maxProcessPause is for how long a process may stand still between a decision and the dispatch.
+// maxProcessPause is the longest time for which a process may be paused between a decision and its
+// dispatch.
 const maxProcessPause = 150 * ms
 
-// withinRetryBudget is ruleRetryBudget for one more retry, when this or earlier ones are delayed.
+// withinRetryBudget checks ruleRetryBudget for one more retry, which may be delayed like the
+// earlier ones.
 func (m *ruleModel) withinRetryBudget(instance int) bool {
 	budget := m.settings.RetryBudget
 	if !budget.Limited {
@@ -178,13 +182,13 @@
 	return float64(1+len(recent)) <= budget.Free+budget.Share*admitted
 }
 
-// dispatch holds a dispatch to the rules and records it.
+// dispatch checks a dispatch against the rules and records it.
 func (m *ruleModel) dispatch(instance int, action honeyplank.Dispatch) {
 	op, server := m.ops[action.Op], m.servers[action.Server]
 	m.checkDispatch(op, server)
 	if len(op.dispatched) > 0 {
 		if !m.withinRetryBudget(instance) {
-			m.violate(ruleRetryBudget, "%s past the budget", action.Op)
+			m.violate(ruleRetryBudget, "retry of %s exceeds the retry budget", action.Op)
 		}
 		m.retries[instance] = append(m.retries[instance], m.now)
 	} else {
@@ -195,27 +199,27 @@
 	m.checkSlowStart(server)
 }
 
-// checkDispatch checks the rules on an op and on the server that it is sent to.
+// checkDispatch checks the rules on an op and on the server to which it is sent.
 func (m *ruleModel) checkDispatch(op *trackedOp, server honeyplank.Member) {
 	if op.answered {
 		m.violate(ruleAnswer, "%s dispatched after its answer", op.ID)
 	}
 	if since, stopped := m.stoppedSince[server.ID]; stopped && m.now > since+m.settings.DrainGrace {
-		m.violate(ruleStopped, "%s goes to %s", op.ID, server.ID)
+		m.violate(ruleStopped, "%s dispatched to %s, which is draining or removed", op.ID, server.ID)
 	}
 	if op.Cell != honeyplank.NewObject && op.Cell != server.Cell {
-		m.violate(ruleRepeat, "%s goes to a server without its data", op.ID)
+		m.violate(ruleRepeat, "%s dispatched to a server without its data", op.ID)
 	}
 	delay := m.settings.Dispatches.ConnectTimeout + maxProcessPause
 	if !m.mayRetry(op, server.ID, delay) || len(op.dispatched) >= max(m.settings.Dispatches.Max, 1) {
-		m.violate(ruleRepeat, "%s repeated", op.ID)
+		m.violate(ruleRepeat, "%s dispatched again against its semantics or the maximum", op.ID)
 	}
 	if !m.isNextOfKey(op) {
-		m.violate(ruleOrder, "%s out of order", op.ID)
+		m.violate(ruleOrder, "%s dispatched before an earlier op of its key has settled", op.ID)
 	}
 }
 
-// useLimit takes an op out of the bucket of its volume's limit.
+// useLimit takes an op's units from the bucket of its volume's limit, and checks ruleLimit.
 func (m *ruleModel) useLimit(op *trackedOp) {
 	plan := valueAt(m.settings.Plans, op.Plan)
 	if plan.Limit <= 0 {
@@ -225,11 +229,12 @@
 	used := max(0, m.limitUsed[op.Volume]-refilled) + op.Units
 	m.limitUsed[op.Volume], m.limitUsedAt[op.Volume] = used, m.now
 	if left := plan.Burst - used; left < -plan.Slack {
-		m.violate(ruleLimit, "volume %d at %.1f", op.Volume, left)
+		m.violate(ruleLimit, "volume %d has %.1f units left in its bucket", op.Volume, left)
 	}
 }
 
-// checkSlowStart is ruleSlowStart: all instances' units that may reach a server within one window.
+// checkSlowStart checks ruleSlowStart: the units of all instances that may reach a server within
+// one window.
 func (m *ruleModel) checkSlowStart(server honeyplank.Member) {
 	window, warmUp := m.settings.SlowStart.Window, m.settings.SlowStart.Time
 	age := m.now - server.Started
@@ -244,33 +249,33 @@
 	}
 	budget := (from + (1-from)*float64(age)/float64(warmUp)) / from * m.settings.SlowStart.Units
 	if sum > budget+1e-9 {
-		m.violate(ruleSlowStart, "%s gets %.1f of %.1f", server.ID, sum, budget)
+		m.violate(ruleSlowStart, "%s may receive %.1f units in a window, budget %.1f", server.ID, sum, budget)
 	}
 }
 
-// recordReject holds a rejection to the rules and records it.
+// recordReject checks a rejection against the rules and records it.
 func (m *ruleModel) recordReject(action honeyplank.Reject) {
 	m.recordAnswer(m.ops[action.Op])
 	if !m.mayReject(m.ops[action.Op]) {
-		m.violate(ruleRepeat, "%s rejected", action.Op)
+		m.violate(ruleRepeat, "%s rejected, but it may have run", action.Op)
 	}
 }
 
-// recordAnswer holds the time of a rejection or a failure to the rules and records it.
+// recordAnswer checks the time of a rejection or a failure against the rules and records it.
 func (m *ruleModel) recordAnswer(op *trackedOp) {
 	if op.answered || op.responseStarted || m.now > op.Timeout+m.settings.AnswerGrace {
-		m.violate(ruleAnswer, "%s answered twice or late", op.ID)
+		m.violate(ruleAnswer, "%s answered twice, after its response started, or late", op.ID)
 	}
 	op.answered = true
 }
 
-// recordCancel holds a cancellation to the rules; it reports whether it is that of the op's last
-// dispatch, which ends.
+// recordCancel checks a cancellation against the rules. It reports whether the cancellation ends
+// the last dispatch of the op.
 func (m *ruleModel) recordCancel(action honeyplank.Cancel) bool {
 	op := m.ops[action.Op]
 	made := op != nil && action.Dispatch >= 0 && action.Dispatch < len(op.dispatched)
 	if !made || !m.settings.Dispatches.CancelAllowed {
-		m.violate(ruleCancel, "%s: dispatch %d is cancelled, which was never made or may not be",
+		m.violate(ruleCancel, "%s: dispatch %d cancelled, which was never made or may not be cancelled",
 			action.Op, action.Dispatch)
 		return false
 	}
@@ -281,7 +286,7 @@
 	return true
 }
 
-// recordOutcome records how the last dispatch of an op ends now.
+// recordOutcome records the outcome of the last dispatch of an op.
 func (m *ruleModel) recordOutcome(op *trackedOp, code honeyplank.Code) {
 	notArrived := code == honeyplank.ConnectFailed || code == honeyplank.NotSent
 	dispatch := &op.dispatched[len(op.dispatched)-1]
@@ -292,10 +297,10 @@
 	}
 }
 
-// checkAnswered is ruleAnswer for an op whose time is over.
+// checkAnswered checks ruleAnswer for an op whose time is over.
 func (m *ruleModel) checkAnswered(op *trackedOp) {
 	if !op.answered && !op.responseStarted && m.now > op.Timeout+m.settings.AnswerGrace {
-		m.violate(ruleAnswer, "%s has no answer", op.ID)
+		m.violate(ruleAnswer, "%s not answered in time", op.ID)
 		op.answered = true
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,11 +8,12 @@
 	"honeyplank"
 )
 
-// TestReserveShare: an instance's part of a reserve follows what the volume is served through it.
+// TestReserveShare: an instance's share of a reserve follows the units that the volume is served
+// through it.
 func TestReserveShare(t *testing.T) {
 	for _, test := range []struct {
-		total, others float64 // units that the volume is served in all, and through others
-		elsewhere     bool    // servers report what others were served
+		total, others float64 // units that the volume is served in all, and through other instances
+		elsewhere     bool    // servers report units served through other instances
 		want          bool    // an op is within the reserve
 	}{
 		{0, 0, false, false},
@@ -34,15 +35,15 @@
 				record.servedElsewhere.add(engine.now, test.others, 2*time.Second)
 			}
 			if got := engine.withinReserve(&op{volume: record, target: time.Hour}); got != test.want {
-				t.Errorf("%+v: within the reserve: %v", test, got)
+				t.Errorf("%+v: an op is within the reserve: %v", test, got)
 			}
 		})
 	}
 }
 
-// TestLimitOfNewVolumes: an instance that has been up for long has its part of a limit ready for a
-// volume that it meets for the first time or again; one that has just started has none, since what it
-// sent before is unknown.
+// TestLimitOfNewVolumes: an instance that has run for long has its share of a limit available for a
+// volume that is new or comes again. An instance that has just started has none, because the units
+// that its predecessor sent are unknown.
 func TestLimitOfNewVolumes(t *testing.T) {
 	for up, want := range map[time.Duration]int{0: 0, 2 * time.Second: 4, time.Minute: 6} {
 		t.Run(fmt.Sprint("up for ", up), func(t *testing.T) {
@@ -62,8 +63,8 @@
 	}
 }
 
-// admitIn sends an op for a cell to the first instance, with a second until its timeout, and returns
-// how many dispatches it has at once.
+// admitIn sends an op for a cell to the first instance, with a timeout of one second, and returns
+// the number of its dispatches right afterwards.
 func (fleet *testFleet) admitIn(cell int, op honeyplank.Op) int {
 	op.ID, op.Cell = honeyplank.OpID(fmt.Sprint(len(fleet.order))), cell
 	op.Timeout, op.Instances = fleet.now+time.Second, 1
@@ -71,12 +72,12 @@
 	return len(fleet.ops[op.ID].dispatched)
 }
 
-// TestLimitHeadroom: ops of less utility leave a part of a limit's bucket to those of more.
+// TestLimitHeadroom: ops with less utility leave a part of a limit's bucket to ops with more.
 func TestLimitHeadroom(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].Limit, settings.Plans[0].Burst, settings.Plans[0].Reserve = 1, 12, 20
-	settings.Plans[0].Slack = 1              // what a hold-up adds
-	for opType, want := range []int{12, 9} { // utilities 2 and 1: half of half is left by the second
+	settings.Plans[0].Slack = 1              // the refill during a process pause
+	for opType, want := range []int{12, 9} { // utilities 2 and 1: the second leaves half of a half
 		t.Run(fmt.Sprint("op type ", opType), func(t *testing.T) {
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, membersUpTo(4)...)
@@ -92,9 +93,9 @@
 	}
 }
 
-// TestLimitAfterIdleExpiry: a volume whose record was dropped as idle has what its bucket has been
-// refilled with since for certain, not a whole one. A full bucket allows an op whose type should leave
-// more than the bucket can hold.
+// TestLimitAfterIdleExpiry: the bucket of a volume whose record was dropped as idle holds only what
+// it was certainly refilled with since, not a full bucket. A full bucket allows an op even if the
+// headroom of its type exceeds the bucket.
 func TestLimitAfterIdleExpiry(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].Limit, settings.Plans[0].Burst = 0.1, 8
@@ -106,23 +107,23 @@
 		return len(fleet.order[n].dispatched)
 	}
 	fleet.now = time.Hour
-	for range 3 { // not seen for long: as much as the time that idle records are kept gives
+	for range 3 { // long unseen: the bucket gets the refill of idleExpiry
 		fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 		fleet.now += time.Minute
 	}
 	if admit(0, 4) != 0 || admit(1, 1) != 1 {
-		t.Error("a volume met late lacks what half a minute refills")
+		t.Error("the bucket of a volume unseen for long does not hold the refill of half a minute")
 	}
 	fleet.now += 3 * time.Minute
 	fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 	fleet.instances[0].volumes[0] = &volume{instances: 1, limit: 8, refilledAt: fleet.now}
 	if admit(2, 7) != 1 {
-		t.Error("a full bucket does not allow an op")
+		t.Error("a full bucket does not allow an op of 7 units")
 	}
 }
 
-// TestServedElsewhereInAnyAnswer: what a server served others is reported once, also with an error or
-// a rejection.
+// TestServedElsewhereInAnyAnswer: units that a server served through other instances are reported
+// once, also with an error or a rejection.
 func TestServedElsewhereInAnyAnswer(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -133,20 +134,20 @@
 				Op: fleet.order[i].ID, Server: "osd0", Code: code, ServedElsewhere: 5, Answered: true,
 			})
 			if got := fleet.instances[0].volumes[1].servedElsewhere.units; got != float64(5*(i+1)) {
-				t.Errorf("after %d answers: %v units of others", i+1, got)
+				t.Errorf("after %d answers: %v units served elsewhere, want 5 for each", i+1, got)
 			}
 		})
 	}
 }
 
-// TestLimitWithProcessPause: what is decided within a hold-up may arrive at one instant, and then takes no
-// more from a limit's bucket than that holds; one that holds little more than a largest op still allows
-// it.
+// TestLimitWithProcessPause: dispatches decided within a process pause may arrive at one instant.
+// Together they then take no more from a limit's bucket than it holds. A bucket that holds little
+// more than one largest op still allows such an op.
 func TestLimitWithProcessPause(t *testing.T) {
 	for _, test := range []struct {
 		limit, burst, slack float64
 		units               float64 // of an op
-		least, most         float64 // units dispatched
+		least, most         float64 // bounds of the units dispatched
 	}{
 		{20, 40, 0, 1, 36, 40},
 		{20, 40, 3, 1, 40, 43},
@@ -165,7 +166,7 @@
 				sent += test.units * float64(fleet.admitIn(i%50, honeyplank.Op{Units: test.units}))
 			}
 			if sent < test.least || sent > test.most {
-				t.Errorf("%v units dispatched within a hold-up", sent)
+				t.Errorf("%v units dispatched within a process pause", sent)
 			}
 		})
 	}
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -14,7 +14,7 @@
 	"honeyplank"
 )
 
-// modelHash is the hash of a volume and a server, as the library computes it.
+// modelHash returns the hash of a volume and a server, computed with the standard library.
 func modelHash(volume int64, id honeyplank.ServerID) uint64 {
 	hasher := fnv.New64a()
 	_, _ = fmt.Fprintf(hasher, "%d%s", volume, id) // writing to a hash never fails
@@ -24,7 +24,7 @@
 	return hash ^ hash>>33
 }
 
-// modelRanking is the slow model: all servers that are up, sorted.
+// modelRanking returns the ranking of the slow model: all servers that are up, sorted.
 func modelRanking(engine *Engine, volume int64) (list []*server) {
 	for _, server := range engine.serversByID {
 		if server.State == honeyplank.Up {
@@ -35,8 +35,8 @@
 	return list
 }
 
-// modelChoice is the choice over a whole ranking: the first server with capacity, or else the one with
-// the least relative load.
+// modelChoice returns the choice from a whole ranking: the first server with capacity, or else the
+// one with the least relative load.
 func modelChoice(engine *Engine, op *op, list []*server) (chosen *server, hasCapacity bool) {
 	leastLoad := math.Inf(1)
 	for _, server := range list {
@@ -55,8 +55,8 @@
 	return chosen, false
 }
 
-// rankingFleet is one instance and a fleet that grows, shrinks, restarts, goes down and fills up at
-// random.
+// rankingFleet is one instance and a fleet whose servers are added, removed, restarted, marked as
+// down and filled at random.
 type rankingFleet struct {
 	t       *testing.T
 	seed    int64
@@ -64,7 +64,7 @@
 	rng     *rand.Rand
 	engine  *Engine
 	now     time.Duration
-	added   int // number of servers so far
+	added   int // number of servers added so far
 	members []honeyplank.Member
 }
 
@@ -91,13 +91,13 @@
 	fleet.engine.Handle(fleet.now, honeyplank.List{Kind: kind, Members: members})
 }
 
-// change changes the fleet, or nothing.
+// change makes a random change of the fleet, or none.
 func (fleet *rankingFleet) change() {
 	rng, members := fleet.rng, fleet.members
 	fleet.now += time.Duration(rng.Intn(30)) * ms
 	i := rng.Intn(len(members))
 	switch rng.Intn(8) {
-	case 0: // one leaves, another comes
+	case 0: // one server leaves, another joins
 		gone := members[i]
 		gone.State = honeyplank.MemberState(1 + rng.Intn(2))
 		members[i] = fleet.newMember()
@@ -105,12 +105,12 @@
 	case 1:
 		members[i].Started = fleet.now
 		fleet.sendList(honeyplank.Delta, members[i])
-	case 2: // the whole list again, part of it replaced
+	case 2: // a complete list in which some servers are replaced
 		for range rng.Intn(len(members)/2 + 1) {
 			members[rng.Intn(len(members))] = fleet.newMember()
 		}
 		fleet.sendList(honeyplank.Complete, members...)
-	case 3: // leaves and comes back
+	case 3: // one server leaves and comes back
 		gone := members[i]
 		gone.State = honeyplank.Draining
 		fleet.sendList(honeyplank.Delta, gone)
@@ -127,7 +127,7 @@
 	}
 }
 
-// takeDown has a share of the servers down, the others up.
+// takeDown marks a share of the servers as down and the others as up.
 func (fleet *rankingFleet) takeDown(share float64) {
 	for _, server := range fleet.engine.serversByID {
 		if server.health = honeyplank.HealthUp; fleet.rng.Float64() < share {
@@ -136,13 +136,13 @@
 	}
 }
 
-// choose has the engine choose a server for a new object, and compares that with the model. It reports
-// whether the server is past the top ones of the ranking.
+// choose lets the engine choose a server for a new object, and compares the choice with the model.
+// It reports whether the server is not among the top ones of the ranking.
 func (fleet *rankingFleet) choose() bool {
 	fleet.t.Helper()
 	engine := fleet.engine
 	engine.now = fleet.now
-	engine.acceptingAt = 0 // the list of servers that accept new objects may be a sweep old: made anew here
+	engine.acceptingAt = 0 // rebuild the cache of accepting servers, which may be one sweep interval old
 	id := int64(fleet.rng.Intn(4))
 	candidate := &op{
 		Op: honeyplank.Op{
@@ -161,18 +161,18 @@
 	fleet.compareRanking(top, list)
 	inTop := slices.Index(list, want) < len(top)
 	if want != got && (inTop && hasCapacity || len(list) <= minTopServers) {
-		fleet.t.Fatalf("seed %d, step %d: %v, want %v", fleet.seed, fleet.step, got, want)
+		fleet.t.Fatalf("seed %d, step %d: chose %v, want %v", fleet.seed, fleet.step, got, want)
 	}
 	if first, _ := modelChoice(engine, candidate, list[:len(top)]); first != nil {
 		want = first
 	}
 	if want != got {
-		fleet.t.Fatalf("seed %d, step %d: %v, want %v past the top servers", fleet.seed, fleet.step, got, want)
+		fleet.t.Fatalf("seed %d, step %d: chose %v, want %v of the top servers", fleet.seed, fleet.step, got, want)
 	}
 	return got != nil && slices.Index(list, got) >= len(top)
 }
 
-// compareRanking holds the top servers of a ranking to the model's list of all.
+// compareRanking compares the top servers of a ranking with the model's list of all servers.
 func (fleet *rankingFleet) compareRanking(top []rankedServer, list []*server) {
 	fleet.t.Helper()
 	for k, ranked := range top {
@@ -186,10 +186,10 @@
 	}
 }
 
-// TestChoiceAsOverFullRanking: over random fleets, a new object goes where the whole ranking sends it.
-// Only past the top servers may it differ: where none of these has capacity the least loaded of them is
-// chosen, though others further down may have capacity.
-func TestChoiceAsOverFullRanking(t *testing.T) {
+// TestChoiceMatchesFullRanking: in random fleets, a new object goes to the server that the whole
+// ranking gives. The choice may differ only past the top servers: if none of the top servers has
+// capacity, the least loaded of them is chosen, although servers further down may have capacity.
+func TestChoiceMatchesFullRanking(t *testing.T) {
 	beyond, compared := 0, 0
 	for seed := range int64(60) {
 		fleet := newRankingFleet(t, seed)
@@ -207,7 +207,8 @@
 	t.Logf("%d choices compared, %d past the top servers", compared, beyond)
 }
 
-// largeFleet is one instance with a number of servers and a reserve that covers all new objects.
+// largeFleet returns one instance with the given number of servers and a reserve that covers all
+// new objects.
 func largeFleet(servers int) *Engine {
 	settings := testSettings()
 	settings.Plans[0].Reserve = 1e6
@@ -216,7 +217,7 @@
 	return engine
 }
 
-// replacement is whether servers are replaced while new objects are played.
+// replacement tells whether servers are replaced while new objects are written.
 type replacement string
 
 const (
@@ -224,8 +225,9 @@
 	oneByOne     replacement = "servers replaced one by one"
 )
 
-// simulateNewObjects plays n new objects of 200 volumes, each answered after 4 ms, with a sweep every 10 ms,
-// and servers that may be replaced meanwhile. from is the number of objects played before.
+// simulateNewObjects simulates n new objects of 200 volumes, each answered after 4 ms, with a sweep
+// every 10 ms and servers that may be replaced meanwhile. from is the number of objects simulated
+// before.
 func simulateNewObjects(engine *Engine, from, n int, replaced replacement) {
 	servers := len(engine.serversByID)
 	for i := from; i < from+n; i++ {
@@ -241,7 +243,7 @@
 	}
 }
 
-// simulateNewObject plays the i-th new object, which is answered after 4 ms.
+// simulateNewObject simulates the i-th new object, which is answered after 4 ms.
 func simulateNewObject(engine *Engine, now time.Duration, i int) {
 	id := honeyplank.OpID(fmt.Sprint(i))
 	actions := engine.Handle(now, honeyplank.Op{
@@ -256,18 +258,18 @@
 	}
 }
 
-// objectCost is what new objects cost a fleet.
+// objectCost is the cost of new objects in a fleet.
 type objectCost struct {
-	visited     float64 // servers looked at, an object
-	allocations float64 // an object
+	visited     float64 // servers visited per object
+	allocations float64 // allocations per object
 	kept        int     // servers in the rankings of all volumes
 }
 
-// costOfObjects is the cost of new objects once the rankings are made.
+// costOfObjects returns the cost of new objects once all rankings have been built.
 func costOfObjects(servers int, replaced replacement) objectCost {
 	const objects = 4000
 	engine := largeFleet(servers)
-	simulateNewObjects(engine, 0, 200, noneReplaced) // each volume has its ranking
+	simulateNewObjects(engine, 0, 200, noneReplaced) // builds the ranking of each volume
 	engine.serversVisited = 0
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -283,28 +285,29 @@
 	return cost
 }
 
-// TestWorkDoesNotGrowWithTheFleet: once the rankings are made, new objects, answers and sweeps look at no
-// more than 1.4 times the servers with 3,200 than with 200, also while servers are replaced, and the
-// volumes keep no more of them.
+// TestWorkDoesNotGrowWithTheFleet: once all rankings have been built, new objects, answers and
+// sweeps visit at most 1.4 times as many servers with 3,200 servers as with 200, also while servers
+// are replaced. The same bound holds for the allocations and for the servers that the volumes keep.
 func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, replaced := range []replacement{noneReplaced, oneByOne} {
 		t.Run(string(replaced), func(t *testing.T) {
 			small, large := costOfObjects(200, replaced), costOfObjects(3200, replaced)
 			t.Logf("%+v with 200 servers, %+v with 3,200", small, large)
 			if large.visited > 1.4*small.visited {
-				t.Errorf("%v servers visited an object, %v with 200", large.visited, small.visited)
+				t.Errorf("%v servers visited per object, %v with 200 servers", large.visited, small.visited)
 			}
 			if large.allocations > 1.4*small.allocations {
-				t.Errorf("%v allocations an object, %v with 200", large.allocations, small.allocations)
+				t.Errorf("%v allocations per object, %v with 200 servers", large.allocations, small.allocations)
 			}
 			if large.kept > small.kept*14/10 {
-				t.Errorf("%v servers kept, %v with 200", large.kept, small.kept)
+				t.Errorf("%v servers kept in rankings, %v with 200 servers", large.kept, small.kept)
 			}
 		})
 	}
 }
 
-// BenchmarkFleet is the cost of a new object, its answer and half a sweep, by the number of servers.
+// BenchmarkFleet measures the cost of a new object, its answer and half a sweep, by the number of
+// servers.
 func BenchmarkFleet(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -8,10 +8,10 @@
 	"honeyplank"
 )
 
-// TestLostAnswer: a dispatch without an answer, while ops sent later to the same server are answered, is
-// cancelled long before its op timeout, and its op is dispatched again in time for its target latency.
-// One that nothing has overtaken, one of an at-most-once type, and any where cancelling is not allowed
-// are waited for.
+// TestLostAnswer: if ops sent later to the same server are answered, a dispatch without an answer
+// is cancelled long before its op timeout, and its op is dispatched again in time for its target
+// latency. A dispatch that no other has overtaken is not cancelled, nor is one of an at-most-once
+// type, nor any if cancelling or hedging is not allowed.
 func TestLostAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -20,14 +20,14 @@
 		dispatches int
 	}{
 		{"overtaken", func(*honeyplank.Settings) {}, true, 2},
-		{"alone", func(*honeyplank.Settings) {}, false, 1},
-		{"once-only", func(settings *honeyplank.Settings) {
+		{"not overtaken", func(*honeyplank.Settings) {}, false, 1},
+		{"at most once", func(settings *honeyplank.Settings) {
 			for i := range settings.OpTypes {
 				settings.OpTypes[i].Semantics = honeyplank.AtMostOnce
 			}
 		}, true, 1},
-		{"not allowed", func(settings *honeyplank.Settings) { settings.Dispatches.CancelAllowed = false }, true, 1},
-		{"one at a time", func(settings *honeyplank.Settings) { settings.Dispatches.HedgingAllowed = false }, true, 1},
+		{"no cancelling", func(settings *honeyplank.Settings) { settings.Dispatches.CancelAllowed = false }, true, 1},
+		{"no hedging", func(settings *honeyplank.Settings) { settings.Dispatches.HedgingAllowed = false }, true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fleet := newFastFleet(t, test.change)
@@ -39,14 +39,14 @@
 			}
 			fleet.advanceWithout(lost, 120*ms)
 			if len(lost.dispatched) != test.dispatches {
-				t.Errorf("%d dispatches, expected %d", len(lost.dispatched), test.dispatches)
+				t.Errorf("%d dispatches, want %d", len(lost.dispatched), test.dispatches)
 			}
 		})
 	}
 }
 
-// newFastFleet is one instance that may cancel and hedge, and one server that has answered ten ops.
-// change changes the settings.
+// newFastFleet returns one instance that may cancel and hedge, and one server that has answered ten
+// ops. change changes the settings.
 func newFastFleet(t *testing.T, change func(*honeyplank.Settings)) *testFleet {
 	t.Helper()
 	settings := testSettings()
@@ -60,13 +60,14 @@
 	return fleet
 }
 
-// admitLost sends the op whose answer does not come.
+// admitLost sends the op whose answer is lost.
 func (fleet *testFleet) admitLost() *trackedOp {
 	fleet.admit("lost", 0, 9, 99, 0)
 	return fleet.ops["lost0"]
 }
 
-// advanceWithout lets a time pass in which the first dispatch of an op ends only if it is cancelled.
+// advanceWithout advances the clock by a time in which the first dispatch of an op ends only if it
+// is cancelled.
 func (fleet *testFleet) advanceWithout(lost *trackedOp, length time.Duration) {
 	fleet.t.Helper()
 	for begun := fleet.now; fleet.now < begun+length; {
@@ -77,15 +78,15 @@
 	}
 }
 
-// simulateFastOp plays the i-th op of those that are answered after 5 ms.
+// simulateFastOp simulates the i-th op that is answered after 5 ms.
 func (fleet *testFleet) simulateFastOp(i int) {
 	fleet.admit("quick", i, 9, int64(i), 0)
 	fleet.now += 5 * ms
 	fleet.endDispatch(fleet.order[len(fleet.order)-1], honeyplank.Succeeded)
 }
 
-// TestFrequentlyLostAnswers: where answers are lost often, a dispatch that others overtake is cancelled
-// after half of the time.
+// TestFrequentlyLostAnswers: if answers are lost often, an overtaken dispatch is cancelled after
+// half of the time that it may take otherwise.
 func TestFrequentlyLostAnswers(t *testing.T) {
 	for share, want := range map[float64]int{0: 1, 0.05: 2} {
 		t.Run(fmt.Sprintf("share of %v lost", share), func(t *testing.T) {
@@ -93,7 +94,7 @@
 			fleet.instances[0].lostShare = share
 			lost := fleet.admitLost()
 			fleet.now += ms
-			for i := range 6 { // 31 ms, where 5 ms are usual and a sweep comes every 10 ms
+			for i := range 6 { // 31 ms in all, with a typical latency of 5 ms and a sweep every 10 ms
 				fleet.simulateFastOp(10 + i)
 				fleet.handle(0, honeyplank.Timer{ID: sweepTimer})
 				if lost.dispatched[0].cancelRequested && !lost.dispatched[0].done {
@@ -101,20 +102,20 @@
 				}
 			}
 			if n := len(lost.dispatched); n != want {
-				t.Errorf("%d dispatches, expected %d", n, want)
+				t.Errorf("%d dispatches, want %d", n, want)
 			}
 		})
 	}
 }
 
 // TestRetryWithinDedupWindow: a deduplicated op is retried only while the retry can run before the
-// servers forget the first dispatch, though the process is delayed and the connection comes up late.
-// The first dispatch always goes.
+// servers forget the first dispatch, even if the process is delayed and the connection is
+// established late. The first dispatch is always sent.
 func TestRetryWithinDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		dedupWindow, connectTimeout time.Duration
 		failsAfter                  time.Duration
-		want                        int // dispatches
+		want                        int // number of dispatches
 	}{
 		{time.Second, 0, 500 * ms, 2},
 		{time.Second, 0, 840 * ms, 2},
@@ -138,17 +139,18 @@
 			fleet.now += test.failsAfter
 			fleet.endDispatch(fleet.ops["a"], honeyplank.Reset)
 			if n := len(fleet.ops["a"].dispatched); n != test.want || len(fleet.violations) > 0 {
-				t.Errorf("%+v: %d dispatches, %v", test, n, fleet.violations)
+				t.Errorf("%+v: %d dispatches, violations %v", test, n, fleet.violations)
 			}
 		})
 	}
 }
 
-// TestRetryBudgetWithProcessPause: retries are seen at their servers up to a hold-up after they were counted.
+// TestRetryBudgetWithProcessPause: retries may reach their servers up to one process pause after
+// they were counted.
 func TestRetryBudgetWithProcessPause(t *testing.T) {
 	for _, test := range []struct {
 		free, share     float64
-		admitted, retry time.Duration // how long ago one was; 0: none
+		admitted, retry time.Duration // age of the one admission and of the one retry; 0: none
 		want            bool
 	}{
 		{1, 0, 0, 1100 * ms, false},
@@ -172,7 +174,7 @@
 				engine.retries = []time.Duration{engine.now - test.retry}
 			}
 			if got := engine.retryBudgetAllows(); got != test.want {
-				t.Errorf("%+v: allowed: %v", test, got)
+				t.Errorf("%+v: retry allowed: %v", test, got)
 			}
 		})
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -10,7 +10,7 @@
 	"honeyplank"
 )
 
-// randomSettings draws settings, also such as no deployment has.
+// randomSettings draws settings, including some that no deployment has.
 func randomSettings(rng *rand.Rand) *honeyplank.Settings {
 	settings := testSettings()
 	first, second := &settings.OpTypes[0], &settings.OpTypes[1]
@@ -40,7 +40,7 @@
 	return settings
 }
 
-// dropSettings drops up to three settings, which the module must bear.
+// dropSettings drops up to three settings, whose absence the module must tolerate.
 func dropSettings(rng *rand.Rand, settings *honeyplank.Settings) {
 	drop := []func(){
 		func() { settings.OpTypes = nil },
@@ -71,15 +71,15 @@
 	}
 }
 
-// fuzzedCodes are the codes by which dispatches of FuzzRules end, those of successes more often.
+// fuzzedCodes are the codes with which dispatches of FuzzRules end. Succeeded is the most frequent.
 var fuzzedCodes = []honeyplank.Code{
 	honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Succeeded, honeyplank.Succeeded,
 	honeyplank.Failed, honeyplank.Rejected, honeyplank.TimedOut, honeyplank.ConnectFailed,
 	honeyplank.Reset, honeyplank.Cancelled, honeyplank.NotSent,
 }
 
-// FuzzRules plays generated runs to several instances and holds every action to the model. At each step
-// the module and the model must also agree on what each queued op may do.
+// FuzzRules simulates random events for several instances and checks every action against the
+// model. At each step the module and the model must also agree on what each queued op may do.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(16) {
 		f.Add(seed)
@@ -98,10 +98,10 @@
 	})
 }
 
-// fuzzedFleet is a fleet with events at random.
+// fuzzedFleet is a fleet with random events.
 type fuzzedFleet struct {
 	*testFleet
-	events *rand.Rand // of the events; those of the fleet are drawn apart
+	events *rand.Rand // random source of the events, apart from that of the fleet
 }
 
 func newFuzzedFleet(t *testing.T, seed int64) *fuzzedFleet {
@@ -117,7 +117,7 @@
 	return fleet
 }
 
-// randomEstimates are saved estimates that may be of any time, also of one to come.
+// randomEstimates returns saved estimates of any age, including future ones.
 func randomEstimates(rng *rand.Rand) honeyplank.SavedEstimates {
 	return honeyplank.SavedEstimates{
 		TypicalLatency: rng.Float64(),
@@ -133,8 +133,8 @@
 	}
 }
 
-// admitRandomOps sends up to two ops to instances at random. Their timeouts are those of testSettings, also where the
-// fleet's settings have no op types.
+// admitRandomOps sends up to two ops to random instances. Their timeouts are those of testSettings,
+// even if the settings of the fleet have no op types.
 func (fleet *fuzzedFleet) admitRandomOps(step int) {
 	rng := fleet.events
 	for range rng.Intn(3) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// sendRandomEvent sends an event that is neither of an op nor of a dispatch's end, or nothing.
+// sendRandomEvent sends an event other than a new op or the end of a dispatch, or none.
 func (fleet *fuzzedFleet) sendRandomEvent() {
 	rng := fleet.events
 	kind := rng.Intn(150)
@@ -179,7 +179,7 @@
 	}
 }
 
-// closeClient has the client of an op close, if the op has no answer.
+// closeClient closes the client of an op that has no answer.
 func (fleet *fuzzedFleet) closeClient(op *trackedOp) {
 	if !op.answered {
 		op.answered = true
@@ -187,7 +187,7 @@
 	}
 }
 
-// sendUnknown sends events of an unknown op, server, timer and peer, which may do no harm.
+// sendUnknown sends events of an unknown op, server, timer and peer, which must do no harm.
 func (fleet *fuzzedFleet) sendUnknown() {
 	fleet.handle(0, honeyplank.Outcome{Op: "none", Server: "osd1", Code: honeyplank.Succeeded})
 	fleet.handle(0, honeyplank.Outcome{Server: "none", Code: honeyplank.Reset})
@@ -195,7 +195,7 @@
 	fleet.handle(0, honeyplank.PeerMessage{From: -1})
 }
 
-// startResponse starts the streamed answer to the outstanding dispatch of an op, if there is one that
+// startResponse starts the streamed answer to the outstanding dispatch of an op, if the dispatch
 // ends before the op times out.
 func (fleet *fuzzedFleet) startResponse(op *trackedOp) {
 	if op.answered || !op.outstanding() || fleet.dispatchEnds[op.ID] >= op.Timeout-10*ms {
@@ -205,7 +205,7 @@
 	fleet.handle(op.instance, honeyplank.ResponseStarted{Op: op.ID, Dispatch: len(op.dispatched) - 1})
 }
 
-// compareRules holds what the modules allow each queued op to the model.
+// compareRules compares what the module and the model allow for each queued op.
 func (fleet *fuzzedFleet) compareRules() {
 	fleet.t.Helper()
 	for _, tracked := range fleet.order {
@@ -226,13 +226,14 @@
 			model = append(model, fleet.mayRetry(tracked, server.ID, after))
 		}
 		if !reflect.DeepEqual(module, model) {
-			fleet.t.Fatalf("%s: rejection, order, budget, retry at each: module %v, model %v",
+			fleet.t.Fatalf("%s: rejection, order, retry budget, retry at each server: module %v, model %v",
 				tracked.ID, module, model)
 		}
 	}
 }
 
-// TestSameEventsSameActions: two instances with one seed take the same actions.
+// TestSameEventsSameActions: two instances with the same seed return the same actions for the same
+// events.
 func TestSameEventsSameActions(t *testing.T) {
 	first, second := New(7, testSettings()), New(7, testSettings())
 	for i := range 300 {
--- a/policy/service_run_test.go
+++ b/policy/service_run_test.go
@@ -8,28 +8,28 @@
 	"honeyplank"
 )
 
-// The course of a serviceRun.
+// Times at which the phases of a serviceRun begin and end.
 const (
 	faultBegins  = 15 * time.Second
 	faultEnds    = 21 * time.Second
-	recoveryEnds = 31 * time.Second // ten seconds after the fault service is back
+	recoveryEnds = 31 * time.Second // service must have recovered ten seconds after the fault
 	runEnds      = 46 * time.Second
 )
 
-// A class is starved when nothing of it is dispatched for starvedFor, while servers answer others, and
-// so many of its requests wait.
+// A class is starved if none of its requests is dispatched for starvedFor, while servers answer other
+// requests and at least starvedRequests attempts of the class wait.
 const (
 	starvedFor      = 5 * time.Second
 	starvedRequests = 12
 )
 
-// arrivalTimer is the timer of the simulation at which the next request arrives.
+// arrivalTimer is the timer of the simulation that is due when the next request arrives.
 const arrivalTimer honeyplank.TimerID = "arrival"
 
-// clientRequest is a request of a client over all its attempts.
+// clientRequest is a request of a client with all its attempts.
 type clientRequest struct {
 	class      int
-	first      time.Duration // when it was sent first
+	first      time.Duration // time of the first attempt
 	deadline   time.Duration
 	attempts   int
 	op         honeyplank.Op // of the last attempt
@@ -37,13 +37,13 @@
 	answered   bool
 }
 
-// attemptEvent has a client send a request again.
+// attemptEvent is a further attempt of a client.
 type attemptEvent struct {
 	honeyplank.Event
 	request *clientRequest
 }
 
-// serviceRun is one instance, its clients and its servers, on a clock of its own.
+// serviceRun is one instance, its clients and its servers, with their own clock.
 type serviceRun struct {
 	deployment
 	fault  *serviceFault
@@ -52,44 +52,45 @@
 	now    time.Duration
 	events eventQueue
 
-	attempts int                                // of all clients so far
-	requests map[honeyplank.OpID]*clientRequest // of the ops that have no answer
+	attempts int                                // number of attempts of all clients so far
+	requests map[honeyplank.OpID]*clientRequest // by the op of the last attempt, as long as it has no answer
 	all      []*clientRequest
-	served   map[*clientRequest]bool // within the target latency
+	served   map[*clientRequest]bool // whether it was served within the target latency
 
-	// For the search for starved classes.
-	lastDispatch []time.Duration // by class: the last dispatch
-	undispatched []int           // by class: attempts since then
-	lastAnswer   time.Duration
-	starved      string // what was found; empty: nothing
+	// Detection of starved classes.
+	lastDispatched []time.Duration // by class: time of the last dispatch
+	undispatched   []int           // by class: attempts since then
+	lastAnswer     time.Duration
+	starved        string // description of the starvation found; empty: none
 
-	// What a fault changes.
-	rateFactor    float64                                   // factor of the rate; 0: none
-	clientTimeout func(timeout time.Duration) time.Duration // nil: as the class has it
+	// Set by a fault.
+	rateFactor    float64                                   // factor of the request rate; 0: none
+	clientTimeout func(timeout time.Duration) time.Duration // nil: the timeout of the class
 	answer        answerFunc                                // nil: success
 }
 
-// answerFunc is how and after which time a server answers a request that it would serve in a time.
+// answerFunc returns the code with which a server answers a request, and the time after which it
+// does. took is the time that the server would need without a fault.
 type answerFunc func(request *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration)
 
 func newServiceRun(d deployment, fault *serviceFault, seed int64) *serviceRun {
 	run := &serviceRun{
-		deployment:   d,
-		fault:        fault,
-		rng:          rand.New(rand.NewSource(seed)),
-		module:       New(seed, d.settings()),
-		now:          time.Second,
-		requests:     map[honeyplank.OpID]*clientRequest{},
-		served:       map[*clientRequest]bool{},
-		lastDispatch: make([]time.Duration, len(d.classes)),
-		undispatched: make([]int, len(d.classes)),
+		deployment:     d,
+		fault:          fault,
+		rng:            rand.New(rand.NewSource(seed)),
+		module:         New(seed, d.settings()),
+		now:            time.Second,
+		requests:       map[honeyplank.OpID]*clientRequest{},
+		served:         map[*clientRequest]bool{},
+		lastDispatched: make([]time.Duration, len(d.classes)),
+		undispatched:   make([]int, len(d.classes)),
 	}
-	run.list(honeyplank.Up, 0)
+	run.sendList(honeyplank.Up, 0)
 	run.events.add(run.now, honeyplank.Timer{ID: arrivalTimer})
 	return run
 }
 
-// run plays the whole run.
+// run simulates the whole run.
 func (run *serviceRun) run() {
 	begun, ended := run.fault.begin == nil, false
 	for run.now < runEnds {
@@ -109,7 +110,7 @@
 	}
 }
 
-// step plays one event.
+// step simulates one event.
 func (run *serviceRun) step(next scheduledEvent) {
 	run.now = next.at
 	switch event := next.event.(type) {
@@ -128,8 +129,8 @@
 	}
 }
 
-// list sends a list in which all servers have a state.
-func (run *serviceRun) list(state honeyplank.MemberState, started time.Duration) {
+// sendList sends a list in which all servers have the given state and start.
+func (run *serviceRun) sendList(state honeyplank.MemberState, started time.Duration) {
 	members := membersUpTo(fleetServers)
 	for i := range members {
 		members[i].State, members[i].Started = state, started
@@ -137,7 +138,7 @@
 	run.events.add(run.now, honeyplank.List{Kind: honeyplank.Delta, Members: members})
 }
 
-// arriveNext has a request of a class at random arrive, and sets the time of the next.
+// arriveNext lets a request of a random class arrive, and schedules the next one.
 func (run *serviceRun) arriveNext() {
 	rate := requestRate
 	if run.rateFactor > 0 {
@@ -154,7 +155,8 @@
 	run.checkStarved()
 }
 
-// drawClass draws the class of a request; those beyond the usual rate in a surge are of the first.
+// drawClass draws the class of a request. In a surge, the requests beyond the usual rate are of the
+// first class.
 func (run *serviceRun) drawClass() int {
 	draw, class := run.rng.Float64(), 0
 	for draw > run.classes[class].share && class < len(run.classes)-1 {
@@ -167,12 +169,12 @@
 	return class
 }
 
-// checkStarved looks for a class of which nothing is dispatched.
+// checkStarved records the first class that is starved.
 func (run *serviceRun) checkStarved() {
 	if run.starved != "" || run.now-run.lastAnswer >= time.Second {
 		return
 	}
-	for class, last := range run.lastDispatch {
+	for class, last := range run.lastDispatched {
 		if run.now-last > starvedFor && run.undispatched[class] >= starvedRequests {
 			run.starved = fmt.Sprintf("class %d: nothing dispatched from %v to %v, %d attempts", class, last, run.now,
 				run.undispatched[class])
@@ -181,7 +183,7 @@
 	}
 }
 
-// arrive has a new request of a class arrive.
+// arrive lets a new request of a class arrive.
 func (run *serviceRun) arrive(class int, timeout time.Duration) {
 	request := &clientRequest{class: class, first: run.now, deadline: run.now + timeout}
 	volume := run.rng.Intn(fleetVolumes)
@@ -198,7 +200,7 @@
 	run.attempt(request)
 }
 
-// attempt sends a request, again perhaps, with what is left of its client's time.
+// attempt sends a request, possibly again, with the time that its client has left.
 func (run *serviceRun) attempt(request *clientRequest) {
 	if request.answered || run.now >= request.deadline || request.attempts >= maxAttempts {
 		return
@@ -213,7 +215,7 @@
 	run.handle(request.op)
 }
 
-// handle has the module handle an event, and carries out its actions.
+// handle sends an event to the module and carries out the actions.
 func (run *serviceRun) handle(event honeyplank.Event) {
 	for _, action := range run.module.Handle(run.now, event) {
 		run.carryOut(action)
@@ -240,7 +242,7 @@
 	}
 }
 
-// dispatch has a server end a dispatch, as the fault has it.
+// dispatch schedules the end of a dispatch at its server, according to the fault.
 func (run *serviceRun) dispatch(action honeyplank.Dispatch) {
 	request := run.requests[action.Op]
 	if request == nil {
@@ -260,10 +262,10 @@
 		Op: action.Op, Dispatch: request.dispatches, Server: action.Server, Code: code, Elapsed: end - run.now,
 	})
 	request.dispatches++
-	run.lastDispatch[request.class], run.undispatched[request.class] = run.now, 0
+	run.lastDispatched[request.class], run.undispatched[request.class] = run.now, 0
 }
 
-// end ends a dispatch.
+// end handles the end of a dispatch.
 func (run *serviceRun) end(outcome honeyplank.Outcome) {
 	request := run.requests[outcome.Op]
 	if request != nil && outcome.Code == honeyplank.Succeeded {
@@ -274,12 +276,13 @@
 	run.handle(outcome)
 }
 
-// classCounts are numbers of requests by class: those sent and those served within the target latency.
+// classCounts are numbers of requests by class: those sent, and those served within the target
+// latency.
 type classCounts struct {
 	served, sent []float64
 }
 
-// count adds the requests that were first sent in a span of time.
+// count adds the requests whose first attempt was made from one time up to another.
 func (run *serviceRun) count(counts classCounts, from, to time.Duration) {
 	for _, request := range run.all {
 		if request.first < from || request.first >= to {
--- a/policy/service_scenarios_test.go
+++ b/policy/service_scenarios_test.go
@@ -7,11 +7,11 @@
 	"honeyplank"
 )
 
-// requestClass is an op type of a simulated deployment and its traffic.
+// requestClass is an op type of a simulated deployment, with its traffic.
 type requestClass struct {
 	share     float64       // of all requests
-	units     int           // a request has from 1 to so many
-	unitTime  time.Duration // mean time that a server takes for a unit
+	units     int           // largest size of a request; the smallest is 1
+	unitTime  time.Duration // mean time in which a server serves a unit
 	target    time.Duration
 	timeout   time.Duration
 	utility   float64
@@ -19,7 +19,7 @@
 	scope     honeyplank.DedupScope
 }
 
-// deployment is what one instance of a large fleet is configured with and asked for.
+// deployment is the configuration and the traffic of one instance of a large fleet.
 type deployment struct {
 	name    string
 	classes []requestClass
@@ -27,21 +27,21 @@
 	limited bool                                // plans have a limit
 }
 
-// Figures of every simulated deployment.
+// Parameters of every simulated deployment.
 const (
 	fleetInstances  = 300
-	fleetServers    = 12 // those that hold the data of this instance's volumes
+	fleetServers    = 12 // servers that hold the data of this instance's volumes
 	fleetVolumes    = 16
 	volumeInstances = 2    // instances through which a volume's ops come
-	requestRate     = 30.0 // a second
+	requestRate     = 30.0 // requests a second
 	retryAfter      = 100 * ms
-	maxAttempts     = 3 // of a client
+	maxAttempts     = 3 // attempts of a client at one request
 )
 
 // deployments differ in semantics, sizes, times, limits and rules.
 var deployments = []deployment{
 	{
-		name: "replayable",
+		name: "idempotent ops only",
 		classes: []requestClass{
 			{0.55, 3, 15 * ms, 200 * ms, 1200 * ms, 2, honeyplank.Idempotent, 0},
 			{0.3, 3, 15 * ms, 300 * ms, 2000 * ms, 2, honeyplank.Idempotent, 0},
@@ -49,7 +49,7 @@
 		},
 	},
 	{
-		name: "one copy at a time",
+		name: "no hedging",
 		classes: []requestClass{
 			{0.55, 2, 8 * ms, 90 * ms, 350 * ms, 3, honeyplank.Idempotent, 0},
 			{0.23, 2, 12 * ms, 250 * ms, 1500 * ms, 5, honeyplank.AtMostOnce, 0},
@@ -61,7 +61,7 @@
 		},
 	},
 	{
-		name: "nothing withdrawn",
+		name: "no cancelling",
 		classes: []requestClass{
 			{0.35, 8, 12 * ms, 3000 * ms, 9000 * ms, 0.5, honeyplank.Idempotent, 0},
 			{0.27, 2, 10 * ms, 150 * ms, 600 * ms, 6, honeyplank.Deduplicated, honeyplank.ScopeAll},
@@ -73,14 +73,14 @@
 		},
 	},
 	{
-		name: "far apart",
+		name: "target latencies far apart",
 		classes: []requestClass{
 			{0.6, 1, 10 * ms, 80 * ms, 300 * ms, 2, honeyplank.Idempotent, 0},
 			{0.4, 6, 60 * ms, 5000 * ms, 15000 * ms, 1, honeyplank.Idempotent, 0},
 		},
 	},
 	{
-		name: "close together, rare",
+		name: "target latencies close together, rare classes",
 		classes: []requestClass{
 			{0.9, 2, 15 * ms, 200 * ms, 220 * ms, 1, honeyplank.Idempotent, 0},
 			{0.05, 2, 15 * ms, 180 * ms, 200 * ms, 4, honeyplank.AtMostOnce, 0},
@@ -88,7 +88,7 @@
 		},
 	},
 	{
-		name:    "limit and budget",
+		name:    "limit and retry budget",
 		limited: true,
 		classes: []requestClass{
 			{0.6, 2, 15 * ms, 200 * ms, 1200 * ms, 4, honeyplank.Idempotent, 0},
@@ -135,32 +135,32 @@
 	return opTypes
 }
 
-// What is asked of service, as parts of a class's requests that are served within the target latency.
+// Required service, as shares of a class's requests that are served within the target latency.
 const (
 	minServedBefore          = 0.5 // before the fault
-	minServed                = 0.9 // during a fault that takes no capacity from the class
+	minServed                = 0.9 // during a fault that leaves the class its capacity
 	minServedPartialFault    = 0.6 // during a fault in which a quarter of the servers serve nothing
-	minServedWithLostAnswers = 0.3 // while a quarter of the answers get lost and use up the window
-	marginStandardErrors     = 3.0 // standard errors by which chance may lower these
-	maxLossAfterFault        = 0.1 // of what was served before the fault, once it is over
+	minServedWithLostAnswers = 0.3 // while a quarter of the answers are lost and use up the window
+	marginStandardErrors     = 3.0 // random deviation allowed from these, in standard errors
+	maxLossAfterFault        = 0.1 // of the share served before the fault, once the fault is over
 )
 
 // serviceFault changes how clients, servers or the list behave, from faultBegins to faultEnds.
 type serviceFault struct {
 	name  string
-	begin func(run *serviceRun) // nil: nothing is to be done
-	end   func(run *serviceRun) // nil: nothing is to be done
-	// noCapacity: the fault leaves no capacity, so that nothing is asked of service until it is over.
+	begin func(run *serviceRun) // nil: no action
+	end   func(run *serviceRun) // nil: no action
+	// noCapacity: the fault leaves no capacity, so that no service is required until it is over.
 	noCapacity bool
-	surge      bool // more is asked for than a limit allows
-	// least is the part of each class that is served while it lasts; the class that is slow itself is
-	// left out.
+	surge      bool // the demand exceeds a limit
+	// least is the share of each class that must be served during the fault. The class that is slow
+	// itself is left out.
 	least                         float64
-	firstClassSlow, lastClassSlow bool // the first or the last class is slow itself
+	firstClassSlow, lastClassSlow bool // the ops of the first or the last class take long
 }
 
-// floor is the least part of a class that is served during the fault, of so many requests: no less than
-// what chance leaves.
+// floor returns the least share of a class's requests that must be served during the fault, less
+// the margin for random deviation with that number of requests.
 func (fault *serviceFault) floor(class, classes int, requests float64) float64 {
 	if fault.firstClassSlow && class == 0 || fault.lastClassSlow && class == classes-1 {
 		return 0
@@ -169,13 +169,14 @@
 }
 
 const (
-	silentAnswer   = time.Hour // the time of an answer that does not come
+	silentAnswer   = time.Hour // time of an answer that never comes
 	unusualTimeout = 1e9 * ms
-	slowFactor     = 20 // of the times of servers that are slow
-	surgeFactor    = 10 // of the requests in a surge
+	slowFactor     = 20 // factor of the service times of slow servers or classes
+	surgeFactor    = 10 // factor of the request rate in a surge
 )
 
-// answeredBy has the first servers end every dispatch by a code after a time.
+// answeredBy returns a fault in which the first servers end every dispatch with a code after a
+// time.
 func answeredBy(code honeyplank.Code, after time.Duration, servers int) func(*serviceRun) {
 	return func(run *serviceRun) {
 		run.answer = func(_ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
@@ -187,7 +188,7 @@
 	}
 }
 
-// slowed has the first servers serve requests that match slowly.
+// slowed returns a fault in which the first servers are slow to serve the classes that match.
 func slowed(servers int, match func(run *serviceRun, class int) bool) func(*serviceRun) {
 	return func(run *serviceRun) {
 		run.answer = func(request *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
@@ -205,7 +206,7 @@
 
 func lastClass(run *serviceRun, class int) bool { return class == len(run.classes)-1 }
 
-// fastAnswers has each server answer once very fast.
+// fastAnswers lets each server give its first answer very fast.
 func fastAnswers(run *serviceRun) {
 	seen := map[int]bool{}
 	run.answer = func(_ *clientRequest, server int, took time.Duration) (honeyplank.Code, time.Duration) {
@@ -217,7 +218,7 @@
 	}
 }
 
-// loseAnswers has a quarter of the answers get lost.
+// loseAnswers loses a quarter of the answers.
 func loseAnswers(run *serviceRun) {
 	run.answer = func(_ *clientRequest, _ int, took time.Duration) (honeyplank.Code, time.Duration) {
 		if run.rng.Intn(4) == 0 {
@@ -249,24 +250,24 @@
 	{name: "a quarter of the servers slow", least: minServedPartialFault, begin: slowed(fleetServers/4, anyClass)},
 	{name: "the first class slow", least: minServed, firstClassSlow: true, begin: slowed(fleetServers, firstClass)},
 	{name: "the last class slow", least: minServed, lastClassSlow: true, begin: slowed(fleetServers, lastClass)},
-	{name: "silence", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
+	{name: "no answers", begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers), noCapacity: true},
 	{
-		name: "silence of a quarter", least: minServedPartialFault,
+		name: "no answers from a quarter of the servers", least: minServedPartialFault,
 		begin: answeredBy(honeyplank.TimedOut, silentAnswer, fleetServers/4),
 	},
 	{name: "errors", begin: answeredBy(honeyplank.Failed, ms, fleetServers), noCapacity: true},
 	{
-		name: "errors of a quarter", least: minServedPartialFault,
+		name: "errors from a quarter of the servers", least: minServedPartialFault,
 		begin: answeredBy(honeyplank.Failed, ms, fleetServers/4),
 	},
 	{name: "resets", begin: answeredBy(honeyplank.Reset, 5*ms, fleetServers), noCapacity: true},
 	{name: "no connections", begin: answeredBy(honeyplank.ConnectFailed, 250*ms, fleetServers), noCapacity: true},
 	{name: "full queues", begin: answeredBy(honeyplank.Rejected, ms, fleetServers), noCapacity: true},
 	{
-		name: "full queues of a quarter", least: minServedPartialFault,
+		name: "full queues at a quarter of the servers", least: minServedPartialFault,
 		begin: answeredBy(honeyplank.Rejected, ms, fleetServers/4),
 	},
-	{name: "no descriptors", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
+	{name: "dispatches not sent", begin: answeredBy(honeyplank.NotSent, 0, fleetServers), noCapacity: true},
 	{name: "one very fast answer of each server", least: minServed, begin: fastAnswers},
 	{name: "lost answers", least: minServedWithLostAnswers, begin: loseAnswers},
 	{
@@ -274,12 +275,12 @@
 		begin: func(run *serviceRun) { run.rateFactor = surgeFactor },
 	},
 	{
-		name: "all servers are gone and come back", noCapacity: true,
-		begin: func(run *serviceRun) { run.list(honeyplank.Removed, 0) },
-		end:   func(run *serviceRun) { run.list(honeyplank.Up, 0) },
+		name: "all servers removed and added again", noCapacity: true,
+		begin: func(run *serviceRun) { run.sendList(honeyplank.Removed, 0) },
+		end:   func(run *serviceRun) { run.sendList(honeyplank.Up, 0) },
 	},
 	{
 		name: "all servers restart", noCapacity: true,
-		begin: func(run *serviceRun) { run.list(honeyplank.Up, run.now) },
+		begin: func(run *serviceRun) { run.sendList(honeyplank.Up, run.now) },
 	},
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -10,8 +10,9 @@
 // seedsPerFault is the number of runs of each deployment with each fault.
 const seedsPerFault = 4
 
-// TestEachClassIsServed plays faults to one instance of a large fleet and looks at what each class is
-// served: before the fault, during one that leaves capacity, and once it is over.
+// TestEachClassIsServed simulates faults for one instance of a large fleet and checks the service
+// of each class before the fault, during a fault that leaves capacity, and once the fault is over.
+// It guards against faults that starve one class while others are served.
 func TestEachClassIsServed(t *testing.T) {
 	for _, d := range deployments {
 		for i := range serviceFaults {
@@ -24,11 +25,13 @@
 	}
 }
 
-// simulateFault plays some runs of a deployment with a fault, in which no class may be starved.
+// simulateFault simulates several runs of a deployment with a fault. No class may be starved in
+// them.
 func simulateFault(t *testing.T, d deployment, fault *serviceFault) *serviceCounts {
 	t.Helper()
 	service := newServiceCounts(len(d.classes))
-	// A surge uses up a limit: what is left of it goes to the class of more utility, until it is over.
+	// A surge uses up a limit. The rest of the limit goes to the class with more utility until the
+	// surge is over.
 	noCapacity := fault.noCapacity || d.limited && fault.surge
 	for seed := int64(1); seed <= seedsPerFault; seed++ {
 		run := newServiceRun(d, fault, seed)
@@ -41,7 +44,7 @@
 	return service
 }
 
-// serviceCounts are the counts of some runs before, during and after a fault.
+// serviceCounts are the counts of several runs before, during and after a fault.
 type serviceCounts struct {
 	before, during, after classCounts
 }
@@ -51,14 +54,14 @@
 	return &serviceCounts{before: counts(), during: counts(), after: counts()}
 }
 
-// add adds the requests of a run, but for those of the first and the last seconds.
+// add adds the requests of a run, except those of its first and last seconds.
 func (service *serviceCounts) add(run *serviceRun) {
 	run.count(service.before, 5*time.Second, faultBegins)
 	run.count(service.during, faultBegins, faultEnds)
 	run.count(service.after, recoveryEnds, runEnds-6*time.Second)
 }
 
-// check holds the parts of each class's requests that were served to what is asked.
+// check compares the shares of each class's requests that were served with the required ones.
 func (service *serviceCounts) check(t *testing.T, d deployment, fault *serviceFault) {
 	t.Helper()
 	before, during, after := service.before, service.during, service.after
@@ -74,11 +77,11 @@
 		}
 		floor := fault.floor(class, len(d.classes), during.sent[class])
 		if servedDuring < floor && !(d.limited && fault.surge) {
-			t.Errorf("class %d: served %.2f of its %v requests during the fault, at least %.2f expected",
+			t.Errorf("class %d: served %.2f of its %v requests during the fault, want at least %.2f",
 				class, servedDuring, during.sent[class], floor)
 		}
 		if servedAfter < servedBefore-maxLossAfterFault {
-			t.Errorf("class %d: served %.2f of its requests before the fault, %.2f once it is over",
+			t.Errorf("class %d: served %.2f of its requests before the fault, but %.2f once it is over",
 				class, servedBefore, servedAfter)
 		}
 	}
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -8,29 +8,29 @@
 	"honeyplank"
 )
 
-// TestSlices: the window bounds what is outstanding, the served volume goes first when the window has
-// capacity again, and a slice that is over is followed by the next.
-func TestSlices(t *testing.T) {
+// TestSliceOrder: the window bounds the outstanding ops, the served volume goes first when the
+// window has capacity again, and the next slice starts when a slice is over.
+func TestSliceOrder(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("other", 0, 8, 2, 0)
 	fleet.admit("own", 0, 9, 3, 0)
 	server := fleet.instances[0].servers["osd0"]
 	if server.outstanding != 4 {
-		t.Errorf("%d ops outstanding in a window of 4", server.outstanding)
+		t.Errorf("%d ops outstanding, want 4 in a window of 4", server.outstanding)
 	}
 	server.sliceEnd = time.Second
 	fleet.endDispatch(fleet.ops["full0"], honeyplank.Succeeded)
 	if len(fleet.ops["own0"].dispatched) != 1 || len(fleet.ops["other0"].dispatched) != 0 {
-		t.Error("the served volume did not go first")
+		t.Error("the op of the served volume was not dispatched first")
 	}
 	fleet.admit("own", 1, 9, 4, 0)
 	server.sliceEnd = 0
 	if fleet.endDispatch(fleet.ops["full1"], honeyplank.Succeeded); len(fleet.ops["other0"].dispatched) != 1 {
-		t.Error("the slice did not end")
+		t.Error("no op of another volume was dispatched after the end of the slice")
 	}
 }
 
-// TestSliceLengths: slices follow the weights of the plans.
+// TestSliceLengths: the lengths of slices follow the weights of the plans.
 func TestSliceLengths(t *testing.T) {
 	fleet := fullServerFleet(t)
 	engine := fleet.instances[0]
@@ -41,12 +41,13 @@
 	light := server.sliceEnd - engine.now
 	engine.startSlice(server, &volumeQueue{volume: &volume{plan: 1}})
 	if heavy := server.sliceEnd - engine.now; heavy < 2*light {
-		t.Errorf("slices of %v and %v for weights 1 and 3", light, heavy)
+		t.Errorf("slices of %v and %v for weights 1 and 3, want the second at least twice the first", light, heavy)
 	}
 }
 
-// TestThinkTimeAndAwait: with nothing queued the slice ends when think time reaches past it or another
-// volume completes faster; else the instance waits, and others fill the window meanwhile.
+// TestThinkTimeAndAwait: if no op of the served volume is queued, its slice ends when the think
+// time exceeds the rest of the slice or another volume has a shorter await. Otherwise the instance
+// waits, and the other volumes use the window in the meantime.
 func TestThinkTimeAndAwait(t *testing.T) {
 	for _, test := range []struct {
 		thinkTime, ownAwait, otherAwait time.Duration
@@ -77,24 +78,25 @@
 	}
 }
 
-// meanOf is a decayed mean with a value that new observations hardly move.
+// meanOf returns a decayed mean with a value that new observations hardly change.
 func meanOf(value time.Duration) decayedMean {
 	return decayedMean{total: 1e6 * float64(value/ms), sum: 1e6}
 }
 
-// TestKeyRunsAndUnreachableDeadlines: ops of one run of a key reach the server together (incident
-// i6f4fcd), and an op that cannot be in time any more is answered at once.
+// TestKeyRunsAndUnreachableDeadlines: ops of one run of a key are dispatched to the server one
+// after another (incident i6f4fcd), and an op that can no longer be answered in time is given up at
+// once.
 func TestKeyRunsAndUnreachableDeadlines(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("other", 0, 9, 2, 0)
 	fleet.admit("run", 0, 9, 1, 0)
 	fleet.endDispatch(fleet.order[0], honeyplank.Succeeded)
 	if len(fleet.ops["run0"].dispatched) != 1 || len(fleet.ops["other0"].dispatched) != 0 {
-		t.Error("the op of the key sent last does not go first")
+		t.Error("the op with the key of the last op sent was not dispatched first")
 	}
 	fleet.instances[0].setServerLatency(fleet.instances[0].servers["osd0"], 1)
 	fleet.admit("late", 0, 8, 2, 0)
 	if !fleet.ops["late0"].answered {
-		t.Error("an op that cannot be in time is queued")
+		t.Error("an op that cannot be answered in time was not given up")
 	}
 }
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -10,50 +10,52 @@
 	"honeyplank"
 )
 
-// slowStartFleet is many instances and some servers, of which one or several have just started.
+// slowStartFleet is a scenario with many instances and several servers, of which at least one has
+// just started.
 type slowStartFleet struct {
 	instances           int
-	budget              float64       // mean ops within the window that a server takes right after its start
-	demand              float64       // mean ops within the window that clients want of it, in parts of that
-	otherDemand         float64       // the same of each other server
+	budget              float64       // mean-sized ops that a server can take within the window right after its start
+	demand              float64       // demand on it within the window, as a multiple of the budget
+	otherDemand         float64       // the same for each other server
 	skewed              bool          // a tenth of the instances have half of the traffic
 	withinReserve       bool          // ops are within their volumes' reserves
-	retries             bool          // a rejected op comes again soon, up to three times
-	volumeInstances     int           // instances through which a volume's ops come, seven volumes a server; 0: all
+	retries             bool          // clients send a rejected op again soon, up to three times
+	volumeInstances     int           // instances of a volume, with seven volumes for each server; 0: all
 	hotVolume           bool          // one volume has half of the demand on the first server
-	configuredInstances int           // instances that the settings state; 0: as many as run
-	burst               float64       // factor of the demand a second after the start; 0: none
-	restarts            int           // servers that start at once, as when a zone comes back; 0: one
-	secondStart         time.Duration // after the first start the servers start once more; 0: they don't
-	connectDelay        time.Duration // no connection comes up for so long after a start; what waits arrives at once
+	configuredInstances int           // number of instances in the settings; 0: the actual one
+	burst               float64       // factor of the demand from one second after the start; 0: none
+	restarts            int           // servers that start together, as after the loss of a zone; 0: one
+	secondStart         time.Duration // time after the first start until the second one; 0: none
+	connectDelay        time.Duration // time from a start to the first connection; waiting ops then arrive at once
 	connectTimeout      time.Duration
 }
 
-// Figures of every scenario.
+// Parameters of every scenario.
 const (
-	slowStartMeanUnits  = 2.0 // of an op
+	slowStartMeanUnits  = 2.0 // per op
 	slowStartServers    = 20
 	slowStartTestWindow = time.Second
 	slowStartWarmUp     = 5 * time.Second
 	slowStartFrom       = 0.21
 	firstStart          = 8 * time.Second
-	volumesPerServer    = 7 // where volumeInstances is set
+	volumesPerServer    = 7 // if volumeInstances is set
 	slowStartRunEnds    = firstStart + slowStartWarmUp
 )
 
-// String names the scenario; those that differ elsewhere alone are numbered by the testing package.
+// String names the scenario. The testing package numbers scenarios that differ only in other
+// fields.
 func (scenario slowStartFleet) String() string {
 	return fmt.Sprintf("%d instances, budget %v, demand %v and %v",
 		scenario.instances, scenario.budget, scenario.demand, scenario.otherDemand)
 }
 
-// fields prints a scenario with all its fields, not as its String.
+// fields returns a scenario that is printed with all its fields instead of its String.
 func fields(scenario slowStartFleet) any {
 	type plain slowStartFleet
 	return plain(scenario)
 }
 
-// clientTimeout is how long clients wait. What waits for a connection may wait for it to the end.
+// clientTimeout returns the timeout of clients. It is long if ops wait for their connection.
 func (scenario slowStartFleet) clientTimeout() time.Duration {
 	if scenario.connectDelay > 0 {
 		return 5 * time.Second
@@ -91,7 +93,7 @@
 	return settings
 }
 
-// starts are the times at which the servers in slow start start.
+// starts returns the times at which the servers in slow start start.
 func (scenario slowStartFleet) starts() []time.Duration {
 	if scenario.secondStart > 0 {
 		return []time.Duration{firstStart, firstStart + scenario.secondStart}
@@ -99,7 +101,7 @@
 	return []time.Duration{firstStart}
 }
 
-// startBefore is the latest of starts, as of a time.
+// startBefore returns the latest of the starts before a time, or the first start if there is none.
 func (scenario slowStartFleet) startBefore(at time.Duration) time.Duration {
 	if scenario.secondStart > 0 && at >= firstStart+scenario.secondStart {
 		return firstStart + scenario.secondStart
@@ -107,7 +109,7 @@
 	return firstStart
 }
 
-// restartedPrefix is that of the ids of servers in slow start.
+// restartedPrefix is the prefix of the ids of servers in slow start.
 const restartedPrefix = "restarted"
 
 func restartedServer(i int) honeyplank.ServerID {
@@ -123,46 +125,47 @@
 	server   honeyplank.ServerID
 	at       time.Duration
 	units    float64
-	notified bool // its instance was notified of the start
+	notified bool // its instance had been notified of the start
 }
 
-// arrivalEvent is the arrival of a dispatch at its server, or its end where it arrives nowhere.
+// arrivalEvent is the arrival of a dispatch at its server, or its end if it does not arrive.
 type arrivalEvent struct {
 	honeyplank.Event
 	arrival
 	decidedAt time.Duration
-	failure   honeyplank.Code // of what arrives nowhere; 0: it arrives
+	failure   honeyplank.Code // code of a dispatch that does not arrive; 0: it arrives
 }
 
-// instanceEvent is an event of one of many instances.
+// instanceEvent is an event for one of many instances.
 type instanceEvent struct {
 	honeyplank.Event
 	instance int
 }
 
-// retriedOp is an op of a client that may send it again when it is rejected.
+// retriedOp is an op that its client may send again after a rejection.
 type retriedOp struct {
 	simulatedOp
 	retries int
 }
 
-// slowStartRun is a run of a slowStartFleet, on a clock of its own.
+// slowStartRun is a run of a slowStartFleet with its own clock.
 type slowStartRun struct {
 	slowStartFleet
 	rng           *rand.Rand
 	engines       []*Engine
 	now           time.Duration
 	events        eventQueue
-	notifiedStart []time.Duration // by instance: the start that it knows of
+	notifiedStart []time.Duration // by instance: the last start of which it was notified
 	ops           map[honeyplank.OpID]*retriedOp
 	arrivals      map[honeyplank.ServerID][]arrival // at servers in slow start
-	sent          int                               // number of these
+	sent          int                               // number of these arrivals
 }
 
-// simulate returns the most that reaches a server in slow start within any window, over its overload
-// threshold then, and how much reaches all of them. What counts is when a dispatch arrives, not when it
-// was decided: it waits for its connection. A window with a third or more from instances that were not
-// notified of the start is left out.
+// simulate returns the largest number of mean-sized ops that reach a server in slow start within
+// any window, divided by the server's overload threshold at that time, and the number of dispatches
+// that reach all servers in slow start. A dispatch counts when it arrives, not when it was decided,
+// because it waits for its connection. A window is left out if a third or more of its units come
+// from instances that had not been notified of the start.
 func (scenario slowStartFleet) simulate(seed int64) (worst float64, sent int) {
 	run := newSlowStartRun(scenario, seed)
 	for !run.events.empty() {
@@ -206,8 +209,8 @@
 	run.events.add(at, instanceEvent{event, instance})
 }
 
-// addLists adds the lists that an instance is sent. Each server in slow start takes the place of another,
-// under an id of its own, and instances are notified of it at different times.
+// addLists schedules the lists that an instance is sent. Each server in slow start replaces another
+// one, under its own id. The instances are notified at different times.
 func (run *slowStartRun) addLists(instance int) {
 	at := run.now + time.Duration(run.rng.Int63n(int64(100*ms)))
 	run.add(at, instance, honeyplank.List{Kind: honeyplank.Complete, Members: membersUpTo(slowStartServers)})
@@ -223,7 +226,7 @@
 	}
 }
 
-// addOps adds the ops on a cell, at a usual rate of so many a second.
+// addOps schedules the ops on a cell, at the given rate per second outside of a burst.
 func (run *slowStartRun) addOps(cell int, usual float64) {
 	for at := run.now; at < slowStartRunEnds; {
 		rate := usual
@@ -235,7 +238,7 @@
 	}
 }
 
-// addOp adds an op on a cell, through an instance of its volume.
+// addOp schedules an op on a cell, through an instance of its volume.
 func (run *slowStartRun) addOp(at time.Duration, cell int) {
 	op := honeyplank.Op{
 		ID:        honeyplank.OpID(fmt.Sprint(cell, "/", run.events.added)),
@@ -245,7 +248,7 @@
 		Cell:      cell,
 		Instances: run.instances,
 	}
-	if run.connectDelay > 0 { // a type with time to wait for its connection
+	if run.connectDelay > 0 { // an op type whose target latency leaves time to wait for a connection
 		op.Type = 1
 	}
 	if run.volumeInstances == 0 {
@@ -261,7 +264,7 @@
 	run.add(at, (number+run.rng.Intn(run.volumeInstances)*101)%run.instances, op)
 }
 
-// drawInstance draws the instance of an op that may come through any.
+// drawInstance draws the instance of an op that may come through any instance.
 func (run *slowStartRun) drawInstance() int {
 	if run.skewed && run.rng.Intn(2) == 0 {
 		return run.rng.Intn(max(run.instances/10, 1))
@@ -269,7 +272,7 @@
 	return run.rng.Intn(run.instances)
 }
 
-// step plays one event.
+// step simulates one event.
 func (run *slowStartRun) step(received instanceEvent) {
 	switch event := received.Event.(type) {
 	case honeyplank.Op:
@@ -289,7 +292,7 @@
 	}
 }
 
-// arrive records the arrival of a dispatch and adds its end.
+// arrive records the arrival of a dispatch and schedules its end.
 func (run *slowStartRun) arrive(instance int, event arrivalEvent) {
 	outcome := honeyplank.Outcome{
 		Op: event.op, Dispatch: event.dispatch, Server: event.server, Code: honeyplank.Succeeded, Answered: true,
@@ -317,7 +320,8 @@
 	}
 }
 
-// dispatch has a dispatch arrive once there is a connection, or end where there is none in time.
+// dispatch schedules the arrival of a dispatch once there is a connection, or its end if there is
+// no connection in time.
 func (run *slowStartRun) dispatch(instance int, action honeyplank.Dispatch) {
 	op := run.ops[action.Op]
 	arriving := arrivalEvent{
@@ -337,7 +341,7 @@
 	run.add(arrivesAt, instance, arriving)
 }
 
-// retry has the client of a rejected op send it again.
+// retry schedules the next attempt of the client of a rejected op.
 func (run *slowStartRun) retry(instance int, op *retriedOp) {
 	if !run.retries || op.retries >= 3 {
 		return
@@ -350,8 +354,8 @@
 	run.add(at, instance, retried.Op)
 }
 
-// worstWindow is the most that reaches a server within any window of its log, over its overload
-// threshold then.
+// worstWindow returns the largest number of mean-sized ops that reach a server within any window of
+// its log, divided by the server's overload threshold at that time.
 func (scenario slowStartFleet) worstWindow(log []arrival) (worst float64) {
 	first, sum, notified := 0, 0.0, 0.0
 	for _, item := range log {
@@ -372,7 +376,8 @@
 	return worst
 }
 
-// notifiedUnits are the units of an arrival from an instance that was notified of the start.
+// notifiedUnits returns the units of an arrival if its instance had been notified of the start, or
+// else 0.
 func (a arrival) notifiedUnits() float64 {
 	if a.notified {
 		return a.units
@@ -380,8 +385,8 @@
 	return 0
 }
 
-// overloadThreshold is the number of mean ops from which a server is overloaded, by the rule of the
-// platform on the budget N: N + 2 root N + 2, and N + 3 root N + 3 below 30.
+// overloadThreshold returns the number of mean-sized ops at which a server is overloaded, by the
+// rule of the platform for a budget of N: N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 if N is below 30.
 func overloadThreshold(budgetOps float64) float64 {
 	if budgetOps < 30 {
 		return budgetOps + 3*math.Sqrt(budgetOps) + 3
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -8,10 +8,10 @@
 	"honeyplank"
 )
 
-// slowStartScenarios have few and many instances, even and skewed traffic, a hot cell, retries of all
-// clients, different demand on the other servers, first connections that come up late, servers that
-// start twice or several at once, and more or fewer instances than the settings state: by a tenth more,
-// since nothing shows an instance how many others run.
+// slowStartScenarios cover few and many instances, even and skewed traffic, a hot cell, retries of
+// all clients, different demand on the other servers, connections that are established late,
+// servers that start twice or several at once, and more or fewer instances than the settings state.
+// At most a tenth more run than stated, because an instance cannot find out how many others run.
 var slowStartScenarios = []slowStartFleet{
 	{instances: 4, budget: 60, demand: 3, otherDemand: 0.2},
 	{instances: 25, budget: 60, demand: 3, otherDemand: 0.2, withinReserve: true},
@@ -109,8 +109,9 @@
 	},
 }
 
-// TestSlowStartFleet: whatever a fleet is asked, all instances together send a server that has just
-// started no more than its budget and what is put down to chance. What counts is what arrives.
+// TestSlowStartFleet: whatever the demand on a fleet is, all instances together send a server that
+// has just started no more than its budget and the deviation that chance explains. Ops count when
+// they arrive.
 func TestSlowStartFleet(t *testing.T) {
 	for _, scenario := range slowStartScenarios {
 		t.Run(scenario.String(), func(t *testing.T) {
@@ -121,17 +122,18 @@
 			}
 			for seed := int64(1); seed <= seeds; seed++ {
 				worst, sent := scenario.simulate(seed)
-				t.Logf("%+v: %.2f, %d sent", fields(scenario), worst, sent)
+				t.Logf("%+v: %.2f times the overload threshold, %d ops sent", fields(scenario), worst, sent)
 				if worst > 1 {
-					t.Errorf("%+v: %.2f times its overload threshold", fields(scenario), worst)
+					t.Errorf("%+v: %.2f times the overload threshold, want at most 1", fields(scenario), worst)
 				}
 			}
 		})
 	}
 }
 
-// TestSlowStartBudgetIsUsed: a server that has just started is sent a good part of its budget, also where
-// its volumes come through a few of many instances: ops on data that it holds can't go elsewhere.
+// TestSlowStartBudgetIsUsed: a server that has just started is sent a large part of its budget,
+// even if its volumes come through a few of many instances. Ops on data that it holds cannot go
+// elsewhere.
 func TestSlowStartBudgetIsUsed(t *testing.T) {
 	const least = 0.4
 	for _, scenario := range []slowStartFleet{
@@ -141,20 +143,21 @@
 		{instances: 300, budget: 60, demand: 3, otherDemand: 3, volumeInstances: 3, withinReserve: true},
 	} {
 		t.Run(scenario.String(), func(t *testing.T) {
-			budget := 0.0 // in mean ops, over the five seconds until it is warm
+			budget := 0.0 // in mean-sized ops, over the five seconds of its slow start
 			for second := range 5 {
 				budget += scenario.budget * (0.21 + 0.79*(float64(second)+0.5)/5) / 0.21
 			}
 			_, sent := scenario.simulate(1)
 			if part := float64(sent) / budget; part < least {
-				t.Errorf("%+v: sent %.2f of its budget", fields(scenario), part)
+				t.Errorf("%+v: sent %.2f of the budget, want at least 0.4", fields(scenario), part)
 			}
 		})
 	}
 }
 
-// TestSlowStartRandomAdmission: a restarted server gets the mean share of its budget, also where the
-// shares of a hundred instances are smaller than one op; ops within their reserves come first.
+// TestSlowStartRandomAdmission: a restarted server is sent the intended share of its budget on
+// average, even if the shares of a hundred instances are smaller than one op. Ops within their
+// reserves are admitted first.
 func TestSlowStartRandomAdmission(t *testing.T) {
 	engine, server := slowStartEngine()
 	sent := unitsByClass{}
@@ -167,11 +170,12 @@
 	}
 	total := sent[reserveDemand] + sent[spareDemand]
 	if total < 0.17 || total > 0.18 || sent[spareDemand] > 0.01 {
-		t.Errorf("%v units a second on average, of seven eighths of a share of 0.2", sent)
+		t.Errorf("%v units a second on average, want seven eighths of a share of 0.2", sent)
 	}
 }
 
-// TestSlowStartBeforeFirstAnswer: connections that come up late bring together what was sent until then.
+// TestSlowStartBeforeFirstAnswer: before the first answer, connections may be established late, and
+// all dispatches sent until then may arrive together. Fewer ops are therefore admitted.
 func TestSlowStartBeforeFirstAnswer(t *testing.T) {
 	engine, server := slowStartEngine()
 	server.respondedSinceStart = false
@@ -182,24 +186,25 @@
 		}
 	}
 	if want := 0.175 / (0.5 * (1 + processPause.Seconds())); math.Abs(admitted-want) > 0.002 {
-		t.Errorf("%v of the ops may be dispatched before an answer, want %v", admitted, want)
+		t.Errorf("share of ops that may be dispatched before the first answer: %v, want %v", admitted, want)
 	}
 }
 
-// TestSlowStartMaxOps: an instance sends two mean ops within a window, whatever their draws.
+// TestSlowStartMaxOps: an instance sends at most two mean-sized ops within a window, whatever their
+// admission draws are.
 func TestSlowStartMaxOps(t *testing.T) {
 	engine, server := slowStartEngine()
 	for n := range 4 {
 		if got := engine.slowStartAllows(server, 2, 0, reserveDemand); got != (n < 2) {
-			t.Errorf("op %d of a window may be dispatched: %v", n+1, got)
+			t.Errorf("op %d of a window may be dispatched: %v, want true for two ops only", n+1, got)
 		}
 		server.sentLog = append(server.sentLog, sentUnits{engine.now, 2})
 	}
 }
 
-// slowStartEngine is one of a hundred instances, with a demand of 10 units a second within reserves and
-// of 30 beyond them on 20 servers, and one of these that has just started, with a budget of 20 units a
-// second.
+// slowStartEngine returns one of a hundred instances, with a demand of 10 units a second within
+// reserves and of 30 beyond them on 20 servers, and one of these servers that has just started,
+// with a budget of 20 units a second.
 func slowStartEngine() (*Engine, *server) {
 	settings := testSettings()
 	settings.SlowStart = honeyplank.SlowStartSettings{From: 0.2, Units: 20, Time: time.Minute, Window: time.Second}
