--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		if fleet.now-last > time.Second || requests > 1000 {
-			t.Fatalf("%d watch requests until %v, the last at %v", requests, fleet.now, last)
+			t.Fatalf("%d watch requests until %v, the last at %v, want one a second", requests, fleet.now, last)
 		}
 	}
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -78,7 +78,7 @@
 	cellBoundDemand      decayedRate  // of the same ops, over a longer time
 	fleetDemand          decayedRate  // through all instances, for the volumes with ops at this one
 	demandByCell         map[int]*cellDemand
-	maxInstancesSeen     int     // largest number of instances that a volume came through
+	maxInstancesSeen     int     // largest number of instances of any volume
 	unitsAdmitted        float64 // sum of the units of all ops
 	unitsSquaredAdmitted float64 // sum of the squares of these units
 
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -28,7 +28,7 @@
 	ops          map[honeyplank.OpID]*trackedOp
 	order        []*trackedOp // in the order of admission
 	servers      map[honeyplank.ServerID]honeyplank.Member
-	stoppedSince map[honeyplank.ServerID]time.Duration // when the instances learned that it is draining or removed
+	stoppedSince map[honeyplank.ServerID]time.Duration // time of the notification that it is draining or removed
 	slowStart    map[honeyplank.ServerID][]slowStartDispatch
 	limitUsed    map[int64]float64 // by volume: units taken from the limit's bucket
 	limitUsedAt  map[int64]time.Duration
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -54,8 +54,8 @@
 	if volume.reserve > 0 { // an empty bucket is not charged, so that its debt never exceeds one op
 		volume.reserve -= op.Units
 	}
-	// A server may drop an op that has little time left, without an answer. Its silence is then no
-	// evidence against it.
+	// A server may drop an op that has little time left, without an answer. A missing answer is
+	// then no evidence against the server.
 	shortDeadline := op.Timeout-e.now < 2*e.earliestAnswer(server, op.Type)
 	if !shortDeadline && server.fullDeadlineDispatches == 0 || server.health == honeyplank.HealthHalfOpen {
 		server.unansweredSince = e.now
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// nextSignal is algorithm 1 of the paper, extended so that ops within their reserve go first.
+// nextSignal returns the signal for the current state of a server's slices. It is algorithm 1 of
+// the paper, extended so that ops within their reserve go first.
 func (e *Engine) nextSignal(server *server) sliceSignal {
 	var served *op
 	if server.sliceState != sliceIdle {
@@ -100,8 +101,8 @@
 	return worthWaiting
 }
 
-// shorterAwaitQueue is the await test of the paper. It returns the first queue not served this
-// round whose await is no longer than that of the served queue, or nil. The mean await of the
+// shorterAwaitQueue implements the await test of the paper. It returns the first queue not served
+// this round whose await is no longer than that of the served queue, or nil. The mean await of the
 // server replaces the longest seek as an upper bound.
 func (e *Engine) shorterAwaitQueue(server *server) *volumeQueue {
 	longest, servedAwait := server.meanAwait(), server.servedQueue.await.value()
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -101,8 +101,7 @@
 
 // trafficShare returns this instance's share of the total demand on a server, but at least an even
 // share. The demand through other instances is estimated from the demand on a mean server through
-// this instance, and from the number of instances through which the volumes with ops at this server
-// come.
+// this instance, and from the number of instances of each volume with ops at this server.
 func (e *Engine) trafficShare(server *server) float64 {
 	// The volumes may report more instances than the settings, which may be out of date.
 	instances := float64(max(e.settings.Instances, e.maxInstancesSeen, 1))
