--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -95,7 +95,7 @@
 		known.UpSinceMS = upSinceMS
 		own.Adopt(id, known)
 	}
-	started = own.Start(received.now, received.wall, id, upSinceMS)
+	started = own.StartOf(received.now, received.wall, id, upSinceMS)
 	known, _ = own.Known(id) // known since Start
 	return started, known.StartedAfter
 }
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -58,12 +58,12 @@
 	at time.Duration
 }
 
-// Start is when a server that a list mentions has started: 0 for long ago, else above 0 and at most now. upSinceMS is
+// StartOf is when a server that a list mentions has started: 0 for long ago, else above 0 and at most now. upSinceMS is
 // the start that the list gives, in Unix milliseconds, 0 for long ago; wall is the wall clock at now. The first mention
 // of an incarnation sets its start. The wall clock may place it before that mention, but not before the last moment of
 // Current or Complete, at which the incarnation before was running or the server was not there; without such a moment
 // the server has started now. An incarnation that returns after its removal keeps its start.
-func (t *Tracker) Start(now time.Duration, wall time.Time, id honeyplank.ServerID, upSinceMS int64) time.Duration {
+func (t *Tracker) StartOf(now time.Duration, wall time.Time, id honeyplank.ServerID, upSinceMS int64) time.Duration {
 	s := t.servers[id]
 	if s == nil || s.incarnation.UpSinceMS != upSinceMS {
 		s = &server{incarnation: t.newIncarnation(now, wall, upSinceMS)}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -221,7 +221,7 @@
 	var ids []honeyplank.ServerID
 	if x.kind != serverRemoved && x.kind != mentionsHold && x.up != absent {
 		ids = append(ids, id)
-		if got := tracker.Start(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
+		if got := tracker.StartOf(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
 			t.Errorf("step %d: %v, want %v", i, got, x.want)
 		}
 	}
@@ -241,7 +241,7 @@
 		for _, wall := range []time.Time{{}, origin, time.UnixMilli(0), time.UnixMilli(math.MaxInt64)} {
 			var tracker Tracker
 			tracker.Complete(100*sec, nil)
-			if got := tracker.Start(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
+			if got := tracker.StartOf(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
 				t.Errorf("%d at %v: %v", up, wall, got)
 			}
 		}
@@ -313,7 +313,7 @@
 		}
 		id := f.name(round, i)
 		ids = append(ids, id)
-		tracker.Start(now, origin.Add(now), id, origin.UnixMilli())
+		tracker.StartOf(now, origin.Add(now), id, origin.UnixMilli())
 	}
 	if f.changesByList {
 		tracker.Complete(now, ids)
@@ -333,7 +333,7 @@
 // mention has a server mentioned at 100 s, with a step of the wall clock.
 func mention(tracker *Tracker, wallStep, up time.Duration) {
 	const now = 100 * sec
-	tracker.Start(now, origin.Add(now+wallStep), id, upSince(up))
+	tracker.StartOf(now, origin.Add(now+wallStep), id, upSince(up))
 }
 
 // mentionAfterList is mention after a complete list without the server at 90 s.
@@ -400,7 +400,7 @@
 			if got, ok := tracker.Known(id); !ok || got != c.want {
 				t.Errorf("%+v, %v; want %+v", got, ok, c.want)
 			}
-			if got := tracker.Start(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
+			if got := tracker.StartOf(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
 				t.Errorf("started %v when mentioned again, want %v", got, c.again)
 			}
 		})
--- a/scheduler/start_tracker.go
+++ b/scheduler/start_tracker.go
@@ -44,7 +44,7 @@
 	if st.stepped {
 		wall = time.UnixMilli(upSinceMS)
 	}
-	return st.tracker.Start(st.now, wall, id, upSinceMS)
+	return st.tracker.StartOf(st.now, wall, id, upSinceMS)
 }
 
 // listApplied records that all entries of a list have been applied.
