--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -90,13 +90,13 @@
 ) (started, startedAfter time.Duration) {
 	const msPerSecond = 1000
 	own, other := &g.incarnations[received.source], &g.incarnations[1-received.source]
-	known, ok := other.Known(id)
+	known, ok := other.Lookup(id)
 	if ok && upSinceMS > 0 && known.UpSinceMS/msPerSecond == upSinceMS/msPerSecond {
 		known.UpSinceMS = upSinceMS
 		own.Adopt(id, known)
 	}
 	started = own.StartOf(received.now, received.wall, id, upSinceMS)
-	known, _ = own.Known(id) // known since Start
+	known, _ = own.Lookup(id) // known since Start
 	return started, known.StartedAfter
 }
 
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -98,8 +98,8 @@
 	t.servers[id] = s
 }
 
-// Known returns the incarnation of a server that was mentioned last, also of a removed server; false: it is not known.
-func (t *Tracker) Known(id honeyplank.ServerID) (Incarnation, bool) {
+// Lookup returns the incarnation of a server that was mentioned last, also of a removed server; false: it is not known.
+func (t *Tracker) Lookup(id honeyplank.ServerID) (Incarnation, bool) {
 	s := t.servers[id]
 	if s == nil {
 		return Incarnation{}, false
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -393,11 +393,11 @@
 	for name, c := range knownCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
-			if _, ok := tracker.Known(id); ok {
+			if _, ok := tracker.Lookup(id); ok {
 				t.Errorf("known before")
 			}
 			c.setUp(&tracker)
-			if got, ok := tracker.Known(id); !ok || got != c.want {
+			if got, ok := tracker.Lookup(id); !ok || got != c.want {
 				t.Errorf("%+v, %v; want %+v", got, ok, c.want)
 			}
 			if got := tracker.StartOf(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
