--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -111,7 +111,7 @@
 		}
 		g.incarnations[received.source].Complete(received.now, ids)
 	case update.Current:
-		g.incarnations[received.source].Current(received.now)
+		g.incarnations[received.source].MarkCurrent(received.now)
 	}
 }
 
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -115,10 +115,10 @@
 	}
 }
 
-// Current notes that all mentions hold at this moment: each server runs the incarnation that was mentioned last, and
+// MarkCurrent notes that all mentions hold at this moment: each server runs the incarnation that was mentioned last, and
 // one that was not mentioned, or was removed, is not there. It is called after the mentions of a message that is known
 // to follow without a gap on a complete list, and never for a cached list, which may be old.
-func (t *Tracker) Current(now time.Duration) {
+func (t *Tracker) MarkCurrent(now time.Duration) {
 	t.current, t.hasCurrent = now, true
 	t.forget(now)
 }
@@ -135,7 +135,7 @@
 			t.Removed(now, id)
 		}
 	}
-	t.Current(now)
+	t.MarkCurrent(now)
 }
 
 // Removed notes that a server is not listed any more. Its incarnation is kept for an hour.
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -229,7 +229,7 @@
 	case completeList:
 		tracker.Complete(x.at, ids)
 	case watchMessage, mentionsHold:
-		tracker.Current(x.at)
+		tracker.MarkCurrent(x.at)
 	case serverRemoved:
 		tracker.Removed(x.at, id)
 	}
@@ -298,7 +298,7 @@
 			}
 		}
 	}
-	tracker.Current(now + removedRetention)
+	tracker.MarkCurrent(now + removedRetention)
 	if servers, removals := len(tracker.servers), len(tracker.removed); servers != f.size || removals != 0 {
 		t.Errorf("after an hour %d servers and %d removals, want %d and none", servers, removals, f.size)
 	}
@@ -318,7 +318,7 @@
 	if f.changesByList {
 		tracker.Complete(now, ids)
 	} else {
-		tracker.Current(now)
+		tracker.MarkCurrent(now)
 	}
 	return ids
 }
--- a/scheduler/start_tracker.go
+++ b/scheduler/start_tracker.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if kind != honeyplank.Complete {
-		st.tracker.Current(st.now)
+		st.tracker.MarkCurrent(st.now)
 		return
 	}
 	ids := make([]honeyplank.ServerID, 0, len(list.Members))
