--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -109,7 +109,7 @@
 		for i, node := range update.Nodes {
 			ids[i] = honeyplank.ServerID(node.Address)
 		}
-		g.incarnations[received.source].Complete(received.now, ids)
+		g.incarnations[received.source].RemoveUnlisted(received.now, ids)
 	case update.Current:
 		g.incarnations[received.source].MarkCurrent(received.now)
 	}
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -123,9 +123,9 @@
 	t.forget(now)
 }
 
-// Complete notes that a complete list was received, after its mentions: servers that it does not list are removed.
+// RemoveUnlisted notes that a complete list was received, after its mentions: servers that it does not list are removed.
 // It implies Current.
-func (t *Tracker) Complete(now time.Duration, ids []honeyplank.ServerID) {
+func (t *Tracker) RemoveUnlisted(now time.Duration, ids []honeyplank.ServerID) {
 	listed := make(map[honeyplank.ServerID]bool, len(ids))
 	for _, id := range ids {
 		listed[id] = true
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -227,7 +227,7 @@
 	}
 	switch x.kind {
 	case completeList:
-		tracker.Complete(x.at, ids)
+		tracker.RemoveUnlisted(x.at, ids)
 	case watchMessage, mentionsHold:
 		tracker.MarkCurrent(x.at)
 	case serverRemoved:
@@ -240,7 +240,7 @@
 	for _, up := range []int64{math.MinInt64, -1, 1, origin.UnixMilli(), math.MaxInt64} {
 		for _, wall := range []time.Time{{}, origin, time.UnixMilli(0), time.UnixMilli(math.MaxInt64)} {
 			var tracker Tracker
-			tracker.Complete(100*sec, nil)
+			tracker.RemoveUnlisted(100*sec, nil)
 			if got := tracker.StartOf(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
 				t.Errorf("%d at %v: %v", up, wall, got)
 			}
@@ -316,7 +316,7 @@
 		tracker.StartOf(now, origin.Add(now), id, origin.UnixMilli())
 	}
 	if f.changesByList {
-		tracker.Complete(now, ids)
+		tracker.RemoveUnlisted(now, ids)
 	} else {
 		tracker.MarkCurrent(now)
 	}
@@ -338,7 +338,7 @@
 
 // mentionAfterList is mention after a complete list without the server at 90 s.
 func mentionAfterList(tracker *Tracker, wallStep, up time.Duration) {
-	tracker.Complete(90*sec, nil)
+	tracker.RemoveUnlisted(90*sec, nil)
 	mention(tracker, wallStep, up)
 }
 
--- a/scheduler/start_tracker.go
+++ b/scheduler/start_tracker.go
@@ -60,5 +60,5 @@
 	for _, m := range list.Members {
 		ids = append(ids, honeyplank.ServerID(m.ID))
 	}
-	st.tracker.Complete(st.now, ids)
+	st.tracker.RemoveUnlisted(st.now, ids)
 }
