--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -72,7 +72,7 @@
 	switch {
 	case node.Removed:
 		report.State = membership.Removed
-		g.incarnations[received.source].Removed(received.now, id)
+		g.incarnations[received.source].MarkRemoved(received.now, id)
 		return report
 	case node.State == discovery.StateDraining:
 		report.State = membership.Draining
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -132,14 +132,14 @@
 	}
 	for id := range t.servers {
 		if !listed[id] {
-			t.Removed(now, id)
+			t.MarkRemoved(now, id)
 		}
 	}
 	t.MarkCurrent(now)
 }
 
-// Removed notes that a server is not listed any more. Its incarnation is kept for an hour.
-func (t *Tracker) Removed(now time.Duration, id honeyplank.ServerID) {
+// MarkRemoved notes that a server is not listed any more. Its incarnation is kept for an hour.
+func (t *Tracker) MarkRemoved(now time.Duration, id honeyplank.ServerID) {
 	s := t.servers[id]
 	if s == nil || s.removed {
 		return
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -231,7 +231,7 @@
 	case watchMessage, mentionsHold:
 		tracker.MarkCurrent(x.at)
 	case serverRemoved:
-		tracker.Removed(x.at, id)
+		tracker.MarkRemoved(x.at, id)
 	}
 }
 
@@ -309,7 +309,7 @@
 	var ids []honeyplank.ServerID
 	for i := range f.size {
 		if round > 0 && !f.changesByList {
-			tracker.Removed(now, f.name(round-1, i))
+			tracker.MarkRemoved(now, f.name(round-1, i))
 		}
 		id := f.name(round, i)
 		ids = append(ids, id)
@@ -371,7 +371,7 @@
 	"removed": {
 		setUp: func(tracker *Tracker) {
 			mention(tracker, 0, 50*sec)
-			tracker.Removed(110*sec, id)
+			tracker.MarkRemoved(110*sec, id)
 		},
 		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
--- a/scheduler/start_tracker.go
+++ b/scheduler/start_tracker.go
@@ -36,7 +36,7 @@
 func (st *startTracker) startOf(m listMember) time.Duration {
 	id := honeyplank.ServerID(m.ID)
 	if memberStates[m.Phase] == honeyplank.Removed {
-		st.tracker.Removed(st.now, id)
+		st.tracker.MarkRemoved(st.now, id)
 		return 0
 	}
 	upSinceMS := int64(min(max(m.UpSinceMS, 0), maxStartMS))
