--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -16,18 +16,18 @@
 
 // Config is the configuration file of one scheduler, as the platform writes it.
 type Config struct {
-	Name       string
-	Listen     string // address for clients
-	Discovery  string // address of discovery
-	Seed       int64  // of the decision module's random numbers
-	Cores      float64
-	MemoryMB   int
-	Sockets    int              // descriptors that the process may have open
-	PeerListen string           // address for gossip; empty: none is received
-	Peers      []netip.AddrPort // one for each scheduler, by ordinal
-	PeersAll   netip.AddrPort   // reaches all peers; invalid: there is none
-	CachedList []byte           // the last endpoint list that the platform received, as JSON of discovery
-	Site       *simwire.Site    // the deployment's settings
+	Name          string
+	Listen        string // address for clients
+	Discovery     string // address of discovery
+	Seed          int64  // of the decision module's random numbers
+	Cores         float64
+	MemoryMB      int
+	Sockets       int              // descriptors that the process may have open
+	PeerListen    string           // address for gossip; empty: none is received
+	Peers         []netip.AddrPort // one for each scheduler, by ordinal
+	PeerBroadcast netip.AddrPort   // reaches all peers; invalid: there is none
+	CachedList    []byte           // the last endpoint list that the platform received, as JSON of discovery
+	Site          *simwire.Site    // the deployment's settings
 }
 
 // ConfigError is the error of a configuration file that cannot be used.
@@ -76,16 +76,16 @@
 
 // configJSON is the JSON form of a configuration file.
 type configJSON struct {
-	Name       string          `json:"name"`
-	Listen     string          `json:"listen"`
-	Discovery  string          `json:"discovery"`
-	Seed       string          `json:"seed"`
-	Limits     limitsJSON      `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Known      json.RawMessage `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	Name          string          `json:"name"`
+	Listen        string          `json:"listen"`
+	Discovery     string          `json:"discovery"`
+	Seed          string          `json:"seed"`
+	Limits        limitsJSON      `json:"limits"`
+	PeerListen    string          `json:"peer_listen"`
+	Peers         []string        `json:"peers"`
+	PeerBroadcast string          `json:"peers_all"`
+	Known         json.RawMessage `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
 }
 
 // limitsJSON is what the process may use of the machine.
@@ -183,12 +183,12 @@
 		}
 		p.config.Peers = append(p.config.Peers, address)
 	}
-	if p.json.PeersAll == "" {
+	if p.json.PeerBroadcast == "" {
 		return nil
 	}
 	var err error
-	if p.config.PeersAll, err = parseIPv4(p.json.PeersAll); err != nil {
-		return p.errorAt("peers_all", fmt.Sprintf("peers_all is %q", p.json.PeersAll), wantedAddress, err)
+	if p.config.PeerBroadcast, err = parseIPv4(p.json.PeerBroadcast); err != nil {
+		return p.errorAt("peers_all", fmt.Sprintf("peers_all is %q", p.json.PeerBroadcast), wantedAddress, err)
 	}
 	return nil
 }
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -19,8 +19,8 @@
 	switch {
 	case message.To >= 0 && message.To < len(s.config.Peers):
 		s.peers.Send(s.config.Peers[message.To], message.Data)
-	case message.To == honeyplank.AllPeers && s.config.PeersAll.IsValid():
-		s.peers.Send(s.config.PeersAll, message.Data)
+	case message.To == honeyplank.AllPeers && s.config.PeerBroadcast.IsValid():
+		s.peers.Send(s.config.PeerBroadcast, message.Data)
 	}
 }
 
