--- a/cmd/honeyplank/filereader_test.go
+++ b/cmd/honeyplank/filereader_test.go
@@ -20,10 +20,10 @@
 
 var (
 	errContent = &scheduler.ConfigError{
-		File: "config.json", Line: 3, Wrong: "unexpected end of JSON input", Want: "one JSON object",
+		File: "config.json", Line: 3, Problem: "unexpected end of JSON input", Want: "one JSON object",
 	}
 	errUnread = &scheduler.ConfigError{
-		File: "config.json", Wrong: "open config.json: too many open files",
+		File: "config.json", Problem: "open config.json: too many open files",
 		Want: "the configuration that the platform writes",
 	}
 )
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -40,7 +40,7 @@
 			_, err := parseConfig("f", []byte(strings.Replace(good, x.old, x.new, 1)))
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Line != x.line || configErr.Want == "" ||
-				!strings.Contains(configErr.Wrong, x.wrong) {
+				!strings.Contains(configErr.Problem, x.wrong) {
 				t.Errorf("%v, expected line %d: %s", err, x.line, x.wrong)
 			}
 		})
