--- a/cmd/honeyplank/filereader_test.go
+++ b/cmd/honeyplank/filereader_test.go
@@ -20,11 +20,11 @@
 
 var (
 	errContent = &scheduler.ConfigError{
-		File: "config.json", Line: 3, Problem: "unexpected end of JSON input", Want: "one JSON object",
+		File: "config.json", Line: 3, Problem: "unexpected end of JSON input", Expected: "one JSON object",
 	}
 	errUnread = &scheduler.ConfigError{
 		File: "config.json", Problem: "open config.json: too many open files",
-		Want: "the configuration that the platform writes",
+		Expected: "the configuration that the platform writes",
 	}
 )
 
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -32,16 +32,16 @@
 
 // ConfigError is the error of a configuration file that cannot be used.
 type ConfigError struct {
-	File    string
-	Line    int    // from 1; 0: the file could not be read
-	Problem string // what is wrong
-	Want    string // what was expected
-	Err     error  // the cause; nil: Wrong says all
+	File     string
+	Line     int    // from 1; 0: the file could not be read
+	Problem  string // what is wrong
+	Expected string // what was expected
+	Err      error  // the cause; nil: Wrong says all
 }
 
 // Error returns file, line, what is wrong and what was expected.
 func (e *ConfigError) Error() string {
-	return fmt.Sprintf("%s:%d: %s; expected %s", e.File, e.Line, e.Problem, e.Want)
+	return fmt.Sprintf("%s:%d: %s; expected %s", e.File, e.Line, e.Problem, e.Expected)
 }
 
 // Unwrap returns the cause.
@@ -65,10 +65,10 @@
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &ConfigError{
-			File:    file,
-			Problem: err.Error(),
-			Want:    "the configuration that the platform writes",
-			Err:     err,
+			File:     file,
+			Problem:  err.Error(),
+			Expected: "the configuration that the platform writes",
+			Err:      err,
 		}
 	}
 	return parseConfig(file, text)
@@ -140,7 +140,7 @@
 	if name != "" {
 		offset = max(bytes.Index(p.text, strconv.AppendQuote(nil, name)), 0)
 	}
-	return &ConfigError{File: p.file, Line: p.lineAt(int64(offset)), Problem: wrong, Want: want, Err: cause}
+	return &ConfigError{File: p.file, Line: p.lineAt(int64(offset)), Problem: wrong, Expected: want, Err: cause}
 }
 
 // syntaxError returns an error of the JSON decoder, with its line.
@@ -153,7 +153,7 @@
 	} else if errors.As(err, &mismatch) {
 		offset, want = mismatch.Offset, mismatch.Field+" of type "+mismatch.Type.String()
 	}
-	return &ConfigError{File: p.file, Line: p.lineAt(offset), Problem: err.Error(), Want: want, Err: err}
+	return &ConfigError{File: p.file, Line: p.lineAt(offset), Problem: err.Error(), Expected: want, Err: err}
 }
 
 func (p *configParser) checkAddresses() error {
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -39,7 +39,7 @@
 		t.Run(x.new, func(t *testing.T) {
 			_, err := parseConfig("f", []byte(strings.Replace(good, x.old, x.new, 1)))
 			var configErr *ConfigError
-			if !errors.As(err, &configErr) || configErr.Line != x.line || configErr.Want == "" ||
+			if !errors.As(err, &configErr) || configErr.Line != x.line || configErr.Expected == "" ||
 				!strings.Contains(configErr.Problem, x.wrong) {
 				t.Errorf("%v, expected line %d: %s", err, x.line, x.wrong)
 			}
