--- a/estimates/disk.go
+++ b/estimates/disk.go
@@ -28,11 +28,11 @@
 	Close() error
 }
 
-// disk is the system's own file system.
-type disk struct{}
+// osFileSystem is the system's own file system.
+type osFileSystem struct{}
 
 // Lock takes the advisory lock of a folder, which the kernel releases when the process ends.
-func (disk) Lock(folder string) (func(), error) {
+func (osFileSystem) Lock(folder string) (func(), error) {
 	f, err := os.Open(folder)
 	if err != nil {
 		return nil, err
@@ -47,17 +47,19 @@
 	return func() { _ = f.Close() }, nil // the lock ends with the descriptor, also where Close fails
 }
 
-func (disk) List(folder string) ([]fs.DirEntry, error) { return os.ReadDir(folder) }
+func (osFileSystem) List(folder string) ([]fs.DirEntry, error) { return os.ReadDir(folder) }
 
-func (disk) Create(folder, pattern string) (file, error) { return os.CreateTemp(folder, pattern) }
+func (osFileSystem) Create(folder, pattern string) (file, error) {
+	return os.CreateTemp(folder, pattern)
+}
 
-func (disk) Rename(from, to string) error { return os.Rename(from, to) }
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-func (disk) Remove(name string) error { return os.Remove(name) }
+func (osFileSystem) Remove(name string) error { return os.Remove(name) }
 
 // SyncFolder syncs the folder. One that may be written but not read, and a file system that syncs no folders, have no
 // such call: the rename is as durable as it is there.
-func (disk) SyncFolder(folder string) error {
+func (osFileSystem) SyncFolder(folder string) error {
 	f, err := os.Open(folder)
 	if err == nil {
 		err = errors.Join(f.Sync(), f.Close())
@@ -68,7 +70,7 @@
 	return err
 }
 
-// withoutLocks is a file system without locks.
-type withoutLocks struct{ fileSystem }
+// unlockedFileSystem is a file system without locks.
+type unlockedFileSystem struct{ fileSystem }
 
-func (withoutLocks) Lock(string) (func(), error) { return nil, syscall.ENOLCK }
+func (unlockedFileSystem) Lock(string) (func(), error) { return nil, syscall.ENOLCK }
--- a/estimates/record_test.go
+++ b/estimates/record_test.go
@@ -21,8 +21,8 @@
 	}}
 }
 
-// TestFile writes and reads a file, and reads it damaged.
-func TestFile(t *testing.T) {
+// TestWriteReadAndDamage writes and reads a file, and reads it damaged.
+func TestWriteReadAndDamage(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "estimates")
 	if _, err := Read(file); !os.IsNotExist(err) {
 		t.Errorf("no file: %v", err)
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestOtherUnits has records of units of the same and of another size.
-func TestOtherUnits(t *testing.T) {
+// TestUnitSizeMismatch has records of units of the same and of another size.
+func TestUnitSizeMismatch(t *testing.T) {
 	clock := func(at time.Time) time.Duration { return at.Sub(time.UnixMilli(0)) }
 	same, other := record().ToEvent(16<<10, clock), record().ToEvent(4<<10, clock)
 	want := honeyplank.ServerEstimate{Server: "127.0.0.1:5002", At: 2000 * time.Second, BestPerUnit: 0.02, Latency: 0.3}
--- a/estimates/retry.go
+++ b/estimates/retry.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// lockedAttempts is the number of attempts after which a write goes on without the lock. Its holder may be another
+// maxLockedAttempts is the number of attempts after which a write goes on without the lock. Its holder may be another
 // program, or a writer that the system doesn't let go. It could harm where the holder is a writer that is alive and
 // removes the temporary file: the rename fails then, and the write is retried.
-const lockedAttempts = 8
+const maxLockedAttempts = 8
 
 // writeBackoff has the waits between the attempts of a write.
 var writeBackoff = Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
@@ -34,7 +34,7 @@
 // over, or the error is one that waiting does not mend. failed is called with the first error only. A call of the
 // system may block past the context's end: a caller that can't wait for that runs it on a goroutine.
 func (r *Record) WriteWithRetry(ctx context.Context, file string, failed func(error)) error {
-	return r.retryWrite(ctx, disk{}, file, failed)
+	return r.retryWrite(ctx, osFileSystem{}, file, failed)
 }
 
 // retryWrite is WriteWithRetry on a file system.
@@ -44,15 +44,15 @@
 		return err
 	}
 	for attempt := 1; ; attempt++ {
-		err := replace(system, file, content)
+		err := replaceFile(system, file, content)
 		if err == nil || isPermanent(err) {
 			return err
 		}
 		if attempt == 1 {
 			failed(err)
 		}
-		if attempt == lockedAttempts && errors.Is(err, errLocked) {
-			system = withoutLocks{system}
+		if attempt == maxLockedAttempts && errors.Is(err, errLocked) {
+			system = unlockedFileSystem{system}
 		}
 		select {
 		case <-ctx.Done():
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -33,13 +33,13 @@
 	if err != nil {
 		return err
 	}
-	return replace(disk{}, file, content)
+	return replaceFile(osFileSystem{}, file, content)
 }
 
-// replace puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new
+// replaceFile puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new
 // file is there, complete, also after a loss of power. After success no temporary file is left. After an error the
 // file may be the old or the new one.
-func replace(system fileSystem, name string, content []byte) error {
+func replaceFile(system fileSystem, name string, content []byte) error {
 	folder := filepath.Dir(name)
 	unlock, err := system.Lock(folder)
 	if errors.Is(err, errLocked) {
--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -94,15 +94,15 @@
 	return names
 }
 
-// faultSystem is the system's file system with faults. fault returns the error of each call; done: the call is
+// faultyFileSystem is the system's file system with faults. fault returns the error of each call; done: the call is
 // carried out all the same, a write by half.
-type faultSystem struct {
-	disk
+type faultyFileSystem struct {
+	osFileSystem
 	calls []string
 	fault func(call string) (err error, done bool)
 }
 
-func (f *faultSystem) do(call string, do func() error) error {
+func (f *faultyFileSystem) do(call string, do func() error) error {
 	f.calls = append(f.calls, call)
 	err, done := f.fault(call)
 	if err == nil {
@@ -114,42 +114,42 @@
 	return err
 }
 
-func (f *faultSystem) Lock(folder string) (unlock func(), err error) {
-	err = f.do("lock", func() (err error) { unlock, err = f.disk.Lock(folder); return err })
+func (f *faultyFileSystem) Lock(folder string) (unlock func(), err error) {
+	err = f.do("lock", func() (err error) { unlock, err = f.osFileSystem.Lock(folder); return err })
 	if err != nil && unlock != nil {
 		unlock() // as the kernel does for one that was killed
 	}
 	return unlock, err
 }
 
-func (f *faultSystem) List(folder string) (list []fs.DirEntry, err error) {
-	err = f.do("list", func() (err error) { list, err = f.disk.List(folder); return err })
+func (f *faultyFileSystem) List(folder string) (list []fs.DirEntry, err error) {
+	err = f.do("list", func() (err error) { list, err = f.osFileSystem.List(folder); return err })
 	return list, err
 }
 
-func (f *faultSystem) Create(folder, pattern string) (made file, err error) {
-	err = f.do("create", func() (err error) { made, err = f.disk.Create(folder, pattern); return err })
-	return faultFile{made, f}, err
+func (f *faultyFileSystem) Create(folder, pattern string) (made file, err error) {
+	err = f.do("create", func() (err error) { made, err = f.osFileSystem.Create(folder, pattern); return err })
+	return faultyFile{made, f}, err
 }
 
-func (f *faultSystem) Rename(from, to string) error {
-	return f.do("rename", func() error { return f.disk.Rename(from, to) })
+func (f *faultyFileSystem) Rename(from, to string) error {
+	return f.do("rename", func() error { return f.osFileSystem.Rename(from, to) })
 }
 
-func (f *faultSystem) Remove(name string) error {
-	return f.do("remove", func() error { return f.disk.Remove(name) })
+func (f *faultyFileSystem) Remove(name string) error {
+	return f.do("remove", func() error { return f.osFileSystem.Remove(name) })
 }
 
-func (f *faultSystem) SyncFolder(string) error {
+func (f *faultyFileSystem) SyncFolder(string) error {
 	return f.do("sync folder", func() error { return nil }) // no power is cut here, and the tests are faster
 }
 
-type faultFile struct {
+type faultyFile struct {
 	file
-	system *faultSystem
+	system *faultyFileSystem
 }
 
-func (f faultFile) Write(b []byte) (int, error) {
+func (f faultyFile) Write(b []byte) (int, error) {
 	f.system.calls = append(f.system.calls, "write")
 	if err, done := f.system.fault("write"); err != nil {
 		n := 0
@@ -161,12 +161,12 @@
 	return f.file.Write(b)
 }
 
-func (f faultFile) Sync() error { return f.system.do("sync", func() error { return nil }) }
+func (f faultyFile) Sync() error { return f.system.do("sync", func() error { return nil }) }
 
-func (f faultFile) Close() error { return f.system.do("close", f.file.Close) }
+func (f faultyFile) Close() error { return f.system.do("close", f.file.Close) }
 
-// folder makes a folder with the first version, temporary files of killed writers, and others.
-func folder(t *testing.T) (name string, others []string) {
+// newFolder makes a newFolder with the first version, temporary files of killed writers, and others.
+func newFolder(t *testing.T) (name string, others []string) {
 	t.Helper()
 	dir := t.TempDir()
 	name = filepath.Join(dir, "estimates")
@@ -187,8 +187,8 @@
 	return name, others
 }
 
-// withoutWaits makes the waits between attempts as short as can be.
-func withoutWaits(t *testing.T) {
+// shortenBackoff makes the waits between attempts as short as can be.
+func shortenBackoff(t *testing.T) {
 	t.Helper()
 	before := writeBackoff
 	writeBackoff = Backoff{Initial: time.Microsecond, Max: time.Microsecond}
@@ -198,7 +198,7 @@
 // TestFaults has each call fail in each way, once and in runs, before and after it was carried out: at every call the
 // file is the complete old or new one; in the end it is the new one, and no temporary file is beside it.
 func TestFaults(t *testing.T) {
-	withoutWaits(t)
+	shortenBackoff(t)
 	calls := []string{"lock", "list", "create", "write", "sync", "close", "rename", "remove", "sync folder"}
 	for _, call := range calls {
 		kinds := []error{syscall.ENOSPC, syscall.EIO, syscall.EMFILE}
@@ -228,9 +228,9 @@
 // check writes the second version over the first.
 func (c faultCase) check(t *testing.T) {
 	t.Helper()
-	name, others := folder(t)
+	name, others := newFolder(t)
 	left, reported := c.times, 0
-	system := &faultSystem{fault: func(call string) (error, bool) {
+	system := &faultyFileSystem{fault: func(call string) (error, bool) {
 		readVersion(t, name)
 		if call != c.call || left == 0 {
 			return nil, false
@@ -259,13 +259,13 @@
 	}
 }
 
-// TestKilledBetween ends a writer before each call of a write, and halfway through it: the file is complete, and the
+// TestKilledBetweenCalls ends a writer before each call of a write, and halfway through it: the file is complete, and the
 // next write leaves nothing of it.
-func TestKilledBetween(t *testing.T) {
+func TestKilledBetweenCalls(t *testing.T) {
 	seen := map[killOutcome]int{}
 	for completed := 0; seen[notKilled] == 0; completed++ {
 		for _, half := range []bool{false, true} {
-			name, others := folder(t)
+			name, others := newFolder(t)
 			outcome := killedWriter{completed, half}.write(t, name)
 			seen[outcome]++
 			if outcome == notKilled {
@@ -302,13 +302,13 @@
 	t.Helper()
 	killed := errors.New("killed")
 	calls := 0
-	system := &faultSystem{fault: func(string) (error, bool) {
+	system := &faultyFileSystem{fault: func(string) (error, bool) {
 		if calls++; calls <= w.completed {
 			return nil, false
 		}
 		return killed, w.half && calls == w.completed+1
 	}}
-	if err := replace(system, name, nil); w.completed == 0 && err == nil {
+	if err := replaceFile(system, name, nil); w.completed == 0 && err == nil {
 		t.Fatal("no call at all")
 	}
 	if calls <= w.completed {
@@ -321,10 +321,10 @@
 	return oldFile
 }
 
-// TestOrder checks the order of the calls: the content is synced before it takes the file's place, the folder after.
-func TestOrder(t *testing.T) {
-	system := &faultSystem{fault: func(string) (error, bool) { return nil, false }}
-	if err := replace(system, filepath.Join(t.TempDir(), "estimates"), []byte(magic)); err != nil {
+// TestCallOrder checks the order of the calls: the content is synced before it takes the file's place, the folder after.
+func TestCallOrder(t *testing.T) {
+	system := &faultyFileSystem{fault: func(string) (error, bool) { return nil, false }}
+	if err := replaceFile(system, filepath.Join(t.TempDir(), "estimates"), []byte(magic)); err != nil {
 		t.Fatal(err)
 	}
 	want := []string{"lock", "list", "create", "write", "sync", "close", "rename", "sync folder", "list"}
@@ -336,8 +336,8 @@
 // TestPermanentError checks that an error that waiting does not mend ends the attempts at once, any other one with the
 // context.
 func TestPermanentError(t *testing.T) {
-	withoutWaits(t)
-	name, _ := folder(t)
+	shortenBackoff(t)
+	name, _ := newFolder(t)
 	taken := filepath.Join(filepath.Dir(name), "directory")
 	if err := os.MkdirAll(filepath.Join(taken, "inside"), 0o700); err != nil {
 		t.Fatal(err)
@@ -352,7 +352,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	attempts, reported := 0, 0
-	system := &faultSystem{fault: func(call string) (error, bool) {
+	system := &faultyFileSystem{fault: func(call string) (error, bool) {
 		if call == "create" {
 			if attempts++; attempts == 9 {
 				cancel()
@@ -370,8 +370,8 @@
 
 // TestConcurrentWriter checks that a temporary file stays while another writer may hold the lock, or without locks.
 func TestConcurrentWriter(t *testing.T) {
-	withoutWaits(t)
-	name, others := folder(t)
+	shortenBackoff(t)
+	name, others := newFolder(t)
 	all := otherFiles(t, name)
 	check := func(what string, version int, beside []string) {
 		t.Helper()
@@ -379,7 +379,7 @@
 			t.Errorf("%s: version %d, beside it %v", what, n, names)
 		}
 	}
-	unlock, err := disk{}.Lock(filepath.Dir(name))
+	unlock, err := osFileSystem{}.Lock(filepath.Dir(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -395,7 +395,7 @@
 	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := versions()[1].retryWrite(t.Context(), systemWithoutLocks(), name, nil); err != nil {
+	if err := versions()[1].retryWrite(t.Context(), newSystemWithoutLocks(), name, nil); err != nil {
 		t.Errorf("without locks: %v", err)
 	}
 	check("without locks", 1, all)
@@ -405,9 +405,9 @@
 	check("alone", 0, others)
 }
 
-// systemWithoutLocks is a file system that has no locks.
-func systemWithoutLocks() *faultSystem {
-	return &faultSystem{fault: func(call string) (error, bool) {
+// newSystemWithoutLocks is a file system that has no locks.
+func newSystemWithoutLocks() *faultyFileSystem {
+	return &faultyFileSystem{fault: func(call string) (error, bool) {
 		if call == "lock" {
 			return syscall.ENOLCK, false
 		}
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -31,7 +31,7 @@
 	MaxRemoved int
 	servers    map[honeyplank.ServerID]*server
 	removed    []removal
-	current    time.Duration // the last moment at which all mentions held
+	currentAt  time.Duration // the last moment at which all mentions held
 	hasCurrent bool          // current is set
 }
 
@@ -81,7 +81,7 @@
 	wallAge := max(wall.Sub(time.UnixMilli(upSinceMS)), 0)
 	var maxAge, startedAfter time.Duration
 	if t.hasCurrent {
-		maxAge = max(now-t.current, 0)
+		maxAge = max(now-t.currentAt, 0)
 		startedAfter = max(now-max(wallAge, maxAge), 0)
 	}
 	return Incarnation{
@@ -119,8 +119,8 @@
 // one that was not mentioned, or was removed, is not there. It is called after the mentions of a message that is known
 // to follow without a gap on a complete list, and never for a cached list, which may be old.
 func (t *Tracker) MarkCurrent(now time.Duration) {
-	t.current, t.hasCurrent = now, true
-	t.forget(now)
+	t.currentAt, t.hasCurrent = now, true
+	t.dropRemoved(now)
 }
 
 // RemoveUnlisted notes that a complete list was received, after its mentions: servers that it does not list are removed.
@@ -146,11 +146,11 @@
 	}
 	s.removed, s.removedAt = true, now
 	t.removed = append(t.removed, removal{id, now})
-	t.forget(now)
+	t.dropRemoved(now)
 }
 
-// forget drops the servers removed too long ago, and the ones removed first of too many.
-func (t *Tracker) forget(now time.Duration) {
+// dropRemoved drops the servers removed too long ago, and the ones removed first of too many.
+func (t *Tracker) dropRemoved(now time.Duration) {
 	maxRemoved := t.MaxRemoved
 	if maxRemoved == 0 {
 		maxRemoved = defaultMaxRemoved
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -29,7 +29,7 @@
 	watchMessage          // a message of a watch that follows without a gap
 	cachedList            // which may be old
 	serverRemoved
-	mentionsHold // that the mentions hold
+	markedCurrent // that the mentions hold
 )
 
 const (
@@ -138,7 +138,7 @@
 	},
 	"an hour forward, the start before held last": {
 		{100 * sec, 0, completeList, longAgo, 0},
-		{115 * sec, 0, mentionsHold, 0, 0},
+		{115 * sec, 0, markedCurrent, 0, 0},
 		{120 * sec, hour, watchMessage, 110 * sec, 115 * sec},
 	},
 	"steps after the first mention": {
@@ -168,7 +168,7 @@
 	},
 	"cached, confirmed by a watch, then another start": {
 		{100 * sec, 0, cachedList, 50 * sec, 100 * sec},
-		{105 * sec, 0, mentionsHold, 0, 0},
+		{105 * sec, 0, markedCurrent, 0, 0},
 		{110 * sec, hour, watchMessage, 108 * sec, 105 * sec},
 	},
 	"back with the same start": {
@@ -180,7 +180,7 @@
 	"back with another start": {
 		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
 		{130 * sec, 0, serverRemoved, 0, 0},
-		{135 * sec, 0, mentionsHold, 0, 0},
+		{135 * sec, 0, markedCurrent, 0, 0},
 		{140 * sec, hour, watchMessage, 139 * sec, 135 * sec},
 	},
 	"missing from a complete list, back with the same start": {
@@ -191,7 +191,7 @@
 	"back after it was dropped": {
 		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
 		{130 * sec, 0, serverRemoved, 0, 0},
-		{130*sec + hour, 0, mentionsHold, 0, 0},
+		{130*sec + hour, 0, markedCurrent, 0, 0},
 		{140*sec + hour, 0, watchMessage, 90 * sec, 130*sec + hour},
 	},
 	"long ago, back as long ago": {
@@ -201,8 +201,8 @@
 	},
 }
 
-// TestStart plays startCases.
-func TestStart(t *testing.T) {
+// TestStartOf plays startCases.
+func TestStartOf(t *testing.T) {
 	for name, steps := range startCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
@@ -219,7 +219,7 @@
 func (x step) apply(t *testing.T, tracker *Tracker, i int) {
 	t.Helper()
 	var ids []honeyplank.ServerID
-	if x.kind != serverRemoved && x.kind != mentionsHold && x.up != absent {
+	if x.kind != serverRemoved && x.kind != markedCurrent && x.up != absent {
 		ids = append(ids, id)
 		if got := tracker.StartOf(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
 			t.Errorf("step %d: %v, want %v", i, got, x.want)
@@ -228,15 +228,15 @@
 	switch x.kind {
 	case completeList:
 		tracker.RemoveUnlisted(x.at, ids)
-	case watchMessage, mentionsHold:
+	case watchMessage, markedCurrent:
 		tracker.MarkCurrent(x.at)
 	case serverRemoved:
 		tracker.MarkRemoved(x.at, id)
 	}
 }
 
-// TestAnyStart has any start and any wall clock: a start is not before what is known, nor in the future.
-func TestAnyStart(t *testing.T) {
+// TestStartWithinBounds has any start and any wall clock: a start is not before what is known, nor in the future.
+func TestStartWithinBounds(t *testing.T) {
 	for _, up := range []int64{math.MinInt64, -1, 1, origin.UnixMilli(), math.MaxInt64} {
 		for _, wall := range []time.Time{{}, origin, time.UnixMilli(0), time.UnixMilli(math.MaxInt64)} {
 			var tracker Tracker
@@ -248,14 +248,14 @@
 	}
 }
 
-// TestBounded has fleets whose servers are replaced again and again, by complete lists or changes, and one that flaps:
+// TestTrackerSizeBounded has fleets whose servers are replaced again and again, by complete lists or changes, and one that flaps:
 // a Tracker does not grow.
-func TestBounded(t *testing.T) {
+func TestTrackerSizeBounded(t *testing.T) {
 	const size = 3200
 	fleets := map[string]fleet{
-		"replaced by complete lists": {size: size, name: newNames, changesByList: true},
-		"replaced by messages":       {size: size, name: newNames},
-		"flapping":                   {size: size, name: sameNames},
+		"replaced by complete lists": {size: size, name: newID, changesByList: true},
+		"replaced by messages":       {size: size, name: newID},
+		"flapping":                   {size: size, name: sameID},
 	}
 	for name, f := range fleets {
 		t.Run(name+"/default bound", func(t *testing.T) {
@@ -274,11 +274,11 @@
 	changesByList bool // by complete lists; else by messages of a watch
 }
 
-func newNames(round, i int) honeyplank.ServerID {
+func newID(round, i int) honeyplank.ServerID {
 	return honeyplank.ServerID(fmt.Sprint(round, "/", i))
 }
 
-func sameNames(_, i int) honeyplank.ServerID { return newNames(0, i) }
+func sameID(_, i int) honeyplank.ServerID { return newID(0, i) }
 
 // checkBounded replaces a fleet many times and checks what the tracker keeps after each.
 func (f fleet) checkBounded(t *testing.T, tracker *Tracker, maxRemoved int) {
@@ -323,54 +323,54 @@
 	return ids
 }
 
-// knownCase is what is known of a start after some calls.
-type knownCase struct {
+// lookupCase is what is known of a start after some calls.
+type lookupCase struct {
 	setUp func(*Tracker)
 	want  Incarnation
 	again time.Duration // its start when it is mentioned by another wall clock later
 }
 
-// mention has a server mentioned at 100 s, with a step of the wall clock.
-func mention(tracker *Tracker, wallStep, up time.Duration) {
+// listServer has a server mentioned at 100 s, with a step of the wall clock.
+func listServer(tracker *Tracker, wallStep, up time.Duration) {
 	const now = 100 * sec
 	tracker.StartOf(now, origin.Add(now+wallStep), id, upSince(up))
 }
 
-// mentionAfterList is mention after a complete list without the server at 90 s.
-func mentionAfterList(tracker *Tracker, wallStep, up time.Duration) {
+// listServerAfterList is mention after a complete list without the server at 90 s.
+func listServerAfterList(tracker *Tracker, wallStep, up time.Duration) {
 	tracker.RemoveUnlisted(90*sec, nil)
-	mention(tracker, wallStep, up)
+	listServer(tracker, wallStep, up)
 }
 
 var adoptedIncarnation = Incarnation{UpSinceMS: upSince(50 * sec), Started: 70 * sec, StartedAfter: 60 * sec}
 
-var knownCases = map[string]knownCase{
+var lookupCases = map[string]lookupCase{
 	"first sight": {
-		setUp: func(tracker *Tracker) { mention(tracker, 0, 50*sec) },
+		setUp: func(tracker *Tracker) { listServer(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 	"long ago": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, longAgo) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, longAgo) },
 	},
 	"by the wall clock": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 95*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 95 * sec, 90 * sec}, again: 95 * sec,
 	},
 	"by the wall clock before what is known": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 50*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 90 * sec, 50 * sec}, again: 90 * sec,
 	},
 	"an hour back": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, -hour, 95*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, -hour, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 100 * sec, 90 * sec}, again: 100 * sec,
 	},
 	"an hour forward": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, hour, 95*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, hour, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 90 * sec, 0}, again: 90 * sec,
 	},
 	"removed": {
 		setUp: func(tracker *Tracker) {
-			mention(tracker, 0, 50*sec)
+			listServer(tracker, 0, 50*sec)
 			tracker.MarkRemoved(110*sec, id)
 		},
 		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
@@ -381,16 +381,16 @@
 	},
 	"adopted after its mention": {
 		setUp: func(tracker *Tracker) {
-			mention(tracker, 0, 50*sec)
+			listServer(tracker, 0, 50*sec)
 			tracker.Adopt(id, adoptedIncarnation)
 		},
 		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 }
 
-// TestKnown checks what is known of a start beside its time: which one it is, and after what it surely came.
-func TestKnown(t *testing.T) {
-	for name, c := range knownCases {
+// TestLookup checks what is known of a start beside its time: which one it is, and after what it surely came.
+func TestLookup(t *testing.T) {
+	for name, c := range lookupCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			if _, ok := tracker.Lookup(id); ok {
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -48,16 +48,16 @@
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 const (
-	// notifiedWithin is how long after a change an instance counts as notified of it by the platform's rules, if
+	// maxNotificationDelay is how long after a change an instance counts as notified of it by the platform's rules, if
 	// discovery is reachable.
-	notifiedWithin = 6 * time.Second
+	maxNotificationDelay = 6 * time.Second
 	// maxWatchWithin bounds the settings' Watch.Within. The module retries within a quarter of that, which leaves two
-	// thirds of notifiedWithin for the calls themselves.
-	maxWatchWithin = notifiedWithin * 4 / 3
+	// thirds of maxNotificationDelay for the calls themselves.
+	maxWatchWithin = maxNotificationDelay * 4 / 3
 	// minSockets is the least number of descriptors: the reserved ones and as many for clients and disk servers.
 	minSockets = 2 * reservedDescriptors
 
-	wantedAddress = "an IPv4 address and a port, as 127.0.0.1:6379"
+	expectedAddress = "an IPv4 address and a port, as 127.0.0.1:6379"
 )
 
 // ReadConfig reads a configuration file. Its errors are of type *ConfigError.
@@ -169,7 +169,7 @@
 			continue
 		}
 		if _, err := parseIPv4(address.text); err != nil {
-			return p.errorAt(address.name, fmt.Sprintf("%s is %q", address.name, address.text), wantedAddress, err)
+			return p.errorAt(address.name, fmt.Sprintf("%s is %q", address.name, address.text), expectedAddress, err)
 		}
 	}
 	return nil
@@ -179,7 +179,7 @@
 	for _, text := range p.json.Peers {
 		address, err := parseIPv4(text)
 		if err != nil {
-			return p.errorAt("peers", fmt.Sprintf("an address of peers is %q", text), wantedAddress, err)
+			return p.errorAt("peers", fmt.Sprintf("an address of peers is %q", text), expectedAddress, err)
 		}
 		p.config.Peers = append(p.config.Peers, address)
 	}
@@ -188,7 +188,7 @@
 	}
 	var err error
 	if p.config.PeerBroadcast, err = parseIPv4(p.json.PeerBroadcast); err != nil {
-		return p.errorAt("peers_all", fmt.Sprintf("peers_all is %q", p.json.PeerBroadcast), wantedAddress, err)
+		return p.errorAt("peers_all", fmt.Sprintf("peers_all is %q", p.json.PeerBroadcast), expectedAddress, err)
 	}
 	return nil
 }
@@ -215,7 +215,7 @@
 	if len(site.OpTypes) == 0 || len(site.Plans) == 0 {
 		return p.errorAt("settings", "settings has no classes or no plans", "one of each at least", nil)
 	}
-	// An instance counts as notified after notifiedWithin even if the settings allow for more time.
+	// An instance counts as notified after maxNotificationDelay even if the settings allow for more time.
 	watch := &site.Settings.Watch
 	watch.Within = min(watch.Within, maxWatchWithin)
 	p.config.Site = site
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestDrainGraceDuringHoldUp: what waits to be sent to a server that is draining is taken back a hold-up before the
+// TestDrainGraceDuringProcessPause: what waits to be sent to a server that is draining is taken back a hold-up before the
 // grace ends, which counts from when the list came, not from when the loop handled it.
-func TestDrainGraceDuringHoldUp(t *testing.T) {
+func TestDrainGraceDuringProcessPause(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, maxHoldUp, 500 * time.Millisecond} {
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, grace)
--- a/scheduler/fleet_cost_test.go
+++ b/scheduler/fleet_cost_test.go
@@ -43,17 +43,17 @@
 
 // fleetStep is a step that recurs.
 type fleetStep struct {
-	run     func(s *Scheduler, n int) // n is the number of disk servers
-	visited func(s *Scheduler) int
-	most    int // entries that one run may visit
+	run        func(s *Scheduler, n int) // n is the number of disk servers
+	visited    func(s *Scheduler) int
+	maxVisited int // entries that one run may visit
 }
 
 // fleetSteps are the steps whose cost must not depend on the fleet.
 var fleetSteps = map[string]fleetStep{
 	"housekeeping with nothing to close": {
-		run:     func(s *Scheduler, _ int) { s.closeIdleServerConns() },
-		visited: func(s *Scheduler) int { return s.visited.idleConns },
-		most:    1,
+		run:        func(s *Scheduler, _ int) { s.closeIdleServerConns() },
+		visited:    func(s *Scheduler) int { return s.visited.idleConns },
+		maxVisited: 1,
 	},
 	"a connection past the quota": {
 		run: func(s *Scheduler, _ int) {
@@ -62,15 +62,15 @@
 			s.reserveDescriptor()
 			s.serverConnCount = open
 		},
-		visited: func(s *Scheduler) int { return s.visited.idleConns },
-		most:    1,
+		visited:    func(s *Scheduler) int { return s.visited.idleConns },
+		maxVisited: 1,
 	},
 	"a message of a peer": {
 		run: func(s *Scheduler, n int) {
 			s.receiveGossip(netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 20000+n-1)), []byte("x"))
 		},
-		visited: func(s *Scheduler) int { return s.visited.peers },
-		most:    1,
+		visited:    func(s *Scheduler) int { return s.visited.peers },
+		maxVisited: 1,
 	},
 	"a message of a stranger": {
 		run: func(s *Scheduler, _ int) {
@@ -83,8 +83,8 @@
 			member := listMember{ID: fmt.Sprint("s-", n-1), Address: s.servers["s-0"].address, Phase: "draining"}
 			s.applyList(&listMessage{Revision: 2, Members: []listMember{member}}, honeyplank.Delta, s.loop.Now())
 		},
-		visited: func(s *Scheduler) int { return s.visited.members },
-		most:    1,
+		visited:    func(s *Scheduler) int { return s.visited.members },
+		maxVisited: 1,
 	},
 }
 
@@ -105,9 +105,9 @@
 					visited[n] = step.visited(s) - before
 				})
 			}
-			if visited[small] != visited[large] || visited[large] > step.most {
+			if visited[small] != visited[large] || visited[large] > step.maxVisited {
 				t.Errorf("%d entries looked at with %d disk servers, %d with %d; at most %d expected",
-					visited[small], small, visited[large], large, step.most)
+					visited[small], small, visited[large], large, step.maxVisited)
 			}
 		})
 	}
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	within := config.Site.Settings.Watch.Within
-	if sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
+	if sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > maxNotificationDelay {
 		t.Errorf("lists are requested within %v", within)
 	}
 }
--- a/scheduler/modules_test.go
+++ b/scheduler/modules_test.go
@@ -33,11 +33,11 @@
 	return nil
 }
 
-// repeatingModule is a module that dispatches every op to one disk server twice, and fails it with the first outcome
+// doubleDispatchModule is a module that dispatches every op to one disk server twice, and fails it with the first outcome
 // that is no success.
-type repeatingModule struct{ server honeyplank.ServerID }
+type doubleDispatchModule struct{ server honeyplank.ServerID }
 
-func (m repeatingModule) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
+func (m doubleDispatchModule) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 	actions := singleServerModule(m).Handle(now, event)
 	if op, ok := event.(honeyplank.Op); ok {
 		actions = append(actions, honeyplank.Dispatch{Op: op.ID, Server: m.server})
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestConnRestsWithoutDescriptors: also where no descriptor is left for another connection, one on which an answer has
+// TestReuseDelayWithoutDescriptors: also where no descriptor is left for another connection, one on which an answer has
 // just come is idle for a moment before it carries the next op: a second answer, a moment late, must not be taken for
 // that op's.
-func TestConnRestsWithoutDescriptors(t *testing.T) {
+func TestReuseDelayWithoutDescriptors(t *testing.T) {
 	bed := newTestbed(t, 1)
 	server := newLateReplyServer(t, secondReply)
 	bed.redirectServer(0, server.address)
@@ -207,7 +207,7 @@
 	bed.eventually("the list", func() bool { return bed.hasServer("s-0") })
 	codes := bed.recordOutcomes()
 	bed.onLoop(func() {
-		bed.module.DecisionModule = repeatingModule{"s-0"}
+		bed.module.DecisionModule = doubleDispatchModule{"s-0"}
 		bed.leaveOneServerConn()
 	})
 	if got := bed.dialClient().doRead("a", 9000); got != "-ERR failed" {
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -111,11 +111,11 @@
 			return
 		}
 	}
-	sc.encodeAgain(sc.inFlight[firstUnsent:], now)
+	sc.reencodeUnsent(sc.inFlight[firstUnsent:], now)
 }
 
-// encodeAgain encodes the commands of attempts of which nothing is written again, if they are too old.
-func (sc *serverConn) encodeAgain(unsent []*attempt, now time.Duration) {
+// reencodeUnsent encodes the commands of attempts of which nothing is written again, if they are too old.
+func (sc *serverConn) reencodeUnsent(unsent []*attempt, now time.Duration) {
 	if len(unsent) == 0 || now-unsent[0].encodedAt <= maxEncodedAge {
 		return
 	}
@@ -282,8 +282,8 @@
 		ds.dialing--
 	}
 	sc.conn, sc.inFlight = nil, nil
-	ds.conns = without(ds.conns, sc)
-	ds.idle = without(ds.idle, sc)
+	ds.conns = removeConn(ds.conns, sc)
+	ds.idle = removeConn(ds.idle, sc)
 	s.idleServerConns.remove(sc)
 	ds.scheduleWaiters()
 	if ds.removed && len(ds.conns) == 0 && s.servers[ds.id] == ds {
@@ -291,8 +291,8 @@
 	}
 }
 
-// without removes a connection from a list.
-func without(conns []*serverConn, sc *serverConn) []*serverConn {
+// removeConn removes a connection from a list.
+func removeConn(conns []*serverConn, sc *serverConn) []*serverConn {
 	if i := slices.Index(conns, sc); i >= 0 {
 		return slices.Delete(conns, i, i+1)
 	}
--- a/scheduler/start_tracker_test.go
+++ b/scheduler/start_tracker_test.go
@@ -14,7 +14,7 @@
 // steppedClock is a scheduler whose wall clock is stepped, and the starts that its module is notified of.
 type steppedClock struct {
 	*testbed
-	from    time.Duration // when the clock began
+	began   time.Duration // when the clock began
 	step    time.Duration // off the real wall clock; used on the loop
 	starts  map[honeyplank.ServerID]time.Duration
 	applied chan bool // one for each list
@@ -30,7 +30,7 @@
 		applied: make(chan bool, 16),
 	}
 	clock.onLoop(func() {
-		clock.from = clock.scheduler.loop.Now()
+		clock.began = clock.scheduler.loop.Now()
 		clock.scheduler.wallClock = func() time.Time { return time.Now().Add(clock.step) }
 		clock.module.onEvent = func(event honeyplank.Event) {
 			if list, ok := event.(honeyplank.List); ok && len(list.Members) == 1 { // one of announce
@@ -68,8 +68,8 @@
 	const age = 300 * time.Millisecond
 	clock := newSteppedClock(t, before)
 	startMS := time.Now().Add(before - age).UnixMilli()
-	if got, now := clock.announce("s-9", startMS); got < clock.from || got > now {
-		t.Errorf("the first has started %v after the process, at %v", got-clock.from, now-clock.from)
+	if got, now := clock.announce("s-9", startMS); got < clock.began || got > now {
+		t.Errorf("the first has started %v after the process, at %v", got-clock.began, now-clock.began)
 	}
 	if got, _ := clock.announce("s-8", 0); got != 0 {
 		t.Errorf("one that runs since long has started at %v", got)
