--- a/estimates/disk.go
+++ b/estimates/disk.go
@@ -7,16 +7,16 @@
 	"syscall"
 )
 
-// fileSystem is what a write needs of the system. Tests replace it to have calls fail.
+// fileSystem has the calls of the file system that a write uses. Tests replace it to make calls fail.
 type fileSystem interface {
-	// Lock takes the lock of a folder without waiting: errLocked where it is held. The lock is free again once its
-	// holder has ended, however it did.
+	// Lock acquires the lock of a folder without waiting. It returns errLocked if the lock is held. The lock is
+	// released when its holder ends, however that happens.
 	Lock(folder string) (unlock func(), err error)
 	List(folder string) ([]fs.DirEntry, error)
 	Create(folder, pattern string) (file, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes the renames in a folder last through a loss of power.
+	// SyncFolder makes the renames in a folder durable, also across a power failure.
 	SyncFolder(folder string) error
 }
 
@@ -28,23 +28,23 @@
 	Close() error
 }
 
-// osFileSystem is the system's own file system.
+// osFileSystem is the file system of the operating system.
 type osFileSystem struct{}
 
-// Lock takes the advisory lock of a folder, which the kernel releases when the process ends.
+// Lock acquires the advisory lock of a folder, which the kernel releases when the process ends.
 func (osFileSystem) Lock(folder string) (func(), error) {
 	f, err := os.Open(folder)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close() // opened for reading only: nothing is lost
+		_ = f.Close() // opened read-only: no data can be lost
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = errLocked
 		}
 		return nil, err
 	}
-	return func() { _ = f.Close() }, nil // the lock ends with the descriptor, also where Close fails
+	return func() { _ = f.Close() }, nil // the lock ends with the descriptor, even if Close fails
 }
 
 func (osFileSystem) List(folder string) ([]fs.DirEntry, error) { return os.ReadDir(folder) }
@@ -57,8 +57,8 @@
 
 func (osFileSystem) Remove(name string) error { return os.Remove(name) }
 
-// SyncFolder syncs the folder. One that may be written but not read, and a file system that syncs no folders, have no
-// such call: the rename is as durable as it is there.
+// SyncFolder syncs the folder. A folder that may be written but not read cannot be synced, and some file systems cannot
+// sync folders. In these cases SyncFolder returns nil, and the rename is as durable as the file system makes it.
 func (osFileSystem) SyncFolder(folder string) error {
 	f, err := os.Open(folder)
 	if err == nil {
--- a/estimates/record.go
+++ b/estimates/record.go
@@ -1,9 +1,10 @@
 // Package estimates reads and writes the file in which an instance saves its latency estimates of disk servers for the
-// next start. docs/migration.md has the format and which estimates are saved. The package decides nothing: the decision
-// module decides by age and by the server's last start which estimates it still uses.
+// next start. docs/migration.md describes the format and lists the estimates that are saved. The package does not
+// choose among them: the decision module decides, by the age of an estimate and by the server's last start, which ones
+// it still uses.
 //
-// The package starts no goroutine. Its functions block on the disk, so the program calls them apart from the event
-// loop; a Record that is being written must not be changed.
+// The package starts no goroutine. Its functions block on the disk, so the program must not call them on the event
+// loop. A Record must not be changed while it is being written.
 package estimates
 
 import (
@@ -19,53 +20,54 @@
 	"honeyplank"
 )
 
-// Record is the estimates of one instance at one moment.
+// Record holds the estimates of one instance at one point in time.
 type Record struct {
-	Unit           int64    `json:"unit"`  // bytes of a unit, by which BestPerUnit is counted
+	Unit           int64    `json:"unit"`  // size of the units of BestPerUnit, in bytes
 	TypicalLatency float64  `json:"usual"` // recent latency of all servers, in seconds
 	Servers        []Server `json:"servers"`
 }
 
-// Server is the estimates of one disk server.
+// Server holds the estimates of one disk server.
 type Server struct {
 	ID          string    `json:"osd"`
-	At          time.Time `json:"at"`      // of the last observation
-	BestPerUnit float64   `json:"best"`    // lowest latency for each unit, in seconds
+	At          time.Time `json:"at"`      // time of the last observation
+	BestPerUnit float64   `json:"best"`    // lowest latency per unit, in seconds
 	Latency     float64   `json:"latency"` // recent latency, in seconds
 }
 
 const (
-	magic   = "honeyplank-learnt 1 " // with the version of the format; the checksum and a line feed follow
-	maxSize = 16 << 20               // bytes of a file that is read
+	magic   = "honeyplank-learnt 1 " // includes the version of the format; the checksum and a line feed follow
+	maxSize = 16 << 20               // largest file that is decoded, in bytes
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Why a file is not valid, beside the errors of the JSON decoder.
+// Errors of Decode, in addition to those of the JSON decoder.
 var (
 	ErrFormat   = errors.New("not a file of saved estimates, version 1")
 	ErrChecksum = errors.New("the checksum does not match the content")
 	ErrValue    = errors.New("a latency is negative or infinite")
 )
 
-// Encode is the content of a record's file: a line with the magic and version and the CRC-32C of the rest, then JSON.
+// Encode returns the content of a record's file: a line with the magic, the version of the format and the CRC-32C of
+// the rest, followed by JSON.
 func (r *Record) Encode() ([]byte, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return nil, fmt.Errorf("estimates: %w", err)
+		return nil, fmt.Errorf("encode estimates: %w", err)
 	}
 	return append(fmt.Appendf(nil, "%s%08x\n", magic, crc32.Checksum(body, checksumTable)), body...), nil
 }
 
-// Decode decodes the content of a file. A file that is damaged in any part is an error: ErrFormat,
-// ErrChecksum, ErrValue or one of the JSON decoder.
+// Decode decodes the content of a file. If any part of the file is damaged, it returns ErrFormat, ErrChecksum, ErrValue
+// or an error of the JSON decoder.
 func Decode(content []byte) (*Record, error) {
 	head, body, ok := bytes.Cut(content, []byte("\n"))
 	if !ok || len(content) > maxSize || !bytes.HasPrefix(head, []byte(magic)) {
 		return nil, ErrFormat
 	}
 	if sum := fmt.Sprintf("%08x", crc32.Checksum(body, checksumTable)); sum != string(head[len(magic):]) {
-		return nil, fmt.Errorf("%w: %s in the file, %s of its content", ErrChecksum, head[len(magic):], sum)
+		return nil, fmt.Errorf("%w: %s in the file, %s computed from its content", ErrChecksum, head[len(magic):], sum)
 	}
 	r := &Record{}
 	if err := json.Unmarshal(body, r); err != nil {
@@ -79,7 +81,8 @@
 	return r, nil
 }
 
-// Read reads a file. A missing file is an error that os.ErrNotExist matches; others are those of Decode, with the name.
+// Read reads a file. If the file is missing, the error matches os.ErrNotExist. An error of Decode is returned with the
+// name of the file.
 func Read(file string) (*Record, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -92,7 +95,8 @@
 	return r, nil
 }
 
-// FromEvent makes a record of the estimates of a decision module; wall converts a time of its clock to the wall clock.
+// FromEvent makes a record of the estimates of a decision module. unit is the size of its units in bytes, and wall
+// converts a time of its clock to wall clock time.
 func FromEvent(saved honeyplank.SavedEstimates, unit int64, wall func(time.Duration) time.Time) *Record {
 	r := &Record{Unit: unit, TypicalLatency: saved.TypicalLatency}
 	for _, s := range saved.Servers {
@@ -106,9 +110,9 @@
 	return r
 }
 
-// ToEvent converts the record for the decision module of an instance; unit is the size of its units in bytes, and clock
-// converts a wall clock time to its clock. Where the record has units of another size, a latency for each unit means
-// something else and is left out.
+// ToEvent converts the record for the decision module of an instance. unit is the size of its units in bytes, and clock
+// converts a wall clock time to a time of its clock. If the record has units of another size, its latencies per unit
+// are not comparable and are left out.
 func (r *Record) ToEvent(unit int64, clock func(time.Time) time.Duration) honeyplank.SavedEstimates {
 	saved := honeyplank.SavedEstimates{TypicalLatency: r.TypicalLatency}
 	for _, s := range r.Servers {
--- a/estimates/retry.go
+++ b/estimates/retry.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// maxLockedAttempts is the number of attempts after which a write goes on without the lock. Its holder may be another
-// program, or a writer that the system doesn't let go. It could harm where the holder is a writer that is alive and
-// removes the temporary file: the rename fails then, and the write is retried.
+// maxLockedAttempts is the number of attempts after which a write continues without the lock. The holder of the lock
+// may be another program, or a writer that the kernel does not let end. Limitation: if the holder is a live writer, it
+// may remove the temporary file. The rename then fails, and the write is retried.
 const maxLockedAttempts = 8
 
-// writeBackoff has the waits between the attempts of a write.
+// writeBackoff defines the waits between the attempts of a write.
 var writeBackoff = Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 
-// Backoff has the waits between attempts: Initial after the first that failed, then twice as long each, up to Max.
+// Backoff defines the waits between attempts: Initial after the first failed attempt, then twice the previous wait, up
+// to Max.
 type Backoff struct{ Initial, Max time.Duration }
 
-// Wait returns the wait after so many attempts have failed.
+// Wait returns the wait after the given number of failed attempts.
 func (b Backoff) Wait(failed int) time.Duration {
 	wait := b.Initial
 	for ; failed > 1 && wait < b.Max; failed-- {
@@ -30,15 +31,16 @@
 	return min(wait, b.Max)
 }
 
-// WriteWithRetry writes a record as Write does, and again with growing waits until it has succeeded, the context is
-// over, or the error is one that waiting does not mend. failed is called with the first error only. A call of the
-// system may block past the context's end: a caller that can't wait for that runs it on a goroutine.
-func (r *Record) WriteWithRetry(ctx context.Context, file string, failed func(error)) error {
-	return r.retryWrite(ctx, osFileSystem{}, file, failed)
+// WriteWithRetry writes a record as Write does. It retries with an exponential backoff until the write succeeds, the
+// context ends or the error is permanent. If the first error is not permanent, it calls onFirstError with it. A system
+// call may block past the end of the context: a caller that cannot wait for that calls WriteWithRetry on another
+// goroutine.
+func (r *Record) WriteWithRetry(ctx context.Context, file string, onFirstError func(error)) error {
+	return r.retryWrite(ctx, osFileSystem{}, file, onFirstError)
 }
 
-// retryWrite is WriteWithRetry on a file system.
-func (r *Record) retryWrite(ctx context.Context, system fileSystem, file string, failed func(error)) error {
+// retryWrite implements WriteWithRetry on a file system.
+func (r *Record) retryWrite(ctx context.Context, system fileSystem, file string, onFirstError func(error)) error {
 	content, err := r.Encode()
 	if err != nil {
 		return err
@@ -49,7 +51,7 @@
 			return err
 		}
 		if attempt == 1 {
-			failed(err)
+			onFirstError(err)
 		}
 		if attempt == maxLockedAttempts && errors.Is(err, errLocked) {
 			system = unlockedFileSystem{system}
@@ -62,14 +64,14 @@
 	}
 }
 
-// isPermanent reports whether an error is one that waiting does not mend: a folder that is missing or may not be
-// written, a directory in the place of the file. A temporary file that was removed before it was renamed is not.
+// isPermanent reports whether a retry cannot succeed: a folder is missing or may not be written, or a directory has the
+// name of the file. A temporary file that was removed before its rename is no such error.
 func isPermanent(err error) bool {
 	var renamed *os.LinkError
 	if errors.As(err, &renamed) && errors.Is(err, fs.ErrNotExist) {
 		return false
 	}
-	return slices.ContainsFunc(permanentErrors, func(kind error) bool { return errors.Is(err, kind) })
+	return slices.ContainsFunc(permanentErrors, func(permanent error) bool { return errors.Is(err, permanent) })
 }
 
 var permanentErrors = []error{
--- a/estimates/write.go
+++ b/estimates/write.go
@@ -11,23 +11,23 @@
 const (
 	// temporaryPattern is the pattern of the names of temporary files, for os.CreateTemp.
 	temporaryPattern = ".learnt-*.tmp"
-	// unlockedWriterAge is the age from which on a temporary file of a version that took no lock has no writer any
-	// more.
+	// unlockedWriterAge is the age above which a temporary file of a version without locking counts as having no
+	// writer.
 	unlockedWriterAge = time.Hour
 )
 
 var (
 	// temporaryName matches the names that os.CreateTemp makes of temporaryPattern.
 	temporaryName = regexp.MustCompile(`^\.learnt-[0-9]+\.tmp$`)
-	// unlockedTemporaryName matches the names of the temporary files of versions that took no lock.
+	// unlockedTemporaryName matches the names of the temporary files of versions without locking.
 	unlockedTemporaryName = regexp.MustCompile(`^\.learnt-[0-9]+$`)
 )
 
-// errLocked: another writer holds the folder's lock.
+// errLocked is the error of a write while another writer holds the folder's lock.
 var errLocked = errors.New("estimates: another writer holds the folder's lock")
 
-// Write replaces a file completely or leaves it as it was, and removes the temporary files of killed writers. It
-// fails at once where another writer is at work in the folder.
+// Write replaces a file completely or leaves it unchanged, and removes the temporary files of killed writers. It fails
+// at once if another writer holds the lock of the folder.
 func (r *Record) Write(file string) error {
 	content, err := r.Encode()
 	if err != nil {
@@ -36,20 +36,20 @@
 	return replaceFile(osFileSystem{}, file, content)
 }
 
-// replaceFile puts a file in the place of another: whatever fails and wherever the process is killed, the old or the new
-// file is there, complete, also after a loss of power. After success no temporary file is left. After an error the
-// file may be the old or the new one.
+// replaceFile replaces a file atomically. If a call fails, the process is killed or the power fails, the file is still
+// complete, with either the old or the new content. After success no temporary file is left. After an error the content
+// may be the old or the new one.
 func replaceFile(system fileSystem, name string, content []byte) error {
 	folder := filepath.Dir(name)
 	unlock, err := system.Lock(folder)
 	if errors.Is(err, errLocked) {
 		return err
 	}
-	// Without the lock a temporary file may have a writer that is alive: none is removed then.
+	// Without the lock, a temporary file may have a live writer, so none is removed.
 	locked := err == nil
 	if locked {
 		defer unlock()
-		_ = removeTemporary(system, name) // they may fill the disk; what fails here is retried after the write
+		_ = removeTemporary(system, name) // they may fill the disk; the call after the write retries failures
 	}
 	if err := writeAndRename(system, name, content); err != nil {
 		return err
@@ -75,18 +75,19 @@
 		err = system.Rename(f.Name(), name)
 	}
 	if err != nil {
-		_ = system.Remove(f.Name()) // where that fails too, the next write removes it
+		_ = system.Remove(f.Name()) // if that fails too, the next write removes it
 	}
 	return err
 }
 
 // removeTemporary removes the temporary files of killed writers from the folder of a file, but not the file itself.
-// Only the holder of the folder's lock may call it: no temporary file has a writer then. Other files are not touched.
+// Only the holder of the folder's lock may call it, since no temporary file has a writer then. It does not change other
+// files.
 func removeTemporary(system fileSystem, name string) error {
-	folder, own := filepath.Split(filepath.Clean(name))
+	folder, baseName := filepath.Split(filepath.Clean(name))
 	list, err := system.List(filepath.Dir(name))
 	for _, entry := range list {
-		if entry.Name() == own || !entry.Type().IsRegular() || !isTemporary(entry) {
+		if entry.Name() == baseName || !entry.Type().IsRegular() || !isTemporary(entry) {
 			continue
 		}
 		if e := system.Remove(folder + entry.Name()); !errors.Is(e, fs.ErrNotExist) {
@@ -96,7 +97,7 @@
 	return err
 }
 
-// isTemporary reports whether a file is a temporary one without a writer, provided that the folder's lock is held.
+// isTemporary reports whether a file is a temporary one without a writer. The caller must hold the folder's lock.
 func isTemporary(entry fs.DirEntry) bool {
 	if temporaryName.MatchString(entry.Name()) {
 		return true
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,6 +1,7 @@
-// Package incarnation places the starts of disk servers on a monotonic clock, from lists that give them by the wall
-// clock. The start that a list gives identifies an incarnation and is only compared for equality; the age of a start is
-// a span of the monotonic clock. The package does no I/O, reads no clock, starts no goroutine and decides nothing.
+// Package incarnation converts the start times of disk servers, which lists give by the wall clock, to a monotonic
+// clock. The start time that a list gives identifies an incarnation: two such times are only compared for equality. The
+// age of an incarnation is measured on the monotonic clock. The package does no I/O, reads no clock, starts no
+// goroutine and makes no scheduling decisions.
 //
 // A gateway has a Tracker for each of its sources and calls it on the goroutine of its event loop; a Tracker is not
 // safe for concurrent use.
@@ -13,56 +14,61 @@
 )
 
 const (
-	// removedRetention is how long a removed server is kept, so that its incarnation is known when it returns.
+	// removedRetention is the time for which a removed server is kept, so that its incarnation is known when it
+	// returns.
 	removedRetention = time.Hour
-	// defaultMaxRemoved is how many removed servers are kept by default; the one removed first is dropped first.
+	// defaultMaxRemoved is the default number of removed servers that are kept. Beyond it, the one removed first is
+	// dropped.
 	defaultMaxRemoved = 4096
 )
 
-// Tracker has the incarnations of the servers of one source of lists. The zero value has none and is ready to use.
-// Times are spans since a fixed moment of the caller's monotonic clock, and don't decrease from call to call.
+// Tracker records the incarnations of the servers in the lists of one source. The zero value has none and is ready to
+// use. Times are durations since a fixed time of the caller's monotonic clock, and must not decrease from call to call.
 //
-// It guards slow start against steps of the wall clock: a start may be placed later than it was, which delays work for
-// a while, but never earlier than this process can know. It could harm in the first seconds of a process, for which
-// every server with a given start has only just started.
+// A Tracker protects slow start against steps of the wall clock. It may place a start later than it was, which delays
+// work for a while. It never places a start before the last time at which the incarnation is known not to have run.
+// Limitation: in the first seconds of a process, every server whose start time is given counts as just started.
 type Tracker struct {
-	// MaxRemoved bounds the removed servers that are kept; 0: 4,096. Of a larger fleet that is missing from one list by
-	// mistake, the servers past this number count as newly started when they return.
+	// MaxRemoved is the maximum number of removed servers that are kept; 0 stands for 4,096. If a larger fleet is
+	// missing from one list by mistake, the servers beyond this number count as newly started when they return.
 	MaxRemoved int
 	servers    map[honeyplank.ServerID]*server
 	removed    []removal
-	currentAt  time.Duration // the last moment at which all mentions held
-	hasCurrent bool          // current is set
+	currentAt  time.Duration // time of the last call of MarkCurrent
+	hasCurrent bool          // currentAt is set
 }
 
-// Incarnation is one life of a server.
+// Incarnation is one run of a server's process, from its start to its end.
 type Incarnation struct {
-	// UpSinceMS is the start as the list gives it, in Unix milliseconds, and identifies the incarnation; 0: long ago.
+	// UpSinceMS is the start time that the list gives, in Unix milliseconds. It identifies the incarnation. 0 stands
+	// for long ago.
 	UpSinceMS int64
-	// Started is the start on the monotonic clock; 0: long ago.
+	// Started is the start time on the monotonic clock. 0 stands for long ago.
 	Started time.Duration
-	// StartedAfter is a time that the start came after, both by the wall clock and by what held before; 0: not known.
+	// StartedAfter is a lower bound of the start time on the monotonic clock, which holds by the wall clock and by the
+	// earlier lists. 0 means that none is known.
 	StartedAfter time.Duration
 }
 
-// server is what the tracker keeps of a server.
+// server is the tracker's record of a server.
 type server struct {
-	incarnation Incarnation // the one mentioned last
+	incarnation Incarnation // the one named last
 	removed     bool
 	removedAt   time.Duration
 }
 
-// removal is an entry in the order of removals. It is out of date where the server has come back since.
+// removal is an entry of the queue of removals. It is obsolete if the server has returned since.
 type removal struct {
 	id honeyplank.ServerID
 	at time.Duration
 }
 
-// StartOf is when a server that a list mentions has started: 0 for long ago, else above 0 and at most now. upSinceMS is
-// the start that the list gives, in Unix milliseconds, 0 for long ago; wall is the wall clock at now. The first mention
-// of an incarnation sets its start. The wall clock may place it before that mention, but not before the last moment of
-// Current or Complete, at which the incarnation before was running or the server was not there; without such a moment
-// the server has started now. An incarnation that returns after its removal keeps its start.
+// StartOf returns the start time of a server that a list names: 0 for long ago, otherwise a time above 0 and at most
+// now. upSinceMS is the start time that the list gives, in Unix milliseconds, or 0 for long ago. wall is the time of
+// the wall clock at now. The first call for an incarnation sets its start time. The wall clock may place the start
+// before that call, but not before the last call of MarkCurrent or RemoveUnlisted, because at that time the previous
+// incarnation was running or the server was absent. Without such a call, the server counts as started now. An
+// incarnation that returns after its removal keeps its start time.
 func (t *Tracker) StartOf(now time.Duration, wall time.Time, id honeyplank.ServerID, upSinceMS int64) time.Duration {
 	s := t.servers[id]
 	if s == nil || s.incarnation.UpSinceMS != upSinceMS {
@@ -73,7 +79,7 @@
 	return s.incarnation.Started
 }
 
-// newIncarnation places the start of an incarnation that is mentioned for the first time.
+// newIncarnation determines the start time of an incarnation that a list names for the first time.
 func (t *Tracker) newIncarnation(now time.Duration, wall time.Time, upSinceMS int64) Incarnation {
 	if upSinceMS == 0 {
 		return Incarnation{}
@@ -98,7 +104,8 @@
 	t.servers[id] = s
 }
 
-// Lookup returns the incarnation of a server that was mentioned last, also of a removed server; false: it is not known.
+// Lookup returns the incarnation of a server that was passed to StartOf or Adopt last, also if the server has been
+// removed. It returns false if the server is not known.
 func (t *Tracker) Lookup(id honeyplank.ServerID) (Incarnation, bool) {
 	s := t.servers[id]
 	if s == nil {
@@ -107,24 +114,25 @@
 	return s.incarnation, true
 }
 
-// Adopt takes over an incarnation from the tracker of another source, before its first mention here. One that is known
-// here stays as it is.
+// Adopt copies an incarnation from the tracker of another source, before a list of this source names it. An incarnation
+// that is already known here does not change.
 func (t *Tracker) Adopt(id honeyplank.ServerID, incarnation Incarnation) {
 	if s := t.servers[id]; s == nil || s.incarnation.UpSinceMS != incarnation.UpSinceMS {
 		t.put(id, &server{incarnation: incarnation})
 	}
 }
 
-// MarkCurrent notes that all mentions hold at this moment: each server runs the incarnation that was mentioned last, and
-// one that was not mentioned, or was removed, is not there. It is called after the mentions of a message that is known
-// to follow without a gap on a complete list, and never for a cached list, which may be old.
+// MarkCurrent records that the state of all servers is current at this time: each listed server runs the incarnation
+// that was named last, and a server that was never named, or was removed, is absent. It is called after StartOf for the
+// entries of a message that is known to follow without a gap on a complete list. It must not be called for a cached
+// list, which may be outdated.
 func (t *Tracker) MarkCurrent(now time.Duration) {
 	t.currentAt, t.hasCurrent = now, true
 	t.dropRemoved(now)
 }
 
-// RemoveUnlisted notes that a complete list was received, after its mentions: servers that it does not list are removed.
-// It implies Current.
+// RemoveUnlisted removes the servers that are missing from a complete list. It is called after StartOf for the entries
+// of the list, and implies MarkCurrent.
 func (t *Tracker) RemoveUnlisted(now time.Duration, ids []honeyplank.ServerID) {
 	listed := make(map[honeyplank.ServerID]bool, len(ids))
 	for _, id := range ids {
@@ -138,7 +146,7 @@
 	t.MarkCurrent(now)
 }
 
-// MarkRemoved notes that a server is not listed any more. Its incarnation is kept for an hour.
+// MarkRemoved records that a server is no longer listed. Its incarnation is kept for an hour.
 func (t *Tracker) MarkRemoved(now time.Duration, id honeyplank.ServerID) {
 	s := t.servers[id]
 	if s == nil || s.removed {
@@ -149,7 +157,8 @@
 	t.dropRemoved(now)
 }
 
-// dropRemoved drops the servers removed too long ago, and the ones removed first of too many.
+// dropRemoved drops the servers that were removed too long ago. If there are too many removed servers, it also drops
+// the ones that were removed first.
 func (t *Tracker) dropRemoved(now time.Duration) {
 	maxRemoved := t.MaxRemoved
 	if maxRemoved == 0 {
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -8,23 +8,24 @@
 	"honeyplank/inflight"
 )
 
-// attempt is one sending of a command to a disk server: that of a dispatch or of a health check.
+// attempt is one transmission of a command to a disk server, for a dispatch or for a health check.
 type attempt struct {
-	dispatch  *inflight.Dispatch // nil: a health check
+	dispatch  *inflight.Dispatch // nil for a health check
 	server    *diskServer
-	conn      *serverConn // nil: it waits for a connection
+	conn      *serverConn // nil while it waits for a connection
 	started   time.Duration
-	encodedAt time.Duration    // when its command was encoded
+	encodedAt time.Duration    // time at which its command was encoded
 	firstByte uint64           // position of its first byte in the output of the connection
-	endByte   uint64           // position behind its last byte
-	finished  bool             // its outcome is reported, or nobody waits for it
+	endByte   uint64           // position after its last byte
+	finished  bool             // its outcome has been reported, or is no longer awaited
 	timer     *eventloop.Timer // the timeout of a health check
 }
 
-// sender sends the dispatches of the tracker, as its inflight.Sender. SenderState of each holds its attempt.
+// sender implements inflight.Sender: it sends the dispatches of the tracker. The SenderState of a dispatch holds its
+// attempt.
 type sender struct{ *Scheduler }
 
-// Send begins the attempt of a dispatch.
+// Send starts the attempt of a dispatch.
 func (s sender) Send(d *inflight.Dispatch) {
 	ds := s.servers[d.Server]
 	if ds == nil {
@@ -36,32 +37,33 @@
 	ds.assignConn(a)
 }
 
-// Written reports whether the kernel has taken all bytes of a dispatch.
+// Written reports whether the kernel has accepted all bytes of a dispatch's command.
 func (s sender) Written(d *inflight.Dispatch) bool {
 	a, _ := d.SenderState.(*attempt)
 	return a != nil && a.fullyWritten()
 }
 
-// Cancel ends the attempt of a dispatch without an outcome.
+// Cancel ends the attempt of a dispatch without reporting an outcome.
 func (s sender) Cancel(d *inflight.Dispatch) {
 	if a, _ := d.SenderState.(*attempt); a != nil {
 		a.cancel()
 	}
 }
 
-// fullyWritten reports whether the kernel has taken all bytes of the command.
+// fullyWritten reports whether the kernel has accepted all bytes of the command.
 func (a *attempt) fullyWritten() bool {
 	sc := a.conn
 	return sc != nil && sc.connected && a.endByte <= sc.writtenBytes()
 }
 
-// abandoned reports whether nobody waits for the answer any more.
+// abandoned reports whether the answer is no longer awaited.
 func (a *attempt) abandoned() bool {
 	return a.finished || a.dispatch != nil && a.dispatch.Abandoned()
 }
 
-// cancel ends the wait for an answer. An unwritten command is withdrawn. A connection with nothing else in flight
-// closes, which lets the disk server drop the command.
+// cancel ends the wait for an answer. If the command has not been fully written, it is withdrawn. If it has been, the
+// connection takes no more attempts, and closes once no attempt on it awaits an answer. The close allows the disk
+// server to drop the command.
 func (a *attempt) cancel() {
 	written := a.fullyWritten()
 	a.finished = true
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -19,27 +19,27 @@
 	Name          string
 	Listen        string // address for clients
 	Discovery     string // address of discovery
-	Seed          int64  // of the decision module's random numbers
+	Seed          int64  // of the random numbers of the decision module
 	Cores         float64
 	MemoryMB      int
 	Sockets       int              // descriptors that the process may have open
-	PeerListen    string           // address for gossip; empty: none is received
+	PeerListen    string           // address that receives gossip; empty: no gossip is received
 	Peers         []netip.AddrPort // one for each scheduler, by ordinal
-	PeerBroadcast netip.AddrPort   // reaches all peers; invalid: there is none
-	CachedList    []byte           // the last endpoint list that the platform received, as JSON of discovery
+	PeerBroadcast netip.AddrPort   // address that reaches all peers; invalid: there is none
+	CachedList    []byte           // the last endpoint list that the platform received, in discovery's JSON form
 	Site          *simwire.Site    // the deployment's settings
 }
 
 // ConfigError is the error of a configuration file that cannot be used.
 type ConfigError struct {
 	File     string
-	Line     int    // from 1; 0: the file could not be read
-	Problem  string // what is wrong
-	Expected string // what was expected
-	Err      error  // the cause; nil: Wrong says all
+	Line     int    // from 1; 0 if the file could not be read
+	Problem  string // the problem that was found
+	Expected string // the content that was expected
+	Err      error  // the cause; nil if there is none
 }
 
-// Error returns file, line, what is wrong and what was expected.
+// Error returns the file, the line, the problem and the expected content.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("%s:%d: %s; expected %s", e.File, e.Line, e.Problem, e.Expected)
 }
@@ -48,16 +48,17 @@
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 const (
-	// maxNotificationDelay is how long after a change an instance counts as notified of it by the platform's rules, if
-	// discovery is reachable.
+	// maxNotificationDelay is the time after a change at which an instance counts as notified of it by the platform's
+	// rules, if discovery is reachable.
 	maxNotificationDelay = 6 * time.Second
-	// maxWatchWithin bounds the settings' Watch.Within. The module retries within a quarter of that, which leaves two
-	// thirds of maxNotificationDelay for the calls themselves.
+	// maxWatchWithin bounds Watch.Within of the settings. The decision module retries within a quarter of that time,
+	// which leaves two thirds of maxNotificationDelay for the calls themselves.
 	maxWatchWithin = maxNotificationDelay * 4 / 3
-	// minSockets is the least number of descriptors: the reserved ones and as many for clients and disk servers.
+	// minSockets is the minimum number of descriptors: the reserved ones, and the same number for clients and disk
+	// servers.
 	minSockets = 2 * reservedDescriptors
 
-	expectedAddress = "an IPv4 address and a port, as 127.0.0.1:6379"
+	expectedAddress = "an IPv4 address and a port, such as 127.0.0.1:6379"
 )
 
 // ReadConfig reads a configuration file. Its errors are of type *ConfigError.
@@ -88,14 +89,14 @@
 	Settings      json.RawMessage `json:"settings"`
 }
 
-// limitsJSON is what the process may use of the machine.
+// limitsJSON has the limits of the machine's resources that the process may use.
 type limitsJSON struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// configParser checks a configuration file and makes a Config of it.
+// configParser checks a configuration file and converts it to a Config.
 type configParser struct {
 	file   string
 	text   []byte
@@ -103,7 +104,7 @@
 	config *Config
 }
 
-// parseConfig makes a Config of the text of a configuration file.
+// parseConfig parses the text of a configuration file.
 func parseConfig(file string, text []byte) (*Config, error) {
 	p := &configParser{file: file, text: text}
 	if err := json.Unmarshal(text, &p.json); err != nil {
@@ -129,31 +130,32 @@
 	return p.config, nil
 }
 
-// lineAt returns the line of an offset in the text.
+// lineAt returns the number of the line at an offset in the text.
 func (p *configParser) lineAt(offset int64) int {
 	return 1 + bytes.Count(p.text[:min(offset, int64(len(p.text)))], []byte("\n"))
 }
 
-// errorAt returns an error in the value of a name, with the line of its first occurrence. The cause may be nil.
-func (p *configParser) errorAt(name, wrong, want string, cause error) error {
+// errorAt returns an error in the value of a JSON key, with the line of the key's first occurrence. An empty name
+// stands for the whole file. The cause may be nil.
+func (p *configParser) errorAt(name, problem, expected string, cause error) error {
 	offset := 0
 	if name != "" {
 		offset = max(bytes.Index(p.text, strconv.AppendQuote(nil, name)), 0)
 	}
-	return &ConfigError{File: p.file, Line: p.lineAt(int64(offset)), Problem: wrong, Expected: want, Err: cause}
+	return &ConfigError{File: p.file, Line: p.lineAt(int64(offset)), Problem: problem, Expected: expected, Err: cause}
 }
 
-// syntaxError returns an error of the JSON decoder, with its line.
+// syntaxError returns an error of the JSON decoder as a ConfigError, with its line.
 func (p *configParser) syntaxError(err error) error {
 	var syntax *json.SyntaxError
 	var mismatch *json.UnmarshalTypeError
-	offset, want := int64(0), "one JSON object"
+	offset, expected := int64(0), "one JSON object"
 	if errors.As(err, &syntax) {
 		offset = syntax.Offset
 	} else if errors.As(err, &mismatch) {
-		offset, want = mismatch.Offset, mismatch.Field+" of type "+mismatch.Type.String()
+		offset, expected = mismatch.Offset, mismatch.Field+" of type "+mismatch.Type.String()
 	}
-	return &ConfigError{File: p.file, Line: p.lineAt(offset), Problem: err.Error(), Expected: want, Err: err}
+	return &ConfigError{File: p.file, Line: p.lineAt(offset), Problem: err.Error(), Expected: expected, Err: err}
 }
 
 func (p *configParser) checkAddresses() error {
@@ -195,8 +197,8 @@
 
 func (p *configParser) checkLimits() error {
 	if p.config.Sockets < minSockets {
-		wrong := fmt.Sprintf("sockets is %d", p.config.Sockets)
-		return p.errorAt("sockets", wrong, fmt.Sprintf("%d or more", minSockets), nil)
+		problem := fmt.Sprintf("sockets is %d", p.config.Sockets)
+		return p.errorAt("sockets", problem, fmt.Sprintf("%d or more", minSockets), nil)
 	}
 	if p.config.MemoryMB < 1 {
 		return p.errorAt("memory_mb", fmt.Sprintf("memory_mb is %g", p.json.Limits.MemoryMB), "1 or more", nil)
@@ -206,14 +208,14 @@
 
 func (p *configParser) parseSite() error {
 	if len(p.json.Settings) == 0 {
-		return p.errorAt("", "settings is missing", "the object of the settings", nil)
+		return p.errorAt("", "settings is missing", "the settings object", nil)
 	}
 	site, err := simwire.ReadSite(p.json.Settings)
 	if err != nil {
-		return p.errorAt("settings", "settings: "+err.Error(), "what the simulator's first message holds", err)
+		return p.errorAt("settings", "settings: "+err.Error(), "the simulator's settings object", err)
 	}
 	if len(site.OpTypes) == 0 || len(site.Plans) == 0 {
-		return p.errorAt("settings", "settings has no classes or no plans", "one of each at least", nil)
+		return p.errorAt("settings", "settings has no classes or no plans", "at least one of each", nil)
 	}
 	// An instance counts as notified after maxNotificationDelay even if the settings allow for more time.
 	watch := &site.Settings.Watch
@@ -227,23 +229,23 @@
 		return nil
 	}
 	if _, _, err := readList(p.config.CachedList); err != nil {
-		return p.errorAt("known", "known: "+err.Error(), "a list in discovery's form", err)
+		return p.errorAt("known", "known: "+err.Error(), "an endpoint list in discovery's JSON form", err)
 	}
 	return nil
 }
 
-// parseSeed reads a seed of hexadecimal digits. Any other text is hashed, since a seed only has to differ between
+// parseSeed parses a seed of hexadecimal digits. It hashes any other text, since seeds only have to differ between
 // runs.
 func parseSeed(text string) int64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return int64(seed)
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(text)) // a hash returns no error
+	_, _ = hash.Write([]byte(text)) // Write of a hash never returns an error
 	return int64(hash.Sum64())
 }
 
-// parseIPv4 reads an address of the form 127.0.0.1:6379.
+// parseIPv4 parses an address of the form 127.0.0.1:6379.
 func parseIPv4(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err == nil && !address.Addr().Is4() {
--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -32,7 +32,7 @@
 }
 
 // retireConns closes the connections with nothing in flight, including those that are being opened. The others close
-// once nobody waits for what they have in flight.
+// once none of their attempts in flight awaits an answer.
 func (ds *diskServer) retireConns() {
 	for _, sc := range slices.Clone(ds.conns) {
 		if sc.retiring = true; len(sc.inFlight) == 0 {
@@ -42,10 +42,10 @@
 }
 
 // enforceDrainGrace ensures that no attempt starts at a disk server that is removed, or after the grace period at one
-// that is draining: earlier dispatches may still wait for a connection, or to be written. It guards against connections
-// that take longer than the grace to open, and needlessly fails attempts at a disk server with a longer grace than the
-// settings say. The grace counts from when the process was notified, and ends maxHoldUp early, since a write may be
-// that late.
+// that is draining. Earlier dispatches may still wait for a connection or for their write: a connection may take longer
+// to open than the grace period. The grace period counts from the time at which the process was notified. It ends
+// maxProcessPause early, since a write may be that late. Limitation: attempts fail needlessly at a disk server whose
+// grace period is longer than that of the settings.
 func (ds *diskServer) enforceDrainGrace(notified time.Duration) {
 	if ds.removed {
 		ds.cancelUnsent()
@@ -62,7 +62,7 @@
 	})
 }
 
-// cancelUnsent withdraws the attempts of which nothing is written and reports them as not sent.
+// cancelUnsent withdraws the attempts of which nothing has been written, and reports them as not sent.
 func (ds *diskServer) cancelUnsent() {
 	waiting := ds.waiting
 	ds.waiting = nil
@@ -79,8 +79,8 @@
 	}
 }
 
-// closeIdleServerConns closes connections that have been idle for half of the disk servers' keepalive time, and the
-// longest idle ones while there are more than a new configuration allows.
+// closeIdleServerConns closes connections that have been idle for more than half of the disk servers' keepalive time.
+// It also closes the longest idle connections while there are more connections than a new configuration allows.
 func (s *Scheduler) closeIdleServerConns() {
 	for s.serverConnCount > s.descriptorQuota(serverDescriptorShare) && s.closeLongestIdle(0) {
 	}
--- a/scheduler/idle_list.go
+++ b/scheduler/idle_list.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// idleConnList is the list of the idle connections to all disk servers, the longest idle first, so that finding the
-// next to close costs the same for any number of disk servers. It is linked through the idleLinks of the connections,
+// idleConnList is a doubly linked list of the idle connections to all disk servers, the longest idle first. So finding
+// the next connection to close costs the same for any number of disk servers. The links are fields of the connections,
 // so that removing one costs the same for any number of connections.
 type idleConnList struct {
 	first, last *serverConn
 }
 
-// idleLinks are the neighbours of a connection in the idleConnList.
+// idleLinks has the neighbours of a connection in the idleConnList.
 type idleLinks struct {
 	previous, next *serverConn
 	listed         bool
@@ -24,7 +24,7 @@
 	l.last = sc
 }
 
-// remove removes a connection; one that is not in the list is ignored.
+// remove removes a connection. A connection that is not in the list is ignored.
 func (l *idleConnList) remove(sc *serverConn) {
 	links := sc.idleLinks
 	if !links.listed {
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -8,8 +8,8 @@
 	"honeyplank/resp"
 )
 
-// diskServer holds the connections to one disk server. Each attempt has a connection of its own while descriptors last,
-// since answers come in the order of commands; beyond that, attempts share connections.
+// diskServer manages the connections to one disk server. A disk server answers the commands of a connection in order.
+// So each attempt has a connection of its own while descriptors are available; after that, attempts share connections.
 type diskServer struct {
 	scheduler     *Scheduler
 	id            honeyplank.ServerID
@@ -21,28 +21,29 @@
 	idle          []*serverConn // with nothing in flight, longest idle first
 	waiting       []*attempt    // waiting for a connection, oldest first
 	dialing       int           // connections that are being opened
-	redialAfter   time.Duration // no dial begins before
-	dialFailures  int           // consecutive dials that could not begin, up to maxRedialShift
+	redialAfter   time.Duration // no dial starts before this time
+	dialFailures  int           // consecutive dials that could not start, at most maxRedialShift
 }
 
 const (
-	// reuseDelay is how long a connection has been idle at least before the next command: data that comes in between is
-	// no answer to that. It guards against disk servers that send a second answer some milliseconds late, and costs
-	// connections.
+	// reuseDelay is the minimum idle time of a connection before it carries the next command. Data that arrives within
+	// that time cannot be an answer to the next command. The delay guards against disk servers that send a second
+	// answer some milliseconds late. It costs additional connections.
 	reuseDelay = 8 * time.Millisecond
-	// A dial that could not begin is retried with a backoff from minRedialDelay to maxRedialDelay, which maxRedialShift
-	// doublings give.
+	// A dial that could not start is retried with a backoff from minRedialDelay to maxRedialDelay, which is reached
+	// after maxRedialShift doublings.
 	minRedialDelay = 10 * time.Millisecond
 	maxRedialDelay = 160 * time.Millisecond
 	maxRedialShift = 4
-	// maxDialWait is how long a dispatch waits until a dial can begin.
+	// maxDialWait is the longest time that a dispatch waits for a dial to start.
 	maxDialWait = 200 * time.Millisecond
-	// minEvictableIdle is how long a connection has been idle at least before it is evicted for another.
+	// minEvictableIdle is the minimum idle time of a connection before it is evicted for another.
 	minEvictableIdle = time.Second
 )
 
-// assignConn sends an attempt on an idle connection, else on a new one, else behind others. If there is none, the
-// attempt waits for one or fails.
+// assignConn sends an attempt on an idle connection. If none is idle, the attempt waits for a new connection. If no new
+// one can be opened, the attempt shares a busy connection. If none can be shared, the attempt waits for a connection or
+// fails.
 func (ds *diskServer) assignConn(a *attempt) {
 	if sc := ds.takeIdleConn(); sc != nil {
 		sc.send(a)
@@ -61,18 +62,20 @@
 		ds.scheduleWaiters()
 	case ds.scheduler.loop.Now() < ds.redialAfter && a.mayWaitForDial(ds.redialAfter):
 		ds.waiting = append(ds.waiting, a)
-	default: // no descriptor is left, which is not the disk server's fault
+	default: // this machine has no descriptor left: the disk server is not at fault
 		a.fail(honeyplank.NotSent)
 	}
 }
 
-// mayWaitForDial reports whether an attempt may wait until a time for a dial to begin. Health checks do not wait.
+// mayWaitForDial reports whether an attempt may wait until the given time for a dial to start. Health checks do not
+// wait.
 func (a *attempt) mayWaitForDial(until time.Duration) bool {
 	return a.dispatch != nil && until <= min(a.started+maxDialWait, a.dispatch.Deadline)
 }
 
-// takeIdleConn takes the longest idle connection, if it has been idle for reuseDelay. Those on which data has come
-// since are closed.
+// takeIdleConn removes the longest idle connection from the idle ones and returns it, if it has been idle for
+// reuseDelay. It closes connections on which data has arrived since they became idle. It returns nil if there is none
+// to take.
 func (ds *diskServer) takeIdleConn() *serverConn {
 	for len(ds.idle) > 0 {
 		sc := ds.idle[0]
@@ -89,8 +92,8 @@
 	return nil
 }
 
-// leastLoadedConn returns the connection with the fewest attempts in flight, of the busy ones that may take one more;
-// nil: there is none.
+// leastLoadedConn returns the connection with the fewest attempts in flight among the busy ones that may carry another,
+// or nil if there is none.
 func (ds *diskServer) leastLoadedConn() *serverConn {
 	maxLoad := max(ds.scheduler.site().StreamsPerConn, 1)
 	var least *serverConn
@@ -106,21 +109,21 @@
 	return least
 }
 
-// nextWaiter takes the attempt that has waited longest.
+// nextWaiter removes and returns the attempt that has waited longest.
 func (ds *diskServer) nextWaiter() *attempt {
 	a := ds.waiting[0]
 	ds.waiting = ds.waiting[1:]
 	return a
 }
 
-// scheduleWaiters schedules wakeWaiters: when the longest idle connection may be reused, or at once if none is idle or
-// being opened.
+// scheduleWaiters schedules wakeWaiters for the time at which the longest idle connection may be reused. If no
+// connection is idle or being opened, it schedules wakeWaiters for the current time.
 func (ds *diskServer) scheduleWaiters() {
 	if ds.wakeScheduled || len(ds.waiting) == 0 || ds.dialing > 0 && len(ds.idle) == 0 {
 		return
 	}
 	at := ds.scheduler.loop.Now()
-	if len(ds.idle) == 0 && at < ds.redialAfter { // redial serves them
+	if len(ds.idle) == 0 && at < ds.redialAfter { // redial handles the waiting attempts
 		return
 	}
 	if len(ds.idle) > 0 {
@@ -130,7 +133,8 @@
 	ds.scheduler.loop.Schedule(at, ds.wakeWaiters)
 }
 
-// wakeWaiters sends waiting attempts on idle connections. If none is left or being opened, the rest are assigned again.
+// wakeWaiters sends waiting attempts on idle connections. If no connection is left that is idle or being opened, it
+// assigns the other attempts again.
 func (ds *diskServer) wakeWaiters() {
 	ds.wakeScheduled = false
 	for len(ds.waiting) > 0 { // also attempts that wait for a connection that is being opened
@@ -153,7 +157,7 @@
 	ds.assignAll(waiting)
 }
 
-// assignAll assigns connections to attempts, except those that finish meanwhile.
+// assignAll assigns connections to attempts, except to those that finish in the meantime.
 func (ds *diskServer) assignAll(attempts []*attempt) {
 	for _, a := range attempts {
 		if !a.finished {
@@ -169,9 +173,10 @@
 	}
 }
 
-// failWaiters is called when a connection could not be opened. While descriptors last, each attempt waits for a
-// connection of its own, and one fails with each. Beyond that several wait for one, and all of them fail with the last
-// that was being opened, instead of waiting for their op timeouts.
+// failWaiters is called when a connection could not be opened. While descriptors are available, each attempt waits for
+// a connection of its own, and one attempt fails with each connection. Without free descriptors, several attempts wait
+// for one connection. They all fail with the last connection that was being opened, instead of waiting for their op
+// timeouts.
 func (ds *diskServer) failWaiters() {
 	for first := true; len(ds.waiting) > ds.dialing; first = false {
 		if !first && (ds.dialing > 0 || len(ds.idle) > 0) {
@@ -181,12 +186,12 @@
 	}
 }
 
-// dialIfAllowed begins to open a connection if there is a descriptor for it, and reports whether it has.
+// dialIfAllowed starts to open a connection if a descriptor is available, and reports whether it did.
 func (ds *diskServer) dialIfAllowed() bool {
 	return ds.scheduler.reserveDescriptor() && ds.dial() == nil
 }
 
-// dial begins to open a connection. An error says that this machine could not begin.
+// dial starts to open a connection. An error means that this machine could not start.
 func (ds *diskServer) dial() error {
 	s := ds.scheduler
 	sc := &serverConn{server: ds, reader: resp.Reader{Limits: replyLimits}, idleSince: s.loop.Now()}
@@ -214,8 +219,8 @@
 	return nil
 }
 
-// postponeDial schedules the next dial after one that this machine could not begin, for lack of a descriptor, a port,
-// memory or a route. That is not the disk server's fault, and is logged once until a dial begins again.
+// postponeDial schedules the next dial after one that this machine could not start, for lack of a descriptor, a port,
+// memory or a route. The disk server is not at fault. The failure is logged once until a dial starts again.
 func (ds *diskServer) postponeDial(err error) {
 	s := ds.scheduler
 	if s.failedDials++; s.failedDials == 1 {
@@ -226,8 +231,8 @@
 	s.loop.Schedule(ds.redialAfter, ds.redial)
 }
 
-// redial dials again for the waiting attempts. If that fails too, those that have waited too long are reported as not
-// sent, so that the module can choose another server.
+// redial dials again for the waiting attempts. If that fails too, it reports the attempts that have waited too long as
+// not sent, so that the decision module can choose another server.
 func (ds *diskServer) redial() {
 	if len(ds.waiting) == 0 || ds.dialing > 0 || len(ds.idle) > 0 || ds.scheduler.loop.Now() < ds.redialAfter {
 		ds.scheduleWaiters()
@@ -255,13 +260,13 @@
 	}
 }
 
-// reserveDescriptor reports whether there is a descriptor for one more connection to a disk server. It may close the
-// longest idle connection to any disk server for that.
+// reserveDescriptor reports whether a descriptor is available for one more connection to a disk server. To free one, it
+// may close the longest idle connection to any disk server.
 func (s *Scheduler) reserveDescriptor() bool {
 	return s.serverConnCount < s.descriptorQuota(serverDescriptorShare) || s.closeLongestIdle(minEvictableIdle)
 }
 
-// longestIdleConn returns the longest idle connection to any disk server; nil: none is idle.
+// longestIdleConn returns the longest idle connection to any disk server, or nil if none is idle.
 func (s *Scheduler) longestIdleConn() *serverConn {
 	if s.idleServerConns.first != nil {
 		s.visited.idleConns++
@@ -269,7 +274,7 @@
 	return s.idleServerConns.first
 }
 
-// closeLongestIdle closes the longest idle connection to any disk server, if it has been idle for idleTime at least,
+// closeLongestIdle closes the longest idle connection to any disk server, if it has been idle for at least idleTime,
 // and reports whether it did.
 func (s *Scheduler) closeLongestIdle(idleTime time.Duration) bool {
 	sc := s.longestIdleConn()
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// A command names the time left until its deadline, and may arrive maxHoldUp later. Unsent commands older than
-	// maxEncodedAge are encoded again. One that is partly written cannot be: it is withdrawn when it is older than
-	// maxPartialAge, since there may be a hold-up before the rest is written.
+	// A command carries the time that is left until its deadline, and may arrive maxProcessPause later. Unsent commands
+	// older than maxEncodedAge are encoded again. A partly written command cannot be encoded again. It is withdrawn
+	// when it is older than maxPartialAge, since the process may pause before it writes the rest.
 	maxEncodedAge = 5 * time.Millisecond
 	maxPartialAge = 100 * time.Millisecond
 )
@@ -21,14 +21,14 @@
 // serverConn is one connection to a disk server.
 type serverConn struct {
 	server        *diskServer
-	conn          *eventloop.Conn // nil: closed
+	conn          *eventloop.Conn // nil after the close
 	connected     bool
-	retiring      bool       // takes no more attempts and closes once nobody waits for those in flight
-	inFlight      []*attempt // in the order written, which is that of the answers
+	retiring      bool       // takes no more attempts, and closes once none in flight awaits an answer
+	inFlight      []*attempt // in the order of their commands, in which the answers arrive
 	reader        resp.Reader
-	appendedBytes uint64        // bytes ever appended to the output, less the withdrawn ones
+	appendedBytes uint64        // total bytes appended to the output, without the withdrawn ones
 	finalWritten  uint64        // writtenBytes at the close
-	idleSince     time.Duration // when inFlight became empty
+	idleSince     time.Duration // time at which inFlight became empty
 	idleLinks     idleLinks
 	connectTimer  *eventloop.Timer
 }
@@ -39,8 +39,9 @@
 	errServerClosed   = errors.New("closed by the disk server")
 )
 
-// writtenBytes is how many bytes the kernel has taken, as a position in the output. It stays valid after the close:
-// while the outcomes of the attempts in flight are reported one by one, the tracker calls Written for others.
+// writtenBytes returns the number of bytes that the kernel has accepted, as a position in the output. The value stays
+// valid after the close: while the outcomes of the attempts in flight are reported one by one, the tracker calls
+// Written for others.
 func (sc *serverConn) writtenBytes() uint64 {
 	if sc.conn == nil {
 		return sc.finalWritten
@@ -48,7 +49,7 @@
 	return sc.appendedBytes - uint64(sc.conn.UnsentBytes())
 }
 
-// Opened is called when the connection is open: it takes waiting attempts.
+// Opened is called when the connection is open. It sends waiting attempts on the connection.
 func (sc *serverConn) Opened(*eventloop.Conn) {
 	ds := sc.server
 	ds.scheduler.loop.Cancel(sc.connectTimer)
@@ -63,8 +64,8 @@
 	}
 }
 
-// takesWaiter reports whether a new connection takes one more waiting attempt: the first, and others for which no
-// connection is being opened.
+// takesWaiter reports whether a new connection takes one more waiting attempt. It takes the first one, and others for
+// which no connection is being opened.
 func (sc *serverConn) takesWaiter() bool {
 	ds := sc.server
 	mayShare := len(ds.waiting) > ds.dialing && len(sc.inFlight) < ds.scheduler.site().StreamsPerConn
@@ -93,9 +94,9 @@
 	a.endByte = sc.appendedBytes
 }
 
-// refreshDeadlines is called before output is written. It encodes old commands again, which a disk server that does
-// not read, or a hold-up, has delayed, and withdraws a partly written one if the time that it names is too
-// inaccurate.
+// refreshDeadlines is called before output is written. It encodes commands again that were delayed by a process pause
+// or by a disk server that does not read. If the remaining time in a partly written command is too inaccurate, it
+// withdraws the command.
 func (sc *serverConn) refreshDeadlines() {
 	now := sc.server.scheduler.loop.Now()
 	written := sc.writtenBytes()
@@ -114,12 +115,12 @@
 	sc.reencodeUnsent(sc.inFlight[firstUnsent:], now)
 }
 
-// reencodeUnsent encodes the commands of attempts of which nothing is written again, if they are too old.
+// reencodeUnsent encodes the commands of attempts again if they are too old. No byte of them has been written.
 func (sc *serverConn) reencodeUnsent(unsent []*attempt, now time.Duration) {
 	if len(unsent) == 0 || now-unsent[0].encodedAt <= maxEncodedAge {
 		return
 	}
-	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // its command is released, and about to be withdrawn
+	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // its command has been released and is about to be withdrawn
 		return
 	}
 	start := unsent[0].firstByte
@@ -130,8 +131,8 @@
 	}
 }
 
-// withdraw takes back an attempt whose last byte is not written, so that its command never arrives completely. It
-// guards against commands that run although they were reported as not sent, once the disk server resumes reading.
+// withdraw removes an attempt whose last byte has not been written, so that its command never arrives completely.
+// Without this, a command that was reported as not sent could run once the disk server resumes reading.
 func (sc *serverConn) withdraw(a *attempt) {
 	if a.firstByte >= sc.writtenBytes() {
 		sc.withdrawUnsent(a)
@@ -140,7 +141,7 @@
 	}
 }
 
-// withdrawUnsent takes back an attempt of which nothing is written; the others stay.
+// withdrawUnsent removes an attempt of which nothing has been written. The other attempts stay.
 func (sc *serverConn) withdrawUnsent(a *attempt) {
 	written, size := sc.writtenBytes(), a.endByte-a.firstByte
 	sc.conn.DiscardUnsent(int(a.firstByte-written), int(a.endByte-written))
@@ -158,8 +159,8 @@
 	}
 }
 
-// withdrawPartial takes back an attempt of which a part is written. The connection must not be written to any more,
-// and the attempts behind it move to other connections.
+// withdrawPartial removes an attempt of which a part has been written. The connection must not be written to any more,
+// so the attempts after it move to other connections.
 func (sc *serverConn) withdrawPartial(a *attempt) {
 	i := slices.Index(sc.inFlight, a)
 	behind := slices.Clone(sc.inFlight[i+1:])
@@ -194,7 +195,7 @@
 	ds.scheduleWaiters()
 }
 
-// closeIfAbandoned closes a retiring connection if nobody waits for the attempts in flight.
+// closeIfAbandoned closes a retiring connection if no attempt in flight awaits an answer.
 func (sc *serverConn) closeIfAbandoned() {
 	if !sc.retiring {
 		return
@@ -218,14 +219,14 @@
 	sc.failInFlight()
 }
 
-// failWith closes the connection for an error and fails the attempts in flight.
+// failWith closes the connection because of an error and fails the attempts in flight.
 func (sc *serverConn) failWith(err error) {
 	sc.logClose(err)
 	sc.failInFlight()
 }
 
-// failMalformed closes the connection for a malformed answer. The command that it answers may have run, and so may
-// those behind it.
+// failMalformed closes the connection because of a malformed answer. The command of that answer may have run, and so
+// may the commands after it.
 func (sc *serverConn) failMalformed(err error) {
 	inFlight := sc.inFlight
 	sc.logClose(err)
@@ -236,10 +237,10 @@
 	}
 }
 
-// failInFlight closes the connection and fails the attempts in flight: commands that are written may have run.
+// failInFlight closes the connection and fails the attempts in flight. Fully written commands may have run.
 func (sc *serverConn) failInFlight() {
 	inFlight, connected := sc.inFlight, sc.connected
-	codes := make([]honeyplank.Code, len(inFlight)) // computed before the close, which ends the count of written bytes
+	codes := make([]honeyplank.Code, len(inFlight)) // computed before the close, which ends the byte count
 	for i, a := range inFlight {
 		if codes[i] = honeyplank.ConnectFailed; a.fullyWritten() {
 			codes[i] = honeyplank.Reset
@@ -254,7 +255,7 @@
 	}
 }
 
-// logClose logs why the connection closes.
+// logClose logs the reason for which the connection closes.
 func (sc *serverConn) logClose(err error) {
 	sc.server.scheduler.log.Debug().
 		Str("server", string(sc.server.id)).
@@ -263,9 +264,9 @@
 		Msg("connection to disk server closed")
 }
 
-// close closes the connection and removes it from its server, without an outcome for the attempts in flight.
-// Unacknowledged bytes are discarded by a reset: it guards against commands that arrive after their attempts have
-// failed, once a disk server that hangs reads on or a broken network recovers.
+// close closes the connection and removes it from its server, without reporting an outcome for the attempts in flight.
+// If some bytes are unacknowledged, it resets the connection to discard them. Without the reset, commands could arrive
+// after their attempts have failed, when a hanging disk server reads again or a broken network recovers.
 func (sc *serverConn) close() {
 	if sc.conn == nil {
 		return
--- a/scheduler/start_tracker.go
+++ b/scheduler/start_tracker.go
@@ -7,19 +7,22 @@
 	"honeyplank/incarnation"
 )
 
-// startTracker converts the start of each disk server to the loop's clock, even if the wall clock is stepped.
+// startTracker converts the start time of each disk server from the wall clock to the loop's clock, even if the wall
+// clock is stepped.
 type startTracker struct {
 	tracker    incarnation.Tracker
 	wall       time.Time     // the wall clock when the list that is being applied was received
 	now        time.Duration // the loop's clock at that time
-	wallOffset time.Duration // the difference of the two
+	wallOffset time.Duration // wall minus now
 	stepped    bool          // the wall clock has been stepped since the previous list
 }
 
 const (
-	// minClockStep is how far the wall clock may drift from the loop's between two lists without counting as stepped.
+	// minClockStep is the largest drift of the wall clock against the loop's clock between two lists that does not
+	// count as a step.
 	minClockStep = 100 * time.Millisecond
-	// maxStartMS bounds the start that an entry may name, in milliseconds of Unix time: up to here float64 is exact.
+	// maxStartMS is the largest start time that an entry may have, in Unix milliseconds. float64 is exact up to this
+	// value.
 	maxStartMS = 1 << 53
 )
 
@@ -30,9 +33,9 @@
 	st.wall, st.now, st.wallOffset = wall, now, offset
 }
 
-// startOf returns the start of the disk server of an entry, as a time of the loop; 0: it is unknown or the server
-// removed. If the wall clock has been stepped since the previous list, the age of a new incarnation is unknown, and it
-// counts as started now.
+// startOf returns the start time of an entry's disk server on the loop's clock. It returns 0 if the start time is
+// unknown or the server is removed. If the wall clock has been stepped since the previous list, the age of a new
+// incarnation is unknown, and the incarnation counts as started now.
 func (st *startTracker) startOf(m listMember) time.Duration {
 	id := honeyplank.ServerID(m.ID)
 	if memberStates[m.Phase] == honeyplank.Removed {
