--- a/estimates/write_test.go
+++ b/estimates/write_test.go
@@ -22,7 +22,7 @@
 
 const writerEnv = "ESTIMATES_TEST_WRITER"
 
-// TestMain writes a file again and again where the environment names one.
+// TestMain writes a file repeatedly if the environment names one.
 func TestMain(m *testing.M) {
 	file := os.Getenv(writerEnv)
 	if file == "" {
@@ -38,7 +38,7 @@
 	}
 }
 
-// versions are two records of several pages each, so that a part of one is not valid.
+// versions returns two records that are several pages long, so that a part of one is not valid.
 func versions() [2]*Record {
 	var list [2]*Record
 	for i := range list {
@@ -66,7 +66,7 @@
 	return list
 })
 
-// readVersion reads a file, which must be one of the versions, and returns which.
+// readVersion reads a file, which must have the content of one of the versions, and returns the index of that version.
 func readVersion(t *testing.T, file string) int {
 	t.Helper()
 	b, err := os.ReadFile(file)
@@ -75,11 +75,11 @@
 			return i
 		}
 	}
-	t.Fatalf("the file is neither complete version: %d bytes, %v", len(b), err)
+	t.Fatalf("the file is neither complete version: %d bytes, error %v", len(b), err)
 	return -1
 }
 
-// otherFiles lists the files in the folder of a file beside it.
+// otherFiles lists the other files in the folder of a file.
 func otherFiles(t *testing.T, file string) (names []string) {
 	t.Helper()
 	list, err := os.ReadDir(filepath.Dir(file))
@@ -94,8 +94,8 @@
 	return names
 }
 
-// faultyFileSystem is the system's file system with faults. fault returns the error of each call; done: the call is
-// carried out all the same, a write by half.
+// faultyFileSystem is the file system of the operating system with injected faults. fault returns the error of each
+// call. If done is true, the call is executed despite its error; a write then writes half of its bytes.
 type faultyFileSystem struct {
 	osFileSystem
 	calls []string
@@ -109,7 +109,7 @@
 		return do()
 	}
 	if done {
-		_ = do() // the call reports its fault, whatever else happened
+		_ = do() // the call returns its fault in any case
 	}
 	return err
 }
@@ -117,7 +117,7 @@
 func (f *faultyFileSystem) Lock(folder string) (unlock func(), err error) {
 	err = f.do("lock", func() (err error) { unlock, err = f.osFileSystem.Lock(folder); return err })
 	if err != nil && unlock != nil {
-		unlock() // as the kernel does for one that was killed
+		unlock() // as the kernel does for a killed process
 	}
 	return unlock, err
 }
@@ -127,9 +127,9 @@
 	return list, err
 }
 
-func (f *faultyFileSystem) Create(folder, pattern string) (made file, err error) {
-	err = f.do("create", func() (err error) { made, err = f.osFileSystem.Create(folder, pattern); return err })
-	return faultyFile{made, f}, err
+func (f *faultyFileSystem) Create(folder, pattern string) (created file, err error) {
+	err = f.do("create", func() (err error) { created, err = f.osFileSystem.Create(folder, pattern); return err })
+	return faultyFile{created, f}, err
 }
 
 func (f *faultyFileSystem) Rename(from, to string) error {
@@ -141,7 +141,7 @@
 }
 
 func (f *faultyFileSystem) SyncFolder(string) error {
-	return f.do("sync folder", func() error { return nil }) // no power is cut here, and the tests are faster
+	return f.do("sync folder", func() error { return nil }) // power does not fail here, and the tests are faster
 }
 
 type faultyFile struct {
@@ -165,7 +165,7 @@
 
 func (f faultyFile) Close() error { return f.system.do("close", f.file.Close) }
 
-// newFolder makes a newFolder with the first version, temporary files of killed writers, and others.
+// newFolder creates a folder with the first version of the file, temporary files of killed writers, and other files.
 func newFolder(t *testing.T) (name string, others []string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -173,7 +173,7 @@
 	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	// .learnt-77 may have a writer that takes no lock; the others have names of no temporary file.
+	// A writer without locking may still use .learnt-77. The other names are not those of temporary files.
 	others = []string{".learnt-77", ".learnt-backup", "x.learnt-1.tmp"}
 	for _, other := range append([]string{".learnt-5.tmp", ".learnt-6"}, others...) {
 		if err := os.WriteFile(filepath.Join(dir, other), []byte(magic), 0o600); err != nil {
@@ -187,7 +187,7 @@
 	return name, others
 }
 
-// shortenBackoff makes the waits between attempts as short as can be.
+// shortenBackoff makes the waits between attempts as short as possible.
 func shortenBackoff(t *testing.T) {
 	t.Helper()
 	before := writeBackoff
@@ -195,55 +195,57 @@
 	t.Cleanup(func() { writeBackoff = before })
 }
 
-// TestFaults has each call fail in each way, once and in runs, before and after it was carried out: at every call the
-// file is the complete old or new one; in the end it is the new one, and no temporary file is beside it.
+// TestFaults checks a write in which each call fails in each way, once or several times in a row, before or after its
+// execution. At every call the file is the complete old or new version. At the end it is the new version, and no
+// temporary file is left.
 func TestFaults(t *testing.T) {
 	shortenBackoff(t)
 	calls := []string{"lock", "list", "create", "write", "sync", "close", "rename", "remove", "sync folder"}
 	for _, call := range calls {
-		kinds := []error{syscall.ENOSPC, syscall.EIO, syscall.EMFILE}
+		faults := []error{syscall.ENOSPC, syscall.EIO, syscall.EMFILE}
 		if call == "lock" {
-			kinds = []error{errLocked}
+			faults = []error{errLocked}
 		}
 		t.Run(call, func(t *testing.T) {
 			t.Parallel()
-			for _, kind := range kinds {
+			for _, fault := range faults {
 				for _, times := range []int{1, 2, 7} {
-					faultCase{call, kind, times, false}.check(t)
-					faultCase{call, kind, times, true}.check(t)
+					faultCase{call, fault, times, false}.check(t)
+					faultCase{call, fault, times, true}.check(t)
 				}
 			}
 		})
 	}
 }
 
-// faultCase is a call that fails so many times with an error, before or, with done, after it was carried out.
+// faultCase is a call that fails the given number of times with an error: before its execution or, if done is true,
+// after it.
 type faultCase struct {
-	call  string
-	kind  error
-	times int
-	done  bool
+	call    string
+	failure error
+	times   int
+	done    bool
 }
 
 // check writes the second version over the first.
 func (c faultCase) check(t *testing.T) {
 	t.Helper()
 	name, others := newFolder(t)
-	left, reported := c.times, 0
+	remaining, reported := c.times, 0
 	system := &faultyFileSystem{fault: func(call string) (error, bool) {
 		readVersion(t, name)
-		if call != c.call || left == 0 {
+		if call != c.call || remaining == 0 {
 			return nil, false
 		}
-		left--
-		return c.kind, c.done
+		remaining--
+		return c.failure, c.done
 	}}
 	err := versions()[1].retryWrite(t.Context(), system, name, func(error) { reported++ })
 	if err != nil {
 		t.Errorf("%+v: %v", c, err)
 	}
-	if left != 0 && (c.call != "remove" || !c.done) {
-		t.Errorf("%+v: %d faults not met", c, left)
+	if remaining != 0 && (c.call != "remove" || !c.done) {
+		t.Errorf("%+v: %d faults were not injected", c, remaining)
 	}
 	if reported > 1 || reported == 0 && c.call != "list" && c.call != "remove" {
 		t.Errorf("%+v: reported %d times", c, reported)
@@ -251,16 +253,17 @@
 	checkSecondVersionAlone(t, name, others)
 }
 
-// checkSecondVersionAlone checks that a file is the second version and that there are just the others beside it.
+// checkSecondVersionAlone checks that a file is the second version and that the folder contains only the given other
+// files.
 func checkSecondVersionAlone(t *testing.T, name string, others []string) {
 	t.Helper()
 	if n, names := readVersion(t, name), otherFiles(t, name); n != 1 || !slices.Equal(names, others) {
-		t.Errorf("version %d, beside it %v", n, names)
+		t.Errorf("version %d, other files %v", n, names)
 	}
 }
 
-// TestKilledBetweenCalls ends a writer before each call of a write, and halfway through it: the file is complete, and the
-// next write leaves nothing of it.
+// TestKilledBetweenCalls kills a writer before each call of a write, and halfway through it. The file must be complete,
+// and the next write must remove the temporary files of the killed writer.
 func TestKilledBetweenCalls(t *testing.T) {
 	seen := map[killOutcome]int{}
 	for completed := 0; seen[notKilled] == 0; completed++ {
@@ -278,26 +281,27 @@
 		}
 	}
 	if seen[oldFile] == 0 || seen[newFile] == 0 {
-		t.Errorf("killed with the old file %d times, with the new one %d", seen[oldFile], seen[newFile])
+		t.Errorf("killed with the old file %d times, with the new one %d times", seen[oldFile], seen[newFile])
 	}
 }
 
-// killOutcome is what a writer has left.
+// killOutcome is the state of the file after a writer was killed.
 type killOutcome int
 
 const (
-	notKilled killOutcome = iota // the write has fewer calls
+	notKilled killOutcome = iota // the write has fewer calls and was completed
 	oldFile
 	newFile
 )
 
-// killedWriter is a writer that is killed after so many calls, with half halfway through the next one.
+// killedWriter is a writer that is killed after the given number of calls or, if half is true, halfway through the next
+// call.
 type killedWriter struct {
 	completed int
 	half      bool
 }
 
-// write replaces the first version by an empty file, until it is killed.
+// write replaces the first version by an empty file until the writer is killed.
 func (w killedWriter) write(t *testing.T, name string) killOutcome {
 	t.Helper()
 	killed := errors.New("killed")
@@ -309,7 +313,7 @@
 		return killed, w.half && calls == w.completed+1
 	}}
 	if err := replaceFile(system, name, nil); w.completed == 0 && err == nil {
-		t.Fatal("no call at all")
+		t.Fatal("the write made no call")
 	}
 	if calls <= w.completed {
 		return notKilled
@@ -321,7 +325,8 @@
 	return oldFile
 }
 
-// TestCallOrder checks the order of the calls: the content is synced before it takes the file's place, the folder after.
+// TestCallOrder checks the order of the calls: the content is synced before the rename, and the folder is synced after
+// it.
 func TestCallOrder(t *testing.T) {
 	system := &faultyFileSystem{fault: func(string) (error, bool) { return nil, false }}
 	if err := replaceFile(system, filepath.Join(t.TempDir(), "estimates"), []byte(magic)); err != nil {
@@ -329,24 +334,24 @@
 	}
 	want := []string{"lock", "list", "create", "write", "sync", "close", "rename", "sync folder", "list"}
 	if !slices.Equal(system.calls, want) {
-		t.Errorf("%q; want %q", system.calls, want)
+		t.Errorf("calls %q; want %q", system.calls, want)
 	}
 }
 
-// TestPermanentError checks that an error that waiting does not mend ends the attempts at once, any other one with the
-// context.
+// TestPermanentError checks that a permanent error ends the attempts at once, and that any other error is retried until
+// the context ends.
 func TestPermanentError(t *testing.T) {
 	shortenBackoff(t)
 	name, _ := newFolder(t)
-	taken := filepath.Join(filepath.Dir(name), "directory")
-	if err := os.MkdirAll(filepath.Join(taken, "inside"), 0o700); err != nil {
+	dir := filepath.Join(filepath.Dir(name), "directory")
+	if err := os.MkdirAll(filepath.Join(dir, "inside"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []string{filepath.Join(name, "inside"), filepath.Join(taken, "missing", "inside"), taken} {
+	for _, path := range []string{filepath.Join(name, "inside"), filepath.Join(dir, "missing", "inside"), dir} {
 		reported := 0
-		err := record().WriteWithRetry(context.Background(), bad, func(error) { reported++ })
+		err := testRecord().WriteWithRetry(context.Background(), path, func(error) { reported++ })
 		if err == nil || reported > 0 {
-			t.Errorf("%s: %v, reported %d times", bad, err, reported)
+			t.Errorf("%s: error %v, reported %d times", path, err, reported)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -361,22 +366,23 @@
 		}
 		return nil, false
 	}}
-	err := record().retryWrite(ctx, system, name, func(error) { reported++ })
+	err := testRecord().retryWrite(ctx, system, name, func(error) { reported++ })
 	if !errors.Is(err, syscall.ENOSPC) || attempts < 9 || reported != 1 {
-		t.Errorf("%v after %d attempts, reported %d times", err, attempts, reported)
+		t.Errorf("error %v after %d attempts, reported %d times", err, attempts, reported)
 	}
 	readVersion(t, name)
 }
 
-// TestConcurrentWriter checks that a temporary file stays while another writer may hold the lock, or without locks.
+// TestConcurrentWriter checks that no temporary file is removed while another writer may hold the lock, or without
+// locks.
 func TestConcurrentWriter(t *testing.T) {
 	shortenBackoff(t)
 	name, others := newFolder(t)
 	all := otherFiles(t, name)
-	check := func(what string, version int, beside []string) {
+	check := func(what string, version int, expected []string) {
 		t.Helper()
-		if n, names := readVersion(t, name), otherFiles(t, name); n != version || !slices.Equal(names, beside) {
-			t.Errorf("%s: version %d, beside it %v", what, n, names)
+		if n, names := readVersion(t, name), otherFiles(t, name); n != version || !slices.Equal(names, expected) {
+			t.Errorf("%s: version %d, other files %v", what, n, names)
 		}
 	}
 	unlock, err := osFileSystem{}.Lock(filepath.Dir(name))
@@ -384,28 +390,28 @@
 		t.Fatal(err)
 	}
 	if err := versions()[1].Write(name); !errors.Is(err, errLocked) {
-		t.Errorf("beside another writer: %v", err)
+		t.Errorf("with another writer: error %v", err)
 	}
-	check("beside another writer", 0, all)
+	check("with another writer", 0, all)
 	if err := versions()[1].WriteWithRetry(t.Context(), name, func(error) {}); err != nil {
-		t.Errorf("beside a writer that never ends: %v", err)
+		t.Errorf("with a writer that never ends: error %v", err)
 	}
-	check("beside a writer that never ends", 1, all)
+	check("with a writer that never ends", 1, all)
 	unlock()
 	if err := os.WriteFile(name, encoded()[0], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := versions()[1].retryWrite(t.Context(), newSystemWithoutLocks(), name, nil); err != nil {
-		t.Errorf("without locks: %v", err)
+		t.Errorf("without locks: error %v", err)
 	}
 	check("without locks", 1, all)
 	if err := versions()[0].Write(name); err != nil {
-		t.Errorf("alone: %v", err)
+		t.Errorf("without another writer: error %v", err)
 	}
-	check("alone", 0, others)
+	check("without another writer", 0, others)
 }
 
-// newSystemWithoutLocks is a file system that has no locks.
+// newSystemWithoutLocks returns a file system that has no locks.
 func newSystemWithoutLocks() *faultyFileSystem {
 	return &faultyFileSystem{fault: func(call string) (error, bool) {
 		if call == "lock" {
@@ -415,28 +421,28 @@
 	}}
 }
 
-// TestTemporaryName writes a file that is named as a temporary one: it is not removed as one.
+// TestTemporaryName checks that a write does not remove its own file if the file has the name of a temporary file.
 func TestTemporaryName(t *testing.T) {
 	own := filepath.Join(t.TempDir(), ".learnt-9.tmp")
 	for n := range 2 {
 		if err := versions()[n].Write(own); err != nil || readVersion(t, own) != n {
-			t.Errorf("%s: %v", own, err)
+			t.Errorf("%s: error %v", own, err)
 		}
 	}
 }
 
-// TestBackoff checks the waits, whose unit is a millisecond here.
+// TestBackoff checks the waits. They are given in milliseconds.
 func TestBackoff(t *testing.T) {
 	b := Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 	for failed, want := range map[int]time.Duration{1: 50, 2: 100, 3: 200, 5: 800, 6: 1000, 1 << 40: 1000} {
 		if got := b.Wait(failed); got != want*time.Millisecond {
-			t.Errorf("after %d: %v, want %v ms", failed, got, int(want))
+			t.Errorf("after %d failed attempts: %v, want %v ms", failed, got, int(want))
 		}
 	}
 }
 
-// TestKill kills writers that are processes, two at a time, at any moment: the file is complete each time, and a write
-// after them leaves nothing of theirs.
+// TestKill kills two writer processes at a random time, several times. The file must be complete each time, and a later
+// write must remove all their temporary files.
 func TestKill(t *testing.T) {
 	const rounds = 15
 	name := filepath.Join(t.TempDir(), "estimates")
@@ -466,14 +472,14 @@
 	checkSecondVersionAlone(t, name, nil)
 }
 
-// writer is a process that writes a file again and again, see TestMain. It prints a line for each write.
+// writer is a process that writes a file repeatedly, see TestMain. It prints a line for each write.
 type writer struct {
 	command *exec.Cmd
 	written chan struct{} // closed after the first write
-	ended   chan error    // nil, or a line that is no report of a write
+	ended   chan error    // nil, or an error for a line that does not report a write
 }
 
-// startWriter starts a writer, which is killed at the end of the test at the latest.
+// startWriter starts a writer, which is killed at the latest at the end of the test.
 func startWriter(t *testing.T, file string) *writer {
 	t.Helper()
 	w := &writer{command: exec.Command(os.Args[0]), written: make(chan struct{}), ended: make(chan error, 1)}
@@ -485,13 +491,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = w.command.Process.Kill() }) // it is dead already where the test has passed
+	t.Cleanup(func() { _ = w.command.Process.Kill() }) // the process has already ended if the test has passed
 	go func() { w.ended <- w.readOutput(out) }()
 	return w
 }
 
-// readOutput reads what the writer prints until its end. The error is a line that is no report of a write; the last
-// line may be cut off.
+// readOutput reads the writer's output until the writer ends. It returns an error for any line that does not report a
+// write. The last line may be truncated.
 func (w *writer) readOutput(out io.Reader) error {
 	lines := bufio.NewReader(out)
 	for first := true; ; first = false {
@@ -500,7 +506,7 @@
 			return nil
 		}
 		if line != "written\n" {
-			return fmt.Errorf("a writer fails: %q", line)
+			return fmt.Errorf("unexpected output of a writer: %q", line)
 		}
 		if first {
 			close(w.written)
@@ -514,18 +520,18 @@
 	select {
 	case <-w.written:
 	case err := <-w.ended:
-		t.Fatalf("a writer has ended before its first write: %v", err)
+		t.Fatalf("a writer ended before its first write: %v", err)
 	}
 }
 
 func (w *writer) kill(t *testing.T) {
 	t.Helper()
 	if err := w.command.Process.Kill(); err != nil {
-		t.Errorf("a writer can't be killed: %v", err)
+		t.Errorf("cannot kill a writer: %v", err)
 	}
 }
 
-// wait waits for the end of the writer, which must be by the signal and after reports of writes alone.
+// wait waits for the end of the writer, which must be caused by the signal. All output must be reports of writes.
 func (w *writer) wait(t *testing.T) {
 	t.Helper()
 	if err := <-w.ended; err != nil {
@@ -534,6 +540,6 @@
 	err := w.command.Wait()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-		t.Errorf("a writer ended by itself: %v", err)
+		t.Errorf("a writer was not ended by SIGKILL: %v", err)
 	}
 }
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -9,35 +9,35 @@
 	"honeyplank"
 )
 
-// origin is the wall clock in the tables when the monotonic clock is at 0 and the wall clock has not stepped.
+// origin is the wall clock time in the tables at which the monotonic clock is 0, if the wall clock has not stepped.
 var origin = time.UnixMilli(1_700_000_000_000)
 
 // step is one call or message.
 type step struct {
 	at       time.Duration // on the monotonic clock
-	wallStep time.Duration // by which the wall clock is off from the monotonic clock
+	wallStep time.Duration // offset of the wall clock from the monotonic clock
 	kind     stepKind
-	up       time.Duration // the start given, on the wall clock from origin; or longAgo, or absent
-	want     time.Duration // the start that the mention returns
+	up       time.Duration // the start time in the list, on the wall clock from origin; or longAgo, or absent
+	want     time.Duration // the result of StartOf
 }
 
-// stepKind is what a step tells the tracker.
+// stepKind is the kind of a step.
 type stepKind int
 
 const (
 	completeList stepKind = iota
-	watchMessage          // a message of a watch that follows without a gap
-	cachedList            // which may be old
+	watchMessage          // a message of a watch, which follows without a gap
+	cachedList            // a list that may be outdated
 	serverRemoved
-	markedCurrent // that the mentions hold
+	markedCurrent // MarkCurrent without a list
 )
 
 const (
-	longAgo = time.Duration(math.MinInt64) // the start given is 0
+	longAgo = time.Duration(math.MinInt64) // the list gives 0 as the start time
 	absent  = longAgo + 1                  // the server is not listed
 )
 
-// upSince is the start that a list gives, in Unix milliseconds.
+// upSince returns a start time as a list gives it, in Unix milliseconds.
 func upSince(up time.Duration) int64 {
 	if up == longAgo {
 		return 0
@@ -136,12 +136,12 @@
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, hour, completeList, 110 * sec, 100 * sec},
 	},
-	"an hour forward, the start before held last": {
+	"an hour forward, the previous start was current": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{115 * sec, 0, markedCurrent, 0, 0},
 		{120 * sec, hour, watchMessage, 110 * sec, 115 * sec},
 	},
-	"steps after the first mention": {
+	"steps after the first listing": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, 0, completeList, 110 * sec, 110 * sec},
 		{130 * sec, hour, completeList, 110 * sec, 110 * sec},
@@ -201,7 +201,7 @@
 	},
 }
 
-// TestStartOf plays startCases.
+// TestStartOf checks the start times that StartOf returns in startCases.
 func TestStartOf(t *testing.T) {
 	for name, steps := range startCases {
 		t.Run(name, func(t *testing.T) {
@@ -222,7 +222,7 @@
 	if x.kind != serverRemoved && x.kind != markedCurrent && x.up != absent {
 		ids = append(ids, id)
 		if got := tracker.StartOf(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
-			t.Errorf("step %d: %v, want %v", i, got, x.want)
+			t.Errorf("step %d: start %v, want %v", i, got, x.want)
 		}
 	}
 	switch x.kind {
@@ -235,21 +235,22 @@
 	}
 }
 
-// TestStartWithinBounds has any start and any wall clock: a start is not before what is known, nor in the future.
+// TestStartWithinBounds checks that, for any start time in a list and any wall clock, a start is neither before the
+// last complete list without the server nor in the future.
 func TestStartWithinBounds(t *testing.T) {
 	for _, up := range []int64{math.MinInt64, -1, 1, origin.UnixMilli(), math.MaxInt64} {
 		for _, wall := range []time.Time{{}, origin, time.UnixMilli(0), time.UnixMilli(math.MaxInt64)} {
 			var tracker Tracker
 			tracker.RemoveUnlisted(100*sec, nil)
 			if got := tracker.StartOf(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
-				t.Errorf("%d at %v: %v", up, wall, got)
+				t.Errorf("start time %d, wall clock %v: start %v", up, wall, got)
 			}
 		}
 	}
 }
 
-// TestTrackerSizeBounded has fleets whose servers are replaced again and again, by complete lists or changes, and one that flaps:
-// a Tracker does not grow.
+// TestTrackerSizeBounded checks that a Tracker does not grow without bound. It has fleets whose servers are replaced
+// repeatedly, by complete lists or by messages, and one fleet that flaps.
 func TestTrackerSizeBounded(t *testing.T) {
 	const size = 3200
 	fleets := map[string]fleet{
@@ -267,7 +268,7 @@
 	}
 }
 
-// fleet is a fleet all of whose servers are removed and replaced in each round.
+// fleet is a fleet in which all servers are removed and replaced in each round.
 type fleet struct {
 	size          int
 	name          func(round, i int) honeyplank.ServerID
@@ -280,7 +281,7 @@
 
 func sameID(_, i int) honeyplank.ServerID { return newID(0, i) }
 
-// checkBounded replaces a fleet many times and checks what the tracker keeps after each.
+// checkBounded replaces a fleet many times and checks the size of the tracker after each time.
 func (f fleet) checkBounded(t *testing.T, tracker *Tracker, maxRemoved int) {
 	t.Helper()
 	const rounds = 40
@@ -288,13 +289,13 @@
 	for round := range rounds {
 		now += sec
 		ids := f.replace(tracker, now, round)
-		servers, removals, room := len(tracker.servers), len(tracker.removed), cap(tracker.removed)
-		if servers > f.size+maxRemoved || removals > maxRemoved || room > 4*maxRemoved {
-			t.Fatalf("round %d: %d servers and %d removals (room for %d)", round, servers, removals, room)
+		servers, removals, capacity := len(tracker.servers), len(tracker.removed), cap(tracker.removed)
+		if servers > f.size+maxRemoved || removals > maxRemoved || capacity > 4*maxRemoved {
+			t.Fatalf("round %d: %d servers and %d removals (capacity %d)", round, servers, removals, capacity)
 		}
 		for _, id := range ids {
 			if x := tracker.servers[id]; x == nil || x.removed {
-				t.Fatalf("round %d: %s is listed and not known", round, id)
+				t.Fatalf("round %d: %s is listed but not known", round, id)
 			}
 		}
 	}
@@ -304,7 +305,7 @@
 	}
 }
 
-// replace replaces the servers of the round before and returns the new ones.
+// replace replaces the servers of the previous round and returns the new ones.
 func (f fleet) replace(tracker *Tracker, now time.Duration, round int) []honeyplank.ServerID {
 	var ids []honeyplank.ServerID
 	for i := range f.size {
@@ -323,20 +324,20 @@
 	return ids
 }
 
-// lookupCase is what is known of a start after some calls.
+// lookupCase is the expected result of Lookup after some calls.
 type lookupCase struct {
 	setUp func(*Tracker)
 	want  Incarnation
-	again time.Duration // its start when it is mentioned by another wall clock later
+	again time.Duration // the result of a later StartOf with another wall clock
 }
 
-// listServer has a server mentioned at 100 s, with a step of the wall clock.
+// listServer calls StartOf for the server at 100 s, with a step of the wall clock.
 func listServer(tracker *Tracker, wallStep, up time.Duration) {
 	const now = 100 * sec
 	tracker.StartOf(now, origin.Add(now+wallStep), id, upSince(up))
 }
 
-// listServerAfterList is mention after a complete list without the server at 90 s.
+// listServerAfterList calls listServer after a complete list without the server at 90 s.
 func listServerAfterList(tracker *Tracker, wallStep, up time.Duration) {
 	tracker.RemoveUnlisted(90*sec, nil)
 	listServer(tracker, wallStep, up)
@@ -345,7 +346,7 @@
 var adoptedIncarnation = Incarnation{UpSinceMS: upSince(50 * sec), Started: 70 * sec, StartedAfter: 60 * sec}
 
 var lookupCases = map[string]lookupCase{
-	"first sight": {
+	"first listing": {
 		setUp: func(tracker *Tracker) { listServer(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
@@ -356,7 +357,7 @@
 		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 95 * sec, 90 * sec}, again: 95 * sec,
 	},
-	"by the wall clock before what is known": {
+	"by the wall clock, before the last list": {
 		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 90 * sec, 50 * sec}, again: 90 * sec,
 	},
@@ -379,7 +380,7 @@
 		setUp: func(tracker *Tracker) { tracker.Adopt(id, adoptedIncarnation) },
 		want:  adoptedIncarnation, again: 70 * sec,
 	},
-	"adopted after its mention": {
+	"adopted after its listing": {
 		setUp: func(tracker *Tracker) {
 			listServer(tracker, 0, 50*sec)
 			tracker.Adopt(id, adoptedIncarnation)
@@ -388,20 +389,20 @@
 	},
 }
 
-// TestLookup checks what is known of a start beside its time: which one it is, and after what it surely came.
+// TestLookup checks the incarnation that Lookup returns: its identity, its start time and the lower bound of that time.
 func TestLookup(t *testing.T) {
 	for name, c := range lookupCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			if _, ok := tracker.Lookup(id); ok {
-				t.Errorf("known before")
+				t.Errorf("known before any call")
 			}
 			c.setUp(&tracker)
 			if got, ok := tracker.Lookup(id); !ok || got != c.want {
-				t.Errorf("%+v, %v; want %+v", got, ok, c.want)
+				t.Errorf("got %+v, %v; want %+v", got, ok, c.want)
 			}
 			if got := tracker.StartOf(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
-				t.Errorf("started %v when mentioned again, want %v", got, c.again)
+				t.Errorf("started %v when listed again, want %v", got, c.again)
 			}
 		})
 	}
--- a/scheduler/config_options_test.go
+++ b/scheduler/config_options_test.go
@@ -25,7 +25,7 @@
 "rules":{"grace_to_answer_ms":5,"stop_sending_within_ms":1000,
 "cold_from":0.5,"cold_ms":1000,"fall_ms":1000,"tip_multiple":4},"step_ms":1}`
 
-// testConfig is the configuration of a scheduler for a discovery and a cached list.
+// testConfig returns the configuration of a scheduler with an address of discovery and the members of the cached list.
 func testConfig(t *testing.T, discovery string, members []fakeresp.Member) map[string]any {
 	t.Helper()
 	var site map[string]any
@@ -51,7 +51,7 @@
 	return config
 }
 
-// withSlowConnect gives connections a long time to open.
+// withSlowConnect sets a long connect timeout.
 func withSlowConnect(config map[string]any) {
 	section(config, "settings", "caps")["connect_timeout_ms"] = 5000
 }
@@ -61,7 +61,7 @@
 	return func(config map[string]any) { section(config, "settings", "caps")["streams_per_conn"] = n }
 }
 
-// withWatchOnRequest has the module start the watch, within a time.
+// withWatchOnRequest makes the decision module start the watch, within the given time.
 func withWatchOnRequest(withinMS int) func(map[string]any) {
 	return func(config map[string]any) {
 		section(config, "settings")["membership_mode"] = "subscribe"
--- a/scheduler/config_test.go
+++ b/scheduler/config_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestConfigErrors: the error for a configuration that cannot be used has the line, what is wrong and what would be
-// right, and wraps its cause.
+// TestConfigErrors checks that the error for a configuration that cannot be used has the line, the problem and the
+// expected content, and wraps its cause.
 func TestConfigErrors(t *testing.T) {
 	good := `{"name":"n0",
 "listen":"127.0.0.1:0",
@@ -24,7 +24,7 @@
 	for _, x := range []struct {
 		old, new string
 		line     int
-		wrong    string
+		problem  string
 	}{
 		{`127.0.0.1:0`, `localhost`, 2, `listen is "localhost"`},
 		{`"discovery":"127.0.0.1:1"`, `"discovery":""`, 3, `discovery is ""`},
@@ -40,14 +40,14 @@
 			_, err := parseConfig("f", []byte(strings.Replace(good, x.old, x.new, 1)))
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Line != x.line || configErr.Expected == "" ||
-				!strings.Contains(configErr.Problem, x.wrong) {
-				t.Errorf("%v, expected line %d: %s", err, x.line, x.wrong)
+				!strings.Contains(configErr.Problem, x.problem) {
+				t.Errorf("error %v, expected line %d: %s", err, x.line, x.problem)
 			}
 		})
 	}
 	_, err := ReadConfig(filepath.Join(t.TempDir(), "none"))
 	var configErr *ConfigError
 	if !errors.As(err, &configErr) || configErr.Line != 0 || !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v for a file that is not there", err)
+		t.Errorf("error %v for a missing file", err)
 	}
 }
--- a/scheduler/conn_gate_test.go
+++ b/scheduler/conn_gate_test.go
@@ -14,19 +14,19 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// connGate is a proxy before a disk server. Connections to it do not come up before acceptConns, and no bytes pass
-// before forwardBytes, so that a test decides what happens while they wait.
+// connGate is a proxy in front of a disk server. Connections to it do not open before acceptConns, and no bytes are
+// forwarded before forwardBytes. So a test controls the events during that time.
 type connGate struct {
 	t          *testing.T
 	fd         int
 	address    string
 	target     string
 	backlog    []net.Conn
-	forwarding chan bool // closed: bytes go through
+	forwarding chan bool // closed once bytes are forwarded
 	once       sync.Once
 }
 
-// newConnGate makes a gate to which no connection comes up.
+// newConnGate creates a gate to which no connection opens.
 func newConnGate(t *testing.T, target string) *connGate {
 	t.Helper()
 	gate := &connGate{t: t, target: target, forwarding: make(chan bool)}
@@ -63,7 +63,7 @@
 	return gate
 }
 
-// acceptConns lets connections come up.
+// acceptConns lets connections open.
 func (g *connGate) acceptConns() {
 	unix.Listen(g.fd, 1024)
 	go func() {
@@ -83,10 +83,10 @@
 	}()
 }
 
-// forwardBytes lets bytes pass from now on.
+// forwardBytes forwards bytes from now on.
 func (g *connGate) forwardBytes() { g.once.Do(func() { close(g.forwarding) }) }
 
-// open lets connections come up and bytes pass.
+// open lets connections open and forwards bytes.
 func (g *connGate) open() {
 	g.acceptConns()
 	g.forwardBytes()
@@ -108,7 +108,8 @@
 	_, _ = io.Copy(server, client) // likewise
 }
 
-// gateServer puts a gate before the n-th disk server and returns the entry of the endpoint list that leads there.
+// gateServer puts a gate in front of the n-th disk server and returns the entry of the endpoint list with the address
+// of the gate.
 func (bed *testbed) gateServer(n int, phase string) (*connGate, fakeresp.Member) {
 	bed.t.Helper()
 	gate := newConnGate(bed.t, bed.disks[n].Address())
@@ -117,7 +118,7 @@
 	return gate, member
 }
 
-// moveBehindGate puts a gate before the n-th disk server and has discovery name its address.
+// moveBehindGate puts a gate in front of the n-th disk server and makes discovery list the address of the gate.
 func (bed *testbed) moveBehindGate(n int) *connGate {
 	bed.t.Helper()
 	gate, _ := bed.gateServer(n, "up")
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -9,18 +9,18 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestDrainWhileConnecting: what waits for a connection to a server that is draining is sent within the grace, and
-// never past it; to one that is removed nothing is sent.
+// TestDrainWhileConnecting checks that an attempt that waits for a connection to a draining server is sent within the
+// grace period, and never after it. To a removed server nothing is sent.
 func TestDrainWhileConnecting(t *testing.T) {
 	for name, x := range map[string]struct {
 		phase  string
-		grace  time.Duration // the system retries a connect after a second
+		grace  time.Duration // the kernel retries a connect after a second
 		within bool
 		want   string
 	}{
-		"within":  {"draining", 2500 * time.Millisecond, true, valueOf("a")},
-		"past":    {"draining", 400 * time.Millisecond, false, "-ERR failed"},
-		"removed": {"removed", 400 * time.Millisecond, false, "-ERR failed"},
+		"within the grace period": {"draining", 2500 * time.Millisecond, true, valueOf("a")},
+		"after the grace period":  {"draining", 400 * time.Millisecond, false, "-ERR failed"},
+		"removed":                 {"removed", 400 * time.Millisecond, false, "-ERR failed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, x.grace)
@@ -37,33 +37,34 @@
 			}
 			got, took := c.readReply(3*time.Second), time.Since(begun)
 			if got != x.want || !x.within && took > x.grace+100*time.Millisecond {
-				t.Errorf("%q after %v", got, took)
+				t.Errorf("reply %q after %v", got, took)
 			}
 			gate.open()
-			if x.phase == "draining" { // a connection that opens now carries nothing
+			if x.phase == "draining" { // a connection that opens now must carry nothing
 				bed.awaitServerConn()
 			}
 			commands := bed.disks[0].Commands()
 			if len(commands) > 0 && !x.within {
-				t.Errorf("%d have reached the disk server", len(commands))
+				t.Errorf("%d commands have reached the disk server", len(commands))
 			}
 			for _, command := range commands {
-				checkNamedTimeout(t, command, begun.Add(9*time.Second))
+				checkSentTimeout(t, command, begun.Add(9*time.Second))
 			}
 		})
 	}
 }
 
-// checkNamedTimeout checks that a command names about the timeout that was left when it was sent.
-func checkNamedTimeout(t *testing.T, command fakeresp.Command, deadline time.Time) {
+// checkSentTimeout checks that a command carries about the timeout that was left when it was sent.
+func checkSentTimeout(t *testing.T, command fakeresp.Command, deadline time.Time) {
 	t.Helper()
-	named, left := sentTimeout(t, command), deadline.Sub(command.At)
-	if named > left+50*time.Millisecond || named < left-500*time.Millisecond {
-		t.Errorf("%v are named, %v are left", named, left)
+	sent, left := sentTimeout(t, command), deadline.Sub(command.At)
+	if sent > left+50*time.Millisecond || sent < left-500*time.Millisecond {
+		t.Errorf("the command carries a timeout of %v, %v are left", sent, left)
 	}
 }
 
-// TestAddressChangeWhileConnecting: what waits for a connection to a server whose address changes goes to the new one.
+// TestAddressChangeWhileConnecting checks that an attempt that waits for a connection to a server is sent to the
+// server's new address after the address has changed.
 func TestAddressChangeWhileConnecting(t *testing.T) {
 	bed, _ := newGatedTestbed(t, 5*time.Second, time.Second)
 	c := bed.dialClient()
@@ -71,12 +72,13 @@
 	bed.awaitWaiter()
 	bed.discovery.Change(bed.member(0, "up"))
 	if got := c.readReply(time.Second); got != valueOf("a") {
-		t.Errorf("%q", got)
+		t.Errorf("reply %q", got)
 	}
 }
 
-// TestDrainGraceDuringProcessPause: what waits to be sent to a server that is draining is taken back a hold-up before the
-// grace ends, which counts from when the list came, not from when the loop handled it.
+// TestDrainGraceDuringProcessPause checks that attempts that wait to be sent to a draining server are withdrawn one
+// process pause before the grace period ends. The grace period counts from the time at which the list arrived, not from
+// the time at which the loop handled it.
 func TestDrainGraceDuringProcessPause(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, maxHoldUp, 500 * time.Millisecond} {
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
@@ -89,16 +91,17 @@
 			member.Address = gate.address
 			bed.discovery.Change(member)
 			if n := <-waits; n > 0 {
-				t.Errorf("%d still wait", n)
+				t.Errorf("%d attempts still wait", n)
 			}
 			if got := c.readReply(time.Second); got != "-ERR failed" {
-				t.Errorf("%q", got)
+				t.Errorf("reply %q", got)
 			}
 		})
 	}
 }
 
-// waitersAfterList receives how many attempts wait for the first disk server a delay after each list.
+// waitersAfterList returns a channel that receives the number of attempts that wait for the first disk server, a delay
+// after each list.
 func (bed *testbed) waitersAfterList(delay time.Duration) <-chan int {
 	bed.t.Helper()
 	waiters := make(chan int, 1)
--- a/scheduler/fleet_cost_test.go
+++ b/scheduler/fleet_cost_test.go
@@ -10,7 +10,7 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// idleConnsInFleet is the number of disk servers to which a connection is idle in TestFleetCost.
+// idleConnsInFleet is the number of disk servers with an idle connection in newFleetTestbed.
 const idleConnsInFleet = 20
 
 // newFleetTestbed starts a scheduler with a list of n disk servers, which share one address, and n peers. It has idle
@@ -41,21 +41,21 @@
 	return bed
 }
 
-// fleetStep is a step that recurs.
+// fleetStep is a recurring operation of a scheduler.
 type fleetStep struct {
 	run        func(s *Scheduler, n int) // n is the number of disk servers
 	visited    func(s *Scheduler) int
 	maxVisited int // entries that one run may visit
 }
 
-// fleetSteps are the steps whose cost must not depend on the fleet.
+// fleetSteps are the operations whose cost must not depend on the size of the fleet.
 var fleetSteps = map[string]fleetStep{
-	"housekeeping with nothing to close": {
+	"idle connections, none of them due for a close": {
 		run:        func(s *Scheduler, _ int) { s.closeIdleServerConns() },
 		visited:    func(s *Scheduler) int { return s.visited.idleConns },
 		maxVisited: 1,
 	},
-	"a connection past the quota": {
+	"a connection beyond the quota": {
 		run: func(s *Scheduler, _ int) {
 			open := s.serverConnCount
 			s.serverConnCount = s.descriptorQuota(serverDescriptorShare)
@@ -65,14 +65,14 @@
 		visited:    func(s *Scheduler) int { return s.visited.idleConns },
 		maxVisited: 1,
 	},
-	"a message of a peer": {
+	"a message from a peer": {
 		run: func(s *Scheduler, n int) {
 			s.receiveGossip(netip.MustParseAddrPort(fmt.Sprintf("127.0.0.1:%d", 20000+n-1)), []byte("x"))
 		},
 		visited:    func(s *Scheduler) int { return s.visited.peers },
 		maxVisited: 1,
 	},
-	"a message of a stranger": {
+	"a message from an unknown sender": {
 		run: func(s *Scheduler, _ int) {
 			s.receiveGossip(netip.MustParseAddrPort("127.0.0.2:9"), []byte("x"))
 		},
@@ -88,8 +88,8 @@
 	},
 }
 
-// TestFleetCost: the work of steps that come again and again is the same for a small and a large fleet: it grows with
-// what they name or close, not with the number of disk servers or schedulers.
+// TestFleetCost checks that recurring operations cost the same with a small and a large fleet. Their cost grows with
+// the number of entries that they name or close, not with the number of disk servers or schedulers.
 func TestFleetCost(t *testing.T) {
 	const small, large = 200, 3200
 	fleets := map[int]*testbed{small: newFleetTestbed(t, small), large: newFleetTestbed(t, large)}
@@ -98,7 +98,7 @@
 			visited := map[int]int{}
 			for n, bed := range fleets {
 				bed.onLoop(func() {
-					bed.module.DecisionModule = singleServerModule{"s-0"} // the cost of the decision module is its own
+					bed.module.DecisionModule = singleServerModule{"s-0"} // excludes the cost of the decision module
 					s := bed.scheduler
 					before := step.visited(s)
 					step.run(s, n)
@@ -106,15 +106,15 @@
 				})
 			}
 			if visited[small] != visited[large] || visited[large] > step.maxVisited {
-				t.Errorf("%d entries looked at with %d disk servers, %d with %d; at most %d expected",
+				t.Errorf("visited %d entries with %d disk servers, %d with %d; expected at most %d",
 					visited[small], small, visited[large], large, step.maxVisited)
 			}
 		})
 	}
 }
 
-// TestIdleConnOrder: of the idle connections to all disk servers the one that has been idle longest is closed first,
-// and one that carries an op again is not among them.
+// TestIdleConnOrder checks that, of the idle connections to all disk servers, the one that has been idle longest is
+// closed first. A connection that carries an op again must not be among them.
 func TestIdleConnOrder(t *testing.T) {
 	bed := newFleetTestbed(t, idleConnsInFleet)
 	bed.useModule(singleServerModule{"s-0"})
@@ -132,7 +132,7 @@
 				return
 			}
 			if s.closeLongestIdle(time.Hour) {
-				t.Error("a connection is closed that has been idle for less")
+				t.Error("closed a connection that has been idle for less than an hour")
 				return
 			}
 			if !s.closeLongestIdle(0) || len(s.servers[expected].conns) != 0 {
@@ -141,7 +141,7 @@
 			}
 		}
 		if s.closeLongestIdle(0) {
-			t.Error("a connection is closed that is not idle")
+			t.Error("closed a connection that is not idle")
 		}
 	})
 }
--- a/scheduler/modules_test.go
+++ b/scheduler/modules_test.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// doubleDispatchModule is a module that dispatches every op to one disk server twice, and fails it with the first outcome
-// that is no success.
+// doubleDispatchModule is a module that dispatches every op to one disk server twice, and fails it at the first
+// unsuccessful outcome.
 type doubleDispatchModule struct{ server honeyplank.ServerID }
 
 func (m doubleDispatchModule) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// cancellingModule is a module that cancels the op of a client that is gone.
+// cancellingModule is a module that cancels an op when its client is gone.
 type cancellingModule struct{}
 
 func (cancellingModule) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
--- a/scheduler/op_types_test.go
+++ b/scheduler/op_types_test.go
@@ -10,14 +10,14 @@
 
 const largeFleet = 300
 
-// withLargeFleet has a scheduler be one of many, with few descriptors and little memory.
+// withLargeFleet configures a scheduler as one of many, with few descriptors and little memory.
 func withLargeFleet(config map[string]any) {
 	section(config, "settings")["peers_total"] = largeFleet
 	config["limits"] = map[string]any{"cores": 0.1, "memory_mb": 48, "sockets": 128}
 }
 
-// TestUnusualTimeout: a client that names a far longer timeout than others changes nothing for them, and holds nothing
-// for longer than the settings allow.
+// TestUnusualTimeout checks that a client with a far longer timeout than the others does not affect them, and that its
+// op does not wait for longer than the settings allow.
 func TestUnusualTimeout(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 60 * time.Millisecond})
@@ -33,14 +33,14 @@
 	})
 	c.doRead("unusual", 1_000_000_000)
 	if left := <-longest; left > maxDeadlineFactor*400*time.Millisecond {
-		t.Errorf("an op of an unusual timeout may wait for %v", left)
+		t.Errorf("op with an unusual timeout may wait for %v", left)
 	}
 	if served := c.countServed("read", "after", 10, 400); served < 8 {
 		t.Errorf("%d of 10 ops served after one with an unusual timeout", served)
 	}
 }
 
-// TestSlowOpType: a class whose answers come late does not keep another from being served.
+// TestSlowOpType checks that late answers of one class do not keep another class from being served.
 func TestSlowOpType(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
 	slow, quick := bed.dialClient(), bed.dialClient()
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -9,8 +9,8 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestWaitersOfOneDial: where no descriptor is left several attempts wait for one connection; if that does not come up,
-// all of them fail then, not at their op timeouts.
+// TestWaitersOfOneDial checks that all attempts that wait for one connection, because no descriptor is left, fail as
+// soon as that connection fails to open. They must not wait for their op timeouts.
 func TestWaitersOfOneDial(t *testing.T) {
 	bed, _ := newGatedTestbed(t, 300*time.Millisecond, time.Second)
 	bed.onLoop(bed.leaveOneServerConn)
@@ -23,13 +23,13 @@
 	}
 	for i, c := range clients {
 		if got := c.readReply(3 * time.Second); got != "-ERR failed" || time.Since(begun) > time.Second {
-			t.Errorf("op %d: %q after %v", i, got, time.Since(begun))
+			t.Errorf("op %d: reply %q after %v", i, got, time.Since(begun))
 		}
 	}
 }
 
-// TestWaiterTakesIdleConn: an op that waits for a connection which does not come up takes one that becomes idle
-// meanwhile.
+// TestWaiterTakesIdleConn checks that an op that waits for a connection which does not open is sent on a connection
+// that becomes idle in the meantime.
 func TestWaiterTakesIdleConn(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := newConnGate(t, bed.disks[0].Address())
@@ -43,14 +43,14 @@
 	bed.awaitWaiter()
 	for id, c := range map[string]*testClient{"a": one, "b": other} {
 		if got := c.readReply(time.Second); got != valueOf(id) {
-			t.Errorf("%s: %q", id, got)
+			t.Errorf("op %s: reply %q", id, got)
 		}
 	}
 }
 
-// TestReuseDelayWithoutDescriptors: also where no descriptor is left for another connection, one on which an answer has
-// just come is idle for a moment before it carries the next op: a second answer, a moment late, must not be taken for
-// that op's.
+// TestReuseDelayWithoutDescriptors checks that a connection stays idle for reuseDelay before it carries the next op,
+// even if no descriptor is left for another connection. Otherwise a late second answer to one op would count as the
+// answer to the next op.
 func TestReuseDelayWithoutDescriptors(t *testing.T) {
 	bed := newTestbed(t, 1)
 	server := newLateReplyServer(t, secondReply)
@@ -65,24 +65,24 @@
 	for i := range 30 {
 		id := fmt.Sprint("b", i)
 		if got := c.doRead(id, 390); got != valueOf(id) {
-			t.Fatalf("op %d: %q", i, got)
+			t.Fatalf("op %d: reply %q", i, got)
 		}
 	}
 	server.update(func() {
 		if server.connections > ops+2 {
-			t.Errorf("%d connections for %d ops and 30 that can share one", server.connections, ops)
+			t.Errorf("%d connections for %d ops and 30 more ops that can share one connection", server.connections, ops)
 		}
 	})
 }
 
-// TestIdleClosed: a connection that the server has closed while it was idle is not written to.
+// TestIdleClosed checks that no command is written to a connection that the server closed while it was idle.
 func TestIdleClosed(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
 	for i := range 5 {
 		id := fmt.Sprintf("a%d", i)
 		if got := c.doRead(id, 390); got != valueOf(id) {
-			t.Fatalf("op %d: %q", i, got)
+			t.Fatalf("op %d: reply %q", i, got)
 		}
 		bed.disks[0].CloseConnections()
 		time.Sleep(10 * time.Millisecond)
@@ -97,15 +97,15 @@
 	}
 	for i := range n {
 		if got, ok := c.readValue(time.Second); !ok {
-			c.t.Fatalf("no answer to %d: %v", i, got)
+			c.t.Fatalf("read %d: no answer, got %v", i, got)
 		}
 	}
 }
 
-// TestOwnConnections: ops in flight together have a connection each, so that a short one does not wait for a long one's
-// answer; where descriptors are short they share, and all are still answered.
+// TestOwnConnections checks that ops in flight at the same time have a connection each, so that a short op does not
+// wait for the answer to a long one. If descriptors are scarce, ops share connections, and all are still answered.
 func TestOwnConnections(t *testing.T) {
-	for sockets, most := range map[int]int{256: 24, minSockets: 9} {
+	for sockets, maxConns := range map[int]int{256: 24, minSockets: 9} {
 		t.Run(fmt.Sprint(sockets, " descriptors"), func(t *testing.T) {
 			bed := newTestbed(t, 1, func(config map[string]any) {
 				section(config, "limits")["sockets"] = sockets
@@ -113,25 +113,25 @@
 			bed.disks[0].SetFaults(fakeresp.Faults{Delay: 20 * time.Millisecond})
 			c := bed.dialClient()
 			c.doReadsTogether(fmt.Sprint(sockets, "-"), 24)
-			if _, ever := bed.disks[0].Connections(); ever < 2 || ever > most {
-				t.Errorf("%d connections", ever)
+			if _, opened := bed.disks[0].Connections(); opened < 2 || opened > maxConns {
+				t.Errorf("%d connections opened", opened)
 			}
 			bed.onLoop(func() {
 				count, quota := bed.scheduler.serverConnCount, bed.scheduler.descriptorQuota(serverDescriptorShare)
 				if count > quota {
-					t.Errorf("%d connections of %d", count, quota)
+					t.Errorf("%d open connections, quota %d", count, quota)
 				}
 			})
 		})
 	}
 }
 
-// TestIdleReset: after a quiet time, whatever disk servers have done with the idle connections, in that very round of
-// the loop too, the next write is served, and never reaches a server twice.
+// TestIdleReset checks that, after an idle period, the next write is served and reaches the disk server once. The
+// server closes or resets the idle connections before the write or in the same round of the loop.
 func TestIdleReset(t *testing.T) {
 	for name, x := range map[string]struct {
 		end    func(*fakeresp.Disk)
-		before bool // the loop has been notified of it
+		before bool // the loop handles the end before the write
 	}{
 		"closed":                   {(*fakeresp.Disk).CloseConnections, true},
 		"closed in the same round": {(*fakeresp.Disk).CloseConnections, false},
@@ -142,7 +142,7 @@
 			bed, c := newIdleTestbed(t)
 			if x.before {
 				endConnections(bed.disks[0], x.end)
-				bed.eventuallyOnLoop("the end", func() bool { return len(bed.scheduler.servers["s-0"].conns) == 0 })
+				bed.eventuallyOnLoop("the close", func() bool { return len(bed.scheduler.servers["s-0"].conns) == 0 })
 				c.sendWrite("second", 9000, "x")
 			} else {
 				bed.onLoop(func() {
@@ -151,23 +151,23 @@
 				})
 			}
 			if got, want := c.readReply(3*time.Second), valueOf("second"); got != want {
-				t.Errorf("%q, expected %q", got, want)
+				t.Errorf("reply %q, expected %q", got, want)
 			}
 			bed.checkReceived("[first second]")
 		})
 	}
-	t.Run("forgotten", checkForgottenConn)
+	t.Run("reset on the next command", checkResetOnCommand)
 }
 
-// checkForgottenConn: where a reset is all that comes back on an idle connection, the write is reported as one that may
-// have run.
-func checkForgottenConn(t *testing.T) {
+// checkResetOnCommand checks that a write is reported as one that may have run if the only response on an idle
+// connection is a reset.
+func checkResetOnCommand(t *testing.T) {
 	bed, c := newIdleTestbed(t)
 	codes := bed.recordOutcomes()
 	bed.disks[0].SetFaults(fakeresp.Faults{ResetOnCommand: true})
 	bed.onLoop(func() { c.sendWrite("second", 9000, "x") })
 	if got := c.readReply(3 * time.Second); got != "-ERR failed" {
-		t.Errorf("%q, expected -ERR failed", got)
+		t.Errorf("reply %q, expected -ERR failed", got)
 	}
 	bed.checkReceived("[first second]")
 	bed.onLoop(func() {
@@ -177,7 +177,7 @@
 	})
 }
 
-// newIdleTestbed starts a scheduler with a connection to its disk server that has been idle for some time.
+// newIdleTestbed starts a scheduler whose connection to its disk server has been idle for longer than reuseDelay.
 func newIdleTestbed(t *testing.T) (*testbed, *testClient) {
 	t.Helper()
 	bed := newTestbed(t, 1)
@@ -189,18 +189,18 @@
 	return bed, c
 }
 
-// endConnections ends all connections of a disk server and waits until none is left, for a time.
+// endConnections ends all connections of a disk server and waits up to 2 s until none is left.
 func endConnections(disk *fakeresp.Disk, end func(*fakeresp.Disk)) {
 	end(disk)
 	for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if now, _ := disk.Connections(); now == 0 {
+		if open, _ := disk.Connections(); open == 0 {
 			return
 		}
 	}
 }
 
-// TestSharedConnBreaks: where a connection that carries two dispatches of an op breaks, the op has its answer, and both
-// dispatches are reported as ones that may have run.
+// TestSharedConnBreaks checks that, if a connection that carries two dispatches of an op breaks, the op is answered and
+// both dispatches are reported as ones that may have run.
 func TestSharedConnBreaks(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond, ResetOnCommand: true})
@@ -211,7 +211,7 @@
 		bed.leaveOneServerConn()
 	})
 	if got := bed.dialClient().doRead("a", 9000); got != "-ERR failed" {
-		t.Errorf("%q", got)
+		t.Errorf("reply %q, expected -ERR failed", got)
 	}
 	bed.eventuallyOnLoop("both outcomes", func() bool { return len(*codes) == 2 })
 	bed.onLoop(func() {
--- a/scheduler/shortage_test.go
+++ b/scheduler/shortage_test.go
@@ -12,20 +12,21 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// noDialCase is a machine that cannot begin a connection.
+// noDialCase is a case in which this machine cannot start to open a connection.
 type noDialCase struct {
-	shortage time.Duration // how long there is no descriptor
-	noRoute  bool          // to the disk server
+	shortage time.Duration // time for which no descriptor is free
+	noRoute  bool          // there is no route to the disk server
 	served   bool
 }
 
-// TestNoDial: while this machine cannot even begin a connection, requests are served once it can, or have their answer
-// in time; no server is blamed, the log has one line, and the attempts are few.
+// TestNoDial checks requests while this machine cannot start to open a connection. Requests are served if a connection
+// can be opened soon enough, and otherwise fail in time. No failure is attributed to a disk server, the log has one
+// line, and the number of dials is small.
 func TestNoDial(t *testing.T) {
 	for name, x := range map[string]noDialCase{
-		"descriptors for a moment": {shortage: 30 * time.Millisecond, served: true},
-		"descriptors for long":     {shortage: 600 * time.Millisecond},
-		"no way":                   {noRoute: true},
+		"no descriptors for 30 ms":  {shortage: 30 * time.Millisecond, served: true},
+		"no descriptors for 600 ms": {shortage: 600 * time.Millisecond},
+		"no route":                  {noRoute: true},
 	} {
 		t.Run(name, x.run)
 	}
@@ -56,12 +57,12 @@
 			}
 		}
 		if n := bytes.Count(log.Bytes(), []byte("\n")); n != 1 || bed.scheduler.failedDials > 20 {
-			t.Errorf("%d lines after %d tries: %s", n, bed.scheduler.failedDials, log.Bytes())
+			t.Errorf("%d log lines after %d failed dials: %s", n, bed.scheduler.failedDials, log.Bytes())
 		}
 	})
 }
 
-// begin begins the shortage.
+// begin starts the shortage.
 func (x noDialCase) begin(bed *testbed) {
 	bed.onLoop(func() {
 		if x.noRoute {
@@ -87,12 +88,12 @@
 			want = valueOf(fmt.Sprint("a", i))
 		}
 		if got := c.readReply(time.Second); got != want {
-			t.Errorf("%q, expected %q", got, want)
+			t.Errorf("reply %q, expected %q", got, want)
 		}
 	}
 }
 
-// TestListenRetry: a scheduler that lacks a descriptor at its start listens once there is one.
+// TestListenRetry checks that a scheduler without a free descriptor at its start listens once a descriptor is free.
 func TestListenRetry(t *testing.T) {
 	bed := newTestbed(t, 1)
 	config, err := ReadConfig(bed.configFile)
@@ -110,8 +111,8 @@
 	<-done
 }
 
-// TestHealthCheckWaitsForDial: a health check that waits for a connection has its outcome, even if the next dial cannot
-// begin.
+// TestHealthCheckWaitsForDial checks that a health check that waits for a connection gets an outcome, even if the next
+// dial cannot start.
 func TestHealthCheckWaitsForDial(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(1))
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
@@ -122,18 +123,18 @@
 	bed.eventuallyOnLoop("the op", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
 	bed.onLoop(func() {
 		s := bed.scheduler
-		s.tracker.Deliver(honeyplank.Timer{}) // the op opens a connection, and holds it once it is up
+		s.tracker.Deliver(honeyplank.Timer{}) // the op opens a connection and occupies it once it is open
 		ds := s.servers["s-0"]
 		if ds.dialing != 1 {
-			t.Errorf("%d connections are being opened", ds.dialing)
+			t.Errorf("%d connections are being opened, expected 1", ds.dialing)
 		}
 		ds.address = "255.255.255.255:9"
-		s.execute(honeyplank.HealthCheck{Server: "s-0"}) // no dial can begin: it waits for that connection
+		s.execute(honeyplank.HealthCheck{Server: "s-0"}) // no dial can start: it waits for that connection
 	})
 	select {
 	case result := <-results:
 		if result.Code != honeyplank.NotSent {
-			t.Errorf("%+v", result)
+			t.Errorf("unexpected result %+v", result)
 		}
 	case <-time.After(4 * time.Second): // less than the timeout of a health check
 		t.Error("the health check has no outcome")
--- a/scheduler/start_tracker_test.go
+++ b/scheduler/start_tracker_test.go
@@ -11,11 +11,11 @@
 // clockSteps are steps of the wall clock.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// steppedClock is a scheduler whose wall clock is stepped, and the starts that its module is notified of.
+// steppedClock is a scheduler whose wall clock is stepped, with the start times that its decision module receives.
 type steppedClock struct {
 	*testbed
-	began   time.Duration // when the clock began
-	step    time.Duration // off the real wall clock; used on the loop
+	began   time.Duration // loop time at the creation
+	step    time.Duration // offset from the real wall clock; used on the loop
 	starts  map[honeyplank.ServerID]time.Duration
 	applied chan bool // one for each list
 }
@@ -33,7 +33,7 @@
 		clock.began = clock.scheduler.loop.Now()
 		clock.scheduler.wallClock = func() time.Time { return time.Now().Add(clock.step) }
 		clock.module.onEvent = func(event honeyplank.Event) {
-			if list, ok := event.(honeyplank.List); ok && len(list.Members) == 1 { // one of announce
+			if list, ok := event.(honeyplank.List); ok && len(list.Members) == 1 { // a list sent by announce
 				clock.starts[list.Members[0].ID] = list.Members[0].Started
 				clock.applied <- true
 			}
@@ -42,8 +42,8 @@
 	return clock
 }
 
-// announce has discovery name a disk server with a start, in milliseconds of Unix time. It returns the start on the
-// loop's clock, and the time there.
+// announce makes discovery list a disk server with a start time in Unix milliseconds. It returns the start time that
+// the decision module receives, and the current time, both on the loop's clock.
 func (c *steppedClock) announce(id string, startMS int64) (started, now time.Duration) {
 	member := c.member(1, "up")
 	member.ID, member.UpSinceMS = id, startMS
@@ -53,26 +53,27 @@
 	return started, now
 }
 
-// TestStartsAcrossClockSteps: whatever the wall clock does before and between lists, a start is never earlier than it
-// can have been, one incarnation has one start, and a server that has run for long has none.
+// TestStartsAcrossClockSteps checks start times with steps of the wall clock before and between lists: a start time is
+// never earlier than possible, an incarnation keeps its start time, and a server that has run for long has none.
 func TestStartsAcrossClockSteps(t *testing.T) {
-	for _, before := range clockSteps { // since the process began
+	for _, before := range clockSteps { // since the start of the process
 		for _, between := range clockSteps {
 			t.Run(fmt.Sprint(before, " ", between), func(t *testing.T) { checkStarts(t, before, between) })
 		}
 	}
 }
 
-// checkStarts checks the starts of disk servers with a step of the wall clock before the lists and one between them.
+// checkStarts checks the start times of disk servers with one step of the wall clock before the lists and one between
+// them.
 func checkStarts(t *testing.T, before, between time.Duration) {
 	const age = 300 * time.Millisecond
 	clock := newSteppedClock(t, before)
 	startMS := time.Now().Add(before - age).UnixMilli()
 	if got, now := clock.announce("s-9", startMS); got < clock.began || got > now {
-		t.Errorf("the first has started %v after the process, at %v", got-clock.began, now-clock.began)
+		t.Errorf("first incarnation: started %v after the process, now %v after it", got-clock.began, now-clock.began)
 	}
 	if got, _ := clock.announce("s-8", 0); got != 0 {
-		t.Errorf("one that runs since long has started at %v", got)
+		t.Errorf("server that has run for long: started at %v, expected 0", got)
 	}
 	var first, last time.Duration
 	clock.onLoop(func() {
@@ -80,21 +81,21 @@
 		clock.step += between
 	})
 	if got, _ := clock.announce("s-9", startMS); got != first {
-		t.Errorf("it has started at %v, later at %v", first, got)
+		t.Errorf("started at %v on the first list, at %v on the second", first, got)
 	}
 	time.Sleep(age)
 	again := time.Now().Add(before + between - age/2).UnixMilli()
 	got, now := clock.announce("s-9", again)
 	if got < last || got > now || between == 0 && before == 0 && got > now-age/4 {
-		t.Errorf("the next one has started at %v, expected %v to %v", got, last, now)
+		t.Errorf("next incarnation: started at %v, expected %v to %v", got, last, now)
 	}
 	if later, _ := clock.announce("s-9", again); later != got {
-		t.Errorf("it has started at %v, later at %v", got, later)
+		t.Errorf("next incarnation: started at %v on its first list, at %v on its second", got, later)
 	}
 }
 
-// TestStartsOfCachedList: to a process that begins, a server of the cached list that names a start has just started,
-// whatever the wall clock did meanwhile, and that start stays when discovery names it again.
+// TestStartsOfCachedList checks that, for any step of the wall clock, a new process treats a server as just started if
+// the cached list gives its start time. The server keeps that start when discovery lists it again.
 func TestStartsOfCachedList(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -107,20 +108,20 @@
 				return bed.scheduler.servers["s-0"] != nil
 			})
 			if first <= 0 || first > now || now-first > 10*time.Second {
-				t.Errorf("it has started %v ago", now-first)
+				t.Errorf("the server started %v ago", now-first)
 			}
 			again := bed.deltaStarts()
 			member := bed.member(0, "up")
 			member.UpSinceMS = startMS
 			bed.discovery.Change(member)
 			if got := <-again; got != first {
-				t.Errorf("it has started at %v, later at %v", first, got)
+				t.Errorf("started at %v in the cached list, at %v in the delta", first, got)
 			}
 		})
 	}
 }
 
-// withCachedStart has the cached list name one disk server with a start, in milliseconds of Unix time.
+// withCachedStart makes the cached list name one disk server with a start time in Unix milliseconds.
 func withCachedStart(startMS int64) func(map[string]any) {
 	return func(config map[string]any) {
 		section(config, "known")["members"] = []any{map[string]any{
@@ -136,7 +137,7 @@
 	}
 }
 
-// deltaStarts receives the start of the first disk server of each delta from now on.
+// deltaStarts returns a channel that receives the start time of the first disk server in each later delta.
 func (bed *testbed) deltaStarts() <-chan time.Duration {
 	bed.t.Helper()
 	starts := make(chan time.Duration, 4)
