--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -38,7 +38,7 @@
 	hasCurrent bool          // currentAt is set
 }
 
-// Incarnation is one run of a server's process, from its start to its end.
+// Incarnation is one run of a server, from its start to its end.
 type Incarnation struct {
 	// UpSinceMS is the start time that the list gives, in Unix milliseconds. It identifies the incarnation. 0 stands
 	// for long ago.
