--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -74,7 +74,7 @@
 	switch {
 	case node.Removed:
 		report.State = membership.Removed
-		g.incarnations[received.source].Removed(received.now, id)
+		g.incarnations[received.source].MarkRemoved(received.now, id)
 		return report
 	case node.State == discovery.StateDraining:
 		report.State = membership.Draining
@@ -92,13 +92,13 @@
 ) (started, startedAfter time.Duration) {
 	const msPerSecond = 1000
 	own, other := &g.incarnations[received.source], &g.incarnations[1-received.source]
-	known, ok := other.Known(id)
+	known, ok := other.Lookup(id)
 	if ok && upSinceMS > 0 && known.UpSinceMS/msPerSecond == upSinceMS/msPerSecond {
 		known.UpSinceMS = upSinceMS
 		own.Adopt(id, known)
 	}
-	started = own.Start(received.now, received.wall, id, upSinceMS)
-	known, _ = own.Known(id) // always found, because Start records it
+	started = own.StartOf(received.now, received.wall, id, upSinceMS)
+	known, _ = own.Lookup(id) // always found, because StartOf records it
 	return started, known.StartedAfter
 }
 
@@ -111,9 +111,9 @@
 		for i, node := range update.Nodes {
 			ids[i] = honeyplank.ServerID(node.Address)
 		}
-		g.incarnations[received.source].Complete(received.now, ids)
+		g.incarnations[received.source].RemoveUnlisted(received.now, ids)
 	case update.Current:
-		g.incarnations[received.source].Current(received.now)
+		g.incarnations[received.source].MarkCurrent(received.now)
 	}
 }
 
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -9,35 +9,35 @@
 	"honeyplank"
 )
 
-// origin is the wall clock in the tables when the monotonic clock is at 0 and the wall clock has not stepped.
+// origin is the wall clock time in the tables at which the monotonic clock is 0, if the wall clock has not stepped.
 var origin = time.UnixMilli(1_700_000_000_000)
 
 // step is one call or message.
 type step struct {
 	at       time.Duration // on the monotonic clock
-	wallStep time.Duration // by which the wall clock is off from the monotonic clock
+	wallStep time.Duration // offset of the wall clock from the monotonic clock
 	kind     stepKind
-	up       time.Duration // the start given, on the wall clock from origin; or longAgo, or absent
-	want     time.Duration // the start that the mention returns
+	up       time.Duration // the start time in the list, on the wall clock from origin; or longAgo, or absent
+	want     time.Duration // the result of StartOf
 }
 
-// stepKind is what a step tells the tracker.
+// stepKind is the kind of a step.
 type stepKind int
 
 const (
 	completeList stepKind = iota
-	watchMessage          // a message of a watch that follows without a gap
-	cachedList            // which may be old
+	watchMessage          // a message of a watch, which follows without a gap
+	cachedList            // a list that may be outdated
 	serverRemoved
-	mentionsHold // that the mentions hold
+	markedCurrent // MarkCurrent without a list
 )
 
 const (
-	longAgo = time.Duration(math.MinInt64) // the start given is 0
+	longAgo = time.Duration(math.MinInt64) // the list gives 0 as the start time
 	absent  = longAgo + 1                  // the server is not listed
 )
 
-// upSince is the start that a list gives, in Unix milliseconds.
+// upSince returns a start time as a list gives it, in Unix milliseconds.
 func upSince(up time.Duration) int64 {
 	if up == longAgo {
 		return 0
@@ -136,12 +136,12 @@
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, hour, completeList, 110 * sec, 100 * sec},
 	},
-	"an hour forward, the start before held last": {
+	"an hour forward, the previous start was current": {
 		{100 * sec, 0, completeList, longAgo, 0},
-		{115 * sec, 0, mentionsHold, 0, 0},
+		{115 * sec, 0, markedCurrent, 0, 0},
 		{120 * sec, hour, watchMessage, 110 * sec, 115 * sec},
 	},
-	"steps after the first mention": {
+	"steps after the first listing": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, 0, completeList, 110 * sec, 110 * sec},
 		{130 * sec, hour, completeList, 110 * sec, 110 * sec},
@@ -168,7 +168,7 @@
 	},
 	"cached, confirmed by a watch, then another start": {
 		{100 * sec, 0, cachedList, 50 * sec, 100 * sec},
-		{105 * sec, 0, mentionsHold, 0, 0},
+		{105 * sec, 0, markedCurrent, 0, 0},
 		{110 * sec, hour, watchMessage, 108 * sec, 105 * sec},
 	},
 	"back with the same start": {
@@ -180,7 +180,7 @@
 	"back with another start": {
 		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
 		{130 * sec, 0, serverRemoved, 0, 0},
-		{135 * sec, 0, mentionsHold, 0, 0},
+		{135 * sec, 0, markedCurrent, 0, 0},
 		{140 * sec, hour, watchMessage, 139 * sec, 135 * sec},
 	},
 	"missing from a complete list, back with the same start": {
@@ -191,7 +191,7 @@
 	"back after it was dropped": {
 		{100 * sec, 0, completeList, 90 * sec, 100 * sec},
 		{130 * sec, 0, serverRemoved, 0, 0},
-		{130*sec + hour, 0, mentionsHold, 0, 0},
+		{130*sec + hour, 0, markedCurrent, 0, 0},
 		{140*sec + hour, 0, watchMessage, 90 * sec, 130*sec + hour},
 	},
 	"long ago, back as long ago": {
@@ -201,8 +201,8 @@
 	},
 }
 
-// TestStart plays startCases.
-func TestStart(t *testing.T) {
+// TestStartOf checks the start times that StartOf returns in startCases.
+func TestStartOf(t *testing.T) {
 	for name, steps := range startCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
@@ -219,43 +219,44 @@
 func (x step) apply(t *testing.T, tracker *Tracker, i int) {
 	t.Helper()
 	var ids []honeyplank.ServerID
-	if x.kind != serverRemoved && x.kind != mentionsHold && x.up != absent {
+	if x.kind != serverRemoved && x.kind != markedCurrent && x.up != absent {
 		ids = append(ids, id)
-		if got := tracker.Start(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
-			t.Errorf("step %d: %v, want %v", i, got, x.want)
+		if got := tracker.StartOf(x.at, origin.Add(x.at+x.wallStep), id, upSince(x.up)); got != x.want {
+			t.Errorf("step %d: start %v, want %v", i, got, x.want)
 		}
 	}
 	switch x.kind {
 	case completeList:
-		tracker.Complete(x.at, ids)
-	case watchMessage, mentionsHold:
-		tracker.Current(x.at)
+		tracker.RemoveUnlisted(x.at, ids)
+	case watchMessage, markedCurrent:
+		tracker.MarkCurrent(x.at)
 	case serverRemoved:
-		tracker.Removed(x.at, id)
+		tracker.MarkRemoved(x.at, id)
 	}
 }
 
-// TestAnyStart has any start and any wall clock: a start is not before what is known, nor in the future.
-func TestAnyStart(t *testing.T) {
+// TestStartWithinBounds checks that, for any start time in a list and any wall clock, a start is neither before the
+// last complete list without the server nor in the future.
+func TestStartWithinBounds(t *testing.T) {
 	for _, up := range []int64{math.MinInt64, -1, 1, origin.UnixMilli(), math.MaxInt64} {
 		for _, wall := range []time.Time{{}, origin, time.UnixMilli(0), time.UnixMilli(math.MaxInt64)} {
 			var tracker Tracker
-			tracker.Complete(100*sec, nil)
-			if got := tracker.Start(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
-				t.Errorf("%d at %v: %v", up, wall, got)
+			tracker.RemoveUnlisted(100*sec, nil)
+			if got := tracker.StartOf(110*sec, wall, id, up); got < 100*sec || got > 110*sec {
+				t.Errorf("start time %d, wall clock %v: start %v", up, wall, got)
 			}
 		}
 	}
 }
 
-// TestBounded has fleets whose servers are replaced again and again, by complete lists or changes, and one that flaps:
-// a Tracker does not grow.
-func TestBounded(t *testing.T) {
+// TestTrackerSizeBounded checks that a Tracker does not grow without bound. It has fleets whose servers are replaced
+// repeatedly, by complete lists or by messages, and one fleet that flaps.
+func TestTrackerSizeBounded(t *testing.T) {
 	const size = 3200
 	fleets := map[string]fleet{
-		"replaced by complete lists": {size: size, name: newNames, changesByList: true},
-		"replaced by messages":       {size: size, name: newNames},
-		"flapping":                   {size: size, name: sameNames},
+		"replaced by complete lists": {size: size, name: newID, changesByList: true},
+		"replaced by messages":       {size: size, name: newID},
+		"flapping":                   {size: size, name: sameID},
 	}
 	for name, f := range fleets {
 		t.Run(name+"/default bound", func(t *testing.T) {
@@ -267,20 +268,20 @@
 	}
 }
 
-// fleet is a fleet all of whose servers are removed and replaced in each round.
+// fleet is a fleet in which all servers are removed and replaced in each round.
 type fleet struct {
 	size          int
 	name          func(round, i int) honeyplank.ServerID
 	changesByList bool // by complete lists; else by messages of a watch
 }
 
-func newNames(round, i int) honeyplank.ServerID {
+func newID(round, i int) honeyplank.ServerID {
 	return honeyplank.ServerID(fmt.Sprint(round, "/", i))
 }
 
-func sameNames(_, i int) honeyplank.ServerID { return newNames(0, i) }
+func sameID(_, i int) honeyplank.ServerID { return newID(0, i) }
 
-// checkBounded replaces a fleet many times and checks what the tracker keeps after each.
+// checkBounded replaces a fleet many times and checks the size of the tracker after each time.
 func (f fleet) checkBounded(t *testing.T, tracker *Tracker, maxRemoved int) {
 	t.Helper()
 	const rounds = 40
@@ -288,90 +289,90 @@
 	for round := range rounds {
 		now += sec
 		ids := f.replace(tracker, now, round)
-		servers, removals, room := len(tracker.servers), len(tracker.removed), cap(tracker.removed)
-		if servers > f.size+maxRemoved || removals > maxRemoved || room > 4*maxRemoved {
-			t.Fatalf("round %d: %d servers and %d removals (room for %d)", round, servers, removals, room)
+		servers, removals, capacity := len(tracker.servers), len(tracker.removed), cap(tracker.removed)
+		if servers > f.size+maxRemoved || removals > maxRemoved || capacity > 4*maxRemoved {
+			t.Fatalf("round %d: %d servers and %d removals (capacity %d)", round, servers, removals, capacity)
 		}
 		for _, id := range ids {
 			if x := tracker.servers[id]; x == nil || x.removed {
-				t.Fatalf("round %d: %s is listed and not known", round, id)
+				t.Fatalf("round %d: %s is listed but not known", round, id)
 			}
 		}
 	}
-	tracker.Current(now + removedRetention)
+	tracker.MarkCurrent(now + removedRetention)
 	if servers, removals := len(tracker.servers), len(tracker.removed); servers != f.size || removals != 0 {
 		t.Errorf("after an hour %d servers and %d removals, want %d and none", servers, removals, f.size)
 	}
 }
 
-// replace replaces the servers of the round before and returns the new ones.
+// replace replaces the servers of the previous round and returns the new ones.
 func (f fleet) replace(tracker *Tracker, now time.Duration, round int) []honeyplank.ServerID {
 	var ids []honeyplank.ServerID
 	for i := range f.size {
 		if round > 0 && !f.changesByList {
-			tracker.Removed(now, f.name(round-1, i))
+			tracker.MarkRemoved(now, f.name(round-1, i))
 		}
 		id := f.name(round, i)
 		ids = append(ids, id)
-		tracker.Start(now, origin.Add(now), id, origin.UnixMilli())
+		tracker.StartOf(now, origin.Add(now), id, origin.UnixMilli())
 	}
 	if f.changesByList {
-		tracker.Complete(now, ids)
+		tracker.RemoveUnlisted(now, ids)
 	} else {
-		tracker.Current(now)
+		tracker.MarkCurrent(now)
 	}
 	return ids
 }
 
-// knownCase is what is known of a start after some calls.
-type knownCase struct {
+// lookupCase is the expected result of Lookup after some calls.
+type lookupCase struct {
 	setUp func(*Tracker)
 	want  Incarnation
-	again time.Duration // its start when it is mentioned by another wall clock later
+	again time.Duration // the result of a later StartOf with another wall clock
 }
 
-// mention has a server mentioned at 100 s, with a step of the wall clock.
-func mention(tracker *Tracker, wallStep, up time.Duration) {
+// listServer calls StartOf for the server at 100 s, with a step of the wall clock.
+func listServer(tracker *Tracker, wallStep, up time.Duration) {
 	const now = 100 * sec
-	tracker.Start(now, origin.Add(now+wallStep), id, upSince(up))
+	tracker.StartOf(now, origin.Add(now+wallStep), id, upSince(up))
 }
 
-// mentionAfterList is mention after a complete list without the server at 90 s.
-func mentionAfterList(tracker *Tracker, wallStep, up time.Duration) {
-	tracker.Complete(90*sec, nil)
-	mention(tracker, wallStep, up)
+// listServerAfterList calls listServer after a complete list without the server at 90 s.
+func listServerAfterList(tracker *Tracker, wallStep, up time.Duration) {
+	tracker.RemoveUnlisted(90*sec, nil)
+	listServer(tracker, wallStep, up)
 }
 
 var adoptedIncarnation = Incarnation{UpSinceMS: upSince(50 * sec), Started: 70 * sec, StartedAfter: 60 * sec}
 
-var knownCases = map[string]knownCase{
-	"first sight": {
-		setUp: func(tracker *Tracker) { mention(tracker, 0, 50*sec) },
+var lookupCases = map[string]lookupCase{
+	"first listing": {
+		setUp: func(tracker *Tracker) { listServer(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 	"long ago": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, longAgo) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, longAgo) },
 	},
 	"by the wall clock": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 95*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 95 * sec, 90 * sec}, again: 95 * sec,
 	},
-	"by the wall clock before what is known": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, 0, 50*sec) },
+	"by the wall clock, before the last list": {
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 90 * sec, 50 * sec}, again: 90 * sec,
 	},
 	"an hour back": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, -hour, 95*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, -hour, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 100 * sec, 90 * sec}, again: 100 * sec,
 	},
 	"an hour forward": {
-		setUp: func(tracker *Tracker) { mentionAfterList(tracker, hour, 95*sec) },
+		setUp: func(tracker *Tracker) { listServerAfterList(tracker, hour, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 90 * sec, 0}, again: 90 * sec,
 	},
 	"removed": {
 		setUp: func(tracker *Tracker) {
-			mention(tracker, 0, 50*sec)
-			tracker.Removed(110*sec, id)
+			listServer(tracker, 0, 50*sec)
+			tracker.MarkRemoved(110*sec, id)
 		},
 		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
@@ -379,29 +380,29 @@
 		setUp: func(tracker *Tracker) { tracker.Adopt(id, adoptedIncarnation) },
 		want:  adoptedIncarnation, again: 70 * sec,
 	},
-	"adopted after its mention": {
+	"adopted after its listing": {
 		setUp: func(tracker *Tracker) {
-			mention(tracker, 0, 50*sec)
+			listServer(tracker, 0, 50*sec)
 			tracker.Adopt(id, adoptedIncarnation)
 		},
 		want: Incarnation{upSince(50 * sec), 100 * sec, 0}, again: 100 * sec,
 	},
 }
 
-// TestKnown checks what is known of a start beside its time: which one it is, and after what it surely came.
-func TestKnown(t *testing.T) {
-	for name, c := range knownCases {
+// TestLookup checks the incarnation that Lookup returns: its identity, its start time and the lower bound of that time.
+func TestLookup(t *testing.T) {
+	for name, c := range lookupCases {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
-			if _, ok := tracker.Known(id); ok {
-				t.Errorf("known before")
+			if _, ok := tracker.Lookup(id); ok {
+				t.Errorf("known before any call")
 			}
 			c.setUp(&tracker)
-			if got, ok := tracker.Known(id); !ok || got != c.want {
-				t.Errorf("%+v, %v; want %+v", got, ok, c.want)
+			if got, ok := tracker.Lookup(id); !ok || got != c.want {
+				t.Errorf("got %+v, %v; want %+v", got, ok, c.want)
 			}
-			if got := tracker.Start(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
-				t.Errorf("started %v when mentioned again, want %v", got, c.again)
+			if got := tracker.StartOf(200*sec, origin.Add(200*sec-hour), id, c.want.UpSinceMS); got != c.again {
+				t.Errorf("started %v when listed again, want %v", got, c.again)
 			}
 		})
 	}
