--- a/resp/resp.go
+++ b/resp/resp.go
@@ -19,11 +19,11 @@
 
 // The kinds of RESP2.
 const (
-	Simple  Kind = '+' // a line
-	Error   Kind = '-' // a line with an error message
-	Integer Kind = ':' // a signed number of 64 bits
-	Bulk    Kind = '$' // any bytes, after their number
-	Array   Kind = '*' // values, after their number
+	SimpleString Kind = '+' // a line
+	Error        Kind = '-' // a line with an error message
+	Integer      Kind = ':' // a signed number of 64 bits
+	Bulk         Kind = '$' // any bytes, after their number
+	Array        Kind = '*' // values, after their number
 )
 
 // Value is one value.
@@ -197,7 +197,7 @@
 		return protocolError("expected '*', got %q", first)
 	case r.Limits.CommandsOnly && kind != Bulk && len(r.open) > 0:
 		return protocolError("expected '$', got %q", first)
-	case kind != Simple && kind != Error && kind != Integer && kind != Bulk && kind != Array:
+	case kind != SimpleString && kind != Error && kind != Integer && kind != Bulk && kind != Array:
 		return protocolError("%q begins no value", first)
 	}
 	return nil
@@ -226,7 +226,7 @@
 	if err := r.addToTotal(len(line)); err != nil {
 		return Value{}, false, err
 	}
-	if kind == Simple || kind == Error {
+	if kind == SimpleString || kind == Error {
 		if bytes.IndexByte(text, '\r') >= 0 {
 			return Value{}, false, protocolError("a line has a CR inside")
 		}
@@ -311,7 +311,7 @@
 func AppendNull(b []byte) []byte { return appendHead(b, Bulk, -1) }
 
 // AppendSimple appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
-func AppendSimple(b []byte, text string) []byte { return appendLine(b, Simple, text) }
+func AppendSimple(b []byte, text string) []byte { return appendLine(b, SimpleString, text) }
 
 // AppendError appends an error message. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendError(b []byte, text string) []byte { return appendLine(b, Error, text) }
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -100,7 +100,7 @@
 			{Kind: Array, List: []Value{{Kind: Integer, Int: -7}, {Kind: Array}}},
 		}},
 		{Kind: Error, Text: []byte("ERR failed")},
-		{Kind: Simple, Text: []byte("PONG")},
+		{Kind: SimpleString, Text: []byte("PONG")},
 		{Kind: Array, Null: true},
 	}
 	if err != nil || !reflect.DeepEqual(list, want) {
@@ -203,7 +203,7 @@
 	if err != nil {
 		return Value{}, err
 	}
-	if kind == Simple || kind == Error {
+	if kind == SimpleString || kind == Error {
 		if bytes.ContainsRune(line, '\r') {
 			return Value{}, errMalformed
 		}
