--- a/resp/resp.go
+++ b/resp/resp.go
@@ -22,7 +22,7 @@
 	SimpleString Kind = '+' // a line
 	Error        Kind = '-' // a line with an error message
 	Integer      Kind = ':' // a signed number of 64 bits
-	Bulk         Kind = '$' // any bytes, after their number
+	BulkString   Kind = '$' // any bytes, after their number
 	Array        Kind = '*' // values, after their number
 )
 
@@ -156,7 +156,7 @@
 		return Frame{Used: used}, protocolError("a bulk string of %d bytes does not end there", len(text))
 	}
 	r.bulk, r.bulkSize = nil, 0
-	return Frame{Used: used, Complete: true, Value: Value{Kind: Bulk, Text: text}}, nil
+	return Frame{Used: used, Complete: true, Value: Value{Kind: BulkString, Text: text}}, nil
 }
 
 // readLine returns a line without its line end, or nil while it has not ended.
@@ -195,9 +195,9 @@
 	switch {
 	case r.Limits.CommandsOnly && kind != Array && len(r.open) == 0:
 		return protocolError("expected '*', got %q", first)
-	case r.Limits.CommandsOnly && kind != Bulk && len(r.open) > 0:
+	case r.Limits.CommandsOnly && kind != BulkString && len(r.open) > 0:
 		return protocolError("expected '$', got %q", first)
-	case kind != SimpleString && kind != Error && kind != Integer && kind != Bulk && kind != Array:
+	case kind != SimpleString && kind != Error && kind != Integer && kind != BulkString && kind != Array:
 		return protocolError("%q begins no value", first)
 	}
 	return nil
@@ -205,7 +205,7 @@
 
 // lineLimit is the most bytes of the first line of a value.
 func (r *Reader) lineLimit(kind Kind) int {
-	if kind == Bulk || kind == Array || kind == Integer {
+	if kind == BulkString || kind == Array || kind == Integer {
 		return min(r.Limits.Line, maxNumberLine)
 	}
 	return r.Limits.Line
@@ -242,7 +242,7 @@
 	if n == -1 && !r.Limits.CommandsOnly {
 		return Value{Kind: kind, Null: true}, true, nil
 	}
-	if kind == Bulk {
+	if kind == BulkString {
 		return Value{}, false, r.beginBulk(n)
 	}
 	return r.beginArray(n)
@@ -304,11 +304,11 @@
 
 // AppendBulk appends a bulk string.
 func AppendBulk(b, text []byte) []byte {
-	return append(append(appendHead(b, Bulk, len(text)), text...), lineEnd...)
+	return append(append(appendHead(b, BulkString, len(text)), text...), lineEnd...)
 }
 
 // AppendNull appends a null bulk string.
-func AppendNull(b []byte) []byte { return appendHead(b, Bulk, -1) }
+func AppendNull(b []byte) []byte { return appendHead(b, BulkString, -1) }
 
 // AppendSimple appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendSimple(b []byte, text string) []byte { return appendLine(b, SimpleString, text) }
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -95,8 +95,8 @@
 	list, err := readAll(replyLimits, []byte(text), 1)
 	want := []Value{
 		{Kind: Array, List: []Value{
-			{Kind: Bulk, Text: []byte("x")},
-			{Kind: Bulk, Null: true},
+			{Kind: BulkString, Text: []byte("x")},
+			{Kind: BulkString, Null: true},
 			{Kind: Array, List: []Value{{Kind: Integer, Int: -7}, {Kind: Array}}},
 		}},
 		{Kind: Error, Text: []byte("ERR failed")},
@@ -217,7 +217,7 @@
 		return Value{Kind: kind, Int: n}, nil
 	case n == -1 && !m.limits.CommandsOnly:
 		return Value{Kind: kind, Null: true}, nil
-	case kind == Bulk:
+	case kind == BulkString:
 		return m.bulk(n)
 	}
 	return m.array(n, depth)
@@ -226,7 +226,7 @@
 // allowed reports whether a value inside depth arrays may be of a kind.
 func (m *model) allowed(kind Kind, depth int) bool {
 	if m.limits.CommandsOnly {
-		return kind == Array && depth == 0 || kind == Bulk && depth > 0
+		return kind == Array && depth == 0 || kind == BulkString && depth > 0
 	}
 	return strings.ContainsRune("+-:$*", rune(kind))
 }
@@ -234,7 +234,7 @@
 // line takes the first line of a value and returns what follows its kind.
 func (m *model) line(kind Kind) ([]byte, error) {
 	limit := m.limits.Line
-	if kind == Bulk || kind == Array || kind == Integer {
+	if kind == BulkString || kind == Array || kind == Integer {
 		limit = min(limit, 32)
 	}
 	end := bytes.IndexByte(m.text, '\n')
@@ -266,7 +266,7 @@
 	if string(m.text[n:n+2]) != "\r\n" {
 		return Value{}, errMalformed
 	}
-	value := Value{Kind: Bulk, Text: m.text[:n:n]}
+	value := Value{Kind: BulkString, Text: m.text[:n:n]}
 	m.text = m.text[n+2:]
 	return value, nil
 }
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -110,7 +110,7 @@
 
 // parseHealthReply parses the answer to a health check, a load report.
 func (a *attempt) parseHealthReply(value *resp.Value) (serverReply, error) {
-	if value.Kind != resp.Bulk || value.Null {
+	if value.Kind != resp.BulkString || value.Null {
 		return serverReply{}, errMalformedReply
 	}
 	load := parseLoadReport(string(value.Text), a.server.scheduler.site().LoadFields)
@@ -119,14 +119,14 @@
 
 // parseDispatchReply parses an array of the op's data, the quota usage and a load report. Only the data is required.
 func (a *attempt) parseDispatchReply(value *resp.Value) (serverReply, error) {
-	if value.Kind != resp.Array || len(value.List) == 0 || value.List[0].Kind != resp.Bulk || value.List[0].Null {
+	if value.Kind != resp.Array || len(value.List) == 0 || value.List[0].Kind != resp.BulkString || value.List[0].Null {
 		return serverReply{}, errMalformedReply
 	}
 	reply := serverReply{code: honeyplank.Succeeded, data: value.List[0].Text}
-	if len(value.List) > 1 && value.List[1].Kind == resp.Bulk {
+	if len(value.List) > 1 && value.List[1].Kind == resp.BulkString {
 		reply.feedback.QuotaUsed, reply.feedback.ServedElsewhere = parseUsage(string(value.List[1].Text))
 	}
-	if len(value.List) > 2 && value.List[2].Kind == resp.Bulk {
+	if len(value.List) > 2 && value.List[2].Kind == resp.BulkString {
 		reply.feedback.Load = parseLoadReport(string(value.List[2].Text), a.server.scheduler.site().LoadFields)
 	}
 	return reply, nil
