--- a/fake/resp/conn.go
+++ b/fake/resp/conn.go
@@ -122,11 +122,11 @@
 	case "BLK.READ", "BLK.WRITE":
 		return c.answerBlock(command, faults)
 	case "PING":
-		return resp.AppendSimple(nil, "PONG")
+		return resp.AppendSimpleString(nil, "PONG")
 	case "INFO":
 		return resp.AppendBulk(nil, []byte(faults.LoadReport))
 	case "CLIENT", "SELECT":
-		return resp.AppendSimple(nil, "OK")
+		return resp.AppendSimpleString(nil, "OK")
 	}
 	return resp.AppendError(nil, "ERR unknown command")
 }
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -310,8 +310,8 @@
 // AppendNull appends a null bulk string.
 func AppendNull(b []byte) []byte { return appendHead(b, BulkString, -1) }
 
-// AppendSimple appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
-func AppendSimple(b []byte, text string) []byte { return appendLine(b, SimpleString, text) }
+// AppendSimpleString appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
+func AppendSimpleString(b []byte, text string) []byte { return appendLine(b, SimpleString, text) }
 
 // AppendError appends an error message. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendError(b []byte, text string) []byte { return appendLine(b, Error, text) }
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -128,7 +128,7 @@
 	if err != nil || len(list) != 1 || string(list[0].List[1].Text) != "a\r\nb" || len(list[0].List) != 3 {
 		t.Fatalf("%+v, %v", list, err)
 	}
-	list, err = readAll(replyLimits, AppendSimple(AppendError(AppendNull(nil), "ERR a\r\nb\xff"), "OK"), 1)
+	list, err = readAll(replyLimits, AppendSimpleString(AppendError(AppendNull(nil), "ERR a\r\nb\xff"), "OK"), 1)
 	if err != nil || len(list) != 3 || !list[0].Null || string(list[1].Text) != "ERR a??b?" {
 		t.Fatalf("%+v, %v", list, err)
 	}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -69,15 +69,15 @@
 	case string(args[0]) == "BLK.READ" || string(args[0]) == "BLK.WRITE":
 		r.admit(received)
 	case name == "PING" && len(args) == 1:
-		r.respond(resp.AppendSimple(nil, "PONG"))
+		r.respond(resp.AppendSimpleString(nil, "PONG"))
 	case name == "PING" && len(args) == 2:
 		r.respond(resp.AppendBulk(nil, args[1]))
 	case name == "CLIENT" || name == "SELECT":
-		r.respond(resp.AppendSimple(nil, "OK"))
+		r.respond(resp.AppendSimpleString(nil, "OK"))
 	case name == "QUIT": // its reply comes behind those of earlier commands
 		c.closing, c.quitRequested = true, true
 		c.conn.Pause() // later commands stay unread: the client may send them again
-		r.respond(resp.AppendSimple(nil, "OK"))
+		r.respond(resp.AppendSimpleString(nil, "OK"))
 	default:
 		r.respond(resp.AppendError(nil, fmt.Sprintf("ERR unknown command %.32q", args[0])))
 	}
