--- a/resp/resp.go
+++ b/resp/resp.go
@@ -64,21 +64,21 @@
 type Reader struct {
 	Limits Limits
 
-	line     []byte      // the unfinished line
-	bulk     []byte      // the unfinished bulk string
-	bulkSize int         // bytes of the whole bulk string with its line end; 0: none has begun
-	total    int         // bytes of the unfinished value
-	open     []openArray // the unfinished arrays, outermost first
+	line       []byte      // the unfinished line
+	bulk       []byte      // the unfinished bulk string
+	bulkSize   int         // bytes of the whole bulk string with its line end; 0: none has begun
+	total      int         // bytes of the unfinished value
+	openArrays []openArray // the unfinished arrays, outermost first
 }
 
 // openArray is an unfinished array.
 type openArray struct {
-	value   Value
-	missing int // values that have not been read
+	value     Value
+	remaining int // values that have not been read
 }
 
 // Idle reports whether no value has begun: the next byte is the first of one.
-func (r *Reader) Idle() bool { return len(r.open) == 0 && r.bulkSize == 0 && len(r.line) == 0 }
+func (r *Reader) Idle() bool { return len(r.openArrays) == 0 && r.bulkSize == 0 && len(r.line) == 0 }
 
 // BufferedBytes is how many bytes of the unfinished value have been read.
 func (r *Reader) BufferedBytes() int { return r.total + len(r.line) + len(r.bulk) }
@@ -109,15 +109,15 @@
 // addItem adds a complete value to the innermost open array. Once the outermost value is complete, it returns that and
 // true.
 func (r *Reader) addItem(item Value) (Value, bool) {
-	for len(r.open) > 0 {
-		array := &r.open[len(r.open)-1]
+	for len(r.openArrays) > 0 {
+		array := &r.openArrays[len(r.openArrays)-1]
 		array.value.List = append(array.value.List, item)
-		array.missing--
-		if array.missing > 0 {
+		array.remaining--
+		if array.remaining > 0 {
 			return Value{}, false
 		}
 		item = array.value
-		r.open = r.open[:len(r.open)-1]
+		r.openArrays = r.openArrays[:len(r.openArrays)-1]
 	}
 	return item, true
 }
@@ -193,9 +193,9 @@
 func (r *Reader) checkKind(first byte) error {
 	kind := Kind(first)
 	switch {
-	case r.Limits.CommandsOnly && kind != Array && len(r.open) == 0:
+	case r.Limits.CommandsOnly && kind != Array && len(r.openArrays) == 0:
 		return protocolError("expected '*', got %q", first)
-	case r.Limits.CommandsOnly && kind != BulkString && len(r.open) > 0:
+	case r.Limits.CommandsOnly && kind != BulkString && len(r.openArrays) > 0:
 		return protocolError("expected '$', got %q", first)
 	case kind != SimpleString && kind != Error && kind != Integer && kind != BulkString && kind != Array:
 		return protocolError("%q begins no value", first)
@@ -270,13 +270,13 @@
 		err := protocolError("invalid multibulk length %d, expected %d to %d", n, minItems, r.Limits.Items)
 		return Value{}, false, err
 	}
-	if len(r.open) >= r.Limits.Depth {
+	if len(r.openArrays) >= r.Limits.Depth {
 		return Value{}, false, protocolError("arrays are more than %d deep", r.Limits.Depth)
 	}
 	if n == 0 {
 		return Value{Kind: Array}, true, nil
 	}
-	r.open = append(r.open, openArray{value: Value{Kind: Array}, missing: int(n)})
+	r.openArrays = append(r.openArrays, openArray{value: Value{Kind: Array}, remaining: int(n)})
 	return Value{}, false, nil
 }
 
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -26,8 +26,8 @@
 	reducedIdle = 2 * time.Second
 	minIdle     = 500 * time.Millisecond
 
-	// maxDeadlineFactor times the settings' op timeout is the longest timeout of an op.
-	maxDeadlineFactor = 100
+	// maxTimeoutFactor times the settings' op timeout is the longest timeout of an op.
+	maxTimeoutFactor = 100
 
 	// Clients that send no ops are limited in their use of the loop: maxCommandBatch commands of one of them are
 	// handled in a row, initialReadSize bytes are read at a time, and all of them together get 1/throttleFactor of the
@@ -180,13 +180,13 @@
 	switch {
 	case s.tracker.Counts.Admitted > admitted:
 		c.loopTime = 0
-	case !c.closing && !s.intakeClosed:
+	case !c.closing && !s.admissionClosed:
 		c.loopTime += s.loop.Now() - now
 		if commands > 0 { // an unfinished command may be its first op
 			c.throttleAfter(len(b) - used)
 		}
 	}
-	if s.intakeClosed {
+	if s.admissionClosed {
 		c.conn.Pause()
 		c.flushReplies()
 	}
@@ -202,10 +202,10 @@
 	s := c.scheduler
 	admitted := s.tracker.Counts.Admitted
 	for used < len(b) && !c.closing {
-		if commands >= maxCommandBatch && s.tracker.Counts.Admitted == admitted && !s.intakeClosed {
+		if commands >= maxCommandBatch && s.tracker.Counts.Admitted == admitted && !s.admissionClosed {
 			break
 		}
-		if c.replyBacklog() >= maxReplyBacklog && !s.intakeClosed {
+		if c.replyBacklog() >= maxReplyBacklog && !s.admissionClosed {
 			c.paused = true
 			c.conn.Pause()
 			break
@@ -300,7 +300,7 @@
 		c.conn.CloseGracefully()
 	case c.closing && len(c.pending) == 0: // the last one was a protocol error
 		c.conn.CloseAfterFlush(errorReadTime)
-	case c.scheduler.intakeClosed && len(c.pending) == 0:
+	case c.scheduler.admissionClosed && len(c.pending) == 0:
 		c.closing = true
 		c.conn.CloseGracefully()
 	default:
@@ -327,7 +327,7 @@
 
 // resumeReading resumes reading from a paused client once nothing prevents it and half of the backlog has been written.
 func (c *client) resumeReading() {
-	if c.paused && !c.throttled && !c.closing && !c.scheduler.intakeClosed && c.replyBacklog() < maxReplyBacklog/2 {
+	if c.paused && !c.throttled && !c.closing && !c.scheduler.admissionClosed && c.replyBacklog() < maxReplyBacklog/2 {
 		c.paused = false
 		c.conn.Resume()
 	}
--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -229,7 +229,7 @@
 			c.sendBytes(op)
 		}
 		leave(c)
-		time.Sleep(maxHoldUp)
+		time.Sleep(maxProcessPause)
 	})
 	bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
 	if x.gate {
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -198,7 +198,7 @@
 			})
 			bed.onLoop(func() {
 				gate.open()
-				time.Sleep(maxHoldUp)
+				time.Sleep(maxProcessPause)
 			})
 			if got := c.readReply(time.Second); got != "-ERR failed" {
 				t.Errorf("%q", got)
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -73,8 +73,8 @@
 }
 
 var (
-	errOldList     = errors.New("discovery: the list is older than the current one")
-	errWatchSilent = errors.New("discovery: no data before the deadline")
+	errOldList = errors.New("discovery: the list is older than the current one")
+	errNoData  = errors.New("discovery: no data before the deadline")
 )
 
 // statusError is a response of discovery with another status than 200.
@@ -93,7 +93,7 @@
 // begin within timeout.
 func watchList(ctx context.Context, address string, revision int64, timeout time.Duration, callbacks listCallbacks) {
 	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision)
-	call := listCall{url: url, headTimeout: timeout, established: callbacks.established}
+	call := listCall{url: url, headerTimeout: timeout, established: callbacks.established}
 	callbacks.failed(call.run(ctx, func(text []byte) error {
 		list, skipped, err := readList(text)
 		if err == nil {
@@ -105,7 +105,7 @@
 
 // fetchList requests the complete list once. The response has to begin within timeout.
 func fetchList(ctx context.Context, address string, timeout time.Duration, callbacks listCallbacks) {
-	call := listCall{url: "http://" + address + "/discovery/hosts", headTimeout: timeout}
+	call := listCall{url: "http://" + address + "/discovery/hosts", headerTimeout: timeout}
 	var messages [][]byte
 	err := call.run(ctx, func(text []byte) error {
 		messages = append(messages, text)
@@ -124,13 +124,13 @@
 
 // listCall is one call to discovery.
 type listCall struct {
-	url         string
-	headTimeout time.Duration
-	established func() // may be nil
+	url           string
+	headerTimeout time.Duration
+	established   func() // may be nil
 
-	started time.Time
-	reader  messageReader
-	silence *time.Timer // cancels the call at the reader's deadline
+	started       time.Time
+	reader        messageReader
+	deadlineTimer *time.Timer // cancels the call at the reader's deadline
 }
 
 // run makes the call and passes its messages to receive one by one until it ends. io.EOF is the regular end of a
@@ -141,16 +141,16 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	defer client.CloseIdleConnections()
 	c.started = time.Now()
-	c.reader.callStarted(0, c.headTimeout)
-	c.silence = time.AfterFunc(c.reader.deadline, func() { cancel(errWatchSilent) })
-	defer c.silence.Stop()
+	c.reader.callStarted(0, c.headerTimeout)
+	c.deadlineTimer = time.AfterFunc(c.reader.deadline, func() { cancel(errNoData) })
+	defer c.deadlineTimer.Stop()
 	return c.receive(ctx, client, receive)
 }
 
 // cause returns errWatchSilent for an error of a call that was cancelled for silence, and other errors as they are.
 func cause(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), errWatchSilent) {
-		return errWatchSilent
+	if errors.Is(context.Cause(ctx), errNoData) {
+		return errNoData
 	}
 	return err
 }
@@ -172,7 +172,7 @@
 	if c.established != nil {
 		c.established()
 	}
-	c.reader.headReceived(time.Since(c.started))
+	c.reader.headerReceived(time.Since(c.started))
 	return cause(ctx, c.readBody(response.Body, receive))
 }
 
@@ -180,7 +180,7 @@
 func (c *listCall) readBody(body io.Reader, receive func(text []byte) error) error {
 	buffer := make([]byte, readSize)
 	for {
-		c.silence.Reset(c.reader.deadline - time.Since(c.started))
+		c.deadlineTimer.Reset(c.reader.deadline - time.Since(c.started))
 		n, readErr := body.Read(buffer)
 		messages, err := c.reader.feed(time.Since(c.started), buffer[:n])
 		for _, text := range messages {
--- a/scheduler/draining.go
+++ b/scheduler/draining.go
@@ -55,7 +55,7 @@
 		return
 	}
 	grace := ds.scheduler.site().Settings.DrainGrace
-	ds.scheduler.loop.Schedule(notified+max(grace-maxHoldUp, 0), func() {
+	ds.scheduler.loop.Schedule(notified+max(grace-maxProcessPause, 0), func() {
 		if ds.draining {
 			ds.cancelUnsent()
 		}
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -78,13 +78,13 @@
 // TestDrainGraceDuringHoldUp: what waits to be sent to a server that is draining is taken back a hold-up before the
 // grace ends, which counts from when the list came, not from when the loop handled it.
 func TestDrainGraceDuringHoldUp(t *testing.T) {
-	for _, grace := range []time.Duration{100 * time.Millisecond, maxHoldUp, 500 * time.Millisecond} {
+	for _, grace := range []time.Duration{100 * time.Millisecond, maxProcessPause, 500 * time.Millisecond} {
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, grace)
 			c := bed.dialClient()
 			c.sendRead("a", 9000)
 			bed.awaitWaiter()
-			waits := bed.waitersAfterList(max(grace-maxHoldUp, 0))
+			waits := bed.waitersAfterList(max(grace-maxProcessPause, 0))
 			member := bed.member(0, "draining")
 			member.Address = gate.address
 			bed.discovery.Change(member)
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -43,9 +43,9 @@
 // there: one that is cancelled before its turn is retried, which makes the queue longer.
 func (s *Scheduler) callTimeout() time.Duration {
 	if s.site().WatchOnRequest {
-		return sharedHeadTimeout
+		return sharedHeaderTimeout
 	}
-	return headTimeout
+	return headerTimeout
 }
 
 // callKind is the purpose of a call to discovery.
--- a/scheduler/message_reader.go
+++ b/scheduler/message_reader.go
@@ -12,14 +12,14 @@
 	maxMessageBytes = 4 << 20  // of one message
 	readSize        = 16 << 10 // bytes read at a time
 
-	headTimeout       = time.Second             // for the head of a response of an agent on this machine
-	sharedHeadTimeout = 2200 * time.Millisecond // the same if all instances share one discovery, and calls queue there
+	headerTimeout       = time.Second             // for the head of a response of an agent on this machine
+	sharedHeaderTimeout = 2200 * time.Millisecond // the same if all instances share one discovery, and calls queue there
 
-	// watchSilence is how long a watch may bring no data, or a message stay unfinished. Discovery sends an empty line
+	// watchIdleTimeout is how long a watch may bring no data, or a message stay unfinished. Discovery sends an empty line
 	// every 2 s.
-	watchSilence    = 3 * time.Second
-	watchRetryDelay = 100 * time.Millisecond // after a watch that failed
-	oldListTimeout  = 4 * time.Second        // for which lists older than the current one are rejected
+	watchIdleTimeout = 3 * time.Second
+	watchRetryDelay  = 100 * time.Millisecond // after a watch that failed
+	oldListTimeout   = 4 * time.Second        // for which lists older than the current one are rejected
 )
 
 // messageReader splits the bytes of a response of discovery into messages, which may come in pieces, several at once or
@@ -41,8 +41,8 @@
 // callStarted sets the deadline for the head of the response, timeout after now.
 func (r *messageReader) callStarted(now, timeout time.Duration) { r.deadline = now + timeout }
 
-// headReceived sets the deadline for the first bytes of the body.
-func (r *messageReader) headReceived(now time.Duration) { r.deadline = now + watchSilence }
+// headerReceived sets the deadline for the first bytes of the body.
+func (r *messageReader) headerReceived(now time.Duration) { r.deadline = now + watchIdleTimeout }
 
 // feed takes the next bytes and returns the messages that they complete. Bytes between messages and complete messages
 // extend the deadline; parts of a message do not, since it may never be finished.
@@ -66,7 +66,7 @@
 		}
 	}
 	if !stalled && len(b) > 0 {
-		r.deadline = now + watchSilence
+		r.deadline = now + watchIdleTimeout
 	}
 	return messages, nil
 }
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -59,22 +59,22 @@
 		pieces []string // one a second, the first at 1 s
 		want   time.Duration
 	}{
-		"nothing":              {nil, watchSilence},
-		"empty lines":          {[]string{"\n", "\n", "\n"}, 3*s + watchSilence},
-		"messages":             {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + watchSilence},
-		"half a message":       {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + watchSilence},
-		"lines inside one":     {[]string{"\n", "{\n", "\n", "\n"}, 2*s + watchSilence},
-		"a message in pieces":  {[]string{`{"a`, `":1}`}, 2*s + watchSilence},
-		"another half at once": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + watchSilence},
-		"no bytes":             {[]string{"\n", "", ""}, s + watchSilence},
+		"nothing":              {nil, watchIdleTimeout},
+		"empty lines":          {[]string{"\n", "\n", "\n"}, 3*s + watchIdleTimeout},
+		"messages":             {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + watchIdleTimeout},
+		"half a message":       {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + watchIdleTimeout},
+		"lines inside one":     {[]string{"\n", "{\n", "\n", "\n"}, 2*s + watchIdleTimeout},
+		"a message in pieces":  {[]string{`{"a`, `":1}`}, 2*s + watchIdleTimeout},
+		"another half at once": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + watchIdleTimeout},
+		"no bytes":             {[]string{"\n", "", ""}, s + watchIdleTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r messageReader
-			r.callStarted(0, headTimeout)
-			if r.deadline != headTimeout {
+			r.callStarted(0, headerTimeout)
+			if r.deadline != headerTimeout {
 				t.Errorf("%v for the head of a response", r.deadline)
 			}
-			r.headReceived(0)
+			r.headerReceived(0)
 			for i, piece := range x.pieces {
 				if _, err := r.feed(time.Duration(i+1)*s, []byte(piece)); err != nil {
 					t.Error(err)
@@ -90,7 +90,7 @@
 // TestNotifiedWithin: the limits of calls to discovery leave enough time to be notified of a change.
 func TestNotifiedWithin(t *testing.T) {
 	// One silence, one call that hangs and one more that is answered fit into notifiedWithin.
-	if watchSilence+watchRetryDelay+headTimeout+watchRetryDelay > 5*time.Second {
+	if watchIdleTimeout+watchRetryDelay+headerTimeout+watchRetryDelay > 5*time.Second {
 		t.Error("a change is received too late after a silence")
 	}
 	// So do, if the module decides when, a call that hangs, the longest backoff then, and the next call's turn.
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	within := config.Site.Settings.Watch.Within
-	if sharedHeadTimeout+within/4+sharedHeadTimeout*3/4 > notifiedWithin {
+	if sharedHeaderTimeout+within/4+sharedHeaderTimeout*3/4 > notifiedWithin {
 		t.Errorf("lists are requested within %v", within)
 	}
 }
--- a/scheduler/op_types_test.go
+++ b/scheduler/op_types_test.go
@@ -32,7 +32,7 @@
 		}
 	})
 	c.doRead("unusual", 1_000_000_000)
-	if left := <-longest; left > maxDeadlineFactor*400*time.Millisecond {
+	if left := <-longest; left > maxTimeoutFactor*400*time.Millisecond {
 		t.Errorf("an op of an unusual timeout may wait for %v", left)
 	}
 	if served := c.countServed("read", "after", 10, 400); served < 8 {
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	maxReplyLine = 4096     // bytes of a line: an error, or the head of a value
-	maxItems     = 8        // of an array: data, quota usage, load report, and room for future ones
-	maxDepth     = 3        // of arrays in arrays
-	maxValue     = 64 << 10 // bytes of a value
-	maxFigure    = 1e12     // of a load report or quota usage; larger ones are ignored
-	maxQuotaUsed = 1e9
+	maxReplyLine     = 4096     // bytes of a line: an error, or the head of a value
+	maxItems         = 8        // of an array: data, quota usage, load report, and room for future ones
+	maxDepth         = 3        // of arrays in arrays
+	maxValueBytes    = 64 << 10 // bytes of a value
+	maxReportedValue = 1e12     // of a load report or quota usage; larger ones are ignored
+	maxQuotaUsed     = 1e9
 )
 
 // replyLimits are the limits of an answer of a disk server.
 var replyLimits = resp.Limits{
 	Line:  maxReplyLine,
-	Bulk:  maxValue,
+	Bulk:  maxValueBytes,
 	Items: maxItems,
 	Depth: maxDepth,
-	Total: maxValue + 2*maxReplyLine,
+	Total: maxValueBytes + 2*maxReplyLine,
 }
 
 var errMalformedReply = errors.New("malformed reply")
@@ -137,7 +137,7 @@
 	pairs := map[string]float64{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && x >= 0 && x < maxFigure {
+		if x, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && x >= 0 && x < maxReportedValue {
 			pairs[strings.TrimSpace(name)] = x
 		}
 	}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -61,7 +61,7 @@
 	}
 	r := &request{client: c, args: args}
 	c.pending = append(c.pending, r)
-	if c.scheduler.intakeClosed { // it was buffered when the intake was closed
+	if c.scheduler.admissionClosed { // it was buffered when the intake was closed
 		r.reply, r.done = resp.AppendError(nil, "BUSY"), true
 		return
 	}
@@ -214,7 +214,7 @@
 // its answer early.
 func maxOpTime(site *simwire.Site, opType int) time.Duration {
 	if timeout := site.Settings.OpTypes[opType].OpTimeout; timeout > 0 {
-		return maxDeadlineFactor * timeout
+		return maxTimeoutFactor * timeout
 	}
 	return math.MaxInt64 / 2 // a time of the loop can be added without an overflow
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -58,11 +58,11 @@
 	rejectedConns    int // connections of clients for which there was no descriptor
 	countersLoggedAt time.Duration
 
-	shuttingDown bool
-	graceElapsed bool // no more clients connect
-	intakeClosed bool // no more ops are admitted
-	stopping     bool // the loop is about to stop
-	shutdown     shutdownPlan
+	shuttingDown    bool
+	graceElapsed    bool // no more clients connect
+	admissionClosed bool // no more ops are admitted
+	stopping        bool // the loop is about to stop
+	shutdown        shutdownPlan
 }
 
 // visitCounts counts the entries that recurring steps visit, so that a test can compare the work in a small fleet with
--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -11,15 +11,15 @@
 	// SIGTERM.
 	killGrace   = 700 * time.Millisecond
 	maxKillWait = 3 * time.Second
-	// maxHoldUp is how long a scheduler may be held up between reading its clock and writing.
-	maxHoldUp = 150 * time.Millisecond
-	// minIntakeTime is how long after SIGTERM clients may still connect, with some time to accept the connections.
-	minIntakeTime = 420 * time.Millisecond
-	// The intake closes intakeMargin before the kill, and unanswered ops fail answerMargin before it. There may be a
+	// maxProcessPause is how long a scheduler may be held up between reading its clock and writing.
+	maxProcessPause = 150 * time.Millisecond
+	// minAdmissionTime is how long after SIGTERM clients may still connect, with some time to accept the connections.
+	minAdmissionTime = 420 * time.Millisecond
+	// The intake closes admissionMargin before the kill, and unanswered ops fail answerMargin before it. There may be a
 	// hold-up before the loop handles SIGTERM and another before the last replies are written; flushMargin is for their
 	// transmission.
-	intakeMargin = 520 * time.Millisecond
-	answerMargin = 2*maxHoldUp + flushMargin
+	admissionMargin = 520 * time.Millisecond
+	answerMargin    = 2*maxProcessPause + flushMargin
 	// flushMargin is the least time for clients to acknowledge their last replies before the sockets close with their
 	// input unread, and flushPollInterval the time between two checks whether they have.
 	flushMargin       = 30 * time.Millisecond
@@ -50,8 +50,8 @@
 		s.graceElapsed = true
 		s.stopIfIdle()
 	})
-	s.loop.Schedule(s.shutdown.closeIntake, func() { // a round later: the listener's queue is accepted first
-		s.loop.Schedule(s.loop.Now(), s.closeIntake)
+	s.loop.Schedule(s.shutdown.closeAdmission, func() { // a round later: the listener's queue is accepted first
+		s.loop.Schedule(s.loop.Now(), s.closeAdmission)
 	})
 }
 
@@ -65,25 +65,25 @@
 
 // shutdownPlan has the times of the steps of a shutdown on the loop's clock.
 type shutdownPlan struct {
-	closeIntake   time.Duration // no more ops are admitted
-	failRemaining time.Duration // ops without an answer fail
-	killTime      time.Duration // the platform may kill the process
+	closeAdmission time.Duration // no more ops are admitted
+	failRemaining  time.Duration // ops without an answer fail
+	killTime       time.Duration // the platform may kill the process
 }
 
 // planShutdown plans a shutdown by the time of its notification and the longest op timeout.
 func planShutdown(notified, longestTimeout time.Duration) shutdownPlan {
 	killTime := notified + min(longestTimeout, maxKillWait) + killGrace
 	return shutdownPlan{
-		closeIntake:   max(killTime-intakeMargin, notified+minIntakeTime),
-		failRemaining: killTime - answerMargin,
-		killTime:      killTime,
+		closeAdmission: max(killTime-admissionMargin, notified+minAdmissionTime),
+		failRemaining:  killTime - answerMargin,
+		killTime:       killTime,
 	}
 }
 
-// closeIntake stops reading from all clients and closes each connection once its commands have their replies. Unread
+// closeAdmission stops reading from all clients and closes each connection once its commands have their replies. Unread
 // input stays unread: its client sends it again to another scheduler.
-func (s *Scheduler) closeIntake() {
-	s.intakeClosed, s.graceElapsed = true, true
+func (s *Scheduler) closeAdmission() {
+	s.admissionClosed, s.graceElapsed = true, true
 	s.listener.Close()
 	for c := range s.clients {
 		c.closeWhenAnswered()
@@ -92,18 +92,18 @@
 	s.loop.Schedule(s.shutdown.failRemaining, func() {
 		s.tracker.FailAll()
 		s.logCounters()
-		s.stopWhenFlushed(s.loop.Now() + flushMargin)
+		s.stopWhenAcked(s.loop.Now() + flushMargin)
 	})
 }
 
-// stopWhenFlushed stops the loop at a time, or later once all clients have acknowledged their replies: closing with
+// stopWhenAcked stops the loop at a time, or later once all clients have acknowledged their replies: closing with
 // unread input resets a connection, which discards replies on their way. The stop is postponed until flushMargin before
 // the kill at most.
-func (s *Scheduler) stopWhenFlushed(at time.Duration) {
+func (s *Scheduler) stopWhenAcked(at time.Duration) {
 	s.loop.Schedule(at, func() {
 		for c := range s.clients {
 			if c.conn.UnackedBytes() > 0 && s.loop.Now() < s.shutdown.killTime-flushMargin {
-				s.stopWhenFlushed(s.loop.Now() + flushPollInterval)
+				s.stopWhenAcked(s.loop.Now() + flushPollInterval)
 				return
 			}
 		}
--- a/scheduler/shutdown_hold_up_test.go
+++ b/scheduler/shutdown_hold_up_test.go
@@ -134,7 +134,7 @@
 	s.onLoop(func() {
 		s.plan = s.scheduler.shutdown
 		at := map[string]time.Duration{
-			"ops":     s.plan.closeIntake,
+			"ops":     s.plan.closeAdmission,
 			"answers": s.plan.failRemaining,
 			"leave":   s.plan.failRemaining + flushMargin,
 		}[step]
@@ -142,8 +142,8 @@
 			return
 		}
 		s.scheduler.loop.Schedule(at-1, func() {
-			time.Sleep(maxHoldUp)
-			s.late -= maxHoldUp
+			time.Sleep(maxProcessPause)
+			s.late -= maxProcessPause
 		})
 	})
 }
@@ -152,14 +152,14 @@
 func (s *heldUpShutdown) connectUntil(end time.Time) {
 	for time.Now().Before(end) {
 		clients, closed := 0, true
-		s.onLoop(func() { clients, closed = len(s.traffic), s.scheduler.intakeClosed })
+		s.onLoop(func() { clients, closed = len(s.traffic), s.scheduler.admissionClosed })
 		if closed {
 			return
 		}
 		c := s.dialClient()
 		s.eventually("the connection", func() bool {
 			ok := true // also after the end of the loop
-			s.onLoop(func() { ok = s.scheduler.intakeClosed || len(s.traffic) > clients })
+			s.onLoop(func() { ok = s.scheduler.admissionClosed || len(s.traffic) > clients })
 			return ok
 		})
 		s.flood(c, 20*time.Millisecond)
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -31,11 +31,11 @@
 	for longest := 50 * time.Millisecond; longest <= 4*time.Second; longest += 10 * time.Millisecond {
 		plan := planShutdown(notified, longest)
 		if plan.killTime != notified+min(longest, maxKillWait)+killGrace ||
-			plan.closeIntake < notified+minIntakeTime ||
-			plan.failRemaining < plan.closeIntake ||
-			plan.killTime-plan.failRemaining < 2*maxHoldUp+flushMargin {
+			plan.closeAdmission < notified+minAdmissionTime ||
+			plan.failRemaining < plan.closeAdmission ||
+			plan.killTime-plan.failRemaining < 2*maxProcessPause+flushMargin {
 			t.Fatalf("%v: no more ops after %v, the last answers after %v, the kill after %v", longest,
-				plan.closeIntake-notified, plan.failRemaining-notified, plan.killTime-notified)
+				plan.closeAdmission-notified, plan.failRemaining-notified, plan.killTime-notified)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	bed.scheduler.Shutdown()
 	bed.scheduler.Shutdown() // a second time changes nothing
 	c.sendRead("a", 9000)
-	bed.eventuallyOnLoop("the last part", func() bool { return bed.scheduler.intakeClosed })
+	bed.eventuallyOnLoop("the last part", func() bool { return bed.scheduler.admissionClosed })
 	for i := range 3 * maxPending { // more than is read at a time, none of which is admitted any more
 		c.sendRead(fmt.Sprint("b", i), 9000)
 	}
