--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -58,7 +58,7 @@
 		c := bed.dialClient()
 		shared.clients = append(shared.clients, c)
 		c.sendWrite(fmt.Sprint("w", i), 9000, strings.Repeat("x", maxBody))
-		bed.eventuallyOnLoop("the command", func() bool { return shared.carries(i + 1) })
+		bed.eventuallyOnLoop("the command", func() bool { return shared.hasInFlight(i + 1) })
 	}
 	bed.onLoop(shared.countWritten)
 	if shared.written == 0 || shared.written > n-2 {
@@ -67,8 +67,8 @@
 	return shared
 }
 
-// carries reports, on the loop, whether the connection carries n commands.
-func (s *sharedConn) carries(n int) bool {
+// hasInFlight reports, on the loop, whether the connection hasInFlight n commands.
+func (s *sharedConn) hasInFlight(n int) bool {
 	conns := s.bed.scheduler.servers["s-0"].conns
 	if len(conns) != 1 || !conns[0].connected || len(conns[0].inFlight) != n {
 		return false
@@ -164,8 +164,8 @@
 	}
 }
 
-// holdUpCase is a client that goes during a hold-up.
-type holdUpCase struct {
+// processPauseCase is a client that goes during a hold-up.
+type processPauseCase struct {
 	split  bool          // half of its command comes before the hold-up
 	behind string        // what it sends behind its command
 	delay  time.Duration // of the module's dispatch
@@ -173,16 +173,16 @@
 	gate   bool          // the connection to the disk server opens then
 }
 
-// TestClientGoneDuringHoldUp: a client goes while the scheduler is held up for 0.15 s, in the middle of a round of the
+// TestClientGoneDuringProcessPause: a client goes while the scheduler is held up for 0.15 s, in the middle of a round of the
 // loop: nothing is sent for it after that, be it a first attempt or a retry.
-func TestClientGoneDuringHoldUp(t *testing.T) {
+func TestClientGoneDuringProcessPause(t *testing.T) {
 	var pings []byte
 	for i := range 2 * maxPending {
 		pings = append(pings, encodeCommand("PING", fmt.Sprint(i))...)
 	}
 	quit := string(encodeCommand("QUIT"))
 	const delay = 100 * time.Millisecond
-	cases := map[string]holdUpCase{
+	cases := map[string]processPauseCase{
 		"fresh command":           {fresh: true},
 		"behind half a line":      {split: true, fresh: true},
 		"a timer":                 {delay: delay},
@@ -199,7 +199,7 @@
 }
 
 // run has a client leave during a hold-up and checks that its op does not arrive.
-func (x holdUpCase) run(t *testing.T, leave func(*testClient)) {
+func (x processPauseCase) run(t *testing.T, leave func(*testClient)) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	openGate := func() {}
 	if x.gate {
@@ -287,7 +287,7 @@
 		"quit":           {string(encodeCommand("QUIT")), []string{value, "OK"}},
 		"protocol error": {"no command\r\n", []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
 	} {
-		t.Run(name, func(t *testing.T) { checkCrossesOwnClose(t, x.behind, x.want) })
+		t.Run(name, func(t *testing.T) { checkCloseByClientInput(t, x.behind, x.want) })
 	}
 	for name, end := range map[string]func(*Scheduler, *client){
 		"idle": func(s *Scheduler, c *client) {
@@ -300,13 +300,13 @@
 		},
 		"intake closed": func(_ *Scheduler, c *client) { c.closeWhenAnswered() },
 	} {
-		t.Run(name, func(t *testing.T) { checkCrossesServerClose(t, end) })
+		t.Run(name, func(t *testing.T) { checkCloseByScheduler(t, end) })
 	}
 }
 
-// checkCrossesOwnClose checks a request that crosses a close which the client's own input causes, with the replies
+// checkCloseByClientInput checks a request that crosses a close which the client's own input causes, with the replies
 // expected before.
-func checkCrossesOwnClose(t *testing.T, behind string, replies []string) {
+func checkCloseByClientInput(t *testing.T, behind string, replies []string) {
 	bed, c := newCrossingTestbed(t, behind)
 	bed.eventuallyOnLoop("the end", func() bool {
 		serverSide := bed.client()
@@ -326,8 +326,8 @@
 	bed.checkReceived("[a]")
 }
 
-// checkCrossesServerClose checks a request that crosses a close by the scheduler, on the loop, once the op is answered.
-func checkCrossesServerClose(t *testing.T, end func(*Scheduler, *client)) {
+// checkCloseByScheduler checks a request that crosses a close by the scheduler, on the loop, once the op is answered.
+func checkCloseByScheduler(t *testing.T, end func(*Scheduler, *client)) {
 	bed, c := newCrossingTestbed(t, "")
 	if got := c.readReply(3 * time.Second); got != valueOf("a") {
 		t.Fatalf("%q", got)
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// floodPings sends large PINGs and reads no reply, until the connection ends.
-func (c *testClient) floodPings() {
+// sendUnreadPings sends large PINGs and reads no reply, until the connection ends.
+func (c *testClient) sendUnreadPings() {
 	command := encodeCommand("PING", strings.Repeat("v", maxBody))
 	for {
 		if _, err := c.Write(command); err != nil {
@@ -175,12 +175,12 @@
 	}
 }
 
-// TestUnreadCrowd: clients that never sent an op, send commands and read no replies hold no descriptors: one is
+// TestNonReadingClientsEvicted: clients that never sent an op, send commands and read no replies hold no descriptors: one is
 // evicted for another at once, and the rest are closed in time.
-func TestUnreadCrowd(t *testing.T) {
+func TestNonReadingClientsEvicted(t *testing.T) {
 	bed := newTestbed(t, 1)
 	for i := range 2 {
-		go bed.dialClient(4096).floodPings()
+		go bed.dialClient(4096).sendUnreadPings()
 		bed.eventuallyOnLoop("a connection of which no more is read", func() bool { return bed.pausedClients() == i+1 })
 	}
 	bed.onLoop(func() {
@@ -280,10 +280,10 @@
 	}
 }
 
-// TestCrowd: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody
+// TestManyIdleConns: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody
 // else from being served and take no connection from clients that send ops, also during the shutdown; hundreds of
 // commands at once all get their replies, in order.
-func TestCrowd(t *testing.T) {
+func TestManyIdleConns(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
 	if got := c.doRead("first", 390); got != valueOf("first") {
@@ -318,8 +318,8 @@
 	}
 }
 
-// TestNothingRetained: after many short-lived clients and servers nothing is left of them.
-func TestNothingRetained(t *testing.T) {
+// TestNoLeaks: after many short-lived clients and servers nothing is left of them.
+func TestNoLeaks(t *testing.T) {
 	bed := newTestbed(t, 1)
 	before := runtime.NumGoroutine()
 	for i := range 200 {
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -30,9 +30,9 @@
 	bed.checkReceived("[a]")
 }
 
-// TestServes: a command reaches the server that holds its data as it came, but for the timeout, and the value that was
+// TestCommandForwarding: a command reaches the server that holds its data as it came, but for the timeout, and the value that was
 // made for it comes back.
-func TestServes(t *testing.T) {
+func TestCommandForwarding(t *testing.T) {
 	bed := newTestbed(t, 2)
 	c := bed.dialClient()
 	if got := c.do("PING"); got != "PONG" {
@@ -178,23 +178,23 @@
 		"\x00\x01\x02",
 	} {
 		c := bed.dialClient()
-		begun := time.Now()
+		start := time.Now()
 		_, _ = c.Write([]byte(text)) // the scheduler may close before it has read all
 		got := c.readReply(3 * time.Second)
 		if got != "closed" && !strings.HasPrefix(got, "-ERR Protocol error") {
 			t.Errorf("%.40q: %q", text, got)
 		}
-		if got != "closed" && c.readReply(3*time.Second) != "closed" || time.Since(begun) > time.Second {
-			t.Errorf("%.40q: the connection goes on for %v", text, time.Since(begun))
+		if got != "closed" && c.readReply(3*time.Second) != "closed" || time.Since(start) > time.Second {
+			t.Errorf("%.40q: the connection goes on for %v", text, time.Since(start))
 		}
 	}
 	for _, text := range []string{"", "*4\r\n$8\r\nBLK.READ\r\n$16\r\n7f3a"} {
 		c := bed.dialClient()
-		begun := time.Now()
+		start := time.Now()
 		_, _ = c.Write([]byte(text)) // the scheduler may close before it has read all
 		for c.readReply(4*time.Second) != "closed" {
 		}
-		if took := time.Since(begun); took > 2800*time.Millisecond {
+		if took := time.Since(start); took > 2800*time.Millisecond {
 			t.Errorf("%q: closed after %v", text, took)
 		}
 	}
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -27,8 +27,8 @@
 	since       time.Duration // when it was written
 }
 
-// look updates the commands by what a connection has written.
-func (s *stuckCommands) look(now time.Duration, sc *serverConn) {
+// observe updates the commands by what a connection has written.
+func (s *stuckCommands) observe(now time.Duration, sc *serverConn) {
 	written := sc.writtenBytes()
 	if written != s.lastWritten {
 		s.lastWritten, s.since = written, now
@@ -61,7 +61,7 @@
 	bed.onLoop(func() {
 		bed.everyMillisecond(func(now time.Duration) {
 			for _, sc := range bed.scheduler.servers["s-0"].conns {
-				stuck.look(now, sc)
+				stuck.observe(now, sc)
 			}
 		})
 	})
@@ -179,9 +179,9 @@
 	return last
 }
 
-// TestTimeoutDuringHoldUp: an op whose time is over when a hold-up ends is answered and not sent, where its connection
+// TestTimeoutDuringProcessPause: an op whose time is over when a hold-up ends is answered and not sent, where its connection
 // has come up meanwhile or there is a connection for its retry.
-func TestTimeoutDuringHoldUp(t *testing.T) {
+func TestTimeoutDuringProcessPause(t *testing.T) {
 	for _, waits := range []string{"for a connection", "for a timer"} {
 		t.Run(waits, func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, time.Second)
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -43,14 +43,14 @@
 			t.Parallel()
 			discovery := newScriptedDiscovery(t)
 			bed := newTestbed(t, 2, discovery.configure)
-			begun := time.Now()
+			start := time.Now()
 			go f(discovery.nextCall(t, time.Second))
 			discovery.nextCall(t, 5*time.Second) // hangs
 			call := discovery.nextCall(t, 2*time.Second)
 			call.sendHeader()
 			call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 			bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
-			if took := time.Since(begun); took > 5500*time.Millisecond {
+			if took := time.Since(start); took > 5500*time.Millisecond {
 				t.Errorf("received after %v", took)
 			}
 		})
@@ -61,7 +61,7 @@
 // call continues from the last message.
 func TestResetWithinList(t *testing.T) {
 	for name, end := range map[string]func(call *discoveryCall){
-		"reset": func(call *discoveryCall) { call.endAfter(0) },
+		"reset": func(call *discoveryCall) { call.closeWithLinger(0) },
 		"end":   (*discoveryCall).end,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 			call := discovery.nextCall(t, time.Second)
 			text := listJSON(7, true, manyLines)
 			call.sendUnbounded(text[:len(text)-x.cut])
-			call.endAfter(x.linger)
+			call.closeWithLinger(x.linger)
 			if got := <-received; got != x.want {
 				t.Errorf("%+v: the list is received: %v", x, got)
 			}
@@ -170,10 +170,10 @@
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure, withWatchOnRequest(10000))
 	var at []time.Time
-	for begun := time.Now(); time.Since(begun) < 4*time.Second; {
+	for start := time.Now(); time.Since(start) < 4*time.Second; {
 		call := discovery.nextCall(t, 3*time.Second)
 		at = append(at, time.Now())
-		call.refuse()
+		call.sendUnavailable()
 	}
 	if n := len(at); n < 4 || n > 9 || at[n-1].Sub(at[n-2]) < at[2].Sub(at[1]) {
 		t.Errorf("%d calls, the last after %v, the third after %v", n, at[n-1].Sub(at[n-2]), at[2].Sub(at[1]))
@@ -191,7 +191,7 @@
 	bed := newTestbed(t, 2, one.configure, withWatchOnRequest(60000))
 	for range 4 { // by now the next is half a second away at least
 		call := one.nextCall(t, 3*time.Second)
-		call.refuse()
+		call.sendUnavailable()
 	}
 	bed.eventuallyOnLoop("the wait", func() bool { return bed.scheduler.cancelWatch == nil })
 	bed.config["discovery"] = other.address
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -15,8 +15,8 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// floodPayloads are what bad clients send.
-var floodPayloads = map[string]struct {
+// abusivePayloads are what bad clients send.
+var abusivePayloads = map[string]struct {
 	text  string
 	reads bool
 }{
@@ -27,15 +27,15 @@
 	"errors":          {strings.Repeat(string(encodeCommand("BLK.READ", "x", "y", "z")), 1000), true},
 }
 
-// floodConns is how many bad clients there are.
-const floodConns = 200
+// abusiveConns is how many bad clients there are.
+const abusiveConns = 200
 
 // TestMain lets the test program be the bad clients too, in a process of their own: in one with the scheduler they
 // would hold its loop up by themselves.
 func TestMain(m *testing.M) {
-	if kind, address := os.Getenv("FLOOD_KIND"), os.Getenv("FLOOD_ADDRESS"); kind != "" {
-		for range floodConns {
-			go floodAddress(address, kind)
+	if kind, address := os.Getenv("ABUSE_KIND"), os.Getenv("ABUSE_ADDRESS"); kind != "" {
+		for range abusiveConns {
+			go runAbusiveClient(address, kind)
 		}
 		time.Sleep(time.Minute)
 		return
@@ -43,16 +43,16 @@
 	os.Exit(m.Run())
 }
 
-// floodAddress sends at full speed, each time on a new connection once it loses the one that it has.
-func floodAddress(address, kind string) {
+// runAbusiveClient sends at full speed, each time on a new connection once it loses the one that it has.
+func runAbusiveClient(address, kind string) {
 	for ; ; time.Sleep(10 * time.Millisecond) {
 		c, err := net.DialTimeout("tcp", address, time.Second)
-		if err == nil && floodPayloads[kind].reads {
+		if err == nil && abusivePayloads[kind].reads {
 			go io.Copy(io.Discard, c)
 		}
 		for err == nil {
 			if err = c.SetWriteDeadline(time.Now().Add(time.Second)); err == nil {
-				_, err = io.WriteString(c, floodPayloads[kind].text)
+				_, err = io.WriteString(c, abusivePayloads[kind].text)
 			}
 		}
 		if c != nil {
@@ -61,15 +61,15 @@
 	}
 }
 
-// startFlood starts the bad clients.
-func (bed *testbed) startFlood(kind string) {
+// startAbusiveClients starts the bad clients.
+func (bed *testbed) startAbusiveClients(kind string) {
 	bed.t.Helper()
 	own, err := os.Executable()
 	if err != nil {
 		bed.t.Fatal(err)
 	}
 	process := exec.Command(own)
-	process.Env = append(os.Environ(), "GOMAXPROCS=2", "FLOOD_KIND="+kind, "FLOOD_ADDRESS="+bed.scheduler.Address())
+	process.Env = append(os.Environ(), "GOMAXPROCS=2", "ABUSE_KIND="+kind, "ABUSE_ADDRESS="+bed.scheduler.Address())
 	if err := process.Start(); err != nil {
 		bed.t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 		_ = process.Wait() // says that it was killed
 	})
 	bed.eventuallyOnLoop("the flood", func() bool {
-		return len(bed.scheduler.clients) > floodConns/4 || bed.scheduler.protocolErrors > floodConns
+		return len(bed.scheduler.clients) > abusiveConns/4 || bed.scheduler.protocolErrors > abusiveConns
 	})
 }
 
@@ -95,9 +95,9 @@
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		for !done.Load() {
-			begun := time.Now()
+			start := time.Now()
 			time.Sleep(time.Millisecond)
-			if late := time.Since(begun) - time.Millisecond; late > 10*time.Millisecond {
+			if late := time.Since(start) - time.Millisecond; late > 10*time.Millisecond {
 				total.Add(int64(late))
 			}
 		}
@@ -109,7 +109,7 @@
 type finalAnswerCase struct {
 	faults fakeresp.Faults
 	gate   bool // connections to the disk servers open, and nothing is read
-	flood  string
+	abuse  string
 	served bool // some ops succeed nevertheless
 }
 
@@ -125,12 +125,12 @@
 		"answers cannot be read":  {faults: fakeresp.Faults{Malformed: "x"}},
 		"they turn away":          {faults: fakeresp.Faults{Busy: true}},
 		"they fail":               {faults: fakeresp.Faults{Fail: true}},
-		"PINGs, not read":         {served: true, flood: "PINGs, not read"},
-		"PINGs, read":             {served: true, flood: "PINGs, read"},
-		"large PINGs":             {served: true, flood: "large PINGs"},
-		"malformed input":         {served: true, flood: "malformed input"},
-		"errors":                  {served: true, flood: "errors"},
-		"PINGs, and servers hang": {faults: fakeresp.Faults{Silent: true}, flood: "PINGs, read"},
+		"PINGs, not read":         {served: true, abuse: "PINGs, not read"},
+		"PINGs, read":             {served: true, abuse: "PINGs, read"},
+		"large PINGs":             {served: true, abuse: "large PINGs"},
+		"malformed input":         {served: true, abuse: "malformed input"},
+		"errors":                  {served: true, abuse: "errors"},
+		"PINGs, and servers hang": {faults: fakeresp.Faults{Silent: true}, abuse: "PINGs, read"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 2)
@@ -142,8 +142,8 @@
 			}
 			good := bed.dialClient()
 			good.doRead("first", 300)
-			if x.flood != "" {
-				bed.startFlood(x.flood)
+			if x.abuse != "" {
+				bed.startAbusiveClients(x.abuse)
 			}
 			if served := good.countFinalAnswers(10); x.served && served < 3 {
 				t.Errorf("%d of 10 served", served)
@@ -165,10 +165,10 @@
 		if i%2 == 1 {
 			args = []string{"BLK.WRITE", objectKey, id, opOptions("write", 300, 1), large}
 		}
-		begun, stalledBefore := time.Now(), stalled()
+		start, stalledBefore := time.Now(), stalled()
 		c.send(args...)
 		got := c.readReply(3 * time.Second)
-		took := time.Since(begun)
+		took := time.Since(start)
 		slowest = max(slowest, took)
 		late := stalled() - stalledBefore
 		if got == "closed" || took > timeout+500*time.Millisecond+late {
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -9,8 +9,8 @@
 	"honeyplank"
 )
 
-// TestPeers: datagrams reach peers by their number and carry their sender's; other senders are ignored.
-func TestPeers(t *testing.T) {
+// TestGossipDatagrams: datagrams reach peers by their number and carry their sender's; other senders are ignored.
+func TestGossipDatagrams(t *testing.T) {
 	addresses := []string{freeUDPAddress(t), freeUDPAddress(t)}
 	var beds []*testbed
 	received := make(chan string, 8)
--- a/scheduler/late_reply_test.go
+++ b/scheduler/late_reply_test.go
@@ -57,20 +57,20 @@
 	defer func() { _ = conn.Close() }() // it is broken or of no more use
 	s.update(func() { s.connections++ })
 	reader := resp.Reader{Limits: commandLimits}
-	spoiled := false // extra bytes have come in time: the connection must not be used any more
+	mustNotReuse := false // extra bytes have come in time: the connection must not be used any more
 	for {
 		command, err := nextCommand(conn, &reader)
 		if err != nil {
 			return
 		}
-		if spoiled {
+		if mustNotReuse {
 			s.update(func() { s.reused++ })
 		}
 		sent, err := s.answer(conn, command)
 		if err != nil {
 			return
 		}
-		spoiled = spoiled || sent
+		mustNotReuse = mustNotReuse || sent
 	}
 }
 
@@ -95,20 +95,20 @@
 		return false, err
 	}
 	value := fakeresp.Value(string(command[keyArg].Text), string(command[idArg].Text))
-	begun := time.Now()
+	start := time.Now()
 	if _, err := conn.Write(resp.AppendBulk(resp.AppendArray(nil, 1), value)); err != nil {
 		return false, err
 	}
 	var extra string
 	s.update(func() { extra = s.extra })
 	time.Sleep(extraReplyDelay)
-	if extra == "" || time.Since(begun) > maxExtraReplyDelay {
+	if extra == "" || time.Since(start) > maxExtraReplyDelay {
 		return false, nil
 	}
 	if _, err := conn.Write([]byte(extra)); err != nil {
 		return false, err
 	}
-	extraInTime = time.Since(begun) < reuseDelay
+	extraInTime = time.Since(start) < reuseDelay
 	s.update(func() {
 		if extraInTime {
 			s.inTime++
@@ -130,7 +130,7 @@
 // value; overdue extra bytes excuse one failure each. It returns the number of ops.
 func (s *lateReplyServer) checkReplies(c *testClient, n int) (ops int) {
 	c.t.Helper()
-	inTime, excused := 0, 0
+	inTime, tolerated := 0, 0
 	for inTime < n {
 		s.update(func() { inTime = s.inTime })
 		id := fmt.Sprint("a", ops)
@@ -143,10 +143,10 @@
 		}
 		time.Sleep(reuseDelay) // until the server has counted what it has just written
 		overdue := 0
-		if s.update(func() { overdue = s.overdue }); overdue <= excused {
+		if s.update(func() { overdue = s.overdue }); overdue <= tolerated {
 			c.t.Fatalf("op %s: %q", id, got)
 		}
-		excused++
+		tolerated++
 	}
 	s.update(func() {
 		if s.reused > 0 {
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -47,9 +47,9 @@
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure)
 	c := bed.dialClient()
-	begun := time.Now()
-	if got := c.do("PING"); got != "PONG" || time.Since(begun) > 500*time.Millisecond {
-		t.Errorf("%q after %v", got, time.Since(begun))
+	start := time.Now()
+	if got := c.do("PING"); got != "PONG" || time.Since(start) > 500*time.Millisecond {
+		t.Errorf("%q after %v", got, time.Since(start))
 	}
 	for range 400 {
 		if x, err := net.Dial("tcp", bed.scheduler.Address()); err == nil {
@@ -72,9 +72,9 @@
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
-// TestLists: changes of the list are applied: a server drains, its successor comes under a new id and address, the old
+// TestListChanges: changes of the list are applied: a server drains, its successor comes under a new id and address, the old
 // one is removed and nothing is left of it. Messages that cannot be read end a watch, which is repeated.
-func TestLists(t *testing.T) {
+func TestListChanges(t *testing.T) {
 	bed := newTestbed(t, 2)
 	c := bed.dialClient()
 	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -53,7 +53,7 @@
 // that op's.
 func TestConnRestsWithoutDescriptors(t *testing.T) {
 	bed := newTestbed(t, 1)
-	server := newLateReplyServer(t, secondReply)
+	server := newLateReplyServer(t, unrequestedReply)
 	bed.redirectServer(0, server.address)
 	c := bed.dialClient()
 	bed.onLoop(func() {
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -63,11 +63,11 @@
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(faults)
 	c := bed.dialClient()
-	begun := time.Now()
+	start := time.Now()
 	if got := c.doRead("a", 390); !strings.HasPrefix(got, "-") {
 		t.Errorf("%q", got)
 	}
-	if took := time.Since(begun); took > 300*time.Millisecond {
+	if took := time.Since(start); took > 300*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{})
@@ -86,12 +86,12 @@
 	}
 }
 
-// secondReply is an answer of its own form that belongs to no command.
-var secondReply = string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
+// unrequestedReply is an answer of its own form that belongs to no command.
+var unrequestedReply = string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
 
 // TestExtraReplyData: what comes behind a good answer, at once or a moment later, reaches no client.
 func TestExtraReplyData(t *testing.T) {
-	for name, extra := range map[string]string{"late copy": secondReply, "late noise": "noise\r\n"} {
+	for name, extra := range map[string]string{"late copy": unrequestedReply, "late noise": "noise\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
 			server := newLateReplyServer(t, extra)
@@ -99,7 +99,7 @@
 			server.checkReplies(bed.dialClient(), 30)
 		})
 	}
-	for name, extra := range map[string]string{"copy": secondReply, "noise": "\x01\x02"} {
+	for name, extra := range map[string]string{"copy": unrequestedReply, "noise": "\x01\x02"} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 1)
 			bed.disks[0].SetFaults(fakeresp.Faults{TrailingData: extra})
@@ -148,22 +148,22 @@
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	c := bed.dialClient()
-	begun := time.Now()
+	start := time.Now()
 	if got := c.doRead("a", 200); !strings.HasPrefix(got, "-") {
 		t.Error(got)
 	}
-	if took := time.Since(begun); took > 255*time.Millisecond {
+	if took := time.Since(start); took > 255*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
 	bed.eventually("the end of the connection", func() bool { n, _ := bed.disks[0].Connections(); return n == 0 })
 }
 
-// TestRefusingServer: a server that refuses connections is answered for at once, not at the op timeout.
-func TestRefusingServer(t *testing.T) {
+// TestConnectionRefused: a server that refuses connections is answered for at once, not at the op timeout.
+func TestConnectionRefused(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.stopDisk(0)
-	begun := time.Now()
-	got, took := bed.dialClient().doRead("a", 390), time.Since(begun)
+	start := time.Now()
+	got, took := bed.dialClient().doRead("a", 390), time.Since(start)
 	if !strings.HasPrefix(got, "-") || took > 250*time.Millisecond {
 		t.Errorf("%q after %v", got, took)
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -102,9 +102,9 @@
 	settings := config.Site.Settings
 	// The loop's clock begins late enough for a disk server to have started before it.
 	origin := settings.Watch.Within + 2*(settings.SlowStart.Time+settings.SlowStart.Window)
-	for begun := time.Now(); ; time.Sleep(listenRetryDelay) {
+	for start := time.Now(); ; time.Sleep(listenRetryDelay) {
 		s, err := listen(config, module, log, origin)
-		if err == nil || !isTransient(err) || time.Since(begun) > listenRetryFor {
+		if err == nil || !isTransient(err) || time.Since(start) > listenRetryFor {
 			return s, err
 		}
 		log.Warn().Err(err).Msg("cannot listen, retrying")
--- a/scheduler/scripted_discovery_test.go
+++ b/scheduler/scripted_discovery_test.go
@@ -85,8 +85,8 @@
 	c.sendText(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 }
 
-// refuse answers that discovery is unavailable.
-func (c *discoveryCall) refuse() {
+// sendUnavailable answers that discovery is unavailable.
+func (c *discoveryCall) sendUnavailable() {
 	c.sendText("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	c.end()
 }
@@ -98,8 +98,8 @@
 	}
 }
 
-// endAfter closes the connection with a linger time; 0 resets it, -1 is the default.
-func (c *discoveryCall) endAfter(linger int) {
+// closeWithLinger closes the connection with a linger time; 0 resets it, -1 is the default.
+func (c *discoveryCall) closeWithLinger(linger int) {
 	if err := c.Conn.(*net.TCPConn).SetLinger(linger); err != nil {
 		c.t.Error(err)
 	}
--- a/scheduler/shutdown_hold_up_test.go
+++ b/scheduler/shutdown_hold_up_test.go
@@ -31,50 +31,50 @@
 	}
 }
 
-// heldUpShutdown is a scheduler that shuts down while clients send on and its disk server hangs.
-type heldUpShutdown struct {
+// pausedShutdown is a scheduler that shuts down while clients send on and its disk server hangs.
+type pausedShutdown struct {
 	*testbed
 	opTimeout time.Duration
 	plan      shutdownPlan
 
 	// Used on the loop, or after its end.
-	traffic map[*client]*clientTraffic
-	late    time.Duration // how long the machine has held the loop up on its own
+	traffic      map[*client]*clientTraffic
+	machineDelay time.Duration // how long the machine has held the loop up on its own
 
 	ended   sync.WaitGroup // the readers of replies
 	mu      sync.Mutex
 	replies int
 }
 
-// newHeldUpShutdown starts the scheduler.
-func newHeldUpShutdown(t *testing.T, opTimeout time.Duration) *heldUpShutdown {
+// newPausedShutdown starts the scheduler.
+func newPausedShutdown(t *testing.T, opTimeout time.Duration) *pausedShutdown {
 	t.Helper()
-	s := &heldUpShutdown{
+	s := &pausedShutdown{
 		testbed:   newTestbed(t, 1, withOpTimeout(opTimeout)),
 		opTimeout: opTimeout,
 		traffic:   map[*client]*clientTraffic{},
 	}
 	s.onLoop(func() {
 		s.module.DecisionModule = singleServerModule{"s-0"}
-		s.look(s.scheduler.loop.Now())
+		s.observe(s.scheduler.loop.Now())
 	})
 	s.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	return s
 }
 
-// look taps new clients and measures how late it is called on the loop, each millisecond.
-func (s *heldUpShutdown) look(due time.Duration) {
+// observe taps new clients and measures how late it is called on the loop, each millisecond.
+func (s *pausedShutdown) observe(due time.Duration) {
 	s.tapClients()
 	loop := s.scheduler.loop
 	if over := loop.Now() - due; s.scheduler.shuttingDown && over > 10*time.Millisecond {
-		s.late += over
+		s.machineDelay += over
 	}
 	next := loop.Now() + time.Millisecond
-	loop.Schedule(next, func() { s.look(next) })
+	loop.Schedule(next, func() { s.observe(next) })
 }
 
 // tapClients counts what crosses the sockets of all clients from now on.
-func (s *heldUpShutdown) tapClients() {
+func (s *pausedShutdown) tapClients() {
 	for c := range s.scheduler.clients {
 		if s.traffic[c] != nil {
 			continue
@@ -91,8 +91,8 @@
 	}
 }
 
-// follow counts the replies of a client, on a goroutine, until its connection ends in order.
-func (s *heldUpShutdown) follow(c *testClient) {
+// readReplies counts the replies of a client, on a goroutine, until its connection ends in order.
+func (s *pausedShutdown) readReplies(c *testClient) {
 	s.ended.Go(func() {
 		n, err := c.countReplies()
 		if !errors.Is(err, io.EOF) {
@@ -105,8 +105,8 @@
 	})
 }
 
-// followHalf reads what a client of half a command gets: an error at most, which is no answer to a command.
-func (s *heldUpShutdown) followHalf(c *testClient) {
+// readRepliesToPartialCommand reads what a client of half a command gets: an error at most, which is no answer to a command.
+func (s *pausedShutdown) readRepliesToPartialCommand(c *testClient) {
 	s.ended.Go(func() {
 		if n, err := c.countReplies(); n > 1 || !errors.Is(err, io.EOF) {
 			s.t.Errorf("half a command gets %d answers and %v", n, err)
@@ -115,9 +115,9 @@
 	})
 }
 
-// flood has a client send a read after each gap, until its connection ends.
-func (s *heldUpShutdown) flood(c *testClient, gap time.Duration) {
-	s.follow(c)
+// sendReads has a client send a read after each gap, until its connection ends.
+func (s *pausedShutdown) sendReads(c *testClient, gap time.Duration) {
+	s.readReplies(c)
 	go func() {
 		for i := 0; ; i++ {
 			id := fmt.Sprintf("%s-%d", c.LocalAddr(), i)
@@ -129,8 +129,8 @@
 	}()
 }
 
-// holdUpAt has the loop held up just before a step of the shutdown.
-func (s *heldUpShutdown) holdUpAt(step string) {
+// pauseAt has the loop held up just before a step of the shutdown.
+func (s *pausedShutdown) pauseAt(step string) {
 	s.onLoop(func() {
 		s.plan = s.scheduler.shutdown
 		at := map[string]time.Duration{
@@ -143,13 +143,13 @@
 		}
 		s.scheduler.loop.Schedule(at-1, func() {
 			time.Sleep(maxProcessPause)
-			s.late -= maxProcessPause
+			s.machineDelay -= maxProcessPause
 		})
 	})
 }
 
 // connectUntil has new clients connect and send until a time, or until the intake closes on a busy machine.
-func (s *heldUpShutdown) connectUntil(end time.Time) {
+func (s *pausedShutdown) connectUntil(end time.Time) {
 	for time.Now().Before(end) {
 		clients, closed := 0, true
 		s.onLoop(func() { clients, closed = len(s.traffic), s.scheduler.admissionClosed })
@@ -162,20 +162,20 @@
 			s.onLoop(func() { ok = s.scheduler.admissionClosed || len(s.traffic) > clients })
 			return ok
 		})
-		s.flood(c, 20*time.Millisecond)
+		s.sendReads(c, 20*time.Millisecond)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
 // check checks, after the end of the loop, that each command that was read has one reply, sent in time.
-func (s *heldUpShutdown) check() {
+func (s *pausedShutdown) check() {
 	s.t.Helper()
 	commands := 0
 	for _, x := range s.traffic {
 		commands += x.commands
-		if x.lastSent > s.plan.killTime-flushMargin/2+s.late {
+		if x.lastSent > s.plan.killTime-flushMargin/2+s.machineDelay {
 			left := s.plan.killTime - x.lastSent
-			s.t.Errorf("something is sent %v before the kill, the machine was busy for %v", left, s.late)
+			s.t.Errorf("something is sent %v before the kill, the machine was busy for %v", left, s.machineDelay)
 		}
 	}
 	if commands != s.replies || commands == 0 {
@@ -183,25 +183,25 @@
 	}
 }
 
-// TestShutdownHeldUp: whatever the longest op timeout, while clients send on and a disk server hangs, each request that
+// TestShutdownDuringProcessPause: whatever the longest op timeout, while clients send on and a disk server hangs, each request that
 // was read has one whole reply some time before the kill, also where the scheduler is held up at a step of its
 // shutdown; what was not read gets a regular end of the connection.
-func TestShutdownHeldUp(t *testing.T) {
+func TestShutdownDuringProcessPause(t *testing.T) {
 	for _, opTimeout := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second} {
 		for _, step := range []string{"none", "ops", "answers", "leave"} {
 			t.Run(fmt.Sprint(opTimeout, " ", step), func(t *testing.T) {
 				t.Parallel()
-				s := newHeldUpShutdown(t, opTimeout)
+				s := newPausedShutdown(t, opTimeout)
 				first, second, half, idle := s.dialClient(), s.dialClient(), s.dialClient(), s.dialClient()
 				s.eventuallyOnLoop("the clients", func() bool { return len(s.traffic) == 4 })
-				s.flood(first, time.Millisecond)
-				s.flood(second, 5*time.Millisecond)
+				s.sendReads(first, time.Millisecond)
+				s.sendReads(second, 5*time.Millisecond)
 				half.sendBytes([]byte("*4\r\n$8\r\nBLK.RE"))
-				s.followHalf(half)
-				s.follow(idle)
+				s.readRepliesToPartialCommand(half)
+				s.readReplies(idle)
 				notified := time.Now()
 				s.scheduler.Shutdown()
-				s.holdUpAt(step)
+				s.pauseAt(step)
 				s.connectUntil(notified.Add(390 * time.Millisecond))
 				if err := s.awaitEnd(10 * time.Second); err != nil {
 					t.Fatal(err)
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("%q", got)
 	}
 	for _, client := range []*testClient{c, idle} {
-		client.waitAtMost(time.Second)
+		client.setReadTimeout(time.Second)
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("the connection ends with %v", err)
 		}
@@ -103,7 +103,7 @@
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
 	c.do("PING")
-	begun := time.Now()
+	start := time.Now()
 	bed.scheduler.Shutdown()
 	time.Sleep(300 * time.Millisecond)
 	for i, client := range []*testClient{c, bed.dialClient()} {
@@ -113,13 +113,13 @@
 		}
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
-	time.Sleep(time.Until(begun.Add(650 * time.Millisecond))) // of 1300: ops are taken up to 780
+	time.Sleep(time.Until(start.Add(650 * time.Millisecond))) // of 1300: ops are taken up to 780
 	late := c.doRead("late", 390)
 	if !strings.HasPrefix(late, "-") {
 		t.Errorf("%q", late)
 	}
 	err := bed.awaitEnd(3 * time.Second)
-	if took := time.Since(begun); err != nil || took < killGrace || took > killGrace+600*time.Millisecond {
+	if took := time.Since(start); err != nil || took < killGrace || took > killGrace+600*time.Millisecond {
 		t.Errorf("%v after %v", err, took)
 	}
 }
@@ -127,10 +127,10 @@
 // TestShutdownAlone: without clients nothing is waited for past the grace.
 func TestShutdownAlone(t *testing.T) {
 	bed := newTestbed(t, 1)
-	begun := time.Now()
+	start := time.Now()
 	bed.scheduler.Shutdown()
 	<-bed.served
-	if took := time.Since(begun); took > killGrace+200*time.Millisecond {
+	if took := time.Since(start); took > killGrace+200*time.Millisecond {
 		t.Errorf("%v", took)
 	}
 }
--- a/scheduler/test_client_test.go
+++ b/scheduler/test_client_test.go
@@ -55,7 +55,7 @@
 // readValue waits for one value; false: the connection has ended, or nothing came in time.
 func (c *testClient) readValue(within time.Duration) (resp.Value, bool) {
 	c.t.Helper()
-	c.waitAtMost(within)
+	c.setReadTimeout(within)
 	b := make([]byte, 4096)
 	for {
 		frame, err := c.reader.Next(c.buffered)
@@ -131,8 +131,8 @@
 	c.disconnect()
 }
 
-// waitAtMost limits the time until the next bytes.
-func (c *testClient) waitAtMost(timeout time.Duration) {
+// setReadTimeout limits the time until the next bytes.
+func (c *testClient) setReadTimeout(timeout time.Duration) {
 	c.t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		c.t.Error(err)
@@ -196,7 +196,7 @@
 
 // countReplies counts the whole replies until the connection ends, and returns the error with which it does.
 func (c *testClient) countReplies() (n int, err error) {
-	c.waitAtMost(10 * time.Second)
+	c.setReadTimeout(10 * time.Second)
 	for b := make([]byte, 4096); err == nil; {
 		var got int
 		got, err = c.Read(b)
