--- a/fake/resp/conn.go
+++ b/fake/resp/conn.go
@@ -18,7 +18,7 @@
 // commandLimits bound a command that comes.
 var commandLimits = resp.Limits{
 	Line:         64,
-	Bulk:         64 << 10,
+	BulkString:   64 << 10,
 	Items:        8,
 	Depth:        1,
 	Total:        80 << 10,
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -37,11 +37,11 @@
 
 // Limits bound what a Reader accepts. A value that exceeds one of them is a ProtocolError.
 type Limits struct {
-	Line  int // bytes of a line, with its kind and line end
-	Bulk  int // bytes of a bulk string
-	Items int // values of an array
-	Depth int // arrays inside one another
-	Total int // bytes of a value in all, without line ends
+	Line       int // bytes of a line, with its kind and line end
+	BulkString int // bytes of a bulk string
+	Items      int // values of an array
+	Depth      int // arrays inside one another
+	Total      int // bytes of a value in all, without line ends
 	// CommandsOnly accepts nothing but arrays of at least one bulk string that is not null, as clients send them.
 	CommandsOnly bool
 }
@@ -250,8 +250,8 @@
 
 // beginBulk begins a bulk string of n bytes.
 func (r *Reader) beginBulk(n int64) error {
-	if n < 0 || n > int64(r.Limits.Bulk) {
-		return protocolError("invalid bulk length %d, expected 0 to %d", n, r.Limits.Bulk)
+	if n < 0 || n > int64(r.Limits.BulkString) {
+		return protocolError("invalid bulk length %d, expected 0 to %d", n, r.Limits.BulkString)
 	}
 	if err := r.addToTotal(int(n)); err != nil {
 		return err
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	commandLimits = Limits{Line: 64, Bulk: 100, Items: 6, Depth: 1, Total: 200, CommandsOnly: true}
-	replyLimits   = Limits{Line: 64, Bulk: 100, Items: 4, Depth: 3, Total: 200}
+	commandLimits = Limits{Line: 64, BulkString: 100, Items: 6, Depth: 1, Total: 200, CommandsOnly: true}
+	replyLimits   = Limits{Line: 64, BulkString: 100, Items: 4, Depth: 3, Total: 200}
 )
 
 // readAll reads text in pieces of a size.
@@ -254,7 +254,7 @@
 
 // bulk takes the n bytes of a bulk string.
 func (m *model) bulk(n int64) (Value, error) {
-	if n < 0 || n > int64(m.limits.Bulk) {
+	if n < 0 || n > int64(m.limits.BulkString) {
 		return Value{}, errMalformed
 	}
 	if m.total += int(n); m.total > m.limits.Total {
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -45,7 +45,7 @@
 // commandLimits are the limits of a command.
 var commandLimits = resp.Limits{
 	Line:         maxCommandLine,
-	Bulk:         maxBody,
+	BulkString:   maxBody,
 	Items:        maxArguments,
 	Depth:        1,
 	Total:        maxBody + maxOtherBytes,
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -23,11 +23,11 @@
 
 // replyLimits are the limits of an answer of a disk server.
 var replyLimits = resp.Limits{
-	Line:  maxReplyLine,
-	Bulk:  maxValueBytes,
-	Items: maxItems,
-	Depth: maxDepth,
-	Total: maxValueBytes + 2*maxReplyLine,
+	Line:       maxReplyLine,
+	BulkString: maxValueBytes,
+	Items:      maxItems,
+	Depth:      maxDepth,
+	Total:      maxValueBytes + 2*maxReplyLine,
 }
 
 var errMalformedReply = errors.New("malformed reply")
--- a/scheduler/test_client_test.go
+++ b/scheduler/test_client_test.go
@@ -48,7 +48,7 @@
 		bed.t.Fatal(err)
 	}
 	bed.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
-	limits := resp.Limits{Line: 512, Bulk: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}
+	limits := resp.Limits{Line: 512, BulkString: 64 << 10, Items: 8, Depth: 2, Total: 80 << 10}
 	return &testClient{t: bed.t, Conn: conn, reader: resp.Reader{Limits: limits}}
 }
 
