--- a/resp/resp.go
+++ b/resp/resp.go
@@ -1,11 +1,12 @@
-// Package resp reads and writes RESP2, the serialization protocol of Redis: lines, integers, bulk strings and arrays.
+// Package resp reads and writes RESP2, the serialization protocol of Redis: simple strings, errors, integers, bulk
+// strings and arrays.
 //
-// A Reader takes bytes as they are received and buffers an incomplete value. It guards against hostile input: each
-// length is checked against a limit before anything is read for it, and memory is allocated as bytes arrive, never by
-// what a length claims. A value that exceeds the limits is rejected with a ProtocolError.
+// A Reader accepts bytes as they are received and buffers an incomplete value. It is safe for untrusted input: it
+// checks each length against a limit before it reads further, and allocates memory as bytes are received, never in
+// advance for a declared length. It rejects a value that exceeds the limits with a ProtocolError.
 //
-// The package does no I/O, starts no goroutine and knows no command. A Reader belongs to one goroutine: here the event
-// loop of the connection that it reads.
+// The package does no I/O, starts no goroutines and does not interpret commands. A Reader must be used by one goroutine
+// at a time.
 package resp
 
 import (
@@ -14,39 +15,40 @@
 	"strconv"
 )
 
-// Kind is the type of a value: the byte with which it begins.
+// Kind is the type of a value, which is its first byte.
 type Kind byte
 
 // The kinds of RESP2.
 const (
-	SimpleString Kind = '+' // a line
-	Error        Kind = '-' // a line with an error message
-	Integer      Kind = ':' // a signed number of 64 bits
-	BulkString   Kind = '$' // any bytes, after their number
-	Array        Kind = '*' // values, after their number
+	SimpleString Kind = '+' // one line of text
+	Error        Kind = '-' // one line with an error message
+	Integer      Kind = ':' // a signed 64-bit number
+	BulkString   Kind = '$' // a length and that number of arbitrary bytes
+	Array        Kind = '*' // a length and that number of values
 )
 
-// Value is one value.
+// Value is one RESP2 value.
 type Value struct {
 	Kind Kind
 	Null bool    // a bulk string or an array of length -1
-	Int  int64   // of Integer
-	Text []byte  // of Simple, Error and Bulk
-	List []Value // of Array
+	Int  int64   // value of an Integer
+	Text []byte  // text of a SimpleString, Error or BulkString
+	List []Value // elements of an Array
 }
 
-// Limits bound what a Reader accepts. A value that exceeds one of them is a ProtocolError.
+// Limits are the limits of the values that a Reader accepts. A value that exceeds one of them is a ProtocolError.
 type Limits struct {
 	Line       int // bytes of a line, with its kind and line end
 	BulkString int // bytes of a bulk string
 	Items      int // values of an array
-	Depth      int // arrays inside one another
-	Total      int // bytes of a value in all, without line ends
-	// CommandsOnly accepts nothing but arrays of at least one bulk string that is not null, as clients send them.
+	Depth      int // nesting depth of arrays
+	Total      int // bytes of a whole value, without line ends
+	// CommandsOnly restricts values to commands: arrays of one or more bulk strings, none of them null.
 	CommandsOnly bool
 }
 
-// ProtocolError is the error of input that is not RESP2 or exceeds a limit. Input behind it cannot be read either.
+// ProtocolError is the error of input that is not RESP2 or exceeds a limit. The input that follows cannot be read
+// either.
 type ProtocolError struct{ Reason string }
 
 func (e *ProtocolError) Error() string { return "resp: " + e.Reason }
@@ -55,42 +57,43 @@
 	return &ProtocolError{fmt.Sprintf(format, args...)}
 }
 
-// maxNumberLine is the most bytes of a line that holds a number, with its kind and line end.
+// maxNumberLine is the maximum length in bytes of a line that contains a number, with its kind and line end.
 const maxNumberLine = 32
 
 var lineEnd = []byte("\r\n")
 
-// Reader reads values one by one. After an error it must not be used again.
+// Reader reads values one by one. It must not be used again after an error.
 type Reader struct {
 	Limits Limits
 
-	line       []byte      // the unfinished line
-	bulk       []byte      // the unfinished bulk string
-	bulkSize   int         // bytes of the whole bulk string with its line end; 0: none has begun
-	total      int         // bytes of the unfinished value
-	openArrays []openArray // the unfinished arrays, outermost first
+	line       []byte      // the incomplete line
+	bulk       []byte      // the incomplete bulk string
+	bulkSize   int         // bytes of the whole bulk string with its line end; 0 outside of a bulk string
+	total      int         // bytes of the incomplete value
+	openArrays []openArray // the incomplete arrays, outermost first
 }
 
-// openArray is an unfinished array.
+// openArray is an incomplete array.
 type openArray struct {
 	value     Value
-	remaining int // values that have not been read
+	remaining int // values that have not been read yet
 }
 
-// Idle reports whether no value has begun: the next byte is the first of one.
+// Idle reports whether the Reader is between two values, so that the next byte is the first of a value.
 func (r *Reader) Idle() bool { return len(r.openArrays) == 0 && r.bulkSize == 0 && len(r.line) == 0 }
 
-// BufferedBytes is how many bytes of the unfinished value have been read.
+// BufferedBytes returns the number of bytes that have been read of the incomplete value.
 func (r *Reader) BufferedBytes() int { return r.total + len(r.line) + len(r.bulk) }
 
-// Frame is what a Reader has read of the bytes that it was given.
+// Frame is the result of Reader.Next.
 type Frame struct {
 	Used     int   // bytes read
-	Complete bool  // Value is complete; otherwise all bytes were read and the Reader needs more
+	Complete bool  // Value is complete; otherwise all bytes were read and the value continues in the next ones
 	Value    Value // zero unless Complete
 }
 
-// Next reads b up to the end of a value or of b. An error is a *ProtocolError; Used counts the bytes read before it.
+// Next reads b up to the end of a value or of b. An error is a *ProtocolError; Used then counts the bytes read up to
+// it.
 func (r *Reader) Next(b []byte) (Frame, error) {
 	used := 0
 	for {
@@ -106,8 +109,8 @@
 	}
 }
 
-// addItem adds a complete value to the innermost open array. Once the outermost value is complete, it returns that and
-// true.
+// addItem adds a complete value to the innermost incomplete array. If that completes the outermost value, addItem
+// returns it and true.
 func (r *Reader) addItem(item Value) (Value, bool) {
 	for len(r.openArrays) > 0 {
 		array := &r.openArrays[len(r.openArrays)-1]
@@ -122,7 +125,7 @@
 	return item, true
 }
 
-// readItem reads a value that is not an array with values, and the heads of the arrays before it.
+// readItem reads a value that is not an array or is an empty or null one, and the headers of the arrays before it.
 func (r *Reader) readItem(b []byte) (Frame, error) {
 	used := 0
 	for {
@@ -144,7 +147,7 @@
 	}
 }
 
-// readBulk reads the bytes of a bulk string.
+// readBulk reads the bytes of a bulk string, which follow its length.
 func (r *Reader) readBulk(b []byte) (Frame, error) {
 	used := min(r.bulkSize-len(r.bulk), len(b))
 	r.bulk = append(r.bulk, b[:used]...)
@@ -159,7 +162,7 @@
 	return Frame{Used: used, Complete: true, Value: Value{Kind: BulkString, Text: text}}, nil
 }
 
-// readLine returns a line without its line end, or nil while it has not ended.
+// readLine returns a line without its line end, or nil if the line is incomplete.
 func (r *Reader) readLine(b []byte) (line []byte, used int, err error) {
 	if len(b) == 0 {
 		return nil, 0, nil
@@ -189,7 +192,7 @@
 	return r.line[:len(r.line)-len(lineEnd)], used, nil
 }
 
-// checkKind returns an error if no value may begin with this byte.
+// checkKind returns an error if no value may begin with this byte here.
 func (r *Reader) checkKind(first byte) error {
 	kind := Kind(first)
 	switch {
@@ -203,7 +206,7 @@
 	return nil
 }
 
-// lineLimit is the most bytes of the first line of a value.
+// lineLimit returns the maximum length in bytes of the first line of a value.
 func (r *Reader) lineLimit(kind Kind) int {
 	if kind == BulkString || kind == Array || kind == Integer {
 		return min(r.Limits.Line, maxNumberLine)
@@ -211,7 +214,7 @@
 	return r.Limits.Line
 }
 
-// addToTotal counts bytes of the unfinished value.
+// addToTotal adds n bytes to the size of the incomplete value and returns an error if it exceeds its limit.
 func (r *Reader) addToTotal(n int) error {
 	r.total += n
 	if r.total > r.Limits.Total {
@@ -220,7 +223,7 @@
 	return nil
 }
 
-// parseLine returns the value that a line holds, or false if the line only begins one.
+// parseLine returns the value that a line contains and true, or false if the line is only the header of a value.
 func (r *Reader) parseLine(line []byte) (Value, bool, error) {
 	kind, text := Kind(line[0]), line[1:]
 	if err := r.addToTotal(len(line)); err != nil {
@@ -260,7 +263,7 @@
 	return nil
 }
 
-// beginArray begins an array of n values; an empty one is complete.
+// beginArray begins an array of n values. It returns the array and true if n is 0.
 func (r *Reader) beginArray(n int64) (Value, bool, error) {
 	minItems := int64(0)
 	if r.Limits.CommandsOnly {
@@ -280,7 +283,7 @@
 	return Value{}, false, nil
 }
 
-// parseNumber reads a decimal number of 64 bits, with '-' as the only sign.
+// parseNumber parses a signed 64-bit decimal number. The only sign allowed is '-'.
 func parseNumber(text []byte) (int64, error) {
 	digits := bytes.TrimPrefix(text, []byte("-"))
 	n, err := strconv.ParseInt(string(text), 10, 64)
@@ -290,7 +293,7 @@
 	return n, nil
 }
 
-// AppendCommand appends an array of bulk strings: a command as clients send it.
+// AppendCommand appends a command as clients send it, an array of bulk strings.
 func AppendCommand(b []byte, args ...[]byte) []byte {
 	b = AppendArray(b, len(args))
 	for _, a := range args {
@@ -299,7 +302,7 @@
 	return b
 }
 
-// AppendArray appends the head of an array of n values. The values follow it.
+// AppendArray appends the header of an array of n values. The caller appends the values.
 func AppendArray(b []byte, n int) []byte { return appendHead(b, Array, n) }
 
 // AppendBulk appends a bulk string.
@@ -310,18 +313,18 @@
 // AppendNull appends a null bulk string.
 func AppendNull(b []byte) []byte { return appendHead(b, BulkString, -1) }
 
-// AppendSimpleString appends a line. Bytes of text that are not printable ASCII are replaced by '?'.
+// AppendSimpleString appends a simple string. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendSimpleString(b []byte, text string) []byte { return appendLine(b, SimpleString, text) }
 
-// AppendError appends an error message. Bytes of text that are not printable ASCII are replaced by '?'.
+// AppendError appends an error. Bytes of text that are not printable ASCII are replaced by '?'.
 func AppendError(b []byte, text string) []byte { return appendLine(b, Error, text) }
 
 func appendHead(b []byte, kind Kind, n int) []byte {
 	return append(strconv.AppendInt(append(b, byte(kind)), int64(n), 10), lineEnd...)
 }
 
-// appendLine replaces bytes that are not printable. It guards against a line end in text, as in an error that quotes a
-// client's input: a reader would parse what follows it as another value.
+// appendLine appends a line and replaces bytes that are not printable. Text may contain a line end, for example in an
+// error that quotes the input of a client. Without the replacement a reader would parse the rest as another value.
 func appendLine(b []byte, kind Kind, text string) []byte {
 	b = append(b, byte(kind))
 	for i := range len(text) {
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -16,7 +16,7 @@
 	replyLimits   = Limits{Line: 64, BulkString: 100, Items: 4, Depth: 3, Total: 200}
 )
 
-// readAll reads text in pieces of a size.
+// readAll reads the values in text, which it passes to a Reader in pieces of the given size.
 func readAll(limits Limits, text []byte, size int) (list []Value, err error) {
 	r := Reader{Limits: limits}
 	for len(text) > 0 {
@@ -31,14 +31,14 @@
 			if frame.Complete {
 				list = append(list, frame.Value)
 			} else if len(piece) > 0 {
-				return list, errors.New("bytes are left and no value is complete")
+				return list, errors.New("the Reader left bytes unread without a complete value")
 			}
 		}
 	}
 	return list, nil
 }
 
-// TestCommands: commands are read, and input that is no command is rejected.
+// TestCommands checks that commands are read, and that input that is not a command is rejected.
 func TestCommands(t *testing.T) {
 	for text, want := range map[string]string{
 		"*2\r\n$4\r\nPING\r\n$0\r\n\r\n":        `[[PING ]]`,
@@ -68,7 +68,7 @@
 	}
 }
 
-// readCommands prints the commands that text holds, or the error of reading them.
+// readCommands returns the commands in text as printed by fmt.Sprint, or the error of reading them.
 func readCommands(text string) string {
 	list, err := readAll(commandLimits, []byte(text), len(text))
 	var protocolErr *ProtocolError
@@ -89,7 +89,8 @@
 	return fmt.Sprint(commands)
 }
 
-// TestReplies: values of all kinds are read, and input that is no value or exceeds a limit is rejected.
+// TestReplies checks that values of all kinds are read, and that input that is not a value or exceeds a limit is
+// rejected.
 func TestReplies(t *testing.T) {
 	text := "*3\r\n$1\r\nx\r\n$-1\r\n*2\r\n:-7\r\n*0\r\n" + "-ERR failed\r\n" + "+PONG\r\n" + "*-1\r\n"
 	list, err := readAll(replyLimits, []byte(text), 1)
@@ -115,13 +116,14 @@
 	} {
 		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
 			if _, err := readAll(replyLimits, []byte(text), 3); err == nil {
-				t.Error("it is read")
+				t.Error("invalid input is accepted")
 			}
 		})
 	}
 }
 
-// TestAppend: what is appended is read back, and the text of an error cannot end its line early.
+// TestAppend checks that appended values are read back unchanged, and that the text of an error cannot contain a line
+// end.
 func TestAppend(t *testing.T) {
 	b := AppendCommand(nil, []byte("BLK.WRITE"), []byte("a\r\nb"), nil)
 	list, err := readAll(commandLimits, b, 1)
@@ -134,8 +136,9 @@
 	}
 }
 
-// FuzzReader compares the Reader, which gets its input in pieces, with a model that has all of it at once. What the
-// Reader allocates is bounded by the input, not by what lengths claim.
+// FuzzReader compares the Reader, which receives its input in pieces, with a model that parses the whole input at once.
+// It also checks that the memory that the Reader allocates is bounded by the size of the input, not by the lengths that
+// the input declares.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("*2\r\n$4\r\nPING\r\n$0\r\n\r\n"), 3, true)
 	f.Add([]byte("*3\r\n$1\r\nx\r\n$-1\r\n$14\r\nutil=0.1,a=2.5\r\n-BUSY\r\n"), 1, false)
@@ -150,11 +153,11 @@
 		var err error
 		used := heap.Bytes(func() { got, err = readAll(limits, in, max(size, 1)%64+1) })
 		if used > uint64(4<<20+1000*len(in)) {
-			t.Fatalf("%d bytes are allocated for %d", used, len(in))
+			t.Fatalf("the Reader allocated %d bytes for an input of %d bytes", used, len(in))
 		}
 		want, malformed := readModel(limits, in)
 		if len(got) != len(want) || (err != nil) != malformed {
-			t.Fatalf("%q: %d values and %v, the model has %d and %v", in, len(got), err, len(want), malformed)
+			t.Fatalf("%q: %d values and error %v, the model has %d, malformed: %v", in, len(got), err, len(want), malformed)
 		}
 		for i := range got {
 			if !reflect.DeepEqual(got[i], want[i]) {
@@ -164,11 +167,11 @@
 	})
 }
 
-// model reads values off the front of a text that it has at once.
+// model parses values from a complete text.
 type model struct {
 	limits Limits
-	text   []byte
-	total  int // bytes of the value that has begun
+	text   []byte // the rest of the text
+	total  int    // bytes of the current value
 }
 
 var (
@@ -176,7 +179,7 @@
 	errMalformed  = errors.New("malformed")
 )
 
-// readModel returns the values in text, and whether what follows them is malformed rather than incomplete.
+// readModel returns the values in text, and whether the rest after them is malformed rather than incomplete.
 func readModel(limits Limits, text []byte) (list []Value, malformed bool) {
 	m := &model{limits: limits, text: text}
 	for len(m.text) > 0 {
@@ -190,7 +193,7 @@
 	return list, false
 }
 
-// value reads a value inside depth arrays.
+// value parses a value at a nesting depth of arrays.
 func (m *model) value(depth int) (Value, error) {
 	if len(m.text) == 0 {
 		return Value{}, errIncomplete
@@ -223,7 +226,7 @@
 	return m.array(n, depth)
 }
 
-// allowed reports whether a value inside depth arrays may be of a kind.
+// allowed reports whether a value at a nesting depth may be of a kind.
 func (m *model) allowed(kind Kind, depth int) bool {
 	if m.limits.CommandsOnly {
 		return kind == Array && depth == 0 || kind == BulkString && depth > 0
@@ -231,7 +234,7 @@
 	return strings.ContainsRune("+-:$*", rune(kind))
 }
 
-// line takes the first line of a value and returns what follows its kind.
+// line consumes the first line of a value and returns it without its kind and line end.
 func (m *model) line(kind Kind) ([]byte, error) {
 	limit := m.limits.Line
 	if kind == BulkString || kind == Array || kind == Integer {
@@ -252,7 +255,7 @@
 	return line, nil
 }
 
-// bulk takes the n bytes of a bulk string.
+// bulk consumes the n bytes of a bulk string and its line end.
 func (m *model) bulk(n int64) (Value, error) {
 	if n < 0 || n > int64(m.limits.BulkString) {
 		return Value{}, errMalformed
@@ -271,7 +274,7 @@
 	return value, nil
 }
 
-// array takes the n values of an array.
+// array consumes the n values of an array.
 func (m *model) array(n int64, depth int) (Value, error) {
 	if n < 0 || n > int64(m.limits.Items) || n == 0 && m.limits.CommandsOnly || depth >= m.limits.Depth {
 		return Value{}, errMalformed
