--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -8,41 +8,41 @@
 	"honeyplank/resp"
 )
 
-// Limits of the connections of clients. Those of ops are the decision module's.
+// Limits of client connections. The decision module limits ops.
 const (
-	maxCommandLine  = 64                   // bytes of a line: the head of an array or of an argument
-	maxArguments    = 16                   // of a command
-	maxBody         = 64 << 10             // bytes of a command's body and of a value
-	maxOtherBytes   = 4096                 // of a command without its body
-	maxPending      = 32                   // commands of one connection without a reply; more stay unread
-	maxReplyBacklog = maxPending * maxBody // bytes of pending and unsent replies; beyond it no more commands are read
+	maxCommandLine  = 64                   // bytes of a line, the header of an array or of an argument
+	maxArguments    = 16                   // arguments of a command
+	maxBody         = 64 << 10             // bytes of a command's body, and of a value
+	maxOtherBytes   = 4096                 // bytes of a command without its body
+	maxPending      = 32                   // unanswered commands of one connection; further ones stay unread
+	maxReplyBacklog = maxPending * maxBody // bytes of pending and unsent replies; above it no more commands are read
 
-	commandTimeout = 2 * time.Second        // for the first command, and for the rest of an unfinished one
+	commandTimeout = 2 * time.Second        // for the first command, and for the rest of an incomplete one
 	errorReadTime  = 200 * time.Millisecond // for the client to read an error before the connection closes
 
-	// Idle connections stay open for maxIdle while there are few; for reducedIdle once clients that have sent ops hold
-	// more than an eighth of all descriptors, and for minIdle once they hold more than a quarter.
+	// Idle connections stay open for maxIdle if there are few. If clients that have sent ops hold more than an eighth
+	// of all descriptors, they stay open for reducedIdle, and if these hold more than a quarter, for minIdle.
 	maxIdle     = time.Minute
 	reducedIdle = 2 * time.Second
 	minIdle     = 500 * time.Millisecond
 
-	// maxTimeoutFactor times the settings' op timeout is the longest timeout of an op.
+	// The longest timeout of an op is maxTimeoutFactor times the op timeout of the settings.
 	maxTimeoutFactor = 100
 
-	// Clients that send no ops are limited in their use of the loop: maxCommandBatch commands of one of them are
-	// handled in a row, initialReadSize bytes are read at a time, and all of them together get 1/throttleFactor of the
-	// loop's time. Pauses shorter than minThrottle are added up; none is longer than maxThrottle.
+	// Clients that send no ops are limited in their use of the loop. At most maxCommandBatch commands of one of them
+	// are handled in a row, and initialReadSize bytes are read at a time. All of them together get 1/throttleFactor of
+	// the loop's time. Pauses shorter than minThrottle are added up; no pause is longer than maxThrottle.
 	maxCommandBatch = 64
 	initialReadSize = 16 << 10
 	throttleFactor  = 4
 	minThrottle     = 2 * time.Millisecond
 	maxThrottle     = time.Second
 
-	// maxEvictionChecks is how many connections are examined for one to evict.
+	// maxEvictionChecks is the number of connections that are examined to find one to evict.
 	maxEvictionChecks = 8
 )
 
-// commandLimits are the limits of a command.
+// commandLimits are the limits for a command of a client.
 var commandLimits = resp.Limits{
 	Line:         maxCommandLine,
 	BulkString:   maxBody,
@@ -52,24 +52,24 @@
 	CommandsOnly: true,
 }
 
-// client is one connection of a client.
+// client is one client connection.
 type client struct {
 	scheduler      *Scheduler
 	conn           *eventloop.Conn
 	reader         resp.Reader
 	pending        []*request    // commands whose reply has not been written, in order
 	lastActivity   time.Duration // time of the last complete command or reply
-	commandStarted time.Duration // when the first part of an unfinished command came; 0: there is none
-	hasSentOp      bool          // an op of it has been admitted
-	paused         bool          // it is not read
-	throttled      bool          // it is paused for its use of the loop
+	commandStarted time.Duration // when the first part of an incomplete command was received; 0 if there is none
+	hasSentOp      bool          // at least one of its ops was admitted
+	paused         bool          // reading is paused
+	throttled      bool          // reading is paused because it used too much time of the loop
 	loopTime       time.Duration // loop time used since its last op or throttling
-	closing        bool          // no more of its commands are handled
-	quitRequested  bool          // it has sent QUIT
+	closing        bool          // no more commands are handled
+	quitRequested  bool          // the client has sent QUIT
 }
 
-// accept takes a connection of a client, or rejects it with nil if there is no descriptor for it and no idle connection
-// to evict.
+// accept accepts a client connection. It rejects the connection by returning nil if there is no descriptor for it and
+// no idle connection can be evicted.
 func (s *Scheduler) accept(conn *eventloop.Conn) eventloop.Handler {
 	if s.clientConnCount >= s.descriptorQuota(clientDescriptorShare) && !s.evictIdleClient() {
 		s.rejectedConns++
@@ -91,8 +91,8 @@
 	return c
 }
 
-// idleTimeout is how long a connection may be idle: the more clients there are, the shorter. Clients that never sent an
-// op do not count, so that any number of those costs no other client its connection.
+// idleTimeout returns how long a connection may be idle, which is shorter if there are many clients. Clients that never
+// sent an op do not count, so that they cannot cause other clients to lose their connections.
 func (s *Scheduler) idleTimeout() time.Duration {
 	switch {
 	case s.activeClients > s.config.Sockets/4:
@@ -103,10 +103,10 @@
 	return maxIdle
 }
 
-// evictIdleClient closes the longest idle connection that never sent an op, else the longest idle of the others, and
-// reports whether there was one. A connection with unread input is spared if another can be evicted: closing it resets
-// the connection, which discards replies that the client has not read, and the input may be a first op. If all of them
-// have unread input, the longest idle one that never sent an op is closed nevertheless.
+// evictIdleClient closes the longest idle connection that never sent an op. If there is none, it closes the longest
+// idle one of the others. It reports whether it closed one. A connection with unread input is skipped if another can be
+// evicted: closing it would reset the connection and discard replies that the client has not read, and the input may be
+// a first op. If all examined connections have unread input, the longest idle one that never sent an op is closed.
 func (s *Scheduler) evictIdleClient() bool {
 	var unread *client
 	for range maxEvictionChecks {
@@ -128,7 +128,7 @@
 	return unread != nil
 }
 
-// evictionCandidate returns the first client to evict; nil: none may be evicted.
+// evictionCandidate returns the first client to evict, or nil if none may be evicted.
 func (s *Scheduler) evictionCandidate() *client {
 	var candidate *client
 	for c := range s.clients {
@@ -139,7 +139,7 @@
 	return candidate
 }
 
-// mayBeEvicted reports whether the connection may be closed for another.
+// mayBeEvicted reports whether the connection may be closed to free its descriptor for another.
 func (c *client) mayBeEvicted() bool {
 	if c.isBusy() || c.closing {
 		return false
@@ -155,20 +155,20 @@
 	return c.lastActivity < other.lastActivity
 }
 
-// isBusy reports whether a connection is in use: it waits for a reply or, if it has sent ops, for the rest of a reply
-// or of a command. Without an op these do not count: clients that send PING and read no reply would hold all
-// descriptors.
+// isBusy reports whether the connection is in use. It is if the client awaits a reply. If the client has sent ops, it
+// also is while a reply is partly sent or a command partly received. Without an op these do not count: otherwise
+// clients that send PING and read no reply would hold all descriptors.
 func (c *client) isBusy() bool {
 	return len(c.pending) > 0 || c.hasSentOp && (c.conn.UnsentBytes() > 0 || c.commandStarted > 0)
 }
 
-// replyBacklog is the most bytes of replies that the client has yet to read.
+// replyBacklog returns an upper bound, in bytes, of the replies that are pending or not sent yet.
 func (c *client) replyBacklog() int { return c.conn.UnsentBytes() + len(c.pending)*maxBody }
 
-// Opened does nothing: accepted connections are open already.
+// Opened does nothing, since accepted connections are already open.
 func (c *client) Opened(*eventloop.Conn) {}
 
-// Input handles the commands in b and returns how many bytes it has used.
+// Input handles the commands in b and returns the number of bytes that it has used.
 func (c *client) Input(_ *eventloop.Conn, b []byte) (used int) {
 	s := c.scheduler
 	now, admitted := s.loop.Now(), s.tracker.Counts.Admitted
@@ -182,7 +182,7 @@
 		c.loopTime = 0
 	case !c.closing && !s.admissionClosed:
 		c.loopTime += s.loop.Now() - now
-		if commands > 0 { // an unfinished command may be its first op
+		if commands > 0 { // an incomplete command may be its first op
 			c.throttleAfter(len(b) - used)
 		}
 	}
@@ -196,8 +196,8 @@
 	return used
 }
 
-// readCommands handles the complete commands in b until a limit of the client is reached. An error says that b does not
-// follow the protocol.
+// readCommands handles the complete commands in b until a limit of the client is reached. It returns an error if b
+// violates the protocol.
 func (c *client) readCommands(b []byte, now time.Duration) (used, commands int, err error) {
 	s := c.scheduler
 	admitted := s.tracker.Counts.Admitted
@@ -228,10 +228,12 @@
 	return used, commands, nil
 }
 
-// throttleAfter pauses reading from a client after commands without an op, with unread bytes of input left. It pauses
-// for a multiple of the loop time that these took, so that all such clients together leave most of the loop's time to
-// others. It guards ops against floods of other commands, and delays a client whose first op comes behind many commands
-// by some milliseconds for each throttled client.
+// throttleAfter pauses reading from a client that has sent commands but no op; unread is the number of bytes of input
+// left. The pause is a multiple of the loop time that the commands took, so that all such clients together leave most
+// of the loop's time to others. This protects ops against abusive clients.
+//
+// Limitation: if the first op of a client follows many other commands, it is delayed by some milliseconds for each
+// throttled client.
 func (c *client) throttleAfter(unread int) {
 	pause := c.loopTime * throttleFactor * time.Duration(c.scheduler.throttledClients+1)
 	if unread == 0 && pause < minThrottle {
@@ -247,10 +249,10 @@
 	})
 }
 
-// Closed is called when the client has closed the connection or it broke.
+// Closed is called when the client has closed the connection or the connection failed.
 func (c *client) Closed(*eventloop.Conn, error) { c.disconnect() }
 
-// disconnect reports the client of each unanswered op as gone.
+// disconnect reports to the tracker that the client of each unanswered op is gone.
 func (c *client) disconnect() {
 	c.closing = true
 	pending := c.pending
@@ -263,8 +265,8 @@
 	}
 }
 
-// protocolError replies to input that does not follow the protocol, behind the pending replies, and closes the
-// connection: input behind it cannot be read either.
+// protocolError replies with an error to input that violates the protocol, after the pending replies. It closes the
+// connection, since the input that follows cannot be parsed either.
 func (c *client) protocolError(err error) {
 	c.scheduler.protocolErrors++
 	text := "ERR Protocol error"
@@ -272,7 +274,7 @@
 	if errors.As(err, &protocol) {
 		text += ": " + protocol.Reason
 	}
-	if len(c.pending) > 0 { // flushReplies closes the connection behind the last one
+	if len(c.pending) > 0 { // flushReplies closes the connection after the last one
 		c.closing = true
 		c.conn.Pause()
 		c.pending = append(c.pending, &request{client: c, done: true, reply: resp.AppendError(nil, text)})
@@ -283,8 +285,8 @@
 	c.conn.CloseAfterFlush(errorReadTime)
 }
 
-// flushReplies writes the replies that are complete, in the order of their commands, and closes the connection if it
-// was to close behind the last one.
+// flushReplies writes the complete replies in the order of their commands. After the last pending one it closes the
+// connection if a close is due.
 func (c *client) flushReplies() {
 	for len(c.pending) > 0 && c.pending[0].done {
 		c.conn.Output = append(c.conn.Output, c.pending[0].reply...)
@@ -298,7 +300,7 @@
 	switch {
 	case c.quitRequested && len(c.pending) == 0:
 		c.conn.CloseGracefully()
-	case c.closing && len(c.pending) == 0: // the last one was a protocol error
+	case c.closing && len(c.pending) == 0: // the last reply reports a protocol error
 		c.conn.CloseAfterFlush(errorReadTime)
 	case c.scheduler.admissionClosed && len(c.pending) == 0:
 		c.closing = true
@@ -309,8 +311,8 @@
 	}
 }
 
-// closeWhenAnswered stops reading and closes the connection once its commands have their replies. Commands that are
-// buffered and not handled yet are rejected: without a reply the client would not know that they never ran.
+// closeWhenAnswered stops reading and closes the connection after the replies to its commands. Commands that are
+// buffered but not handled yet are rejected, so that the client learns that they never ran.
 func (c *client) closeWhenAnswered() {
 	if c.closing {
 		return
@@ -325,7 +327,8 @@
 	}
 }
 
-// resumeReading resumes reading from a paused client once nothing prevents it and half of the backlog has been written.
+// resumeReading resumes reading from a paused client if nothing prevents it and the reply backlog is less than half of
+// its limit.
 func (c *client) resumeReading() {
 	if c.paused && !c.throttled && !c.closing && !c.scheduler.admissionClosed && c.replyBacklog() < maxReplyBacklog/2 {
 		c.paused = false
@@ -333,8 +336,8 @@
 	}
 }
 
-// checkClients evicts clients while there are more than a new configuration allows, and enforces the timeouts of the
-// rest.
+// checkClients evicts idle clients if there are more than a new configuration allows, and enforces the timeouts of the
+// others.
 func (s *Scheduler) checkClients() {
 	for s.clientConnCount > s.descriptorQuota(clientDescriptorShare) && s.evictIdleClient() {
 	}
@@ -344,8 +347,8 @@
 	}
 }
 
-// checkTimeouts closes a connection that sends no first command, leaves one unfinished, does not read its replies or is
-// idle for too long. It resumes reading from others.
+// checkTimeouts closes the connection if its client sends no first command, does not complete a command, does not read
+// its replies or is idle for too long. Otherwise it resumes reading.
 func (c *client) checkTimeouts(idleTimeout time.Duration) {
 	now := c.scheduler.loop.Now()
 	switch idle := now - c.lastActivity; {
@@ -354,14 +357,14 @@
 		c.protocolError(&resp.ProtocolError{Reason: "the rest of a command does not come"})
 	case c.isBusy() && idle <= maxIdle:
 		c.resumeReading()
-	case len(c.pending) > 0: // its ops have timeouts of their own
-	case c.conn.UnsentBytes() > 0 && idle > maxIdle: // it does not read its replies
+	case len(c.pending) > 0: // the pending ops have timeouts of their own
+	case c.conn.UnsentBytes() > 0 && idle > maxIdle: // the client does not read its replies
 		c.conn.Close()
-	case !c.hasSentOp && idle > commandTimeout: // closed at once: its descriptor may be needed
-		if c.paused || c.conn.NoInputPending() { // otherwise its input is read first
+	case !c.hasSentOp && idle > commandTimeout: // closed without delay, since the descriptor may be needed
+		if c.paused || c.conn.NoInputPending() { // otherwise the pending input is read first
 			c.conn.Close()
 		}
-	case c.scheduler.shuttingDown: // its client could not connect again
+	case c.scheduler.shuttingDown: // the client could not connect again
 	case c.hasSentOp && idle > idleTimeout:
 		if c.conn.NoInputPending() {
 			c.closing = true
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -12,13 +12,13 @@
 	"honeyplank"
 )
 
-// listMessage is a message of discovery: the complete endpoint list, or the members that have changed.
+// listMessage is a message of discovery with the complete endpoint list or the members that have changed.
 type listMessage struct {
 	Revision int64        `json:"revision"`
 	Complete bool         `json:"complete"`
 	Members  []listMember `json:"members"`
 
-	isCurrent bool // with this message, all that has been received is the state of discovery
+	isCurrent bool // with this message applied, the list is that of discovery
 }
 
 // listMember is an entry of the endpoint list.
@@ -30,17 +30,17 @@
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"`
 	Size      float64 `json:"size"`
-	UpSinceMS float64 `json:"up_since_ms"` // start of the disk server, milliseconds of Unix time
+	UpSinceMS float64 `json:"up_since_ms"` // start of the disk server in milliseconds of Unix time
 }
 
-// memberStates are the states by the phase of an entry.
+// memberStates maps the phase of an entry to the state of the member.
 var memberStates = map[string]honeyplank.MemberState{
 	"up":       honeyplank.Up,
 	"draining": honeyplank.Draining,
 	"removed":  honeyplank.Removed,
 }
 
-// readList reads a message. It leaves out unusable entries and returns the reason for each in skipped.
+// readList parses a message. It leaves out invalid entries and returns the reason for each in skipped.
 func readList(text []byte) (list *listMessage, skipped []string, err error) {
 	list = &listMessage{}
 	if err := json.Unmarshal(text, list); err != nil {
@@ -58,7 +58,7 @@
 	return list, skipped, nil
 }
 
-// skipReason returns the reason why an entry is unusable; empty: it is usable.
+// skipReason returns the reason why an entry is invalid, or an empty text if it is valid.
 func (m listMember) skipReason() string {
 	if m.ID == "" {
 		return "an entry has no id"
@@ -77,20 +77,20 @@
 	errNoData  = errors.New("discovery: no data before the deadline")
 )
 
-// statusError is a response of discovery with another status than 200.
+// statusError is the error of a discovery response with a status other than 200.
 type statusError struct{ status string }
 
 func (e *statusError) Error() string { return "discovery: unexpected status " + e.status }
 
-// listCallbacks are called from the goroutine of a call to discovery.
+// listCallbacks are called on the goroutine of a call to discovery.
 type listCallbacks struct {
-	established func() // the response has begun; may be nil
-	received    func(list *listMessage, skipped []string)
-	failed      func(error) // the call has ended; the last callback
+	established func()                                    // the response header was received; may be nil
+	received    func(list *listMessage, skipped []string) // a message was received, without its skipped entries
+	failed      func(error)                               // the call has ended; no callback follows
 }
 
-// watchList receives the changes of the list after a revision until the watch fails or ctx is done. The response has to
-// begin within timeout.
+// watchList receives the changes of the list after a revision until the watch fails or ctx is done. The response header
+// has to be received within timeout.
 func watchList(ctx context.Context, address string, revision int64, timeout time.Duration, callbacks listCallbacks) {
 	url := fmt.Sprintf("http://%s/discovery/hosts?stream=1&index=%d", address, revision)
 	call := listCall{url: url, headerTimeout: timeout, established: callbacks.established}
@@ -103,7 +103,7 @@
 	}))
 }
 
-// fetchList requests the complete list once. The response has to begin within timeout.
+// fetchList requests the complete list once. The response header has to be received within timeout.
 func fetchList(ctx context.Context, address string, timeout time.Duration, callbacks listCallbacks) {
 	call := listCall{url: "http://" + address + "/discovery/hosts", headerTimeout: timeout}
 	var messages [][]byte
@@ -111,7 +111,7 @@
 		messages = append(messages, text)
 		return nil
 	})
-	if errors.Is(err, io.EOF) && len(messages) == 1 { // otherwise it was truncated
+	if errors.Is(err, io.EOF) && len(messages) == 1 { // otherwise the response was truncated
 		var list *listMessage
 		var skipped []string
 		if list, skipped, err = readList(messages[0]); err == nil {
@@ -133,8 +133,8 @@
 	deadlineTimer *time.Timer // cancels the call at the reader's deadline
 }
 
-// run makes the call and passes its messages to receive one by one until it ends. io.EOF is the regular end of a
-// response.
+// run makes the call and passes its messages to receive one by one until the call ends. Its error is io.EOF if the
+// response was complete.
 func (c *listCall) run(ctx context.Context, receive func(text []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -165,7 +165,7 @@
 	if err != nil {
 		return cause(ctx, err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read, or its error is known
+	defer func() { _ = response.Body.Close() }() // the body has been read, or its error has been returned
 	if response.StatusCode != http.StatusOK {
 		return &statusError{response.Status}
 	}
--- a/scheduler/gossip.go
+++ b/scheduler/gossip.go
@@ -7,11 +7,11 @@
 	"honeyplank"
 )
 
-// maxDatagram is the largest message between peers, in bytes.
+// maxDatagram is the maximum size of a message between peers, in bytes.
 const maxDatagram = 256
 
-// sendGossip sends a message of the decision module to one peer or to all. One that is too long is dropped: gossip may
-// be lost as any datagram.
+// sendGossip sends a message of the decision module to one peer or to all. It drops a message that is too long, since
+// gossip may be lost like any datagram.
 func (s *Scheduler) sendGossip(message honeyplank.Gossip) {
 	if s.peers == nil || len(message.Data) > maxDatagram {
 		return
@@ -24,8 +24,8 @@
 	}
 }
 
-// receiveGossip hands a datagram of a configured peer to the decision module, once for each position that its address
-// has among the peers. Datagrams of other senders are ignored.
+// receiveGossip passes a datagram of a configured peer to the decision module, once for each position of its address
+// among the peers. Datagrams of other senders are ignored.
 func (s *Scheduler) receiveGossip(from netip.AddrPort, b []byte) {
 	if len(b) > maxDatagram {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// ordinalsByAddress returns the positions of each address in a list of peers.
+// ordinalsByAddress maps each address to its positions in a list of peers.
 func ordinalsByAddress(peers []netip.AddrPort) map[netip.AddrPort][]int {
 	ordinals := make(map[netip.AddrPort][]int, len(peers))
 	for i, address := range peers {
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -7,8 +7,8 @@
 	"honeyplank"
 )
 
-// startWatch starts the watch of the endpoint list, unless there is one. A goroutine of its own receives the messages
-// and posts them to the loop; stopWatch ends it.
+// startWatch starts the watch of the endpoint list, unless one is running. A separate goroutine receives the messages
+// and posts them to the loop until stopWatch ends it.
 func (s *Scheduler) startWatch() {
 	if s.cancelWatch != nil {
 		return
@@ -22,7 +22,7 @@
 	})
 }
 
-// stopWatch stops the watch, if there is one.
+// stopWatch stops the watch if one is running.
 func (s *Scheduler) stopWatch() {
 	if s.cancelWatch != nil {
 		s.cancelWatch()
@@ -30,7 +30,7 @@
 	}
 }
 
-// fetch requests the complete list from discovery, once. The call ends by its timeouts.
+// fetch requests the complete list from discovery once. The call cannot be cancelled, but its timeouts end it.
 func (s *Scheduler) fetch() {
 	ctx := context.Background()
 	go fetchList(ctx, s.config.Discovery, s.callTimeout(), listCallbacks{
@@ -39,8 +39,8 @@
 	})
 }
 
-// callTimeout is how long discovery may take to begin a response. If all instances share one discovery, calls queue
-// there: one that is cancelled before its turn is retried, which makes the queue longer.
+// callTimeout returns the timeout for the response header of discovery. It is longer if all instances share one
+// discovery, where calls queue: a call that is cancelled before its turn is retried, which makes the queue longer.
 func (s *Scheduler) callTimeout() time.Duration {
 	if s.site().WatchOnRequest {
 		return sharedHeaderTimeout
@@ -52,11 +52,12 @@
 type callKind int
 
 const (
-	fetchCall callKind = iota // the complete list, once
-	watchCall                 // all changes from now on
+	fetchCall callKind = iota // requests the complete list once
+	watchCall                 // receives all changes from now on
 )
 
-// watchEstablished notifies a module that has asked for the watch that it is established, even if nothing has changed.
+// watchEstablished returns a callback that notifies the module that the watch is established, even if the list has not
+// changed. It does so only if the module has requested the watch.
 func (s *Scheduler) watchEstablished(ctx context.Context) func() {
 	return func() {
 		s.loop.Post(func() {
@@ -67,11 +68,11 @@
 	}
 }
 
-// listReceived hands a message to the loop. One of a watch that has ended is dropped, and so is a fetched list that is
-// older than the current one.
+// listReceived returns a callback that passes a message to the loop. The loop drops the message if its watch has ended
+// or if it is a fetched list that is older than the current one.
 func (s *Scheduler) listReceived(ctx context.Context, call callKind) func(*listMessage, []string) {
 	return func(list *listMessage, skipped []string) {
-		notified := s.loop.Now() // the loop may be held up before it handles the message
+		notified := s.loop.Now() // read here, since the loop may handle the message after a process pause
 		s.loop.Post(func() {
 			if ctx.Err() == nil && (call == watchCall || list.Revision >= s.revisionGuard.revision) {
 				s.handleList(list, skipped, notified)
@@ -80,8 +81,8 @@
 	}
 }
 
-// handleList applies a message that reached the process at notified. One that is older than the current list ends the
-// watch.
+// handleList applies a message that the process received at notified. If the message is older than the current list,
+// the watch ends.
 func (s *Scheduler) handleList(list *listMessage, skipped []string, notified time.Duration) {
 	list.isCurrent = list.Complete || list.Revision >= s.revisionGuard.revision
 	if !s.revisionGuard.accept(s.loop.Now(), list) {
@@ -98,12 +99,12 @@
 	s.applyList(list, kind, notified)
 }
 
-// callFailed handles the end of a watch, or of a fetch that brought no list.
+// callFailed returns a callback that handles the end of a watch, or of a fetch that received no list.
 func (s *Scheduler) callFailed(ctx context.Context, call callKind) func(error) {
 	return func(err error) {
 		s.loop.Post(func() {
 			switch {
-			case call == fetchCall && s.site().WatchOnRequest: // without effect on an established watch
+			case call == fetchCall && s.site().WatchOnRequest: // an established watch continues
 				s.tracker.Deliver(honeyplank.List{Kind: honeyplank.WatchFailed})
 			case call == watchCall && ctx.Err() == nil:
 				s.watchFailed(err)
@@ -112,8 +113,8 @@
 	}
 }
 
-// watchFailed ends the watch and schedules the next one: after watchRetryDelay if discovery runs on this machine. If
-// all instances share one discovery the module decides when, since simultaneous retries of all would overload it.
+// watchFailed ends the watch. If discovery runs on this machine, the next watch starts after watchRetryDelay. If all
+// instances share one discovery, the module decides when to retry, since simultaneous retries would overload discovery.
 func (s *Scheduler) watchFailed(err error) {
 	s.log.Info().Err(err).Msg("endpoint list watch failed")
 	s.stopWatch()
@@ -130,10 +131,12 @@
 	})
 }
 
-// applyList applies a list, or a change of it, that reached the process at notified, and hands it to the module.
+// applyList applies a list, or a change of the list, that the process received at notified. It then passes the list to
+// the module.
 func (s *Scheduler) applyList(list *listMessage, kind honeyplank.ListKind, notified time.Duration) {
 	event := honeyplank.List{Kind: kind, Version: list.Revision}
-	// The wall clock is read first: a hold-up between the two makes starts of disk servers appear later, never earlier.
+	// The wall clock is read first: a process pause between the two readings makes starts of disk servers appear later,
+	// never earlier.
 	s.starts.observeClocks(s.wallClock(), s.loop.Now())
 	var changed []*diskServer
 	for _, m := range list.Members {
@@ -146,12 +149,12 @@
 		changed = append(changed, s.removeUnlisted(list)...)
 	}
 	s.tracker.Deliver(event)
-	for _, ds := range changed { // the module is notified: it dispatches nothing new to removed servers
+	for _, ds := range changed { // after the module is notified, and so dispatches nothing more to removed servers
 		ds.enforceDrainGrace(notified)
 	}
 }
 
-// removeUnlisted removes the disk servers that a complete list does not name, and returns them.
+// removeUnlisted removes the disk servers that are missing in a complete list, and returns them.
 func (s *Scheduler) removeUnlisted(list *listMessage) (removed []*diskServer) {
 	listed := make(map[honeyplank.ServerID]bool, len(list.Members))
 	for _, m := range list.Members {
@@ -166,7 +169,7 @@
 	return removed
 }
 
-// toMember converts an entry of the list to a member of the module's list. Unknown models and zones count as the first.
+// toMember converts an entry of the list to a member for the module. An unknown model or zone becomes the first one.
 func (s *Scheduler) toMember(m listMember) honeyplank.Member {
 	member := honeyplank.Member{ID: honeyplank.ServerID(m.ID), Size: m.Size, Cell: m.Cell, State: memberStates[m.Phase]}
 	member.Model, _ = indexOf("model", s.site().Models, m.Model)
--- a/scheduler/message_reader.go
+++ b/scheduler/message_reader.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Limits of calls to discovery. An instance counts as notified of a change notifiedWithin after discovery has it and is
-// reachable: one watch without data, one call without a response and the retry delay behind each have to fit into that
-// time together.
+// Limits of calls to discovery. An instance counts as notified of a change notifiedWithin after discovery has that
+// change and is reachable. The time-outs of one watch without data and of one call without a response, each followed by
+// a retry delay, have to fit into that time.
 const (
-	maxMessageBytes = 4 << 20  // of one message
+	maxMessageBytes = 4 << 20  // size of one message
 	readSize        = 16 << 10 // bytes read at a time
 
-	headerTimeout       = time.Second             // for the head of a response of an agent on this machine
-	sharedHeaderTimeout = 2200 * time.Millisecond // the same if all instances share one discovery, and calls queue there
+	headerTimeout       = time.Second             // for the response header if discovery runs on this machine
+	sharedHeaderTimeout = 2200 * time.Millisecond // the same if all instances share one discovery and calls queue there
 
-	// watchIdleTimeout is how long a watch may bring no data, or a message stay unfinished. Discovery sends an empty line
-	// every 2 s.
+	// watchIdleTimeout is the maximum time without data on a watch, and for the rest of an incomplete message.
+	// Discovery sends an empty line every 2 s.
 	watchIdleTimeout = 3 * time.Second
-	watchRetryDelay  = 100 * time.Millisecond // after a watch that failed
-	oldListTimeout   = 4 * time.Second        // for which lists older than the current one are rejected
+	watchRetryDelay  = 100 * time.Millisecond // after a watch has failed
+	oldListTimeout   = 4 * time.Second        // time for which lists older than the current one are rejected
 )
 
-// messageReader splits the bytes of a response of discovery into messages, which may come in pieces, several at once or
-// on several lines. It sets the deadline for the next bytes. It does no I/O, reads no clock and treats its input as
-// hostile.
+// messageReader splits the bytes of a discovery response into messages, JSON objects. A message may be received in
+// pieces, together with others, or on several lines. The reader computes the deadline for the next bytes. It does no
+// I/O, reads no clock and does not trust its input.
 type messageReader struct {
 	deadline time.Duration // when the call counts as failed
-	partial  []byte        // the unfinished message
-	depth    int           // of braces and brackets
+	partial  []byte        // the incomplete message
+	depth    int           // nesting depth of braces and brackets
 	quoted   bool          // within a string
-	escaped  bool          // behind a backslash in a string
+	escaped  bool          // after a backslash in a string
 }
 
 var (
@@ -38,16 +38,16 @@
 	errMessageTooLong = errors.New("discovery: a message is too long")
 )
 
-// callStarted sets the deadline for the head of the response, timeout after now.
+// callStarted sets the deadline for the response header, timeout after now.
 func (r *messageReader) callStarted(now, timeout time.Duration) { r.deadline = now + timeout }
 
-// headerReceived sets the deadline for the first bytes of the body.
+// headerReceived sets the deadline for the first bytes of the response body.
 func (r *messageReader) headerReceived(now time.Duration) { r.deadline = now + watchIdleTimeout }
 
-// feed takes the next bytes and returns the messages that they complete. Bytes between messages and complete messages
-// extend the deadline; parts of a message do not, since it may never be finished.
+// feed processes the next bytes and returns the messages that they complete. Bytes between messages and complete
+// messages extend the deadline. Parts of a message do not, since its rest may never be received.
 func (r *messageReader) feed(now time.Duration, b []byte) (messages [][]byte, err error) {
-	stalled := len(r.partial) > 0 // the message that was unfinished before b still is
+	stalled := len(r.partial) > 0 // the message that was incomplete before b still is
 	for _, c := range b {
 		if r.depth == 0 {
 			if isJSONSpace(c) {
@@ -74,7 +74,7 @@
 // isJSONSpace reports whether a byte is white space between JSON values.
 func isJSONSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// scan follows the nesting of a message byte by byte.
+// scan updates the nesting depth of the message for its next byte.
 func (r *messageReader) scan(c byte) {
 	switch {
 	case r.escaped:
@@ -90,16 +90,16 @@
 	}
 }
 
-// revisionGuard rejects lists that are older than the current one. Such a list, from a discovery that lags behind its
-// predecessor or from a slow call, would bring back servers that are removed or draining. A discovery that has
-// restarted its count would be locked out, so older revisions are accepted once nothing newer has come for
-// oldListTimeout.
+// revisionGuard rejects lists that are older than the current one. Such a list comes from a slow call, or from a
+// discovery whose data is older than that of the one used before. It would add servers again that are removed or
+// draining. A discovery that has restarted its revisions would be rejected forever, so older lists are accepted again
+// once only older ones were received for oldListTimeout.
 type revisionGuard struct {
 	revision   int64         // of the current list
-	olderSince time.Duration // when the first of the consecutive older lists came; 0: the last one was not older
+	olderSince time.Duration // when the first of the consecutive older lists came; 0 if the last one was not older
 }
 
-// accept reports whether a list is to be applied; if so, it becomes the current one.
+// accept reports whether a list received at now is to be applied. If so, the list becomes the current one.
 func (g *revisionGuard) accept(now time.Duration, list *listMessage) bool {
 	if list.Revision < g.revision {
 		if g.olderSince == 0 {
--- a/scheduler/replies.go
+++ b/scheduler/replies.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	maxReplyLine     = 4096     // bytes of a line: an error, or the head of a value
-	maxItems         = 8        // of an array: data, quota usage, load report, and room for future ones
-	maxDepth         = 3        // of arrays in arrays
+	maxReplyLine     = 4096     // bytes of a line, which is an error or the header of a value
+	maxItems         = 8        // values of an array: data, quota usage and load report, with room for future ones
+	maxDepth         = 3        // nesting depth of arrays
 	maxValueBytes    = 64 << 10 // bytes of a value
-	maxReportedValue = 1e12     // of a load report or quota usage; larger ones are ignored
-	maxQuotaUsed     = 1e9
+	maxReportedValue = 1e12     // a number of a load report or quota usage that is not below this is ignored
+	maxQuotaUsed     = 1e9      // larger quota usage is reduced to this
 )
 
-// replyLimits are the limits of an answer of a disk server.
+// replyLimits are the limits for an answer of a disk server.
 var replyLimits = resp.Limits{
 	Line:       maxReplyLine,
 	BulkString: maxValueBytes,
@@ -39,7 +39,7 @@
 	feedback inflight.Feedback
 }
 
-// Input handles the answers in b and returns how many bytes it has used.
+// Input handles the answers in b and returns the number of bytes that it has used.
 func (sc *serverConn) Input(_ *eventloop.Conn, b []byte) (used int) {
 	for used < len(b) {
 		if len(sc.inFlight) == 0 {
@@ -66,14 +66,14 @@
 	return used
 }
 
-// handleReply reports the outcome of the first attempt in flight. remaining is the number of bytes behind the answer.
+// handleReply reports the outcome of the first attempt in flight. remaining is the number of bytes after the answer.
 func (sc *serverConn) handleReply(reply serverReply, remaining int) {
 	a := sc.inFlight[0]
 	sc.inFlight = sc.inFlight[1:]
 	switch {
 	case len(sc.inFlight) > 0:
 		sc.closeIfAbandoned()
-	case remaining > 0: // data without a command: the connection must not be reused
+	case remaining > 0: // data that answers no command: the connection must not be reused
 		sc.close()
 	default:
 		sc.release()
@@ -92,7 +92,7 @@
 	return a.parseDispatchReply(value)
 }
 
-// parseError parses an error reply, the last word of which may be a load report.
+// parseError parses an error reply. Its last word may be a load report.
 func (a *attempt) parseError(text string) serverReply {
 	s := a.server.scheduler
 	feedback := inflight.Feedback{Load: parseLoadReport(text[strings.LastIndexByte(text, ' ')+1:], s.site().LoadFields)}
@@ -108,7 +108,7 @@
 	return serverReply{code: honeyplank.Failed, feedback: feedback}
 }
 
-// parseHealthReply parses the answer to a health check, a load report.
+// parseHealthReply parses the answer to a health check, which is a load report.
 func (a *attempt) parseHealthReply(value *resp.Value) (serverReply, error) {
 	if value.Kind != resp.BulkString || value.Null {
 		return serverReply{}, errMalformedReply
@@ -117,7 +117,8 @@
 	return serverReply{code: honeyplank.Succeeded, feedback: inflight.Feedback{Load: load}}, nil
 }
 
-// parseDispatchReply parses an array of the op's data, the quota usage and a load report. Only the data is required.
+// parseDispatchReply parses the answer to a dispatch, an array of the op's data, the quota usage and a load report.
+// Only the data is required.
 func (a *attempt) parseDispatchReply(value *resp.Value) (serverReply, error) {
 	if value.Kind != resp.Array || len(value.List) == 0 || value.List[0].Kind != resp.BulkString || value.List[0].Null {
 		return serverReply{}, errMalformedReply
@@ -132,7 +133,7 @@
 	return reply, nil
 }
 
-// parsePairs parses names and values, as util=0.61,latency_ms=12; unreadable pairs are left out.
+// parsePairs parses names and values, for example util=0.61,latency_ms=12. It skips malformed pairs.
 func parsePairs(text string) map[string]float64 {
 	pairs := map[string]float64{}
 	for _, pair := range strings.Split(text, ",") {
@@ -144,7 +145,8 @@
 	return pairs
 }
 
-// parseLoadReport parses a load report into the module's names; nil: one of the settings' fields is missing.
+// parseLoadReport parses a load report and converts its names to those of the decision module. It returns nil if one of
+// the fields is missing.
 func parseLoadReport(text string, fields []string) map[string]float64 {
 	pairs, load := parsePairs(text), map[string]float64{}
 	for _, field := range fields {
@@ -157,7 +159,7 @@
 	return load
 }
 
-// parseUsage parses the usage of a volume's quota, in the units of inflight.Feedback; missing figures are 0.
+// parseUsage parses the quota usage of a volume, in the units of inflight.Feedback. Missing values are 0.
 func parseUsage(text string) (quotaUsed int, servedElsewhere float64) {
 	pairs := parsePairs(text)
 	return int(min(pairs["used"], maxQuotaUsed)), pairs["cost"]
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -17,43 +17,44 @@
 	"honeyplank/resp"
 )
 
-// Positions of the arguments of BLK.READ and BLK.WRITE: COMMAND KEY ID NAME=VALUE,... [BODY].
+// Positions of the arguments in BLK.READ and BLK.WRITE: COMMAND KEY ID NAME=VALUE,... [BODY].
 const (
 	keyArg = iota + 1
 	idArg
 	optionsArg
-	bodyArg // of BLK.WRITE only
+	bodyArg // only in BLK.WRITE
 )
 
 const (
 	keyDigits       = 16   // hexadecimal digits of a key
-	maxIDBytes      = 64   // of an op's id
-	maxOptionsBytes = 1024 // of the options, the list of names and values
-	maxTimeoutMS    = 1e9  // of a command
-	maxUnits        = 1e6  // of an op's size
+	maxIDBytes      = 64   // length of an op's id
+	maxOptionsBytes = 1024 // length of the options, the list of names and values
+	maxTimeoutMS    = 1e9  // timeout of a command
+	maxUnits        = 1e6  // size of an op
 )
 
-// requiredOptions are the names that the options have to contain.
+// requiredOptions are the names of the options that a command has to contain.
 var requiredOptions = []string{"c", "t", "d", "volume", "units", "shard", "hosts"}
 
 var errDuplicateID = errors.New("the id is that of an open request")
 
-// request is a command of a client, which gets one reply. For the tracker it is the client of its op.
+// request is a command of a client, which gets exactly one reply. It is the tracker's interface to the client of the
+// op.
 type request struct {
 	client  *client
 	id      honeyplank.OpID
-	args    [][]byte // nil once it has its reply
+	args    [][]byte // nil once the reply is complete
 	options string   // the list of names and values
 
-	// The value of option d, the timeout, lies between these offsets of options. It is replaced for disk servers.
+	// Offsets in options of the value of option d, the timeout, which is replaced in the command for a disk server.
 	timeoutStart, timeoutEnd int
 
 	reply []byte
 	done  bool // reply is complete
 }
 
-// handleCommand replies to a command or admits it as an op. It was received no earlier than received, a time of the
-// loop.
+// handleCommand replies to a command or admits it as an op. received is the earliest time, on the loop's clock, at
+// which the command can have been received.
 func (c *client) handleCommand(received time.Duration, list []resp.Value) {
 	args := make([][]byte, len(list))
 	for i, v := range list {
@@ -61,7 +62,7 @@
 	}
 	r := &request{client: c, args: args}
 	c.pending = append(c.pending, r)
-	if c.scheduler.admissionClosed { // it was buffered when the intake was closed
+	if c.scheduler.admissionClosed { // the command was buffered when admission was closed
 		r.reply, r.done = resp.AppendError(nil, "BUSY"), true
 		return
 	}
@@ -74,16 +75,16 @@
 		r.respond(resp.AppendBulk(nil, args[1]))
 	case name == "CLIENT" || name == "SELECT":
 		r.respond(resp.AppendSimpleString(nil, "OK"))
-	case name == "QUIT": // its reply comes behind those of earlier commands
+	case name == "QUIT": // its reply follows those to earlier commands
 		c.closing, c.quitRequested = true, true
-		c.conn.Pause() // later commands stay unread: the client may send them again
+		c.conn.Pause() // later commands stay unread, so that the client may send them again
 		r.respond(resp.AppendSimpleString(nil, "OK"))
 	default:
 		r.respond(resp.AppendError(nil, fmt.Sprintf("ERR unknown command %.32q", args[0])))
 	}
 }
 
-// admit hands the command to the tracker as an op, or replies with an error if it is malformed.
+// admit passes the command to the tracker as an op, or replies with an error if it is malformed.
 func (r *request) admit(received time.Duration) {
 	c := r.client
 	op, err := r.parseOp(received)
@@ -102,7 +103,7 @@
 	}
 }
 
-// respond sends a reply, behind those of earlier commands.
+// respond sends a reply after those to earlier commands. It has no effect if the request already has one.
 func (r *request) respond(reply []byte) {
 	if r.done {
 		return
@@ -115,10 +116,10 @@
 // Succeeded replies with the data of the op.
 func (r *request) Succeeded(data []byte) { r.respond(resp.AppendBulk(nil, data)) }
 
-// Failed replies that the op may have run or not.
+// Failed replies that the op failed and may or may not have run.
 func (r *request) Failed() { r.respond(resp.AppendError(nil, "ERR failed")) }
 
-// Rejected replies that the op has not run, with a Retry-After unless that is 0.
+// Rejected replies that the op has not run. The reply contains retryAfter, in milliseconds rounded up, unless it is 0.
 func (r *request) Rejected(retryAfter time.Duration) {
 	text := "BUSY"
 	if ms := (retryAfter + time.Millisecond - 1) / time.Millisecond; ms > 0 {
@@ -127,7 +128,7 @@
 	r.respond(resp.AppendError(nil, text))
 }
 
-// parseOp parses the op. Its timeout counts from received.
+// parseOp parses the op. Its timeout starts at received.
 func (r *request) parseOp(received time.Duration) (op honeyplank.Op, err error) {
 	op.Write = string(r.args[0]) == "BLK.WRITE"
 	expected := bodyArg
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// parseOption parses one option into op. Unknown names are left to the disk servers.
+// parseOption parses one option into op. It ignores unknown names, which are for the disk servers.
 func (r *request) parseOption(op *honeyplank.Op, received time.Duration, name, value string) (err error) {
 	site := r.client.scheduler.site()
 	switch name {
@@ -209,17 +210,18 @@
 	return err
 }
 
-// maxOpTime is the longest timeout of an op of a type, a multiple of the settings' op timeout. It guards against
-// dispatches without an answer that would hold a connection and capacity forever; a client with a longer timeout gets
-// its answer early.
+// maxOpTime returns the longest timeout of an op of a type, a multiple of the op timeout of the settings. It prevents
+// unanswered dispatches from holding a connection and capacity forever.
+//
+// Limitation: a client that sends a longer timeout gets its answer before that.
 func maxOpTime(site *simwire.Site, opType int) time.Duration {
 	if timeout := site.Settings.OpTypes[opType].OpTimeout; timeout > 0 {
 		return maxTimeoutFactor * timeout
 	}
-	return math.MaxInt64 / 2 // a time of the loop can be added without an overflow
+	return math.MaxInt64 / 2 // a time of the loop can be added without overflow
 }
 
-// parseHex16 parses a number of 16 hexadecimal digits.
+// parseHex16 parses a number of 16 hexadecimal digits. name is used in the error.
 func parseHex16(name string, text []byte) (int64, error) {
 	var decoded [keyDigits / 2]byte
 	if len(text) != keyDigits {
@@ -231,7 +233,7 @@
 	return int64(binary.BigEndian.Uint64(decoded[:])), nil
 }
 
-// indexOf returns the position of a name. The kind of the names is for the error.
+// indexOf returns the position of name in names. kind is used in the error.
 func indexOf(kind string, names []string, name string) (int, error) {
 	if i := slices.Index(names, name); i >= 0 {
 		return i, nil
@@ -239,7 +241,7 @@
 	return 0, fmt.Errorf("%s %.32q is unknown", kind, name)
 }
 
-// parseInteger parses a whole number from minimum on.
+// parseInteger parses an integer that is not less than minimum.
 func parseInteger(name, value string, minimum int) (int, error) {
 	n, err := strconv.Atoi(value)
 	if err != nil || n < minimum {
@@ -248,7 +250,7 @@
 	return n, nil
 }
 
-// parseDecimal parses a number above 0 and up to maximum, of digits and a point alone.
+// parseDecimal parses a number above 0 and up to maximum. Its text may contain only digits and a decimal point.
 func parseDecimal(name, value string, maximum float64) (float64, error) {
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || strings.Trim(value, "0123456789.") != "" || !(x > 0 && x <= maximum) {
@@ -257,7 +259,7 @@
 	return x, nil
 }
 
-// appendCommand appends the command for a disk server: as it came, with the timeout replaced by timeLeft.
+// appendCommand appends the command for a disk server: the client's command with its timeout replaced by timeLeft.
 func (r *request) appendCommand(out []byte, timeLeft time.Duration) []byte {
 	ms := max(timeLeft.Milliseconds(), 1)
 	options := r.options[:r.timeoutStart] + strconv.FormatInt(ms, 10) + r.options[r.timeoutEnd:]
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,9 +2,9 @@
 // servers in RESP2, receives the endpoint list from discovery, exchanges gossip datagrams with its peers and is
 // configured by one file.
 //
-// It reports what happens to the tracker of package inflight and executes the actions of the decision module; it makes
-// no decision on ops itself. All state belongs to one event loop, which Serve runs on the goroutine of its caller.
-// Other goroutines, such as those that call discovery, hand their results to the loop by Post. Command honeyplank makes
+// It reports events to the tracker of package inflight and executes the actions of the decision module; it makes no
+// decision on ops itself. All state belongs to one event loop, which Serve runs on the goroutine of its caller. Other
+// goroutines, such as those that call discovery, pass their results to the loop with Post. Command honeyplank creates
 // the scheduler and calls Shutdown and Reload on signals.
 package scheduler
 
@@ -25,52 +25,53 @@
 	"honeyplank/policy"
 )
 
-// Scheduler is one running scheduler. Serve, Shutdown and Reload may be called from any goroutine; all else runs on its
-// event loop.
+// Scheduler is one running scheduler. Serve, Shutdown and Reload may be called from any goroutine; everything else runs
+// on its event loop.
 type Scheduler struct {
 	config   *Config
 	log      zerolog.Logger
 	loop     *eventloop.Loop
 	tracker  *inflight.Tracker
 	listener *eventloop.Listener
-	peers    *eventloop.UDPConn // nil: no gossip
+	peers    *eventloop.UDPConn // nil if gossip is disabled
 	clients  map[*client]bool
 	servers  map[honeyplank.ServerID]*diskServer
 
 	revisionGuard revisionGuard
 	starts        startTracker
-	wallClock     func() time.Time   // may be stepped at any moment
-	cancelWatch   context.CancelFunc // nil: there is no watch
+	wallClock     func() time.Time   // may be stepped at any time
+	cancelWatch   context.CancelFunc // nil if there is no watch
 
-	// idleServerConns are the idle connections to all disk servers, and peerOrdinals the positions of each address
-	// among the configured peers: recurring steps cost the same in a small and in a large fleet.
+	// idleServerConns lists the idle connections to all disk servers, and peerOrdinals maps each address to its
+	// positions among the configured peers. With them the cost of periodic work does not grow with the fleet.
 	idleServerConns idleConnList
 	peerOrdinals    map[netip.AddrPort][]int
 	visited         visitCounts
 
 	serverConnCount  int // open connections to disk servers
-	failedDials      int // consecutive dials that this machine could not begin
-	clientConnCount  int // open connections of clients, closing ones included
-	activeClients    int // connections of clients that have sent an op
-	throttledClients int // connections of clients that are throttled
+	failedDials      int // consecutive dials that this machine could not start
+	clientConnCount  int // open client connections, including those that are closing
+	activeClients    int // client connections that have sent an op
+	throttledClients int // client connections that are throttled
 	errorReplies     int // commands rejected as malformed
-	protocolErrors   int // connections whose input did not follow the protocol
-	rejectedConns    int // connections of clients for which there was no descriptor
+	protocolErrors   int // client connections with input that violated the protocol
+	rejectedConns    int // client connections rejected for lack of a descriptor
 	countersLoggedAt time.Duration
 
 	shuttingDown    bool
-	graceElapsed    bool // no more clients connect
+	graceElapsed    bool // the time in which clients may still connect is over
 	admissionClosed bool // no more ops are admitted
 	stopping        bool // the loop is about to stop
 	shutdown        shutdownPlan
 }
 
-// visitCounts counts the entries that recurring steps visit, so that a test can compare the work in a small fleet with
-// that in a large one.
+// visitCounts counts the entries that periodic work visits. A test uses it to compare the work in a small fleet and in
+// a large one.
 type visitCounts struct{ idleConns, peers, members int }
 
 const (
-	// reservedDescriptors are for the listener, the loop, discovery and files; clients and disk servers share the rest.
+	// reservedDescriptors is the number of descriptors for the listener, the loop, discovery and files. Clients and
+	// disk servers share the rest.
 	reservedDescriptors   = 24
 	clientDescriptorShare = 0.6
 	serverDescriptorShare = 0.4
@@ -78,7 +79,7 @@
 	housekeepingInterval = 250 * time.Millisecond
 	counterInterval      = 5 * time.Second // between two log lines with the counters
 
-	// Listening is retried every listenRetryDelay for listenRetryFor while descriptors or memory are short.
+	// If descriptors or memory are short, listening is retried every listenRetryDelay for listenRetryFor.
 	listenRetryDelay = 50 * time.Millisecond
 	listenRetryFor   = 5 * time.Second
 )
@@ -86,21 +87,21 @@
 // site returns the settings of the deployment.
 func (s *Scheduler) site() *simwire.Site { return s.config.Site }
 
-// descriptorQuota returns how many descriptors a share of the unreserved ones is.
+// descriptorQuota returns the number of descriptors in a share of the unreserved ones.
 func (s *Scheduler) descriptorQuota(share float64) int {
 	return int(share * float64(s.config.Sockets-reservedDescriptors))
 }
 
-// New makes a scheduler and listens for clients and peers. It retries for some seconds while descriptors or memory are
-// short. Nothing is served before Serve.
+// New creates a scheduler and listens for clients and peers. If descriptors or memory are short, it retries for up to
+// listenRetryFor. Connections are served only once Serve runs.
 func New(config *Config, log zerolog.Logger) (*Scheduler, error) {
 	return newWithModule(config, policy.New(config.Seed, config.Site.Settings), log)
 }
 
-// newWithModule makes a scheduler with a decision module.
+// newWithModule creates a scheduler with the given decision module.
 func newWithModule(config *Config, module honeyplank.DecisionModule, log zerolog.Logger) (*Scheduler, error) {
 	settings := config.Site.Settings
-	// The loop's clock begins late enough for a disk server to have started before it.
+	// The loop's clock starts this far above zero, so that a disk server can have started before this process.
 	origin := settings.Watch.Within + 2*(settings.SlowStart.Time+settings.SlowStart.Window)
 	for start := time.Now(); ; time.Sleep(listenRetryDelay) {
 		s, err := listen(config, module, log, origin)
@@ -111,7 +112,7 @@
 	}
 }
 
-// isTransient reports whether an error says that the machine lacks a resource which may soon be free again.
+// isTransient reports whether the error is a shortage of a resource that may soon be available again.
 func isTransient(err error) bool {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN} {
 		if errors.Is(err, errno) {
@@ -121,7 +122,7 @@
 	return false
 }
 
-// listen makes a scheduler and opens its sockets.
+// listen creates a scheduler and opens its sockets.
 func listen(
 	config *Config, module honeyplank.DecisionModule, log zerolog.Logger, origin time.Duration,
 ) (*Scheduler, error) {
@@ -143,13 +144,13 @@
 	s.tracker.OnIdle = s.stopIfIdle
 	if err := s.openSockets(); err != nil {
 		loop.Stop()
-		_ = loop.Run() // closes the sockets; the first error is the one to return
+		_ = loop.Run() // closes the sockets; the error of openSockets is returned
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
 	return s, nil
 }
 
-// openSockets listens for clients and, if there is gossip, for peers.
+// openSockets listens for clients and, if gossip is enabled, for peers.
 func (s *Scheduler) openSockets() (err error) {
 	if s.listener, err = s.loop.Listen(s.config.Listen, s.accept); err != nil {
 		return err
@@ -163,19 +164,19 @@
 // Address returns the address on which the scheduler listens for clients.
 func (s *Scheduler) Address() string { return s.listener.Address() }
 
-// Serve runs the scheduler until Shutdown has ended it. It begins with the cached list and follows discovery from
-// there.
+// Serve runs the scheduler until a shutdown is complete. It starts with the cached endpoint list and then follows
+// discovery. Its error is that of the event loop.
 func (s *Scheduler) Serve() error {
 	s.loop.Post(s.start)
-	defer s.stopWatch() // nothing else uses the watch once the loop has ended
+	defer s.stopWatch() // safe here: the loop has ended and no longer uses the watch
 	return s.loop.Run()
 }
 
-// start applies the cached list, starts the watch unless the module asks for it, and begins housekeeping.
+// start applies the cached list and starts housekeeping. It also starts the watch, unless the module requests it.
 func (s *Scheduler) start() {
 	list := &listMessage{}
 	if len(s.config.CachedList) > 0 {
-		list, _, _ = readList(s.config.CachedList) // ReadConfig has checked it
+		list, _, _ = readList(s.config.CachedList) // ReadConfig has validated it
 	}
 	s.revisionGuard.revision = list.Revision
 	s.applyList(list, honeyplank.Cached, s.loop.Now())
@@ -185,7 +186,7 @@
 	s.housekeep()
 }
 
-// housekeep closes idle connections and logs the counters, and schedules itself again.
+// housekeep closes idle connections, logs the counters and schedules its next run.
 func (s *Scheduler) housekeep() {
 	s.closeIdleServerConns()
 	s.checkClients()
@@ -196,7 +197,7 @@
 	s.loop.Schedule(s.loop.Now()+housekeepingInterval, s.housekeep)
 }
 
-// logCounters logs how many ops, replies and connections there have been so far and are now.
+// logCounters logs the total and current numbers of ops, replies and connections.
 func (s *Scheduler) logCounters() {
 	counts := &s.tracker.Counts
 	s.log.Info().
@@ -219,14 +220,14 @@
 }
 
 // Reload applies a new configuration: the address of discovery, the peers and the limits. The settings of the
-// deployment stay as they were at the start, since the decision module was made with them.
+// deployment do not change, since the decision module was created with them.
 func (s *Scheduler) Reload(config *Config) {
 	s.loop.Post(func() {
 		discoveryChanged := config.Discovery != s.config.Discovery
 		config.Site = s.config.Site
 		s.config = config
 		s.peerOrdinals = ordinalsByAddress(config.Peers)
-		if discoveryChanged { // also while a retry at the former address is due
+		if discoveryChanged { // also if a retry at the previous address is scheduled
 			s.stopWatch()
 			s.startWatch()
 		}
@@ -237,7 +238,7 @@
 	})
 }
 
-// execute executes the actions of the module that the tracker leaves to it: those that concern no op and no timer.
+// execute executes the actions of the module that the tracker does not: those that concern neither an op nor a timer.
 func (s *Scheduler) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.HealthCheck:
@@ -267,7 +268,7 @@
 	}
 }
 
-// checkHealth starts a health check, which asks a disk server for its load report.
+// checkHealth starts a health check, which requests a load report from a disk server.
 func (s *Scheduler) checkHealth(id honeyplank.ServerID) {
 	ds := s.servers[id]
 	if ds == nil || !s.site().HealthChecks {
--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// The platform kills a process no sooner than the longest op timeout, but maxKillWait at most, and killGrace after
-	// SIGTERM.
+	// The platform kills a process no sooner than the longest op timeout plus killGrace after SIGTERM. It counts at
+	// most maxKillWait for the op timeout.
 	killGrace   = 700 * time.Millisecond
 	maxKillWait = 3 * time.Second
-	// maxProcessPause is how long a scheduler may be held up between reading its clock and writing.
+	// maxProcessPause is the longest pause of the process between reading its clock and writing.
 	maxProcessPause = 150 * time.Millisecond
-	// minAdmissionTime is how long after SIGTERM clients may still connect, with some time to accept the connections.
+	// minAdmissionTime is the time after SIGTERM in which clients may still connect, plus some time to accept their
+	// connections.
 	minAdmissionTime = 420 * time.Millisecond
-	// The intake closes admissionMargin before the kill, and unanswered ops fail answerMargin before it. There may be a
-	// hold-up before the loop handles SIGTERM and another before the last replies are written; flushMargin is for their
+	// Admission closes admissionMargin before the kill, and unanswered ops fail answerMargin before it. The process may
+	// pause before the loop handles SIGTERM and again before it writes the last replies; flushMargin is for their
 	// transmission.
 	admissionMargin = 520 * time.Millisecond
 	answerMargin    = 2*maxProcessPause + flushMargin
-	// flushMargin is the least time for clients to acknowledge their last replies before the sockets close with their
-	// input unread, and flushPollInterval the time between two checks whether they have.
+	// flushMargin is the minimum time for clients to acknowledge their last replies before the sockets close with
+	// unread input. flushPollInterval is the time between two checks whether they have acknowledged them.
 	flushMargin       = 30 * time.Millisecond
 	flushPollInterval = 5 * time.Millisecond
-	// idleBeforeStop is how long there has to be no client before the loop stops: a connection may be in the listener's
-	// queue.
+	// idleBeforeStop is the time without clients after which the loop stops. A connection may still be in the
+	// listener's queue when the last client closes.
 	idleBeforeStop = 5 * time.Millisecond
 )
 
-// Shutdown shuts the scheduler down gracefully. Clients keep using their connections, so these are served until shortly
-// before the platform kills the process; by then every op has its answer, and Serve returns. It returns sooner once no
-// client is left. Shutdown may be called from any goroutine; a second call has no effect.
+// Shutdown starts a graceful shutdown. Clients keep using their connections, so these are served until shortly before
+// the platform kills the process. By then every op has its answer and Serve returns. If all clients close their
+// connections, Serve returns earlier. Shutdown may be called from any goroutine; a second call has no effect.
 func (s *Scheduler) Shutdown() {
-	notified := s.loop.Now() // the loop may be held up before it begins the shutdown
+	notified := s.loop.Now() // read here, since the loop may start the shutdown after a process pause
 	s.loop.Post(func() { s.beginShutdown(notified) })
 }
 
-// beginShutdown schedules the steps of the shutdown of which the process was notified.
+// beginShutdown schedules the steps of a shutdown; notified is when the process was notified of it.
 func (s *Scheduler) beginShutdown(notified time.Duration) {
 	if s.shuttingDown {
 		return
@@ -50,12 +51,12 @@
 		s.graceElapsed = true
 		s.stopIfIdle()
 	})
-	s.loop.Schedule(s.shutdown.closeAdmission, func() { // a round later: the listener's queue is accepted first
+	s.loop.Schedule(s.shutdown.closeAdmission, func() { // one iteration later: the listener's queue is accepted first
 		s.loop.Schedule(s.loop.Now(), s.closeAdmission)
 	})
 }
 
-// longestOpTimeout is the longest op timeout, 0 without op types.
+// longestOpTimeout returns the longest op timeout, or 0 if there are no op types.
 func longestOpTimeout(opTypes []honeyplank.OpType) (longest time.Duration) {
 	for _, opType := range opTypes {
 		longest = max(longest, opType.OpTimeout)
@@ -70,7 +71,7 @@
 	killTime       time.Duration // the platform may kill the process
 }
 
-// planShutdown plans a shutdown by the time of its notification and the longest op timeout.
+// planShutdown computes the times of a shutdown from the time of its notification and the longest op timeout.
 func planShutdown(notified, longestTimeout time.Duration) shutdownPlan {
 	killTime := notified + min(longestTimeout, maxKillWait) + killGrace
 	return shutdownPlan{
@@ -80,8 +81,8 @@
 	}
 }
 
-// closeAdmission stops reading from all clients and closes each connection once its commands have their replies. Unread
-// input stays unread: its client sends it again to another scheduler.
+// closeAdmission stops reading from all clients and closes each connection after the replies to its commands. It leaves
+// pending input unread, so that the client sends it again to another scheduler.
 func (s *Scheduler) closeAdmission() {
 	s.admissionClosed, s.graceElapsed = true, true
 	s.listener.Close()
@@ -96,9 +97,9 @@
 	})
 }
 
-// stopWhenAcked stops the loop at a time, or later once all clients have acknowledged their replies: closing with
-// unread input resets a connection, which discards replies on their way. The stop is postponed until flushMargin before
-// the kill at most.
+// stopWhenAcked stops the loop at the given time, or later when all clients have acknowledged their replies. A close
+// with unread input resets the connection, which discards replies in transit. The stop is postponed at most until
+// flushMargin before the kill.
 func (s *Scheduler) stopWhenAcked(at time.Duration) {
 	s.loop.Schedule(at, func() {
 		for c := range s.clients {
@@ -111,7 +112,7 @@
 	})
 }
 
-// stopIfIdle stops the loop after idleBeforeStop if the scheduler is still idle then.
+// stopIfIdle stops the loop after idleBeforeStop if the scheduler is idle now and then.
 func (s *Scheduler) stopIfIdle() {
 	if !s.isIdle() || s.stopping {
 		return
@@ -126,7 +127,7 @@
 	})
 }
 
-// isIdle reports whether no more clients connect, none is left, and every op has its answer.
+// isIdle reports whether no more clients are expected to connect, none is connected, and every op has its answer.
 func (s *Scheduler) isIdle() bool {
 	return s.graceElapsed && s.tracker.Unanswered() == 0 && len(s.clients) == 0
 }
