--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -10,8 +10,8 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestClientGoneWhileConnecting: an op whose client goes while its connection is being opened is not sent once that is
-// up.
+// TestClientGoneWhileConnecting checks that an op is not sent if its client disconnects while the connection to the
+// disk server is being opened.
 func TestClientGoneWhileConnecting(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := bed.moveBehindGate(0)
@@ -23,27 +23,27 @@
 	gate.open()
 	bed.awaitServerConn()
 	if got := stays.doRead("stays", 4000); got != valueOf("stays") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	bed.checkReceived("[stays]")
 	bed.onLoop(func() {
 		if n := bed.scheduler.tracker.Outstanding(); n != 0 {
-			t.Errorf("%d dispatches are out", n)
+			t.Errorf("%d dispatches are outstanding", n)
 		}
 	})
 }
 
-// sharedConn is a connection to a disk server behind a gate, on which each of several clients has one write in flight.
+// sharedConn is a connection to a disk server behind a gate. Each of several clients has one write in flight on it.
 type sharedConn struct {
 	bed     *testbed
 	gate    *connGate
 	conn    *serverConn
 	clients []*testClient
-	written int // commands that are written whole
-	partial int // the one of which a part is written; -1: none
+	written int // number of commands that are completely written
+	partial int // index of the partly written command; -1 if there is none
 }
 
-// newSharedConn starts a scheduler that has written some of n commands to a disk server that does not read.
+// newSharedConn starts a scheduler with n commands for a disk server that does not read. Some of them are written.
 func newSharedConn(t *testing.T, n int) *sharedConn {
 	t.Helper()
 	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(n))
@@ -58,27 +58,27 @@
 		c := bed.dialClient()
 		shared.clients = append(shared.clients, c)
 		c.sendWrite(fmt.Sprint("w", i), 9000, strings.Repeat("x", maxBody))
-		bed.eventuallyOnLoop("the command", func() bool { return shared.hasInFlight(i + 1) })
+		bed.eventuallyOnLoop("the command in flight", func() bool { return shared.hasInFlight(i + 1) })
 	}
 	bed.onLoop(shared.countWritten)
 	if shared.written == 0 || shared.written > n-2 {
-		t.Fatalf("%d of %d are written whole", shared.written, n)
+		t.Fatalf("%d of %d commands are completely written", shared.written, n)
 	}
 	return shared
 }
 
-// hasInFlight reports, on the loop, whether the connection hasInFlight n commands.
+// hasInFlight reports whether the server has one connection, with n commands in flight. It is called on the loop.
 func (s *sharedConn) hasInFlight(n int) bool {
 	conns := s.bed.scheduler.servers["s-0"].conns
 	if len(conns) != 1 || !conns[0].connected || len(conns[0].inFlight) != n {
 		return false
 	}
 	s.conn = conns[0]
-	s.conn.conn.BeforeWrite = nil // the one of which a part is written is not withdrawn for its age
+	s.conn.conn.BeforeWrite = nil // prevents that the partly written command is withdrawn for its age
 	return true
 }
 
-// countWritten determines, on the loop, which commands are written.
+// countWritten determines which commands are written. It is called on the loop.
 func (s *sharedConn) countWritten() {
 	position := s.conn.writtenBytes()
 	for i, a := range s.conn.inFlight {
@@ -90,10 +90,10 @@
 	}
 }
 
-// TestClientGoneOnSharedConn: on a connection that several ops share, and that the disk server does not read, an op
-// whose client goes never arrives, whether nothing or a part of it is written; those before and behind it are served.
+// TestClientGoneOnSharedConn checks a connection that several ops share and that the disk server does not read. An op
+// whose client disconnects never arrives if it is not or only partly written. The ops before and after it are served.
 func TestClientGoneOnSharedConn(t *testing.T) {
-	const n = 100 // more bytes than the system takes for one connection
+	const n = 100 // together larger than the socket buffers of one connection
 	const partial = -1
 	for _, goneClient := range []int{n - 1, n / 2, 0, partial} {
 		t.Run(fmt.Sprint(goneClient), func(t *testing.T) {
@@ -102,7 +102,7 @@
 				goneClient = shared.partial
 			}
 			if goneClient < 0 {
-				t.Fatalf("%d of %d are written whole, none in part", shared.written, n)
+				t.Fatalf("%d of %d commands are completely written, none partly", shared.written, n)
 			}
 			bed := shared.bed
 			bed.onLoop(func() { bed.scheduler.serverConnCount = 1 })
@@ -112,13 +112,13 @@
 			shared.checkServed(goneClient)
 			arrived := slices.Contains(receivedIDs(bed.disks[0]), fmt.Sprint("w", goneClient))
 			if arrived && goneClient >= shared.written {
-				t.Error("the op whose client is gone has arrived")
+				t.Error("the op whose client is gone has reached the disk server")
 			}
 		})
 	}
 }
 
-// checkServed checks that every client but the one that is gone gets its value.
+// checkServed checks that every client except the one that is gone gets its value.
 func (s *sharedConn) checkServed(goneClient int) {
 	s.bed.t.Helper()
 	for i, c := range s.clients {
@@ -126,13 +126,13 @@
 			continue
 		}
 		if got := c.readReply(3 * time.Second); got != valueOf(fmt.Sprint("w", i)) {
-			s.bed.t.Errorf("w%d: %q", i, got)
+			s.bed.t.Errorf("reply to w%d is %q", i, got)
 		}
 	}
 }
 
-// TestClientGoneWhilePaused: a client that sends more commands than are read at a time, and goes, is noticed to be
-// gone: what waits for it is not sent on.
+// TestClientGoneWhilePaused checks that a disconnect is detected while reading from the client is paused, because it
+// has sent more commands than are read at a time. Its waiting commands are not sent to the disk server.
 func TestClientGoneWhilePaused(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
@@ -142,7 +142,7 @@
 		all = append(all, encodeCommand(readCommand(fmt.Sprint("a", i), 390000)...)...)
 	}
 	c.sendBytes(all)
-	bed.eventually("the pause", func() (ok bool) {
+	bed.eventually("a paused client with buffered commands", func() (ok bool) {
 		bed.onLoop(func() {
 			for x := range bed.scheduler.clients {
 				ok = x.paused && x.conn.BufferedBytes() > 0
@@ -151,30 +151,30 @@
 		return ok
 	})
 	sent := 0
-	bed.eventually("what may leave", func() bool {
+	bed.eventually("the arrival of all dispatches", func() bool {
 		bed.onLoop(func() { sent = bed.scheduler.tracker.Counts.Dispatches })
 		return sent > 0 && len(bed.disks[0].Commands()) == sent
 	})
 	c.disconnect()
-	bed.eventuallyOnLoop("the client to be gone", func() bool {
+	bed.eventuallyOnLoop("the end of the client and its ops", func() bool {
 		return len(bed.scheduler.clients) == 0 && bed.scheduler.tracker.Unanswered() == 0
 	})
 	if n := len(bed.disks[0].Commands()); n != sent {
-		t.Errorf("%d have reached the disk server, %d before the leave", n, sent)
+		t.Errorf("%d commands have reached the disk server, %d of them before the disconnect", n, sent)
 	}
 }
 
-// processPauseCase is a client that goes during a hold-up.
+// processPauseCase is a client that disconnects during a process pause.
 type processPauseCase struct {
-	split  bool          // half of its command comes before the hold-up
-	behind string        // what it sends behind its command
-	delay  time.Duration // of the module's dispatch
-	fresh  bool          // its command, or the rest of it, comes during the hold-up
-	gate   bool          // the connection to the disk server opens then
+	split  bool          // half of the command is received before the pause
+	behind string        // sent after the command
+	delay  time.Duration // delay of the dispatch by the module
+	fresh  bool          // the command, or the rest of it, is sent during the pause
+	gate   bool          // the connection to the disk server opens during the pause
 }
 
-// TestClientGoneDuringProcessPause: a client goes while the scheduler is held up for 0.15 s, in the middle of a round of the
-// loop: nothing is sent for it after that, be it a first attempt or a retry.
+// TestClientGoneDuringProcessPause checks that no attempt is sent for a client that disconnects while the process is
+// paused for 0.15 s within an iteration of the loop. This applies to a first attempt as well as to a retry.
 func TestClientGoneDuringProcessPause(t *testing.T) {
 	var pings []byte
 	for i := range 2 * maxPending {
@@ -183,14 +183,14 @@
 	quit := string(encodeCommand("QUIT"))
 	const delay = 100 * time.Millisecond
 	cases := map[string]processPauseCase{
-		"fresh command":           {fresh: true},
-		"behind half a line":      {split: true, fresh: true},
-		"a timer":                 {delay: delay},
-		"a timer, QUIT":           {delay: delay, behind: quit},
-		"a timer, protocol error": {delay: delay, behind: "no command\r\n"},
-		"a timer, many":           {delay: delay, behind: string(pings)},
-		"a connect":               {gate: true},
-		"a connect, QUIT":         {gate: true, behind: quit},
+		"command":                     {fresh: true},
+		"rest of command":             {split: true, fresh: true},
+		"timer":                       {delay: delay},
+		"timer and QUIT":              {delay: delay, behind: quit},
+		"timer and protocol error":    {delay: delay, behind: "no command\r\n"},
+		"timer and many PINGs":        {delay: delay, behind: string(pings)},
+		"connection opens":            {gate: true},
+		"connection opens after QUIT": {gate: true, behind: quit},
 	}
 	for name, x := range cases {
 		t.Run(name+" close", func(t *testing.T) { x.run(t, (*testClient).disconnect) })
@@ -198,7 +198,7 @@
 	}
 }
 
-// run has a client leave during a hold-up and checks that its op does not arrive.
+// run disconnects a client during a process pause and checks that its op does not arrive.
 func (x processPauseCase) run(t *testing.T, leave func(*testClient)) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	openGate := func() {}
@@ -209,7 +209,7 @@
 	bed.useModule(singleServerModule{"s-0"})
 	c := bed.dialClient()
 	c.do("PING")
-	if !x.gate { // there is a connection that has been idle for long enough
+	if !x.gate { // opens a connection that is idle for long enough to be reused
 		bed.dialClient().doRead("warm", 9000)
 		time.Sleep(2 * reuseDelay)
 	}
@@ -221,7 +221,7 @@
 	}
 	if !x.fresh {
 		c.sendBytes(append(op, x.behind...))
-		bed.eventuallyOnLoop("the command", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
+		bed.eventuallyOnLoop("the admission of the op", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
 	}
 	bed.onLoop(func() {
 		openGate()
@@ -231,25 +231,26 @@
 		leave(c)
 		time.Sleep(maxProcessPause)
 	})
-	bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
+	bed.eventuallyOnLoop("the end of the op", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
 	if x.gate {
 		bed.awaitServerConn()
 	}
 	time.Sleep(2 * x.delay)
 	for _, id := range receivedIDs(bed.disks[0]) {
 		if id != "warm" {
-			t.Errorf("%s has reached the disk server", id)
+			t.Errorf("op %s has reached the disk server", id)
 		}
 	}
 }
 
-// holdsUnacked reports whether the system has all bytes of the only command in flight, and the disk server's has not.
+// holdsUnacked reports whether the kernel has taken all bytes of the only command in flight, and the kernel of the disk
+// server has not acknowledged all of them.
 func (sc *serverConn) holdsUnacked() bool {
 	return sc.connected && len(sc.inFlight) == 1 && sc.conn.UnsentBytes() == 0 && sc.conn.UnackedBytes() > 0
 }
 
-// TestClientGoneBeforeServerReads: what a disk server's system has not taken when a client goes, or its time is over,
-// never arrives, also once the server reads on.
+// TestClientGoneBeforeServerReads checks that a command never arrives if the kernel of the disk server has not taken it
+// by the time at which the client disconnects or the op times out, even if the server reads again later.
 func TestClientGoneBeforeServerReads(t *testing.T) {
 	bed := newTestbed(t, 1, withSlowConnect)
 	gate := bed.moveBehindGate(0)
@@ -259,29 +260,29 @@
 	for i, ms := range []int{9000, 300} {
 		c := bed.dialClient()
 		c.sendWrite(fmt.Sprint("w", i), ms, body)
-		bed.eventuallyOnLoop("all bytes to leave", func() bool {
+		bed.eventuallyOnLoop("a written command that is not acknowledged", func() bool {
 			return slices.ContainsFunc(bed.scheduler.servers["s-0"].conns, (*serverConn).holdsUnacked)
 		})
 		if ms > 300 {
 			c.disconnect()
 		}
-		bed.eventuallyOnLoop("the end", func() bool {
+		bed.eventuallyOnLoop("the end of the op", func() bool {
 			return bed.scheduler.tracker.Unanswered() == 0 && bed.scheduler.tracker.Outstanding() == 0
 		})
 	}
 	gate.forwardBytes()
 	time.Sleep(100 * time.Millisecond)
 	if ids := receivedIDs(bed.disks[0]); len(ids) > 0 {
-		t.Errorf("%v have reached the disk server", ids)
+		t.Errorf("ops %v have reached the disk server", ids)
 	}
 }
 
-// TestRequestCrossesClose: whatever closes a client's connection, a request that crosses the close is not read, so that
-// its client may send it again, and the replies before come whole.
+// TestRequestCrossesClose checks that a request that is sent while the scheduler closes the connection is not read, so
+// that the client may send it again, and that the replies to earlier requests are complete.
 func TestRequestCrossesClose(t *testing.T) {
 	value := valueOf("a")
 	for name, x := range map[string]struct {
-		behind string // sent behind an op whose answer is delayed
+		behind string // sent after an op whose answer is delayed
 		want   []string
 	}{
 		"quit":           {string(encodeCommand("QUIT")), []string{value, "OK"}},
@@ -298,17 +299,17 @@
 			c.lastActivity -= 2 * maxIdle
 			s.evictIdleClient()
 		},
-		"intake closed": func(_ *Scheduler, c *client) { c.closeWhenAnswered() },
+		"admission closed": func(_ *Scheduler, c *client) { c.closeWhenAnswered() },
 	} {
 		t.Run(name, func(t *testing.T) { checkCloseByScheduler(t, end) })
 	}
 }
 
-// checkCloseByClientInput checks a request that crosses a close which the client's own input causes, with the replies
-// expected before.
+// checkCloseByClientInput checks a request that is sent while the connection closes because of earlier input. That
+// input is an op followed by behind, and gets the given replies.
 func checkCloseByClientInput(t *testing.T, behind string, replies []string) {
 	bed, c := newCrossingTestbed(t, behind)
-	bed.eventuallyOnLoop("the end", func() bool {
+	bed.eventuallyOnLoop("the start of the close", func() bool {
 		serverSide := bed.client()
 		return serverSide != nil && serverSide.closing
 	})
@@ -316,33 +317,34 @@
 	c.sendRead("late", 9000)
 	for _, want := range append(replies, "closed") {
 		if got := c.readReply(3 * time.Second); got != want {
-			t.Errorf("%q, expected %q", got, want)
+			t.Errorf("reply is %q, expected %q", got, want)
 		}
 	}
-	answer := int64(len(valueOf("a")) + 32) // of the disk server, at most
+	answer := int64(len(valueOf("a")) + 32) // upper bound of the disk server's answer
 	if n := bed.bytesIn() - bytesIn; n > answer {
-		t.Errorf("%d bytes have been read", n)
+		t.Errorf("%d bytes were read after the close, more than an answer of the disk server", n)
 	}
 	bed.checkReceived("[a]")
 }
 
-// checkCloseByScheduler checks a request that crosses a close by the scheduler, on the loop, once the op is answered.
+// checkCloseByScheduler checks a request that is sent while the scheduler closes the connection with end, which is
+// called on the loop after the op is answered.
 func checkCloseByScheduler(t *testing.T, end func(*Scheduler, *client)) {
 	bed, c := newCrossingTestbed(t, "")
 	if got := c.readReply(3 * time.Second); got != valueOf("a") {
-		t.Fatalf("%q", got)
+		t.Fatalf("reply is %q", got)
 	}
 	bed.onLoop(func() { end(bed.scheduler, bed.client()) })
 	bytesIn := bed.bytesIn()
 	c.sendRead("late", 9000)
 	if n := bed.bytesIn() - bytesIn; n > 0 {
-		t.Errorf("%d bytes have been read", n)
+		t.Errorf("%d bytes were read after the close, expected none", n)
 	}
 	bed.checkReceived("[a]")
 }
 
-// newCrossingTestbed starts a scheduler with one client, which has sent an op whose answer is delayed, and bytes behind
-// it.
+// newCrossingTestbed starts a scheduler with one client, which has sent an op whose answer is delayed, followed by the
+// bytes in behind.
 func newCrossingTestbed(t *testing.T, behind string) (*testbed, *testClient) {
 	t.Helper()
 	bed := newTestbed(t, 1)
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -16,36 +16,36 @@
 	"honeyplank/resp"
 )
 
-// TestUnreadAnswers: a client that sends all commands it may and reads nothing meanwhile gets every reply, whole and
-// in order, once it reads; until then no more is taken from it than the bounds allow.
+// TestUnreadAnswers checks that a client that sends many commands before it reads any reply receives all replies
+// completely and in order. Until it reads, the scheduler reads no more of its input than the limits allow.
 func TestUnreadAnswers(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.useModule(singleServerModule{"s-0"})
 	large := strings.Repeat("v", maxBody-8)
 	bed.disks[0].SetFaults(fakeresp.Faults{Value: large})
 	c := bed.dialClient()
-	const n = 4 * maxPending // of 64 KB each: more than the system holds on its way
+	const n = 4 * maxPending // replies of 64 KB each, more than the socket buffers hold
 	go func() {
 		for i := range n {
 			if _, err := c.Write(encodeCommand(readCommand(fmt.Sprint("a", i), 9000)...)); err != nil {
-				return // the replies that are missing fail the test
+				return // missing replies fail the test
 			}
 		}
 	}()
-	bed.eventuallyOnLoop("a full connection", func() bool {
+	bed.eventuallyOnLoop("a paused connection with unsent replies", func() bool {
 		serverSide := bed.client()
 		if serverSide == nil {
 			return false
 		}
 		if backlog := serverSide.replyBacklog(); backlog > maxReplyBacklog+2*maxBody {
-			t.Errorf("%d bytes of replies are due", backlog)
+			t.Errorf("the reply backlog of %d bytes exceeds its limit", backlog)
 		}
 		return serverSide.conn.UnsentBytes() > 0 && len(serverSide.pending) == 0 && serverSide.paused
 	})
 	c.expectValues(n, large, 3*time.Second)
 }
 
-// TestEvictionSparesUnread: a connection with a request that is not read yet is not closed for another, nor as idle.
+// TestEvictionSparesUnread checks that a connection with an unread request is neither evicted nor closed as idle.
 func TestEvictionSparesUnread(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c, other := bed.dialClient(), bed.dialClient()
@@ -55,7 +55,7 @@
 			t.Fatal(got)
 		}
 	}
-	bed.onLoop(func() { // the loop reads nothing before this ends
+	bed.onLoop(func() { // the loop reads no input before this function returns
 		for x := range bed.scheduler.clients {
 			x.lastActivity = bed.scheduler.loop.Now() - 2*maxIdle
 		}
@@ -67,22 +67,22 @@
 		}
 	})
 	if got := c.readReply(time.Second); got != valueOf("second") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	if got := other.readReply(time.Second); got != "closed" {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 }
 
-// TestIdleWithPartialCommand: a client that has sent ops and writes its next command slowly is not closed as idle in
-// the middle of it.
+// TestIdleWithPartialCommand checks that the connection of a client that has sent ops is not closed as idle while the
+// client slowly sends its next command.
 func TestIdleWithPartialCommand(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
 	c.doRead("first", 390)
 	text := encodeCommand(readCommand("second", 390)...)
 	c.sendBytes(text[:20])
-	bed.eventually("a half command", func() (ok bool) {
+	bed.eventually("an incomplete command", func() (ok bool) {
 		bed.onLoop(func() {
 			for x := range bed.scheduler.clients {
 				ok = x.commandStarted > 0
@@ -100,16 +100,16 @@
 	})
 	c.sendBytes(text[20:])
 	if got := c.readReply(time.Second); got != valueOf("second") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 }
 
-// expectValues reads n replies, each within a time, and checks that each is the value.
+// expectValues reads n replies, each within the given time, and checks that each is the value.
 func (c *testClient) expectValues(n int, value string, within time.Duration) {
 	c.t.Helper()
 	for i := range n {
 		if got := c.readReply(within); got != value {
-			c.t.Fatalf("answer %d has %d bytes: %.20q", i, len(got), got)
+			c.t.Fatalf("reply %d of %d bytes is not the value: %.20q", i, len(got), got)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestProtocolErrorBehindUnread: where input that does not follow the protocol comes behind replies that the client
-// has not read yet, more than the system buffers, these arrive whole before the error.
+// TestProtocolErrorBehindUnread checks that a client that violates the protocol receives all earlier replies completely
+// before the error, even if it has not read them yet and they are larger than the socket buffers.
 func TestProtocolErrorBehindUnread(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient(4096)
@@ -134,19 +134,19 @@
 			x.appendValues(n, large)
 			x.protocolError(&resp.ProtocolError{Reason: "forced"})
 			if x.conn.UnsentBytes() == 0 {
-				t.Error("the system holds all of it")
+				t.Error("the socket buffers hold all replies")
 			}
 		}
 	})
 	c.expectValues(n, large, time.Second)
 	for _, want := range []string{"-ERR Protocol error: forced", "closed"} {
 		if got := c.readReply(2 * time.Second); got != want {
-			t.Errorf("%q, expected %q", got, want)
+			t.Errorf("reply is %q, expected %q", got, want)
 		}
 	}
 }
 
-// sendUnreadPings sends large PINGs and reads no reply, until the connection ends.
+// sendUnreadPings sends large PINGs without reading a reply, until the connection fails.
 func (c *testClient) sendUnreadPings() {
 	command := encodeCommand("PING", strings.Repeat("v", maxBody))
 	for {
@@ -156,8 +156,8 @@
 	}
 }
 
-// pausedClients counts, on the loop, the clients that do not read their replies and whose input is not read any more
-// for that reason: one that is only throttled is read again by itself.
+// pausedClients returns the number of clients whose input is no longer read because they do not read their replies.
+// Clients that are only throttled do not count, since reading from them resumes after a time. It is called on the loop.
 func (bed *testbed) pausedClients() (n int) {
 	for c := range bed.scheduler.clients {
 		unread := c.replyBacklog() >= maxReplyBacklog/2 && !c.throttled
@@ -168,35 +168,36 @@
 	return n
 }
 
-// ageClients makes all clients appear idle for a time. It is called on the loop.
+// ageClients makes all clients appear to have been idle for the given time. It is called on the loop.
 func (bed *testbed) ageClients(idle time.Duration) {
 	for c := range bed.scheduler.clients {
 		c.lastActivity = bed.scheduler.loop.Now() - idle
 	}
 }
 
-// TestNonReadingClientsEvicted: clients that never sent an op, send commands and read no replies hold no descriptors: one is
-// evicted for another at once, and the rest are closed in time.
+// TestNonReadingClientsEvicted checks that clients that send commands but no op and read no replies cannot hold
+// descriptors: one of them is evicted immediately for another client, and the others are closed after a timeout.
 func TestNonReadingClientsEvicted(t *testing.T) {
 	bed := newTestbed(t, 1)
 	for i := range 2 {
 		go bed.dialClient(4096).sendUnreadPings()
-		bed.eventuallyOnLoop("a connection of which no more is read", func() bool { return bed.pausedClients() == i+1 })
+		bed.eventuallyOnLoop("a paused connection", func() bool { return bed.pausedClients() == i+1 })
 	}
 	bed.onLoop(func() {
 		bed.ageClients(commandTimeout + time.Millisecond)
 		if !bed.scheduler.evictIdleClient() || len(bed.scheduler.clients) != 1 {
-			t.Errorf("none is evicted: %d are left", len(bed.scheduler.clients))
+			t.Errorf("%d clients left after an eviction, expected 1", len(bed.scheduler.clients))
 		}
 		bed.ageClients(commandTimeout + time.Millisecond)
 		bed.scheduler.checkClients()
 		if len(bed.scheduler.clients) != 0 {
-			t.Errorf("%d are left", len(bed.scheduler.clients))
+			t.Errorf("%d clients left after the timeout, expected none", len(bed.scheduler.clients))
 		}
 	})
 }
 
-// TestQuitBehindUnread: a client that quits and takes more than a second to begin reading gets all replies.
+// TestQuitBehindUnread checks that a client that sends QUIT and reads nothing for more than a second receives all
+// replies.
 func TestQuitBehindUnread(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient(4096)
@@ -207,10 +208,10 @@
 	bed.onLoop(func() {
 		for x := range bed.scheduler.clients {
 			x.appendValues(n, large)
-			x.closing = true // as after QUIT: no timeout of an idle connection applies any more
+			x.closing = true // as after QUIT: the timeouts of an idle connection no longer apply
 			x.conn.CloseGracefully()
 			if x.conn.UnsentBytes() == 0 {
-				t.Error("the system holds all of it")
+				t.Error("the socket buffers hold all replies")
 			}
 		}
 		bed.scheduler.loop.Schedule(bed.scheduler.loop.Now()+1200*time.Millisecond, func() { close(closing) })
@@ -218,11 +219,12 @@
 	<-closing
 	c.expectValues(n, large, time.Second)
 	if got := c.readReply(time.Second); got != "closed" {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 }
 
-// TestNoDescriptors: a client that connects while the process has no descriptor left is served once there is one.
+// TestNoDescriptors checks that a client that connects while the process has no free descriptor is served once there is
+// one.
 func TestNoDescriptors(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
@@ -234,7 +236,7 @@
 	unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: 3})
 	to := netip.MustParseAddrPort(bed.scheduler.Address())
 	var taken []int
-	bed.onLoop(func() { // the listener is looked at once this ends
+	bed.onLoop(func() { // the loop polls the listener after this function returns
 		for {
 			x, err := unix.Dup(fd)
 			if err != nil {
@@ -245,10 +247,10 @@
 		err = unix.Connect(fd, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()})
 	})
 	rounds := bed.scheduler.loop.Stats.EpollWaits.Load()
-	bed.eventually("another round", func() bool { return bed.scheduler.loop.Stats.EpollWaits.Load() > rounds+1 })
+	bed.eventually("another loop iteration", func() bool { return bed.scheduler.loop.Stats.EpollWaits.Load() > rounds+1 })
 	bed.onLoop(func() {
 		if len(bed.scheduler.clients) > 0 {
-			t.Error("it has been accepted")
+			t.Error("the connection was accepted without a free descriptor")
 		}
 		for _, x := range taken {
 			unix.Close(x)
@@ -264,7 +266,7 @@
 	}
 }
 
-// openIdleConns opens n connections, as far as the scheduler accepts them. Every other one sends PING, others
+// openIdleConns tries to open n connections and ignores those that fail. Every second one sends PING, the others send
 // nothing.
 func (bed *testbed) openIdleConns(n int) {
 	bed.t.Helper()
@@ -275,14 +277,14 @@
 		}
 		bed.t.Cleanup(func() { _ = conn.Close() }) // the scheduler may have closed it
 		if i%2 == 0 {
-			_, _ = conn.Write(encodeCommand("PING")) // likewise
+			_, _ = conn.Write(encodeCommand("PING")) // the scheduler may have closed it
 		}
 	}
 }
 
-// TestManyIdleConns: connections that send nothing, or nothing but PING, more than there are descriptors for, keep nobody
-// else from being served and take no connection from clients that send ops, also during the shutdown; hundreds of
-// commands at once all get their replies, in order.
+// TestManyIdleConns checks that more connections without ops than there are descriptors neither prevent other clients
+// from being served nor displace clients that send ops, also during a shutdown. Hundreds of commands sent at once all
+// get their replies, in order.
 func TestManyIdleConns(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
@@ -302,23 +304,23 @@
 	var open int
 	bed.onLoop(func() { open = bed.scheduler.clientConnCount })
 	if open > bed.scheduler.descriptorQuota(clientDescriptorShare) {
-		t.Errorf("%d connections of clients", open)
+		t.Errorf("%d client connections are open, more than their share of the descriptors", open)
 	}
 	go func() {
 		for i := range 500 {
 			if _, err := c.Write(encodeCommand("PING", strconv.Itoa(i))); err != nil {
-				return // the replies that are missing fail the test
+				return // missing replies fail the test
 			}
 		}
 	}()
 	for i := range 500 {
 		if got := c.readReply(2 * time.Second); got != strconv.Itoa(i) {
-			t.Fatalf("answer %d is %q", i, got)
+			t.Fatalf("reply %d is %q", i, got)
 		}
 	}
 }
 
-// TestNoLeaks: after many short-lived clients and servers nothing is left of them.
+// TestNoLeaks checks that the state and goroutines of many short-lived clients and disk servers are released.
 func TestNoLeaks(t *testing.T) {
 	bed := newTestbed(t, 1)
 	before := runtime.NumGoroutine()
@@ -332,7 +334,7 @@
 		member.Phase = "removed"
 		bed.discovery.Change(member)
 	}
-	bed.eventuallyOnLoop("the end of all", func() bool {
+	bed.eventuallyOnLoop("the release of all clients and servers", func() bool {
 		s := bed.scheduler
 		return len(s.servers) == 1 && len(s.clients) == 0 && s.clientConnCount == 0 && s.tracker.Outstanding() == 0
 	})
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -11,8 +11,8 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestQuitBehindOthers: commands before QUIT get their replies before it, then the connection ends; what comes behind
-// it is not read.
+// TestQuitBehindOthers checks that commands before QUIT get their replies first, that the connection closes after the
+// reply to QUIT, and that commands after QUIT are not read.
 func TestQuitBehindOthers(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
@@ -24,14 +24,14 @@
 	c.sendBytes(all)
 	for _, want := range []string{valueOf("a"), "OK", "closed"} {
 		if got := c.readReply(time.Second); got != want {
-			t.Errorf("%q, expected %q", got, want)
+			t.Errorf("reply is %q, expected %q", got, want)
 		}
 	}
 	bed.checkReceived("[a]")
 }
 
-// TestCommandForwarding: a command reaches the server that holds its data as it came, but for the timeout, and the value that was
-// made for it comes back.
+// TestCommandForwarding checks that a command reaches the disk server of its cell unchanged except for its timeout, and
+// that the client receives the value of its own op.
 func TestCommandForwarding(t *testing.T) {
 	bed := newTestbed(t, 2)
 	c := bed.dialClient()
@@ -41,7 +41,7 @@
 	for i, cell := range []int{0, 1, 1, 0} {
 		id := fmt.Sprintf("read%d", i)
 		if got, want := c.do("BLK.READ", objectKey, id, opOptions("read", 390, cell)), valueOf(id); got != want {
-			t.Fatalf("%q, expected %q", got, want)
+			t.Fatalf("reply is %q, expected %q", got, want)
 		}
 	}
 	body := strings.Repeat("\r\n*\x00", 16<<10)
@@ -50,13 +50,13 @@
 	}
 	all := append(bed.disks[0].Commands(), bed.disks[1].Commands()...)
 	if len(all) != 5 || len(bed.disks[0].Commands()) < 2 || len(bed.disks[1].Commands()) < 2 {
-		t.Fatalf("%d commands", len(all))
+		t.Fatalf("%d commands have reached the disk servers, expected 5, at least 2 on each", len(all))
 	}
 	for _, command := range all {
 		if command.Name == "BLK.WRITE" {
 			checkForwarded(t, command, "write", 600)
 			if string(command.Body) != body {
-				t.Error("the body has changed")
+				t.Error("the body was changed on its way to the disk server")
 			}
 		} else {
 			checkForwarded(t, command, "read", 390)
@@ -64,22 +64,23 @@
 	}
 }
 
-// checkForwarded checks that a command has reached a disk server as it came, but for the timeout, which may be shorter.
+// checkForwarded checks that a command has reached a disk server unchanged except for its timeout, which may be
+// shorter.
 func checkForwarded(t *testing.T, command fakeresp.Command, class string, timeoutMS int) {
 	t.Helper()
 	timeout := regexp.MustCompile(`,d=(\d+),`)
 	ms, err := strconv.Atoi(timeout.FindStringSubmatch(command.Attributes)[1])
 	if err != nil || ms > timeoutMS || ms < timeoutMS-200 || command.Piece != objectKey {
-		t.Errorf("%+v", command)
+		t.Errorf("unexpected key or timeout in command %+v", command)
 	}
 	cell := command.Attributes[strings.Index(command.Attributes, "shard="):]
 	want := "c=" + class + ",t=gold,d=9,volume=00000003b4d60021,units=2," + cell
 	if !strings.HasPrefix(timeout.ReplaceAllString(command.Attributes, ",d=9,"), want) {
-		t.Errorf("%s", command.Attributes)
+		t.Errorf("unexpected options %s", command.Attributes)
 	}
 }
 
-// TestOtherCommands: commands that are no ops get the replies of the protocol.
+// TestOtherCommands checks the replies to commands that are not ops.
 func TestOtherCommands(t *testing.T) {
 	c := newTestbed(t, 1).dialClient()
 	for _, x := range []struct{ command, want string }{
@@ -95,13 +96,14 @@
 	} {
 		t.Run(x.command, func(t *testing.T) {
 			if got := c.do(strings.Fields(x.command)...); got != x.want {
-				t.Errorf("%q, expected %q", got, x.want)
+				t.Errorf("reply is %q, expected %q", got, x.want)
 			}
 		})
 	}
 }
 
-// TestCommandErrors: a command that cannot be used gets an error, reaches no disk server, and the connection goes on.
+// TestCommandErrors checks that a malformed command gets an error and reaches no disk server, and that the connection
+// stays usable.
 func TestCommandErrors(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
@@ -135,7 +137,7 @@
 	} {
 		t.Run(x.want, func(t *testing.T) {
 			if got := c.do(x.args...); !strings.HasPrefix(got, "-ERR ") || !strings.Contains(got, x.want) {
-				t.Errorf("%q: %q, expected %q", x.args, got, x.want)
+				t.Errorf("reply to %q is %q, expected an error with %q", x.args, got, x.want)
 			}
 		})
 	}
@@ -143,17 +145,18 @@
 		t.Error(got)
 	}
 	if n := len(bed.disks[0].Commands()); n != 1 {
-		t.Errorf("%d commands have reached the disk server", n)
+		t.Errorf("%d commands have reached the disk server, expected 1", n)
 	}
 }
 
-// TestDuplicateID: the id of an open request is rejected on any connection, and the open request is served.
+// TestDuplicateID checks that an op with the id of an unanswered op is rejected on any connection, and that the first
+// op is served.
 func TestDuplicateID(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 	one, other := bed.dialClient(), bed.dialClient()
 	one.sendRead("same", 390)
-	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 1 })
+	bed.eventually("the arrival of the command", func() bool { return len(bed.disks[0].Commands()) == 1 })
 	if got := other.doRead("same", 390); got != "-ERR the id is that of an open request" {
 		t.Error(got)
 	}
@@ -162,8 +165,8 @@
 	}
 }
 
-// TestProtocolErrors: input that does not follow the protocol gets an error and a close, at once; half a command, or
-// none, gets a close in time.
+// TestProtocolErrors checks that a connection with input that violates the protocol gets an error and is closed
+// immediately, and that a connection with an incomplete command, or with none, is closed after a timeout.
 func TestProtocolErrors(t *testing.T) {
 	bed := newTestbed(t, 1)
 	for _, text := range []string{
@@ -182,10 +185,10 @@
 		_, _ = c.Write([]byte(text)) // the scheduler may close before it has read all
 		got := c.readReply(3 * time.Second)
 		if got != "closed" && !strings.HasPrefix(got, "-ERR Protocol error") {
-			t.Errorf("%.40q: %q", text, got)
+			t.Errorf("reply to %.40q is %q, expected a protocol error", text, got)
 		}
 		if got != "closed" && c.readReply(3*time.Second) != "closed" || time.Since(start) > time.Second {
-			t.Errorf("%.40q: the connection goes on for %v", text, time.Since(start))
+			t.Errorf("the connection with input %.40q was open for %v", text, time.Since(start))
 		}
 	}
 	for _, text := range []string{"", "*4\r\n$8\r\nBLK.READ\r\n$16\r\n7f3a"} {
@@ -195,16 +198,16 @@
 		for c.readReply(4*time.Second) != "closed" {
 		}
 		if took := time.Since(start); took > 2800*time.Millisecond {
-			t.Errorf("%q: closed after %v", text, took)
+			t.Errorf("the connection with input %q was closed after %v", text, took)
 		}
 	}
 	if len(bed.disks[0].Commands()) != 0 {
-		t.Error("something has reached the disk server")
+		t.Error("a command has reached the disk server")
 	}
 }
 
-// TestRepliesBeforeProtocolError: commands before input that does not follow the protocol get their replies, in order,
-// then comes the error.
+// TestRepliesBeforeProtocolError checks that commands before input that violates the protocol get their replies in
+// order, followed by the error.
 func TestRepliesBeforeProtocolError(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 40 * time.Millisecond})
@@ -214,7 +217,7 @@
 	c.sendBytes([]byte("rubbish\r\n"))
 	for _, want := range []string{valueOf("a"), "PONG", "-ERR Protocol error: expected '*', got 'r'", "closed"} {
 		if got := c.readReply(2 * time.Second); got != want {
-			t.Errorf("%q, expected %q", got, want)
+			t.Errorf("reply is %q, expected %q", got, want)
 		}
 	}
 }
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestListForms: a list that comes byte by byte, on many lines, is applied while the watch stays open.
+// TestListForms checks that a list that is received byte by byte, or on many lines, is applied while the watch stays
+// open.
 func TestListForms(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure)
@@ -20,17 +21,17 @@
 	call.sendChunk(deltaJSON(8, bed.member(1, "up")) + listJSON(9, false, manyLines, bed.member(0, "removed")))
 	bed.eventually("both changes", func() bool { return bed.hasServer("s-1") && !bed.hasServer("s-0") })
 	if len(discovery.calls) > 0 {
-		t.Error("another watch has been opened")
+		t.Error("another watch was started")
 	}
 }
 
-// TestSilentWatch: a watch that falls silent, at once or in the middle of a message, is repeated, and a call that is
-// never answered is given up: what was missed is received within the time that counts.
+// TestSilentWatch checks that a watch without data is retried, also if the data stops within a message, and that a call
+// without a response is cancelled. The changes made meanwhile are received within notifiedWithin.
 func TestSilentWatch(t *testing.T) {
 	for name, f := range map[string]func(call *discoveryCall){
-		"no head": func(*discoveryCall) {},
-		"silent":  func(call *discoveryCall) { call.sendHeader() },
-		"trickle": func(call *discoveryCall) {
+		"no header": func(*discoveryCall) {},
+		"no data":   func(call *discoveryCall) { call.sendHeader() },
+		"incomplete message": func(call *discoveryCall) {
 			call.sendHeader()
 			call.sendChunk(`{"revision":7,"members":[`)
 			for range 100 {
@@ -45,20 +46,20 @@
 			bed := newTestbed(t, 2, discovery.configure)
 			start := time.Now()
 			go f(discovery.nextCall(t, time.Second))
-			discovery.nextCall(t, 5*time.Second) // hangs
+			discovery.nextCall(t, 5*time.Second) // gets no response
 			call := discovery.nextCall(t, 2*time.Second)
 			call.sendHeader()
 			call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 			bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 			if took := time.Since(start); took > 5500*time.Millisecond {
-				t.Errorf("received after %v", took)
+				t.Errorf("the change was received after %v", took)
 			}
 		})
 	}
 }
 
-// TestResetWithinList: a response without a length that is reset, or ends, within a list changes nothing, and the next
-// call continues from the last message.
+// TestResetWithinList checks that an incomplete list is not applied if a response without a length is reset or ends
+// within it, and that the next call continues after the last complete message.
 func TestResetWithinList(t *testing.T) {
 	for name, end := range map[string]func(call *discoveryCall){
 		"reset": func(call *discoveryCall) { call.closeWithLinger(0) },
@@ -75,17 +76,17 @@
 			end(call)
 			call = discovery.nextCall(t, time.Second)
 			if call.path != "/discovery/hosts?stream=1&index=6" || !bed.hasServer("s-1") {
-				t.Errorf("%s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
+				t.Errorf("call to %s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
 			}
 			call.sendHeader()
 			call.sendChunk(whole)
-			bed.eventually("the whole list", func() bool { return !bed.hasServer("s-1") })
+			bed.eventually("the complete list", func() bool { return !bed.hasServer("s-1") })
 		})
 	}
 }
 
-// TestTruncatedFetch: a complete list that was fetched and is cut changes nothing, nor does one that ends with a reset,
-// which is no regular end.
+// TestTruncatedFetch checks that a fetched list is not applied if it is truncated or if its connection ends with a
+// reset.
 func TestTruncatedFetch(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	for _, x := range []struct {
@@ -103,13 +104,13 @@
 			call.sendUnbounded(text[:len(text)-x.cut])
 			call.closeWithLinger(x.linger)
 			if got := <-received; got != x.want {
-				t.Errorf("%+v: the list is received: %v", x, got)
+				t.Errorf("%+v: the list is accepted: %v", x, got)
 			}
 		})
 	}
 }
 
-// TestOlderList: a discovery that lags behind the one before brings back no server that was removed.
+// TestOlderList checks that a discovery with an older list than the previous one does not add a removed server again.
 func TestOlderList(t *testing.T) {
 	one, other := newScriptedDiscovery(t), newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, one.configure)
@@ -122,22 +123,22 @@
 	call = other.nextCall(t, time.Second)
 	call.sendHeader()
 	call.sendChunk(listJSON(8, true, oneLine, bed.member(0, "up"), bed.member(1, "up")))
-	call = other.nextCall(t, time.Second) // retries at once, for what is newer
+	call = other.nextCall(t, time.Second) // retries immediately, for newer revisions
 	if call.path != "/discovery/hosts?stream=1&index=9" || bed.hasServer("s-1") {
-		t.Errorf("%s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
+		t.Errorf("call to %s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
 	}
 	call.sendHeader()
 	call.sendChunk(deltaJSON(10, bed.member(0, "removed")))
 	bed.eventually("the newer list", func() bool { return !bed.hasServer("s-0") })
 }
 
-// TestReloadDropsFormerWatch: a message of the former watch at the very moment of a reload is dropped, and the new
-// watch asks for it.
+// TestReloadDropsFormerWatch checks that a message that the previous watch receives during a reload is dropped, and that
+// the new watch requests it.
 func TestReloadDropsFormerWatch(t *testing.T) {
 	one, other := newScriptedDiscovery(t), newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, one.configure)
 	one.nextCall(t, time.Second).sendHeader()
-	bed.onLoop(func() { // a message has been read, and reaches the loop behind the switch
+	bed.onLoop(func() { // a message was received before the reload, and reaches the loop after it
 		ctx, cancel := context.WithCancel(context.Background())
 		late := bed.scheduler.listReceived(ctx, watchCall)
 		bed.scheduler.config.Discovery = other.address
@@ -148,24 +149,24 @@
 	})
 	call := other.nextCall(t, time.Second)
 	if call.path != "/discovery/hosts?stream=1&index=1" || !bed.hasServer("s-1") {
-		t.Errorf("%s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
+		t.Errorf("call to %s, s-1 is known: %v", call.path, bed.hasServer("s-1"))
 	}
-	// Nor does a whole list that was asked for before something newer came.
+	// A complete list that was requested before a newer one was received is dropped too.
 	bed.onLoop(func() { bed.scheduler.revisionGuard.revision = 9 })
 	bed.scheduler.listReceived(context.Background(), fetchCall)(&listMessage{Revision: 8, Complete: true}, nil)
 	if !bed.hasServer("s-1") || !bed.hasServer("s-0") {
-		t.Error("an older list is taken over")
+		t.Error("an older list is applied")
 	}
 	bed.onLoop(func() {
 		if bed.scheduler.revisionGuard.revision != 9 {
-			t.Errorf("revision %d", bed.scheduler.revisionGuard.revision)
+			t.Errorf("revision is %d, expected 9", bed.scheduler.revisionGuard.revision)
 		}
 	})
 }
 
-// TestRefusedCalls: a discovery that all instances share, and that refuses calls, is called ever less often, as the
-// module says: calls that all repeat at once would keep it from answering any. Once it answers, its list is received in
-// time.
+// TestRefusedCalls checks that a discovery that all instances share and that refuses calls is retried with a growing
+// delay, which the module determines. If all instances retried immediately, discovery could answer none of them. After
+// it answers again, its list is received in time.
 func TestRefusedCalls(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure, withWatchOnRequest(10000))
@@ -184,16 +185,16 @@
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
-// TestReloadWhileRefused: after SIGHUP the new address is called at once, also while a retry at the former one, which
-// refused calls, is due.
+// TestReloadWhileRefused checks that after SIGHUP the new address is called immediately, also if a retry is scheduled
+// because the previous address refused calls.
 func TestReloadWhileRefused(t *testing.T) {
 	one, other := newScriptedDiscovery(t), newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, one.configure, withWatchOnRequest(60000))
-	for range 4 { // by now the next is half a second away at least
+	for range 4 { // the next retry is then at least half a second away
 		call := one.nextCall(t, 3*time.Second)
 		call.sendUnavailable()
 	}
-	bed.eventuallyOnLoop("the wait", func() bool { return bed.scheduler.cancelWatch == nil })
+	bed.eventuallyOnLoop("the end of the watch", func() bool { return bed.scheduler.cancelWatch == nil })
 	bed.config["discovery"] = other.address
 	bed.reload()
 	call := other.nextCall(t, 400*time.Millisecond)
@@ -202,7 +203,8 @@
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
-// TestCallWaitsInQueue: where all instances share one discovery a call is not given up while it may wait in the queue.
+// TestCallWaitsInQueue checks that a call to a discovery that all instances share is not cancelled while it may still
+// wait in the queue there.
 func TestCallWaitsInQueue(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure, func(m map[string]any) {
@@ -211,8 +213,8 @@
 	call := discovery.nextCall(t, time.Second)
 	select {
 	case <-discovery.calls:
-		t.Error("it is given up")
-	case <-time.After(2 * time.Second): // as long as other sites have calls wait at most
+		t.Error("the call was cancelled")
+	case <-time.After(2 * time.Second): // the longest time for which other sites let calls wait
 	}
 	call.sendHeader()
 	call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestMessageReader: messages come out whole, however they come in; anything else is an error.
+// TestMessageReader checks that messages are returned completely for any size of the pieces in which they are received,
+// and that other input is an error.
 func TestMessageReader(t *testing.T) {
 	first, second := listJSON(41, true, manyLines), `{"revision":42,"members":[{"id":"a}]\"{\\"}]}`
 	text := "\n\n" + first + "\r\n" + second + second + "\n"
@@ -17,7 +18,7 @@
 		var r messageReader
 		got := feedPieces(t, &r, text, size)
 		if want := []string{strings.TrimSpace(first), second, second}; !slices.Equal(got, want) || r.depth != 0 {
-			t.Fatalf("in pieces of %d: %q", size, got)
+			t.Fatalf("messages in pieces of %d bytes: %q", size, got)
 		}
 	}
 	for text, want := range map[string]error{
@@ -35,7 +36,7 @@
 	}
 }
 
-// feedPieces gives a text in pieces of a size to a reader and returns the messages.
+// feedPieces passes a text to a reader in pieces of the given size and returns the messages.
 func feedPieces(t *testing.T, r *messageReader, text string, size int) (messages []string) {
 	t.Helper()
 	for text != "" {
@@ -52,27 +53,27 @@
 	return messages
 }
 
-// TestMessageReaderDeadline: what puts the deadline of a watch off, and what does not.
+// TestMessageReaderDeadline checks which input extends the deadline of a watch.
 func TestMessageReaderDeadline(t *testing.T) {
 	const s = time.Second
 	for name, x := range map[string]struct {
-		pieces []string // one a second, the first at 1 s
+		pieces []string // received one per second, the first after 1 s
 		want   time.Duration
 	}{
-		"nothing":              {nil, watchIdleTimeout},
-		"empty lines":          {[]string{"\n", "\n", "\n"}, 3*s + watchIdleTimeout},
-		"messages":             {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + watchIdleTimeout},
-		"half a message":       {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + watchIdleTimeout},
-		"lines inside one":     {[]string{"\n", "{\n", "\n", "\n"}, 2*s + watchIdleTimeout},
-		"a message in pieces":  {[]string{`{"a`, `":1}`}, 2*s + watchIdleTimeout},
-		"another half at once": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + watchIdleTimeout},
-		"no bytes":             {[]string{"\n", "", ""}, s + watchIdleTimeout},
+		"nothing":             {nil, watchIdleTimeout},
+		"empty lines":         {[]string{"\n", "\n", "\n"}, 3*s + watchIdleTimeout},
+		"messages":            {[]string{"{}\n", "\n", `{"a":[]}`}, 3*s + watchIdleTimeout},
+		"incomplete message":  {[]string{"\n", `{"a`, "b", "c", "d"}, 2*s + watchIdleTimeout},
+		"lines in a message":  {[]string{"\n", "{\n", "\n", "\n"}, 2*s + watchIdleTimeout},
+		"message in pieces":   {[]string{`{"a`, `":1}`}, 2*s + watchIdleTimeout},
+		"next one incomplete": {[]string{`{"a`, `":1}{"b`, "b", "b"}, 2*s + watchIdleTimeout},
+		"no bytes":            {[]string{"\n", "", ""}, s + watchIdleTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r messageReader
 			r.callStarted(0, headerTimeout)
 			if r.deadline != headerTimeout {
-				t.Errorf("%v for the head of a response", r.deadline)
+				t.Errorf("deadline of the response header is %v", r.deadline)
 			}
 			r.headerReceived(0)
 			for i, piece := range x.pieces {
@@ -81,19 +82,20 @@
 				}
 			}
 			if r.deadline != x.want {
-				t.Errorf("until %v, expected %v", r.deadline, x.want)
+				t.Errorf("deadline is %v, expected %v", r.deadline, x.want)
 			}
 		})
 	}
 }
 
-// TestNotifiedWithin: the limits of calls to discovery leave enough time to be notified of a change.
+// TestNotifiedWithin checks that the limits of calls to discovery leave enough time to be notified of a change.
 func TestNotifiedWithin(t *testing.T) {
-	// One silence, one call that hangs and one more that is answered fit into notifiedWithin.
+	// One watch without data, one call without a response and one more call fit into notifiedWithin.
 	if watchIdleTimeout+watchRetryDelay+headerTimeout+watchRetryDelay > 5*time.Second {
-		t.Error("a change is received too late after a silence")
+		t.Error("a change is received too late after a watch without data")
 	}
-	// So do, if the module decides when, a call that hangs, the longest backoff then, and the next call's turn.
+	// If the module decides when to retry, a call without a response, the longest backoff after it and the time in the
+	// queue of the next call fit into notifiedWithin.
 	text := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",` +
 		`"limits":{"memory_mb":64,"sockets":256},"settings":` +
 		strings.Replace(testSettings, `"rules":{`, `"rules":{"ask_within_ms":60000,`, 1) + "}"
@@ -103,11 +105,11 @@
 	}
 	within := config.Site.Settings.Watch.Within
 	if sharedHeaderTimeout+within/4+sharedHeaderTimeout*3/4 > notifiedWithin {
-		t.Errorf("lists are requested within %v", within)
+		t.Errorf("lists are requested within %v, which is too long", within)
 	}
 }
 
-// TestRevisionGuard: an older list is rejected, unless nothing newer comes for long.
+// TestRevisionGuard checks that an older list is rejected, unless only older ones are received for a long time.
 func TestRevisionGuard(t *testing.T) {
 	guard := revisionGuard{revision: 40}
 	for i, x := range []struct {
@@ -125,7 +127,7 @@
 		{7 + 2*oldListTimeout, 9, true},
 	} {
 		if got := guard.accept(x.at, &listMessage{Revision: x.revision}); got != x.want {
-			t.Errorf("%d: revision %d is accepted: %v", i, x.revision, got)
+			t.Errorf("step %d: revision %d is accepted: %v", i, x.revision, got)
 		}
 	}
 }
--- a/scheduler/replies_test.go
+++ b/scheduler/replies_test.go
@@ -12,8 +12,8 @@
 	"honeyplank/resp"
 )
 
-// TestHalfAnswer: an answer that is cut counts as none, and the op may have run; the next op goes on another
-// connection.
+// TestHalfAnswer checks that a truncated answer counts as none, so that the op may or may not have run, and that the
+// next op uses another connection.
 func TestHalfAnswer(t *testing.T) {
 	bed := newTestbed(t, 1)
 	codes := bed.recordOutcomes()
@@ -21,51 +21,51 @@
 	bed.disks[0].SetFaults(fakeresp.Faults{HalfAnswer: true})
 	c := bed.dialClient()
 	if got := c.doRead("a", 390); got != "-ERR failed" {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{})
 	if got := c.doRead("b", 390); got != valueOf("b") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	bed.onLoop(func() {
 		if fmt.Sprint(*codes) != fmt.Sprint([]honeyplank.Code{honeyplank.Reset, honeyplank.Succeeded}) {
-			t.Errorf("outcomes %v", *codes)
+			t.Errorf("unexpected outcomes %v", *codes)
 		}
 	})
 }
 
-// TestMalformedReplies: an answer that cannot be read, or is no value, is an error for its client; no client ever gets
-// what was not made for its request, and the connection is used no more.
+// TestMalformedReplies checks that a client gets an error if the answer of the disk server is malformed or has no
+// value. A client never gets data of another request, and the connection is not used again.
 func TestMalformedReplies(t *testing.T) {
 	for name, f := range map[string]fakeresp.Faults{
-		"noise":        {Malformed: "\x00\xff\x13noise\r\n\r\n"},
-		"endless line": {Malformed: "+" + strings.Repeat("x", 100000)},
-		"length":       {Malformed: "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n"},
-		"huge":         {Malformed: "*3\r\n$3000000000\r\n" + strings.Repeat("x", 1<<20)},
-		"negative":     {Malformed: "*3\r\n$-7\r\n"},
-		"null":         {Malformed: "*3\r\n$-1\r\n$-1\r\n$-1\r\n"},
-		"empty":        {Malformed: "*0\r\n"},
-		"number":       {Malformed: ":1\r\n"},
-		"line":         {Malformed: "+OK\r\n"},
-		"deep":         {Malformed: strings.Repeat("*1\r\n", 20)},
-		"1xx":          {Malformed: "HTTP/1.1 100 Continue\r\n\r\n"},
-		"break":        {ResetOnCommand: true},
-		"failed":       {Fail: true},
-		"busy":         {Busy: true},
+		"not RESP":        {Malformed: "\x00\xff\x13noise\r\n\r\n"},
+		"long line":       {Malformed: "+" + strings.Repeat("x", 100000)},
+		"wrong length":    {Malformed: "*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n"},
+		"large length":    {Malformed: "*3\r\n$3000000000\r\n" + strings.Repeat("x", 1<<20)},
+		"negative length": {Malformed: "*3\r\n$-7\r\n"},
+		"null values":     {Malformed: "*3\r\n$-1\r\n$-1\r\n$-1\r\n"},
+		"empty array":     {Malformed: "*0\r\n"},
+		"integer":         {Malformed: ":1\r\n"},
+		"simple string":   {Malformed: "+OK\r\n"},
+		"nested arrays":   {Malformed: strings.Repeat("*1\r\n", 20)},
+		"HTTP":            {Malformed: "HTTP/1.1 100 Continue\r\n\r\n"},
+		"reset":           {ResetOnCommand: true},
+		"failed":          {Fail: true},
+		"busy":            {Busy: true},
 	} {
 		t.Run(name, func(t *testing.T) { checkFaultyReplies(t, f) })
 	}
 }
 
-// checkFaultyReplies checks that an op fails at once on a disk server with faults, and that ops are served once these
-// end.
+// checkFaultyReplies checks that an op on a disk server with faults fails immediately, and that ops are served again
+// after the faults end.
 func checkFaultyReplies(t *testing.T, faults fakeresp.Faults) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(faults)
 	c := bed.dialClient()
 	start := time.Now()
 	if got := c.doRead("a", 390); !strings.HasPrefix(got, "-") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	if took := time.Since(start); took > 300*time.Millisecond {
 		t.Errorf("answered after %v", took)
@@ -77,19 +77,19 @@
 		if got := c.doRead(id, 390); got == valueOf(id) {
 			good++
 		} else if !strings.HasPrefix(got, "-") {
-			t.Errorf("%q", got)
+			t.Errorf("reply is %q", got)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if good < 15 {
-		t.Errorf("%d of 20 are served once the server is sound", good)
+		t.Errorf("%d of 20 ops are served after the faults have ended", good)
 	}
 }
 
-// unrequestedReply is an answer of its own form that belongs to no command.
+// unrequestedReply is a well-formed answer that belongs to no command.
 var unrequestedReply = string(resp.AppendBulk(resp.AppendArray(nil, 1), []byte("not yours")))
 
-// TestExtraReplyData: what comes behind a good answer, at once or a moment later, reaches no client.
+// TestExtraReplyData checks that data that follows a complete answer, immediately or a moment later, reaches no client.
 func TestExtraReplyData(t *testing.T) {
 	for name, extra := range map[string]string{"late copy": unrequestedReply, "late noise": "noise\r\n"} {
 		t.Run(name, func(t *testing.T) {
@@ -107,14 +107,15 @@
 			for i := range 30 {
 				id := fmt.Sprintf("a%d", i)
 				if got := c.doRead(id, 390); got != valueOf(id) {
-					t.Fatalf("op %d: %q", i, got)
+					t.Fatalf("reply to op %d is %q", i, got)
 				}
 			}
 		})
 	}
 }
 
-// TestLoadReports: a load report gets the module's names, and one that cannot be read counts as none.
+// TestLoadReports checks that the fields of a load report get the names of the decision module, and that a malformed
+// load report is ignored.
 func TestLoadReports(t *testing.T) {
 	fields := []string{"util", "latency_ms"}
 	want := map[string]float64{"util": 0.61, "latency": 12.5}
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestSilentServer: where a server does not answer, the client has its answer in time, and the connection closes, which
-// lets the server drop the command.
+// TestSilentServer checks that a client gets its answer in time if the disk server does not answer, and that the
+// connection to the disk server closes, so that the server can drop the command.
 func TestSilentServer(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
@@ -155,33 +156,34 @@
 	if took := time.Since(start); took > 255*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
-	bed.eventually("the end of the connection", func() bool { n, _ := bed.disks[0].Connections(); return n == 0 })
+	bed.eventually("the close of the connection", func() bool { n, _ := bed.disks[0].Connections(); return n == 0 })
 }
 
-// TestConnectionRefused: a server that refuses connections is answered for at once, not at the op timeout.
+// TestConnectionRefused checks that an op fails immediately, not at its timeout, if the disk server refuses
+// connections.
 func TestConnectionRefused(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.stopDisk(0)
 	start := time.Now()
 	got, took := bed.dialClient().doRead("a", 390), time.Since(start)
 	if !strings.HasPrefix(got, "-") || took > 250*time.Millisecond {
-		t.Errorf("%q after %v", got, took)
+		t.Errorf("reply is %q after %v", got, took)
 	}
 }
 
-// TestHealthCheck: a health check brings the load report, and that of a server that refuses connections fails to
-// connect.
+// TestHealthCheck checks that a health check returns the load report, and that it reports a failed connection if the
+// disk server refuses connections.
 func TestHealthCheck(t *testing.T) {
 	bed := newTestbed(t, 1)
 	results := bed.healthChecks()
 	bed.disks[0].SetFaults(fakeresp.Faults{LoadReport: "util=0.5,latency_ms=3"})
 	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
 	if result := <-results; result.Code != honeyplank.Succeeded || result.Load["latency"] != 3 {
-		t.Errorf("%+v", result)
+		t.Errorf("unexpected result %+v", result)
 	}
 	bed.stopDisk(0)
 	bed.onLoop(func() { bed.scheduler.execute(honeyplank.HealthCheck{Server: "s-0"}) })
 	if result := <-results; result.Code != honeyplank.ConnectFailed {
-		t.Errorf("%+v", result)
+		t.Errorf("unexpected result %+v", result)
 	}
 }
