--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -157,7 +157,7 @@
 		}
 		want, malformed := readModel(limits, in)
 		if len(got) != len(want) || (err != nil) != malformed {
-			t.Fatalf("%q: %d values, error %v; the model has %d, malformed: %v", in, len(got), err, len(want), malformed)
+			t.Fatalf("%q: %d values, error %v; model %d, malformed: %v", in, len(got), err, len(want), malformed)
 		}
 		for i := range got {
 			if !reflect.DeepEqual(got[i], want[i]) {
--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -166,11 +166,11 @@
 
 // processPauseCase is a client that disconnects during a process pause.
 type processPauseCase struct {
-	split  bool          // half of the command is received before the pause
-	behind string        // sent after the command
-	delay  time.Duration // delay of the dispatch by the module
-	fresh  bool          // the command, or the rest of it, is sent during the pause
-	gate   bool          // the connection to the disk server opens during the pause
+	split    bool          // half of the command is received before the pause
+	trailing string        // sent after the command
+	delay    time.Duration // delay of the dispatch by the module
+	fresh    bool          // the command, or the rest of it, is sent during the pause
+	gate     bool          // the connection to the disk server opens during the pause
 }
 
 // TestClientGoneDuringProcessPause checks that no attempt is sent for a client that disconnects while the process is
@@ -186,11 +186,11 @@
 		"command":                     {fresh: true},
 		"rest of command":             {split: true, fresh: true},
 		"timer":                       {delay: delay},
-		"timer and QUIT":              {delay: delay, behind: quit},
-		"timer and protocol error":    {delay: delay, behind: "no command\r\n"},
-		"timer and many PINGs":        {delay: delay, behind: string(pings)},
+		"timer and QUIT":              {delay: delay, trailing: quit},
+		"timer and protocol error":    {delay: delay, trailing: "no command\r\n"},
+		"timer and many PINGs":        {delay: delay, trailing: string(pings)},
 		"connection opens":            {gate: true},
-		"connection opens after QUIT": {gate: true, behind: quit},
+		"connection opens after QUIT": {gate: true, trailing: quit},
 	}
 	for name, x := range cases {
 		t.Run(name+" close", func(t *testing.T) { x.run(t, (*testClient).disconnect) })
@@ -220,7 +220,7 @@
 		op = op[len(op)/2:]
 	}
 	if !x.fresh {
-		c.sendBytes(append(op, x.behind...))
+		c.sendBytes(append(op, x.trailing...))
 		bed.eventuallyOnLoop("the admission of the op", func() bool { return bed.scheduler.tracker.Unanswered() == 1 })
 	}
 	bed.onLoop(func() {
@@ -282,13 +282,13 @@
 func TestRequestCrossesClose(t *testing.T) {
 	value := valueOf("a")
 	for name, x := range map[string]struct {
-		behind string // sent after an op whose answer is delayed
-		want   []string
+		trailing string // sent after an op whose answer is delayed
+		want     []string
 	}{
 		"quit":           {string(encodeCommand("QUIT")), []string{value, "OK"}},
 		"protocol error": {"no command\r\n", []string{value, `-ERR Protocol error: expected '*', got 'n'`}},
 	} {
-		t.Run(name, func(t *testing.T) { checkCloseByClientInput(t, x.behind, x.want) })
+		t.Run(name, func(t *testing.T) { checkCloseByClientInput(t, x.trailing, x.want) })
 	}
 	for name, end := range map[string]func(*Scheduler, *client){
 		"idle": func(s *Scheduler, c *client) {
@@ -306,9 +306,9 @@
 }
 
 // checkCloseByClientInput checks a request that is sent while the connection closes because of earlier input. That
-// input is an op followed by behind, and gets the given replies.
-func checkCloseByClientInput(t *testing.T, behind string, replies []string) {
-	bed, c := newCrossingTestbed(t, behind)
+// input is an op followed by trailing, and gets the given replies.
+func checkCloseByClientInput(t *testing.T, trailing string, replies []string) {
+	bed, c := newCrossingTestbed(t, trailing)
 	bed.eventuallyOnLoop("the start of the close", func() bool {
 		serverSide := bed.client()
 		return serverSide != nil && serverSide.closing
@@ -344,13 +344,13 @@
 }
 
 // newCrossingTestbed starts a scheduler with one client, which has sent an op whose answer is delayed, followed by the
-// bytes in behind.
-func newCrossingTestbed(t *testing.T, behind string) (*testbed, *testClient) {
+// trailing bytes.
+func newCrossingTestbed(t *testing.T, trailing string) (*testbed, *testClient) {
 	t.Helper()
 	bed := newTestbed(t, 1)
 	bed.useModule(singleServerModule{"s-0"})
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 50 * time.Millisecond})
 	c := bed.dialClient()
-	c.sendBytes(append(encodeCommand(readCommand("a", 9000)...), behind...))
+	c.sendBytes(append(encodeCommand(readCommand("a", 9000)...), trailing...))
 	return bed, c
 }
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -247,7 +247,7 @@
 		err = unix.Connect(fd, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()})
 	})
 	rounds := bed.scheduler.loop.Stats.EpollWaits.Load()
-	bed.eventually("another loop iteration", func() bool { return bed.scheduler.loop.Stats.EpollWaits.Load() > rounds+1 })
+	bed.eventually("a loop iteration", func() bool { return bed.scheduler.loop.Stats.EpollWaits.Load() > rounds+1 })
 	bed.onLoop(func() {
 		if len(bed.scheduler.clients) > 0 {
 			t.Error("the connection was accepted without a free descriptor")
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -10,7 +10,7 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// sentTimeout is the timeout that a command names to its disk server.
+// sentTimeout returns the timeout in a command that a disk server has received.
 func sentTimeout(t *testing.T, command fakeresp.Command) time.Duration {
 	t.Helper()
 	var ms int64
@@ -20,14 +20,14 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// stuckCommands are the commands of which a part has been written for some time. It is used on the loop.
+// stuckCommands records the commands that have been partly written for some time. It is used on the loop.
 type stuckCommands struct {
 	ids         map[string]bool
 	lastWritten uint64        // position of the last byte written
-	since       time.Duration // when it was written
+	since       time.Duration // time at which that byte was written
 }
 
-// observe updates the commands by what a connection has written.
+// observe updates the record for the bytes that a connection has written.
 func (s *stuckCommands) observe(now time.Duration, sc *serverConn) {
 	written := sc.writtenBytes()
 	if written != s.lastWritten {
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestDeadlineOfDelayedCommand: a command that waits behind a disk server that does not read names the time that is
-// left when it is written, and one of which a part was written by then never arrives whole.
+// TestDeadlineOfDelayedCommand checks commands for a disk server that does not read for some time. The timeout in a
+// command is the time left when the command is written. A command that was only partly written before never arrives
+// completely.
 func TestDeadlineOfDelayedCommand(t *testing.T) {
 	const n, waits = 100, 400 * time.Millisecond
 	bed := newTestbed(t, 1, withSlowConnect, withStreamsPerConn(n))
@@ -73,21 +74,21 @@
 		gate.forwardBytes()
 	})
 	if len(stuck.ids) == 0 {
-		t.Fatal("none is written in part")
+		t.Fatal("no command is partly written")
 	}
-	bed.eventuallyOnLoop("the end", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
+	bed.eventuallyOnLoop("the answers to all ops", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
 	for _, command := range bed.disks[0].Commands() {
 		if stuck.ids[command.ID] {
-			t.Errorf("%s, of which a part was written, has arrived", command.ID)
+			t.Errorf("partly written command %s has arrived", command.ID)
 		}
 		named, left := sentTimeout(t, command), 9*time.Second-command.At.Sub(sent[command.ID])
 		if unsent[command.ID] && named > left+150*time.Millisecond {
-			t.Errorf("%s names %v, %v are left", command.ID, named, left)
+			t.Errorf("the timeout in command %s is %v, but %v are left", command.ID, named, left)
 		}
 	}
 }
 
-// unsentOps returns, on the loop, the ops in flight of which nothing is written.
+// unsentOps returns the ops in flight whose commands are not written at all. It is called on the loop.
 func (bed *testbed) unsentOps() map[string]bool {
 	unsent := map[string]bool{}
 	for _, sc := range bed.scheduler.servers["s-0"].conns {
@@ -98,7 +99,8 @@
 	return unsent
 }
 
-// sendLargeWrites sends n writes from several clients and waits until they are admitted. It returns when each was sent.
+// sendLargeWrites sends n writes from several clients and waits until they are admitted. It returns the time at which
+// each was sent.
 func (bed *testbed) sendLargeWrites(n int, timeout time.Duration) map[string]time.Time {
 	bed.t.Helper()
 	body := strings.Repeat("x", maxBody)
@@ -112,22 +114,23 @@
 		sent[id] = time.Now()
 		c.sendWrite(id, int(timeout.Milliseconds()), body)
 	}
-	bed.eventuallyOnLoop("the commands", func() bool { return bed.scheduler.tracker.Counts.Admitted == n })
+	bed.eventuallyOnLoop("all admissions", func() bool { return bed.scheduler.tracker.Counts.Admitted == n })
 	return sent
 }
 
-// TestTimeoutOfLateRead: the timeout of a command that waited to be read, for a loop that was held up or behind others
-// on its connection, counts from when it may have come; that of one that comes later on the same connection does not.
+// TestTimeoutOfLateRead checks a command that is read late, because the process was paused or because earlier commands
+// of its connection were read first. Its timeout starts at the earliest time at which it can have been received. The
+// timeout of a command that is received later on the same connection starts later.
 func TestTimeoutOfLateRead(t *testing.T) {
 	const held = 120 * time.Millisecond
 	for name, x := range map[string]lateReadCase{
-		"at once": {send: func(_ *testbed, send func()) { send() }},
-		"held up": {late: held, send: func(bed *testbed, send func()) {
+		"no delay": {send: func(_ *testbed, send func()) { send() }},
+		"process pause": {late: held, send: func(bed *testbed, send func()) {
 			bed.onLoop(func() { send(); time.Sleep(held) })
 		}},
-		"behind others": {first: maxPending, delay: held, late: held, send: func(_ *testbed, send func()) { send() }},
+		"after others": {first: maxPending, delay: held, late: held, send: func(_ *testbed, send func()) { send() }},
 		"long after others": {first: maxPending, delay: held, send: func(bed *testbed, send func()) {
-			bed.eventuallyOnLoop("their answers", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
+			bed.eventuallyOnLoop("all earlier answers", func() bool { return bed.scheduler.tracker.Unanswered() == 0 })
 			time.Sleep(2 * held)
 			send()
 		}},
@@ -136,25 +139,25 @@
 			const timeout = 2 * time.Second
 			left := x.run(t, timeout)
 			if left > timeout-x.late*3/4 || x.late == 0 && left < timeout-held/2 {
-				t.Errorf("%v are left of %v", left, timeout)
+				t.Errorf("%v of the timeout of %v are left", left, timeout)
 			}
 		})
 	}
 }
 
-// lateReadCase is a command that waits to be read.
+// lateReadCase is a command that is read late.
 type lateReadCase struct {
-	first int                    // commands before it on its connection
-	delay time.Duration          // of their answers
-	send  func(*testbed, func()) // sends it
-	late  time.Duration          // how late it is read
+	first int                    // number of earlier commands on the connection
+	delay time.Duration          // delay of the answers to these
+	send  func(*testbed, func()) // sends the command by calling its argument
+	late  time.Duration          // delay until the command is read
 }
 
-// run sends the command with a timeout and returns how much of that is left when its op is admitted.
+// run sends the command with a timeout and returns the time left of it when the op is admitted.
 func (x lateReadCase) run(t *testing.T, timeout time.Duration) time.Duration {
 	t.Helper()
 	bed := newTestbed(t, 1)
-	var left []time.Duration // of each op
+	var left []time.Duration // for each op
 	bed.onLoop(func() {
 		bed.module.DecisionModule = singleServerModule{"s-0"}
 		bed.module.onEvent = func(event honeyplank.Event) {
@@ -170,17 +173,17 @@
 		c.sendRead(fmt.Sprint("a", i), 9000)
 	}
 	if x.first > 0 {
-		bed.eventuallyOnLoop("the others", func() bool { return len(left) == x.first })
+		bed.eventuallyOnLoop("the admission of the others", func() bool { return len(left) == x.first })
 	}
 	x.send(bed, func() { c.sendRead("late", int(timeout.Milliseconds())) })
-	bed.eventuallyOnLoop("it", func() bool { return len(left) == x.first+1 })
+	bed.eventuallyOnLoop("the admission of the op", func() bool { return len(left) == x.first+1 })
 	var last time.Duration
 	bed.onLoop(func() { last = left[len(left)-1] })
 	return last
 }
 
-// TestTimeoutDuringProcessPause: an op whose time is over when a hold-up ends is answered and not sent, where its connection
-// has come up meanwhile or there is a connection for its retry.
+// TestTimeoutDuringProcessPause checks that an op that times out during a process pause is answered and not sent, even
+// if its connection opens during the pause or a connection for its retry is idle.
 func TestTimeoutDuringProcessPause(t *testing.T) {
 	for _, waits := range []string{"for a connection", "for a timer"} {
 		t.Run(waits, func(t *testing.T) {
@@ -193,7 +196,7 @@
 			}
 			c := bed.dialClient()
 			c.sendRead("a", 60)
-			bed.eventuallyOnLoop("the command", func() bool {
+			bed.eventuallyOnLoop("the admission or failure of the op", func() bool {
 				return bed.scheduler.tracker.Unanswered() > 0 || bed.scheduler.tracker.Counts.Failed > 0
 			})
 			bed.onLoop(func() {
@@ -201,12 +204,12 @@
 				time.Sleep(maxProcessPause)
 			})
 			if got := c.readReply(time.Second); got != "-ERR failed" {
-				t.Errorf("%q", got)
+				t.Errorf("reply is %q, expected an error", got)
 			}
 			time.Sleep(50 * time.Millisecond)
 			for _, id := range receivedIDs(bed.disks[0]) {
 				if id != "warm" {
-					t.Errorf("%s has reached the disk server", id)
+					t.Errorf("op %s has reached the disk server", id)
 				}
 			}
 		})
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -132,8 +132,8 @@
 	bed.eventually("the newer list", func() bool { return !bed.hasServer("s-0") })
 }
 
-// TestReloadDropsFormerWatch checks that a message that the previous watch receives during a reload is dropped, and that
-// the new watch requests it.
+// TestReloadDropsFormerWatch checks that a message that the previous watch receives during a reload is dropped, and
+// that the new watch requests it.
 func TestReloadDropsFormerWatch(t *testing.T) {
 	one, other := newScriptedDiscovery(t), newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, one.configure)
--- a/scheduler/floods_test.go
+++ b/scheduler/floods_test.go
@@ -15,10 +15,10 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// abusivePayloads are what bad clients send.
+// abusivePayloads are the bytes that abusive clients send repeatedly, by kind of abuse.
 var abusivePayloads = map[string]struct {
 	text  string
-	reads bool
+	reads bool // the client reads its replies
 }{
 	"PINGs, not read": {strings.Repeat(string(encodeCommand("PING")), 1000), false},
 	"PINGs, read":     {strings.Repeat(string(encodeCommand("PING")), 1000), true},
@@ -27,11 +27,11 @@
 	"errors":          {strings.Repeat(string(encodeCommand("BLK.READ", "x", "y", "z")), 1000), true},
 }
 
-// abusiveConns is how many bad clients there are.
+// abusiveConns is the number of abusive clients.
 const abusiveConns = 200
 
-// TestMain lets the test program be the bad clients too, in a process of their own: in one with the scheduler they
-// would hold its loop up by themselves.
+// TestMain also lets the test program run as the abusive clients, in a separate process. In the process of the
+// scheduler they would delay its loop by themselves.
 func TestMain(m *testing.M) {
 	if kind, address := os.Getenv("ABUSE_KIND"), os.Getenv("ABUSE_ADDRESS"); kind != "" {
 		for range abusiveConns {
@@ -43,7 +43,7 @@
 	os.Exit(m.Run())
 }
 
-// runAbusiveClient sends at full speed, each time on a new connection once it loses the one that it has.
+// runAbusiveClient sends at full speed. If its connection fails, it opens a new one.
 func runAbusiveClient(address, kind string) {
 	for ; ; time.Sleep(10 * time.Millisecond) {
 		c, err := net.DialTimeout("tcp", address, time.Second)
@@ -56,12 +56,12 @@
 			}
 		}
 		if c != nil {
-			_ = c.Close() // it is broken, and replaced
+			_ = c.Close() // the connection has failed and is replaced
 		}
 	}
 }
 
-// startAbusiveClients starts the bad clients.
+// startAbusiveClients starts the process of the abusive clients and waits until they have an effect.
 func (bed *testbed) startAbusiveClients(kind string) {
 	bed.t.Helper()
 	own, err := os.Executable()
@@ -77,15 +77,15 @@
 		if err := process.Process.Kill(); err != nil {
 			bed.t.Error(err)
 		}
-		_ = process.Wait() // says that it was killed
+		_ = process.Wait() // its error is that the process was killed
 	})
-	bed.eventuallyOnLoop("the flood", func() bool {
+	bed.eventuallyOnLoop("the effect of the abusive clients", func() bool {
 		return len(bed.scheduler.clients) > abusiveConns/4 || bed.scheduler.protocolErrors > abusiveConns
 	})
 }
 
-// measureStalls measures for how long in all the machine has held up a thread that only sleeps, 10 ms and more each
-// time.
+// measureStalls measures the total delay that the machine causes to a thread that only sleeps. It ignores delays of up
+// to 10 ms. The result returns the total so far.
 func measureStalls(t *testing.T) func() time.Duration {
 	t.Helper()
 	var total atomic.Int64
@@ -105,32 +105,32 @@
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
-// finalAnswerCase is what ails disk servers or other clients do.
+// finalAnswerCase describes faults of the disk servers and abuse by other clients.
 type finalAnswerCase struct {
 	faults fakeresp.Faults
-	gate   bool // connections to the disk servers open, and nothing is read
+	gate   bool // connections to the disk servers open, but nothing is read from them
 	abuse  string
-	served bool // some ops succeed nevertheless
+	served bool // some ops have to succeed
 }
 
-// TestFinalAnswers: whatever ails disk servers or other clients do, each request has one final answer, half a second
-// after its timeout at the latest.
+// TestFinalAnswers checks that each request gets one final answer no later than half a second after its timeout, in
+// spite of faults of disk servers and of abusive clients.
 func TestFinalAnswers(t *testing.T) {
 	for name, x := range map[string]finalAnswerCase{
-		"they hang":               {faults: fakeresp.Faults{Silent: true}},
-		"they never read":         {gate: true},
-		"they break":              {faults: fakeresp.Faults{ResetOnCommand: true}},
-		"half an answer":          {faults: fakeresp.Faults{HalfAnswer: true}},
-		"answers that don't end":  {faults: fakeresp.Faults{Malformed: "*3\r\n$65536\r\nx"}},
-		"answers cannot be read":  {faults: fakeresp.Faults{Malformed: "x"}},
-		"they turn away":          {faults: fakeresp.Faults{Busy: true}},
-		"they fail":               {faults: fakeresp.Faults{Fail: true}},
-		"PINGs, not read":         {served: true, abuse: "PINGs, not read"},
-		"PINGs, read":             {served: true, abuse: "PINGs, read"},
-		"large PINGs":             {served: true, abuse: "large PINGs"},
-		"malformed input":         {served: true, abuse: "malformed input"},
-		"errors":                  {served: true, abuse: "errors"},
-		"PINGs, and servers hang": {faults: fakeresp.Faults{Silent: true}, abuse: "PINGs, read"},
+		"servers do not answer":        {faults: fakeresp.Faults{Silent: true}},
+		"servers do not read":          {gate: true},
+		"servers reset":                {faults: fakeresp.Faults{ResetOnCommand: true}},
+		"truncated answers":            {faults: fakeresp.Faults{HalfAnswer: true}},
+		"incomplete answers":           {faults: fakeresp.Faults{Malformed: "*3\r\n$65536\r\nx"}},
+		"malformed answers":            {faults: fakeresp.Faults{Malformed: "x"}},
+		"servers are busy":             {faults: fakeresp.Faults{Busy: true}},
+		"servers fail":                 {faults: fakeresp.Faults{Fail: true}},
+		"PINGs, not read":              {served: true, abuse: "PINGs, not read"},
+		"PINGs, read":                  {served: true, abuse: "PINGs, read"},
+		"large PINGs":                  {served: true, abuse: "large PINGs"},
+		"malformed input":              {served: true, abuse: "malformed input"},
+		"errors":                       {served: true, abuse: "errors"},
+		"PINGs, servers do not answer": {faults: fakeresp.Faults{Silent: true}, abuse: "PINGs, read"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t, 2)
@@ -146,14 +146,14 @@
 				bed.startAbusiveClients(x.abuse)
 			}
 			if served := good.countFinalAnswers(10); x.served && served < 3 {
-				t.Errorf("%d of 10 served", served)
+				t.Errorf("%d of 10 ops served, expected 3 or more", served)
 			}
 		})
 	}
 }
 
-// countFinalAnswers does n ops, reads and writes in turn, checks that each is answered in time, and counts those that
-// succeed.
+// countFinalAnswers sends n ops, alternately reads and writes, and checks that each is answered in time. It returns the
+// number of ops that succeed.
 func (c *testClient) countFinalAnswers(n int) (served int) {
 	c.t.Helper()
 	large := strings.Repeat("v", maxBody)
@@ -172,7 +172,7 @@
 		slowest = max(slowest, took)
 		late := stalled() - stalledBefore
 		if got == "closed" || took > timeout+500*time.Millisecond+late {
-			c.t.Errorf("%s: %.40q after %v, the machine was held up for %v", id, got, took, late)
+			c.t.Errorf("reply to %s is %.40q after %v, the machine caused a delay of %v", id, got, took, late)
 		}
 		if got == valueOf(id) {
 			served++
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -9,7 +9,8 @@
 	"honeyplank"
 )
 
-// TestGossipDatagrams: datagrams reach peers by their number and carry their sender's; other senders are ignored.
+// TestGossipDatagrams checks that datagrams reach the peer with the given ordinal, that they are delivered with the
+// ordinal of their sender, and that other senders are ignored.
 func TestGossipDatagrams(t *testing.T) {
 	addresses := []string{freeUDPAddress(t), freeUDPAddress(t)}
 	var beds []*testbed
@@ -35,7 +36,7 @@
 	if got := <-received; got != "1 from 0: one" {
 		t.Error(got)
 	}
-	sendDatagram(t, addresses[0], "stranger")
+	sendDatagram(t, addresses[0], "not a peer")
 	beds[1].onLoop(func() {
 		beds[1].scheduler.execute(honeyplank.Gossip{To: honeyplank.AllPeers, Data: []byte("all")})
 	})
@@ -47,7 +48,7 @@
 	}
 }
 
-// freeUDPAddress returns an address of loopback at which nobody receives datagrams.
+// freeUDPAddress returns an unused UDP address on loopback.
 func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -60,7 +61,7 @@
 	return conn.LocalAddr().String()
 }
 
-// sendDatagram sends a datagram from an address that is no peer's.
+// sendDatagram sends a datagram from an address that is not that of a peer.
 func sendDatagram(t *testing.T, address, text string) {
 	t.Helper()
 	conn, err := net.Dial("udp", address)
--- a/scheduler/late_reply_test.go
+++ b/scheduler/late_reply_test.go
@@ -11,27 +11,27 @@
 	"honeyplank/resp"
 )
 
-// lateReplyServer is a disk server that sends extra bytes a moment after each answer. The delay counts from before the
-// answer is written and is measured: on a busy machine the server itself may be delayed past reuseDelay, after which no
-// scheduler can tell such bytes from an answer. It sends none then.
+// lateReplyServer is a disk server that sends extra bytes a moment after each answer. It measures the delay from before
+// it writes the answer. On a busy machine the server itself may be delayed beyond reuseDelay, after which a scheduler
+// cannot distinguish such bytes from an answer. In this case the server sends no extra bytes.
 type lateReplyServer struct {
 	address string
 
 	mu          sync.Mutex
-	extra       string // sent behind each answer; empty: nothing
-	connections int    // that were ever opened
-	inTime      int    // extra bytes written within reuseDelay
-	overdue     int    // extra bytes whose write itself took until after reuseDelay
-	reused      int    // commands on a connection on which extra bytes had come in time
+	extra       string // sent after each answer; nothing is sent if it is empty
+	connections int    // total number of connections opened
+	inTime      int    // number of extra bytes written within reuseDelay
+	overdue     int    // number of extra bytes whose write ended after reuseDelay
+	reused      int    // number of commands on connections after extra bytes written in time
 }
 
-// extraReplyDelay is how long after an answer the extra bytes are due; later than maxExtraReplyDelay they are not sent.
+// The extra bytes are sent extraReplyDelay after an answer, or not at all if more than maxExtraReplyDelay has passed.
 const (
 	extraReplyDelay    = 2 * time.Millisecond
 	maxExtraReplyDelay = reuseDelay / 2
 )
 
-// newLateReplyServer starts a server that ends with the test.
+// newLateReplyServer starts a server that stops at the end of the test.
 func newLateReplyServer(t *testing.T, extra string) *lateReplyServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	server := &lateReplyServer{address: listener.Addr().String(), extra: extra}
-	t.Cleanup(func() { _ = listener.Close() }) // nothing can be done about it at the end of the test
+	t.Cleanup(func() { _ = listener.Close() }) // an error has no effect at the end of the test
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -52,12 +52,12 @@
 	return server
 }
 
-// serve answers the commands of one connection until it breaks.
+// serve answers the commands of one connection until the connection fails.
 func (s *lateReplyServer) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // it is broken or of no more use
+	defer func() { _ = conn.Close() }() // the connection has failed or is no longer used
 	s.update(func() { s.connections++ })
 	reader := resp.Reader{Limits: commandLimits}
-	mustNotReuse := false // extra bytes have come in time: the connection must not be used any more
+	mustNotReuse := false // extra bytes were sent in time, so the scheduler must not send another command
 	for {
 		command, err := nextCommand(conn, &reader)
 		if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// nextCommand reads one command, byte by byte, so that none of the next one is read.
+// nextCommand reads one command. It reads byte by byte, so as not to read a part of the next command.
 func nextCommand(conn net.Conn, reader *resp.Reader) ([]resp.Value, error) {
 	var b [1]byte
 	for {
@@ -88,7 +88,7 @@
 	}
 }
 
-// answer answers one command and sends the extra bytes. It reports whether these were written in time.
+// answer answers one command and sends the extra bytes. It reports whether the extra bytes were written in time.
 func (s *lateReplyServer) answer(conn net.Conn, command []resp.Value) (extraInTime bool, err error) {
 	if string(command[0].Text) != "BLK.READ" {
 		_, err := conn.Write(resp.AppendBulk(nil, nil))
@@ -126,8 +126,9 @@
 	f()
 }
 
-// checkReplies does ops until extra bytes were sent in time behind n of them, and one more. Each must get its own
-// value; overdue extra bytes excuse one failure each. It returns the number of ops.
+// checkReplies sends ops until extra bytes were sent in time after n of the answers, and one more op. Each op must get
+// its own value, but one failure is tolerated for each time that extra bytes were written too late. It returns the
+// number of ops.
 func (s *lateReplyServer) checkReplies(c *testClient, n int) (ops int) {
 	c.t.Helper()
 	inTime, tolerated := 0, 0
@@ -135,22 +136,22 @@
 		s.update(func() { inTime = s.inTime })
 		id := fmt.Sprint("a", ops)
 		if ops++; ops > 4*n {
-			c.t.Fatalf("the machine is too busy: extra bytes came in time behind %d of %d answers", inTime, ops)
+			c.t.Fatalf("the machine is too busy: extra bytes were sent in time after %d of %d answers", inTime, ops)
 		}
 		got := c.doRead(id, 390)
 		if got == valueOf(id) {
 			continue
 		}
-		time.Sleep(reuseDelay) // until the server has counted what it has just written
+		time.Sleep(reuseDelay) // the server counts the extra bytes that it has just written
 		overdue := 0
 		if s.update(func() { overdue = s.overdue }); overdue <= tolerated {
-			c.t.Fatalf("op %s: %q", id, got)
+			c.t.Fatalf("reply to op %s is %q", id, got)
 		}
 		tolerated++
 	}
 	s.update(func() {
 		if s.reused > 0 {
-			c.t.Errorf("%d commands came on a connection behind extra bytes", s.reused)
+			c.t.Errorf("%d commands were sent on a connection after extra bytes", s.reused)
 		}
 	})
 	return ops
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -10,8 +10,8 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestReloadShrinks: a configuration with fewer descriptors closes idle connections, of clients and to disk servers,
-// and keeps those in use.
+// TestReloadShrinks checks that after a reload with fewer descriptors idle connections of clients and to disk servers
+// are closed, and that connections in use stay open.
 func TestReloadShrinks(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.useModule(singleServerModule{"s-0"})
@@ -27,29 +27,29 @@
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: time.Second})
 	clients[7].sendRead("b", 9000)
-	bed.eventually("the command", func() bool { return len(bed.disks[0].Commands()) == 41 })
+	bed.eventually("the arrival of the command", func() bool { return len(bed.disks[0].Commands()) == 41 })
 	section(bed.config, "limits")["sockets"] = minSockets
 	bed.reload()
-	bed.eventuallyOnLoop("the lower limit", func() bool {
+	bed.eventuallyOnLoop("connection counts within the lower limits", func() bool {
 		s := bed.scheduler
 		return s.clientConnCount <= s.descriptorQuota(clientDescriptorShare) &&
 			s.serverConnCount <= s.descriptorQuota(serverDescriptorShare)
 	})
 	if got := clients[7].readReply(2 * time.Second); got != valueOf("b") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 }
 
-// TestReadyWithoutDiscovery: a scheduler that starts while discovery is down is ready at once and serves by the cached
-// list; idle clients that take all descriptors meanwhile leave discovery, the disk servers and those who send ops what
-// they need.
+// TestReadyWithoutDiscovery checks that a scheduler that starts while discovery is down is ready immediately and uses
+// the cached list. Idle clients that take all descriptors meanwhile must not prevent calls to discovery, connections to
+// disk servers or the service of clients that send ops.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure)
 	c := bed.dialClient()
 	start := time.Now()
 	if got := c.do("PING"); got != "PONG" || time.Since(start) > 500*time.Millisecond {
-		t.Errorf("%q after %v", got, time.Since(start))
+		t.Errorf("reply is %q after %v", got, time.Since(start))
 	}
 	for range 400 {
 		if x, err := net.Dial("tcp", bed.scheduler.Address()); err == nil {
@@ -57,23 +57,24 @@
 		}
 	}
 	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	bed.onLoop(func() {
 		s := bed.scheduler
 		if s.clientConnCount+s.serverConnCount+reservedDescriptors > s.config.Sockets {
-			t.Errorf("%d and %d connections", s.clientConnCount, s.serverConnCount)
+			t.Errorf("%d client and %d server connections exceed the limit", s.clientConnCount, s.serverConnCount)
 		}
 	})
-	discovery.nextCall(t, time.Second) // was made before discovery came back, and is never answered
+	discovery.nextCall(t, time.Second) // made while discovery is down, gets no response
 	answer := discovery.nextCall(t, 3*time.Second)
 	answer.sendHeader()
 	answer.sendChunk(deltaJSON(7, bed.member(1, "removed")))
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 }
 
-// TestListChanges: changes of the list are applied: a server drains, its successor comes under a new id and address, the old
-// one is removed and nothing is left of it. Messages that cannot be read end a watch, which is repeated.
+// TestListChanges checks that changes of the list are applied: a disk server drains, its successor is added with a new
+// id and address, and the old server is removed with all its connections. A malformed message ends the watch, which is
+// then retried.
 func TestListChanges(t *testing.T) {
 	bed := newTestbed(t, 2)
 	c := bed.dialClient()
@@ -89,7 +90,7 @@
 	removed := bed.member(0, "removed")
 	removed.Address = ""
 	bed.discovery.Change(removed)
-	bed.eventuallyOnLoop("the end of the old server", func() bool {
+	bed.eventuallyOnLoop("the removal of the old server", func() bool {
 		return len(bed.scheduler.servers) == 2 && bed.scheduler.servers["s-0"] == nil
 	})
 	bed.eventually("the op at the new server", func() bool {
@@ -97,12 +98,12 @@
 		return len(bed.disks[1].Commands()) > 0
 	})
 	if now, _ := bed.disks[0].Connections(); now != 0 {
-		t.Errorf("%d connections to a server that is removed", now)
+		t.Errorf("%d connections to a removed server are open", now)
 	}
 }
 
-// TestListsOnRequest: where lists come only on request, the module's own watch brings them, and it is notified that its
-// watch is established, or has failed.
+// TestListsOnRequest checks that if lists are received only on request, the watch that the module requests delivers
+// them, and the module is notified when its watch is established or has failed.
 func TestListsOnRequest(t *testing.T) {
 	bed := newTestbed(t, 2, withWatchOnRequest(2000))
 	received := make(chan honeyplank.List, 64)
@@ -113,7 +114,7 @@
 			}
 		}
 	})
-	bed.eventually("a watch", func() bool { return bed.discovery.Watches() == 1 })
+	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
 	bed.discovery.Change(bed.member(1, "removed"))
 	for l := range received {
 		if l.Kind == honeyplank.Delta && len(l.Members) == 1 {
@@ -128,8 +129,7 @@
 	}
 }
 
-// TestReload: discovery moves to another address, and its lists there are applied; a file that cannot be used changes
-// nothing.
+// TestReload checks that after a reload with another address of discovery the lists from there are applied.
 func TestReload(t *testing.T) {
 	bed := newTestbed(t, 2)
 	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
@@ -140,7 +140,7 @@
 	defer other.Stop()
 	bed.config["discovery"] = other.Address()
 	bed.reload()
-	bed.eventually("the watch there", func() bool { return other.Watches() == 1 })
+	bed.eventually("the watch at the new address", func() bool { return other.Watches() == 1 })
 	bed.discovery.Stop()
 	other.Change(bed.member(1, "removed"))
 	bed.eventuallyOnLoop("the change", func() bool { return len(bed.scheduler.servers) == 1 })
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestConsecutiveReloads: of several new configurations within a moment the last one counts: there is one watch, at its
-// discovery, no message of the others is applied, and none of their watches is left.
+// TestConsecutiveReloads checks that only the last of several reloads in quick succession takes effect. The scheduler
+// then watches the discovery of the last one and applies no message of the others.
 func TestConsecutiveReloads(t *testing.T) {
 	bed := newTestbed(t, 2)
 	bed.eventually("the watch", func() bool { return bed.discovery.Watches() == 1 })
@@ -162,7 +162,7 @@
 		bed.reload()
 	}
 	answer := func(discovery *scriptedDiscovery, text string) {
-		for call := range discovery.calls { // some are given up before they are made
+		for call := range discovery.calls { // some watches are cancelled before they call discovery
 			call.sendHeader()
 			call.sendChunk(text)
 		}
@@ -172,7 +172,7 @@
 	bed.eventually("the change", func() bool { return !bed.hasServer("s-1") })
 	time.Sleep(50 * time.Millisecond)
 	if !bed.hasServer("s-0") {
-		t.Error("a watch that has ended is received")
+		t.Error("a message of a watch that has ended is applied")
 	}
 	if got := bed.dialClient().doRead("a", 390); got != valueOf("a") {
 		t.Error(got)
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -30,7 +30,7 @@
 		t.Run(fmt.Sprintf("%.10s", text), func(t *testing.T) {
 			var r messageReader
 			if _, err := r.feed(0, []byte(text)); !errors.Is(err, want) {
-				t.Errorf("%v, expected %v", err, want)
+				t.Errorf("error is %v, expected %v", err, want)
 			}
 		})
 	}
--- a/scheduler/scripted_discovery_test.go
+++ b/scheduler/scripted_discovery_test.go
@@ -13,20 +13,20 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// scriptedDiscovery is a discovery that does nothing by itself: the test answers each call, or does not.
+// scriptedDiscovery is a fake discovery whose responses the test writes.
 type scriptedDiscovery struct {
 	address string
 	calls   chan *discoveryCall
 }
 
-// discoveryCall is a call that waits for its response.
+// discoveryCall is a call that awaits its response.
 type discoveryCall struct {
 	net.Conn
 	t    *testing.T
 	path string
 }
 
-// newScriptedDiscovery starts a discovery that ends with the test.
+// newScriptedDiscovery starts a discovery that stops at the end of the test.
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	discovery := &scriptedDiscovery{listener.Addr().String(), make(chan *discoveryCall, 256)}
-	t.Cleanup(func() { _ = listener.Close() }) // nothing can be done about it at the end of the test
+	t.Cleanup(func() { _ = listener.Close() }) // an error has no effect at the end of the test
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -52,10 +52,10 @@
 	return discovery
 }
 
-// configure has the scheduler call this discovery.
+// configure sets this discovery in a scheduler's configuration.
 func (d *scriptedDiscovery) configure(config map[string]any) { config["discovery"] = d.address }
 
-// nextCall waits for the next call.
+// nextCall returns the next call. The test fails if none is received within the given time.
 func (d *scriptedDiscovery) nextCall(t *testing.T, within time.Duration) *discoveryCall {
 	t.Helper()
 	select {
@@ -67,25 +67,25 @@
 	return nil
 }
 
-// sendText sends bytes as they are. An error is ignored: the scheduler may have cancelled the call.
+// sendText sends text without any framing. It ignores errors, since the scheduler may have cancelled the call.
 func (c *discoveryCall) sendText(text string) { _, _ = io.WriteString(c, text) }
 
-// sendHeader begins the response of a watch.
+// sendHeader sends the header of a response with chunked encoding.
 func (c *discoveryCall) sendHeader() {
 	c.sendText("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// sendUnbounded sends a response without a length, which the end of the connection ends.
+// sendUnbounded sends a response without a length, which ends with the connection.
 func (c *discoveryCall) sendUnbounded(text string) {
 	c.sendText("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text)
 }
 
-// sendChunk sends bytes of a watch, as one chunk.
+// sendChunk sends text as one chunk of the response.
 func (c *discoveryCall) sendChunk(text string) {
 	c.sendText(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 }
 
-// sendUnavailable answers that discovery is unavailable.
+// sendUnavailable responds with status 503 and closes the connection.
 func (c *discoveryCall) sendUnavailable() {
 	c.sendText("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	c.end()
@@ -98,7 +98,7 @@
 	}
 }
 
-// closeWithLinger closes the connection with a linger time; 0 resets it, -1 is the default.
+// closeWithLinger closes the connection with a linger time. 0 resets the connection, -1 is the default.
 func (c *discoveryCall) closeWithLinger(linger int) {
 	if err := c.Conn.(*net.TCPConn).SetLinger(linger); err != nil {
 		c.t.Error(err)
@@ -106,7 +106,7 @@
 	c.end()
 }
 
-// listForm is how a message of discovery is laid out.
+// listForm is the layout of a message of discovery.
 type listForm int
 
 const (
@@ -114,12 +114,12 @@
 	manyLines
 )
 
-// deltaJSON is a message of discovery with the members that have changed.
+// deltaJSON returns a message of discovery with the members that have changed.
 func deltaJSON(revision int, members ...fakeresp.Member) string {
 	return listJSON(revision, false, oneLine, members...)
 }
 
-// listJSON is a message of discovery.
+// listJSON returns a message of discovery.
 func listJSON(revision int, complete bool, form listForm, members ...fakeresp.Member) string {
 	message := map[string]any{
 		"revision": revision,
@@ -132,7 +132,7 @@
 	}
 	text, err := encode(message)
 	if err != nil {
-		panic(err) // all of it can be encoded
+		panic(err) // all values can be encoded
 	}
 	return string(text) + "\n"
 }
--- a/scheduler/shutdown_hold_up_test.go
+++ b/scheduler/shutdown_hold_up_test.go
@@ -12,14 +12,14 @@
 	"honeyplank/resp"
 )
 
-// clientTraffic is what has crossed the socket of one client, as its scheduler saw it. It is used on the loop.
+// clientTraffic records the bytes that the scheduler received from and sent to one client. It is used on the loop.
 type clientTraffic struct {
 	reader   resp.Reader
 	commands int           // complete commands
 	lastSent time.Duration // when bytes were last sent
 }
 
-// countCommands counts the complete commands in bytes of the client.
+// countCommands counts the complete commands in the next bytes from the client.
 func (x *clientTraffic) countCommands(b []byte) {
 	for len(b) > 0 {
 		frame, err := x.reader.Next(b)
@@ -31,22 +31,22 @@
 	}
 }
 
-// pausedShutdown is a scheduler that shuts down while clients send on and its disk server hangs.
+// pausedShutdown is a scheduler that shuts down while clients continue to send and its disk server does not answer.
 type pausedShutdown struct {
 	*testbed
 	opTimeout time.Duration
 	plan      shutdownPlan
 
-	// Used on the loop, or after its end.
+	// These are used on the loop, or after it has ended.
 	traffic      map[*client]*clientTraffic
-	machineDelay time.Duration // how long the machine has held the loop up on its own
+	machineDelay time.Duration // how long the machine itself has delayed the loop
 
-	ended   sync.WaitGroup // the readers of replies
+	ended   sync.WaitGroup // goroutines that read replies
 	mu      sync.Mutex
 	replies int
 }
 
-// newPausedShutdown starts the scheduler.
+// newPausedShutdown starts the scheduler with the given op timeout.
 func newPausedShutdown(t *testing.T, opTimeout time.Duration) *pausedShutdown {
 	t.Helper()
 	s := &pausedShutdown{
@@ -62,7 +62,8 @@
 	return s
 }
 
-// observe taps new clients and measures how late it is called on the loop, each millisecond.
+// observe records the traffic of new clients and measures how late the loop calls it, every millisecond. It is called
+// on the loop; due is the time for which it was scheduled.
 func (s *pausedShutdown) observe(due time.Duration) {
 	s.tapClients()
 	loop := s.scheduler.loop
@@ -73,7 +74,7 @@
 	loop.Schedule(next, func() { s.observe(next) })
 }
 
-// tapClients counts what crosses the sockets of all clients from now on.
+// tapClients records the traffic of all clients from now on.
 func (s *pausedShutdown) tapClients() {
 	for c := range s.scheduler.clients {
 		if s.traffic[c] != nil {
@@ -91,12 +92,12 @@
 	}
 }
 
-// readReplies counts the replies of a client, on a goroutine, until its connection ends in order.
+// readReplies counts the replies to a client, on a goroutine, and checks that its connection ends with EOF.
 func (s *pausedShutdown) readReplies(c *testClient) {
 	s.ended.Go(func() {
 		n, err := c.countReplies()
 		if !errors.Is(err, io.EOF) {
-			s.t.Errorf("a connection ends with %v after %d answers", err, n)
+			s.t.Errorf("a connection ends with %v after %d replies, expected EOF", err, n)
 		}
 		s.mu.Lock()
 		s.replies += n
@@ -105,17 +106,18 @@
 	})
 }
 
-// readRepliesToPartialCommand reads what a client of half a command gets: an error at most, which is no answer to a command.
+// readRepliesToPartialCommand reads the replies to a client that has sent an incomplete command, on a goroutine. The
+// client gets at most an error, which is not a reply to a command.
 func (s *pausedShutdown) readRepliesToPartialCommand(c *testClient) {
 	s.ended.Go(func() {
 		if n, err := c.countReplies(); n > 1 || !errors.Is(err, io.EOF) {
-			s.t.Errorf("half a command gets %d answers and %v", n, err)
+			s.t.Errorf("an incomplete command gets %d replies and error %v", n, err)
 		}
 		c.disconnect()
 	})
 }
 
-// sendReads has a client send a read after each gap, until its connection ends.
+// sendReads sends a read from a client after each gap, until its connection ends. It also starts readReplies.
 func (s *pausedShutdown) sendReads(c *testClient, gap time.Duration) {
 	s.readReplies(c)
 	go func() {
@@ -129,14 +131,14 @@
 	}()
 }
 
-// pauseAt has the loop held up just before a step of the shutdown.
+// pauseAt pauses the loop for maxProcessPause just before a step of the shutdown.
 func (s *pausedShutdown) pauseAt(step string) {
 	s.onLoop(func() {
 		s.plan = s.scheduler.shutdown
 		at := map[string]time.Duration{
-			"ops":     s.plan.closeAdmission,
-			"answers": s.plan.failRemaining,
-			"leave":   s.plan.failRemaining + flushMargin,
+			"admission": s.plan.closeAdmission,
+			"replies":   s.plan.failRemaining,
+			"stop":      s.plan.failRemaining + flushMargin,
 		}[step]
 		if at == 0 {
 			return
@@ -148,7 +150,8 @@
 	})
 }
 
-// connectUntil has new clients connect and send until a time, or until the intake closes on a busy machine.
+// connectUntil connects new clients, which send ops, until the given time. It returns earlier if admission closes
+// before, as on a busy machine.
 func (s *pausedShutdown) connectUntil(end time.Time) {
 	for time.Now().Before(end) {
 		clients, closed := 0, true
@@ -158,7 +161,7 @@
 		}
 		c := s.dialClient()
 		s.eventually("the connection", func() bool {
-			ok := true // also after the end of the loop
+			ok := true // the result if the loop has ended
 			s.onLoop(func() { ok = s.scheduler.admissionClosed || len(s.traffic) > clients })
 			return ok
 		})
@@ -167,7 +170,8 @@
 	}
 }
 
-// check checks, after the end of the loop, that each command that was read has one reply, sent in time.
+// check checks that each command that was read has one reply, and that the last bytes were sent in time. It is called
+// after the loop has ended.
 func (s *pausedShutdown) check() {
 	s.t.Helper()
 	commands := 0
@@ -175,20 +179,20 @@
 		commands += x.commands
 		if x.lastSent > s.plan.killTime-flushMargin/2+s.machineDelay {
 			left := s.plan.killTime - x.lastSent
-			s.t.Errorf("something is sent %v before the kill, the machine was busy for %v", left, s.machineDelay)
+			s.t.Errorf("bytes were sent %v before the kill, the machine delayed the loop for %v", left, s.machineDelay)
 		}
 	}
 	if commands != s.replies || commands == 0 {
-		s.t.Errorf("%d commands have been read, %d answers have come", commands, s.replies)
+		s.t.Errorf("%d commands were read, %d replies were received", commands, s.replies)
 	}
 }
 
-// TestShutdownDuringProcessPause: whatever the longest op timeout, while clients send on and a disk server hangs, each request that
-// was read has one whole reply some time before the kill, also where the scheduler is held up at a step of its
-// shutdown; what was not read gets a regular end of the connection.
+// TestShutdownDuringProcessPause checks shutdowns with short and long op timeouts, while clients continue to send and
+// the disk server does not answer. Each request that was read gets one complete reply some time before the kill, even
+// if the process pauses at a step of the shutdown. Connections with unread requests end with EOF.
 func TestShutdownDuringProcessPause(t *testing.T) {
 	for _, opTimeout := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second} {
-		for _, step := range []string{"none", "ops", "answers", "leave"} {
+		for _, step := range []string{"none", "admission", "replies", "stop"} {
 			t.Run(fmt.Sprint(opTimeout, " ", step), func(t *testing.T) {
 				t.Parallel()
 				s := newPausedShutdown(t, opTimeout)
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -12,10 +12,9 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// errNotEnded says that a scheduler did not end in time.
-var errNotEnded = errors.New("the scheduler does not end")
+var errNotEnded = errors.New("the scheduler did not stop in time")
 
-// awaitEnd waits until Serve returns and gives its error.
+// awaitEnd waits until Serve returns and returns its error, or errNotEnded after the given time.
 func (bed *testbed) awaitEnd(within time.Duration) error {
 	select {
 	case err := <-bed.served:
@@ -25,7 +24,8 @@
 	}
 }
 
-// TestShutdownPlan: each step of the shutdown has more time than a hold-up, and so has SIGTERM on its way to the loop.
+// TestShutdownPlan checks that each step of the shutdown has more time than a process pause takes, and so has the
+// delivery of SIGTERM to the loop.
 func TestShutdownPlan(t *testing.T) {
 	const notified = time.Minute
 	for longest := 50 * time.Millisecond; longest <= 4*time.Second; longest += 10 * time.Millisecond {
@@ -34,14 +34,14 @@
 			plan.closeAdmission < notified+minAdmissionTime ||
 			plan.failRemaining < plan.closeAdmission ||
 			plan.killTime-plan.failRemaining < 2*maxProcessPause+flushMargin {
-			t.Fatalf("%v: no more ops after %v, the last answers after %v, the kill after %v", longest,
+			t.Fatalf("op timeout %v: admission closes after %v, ops fail after %v, the kill is after %v", longest,
 				plan.closeAdmission-notified, plan.failRemaining-notified, plan.killTime-notified)
 		}
 	}
 }
 
-// TestFailRemaining: with a server that hangs, ops without an answer fail in time, and the connection ends regularly
-// although its client goes on sending.
+// TestFailRemaining checks that ops on a disk server that does not answer fail before the end of a shutdown. The
+// connection ends with EOF, not with a reset, although its client continues to send.
 func TestFailRemaining(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.useModule(singleServerModule{"s-0"})
@@ -51,8 +51,8 @@
 	bed.scheduler.Shutdown()
 	bed.scheduler.Shutdown() // a second time changes nothing
 	c.sendRead("a", 9000)
-	bed.eventuallyOnLoop("the last part", func() bool { return bed.scheduler.admissionClosed })
-	for i := range 3 * maxPending { // more than is read at a time, none of which is admitted any more
+	bed.eventuallyOnLoop("the close of admission", func() bool { return bed.scheduler.admissionClosed })
+	for i := range 3 * maxPending { // more than is read at a time; none of them is admitted
 		c.sendRead(fmt.Sprint("b", i), 9000)
 	}
 	var last atomic.Int64 // bytes read before the end of the loop
@@ -60,45 +60,45 @@
 		bed.everyMillisecond(func(time.Duration) { last.Store(bed.scheduler.loop.Stats.BytesIn.Load()) })
 	})
 	before := last.Load()
-	// The client reads only after the scheduler has ended with the rest of its input unread.
+	// The client reads only after the scheduler has stopped, with the rest of the input unread.
 	if err := bed.awaitEnd(2 * time.Second); err != nil {
 		t.Error(err)
 	}
 	if got := c.readReply(time.Second); got != "-ERR failed" {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 	for _, client := range []*testClient{c, idle} {
 		client.setReadTimeout(time.Second)
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("the connection ends with %v", err)
+			t.Errorf("the connection ends with %v, expected EOF", err)
 		}
 		client.disconnect()
 	}
 	if n := last.Load() - before; n > 0 {
-		t.Errorf("%d bytes have been read past the last op that is admitted", n)
+		t.Errorf("%d bytes were read after admission was closed", n)
 	}
 	bed.checkReceived("[a]")
 }
 
-// TestConnectsWhileStopping: a client whose connection the system has accepted at the moment at which no client seemed
-// to be left is served.
+// TestConnectsWhileStopping checks that a client is served if the kernel accepts its connection just before the
+// scheduler finds that no client is left.
 func TestConnectsWhileStopping(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.scheduler.Shutdown()
 	var c *testClient
-	bed.onLoop(func() { // in one round of the loop
+	bed.onLoop(func() { // in one iteration of the loop
 		c = bed.dialClient()
 		c.sendRead("a", 390)
 		bed.scheduler.graceElapsed = true
 		bed.scheduler.stopIfIdle()
 	})
 	if got := c.readReply(time.Second); got != valueOf("a") {
-		t.Errorf("%q", got)
+		t.Errorf("reply is %q", got)
 	}
 }
 
-// TestShutdown: a scheduler that shuts down serves on, on connections old and new, then ends by itself before it would
-// be killed, with every op answered.
+// TestShutdown checks that a scheduler that shuts down continues to serve existing and new connections, and then stops
+// before it would be killed, with every op answered.
 func TestShutdown(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
@@ -109,28 +109,28 @@
 	for i, client := range []*testClient{c, bed.dialClient()} {
 		id := fmt.Sprint("a", i)
 		if got := client.doRead(id, 390); got != valueOf(id) {
-			t.Errorf("connection %d: %q", i, got)
+			t.Errorf("connection %d: reply is %q", i, got)
 		}
 	}
 	bed.disks[0].SetFaults(fakeresp.Faults{Silent: true})
-	time.Sleep(time.Until(start.Add(650 * time.Millisecond))) // of 1300: ops are taken up to 780
+	time.Sleep(time.Until(start.Add(650 * time.Millisecond))) // ops are admitted up to 780 ms of 1300 ms
 	late := c.doRead("late", 390)
 	if !strings.HasPrefix(late, "-") {
-		t.Errorf("%q", late)
+		t.Errorf("reply is %q, expected an error", late)
 	}
 	err := bed.awaitEnd(3 * time.Second)
 	if took := time.Since(start); err != nil || took < killGrace || took > killGrace+600*time.Millisecond {
-		t.Errorf("%v after %v", err, took)
+		t.Errorf("the scheduler stopped with error %v after %v", err, took)
 	}
 }
 
-// TestShutdownAlone: without clients nothing is waited for past the grace.
+// TestShutdownAlone checks that a scheduler without clients stops at the end of killGrace.
 func TestShutdownAlone(t *testing.T) {
 	bed := newTestbed(t, 1)
 	start := time.Now()
 	bed.scheduler.Shutdown()
 	<-bed.served
 	if took := time.Since(start); took > killGrace+200*time.Millisecond {
-		t.Errorf("%v", took)
+		t.Errorf("the scheduler stopped after %v", took)
 	}
 }
--- a/scheduler/test_client_test.go
+++ b/scheduler/test_client_test.go
@@ -15,15 +15,15 @@
 	"honeyplank/resp"
 )
 
-// objectKey is the key of all ops of these tests.
+// objectKey is the key of all ops in these tests.
 const objectKey = "7f3a9c21e0b4d655"
 
-// opOptions are the options of an op of a class, with a timeout, whose data is at the server of a cell.
+// opOptions returns the options of an op of a class with a timeout, whose data is on the disk server of a cell.
 func opOptions(class string, timeoutMS, cell int) string {
 	return fmt.Sprintf("c=%s,t=gold,d=%d,volume=00000003b4d60021,units=2,shard=%d,hosts=1", class, timeoutMS, cell)
 }
 
-// testClient is one connection of a client.
+// testClient is one client connection.
 type testClient struct {
 	t *testing.T
 	net.Conn
@@ -31,7 +31,8 @@
 	buffered []byte
 }
 
-// dialClient connects a client. A receive buffer may be given in bytes, for one that leaves much unread.
+// dialClient connects a client. The optional argument is the size of its receive buffer in bytes; with a small one,
+// unread replies stay in the scheduler.
 func (bed *testbed) dialClient(receiveBuffer ...int) *testClient {
 	bed.t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -52,7 +53,7 @@
 	return &testClient{t: bed.t, Conn: conn, reader: resp.Reader{Limits: limits}}
 }
 
-// readValue waits for one value; false: the connection has ended, or nothing came in time.
+// readValue waits for one value. It returns false if the connection ends or no value is received in time.
 func (c *testClient) readValue(within time.Duration) (resp.Value, bool) {
 	c.t.Helper()
 	c.setReadTimeout(within)
@@ -61,7 +62,7 @@
 		frame, err := c.reader.Next(c.buffered)
 		c.buffered = c.buffered[frame.Used:]
 		if err != nil {
-			c.t.Fatalf("the scheduler sends malformed RESP: %v", err)
+			c.t.Fatalf("the scheduler has sent malformed RESP: %v", err)
 		}
 		if frame.Complete {
 			return frame.Value, true
@@ -74,39 +75,38 @@
 	}
 }
 
-// readCommand is a read of the data at the first disk server.
+// readCommand returns the command to read the data on the first disk server.
 func readCommand(id string, timeoutMS int) []string {
 	return []string{"BLK.READ", objectKey, id, opOptions("read", timeoutMS, 0)}
 }
 
-// valueOf is the value that a fake disk server returns for an op.
+// valueOf returns the value that a fake disk server returns for an op.
 func valueOf(id string) string { return string(fakeresp.Value(objectKey, id)) }
 
-// sendRead sends a read of the data at the first disk server.
+// sendRead sends a read of the data on the first disk server.
 func (c *testClient) sendRead(id string, timeoutMS int) {
 	c.t.Helper()
 	c.send(readCommand(id, timeoutMS)...)
 }
 
-// doRead reads the data at the first disk server, and returns the reply as readReply does.
+// doRead reads the data on the first disk server and returns the reply as readReply does.
 func (c *testClient) doRead(id string, timeoutMS int) string {
 	c.t.Helper()
 	return c.do(readCommand(id, timeoutMS)...)
 }
 
-// sendWrite sends a write of the data at the first disk server.
+// sendWrite sends a write of the data on the first disk server.
 func (c *testClient) sendWrite(id string, timeoutMS int, body string) {
 	c.t.Helper()
 	c.send("BLK.WRITE", objectKey, id, opOptions("write", timeoutMS, 0), body)
 }
 
-// send sends a command.
 func (c *testClient) send(args ...string) {
 	c.t.Helper()
 	c.sendBytes(encodeCommand(args...))
 }
 
-// sendBytes sends bytes as they are.
+// sendBytes sends bytes without encoding them.
 func (c *testClient) sendBytes(b []byte) {
 	c.t.Helper()
 	if _, err := c.Write(b); err != nil {
@@ -114,7 +114,6 @@
 	}
 }
 
-// disconnect closes the connection.
 func (c *testClient) disconnect() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
@@ -139,7 +138,7 @@
 	}
 }
 
-// encodeCommand gives the bytes of a command.
+// encodeCommand returns the RESP encoding of a command.
 func encodeCommand(args ...string) []byte {
 	var list [][]byte
 	for _, a := range args {
@@ -148,7 +147,7 @@
 	return resp.AppendCommand(nil, list...)
 }
 
-// hasUnreadInput reports, on the loop, whether the scheduler has not read something that a client sent.
+// hasUnreadInput reports whether a client has sent bytes that the scheduler has not read. It is called on the loop.
 func (bed *testbed) hasUnreadInput() bool {
 	for x := range bed.scheduler.clients {
 		if !x.conn.NoInputPending() {
@@ -165,7 +164,8 @@
 	return c.readReply(3 * time.Second)
 }
 
-// readReply returns the next reply: a value's text, an error's line behind '-', or "closed" where none comes in time.
+// readReply returns the next reply: the text of a value, the text of an error after '-', or "closed" if the connection
+// ends or no reply is received in time.
 func (c *testClient) readReply(within time.Duration) string {
 	c.t.Helper()
 	v, ok := c.readValue(within)
@@ -178,7 +178,7 @@
 	return string(v.Text)
 }
 
-// countServed sends ops of a class one after another and counts those that succeed.
+// countServed sends n ops of a class one after another and returns the number of those that succeed.
 func (c *testClient) countServed(class, name string, n, timeoutMS int) (succeeded int) {
 	c.t.Helper()
 	for i := range n {
@@ -194,7 +194,7 @@
 	return succeeded
 }
 
-// countReplies counts the whole replies until the connection ends, and returns the error with which it does.
+// countReplies counts the complete replies until the connection ends, and returns the error with which it ends.
 func (c *testClient) countReplies() (n int, err error) {
 	c.setReadTimeout(10 * time.Second)
 	for b := make([]byte, 4096); err == nil; {
--- a/scheduler/testbed_test.go
+++ b/scheduler/testbed_test.go
@@ -19,7 +19,7 @@
 	"honeyplank/policy"
 )
 
-// testbed is a scheduler with fake disk servers and a fake discovery, all on loopback.
+// testbed is a scheduler with fake disk servers and a fake discovery on loopback.
 type testbed struct {
 	t          *testing.T
 	disks      []*fakeresp.Disk
@@ -31,7 +31,8 @@
 	module     *recordingModule
 }
 
-// newTestbed starts a scheduler with n disk servers, one for each cell; change alters its configuration before.
+// newTestbed starts a scheduler with n disk servers, one for each cell. Before that it calls each change on the
+// configuration.
 func newTestbed(t *testing.T, n int, change ...func(map[string]any)) *testbed {
 	t.Helper()
 	bed := &testbed{t: t, served: make(chan error, 1)}
@@ -78,16 +79,16 @@
 func (bed *testbed) stopDisk(n int) {
 	bed.t.Helper()
 	bed.disks[n].Stop()
-	bed.eventually("the end of the disk server", func() bool {
+	bed.eventually("the stop of the disk server", func() bool {
 		conn, err := net.Dial("tcp", bed.disks[n].Address())
 		if err == nil {
-			_ = conn.Close() // it is still accepted
+			_ = conn.Close() // the server still accepts connections
 		}
 		return errors.Is(err, unix.ECONNREFUSED)
 	})
 }
 
-// writeConfig writes the configuration file and reads it as a scheduler does.
+// writeConfig writes the configuration file and reads it with ReadConfig.
 func (bed *testbed) writeConfig() *Config {
 	bed.t.Helper()
 	text, err := json.MarshalIndent(bed.config, "", " ")
@@ -104,7 +105,7 @@
 	return config
 }
 
-// reload makes the scheduler reload the configuration.
+// reload makes the scheduler reload the configuration of the testbed.
 func (bed *testbed) reload() {
 	bed.t.Helper()
 	bed.scheduler.Reload(bed.writeConfig())
@@ -116,10 +117,10 @@
 	bed.onLoop(func() { bed.module.DecisionModule = module })
 }
 
-// serverID is the id of the n-th disk server.
+// serverID returns the id of the n-th disk server.
 func serverID(n int) honeyplank.ServerID { return honeyplank.ServerID(fmt.Sprint("s-", n)) }
 
-// member is the entry of the i-th disk server in the endpoint list.
+// member returns the entry of the i-th disk server in the endpoint list.
 func (bed *testbed) member(i int, phase string) fakeresp.Member {
 	return fakeresp.Member{
 		ID:      string(serverID(i)),
@@ -132,17 +133,17 @@
 	}
 }
 
-// eventually waits until f reports true.
+// eventually waits until f returns true. what names the condition in the error.
 func (bed *testbed) eventually(what string, f func() bool) {
 	bed.t.Helper()
 	for end := time.Now().Add(5 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			bed.t.Fatal(what + " does not come to pass")
+			bed.t.Fatal(what + ": condition not met within 5 s")
 		}
 	}
 }
 
-// eventuallyOnLoop waits until f, called on the scheduler's loop, reports true.
+// eventuallyOnLoop waits until f, called on the scheduler's loop, returns true.
 func (bed *testbed) eventuallyOnLoop(what string, f func() bool) {
 	bed.t.Helper()
 	bed.eventually(what, func() (ok bool) {
@@ -151,7 +152,7 @@
 	})
 }
 
-// onLoop runs f on the scheduler's loop.
+// onLoop runs f on the scheduler's loop and waits for its end. It does nothing if the loop has ended.
 func (bed *testbed) onLoop(f func()) {
 	bed.t.Helper()
 	done := make(chan bool)
@@ -160,33 +161,34 @@
 	}
 }
 
-// hasServer reports whether the scheduler has a disk server, which it drops once that is removed.
+// hasServer reports whether the scheduler has a disk server with an id. It has none once the server is removed and its
+// connections are closed.
 func (bed *testbed) hasServer(id string) (ok bool) {
 	bed.t.Helper()
 	bed.onLoop(func() { ok = bed.scheduler.servers[honeyplank.ServerID(id)] != nil })
 	return ok
 }
 
-// redirectServer has discovery name another address for the n-th disk server, and waits until that is applied.
+// redirectServer changes the address of the n-th disk server in discovery and waits until the scheduler has applied it.
 func (bed *testbed) redirectServer(n int, address string) {
 	bed.t.Helper()
 	member := bed.member(n, "up")
 	member.Address = address
 	bed.discovery.Change(member)
-	bed.eventuallyOnLoop("the address", func() bool {
+	bed.eventuallyOnLoop("the new address of the disk server", func() bool {
 		ds := bed.scheduler.servers[serverID(n)]
 		return ds != nil && ds.address == address
 	})
 }
 
-// everyMillisecond calls f on the loop at once and about every millisecond. It is called on the loop.
+// everyMillisecond calls f on the loop immediately and then about every millisecond. It is called on the loop.
 func (bed *testbed) everyMillisecond(f func(now time.Duration)) {
 	now := bed.scheduler.loop.Now()
 	f(now)
 	bed.scheduler.loop.Schedule(now+time.Millisecond, func() { bed.everyMillisecond(f) })
 }
 
-// leaveOneServerConn leaves descriptors for one more connection to disk servers. It is called on the loop.
+// leaveOneServerConn leaves a descriptor for only one more connection to disk servers. It is called on the loop.
 func (bed *testbed) leaveOneServerConn() {
 	bed.scheduler.serverConnCount = bed.scheduler.descriptorQuota(serverDescriptorShare) - 1
 }
@@ -194,7 +196,7 @@
 // awaitWaiter waits until one attempt waits for a connection to the first disk server.
 func (bed *testbed) awaitWaiter() {
 	bed.t.Helper()
-	bed.eventually("the wait for a connection", func() bool {
+	bed.eventually("an attempt that waits for a connection", func() bool {
 		waiting, _ := bed.connCounts(0)
 		return waiting == 1
 	})
@@ -203,19 +205,19 @@
 // awaitServerConn waits until a connection to the first disk server is open.
 func (bed *testbed) awaitServerConn() {
 	bed.t.Helper()
-	bed.eventually("a connection", func() bool {
+	bed.eventually("an open connection to the disk server", func() bool {
 		_, connected := bed.connCounts(0)
 		return connected > 0
 	})
 }
 
-// awaitClientGone waits until the client of one op is gone.
+// awaitClientGone waits until the tracker has counted one client as gone.
 func (bed *testbed) awaitClientGone() {
 	bed.t.Helper()
-	bed.eventuallyOnLoop("the client to be gone", func() bool { return bed.scheduler.tracker.Counts.ClientsGone == 1 })
+	bed.eventuallyOnLoop("a client that is gone", func() bool { return bed.scheduler.tracker.Counts.ClientsGone == 1 })
 }
 
-// client returns the only connection of a client. It is called on the loop.
+// client returns the only client connection, or nil if there is none. It is called on the loop.
 func (bed *testbed) client() *client {
 	for c := range bed.scheduler.clients {
 		return c
@@ -223,15 +225,15 @@
 	return nil
 }
 
-// bytesIn returns how many bytes the loop has read so far.
+// bytesIn returns the number of bytes that the loop has read so far.
 func (bed *testbed) bytesIn() (n int64) {
 	bed.t.Helper()
 	bed.onLoop(func() { n = bed.scheduler.loop.Stats.BytesIn.Load() })
 	return n
 }
 
-// connCounts returns how many attempts wait for a connection to the n-th disk server, and how many connections are
-// open.
+// connCounts returns the number of attempts that wait for a connection to the n-th disk server, and the number of open
+// connections to it.
 func (bed *testbed) connCounts(n int) (waiting, connected int) {
 	bed.t.Helper()
 	bed.onLoop(func() {
@@ -249,7 +251,7 @@
 	return waiting, connected
 }
 
-// recordOutcomes records the outcomes of all dispatches from now on. They are to be read on the loop.
+// recordOutcomes records the outcomes of all dispatches from now on. The result must be read on the loop.
 func (bed *testbed) recordOutcomes() *[]honeyplank.Code {
 	bed.t.Helper()
 	codes := &[]honeyplank.Code{}
@@ -263,7 +265,7 @@
 	return codes
 }
 
-// healthChecks receives the results of health checks from now on.
+// healthChecks returns a channel of the results of health checks from now on.
 func (bed *testbed) healthChecks() <-chan honeyplank.HealthCheckResult {
 	bed.t.Helper()
 	results := make(chan honeyplank.HealthCheckResult, 1)
@@ -277,11 +279,11 @@
 	return results
 }
 
-// checkReceived compares the ids of the ops that have reached the first disk server with those expected.
+// checkReceived checks that the ids of the ops that have reached the first disk server, as printed by fmt, are want.
 func (bed *testbed) checkReceived(want string) {
 	bed.t.Helper()
 	if ids := receivedIDs(bed.disks[0]); fmt.Sprint(ids) != want {
-		bed.t.Errorf("%v have reached the disk server, expected %s", ids, want)
+		bed.t.Errorf("ops %v have reached the disk server, expected %s", ids, want)
 	}
 }
 
@@ -293,7 +295,7 @@
 	return ids
 }
 
-// newGatedTestbed starts a scheduler whose only disk server is behind a closed gate and gets all ops.
+// newGatedTestbed starts a scheduler whose only disk server gets all ops and is behind a closed gate.
 func newGatedTestbed(t *testing.T, connectTimeout, drainGrace time.Duration) (*testbed, *connGate) {
 	t.Helper()
 	bed := newTestbed(t, 1, func(config map[string]any) {
@@ -308,7 +310,7 @@
 	return bed, gate
 }
 
-// takeAllDescriptors takes all descriptors of the process; release gives them back.
+// takeAllDescriptors opens all free descriptors of the process. release closes them.
 func takeAllDescriptors() (release func()) {
 	var taken []int
 	for {
@@ -320,7 +322,7 @@
 	}
 	return sync.OnceFunc(func() {
 		for _, fd := range taken {
-			_ = unix.Close(fd) // it is a copy that nothing else uses
+			_ = unix.Close(fd) // a copy that nothing else uses
 		}
 	})
 }
