--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -62,7 +62,7 @@
 	commandStarted time.Duration // when the first part of an incomplete command was received; 0 if there is none
 	hasSentOp      bool          // at least one of its ops was admitted
 	paused         bool          // reading is paused
-	throttled      bool          // reading is paused because it used too much time of the loop
+	throttled      bool          // reading is paused because the client used too much time of the loop
 	loopTime       time.Duration // loop time used since its last op or throttling
 	closing        bool          // no more commands are handled
 	quitRequested  bool          // the client has sent QUIT
@@ -155,9 +155,9 @@
 	return c.lastActivity < other.lastActivity
 }
 
-// isBusy reports whether the connection is in use. It is if the client awaits a reply. If the client has sent ops, it
-// also is while a reply is partly sent or a command partly received. Without an op these do not count: otherwise
-// clients that send PING and read no reply would hold all descriptors.
+// isBusy reports whether the connection is in use: the client awaits a reply or, if it has sent ops, a reply is not
+// completely sent or a command not completely received. These two cases do not count for a client without ops:
+// otherwise clients that send PING and read no reply would hold all descriptors.
 func (c *client) isBusy() bool {
 	return len(c.pending) > 0 || c.hasSentOp && (c.conn.UnsentBytes() > 0 || c.commandStarted > 0)
 }
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -147,7 +147,7 @@
 	return c.receive(ctx, client, receive)
 }
 
-// cause returns errWatchSilent for an error of a call that was cancelled for silence, and other errors as they are.
+// cause returns errNoData if the call was cancelled at the deadline of its reader, and err otherwise.
 func cause(ctx context.Context, err error) error {
 	if errors.Is(context.Cause(ctx), errNoData) {
 		return errNoData
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestListForms checks that a list that is received byte by byte, or on many lines, is applied while the watch stays
-// open.
+// TestListForms checks that a list that is received byte by byte and on many lines, and lists that are received
+// together, are applied while the watch stays open.
 func TestListForms(t *testing.T) {
 	discovery := newScriptedDiscovery(t)
 	bed := newTestbed(t, 2, discovery.configure)
--- a/scheduler/late_reply_test.go
+++ b/scheduler/late_reply_test.go
@@ -20,9 +20,9 @@
 	mu          sync.Mutex
 	extra       string // sent after each answer; nothing is sent if it is empty
 	connections int    // total number of connections opened
-	inTime      int    // number of extra bytes written within reuseDelay
-	overdue     int    // number of extra bytes whose write ended after reuseDelay
-	reused      int    // number of commands on connections after extra bytes written in time
+	inTime      int    // number of answers with extra bytes written within reuseDelay
+	overdue     int    // number of answers with extra bytes whose write ended after reuseDelay
+	reused      int    // number of commands on a connection after extra bytes were written in time
 }
 
 // The extra bytes are sent extraReplyDelay after an answer, or not at all if more than maxExtraReplyDelay has passed.
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -149,7 +149,7 @@
 		changed = append(changed, s.removeUnlisted(list)...)
 	}
 	s.tracker.Deliver(event)
-	for _, ds := range changed { // after the module is notified, and so dispatches nothing more to removed servers
+	for _, ds := range changed { // after Deliver: the module no longer dispatches to removed servers
 		ds.enforceDrainGrace(notified)
 	}
 }
--- a/scheduler/message_reader.go
+++ b/scheduler/message_reader.go
@@ -6,7 +6,7 @@
 )
 
 // Limits of calls to discovery. An instance counts as notified of a change notifiedWithin after discovery has that
-// change and is reachable. The time-outs of one watch without data and of one call without a response, each followed by
+// change and is reachable. The timeouts of one watch without data and of one call without a response, each followed by
 // a retry delay, have to fit into that time.
 const (
 	maxMessageBytes = 4 << 20  // size of one message
@@ -91,9 +91,9 @@
 }
 
 // revisionGuard rejects lists that are older than the current one. Such a list comes from a slow call, or from a
-// discovery whose data is older than that of the one used before. It would add servers again that are removed or
-// draining. A discovery that has restarted its revisions would be rejected forever, so older lists are accepted again
-// once only older ones were received for oldListTimeout.
+// discovery whose data is older than that of the one used before. It would make removed or draining servers available
+// again. Without an exception a discovery that restarts its revisions would be rejected forever, so older lists are
+// accepted once only older ones were received for oldListTimeout.
 type revisionGuard struct {
 	revision   int64         // of the current list
 	olderSince time.Duration // when the first of the consecutive older lists came; 0 if the last one was not older
--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -112,7 +112,7 @@
 	})
 }
 
-// stopIfIdle stops the loop after idleBeforeStop if the scheduler is idle now and then.
+// stopIfIdle stops the loop after idleBeforeStop if the scheduler is idle now and is idle again at that time.
 func (s *Scheduler) stopIfIdle() {
 	if !s.isIdle() || s.stopping {
 		return
