--- a/fake/resp/conn.go
+++ b/fake/resp/conn.go
@@ -18,7 +18,7 @@
 // commandLimits bound a command that comes.
 var commandLimits = resp.Limits{
 	Line:         64,
-	Bulk:         64 << 10,
+	BulkString:   64 << 10,
 	Items:        8,
 	Depth:        1,
 	Total:        80 << 10,
@@ -122,11 +122,11 @@
 	case "BLK.READ", "BLK.WRITE":
 		return c.answerBlock(command, faults)
 	case "PING":
-		return resp.AppendSimple(nil, "PONG")
+		return resp.AppendSimpleString(nil, "PONG")
 	case "INFO":
 		return resp.AppendBulk(nil, []byte(faults.LoadReport))
 	case "CLIENT", "SELECT":
-		return resp.AppendSimple(nil, "OK")
+		return resp.AppendSimpleString(nil, "OK")
 	}
 	return resp.AppendError(nil, "ERR unknown command")
 }
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -80,13 +80,13 @@
 // process pause before the grace period ends. The grace period counts from the time at which the list arrived, not from
 // the time at which the loop handled it.
 func TestDrainGraceDuringProcessPause(t *testing.T) {
-	for _, grace := range []time.Duration{100 * time.Millisecond, maxHoldUp, 500 * time.Millisecond} {
+	for _, grace := range []time.Duration{100 * time.Millisecond, maxProcessPause, 500 * time.Millisecond} {
 		t.Run(fmt.Sprint(grace), func(t *testing.T) {
 			bed, gate := newGatedTestbed(t, 5*time.Second, grace)
 			c := bed.dialClient()
 			c.sendRead("a", 9000)
 			bed.awaitWaiter()
-			waits := bed.waitersAfterList(max(grace-maxHoldUp, 0))
+			waits := bed.waitersAfterList(max(grace-maxProcessPause, 0))
 			member := bed.member(0, "draining")
 			member.Address = gate.address
 			bed.discovery.Change(member)
--- a/scheduler/shutdown_hold_up_test.go
+++ b/scheduler/shutdown_hold_up_test.go
@@ -12,14 +12,14 @@
 	"honeyplank/resp"
 )
 
-// clientTraffic is what has crossed the socket of one client, as its scheduler saw it. It is used on the loop.
+// clientTraffic records the bytes that the scheduler received from and sent to one client. It is used on the loop.
 type clientTraffic struct {
 	reader   resp.Reader
 	commands int           // complete commands
 	lastSent time.Duration // when bytes were last sent
 }
 
-// countCommands counts the complete commands in bytes of the client.
+// countCommands counts the complete commands in the next bytes from the client.
 func (x *clientTraffic) countCommands(b []byte) {
 	for len(b) > 0 {
 		frame, err := x.reader.Next(b)
@@ -31,50 +31,51 @@
 	}
 }
 
-// heldUpShutdown is a scheduler that shuts down while clients send on and its disk server hangs.
-type heldUpShutdown struct {
+// pausedShutdown is a scheduler that shuts down while clients continue to send and its disk server does not answer.
+type pausedShutdown struct {
 	*testbed
 	opTimeout time.Duration
 	plan      shutdownPlan
 
-	// Used on the loop, or after its end.
-	traffic map[*client]*clientTraffic
-	late    time.Duration // how long the machine has held the loop up on its own
+	// These are used on the loop, or after it has ended.
+	traffic      map[*client]*clientTraffic
+	machineDelay time.Duration // how long the machine itself has delayed the loop
 
-	ended   sync.WaitGroup // the readers of replies
+	ended   sync.WaitGroup // goroutines that read replies
 	mu      sync.Mutex
 	replies int
 }
 
-// newHeldUpShutdown starts the scheduler.
-func newHeldUpShutdown(t *testing.T, opTimeout time.Duration) *heldUpShutdown {
+// newPausedShutdown starts the scheduler with the given op timeout.
+func newPausedShutdown(t *testing.T, opTimeout time.Duration) *pausedShutdown {
 	t.Helper()
-	s := &heldUpShutdown{
+	s := &pausedShutdown{
 		testbed:   newTestbed(t, 1, withOpTimeout(opTimeout)),
 		opTimeout: opTimeout,
 		traffic:   map[*client]*clientTraffic{},
 	}
 	s.onLoop(func() {
 		s.module.DecisionModule = singleServerModule{"s-0"}
-		s.look(s.scheduler.loop.Now())
+		s.observe(s.scheduler.loop.Now())
 	})
 	s.disks[0].SetFaults(fakeresp.Faults{Silent: true})
 	return s
 }
 
-// look taps new clients and measures how late it is called on the loop, each millisecond.
-func (s *heldUpShutdown) look(due time.Duration) {
+// observe records the traffic of new clients and measures how late the loop calls it, every millisecond. It is called
+// on the loop; due is the time for which it was scheduled.
+func (s *pausedShutdown) observe(due time.Duration) {
 	s.tapClients()
 	loop := s.scheduler.loop
 	if over := loop.Now() - due; s.scheduler.shuttingDown && over > 10*time.Millisecond {
-		s.late += over
+		s.machineDelay += over
 	}
 	next := loop.Now() + time.Millisecond
-	loop.Schedule(next, func() { s.look(next) })
+	loop.Schedule(next, func() { s.observe(next) })
 }
 
-// tapClients counts what crosses the sockets of all clients from now on.
-func (s *heldUpShutdown) tapClients() {
+// tapClients records the traffic of all clients from now on.
+func (s *pausedShutdown) tapClients() {
 	for c := range s.scheduler.clients {
 		if s.traffic[c] != nil {
 			continue
@@ -91,12 +92,12 @@
 	}
 }
 
-// follow counts the replies of a client, on a goroutine, until its connection ends in order.
-func (s *heldUpShutdown) follow(c *testClient) {
+// readReplies counts the replies to a client, on a goroutine, and checks that its connection ends with EOF.
+func (s *pausedShutdown) readReplies(c *testClient) {
 	s.ended.Go(func() {
 		n, err := c.countReplies()
 		if !errors.Is(err, io.EOF) {
-			s.t.Errorf("a connection ends with %v after %d answers", err, n)
+			s.t.Errorf("a connection ends with %v after %d replies, expected EOF", err, n)
 		}
 		s.mu.Lock()
 		s.replies += n
@@ -105,19 +106,20 @@
 	})
 }
 
-// followHalf reads what a client of half a command gets: an error at most, which is no answer to a command.
-func (s *heldUpShutdown) followHalf(c *testClient) {
+// readRepliesToPartialCommand reads the replies to a client that has sent an incomplete command, on a goroutine. The
+// client gets at most an error, which is not a reply to a command.
+func (s *pausedShutdown) readRepliesToPartialCommand(c *testClient) {
 	s.ended.Go(func() {
 		if n, err := c.countReplies(); n > 1 || !errors.Is(err, io.EOF) {
-			s.t.Errorf("half a command gets %d answers and %v", n, err)
+			s.t.Errorf("an incomplete command gets %d replies and error %v", n, err)
 		}
 		c.disconnect()
 	})
 }
 
-// flood has a client send a read after each gap, until its connection ends.
-func (s *heldUpShutdown) flood(c *testClient, gap time.Duration) {
-	s.follow(c)
+// sendReads sends a read from a client after each gap, until its connection ends. It also starts readReplies.
+func (s *pausedShutdown) sendReads(c *testClient, gap time.Duration) {
+	s.readReplies(c)
 	go func() {
 		for i := 0; ; i++ {
 			id := fmt.Sprintf("%s-%d", c.LocalAddr(), i)
@@ -129,79 +131,81 @@
 	}()
 }
 
-// holdUpAt has the loop held up just before a step of the shutdown.
-func (s *heldUpShutdown) holdUpAt(step string) {
+// pauseAt pauses the loop for maxProcessPause just before a step of the shutdown.
+func (s *pausedShutdown) pauseAt(step string) {
 	s.onLoop(func() {
 		s.plan = s.scheduler.shutdown
 		at := map[string]time.Duration{
-			"ops":     s.plan.closeIntake,
-			"answers": s.plan.failRemaining,
-			"leave":   s.plan.failRemaining + flushMargin,
+			"admission": s.plan.closeAdmission,
+			"replies":   s.plan.failRemaining,
+			"stop":      s.plan.failRemaining + flushMargin,
 		}[step]
 		if at == 0 {
 			return
 		}
 		s.scheduler.loop.Schedule(at-1, func() {
-			time.Sleep(maxHoldUp)
-			s.late -= maxHoldUp
+			time.Sleep(maxProcessPause)
+			s.machineDelay -= maxProcessPause
 		})
 	})
 }
 
-// connectUntil has new clients connect and send until a time, or until the intake closes on a busy machine.
-func (s *heldUpShutdown) connectUntil(end time.Time) {
+// connectUntil connects new clients, which send ops, until the given time. It returns earlier if admission closes
+// before, as on a busy machine.
+func (s *pausedShutdown) connectUntil(end time.Time) {
 	for time.Now().Before(end) {
 		clients, closed := 0, true
-		s.onLoop(func() { clients, closed = len(s.traffic), s.scheduler.intakeClosed })
+		s.onLoop(func() { clients, closed = len(s.traffic), s.scheduler.admissionClosed })
 		if closed {
 			return
 		}
 		c := s.dialClient()
 		s.eventually("the connection", func() bool {
-			ok := true // also after the end of the loop
-			s.onLoop(func() { ok = s.scheduler.intakeClosed || len(s.traffic) > clients })
+			ok := true // the result if the loop has ended
+			s.onLoop(func() { ok = s.scheduler.admissionClosed || len(s.traffic) > clients })
 			return ok
 		})
-		s.flood(c, 20*time.Millisecond)
+		s.sendReads(c, 20*time.Millisecond)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// check checks, after the end of the loop, that each command that was read has one reply, sent in time.
-func (s *heldUpShutdown) check() {
+// check checks that each command that was read has one reply, and that the last bytes were sent in time. It is called
+// after the loop has ended.
+func (s *pausedShutdown) check() {
 	s.t.Helper()
 	commands := 0
 	for _, x := range s.traffic {
 		commands += x.commands
-		if x.lastSent > s.plan.killTime-flushMargin/2+s.late {
+		if x.lastSent > s.plan.killTime-flushMargin/2+s.machineDelay {
 			left := s.plan.killTime - x.lastSent
-			s.t.Errorf("something is sent %v before the kill, the machine was busy for %v", left, s.late)
+			s.t.Errorf("bytes were sent %v before the kill, the machine delayed the loop for %v", left, s.machineDelay)
 		}
 	}
 	if commands != s.replies || commands == 0 {
-		s.t.Errorf("%d commands have been read, %d answers have come", commands, s.replies)
+		s.t.Errorf("%d commands were read, %d replies were received", commands, s.replies)
 	}
 }
 
-// TestShutdownHeldUp: whatever the longest op timeout, while clients send on and a disk server hangs, each request that
-// was read has one whole reply some time before the kill, also where the scheduler is held up at a step of its
-// shutdown; what was not read gets a regular end of the connection.
-func TestShutdownHeldUp(t *testing.T) {
+// TestShutdownDuringProcessPause checks shutdowns with short and long op timeouts, while clients continue to send and
+// the disk server does not answer. Each request that was read gets one complete reply some time before the kill, even
+// if the process pauses at a step of the shutdown. Connections with unread requests end with EOF.
+func TestShutdownDuringProcessPause(t *testing.T) {
 	for _, opTimeout := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second} {
-		for _, step := range []string{"none", "ops", "answers", "leave"} {
+		for _, step := range []string{"none", "admission", "replies", "stop"} {
 			t.Run(fmt.Sprint(opTimeout, " ", step), func(t *testing.T) {
 				t.Parallel()
-				s := newHeldUpShutdown(t, opTimeout)
+				s := newPausedShutdown(t, opTimeout)
 				first, second, half, idle := s.dialClient(), s.dialClient(), s.dialClient(), s.dialClient()
 				s.eventuallyOnLoop("the clients", func() bool { return len(s.traffic) == 4 })
-				s.flood(first, time.Millisecond)
-				s.flood(second, 5*time.Millisecond)
+				s.sendReads(first, time.Millisecond)
+				s.sendReads(second, 5*time.Millisecond)
 				half.sendBytes([]byte("*4\r\n$8\r\nBLK.RE"))
-				s.followHalf(half)
-				s.follow(idle)
+				s.readRepliesToPartialCommand(half)
+				s.readReplies(idle)
 				notified := time.Now()
 				s.scheduler.Shutdown()
-				s.holdUpAt(step)
+				s.pauseAt(step)
 				s.connectUntil(notified.Add(390 * time.Millisecond))
 				if err := s.awaitEnd(10 * time.Second); err != nil {
 					t.Fatal(err)
