--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -41,8 +41,8 @@
 	c.Close()
 }
 
-// Reset ends the connection as a reset by the other end does.
-func (c *Conn) Reset() { c.fail(unix.ECONNRESET) }
+// SimulateReset ends the connection as a reset by the other end does.
+func (c *Conn) SimulateReset() { c.fail(unix.ECONNRESET) }
 
 // CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed
 // once the other end has closed too, or after a second. To close at once would have the kernel answer what still
--- a/fake/resp/conn.go
+++ b/fake/resp/conn.go
@@ -90,7 +90,7 @@
 	if strings.HasPrefix(command.Name, "BLK.") {
 		c.disk.record(command)
 		if faults.ResetOnCommand {
-			c.raw.Reset()
+			c.raw.SimulateReset()
 			return false
 		}
 		if faults.Silent {
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -120,7 +120,7 @@
 		return nil
 	case wireCut:
 		w.onDamage()
-		w.run.loop.Schedule(0, w.conn.Reset)
+		w.run.loop.Schedule(0, w.conn.SimulateReset)
 		return b[:from]
 	case wireFlip:
 		b[from] ^= 1 << rng.Intn(8)
