--- a/membership/merge.go
+++ b/membership/merge.go
@@ -6,8 +6,8 @@
 type Cause int
 
 const (
-	// SourceSilent means that no source has reported the server.
-	SourceSilent Cause = iota
+	// Unreported means that no source has reported the server.
+	Unreported Cause = iota
 	// Agreed means that no source reports anything else.
 	Agreed
 	// SourceReported means that a source reports the server as draining or removed.
