--- a/discovery/dns/exchange.go
+++ b/discovery/dns/exchange.go
@@ -18,7 +18,7 @@
 var (
 	ErrTruncated     = errors.New("truncated over TCP too")
 	ErrNotAnAnswer   = errors.New("no answer to a question")
-	ErrOtherQuestion = errors.New("an answer to another question")
+	ErrQuestionMismatch = errors.New("an answer to another question")
 	ErrEmptyAnswer   = errors.New("an empty answer without an SOA")
 )
 
@@ -95,7 +95,7 @@
 	case !m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) != 1:
 		return ErrNotAnAnswer
 	case !isQuestion(m.Question[0], name, recordType):
-		return fmt.Errorf("%w, %s", ErrOtherQuestion, m.Question[0].String())
+		return fmt.Errorf("%w, %s", ErrQuestionMismatch, m.Question[0].String())
 	case m.Rcode != mdns.RcodeSuccess && m.Rcode != mdns.RcodeNameError:
 		return RcodeError(m.Rcode)
 	}
