--- a/discovery/dns/exchange.go
+++ b/discovery/dns/exchange.go
@@ -17,7 +17,7 @@
 // Why an answer is none. Update.Err wraps these.
 var (
 	ErrTruncated     = errors.New("truncated over TCP too")
-	ErrNotAnAnswer   = errors.New("no answer to a question")
+	ErrNotAResponse   = errors.New("no answer to a question")
 	ErrQuestionMismatch = errors.New("an answer to another question")
 	ErrEmptyAnswer   = errors.New("an empty answer without an SOA")
 )
@@ -93,7 +93,7 @@
 	case m.Truncated:
 		return ErrTruncated
 	case !m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) != 1:
-		return ErrNotAnAnswer
+		return ErrNotAResponse
 	case !isQuestion(m.Question[0], name, recordType):
 		return fmt.Errorf("%w, %s", ErrQuestionMismatch, m.Question[0].String())
 	case m.Rcode != mdns.RcodeSuccess && m.Rcode != mdns.RcodeNameError:
