--- a/discovery/etcd/rpc.go
+++ b/discovery/etcd/rpc.go
@@ -29,8 +29,8 @@
 	// ErrNotCreated means that etcd did not confirm the watch in time: there is no connection, or the endpoint accepted
 	// the call and did not answer it.
 	ErrNotCreated = errors.New("the watch was not created in time")
-	// ErrSilent means that nothing came on the watch, not even the progress that was requested.
-	ErrSilent = errors.New("nothing came on the watch in time")
+	// ErrNoProgress means that nothing came on the watch, not even the progress that was requested.
+	ErrNoProgress = errors.New("nothing came on the watch in time")
 )
 
 // connect runs a session on a connection to its endpoint.
@@ -224,7 +224,7 @@
 			requested = false
 		case <-timer.C:
 			if requested {
-				cancel(fmt.Errorf("%w: %v", ErrSilent, timeout))
+				cancel(fmt.Errorf("%w: %v", ErrNoProgress, timeout))
 				return
 			}
 			requested = true
