--- a/eventloop/alloc_test.go
+++ b/eventloop/alloc_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// echo sends its input back; where onInput is set, it calls that instead.
+// echo sends its input back; if onInput is set, it calls onInput instead.
 type echo struct{ onInput func(*Conn) }
 
 func (e *echo) Opened(*Conn)        {}
@@ -19,7 +19,8 @@
 	return len(b)
 }
 
-// TestHotPathAllocations: a round trip allocates no more through Syscalls than with direct system calls.
+// TestHotPathAllocations guards against allocations caused by the interface Syscalls: a round trip must allocate no
+// more than with direct system calls.
 func TestHotPathAllocations(t *testing.T) {
 	loop, err := New(0)
 	if err != nil {
@@ -46,19 +47,19 @@
 		select {
 		case <-echoed:
 		case <-time.After(10 * time.Second):
-			t.Fatal("no echo")
+			t.Fatal("no echo within 10 s")
 		}
 	}
 	for range 10 {
 		roundTrip()
 	}
 	timer := testing.AllocsPerRun(100, func() { <-time.After(time.Nanosecond) })
-	if got := testing.AllocsPerRun(40, roundTrip) - timer; got > 1 { // the list of posted functions
-		t.Errorf("a round trip allocates %v times", got)
+	if got := testing.AllocsPerRun(40, roundTrip) - timer; got > 1 { // 1: the list of posted functions
+		t.Errorf("a round trip makes %v allocations, want at most 1", got)
 	}
 	peek = true
-	if got := testing.AllocsPerRun(40, roundTrip) - timer; got > 2 { // and the address that recvfrom returns
-		t.Errorf("a round trip with NoInputPending allocates %v times", got)
+	if got := testing.AllocsPerRun(40, roundTrip) - timer; got > 2 { // 1 more: the address that recvfrom returns
+		t.Errorf("a round trip with NoInputPending makes %v allocations, want at most 2", got)
 	}
 	loop.Post(loop.Stop)
 	if err := <-ended; err != nil {
--- a/eventloop/buffers.go
+++ b/eventloop/buffers.go
@@ -2,24 +2,24 @@
 
 import "math/bits"
 
-// Buffers is a pool of byte slices whose capacities are powers of two. It bounds what it keeps for later use and counts
-// what is in use, so that its owner can limit that. It must be used on one loop only.
+// Buffers is a pool of byte slices whose capacities are powers of two. It limits the bytes that it keeps for reuse, and
+// counts the bytes in use so that its owner can limit them. It must be used on one loop only.
 type Buffers struct {
-	// MaxKept is the most that is kept for later use, in bytes.
+	// MaxKept is the maximum total capacity of the slices kept for reuse, in bytes.
 	MaxKept int
-	// InUse is the capacity of the slices that Get has returned and Put has not taken back, in bytes.
+	// InUse is the total capacity, in bytes, of the slices that Get has returned and that Put has not received back.
 	InUse int
-	// Stats, where set, counts the bytes that users of the pool copy.
+	// Stats, if set, counts the bytes that users of the pool copy.
 	Stats *Stats
 
-	kept int                   // bytes
-	free [sizeClasses][][]byte // by the power of two that is their capacity
+	kept int                   // total capacity of the slices in free, in bytes
+	free [sizeClasses][][]byte // indexed by the base-2 logarithm of the capacity
 }
 
-// sizeClasses is the number of powers of two that the pool distinguishes: the largest slice has 2 GiB.
+// sizeClasses is the number of size classes, one for each power of two. The largest slice has 2 GiB.
 const sizeClasses = 32
 
-// Get returns a slice of n bytes, whose content is undefined.
+// Get returns a slice of n bytes with undefined content.
 func (pool *Buffers) Get(n int) []byte {
 	if n == 0 {
 		return nil
@@ -39,7 +39,7 @@
 	return b[:n]
 }
 
-// Put takes back a slice that came from Get. The caller must not use it any more.
+// Put returns to the pool a slice that came from Get. The caller must not use the slice afterwards.
 func (pool *Buffers) Put(b []byte) {
 	size := cap(b)
 	if size == 0 {
--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// gracefulCloseTimeout is how long CloseGracefully waits for the other end to close once all is written.
-	// CloseAfterFlush waits as long, beyond its own delay, for the other end to take the output.
+	// gracefulCloseTimeout is the time for which CloseGracefully waits for the peer to close after all output is
+	// written. CloseAfterFlush waits for its own delay plus this time until the peer has acknowledged the output.
 	gracefulCloseTimeout = time.Second
-	// unreadCloseTimeout is how long CloseGracefully waits for the other end to take the output.
+	// unreadCloseTimeout is the time for which CloseGracefully waits until the peer has received the output.
 	unreadCloseTimeout = 10 * time.Second
-	// ackPollInterval is the time between two checks of what the other end has acknowledged.
+	// ackPollInterval is the time between two checks of the number of unacknowledged bytes.
 	ackPollInterval = 10 * time.Millisecond
 )
 
-// Close closes the socket at once; the system sends a reset if input was left unread. OnClosed is called,
-// Handler.Closed is not.
+// Close closes the socket immediately; the kernel sends a reset if input was left unread. It calls OnClosed, but not
+// Handler.Closed.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// Abort closes the socket at once with a reset (SO_LINGER with no time, see socket(7)): output that the other end's
-// system has not taken yet never arrives. Otherwise it is like Close.
+// Abort closes the socket immediately with a reset (SO_LINGER with a linger time of 0, see socket(7)). Output that the
+// peer's kernel has not received yet is lost. Otherwise it is like Close.
 func (c *Conn) Abort() {
 	if !c.closed {
 		_ = c.loop.sys.SetsockoptLinger(c.fd, unix.Linger{Onoff: 1}) // the socket is closed either way
@@ -41,13 +41,13 @@
 	c.Close()
 }
 
-// SimulateReset ends the connection as a reset by the other end does.
+// SimulateReset ends the connection in the same way as a reset from the peer.
 func (c *Conn) SimulateReset() { c.fail(unix.ECONNRESET) }
 
-// CloseGracefully ends the connection in order: Output is written, then the sending ends, and the socket is closed
-// once the other end has closed too, or after a second. To close at once would have the kernel answer what still
-// comes with a reset, which can take from the other end what it has not read yet. Nothing more is read: a request
-// that crosses the end stays unread, so that its sender may send it again. Handler.Closed is not called.
+// CloseGracefully writes Output, shuts down sending, and closes the socket when the peer has closed too, or after one
+// second. If the socket were closed immediately, the kernel would answer further input with a reset, and the peer could
+// lose output that it has not read yet. Nothing more is read: a request that arrives during the close stays unread, so
+// that its sender may send it again. Handler.Closed is not called.
 func (c *Conn) CloseGracefully() {
 	if c.closing || c.closed {
 		return
@@ -60,8 +60,8 @@
 }
 
 // CloseAfterFlush ends a connection whose further input is not needed: Output is written, nothing more is read, and
-// the socket is closed after a delay in which the other end can read the output, or a second later where it has not.
-// Handler.Closed is not called.
+// the socket is closed after a delay in which the peer can read the output. If the peer has not received the output by
+// then, the socket is closed at most one second later. Handler.Closed is not called.
 func (c *Conn) CloseAfterFlush(delay time.Duration) {
 	if c.closing || c.closed {
 		return
@@ -69,8 +69,8 @@
 	c.closeAfterOutput(delay, gracefulCloseTimeout+delay)
 }
 
-// closeAfterOutput closes the socket when Output is written and a delay has passed, and by a timeout from now in any
-// case.
+// closeAfterOutput closes the socket when Output is written and then a delay has passed. It closes the socket when the
+// timeout expires in any case.
 func (c *Conn) closeAfterOutput(delay, timeout time.Duration) {
 	c.closing, c.input, c.closeDelay = true, nil, delay
 	c.Pause()
@@ -78,7 +78,7 @@
 	c.loop.Schedule(c.loop.Now()+timeout, c.Close)
 }
 
-// outputWritten goes on with a close that waits for the output.
+// outputWritten continues a close that was waiting for Output to be written.
 func (c *Conn) outputWritten() {
 	if c.closing {
 		c.closeWrite()
@@ -89,24 +89,24 @@
 	}
 }
 
-// closeWrite ends the sending, see shutdown(2).
+// closeWrite shuts down sending, see shutdown(2).
 func (c *Conn) closeWrite() {
 	c.writeClosed = true
 	c.loop.Stats.OtherCalls.Add(1)
 	_ = c.loop.sys.Shutdown(c.fd, unix.SHUT_WR) // a timer closes the socket either way
 }
 
-// closeWhenAcked closes a connection that has ended its sending, once that takes nothing from the other end: a close
-// over unread input resets the connection, and output that the other end has not acknowledged yet is lost with it.
+// closeWhenAcked closes a connection whose sending is shut down, as soon as the peer can no longer lose output by it.
+// Closing a socket that has unread input resets the connection, and output that the peer has not acknowledged is lost.
 func (c *Conn) closeWhenAcked() {
 	if c.closed {
 		return
 	}
-	if c.UnackedBytes() == 0 || c.peerHasEnded() {
+	if c.UnackedBytes() == 0 || c.reachedEOF() {
 		c.Close()
 		return
 	}
-	// epoll always reports EPOLLHUP, once both directions have ended in every round: see epoll_ctl(2).
+	// Once both directions have ended, epoll reports EPOLLHUP in every round; it cannot be masked, see epoll_ctl(2).
 	if c.registered {
 		c.registered = false
 		_ = c.loop.control(unix.EPOLL_CTL_DEL, c.fd, 0) // the close of the descriptor removes it too
@@ -114,7 +114,8 @@
 	c.loop.Schedule(c.loop.Now()+ackPollInterval, c.closeWhenAcked)
 }
 
-// fail closes the socket and tells the handler, unless a close was under way already. A nil error is an end in order.
+// fail closes the socket and calls Handler.Closed, unless a close was already in progress. A nil error means that the
+// peer closed the connection normally.
 func (c *Conn) fail(err error) {
 	if c.closed {
 		return
@@ -125,7 +126,7 @@
 	}
 }
 
-// failLater fails the connection once the call that runs now, which may be one of its handler, has returned.
+// failLater fails the connection after the current call, which may be a call of its handler, has returned.
 func (c *Conn) failLater(err error) {
 	c.loop.Schedule(0, func() { c.fail(err) })
 }
--- a/eventloop/close_test.go
+++ b/eventloop/close_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// countingHandler uses all input and counts it.
+// countingHandler consumes all input and counts its bytes.
 type countingHandler struct{ received int }
 
 func (h *countingHandler) Opened(*Conn)        {}
@@ -19,15 +19,15 @@
 	return len(b)
 }
 
-// TestCloseWithUnreadInput: input that crosses the close of a connection is not read, and the close takes nothing of
-// the output from the other end, whatever that does meanwhile.
+// TestCloseWithUnreadInput closes a connection while input arrives. The input must stay unread, and the peer must
+// receive all output. A reset, which the kernel sends if a socket with unread input is closed, would discard output.
 func TestCloseWithUnreadInput(t *testing.T) {
 	closings := map[string]func(*Conn){
 		"CloseGracefully": (*Conn).CloseGracefully,
 		"CloseAfterFlush": func(c *Conn) { c.CloseAfterFlush(200 * time.Millisecond) },
 	}
 	for name, closeConn := range closings {
-		for _, size := range []int{1, 4 << 20} { // 4 MB: more than the socket buffers hold
+		for _, size := range []int{1, 4 << 20} { // 4 MiB: more than the socket buffers hold
 			for _, peer := range []peerEnd{peerStaysOpen, peerHalfCloses, peerClosesAfterReading} {
 				t.Run(fmt.Sprintf("%s/%d bytes/%s", name, size, peer), func(t *testing.T) {
 					expectOutputArrives(t, closeConn, size, peer)
@@ -37,16 +37,16 @@
 	}
 }
 
-// peerEnd is how the other end of a connection behaves while this one closes.
+// peerEnd is the behaviour of the peer while the tested connection closes.
 type peerEnd string
 
 const (
 	peerStaysOpen          peerEnd = "peer stays open"
-	peerHalfCloses         peerEnd = "peer half-closes before"
+	peerHalfCloses         peerEnd = "peer half-closes first"
 	peerClosesAfterReading peerEnd = "peer closes after reading"
 )
 
-// expectOutputArrives closes a connection while input comes: the output must arrive, and the input must stay unread.
+// expectOutputArrives closes a connection while input arrives. The output must arrive, and the input must stay unread.
 func expectOutputArrives(t *testing.T, closeConn func(*Conn), size int, end peerEnd) {
 	t.Helper()
 	handler := &countingHandler{}
@@ -54,7 +54,7 @@
 	sent := bytes.Repeat([]byte("v"), size)
 	closed, crossed := make(chan bool), make(chan bool)
 	var reads int64
-	loop.Post(func() { // nothing is read before this ends
+	loop.Post(func() { // the loop reads nothing before this function returns
 		c.OnClosed = func() {
 			reads = loop.Stats.BytesIn.Load()
 			close(closed)
@@ -69,25 +69,25 @@
 		close(crossed)
 	})
 	<-crossed
-	time.Sleep(50 * time.Millisecond) // the end of the sending has arrived; the output follows as it is read
+	time.Sleep(50 * time.Millisecond) // lets the input and the half-close arrive before the output is read
 	got, err := io.ReadAll(peer)
 	if !bytes.Equal(got, sent) || err != nil {
-		t.Errorf("%d bytes of %d, %v", len(got), len(sent), err)
+		t.Errorf("peer received %d of %d bytes, error %v", len(got), len(sent), err)
 	}
 	if end == peerClosesAfterReading {
-		_ = peer.Close() // closed again, in vain, when the test ends
+		_ = peer.Close() // the cleanup function closes it again, without effect
 	}
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the connection does not close")
+		t.Fatal("the connection is not closed within 5 s")
 	}
 	if reads > 0 || handler.received > 0 {
-		t.Errorf("%d bytes have been read", reads)
+		t.Errorf("%d bytes of input were read, want 0", reads)
 	}
 }
 
-// sendCrossingInput sends input that the connection will not read, and ends the sending where the peer half-closes.
+// sendCrossingInput sends input that the connection will not read, and shuts down sending if the peer half-closes.
 func sendCrossingInput(peer *net.TCPConn, end peerEnd) error {
 	if _, err := peer.Write([]byte("crosses")); err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return peer.CloseWrite()
 }
 
-// connect returns a loop that runs until the test ends, a connection that it has accepted, and the other end of that.
+// connect returns a loop that runs until the test ends, a connection that it has accepted, and the peer's connection.
 func connect(t *testing.T, handler Handler) (*Loop, *Conn, *net.TCPConn) {
 	t.Helper()
 	loop, err := New(time.Second)
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -8,73 +8,73 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is what a connection calls. All calls are made on the loop.
+// Handler receives the events of a connection. All its methods are called on the loop.
 type Handler interface {
-	// Opened is called once a dialled connection is established.
+	// Opened is called when a dialled connection is established.
 	Opened(c *Conn)
-	// Input brings bytes that were received and returns how many of them it has used. The rest is offered again, with
-	// what follows it. The handler must not keep b.
+	// Input handles received bytes and returns the number of bytes that it has consumed. The remaining bytes are passed
+	// again, together with the bytes received after them. The handler must not keep b.
 	Input(c *Conn, b []byte) int
-	// Closed is called once, when the connection has ended; err is nil if the other end closed it in order. It is not
-	// called after Close, Abort, CloseGracefully and CloseAfterFlush.
+	// Closed is called once, when the connection has ended; err is nil if the peer closed it normally. It is not called
+	// after Close, Abort, CloseGracefully or CloseAfterFlush.
 	Closed(c *Conn, err error)
 }
 
-// FaultFilter changes bytes between socket and handler, for fault injection. It may hold bytes back and return them
-// from a later call, see Conn.FlushFilter.
+// FaultFilter changes bytes between socket and handler, for fault injection. It may retain bytes and return them from a
+// later call, see Conn.FlushFilter.
 type FaultFilter interface {
-	// FilterInput returns what the handler gets in place of received bytes.
+	// FilterInput returns the bytes that are passed to the handler in place of the received bytes.
 	FilterInput(b []byte) []byte
-	// FilterOutput returns what is written in place of bytes of Conn.FilterOutput.
+	// FilterOutput returns the bytes that are written in place of bytes appended to Conn.Output.
 	FilterOutput(b []byte) []byte
 }
 
 // Conn is a TCP connection on a loop. Its fields and methods must be used on the loop only.
 type Conn struct {
-	// Output is the output: append to it and call Send.
+	// Output has the bytes to be written: append to it and call Send.
 	Output []byte
-	// Tap, where set, sees the bytes that cross the socket, in order; sent is their direction. It is called without
-	// bytes when the socket is closed.
+	// Tap, if set, is called with the bytes that are read from or written to the socket, in order; sent is true for
+	// written bytes. It is called without bytes when the socket is closed.
 	Tap func(sent bool, b []byte)
-	// FaultFilter, where set, changes the bytes between socket and handler.
+	// FaultFilter, if set, changes the bytes between socket and handler.
 	FaultFilter FaultFilter
-	// RemoteIP is the address of the client of an accepted connection; it is not set on a dialled one.
+	// RemoteIP is the address of the client of an accepted connection; it is not set on a dialled connection.
 	RemoteIP netip.Addr
-	// MaxReadBytes, where positive, bounds one read.
+	// MaxReadBytes, if positive, limits the bytes of one read.
 	MaxReadBytes int
-	// BeforeWrite, where set, is called before bytes of Output are written, and may change what is unsent.
+	// BeforeWrite, if set, is called before bytes of Output are written. It may change the unsent bytes.
 	BeforeWrite func()
-	// OnClosed, where set, is called once the socket is closed, by whichever end.
+	// OnClosed, if set, is called when the socket is closed, by either end.
 	OnClosed func()
-	// NotifyHalfClose has Closed called at once when the other end has ended its sending, also while the connection
-	// is paused; what came before that and was not read is lost. It must be set before the connection is on the loop.
+	// NotifyHalfClose makes the loop call Handler.Closed as soon as the peer shuts down sending, even if the connection
+	// is paused. Input that was not read before is lost. It must be set before the connection is added to the loop.
 	NotifyHalfClose bool
 
 	loop    *Loop
 	fd      int
 	handler Handler
 
-	input    []byte // read, and not used by the handler yet
-	written  int    // bytes of Output that are written already
-	filtered int    // bytes of Output that FaultFilter has passed
+	input    []byte // read from the socket and not consumed by the handler yet
+	written  int    // number of bytes of Output that are already written
+	filtered int    // number of bytes of Output that FaultFilter has returned
 	arrival  arrival
 
 	interest    uint32 // events that epoll watches
-	registered  bool   // the descriptor is in epoll's interest list
-	dialing     bool   // not established yet
+	registered  bool   // the descriptor is in the interest list of epoll
+	dialing     bool   // the connection is not established yet
 	paused      bool   // nothing is read
-	writeQueued bool   // it is in loop.pendingWrites
+	writeQueued bool   // the connection is in loop.pendingWrites
 
 	closed      bool          // the socket is closed
-	closing     bool          // the socket is closed once Output is written
-	writeClosed bool          // Output is written, and its end has been sent (FIN)
-	closeDelay  time.Duration // from then until the close, after CloseAfterFlush and CloseGracefully
+	closing     bool          // the socket is to be closed after Output is written
+	writeClosed bool          // Output is written and sending is shut down (FIN)
+	closeDelay  time.Duration // from then until the close, for CloseAfterFlush and CloseGracefully
 }
 
-// Loop is the loop that serves the connection.
+// Loop returns the loop that serves the connection.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// FlushFilter has FaultFilter return what it holds back.
+// FlushFilter passes on the bytes that FaultFilter has retained and now returns.
 func (c *Conn) FlushFilter() {
 	if c.FaultFilter != nil && !c.closed && !c.dialing {
 		c.offerInput(c.FaultFilter.FilterInput(nil))
@@ -82,9 +82,9 @@
 	}
 }
 
-// updateInterest has epoll watch the events that the state of the connection asks for.
+// updateInterest registers with epoll the events that the current state of the connection requires.
 func (c *Conn) updateInterest() {
-	interest := c.wantedEvents()
+	interest := c.requiredEvents()
 	if interest == c.interest || c.closed {
 		return
 	}
@@ -97,7 +97,7 @@
 	c.interest = interest
 }
 
-func (c *Conn) wantedEvents() uint32 {
+func (c *Conn) requiredEvents() uint32 {
 	var events uint32
 	if !c.paused && !c.dialing {
 		events |= unix.EPOLLIN
@@ -111,8 +111,8 @@
 	return events
 }
 
-// ready serves the events that epoll_wait(2) reports.
-func (c *Conn) ready(events uint32) {
+// handleEvents handles the events that epoll_wait(2) reports.
+func (c *Conn) handleEvents(events uint32) {
 	if c.dialing {
 		c.finishDial()
 		return
@@ -125,13 +125,13 @@
 	}
 }
 
-// failBroken fails a connection on which epoll reports EPOLLHUP or EPOLLERR.
-func (c *Conn) failBroken() {
+// failWithSocketError fails a connection on which epoll reports EPOLLHUP or EPOLLERR.
+func (c *Conn) failWithSocketError() {
 	c.fail(cmp.Or(c.socketError(), error(unix.ECONNRESET)))
 }
 
-// socketError is the pending error of the socket (SO_ERROR, see socket(7)), or that of asking for it; nil: there is
-// none.
+// socketError returns the pending error of the socket (SO_ERROR, see socket(7)), or the error of getsockopt(2). It
+// returns nil if there is neither.
 func (c *Conn) socketError() error {
 	c.loop.Stats.OtherCalls.Add(1)
 	errno, err := c.loop.sys.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
--- a/eventloop/datagram.go
+++ b/eventloop/datagram.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDatagrams is how many datagrams a socket reads in one round; then others have their turn.
+// maxDatagrams is the number of datagrams that a socket reads in one round before the other sockets are served.
 const maxDatagrams = 64
 
 // UDPConn is a UDP socket on a loop.
@@ -19,10 +19,11 @@
 	receive func(from netip.AddrPort, b []byte)
 }
 
-// ListenUDP receives datagrams on an IPv4 address and port. receive must not keep b. An error of the system is a
-// *net.OpError, or that of socket(2); see Transient.
+// ListenUDP receives datagrams on an IPv4 address and port, and calls receive on the loop for each of them. receive
+// must not keep b. An error of bind(2) or epoll_ctl(2) is a *net.OpError, an error of socket(2) is an *os.SyscallError;
+// see Transient.
 func (l *Loop) ListenUDP(address string, receive func(from netip.AddrPort, b []byte)) (*UDPConn, error) {
-	at, err := netip.ParseAddrPort(address)
+	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
@@ -30,7 +31,7 @@
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
-	if err := l.sys.Bind(fd, sockaddr(at)); err != nil {
+	if err := l.sys.Bind(fd, sockaddr(addr)); err != nil {
 		_ = l.sys.Close(fd) // unused; the error above is the one to report
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: os.NewSyscallError("bind", err)}
 	}
@@ -41,21 +42,21 @@
 	return u, nil
 }
 
-// Send sends one datagram. It does not wait and reports no error: a datagram that finds no room in the socket's buffer
-// is lost, as it may be in the network.
+// Send sends one datagram. It does not block and reports no error: if the send buffer of the socket is full, the
+// datagram is lost, as it may be in the network.
 func (u *UDPConn) Send(to netip.AddrPort, b []byte) {
-	at := sockaddr(to)
+	addr := sockaddr(to)
 	for range maxInterruptions {
 		u.loop.Stats.Writes.Add(1)
-		if err := u.loop.sys.Sendto(u.fd, b, unix.MSG_DONTWAIT, at); !errors.Is(err, unix.EINTR) {
+		if err := u.loop.sys.Sendto(u.fd, b, unix.MSG_DONTWAIT, addr); !errors.Is(err, unix.EINTR) {
 			return
 		}
 	}
 }
 
-// ready reads the datagrams that wait. It guards against errors that leave the socket readable, see recv(2): the loop,
-// which epoll would wake at once, sleeps for roundPause; other sockets of the loop are served that much later.
-func (u *UDPConn) ready(uint32) {
+// handleEvents reads the queued datagrams. Some errors leave the socket readable, see recv(2), and epoll would wake the
+// loop immediately. The loop therefore sleeps for roundPause, which delays the other sockets of the loop by that time.
+func (u *UDPConn) handleEvents(uint32) {
 	failed := 0
 	for range maxDatagrams {
 		u.loop.Stats.Reads.Add(1)
@@ -64,10 +65,10 @@
 		case err == nil:
 		case errors.Is(err, unix.EAGAIN):
 			return
-		case anyOf(err, unix.ENOMEM, unix.ENOBUFS): // the datagram stays
+		case anyOf(err, unix.ENOMEM, unix.ENOBUFS): // the datagram stays in the socket
 			u.loop.pauseRound = true
 			return
-		default: // a signal, or the error of a datagram that was sent
+		default: // a signal, or the pending error of a datagram that was sent
 			if failed++; failed == maxDatagrams {
 				u.loop.pauseRound = true
 			}
--- a/eventloop/descriptors.go
+++ b/eventloop/descriptors.go
@@ -7,26 +7,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// file serves the events of a descriptor.
-type file interface {
-	ready(events uint32)
+// eventHandler handles the events of a descriptor.
+type eventHandler interface {
+	handleEvents(events uint32)
 }
 
-// registration is a use of a descriptor. Each has a generation of its own: it guards against events of a descriptor
-// that was closed, and given out again by the kernel, in the round in which they are served.
+// registration is one use of a descriptor number, with a generation of its own. The kernel may reuse the number of a
+// descriptor that is closed during a round; the generation shows that events of this round belong to the closed one.
 type registration struct {
-	file
+	eventHandler
 	generation int32
 }
 
-// register notes who serves the events of a descriptor.
-func (l *Loop) register(fd int, f file) {
+// register sets the handler for the events of a descriptor.
+func (l *Loop) register(fd int, f eventHandler) {
 	l.lastGeneration++
-	l.files[int32(fd)] = registration{f, l.lastGeneration}
+	l.registrations[int32(fd)] = registration{f, l.lastGeneration}
 }
 
-// add registers a descriptor and has epoll watch it; if that fails, the descriptor is closed.
-func (l *Loop) add(fd int, events uint32, f file) error {
+// add registers a descriptor and adds it to epoll; if that fails, it closes the descriptor.
+func (l *Loop) add(fd int, events uint32, f eventHandler) error {
 	l.register(fd, f)
 	if err := l.control(unix.EPOLL_CTL_ADD, fd, events); err != nil {
 		l.closeFile(fd)
@@ -35,25 +35,26 @@
 	return nil
 }
 
-// control changes what epoll watches of a descriptor, see epoll_ctl(2). The 64 bits that epoll returns with an event
-// are the descriptor and its generation.
+// control changes the events that epoll watches on a descriptor, see epoll_ctl(2). The 64 bits of data that epoll
+// returns with an event are the descriptor and its generation.
 func (l *Loop) control(operation, fd int, events uint32) error {
 	l.Stats.OtherCalls.Add(1)
-	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.files[int32(fd)].generation}
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: l.registrations[int32(fd)].generation}
 	return l.sys.EpollCtl(l.epollFD, operation, fd, event)
 }
 
-// closeFile closes a descriptor. Linux releases it whatever close returns, so the call is not repeated, see close(2).
+// closeFile closes a descriptor. Linux releases it even if close returns an error, so the call is not retried, see
+// close(2).
 func (l *Loop) closeFile(fd int) {
-	if _, ok := l.files[int32(fd)]; !ok { // Run has ended
+	if _, ok := l.registrations[int32(fd)]; !ok { // Run has ended
 		return
 	}
-	delete(l.files, int32(fd))
+	delete(l.registrations, int32(fd))
 	l.Stats.OtherCalls.Add(1)
 	_ = l.sys.Close(fd)
 }
 
-// newSocket makes a TCP socket for an address.
+// newSocket makes a TCP socket of the address family of an IP address.
 func (l *Loop) newSocket(address netip.Addr) (int, error) {
 	family := unix.AF_INET
 	if address.Unmap().Is6() {
@@ -67,7 +68,7 @@
 	return fd, nil
 }
 
-// setNoDelay sets TCP_NODELAY, see tcp(7): output is written once a round, so Nagle's algorithm would only delay it.
+// setNoDelay sets TCP_NODELAY, see tcp(7): output is written once per round, so Nagle's algorithm would only delay it.
 func (l *Loop) setNoDelay(fd int) {
 	_ = l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // the socket works without it, only slower
 }
--- a/eventloop/dial.go
+++ b/eventloop/dial.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection to an IP address and port; Opened or Closed of the handler tells how that ends.
+// Dial starts a connection to an IP address and port. Later it calls Opened of the handler if the connection is
+// established, or Closed with the error if not. An error of the first system calls is returned; see Transient.
 func (l *Loop) Dial(address string, handler Handler) (*Conn, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -20,7 +21,7 @@
 	}
 	l.Stats.OtherCalls.Add(2)
 	err = l.sys.Connect(fd, sockaddr(to))
-	if err != nil && !connectGoesOn(err) {
+	if err != nil && !connectInProgress(err) {
 		_ = l.sys.Close(fd) // unused; the error above is the one to report
 		return nil, os.NewSyscallError("connect", err)
 	}
@@ -31,13 +32,13 @@
 	return c, nil
 }
 
-// connectGoesOn reports whether the attempt to connect goes on in the background: connect(2) returns EINPROGRESS on a
-// socket that does not block, and EINTR does not end the attempt either.
-func connectGoesOn(err error) bool {
+// connectInProgress reports whether the attempt to connect continues in the background: connect(2) returns EINPROGRESS
+// on a non-blocking socket, and EINTR does not end the attempt either.
+func connectInProgress(err error) bool {
 	return errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR)
 }
 
-// finishDial takes up the result of the attempt to connect, which is SO_ERROR, see EINPROGRESS in connect(2).
+// finishDial handles the result of the attempt to connect, which is in SO_ERROR, see EINPROGRESS in connect(2).
 func (c *Conn) finishDial() {
 	c.dialing = false
 	if err := c.socketError(); err != nil {
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -20,11 +20,11 @@
 	listener *Listener
 	address  string // of listener
 	accepted []*Conn
-	servers  []*endpoint // the handlers of accepted, where onAccept is not set
+	servers  []*endpoint // the handlers of accepted, if onAccept is not set
 	onAccept func(*Conn) Handler
 }
 
-// runFixture calls prepare, then runs the loop until a condition holds, which it evaluates each millisecond.
+// runFixture calls prepare, then runs the loop until a condition holds. It evaluates the condition every millisecond.
 func runFixture(t *testing.T, prepare func(*fixture), until func() bool) *fixture {
 	t.Helper()
 	f := &fixture{T: t, kernel: newFaultyKernel()}
@@ -38,7 +38,7 @@
 	f.address = f.listener.Address()
 	prepare(f)
 	f.loop.Schedule(f.loop.Now()+testTimeout, func() {
-		t.Error("the condition has not become true")
+		t.Error("the condition did not become true within 20 s")
 		f.loop.Stop()
 	})
 	var evaluate func()
@@ -75,14 +75,14 @@
 	return c
 }
 
-// elapsed is a condition that is true once a time has passed.
+// elapsed returns a condition that becomes true after a time.
 func elapsed(span time.Duration) func() bool {
 	start := time.Now()
 	return func() bool { return time.Since(start) >= span }
 }
 
-// TestAcceptContinuesAfterConnectionErrors has accept fail in ways that concern one connection: the next is accepted in
-// the same round.
+// TestAcceptContinuesAfterConnectionErrors injects errors of accept that concern one connection. The next connection
+// must be accepted in the same round.
 func TestAcceptContinuesAfterConnectionErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{
 		unix.ECONNABORTED, unix.EPROTO, unix.EINTR, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN, unix.ENOPROTOOPT,
@@ -93,20 +93,21 @@
 			f := runFixture(t, func(f *fixture) {
 				f.dial(client)
 				f.kernel.faults["accept"] = slices.Repeat([]unix.Errno{errno}, 3)
-				f.listener.ready(unix.EPOLLIN)
+				f.listener.handleEvents(unix.EPOLLIN)
 				if len(f.accepted) != 1 {
-					t.Errorf("%d connections accepted in the round", len(f.accepted))
+					t.Errorf("%d connections accepted in the round, want 1", len(f.accepted))
 				}
 			}, func() bool { return client.opened })
 			if len(f.servers) != 1 {
-				t.Errorf("%d connections accepted", len(f.servers))
+				t.Errorf("%d connections accepted, want 1", len(f.servers))
 			}
 		})
 	}
 }
 
-// TestAcceptDoesNotSpin has accept fail for good while a connection waits: few calls are made, and once it works again
-// the connection is accepted. Where epoll cannot be told to ignore the listener, the loop pauses in each round.
+// TestAcceptDoesNotSpin guards against a busy loop: every call of accept fails while a connection waits, and epoll is
+// level-triggered. The loop must make few calls, and accept the connection after the fault has ended. If epoll_ctl
+// fails too, so that the listener cannot be masked, the loop must pause in each round.
 func TestAcceptDoesNotSpin(t *testing.T) {
 	for _, errno := range append(documentedErrnos("accept"), unix.EIO) {
 		if errno == unix.EAGAIN {
@@ -123,7 +124,8 @@
 	}
 }
 
-// expectFewAccepts has accept fail for a while, and changes of epoll too where modErrno is not 0, and bounds the calls.
+// expectFewAccepts makes accept fail for 100 ms, and changes by epoll_ctl too if modErrno is not 0. It limits the calls
+// of accept.
 func expectFewAccepts(t *testing.T, errno, modErrno unix.Errno) {
 	t.Helper()
 	const span, maxCalls = 100 * time.Millisecond, 10 * maxAcceptErrors
@@ -141,11 +143,11 @@
 		})
 	}, func() bool { return len(f.accepted) > 0 })
 	if calls > maxCalls {
-		t.Errorf("accept was called %d times in %v, want %d at most", calls, span, maxCalls)
+		t.Errorf("accept was called %d times in %v, want at most %d", calls, span, maxCalls)
 	}
 }
 
-// TestDialInterrupted has connect interrupted by a signal: the attempt goes on.
+// TestDialInterrupted injects EINTR, a signal, into connect. The attempt to connect must continue.
 func TestDialInterrupted(t *testing.T) {
 	client := &endpoint{}
 	runFixture(t, func(f *fixture) {
@@ -156,7 +158,8 @@
 	}, func() bool { return client.opened || t.Failed() })
 }
 
-// TestEpollAddFails has epoll refuse a new descriptor: it is closed, and the loop does not know it any more.
+// TestEpollAddFails makes epoll_ctl fail for a new descriptor. The descriptor must be closed and its registration
+// removed.
 func TestEpollAddFails(t *testing.T) {
 	constructors := map[string]func(*fixture) error{
 		"Dial": func(f *fixture) error {
@@ -180,21 +183,21 @@
 	t.Run("accept", expectAcceptedAddFailure)
 }
 
-// expectAddFailure has epoll refuse the descriptor that a constructor makes.
+// expectAddFailure makes epoll_ctl fail for the descriptor that a constructor makes.
 func (f *fixture) expectAddFailure(construct func(*fixture) error) {
 	f.Helper()
-	open, known := len(f.kernel.open), len(f.loop.files)
+	open, known := len(f.kernel.open), len(f.loop.registrations)
 	f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOSPC}
 	if err := construct(f); !errors.Is(err, unix.ENOSPC) {
-		f.Errorf("error %v", err)
+		f.Errorf("error %v, want ENOSPC", err)
 	}
-	if len(f.kernel.open) != open || len(f.loop.files) != known {
-		f.Errorf("%d descriptors and %d entries more than before",
-			len(f.kernel.open)-open, len(f.loop.files)-known)
+	if len(f.kernel.open) != open || len(f.loop.registrations) != known {
+		f.Errorf("%d descriptors and %d registrations more than before, want 0 and 0",
+			len(f.kernel.open)-open, len(f.loop.registrations)-known)
 	}
 }
 
-// expectAcceptedAddFailure has epoll refuse the descriptor of an accepted connection: it is closed.
+// expectAcceptedAddFailure makes epoll_ctl fail for the descriptor of an accepted connection, which must be closed.
 func expectAcceptedAddFailure(t *testing.T) {
 	server, client := &endpoint{}, &endpoint{}
 	f := runFixture(t, func(f *fixture) {
@@ -203,19 +206,19 @@
 		f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOMEM}
 	}, func() bool { return client.closed > 0 })
 	if server.closed != 1 || !errors.Is(server.err, unix.ENOMEM) || len(f.accepted) != 1 {
-		t.Errorf("Closed was called %d times, with %v", server.closed, server.err)
+		t.Errorf("Closed was called %d times, with error %v", server.closed, server.err)
 	}
 }
 
-// TestEpollModFails has epoll refuse a change of the events of a connection: its handler is told once, and not inside a
-// call of its own.
+// TestEpollModFails makes epoll_ctl fail when a handler pauses its connection. Closed must be called once, and not
+// while another method of the handler runs.
 func TestEpollModFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOENT} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) { expectModFailure(t, errno) })
 	}
 }
 
-// expectModFailure has the pause of a connection fail inside its handler's Input.
+// expectModFailure makes Conn.Pause fail inside the Input of the connection's handler.
 func expectModFailure(t *testing.T, errno unix.Errno) {
 	t.Helper()
 	client := &endpoint{send: []byte("hello")}
@@ -229,16 +232,17 @@
 		}
 		f.onAccept = func(*Conn) Handler { return server }
 		f.dial(client)
-	}, func() bool { return server.closed > 0 && (client.closed > 0 || client.served) })
+	}, func() bool { return server.closed > 0 && (client.closed > 0 || client.echoReceived) })
 	if server.closed != 1 || server.nested || !errors.Is(server.err, errno) {
-		t.Errorf("Closed was called %d times, nested: %v, with %v", server.closed, server.nested, server.err)
+		t.Errorf("Closed was called %d times, nested %v, with error %v", server.closed, server.nested, server.err)
 	}
 	if !f.accepted[0].closed {
-		t.Error("the connection is open")
+		t.Error("the connection is still open")
 	}
 }
 
-// TestPostRetriesWake has the write to the eventfd fail while the loop sleeps without a timer.
+// TestPostRetriesWake makes the write to the eventfd fail while the loop sleeps without a timer. Without a retry, the
+// posted function would never run.
 func TestPostRetriesWake(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.EIO} {
 		for _, length := range []int{1, 5, 40} {
@@ -249,7 +253,7 @@
 	}
 }
 
-// expectPostRuns has writes to the eventfd fail with these errors, and expects what is posted to run.
+// expectPostRuns makes writes to the eventfd fail with these errors, and expects a posted function to run.
 func expectPostRuns(t *testing.T, errnos []unix.Errno) {
 	t.Helper()
 	k := newFaultyKernel()
@@ -265,7 +269,7 @@
 	select {
 	case <-ran:
 	case <-time.After(testTimeout):
-		t.Error("what was posted did not run")
+		t.Error("the posted function did not run within 20 s")
 		k.setFaults("write eventfd", nil)
 		l.mu.Lock()
 		l.wakePending = false
@@ -278,8 +282,9 @@
 	k.check(t)
 }
 
-// TestNoInputPending has recvfrom fail: after an interrupted call it is asked again.
-func TestNoInputPending(t *testing.T) {
+// TestNoInputPendingErrors makes recvfrom fail. NoInputPending must repeat an interrupted call and return false after
+// other errors than EAGAIN.
+func TestNoInputPendingErrors(t *testing.T) {
 	for errno, want := range map[unix.Errno]bool{
 		0:               true,
 		unix.EINTR:      true,
@@ -296,8 +301,8 @@
 	}
 }
 
-// noInputPendingAfter is the result of NoInputPending on an established connection while recvfrom fails, with 0 as
-// usual.
+// noInputPendingAfter returns the result of NoInputPending on an established connection while recvfrom fails; errno 0
+// means that it does not fail.
 func noInputPendingAfter(t *testing.T, errno unix.Errno) bool {
 	t.Helper()
 	const calls = 3
@@ -322,13 +327,13 @@
 	return got
 }
 
-// TestEpollWaitFails has epoll_wait fail: without memory the loop goes on, with a pause in each round; timers run
-// meanwhile. An error that will not pass ends the loop.
-func TestEpollWaitFails(t *testing.T) {
+// TestEpollWaitErrors makes epoll_wait fail. After ENOMEM the loop must continue, pause in each round and run its
+// timers. An error that is not transient must end Run.
+func TestEpollWaitErrors(t *testing.T) {
 	t.Run("EINTR", func(t *testing.T) { epollWaitCalls(t, unix.EINTR) })
 	t.Run("ENOMEM", func(t *testing.T) {
 		if calls := epollWaitCalls(t, unix.ENOMEM); calls > 100 {
-			t.Errorf("epoll_wait was called %d times in 30 ms", calls)
+			t.Errorf("epoll_wait was called %d times in 30 ms, want at most 100", calls)
 		}
 	})
 	t.Run("EINVAL", func(t *testing.T) {
@@ -339,14 +344,14 @@
 		}
 		k.failAll("epoll_wait", unix.EINVAL)
 		if err := l.Run(); !errors.Is(err, unix.EINVAL) {
-			t.Errorf("Run returns %v", err)
+			t.Errorf("Run returned %v, want EINVAL", err)
 		}
 		k.check(t)
 	})
 }
 
-// epollWaitCalls is how often a loop calls epoll_wait while that fails for 30 ms. A timer must fire meanwhile, and a
-// connection be established afterwards.
+// epollWaitCalls returns the number of times that a loop calls epoll_wait while all calls fail for 30 ms. A timer must
+// fire during that time, and a connection must be established afterwards.
 func epollWaitCalls(t *testing.T, errno unix.Errno) int {
 	t.Helper()
 	client := &endpoint{}
@@ -362,27 +367,27 @@
 	return calls
 }
 
-// TestEstablishedConnectionFails has an established connection end by an error of the network: the handler is told
-// which, also while the connection is paused.
+// TestEstablishedConnectionFails ends an established connection by a network error. The handler must receive the error,
+// even if the connection is paused.
 func TestEstablishedConnectionFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
 		t.Run(unix.ErrnoName(errno)+"/reading", func(t *testing.T) {
 			expectClosedWith(t, errno, func(f *fixture, c *Conn) {
 				f.kernel.faults["read"] = []unix.Errno{errno}
-				c.ready(unix.EPOLLERR | unix.EPOLLIN)
+				c.handleEvents(unix.EPOLLERR | unix.EPOLLIN)
 			})
 		})
 		t.Run(unix.ErrnoName(errno)+"/paused", func(t *testing.T) {
 			expectClosedWith(t, errno, func(f *fixture, c *Conn) {
 				c.paused = true
 				f.kernel.faults["SO_ERROR"] = []unix.Errno{errno}
-				c.ready(unix.EPOLLERR | unix.EPOLLHUP)
+				c.handleEvents(unix.EPOLLERR | unix.EPOLLHUP)
 			})
 		})
 	}
 }
 
-// expectClosedWith breaks an accepted connection and expects its handler to be told once, of an error.
+// expectClosedWith breaks an accepted connection and expects one call of Closed, with the error.
 func expectClosedWith(t *testing.T, errno unix.Errno, breakConn func(*fixture, *Conn)) {
 	t.Helper()
 	server := &endpoint{}
@@ -394,16 +399,16 @@
 		f.dial(&endpoint{})
 	}, func() bool { return server.closed > 0 })
 	if !errors.Is(server.err, errno) || server.closed != 1 {
-		t.Errorf("Closed was called %d times, with %v", server.closed, server.err)
+		t.Errorf("Closed was called %d times, with error %v", server.closed, server.err)
 	}
 }
 
-// TestClosedDescriptorIsLeftAlone uses connections after their end: the kernel may have given their descriptor to
-// another.
-func TestClosedDescriptorIsLeftAlone(t *testing.T) {
+// TestClosedDescriptorNotUsed uses connections after they are closed. No system call may use their descriptors, since
+// the kernel may have reused the numbers.
+func TestClosedDescriptorNotUsed(t *testing.T) {
 	for name, onAccept := range map[string]func(*fixture, *Conn) Handler{
-		"refused with output":   refuseWithOutput,
-		"closed, then refused":  func(_ *fixture, c *Conn) Handler { c.Close(); return nil },
+		"rejected with output":  rejectWithOutput,
+		"closed, then rejected": func(_ *fixture, c *Conn) Handler { c.Close(); return nil },
 		"closed, then accepted": func(_ *fixture, c *Conn) Handler { c.Close(); return &endpoint{} },
 		"paused, then accepted": pauseAndCloseLater,
 		"closed between CloseGracefully and the end of the round": closeTwiceInOneRound,
@@ -415,9 +420,9 @@
 			runFixture(t, func(fixture *fixture) {
 				f = fixture
 				f.onAccept = func(c *Conn) Handler { return onAccept(f, c) }
-				known = len(f.loop.files)
+				known = len(f.loop.registrations)
 				f.dial(client)
-			}, func() bool { return client.closed > 0 && len(f.loop.files) <= known })
+			}, func() bool { return client.closed > 0 && len(f.loop.registrations) <= known })
 		})
 	}
 	t.Run("closed after Run", func(t *testing.T) {
@@ -430,7 +435,7 @@
 	})
 }
 
-func refuseWithOutput(_ *fixture, c *Conn) Handler {
+func rejectWithOutput(_ *fixture, c *Conn) Handler {
 	c.Output = append(c.Output, "busy"...)
 	c.Send()
 	return nil
@@ -452,14 +457,14 @@
 	return &endpoint{}
 }
 
-// TestTransient checks Transient with errors as the system returns them and as Listen wraps them.
+// TestTransient checks Transient for errors of system calls and for errors wrapped by Listen.
 func TestTransient(t *testing.T) {
 	runFixture(t, func(f *fixture) {
 		for _, errno := range []unix.Errno{unix.EMFILE, unix.EADDRINUSE} {
 			f.kernel.faults["socket"] = []unix.Errno{errno}
 			_, err := f.loop.Listen("127.0.0.1:0", f.accept)
 			if !errors.Is(err, errno) || Transient(err) != (errno == unix.EMFILE) {
-				t.Errorf("%v: transient %v", err, Transient(err))
+				t.Errorf("Listen returned %v, for which Transient is %v", err, Transient(err))
 			}
 		}
 		f.kernel.faults["bind"] = []unix.Errno{unix.ENOMEM}
@@ -485,7 +490,8 @@
 	}
 }
 
-// TestReadsDoNotSpin has a descriptor that epoll reports be unreadable for a time: few calls are made, then it is read.
+// TestReadsDoNotSpin guards against a busy loop: reads of a descriptor fail for a time while epoll reports it as
+// readable. The loop must make few calls, and read the descriptor after the fault has ended.
 func TestReadsDoNotSpin(t *testing.T) {
 	for _, c := range []struct {
 		call     string
@@ -505,7 +511,7 @@
 	}
 }
 
-// expectFewReads has a call fail for a while, though there is a datagram and a posted function, and bounds its number.
+// expectFewReads makes a call fail for 100 ms while a datagram and a posted function wait. It limits the calls.
 func expectFewReads(t *testing.T, call string, errno unix.Errno, perRound int) {
 	t.Helper()
 	const span = 100 * time.Millisecond
@@ -524,6 +530,6 @@
 		})
 	}, func() bool { return received && posted && calls > 0 })
 	if maxCalls := (int(span/roundPause) + 10) * perRound; calls > maxCalls {
-		t.Errorf("%s was made %d times in %v, want %d at most", call, calls, span, maxCalls)
+		t.Errorf("%s was called %d times in %v, want at most %d", call, calls, span, maxCalls)
 	}
 }
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -13,22 +13,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is the time within which an expected event must happen in a test.
 const testTimeout = 20 * time.Second
 
-// endpoint is the handler of one end of a connection: it echoes, or it sends and waits for the echo.
+// endpoint is the handler of one end of a connection. It echoes its input, or it sends and waits for the echo.
 type endpoint struct {
-	name     string
-	send     []byte // nil: it echoes
-	received []byte
-	opened   bool
-	served   bool // it has received what it sent
-	closed   int  // how often Closed was called
-	err      error
-	gone     bool        // Conn.OnClosed was called
-	inside   bool        // a call of the handler runs
-	nested   bool        // Closed was called inside another call
-	input    func(*Conn) // where set, is called by Input
+	name         string
+	send         []byte // sent when the connection is established; nil: the endpoint echoes its input
+	received     []byte
+	opened       bool
+	echoReceived bool // the whole echo of send was received
+	closed       int  // number of calls of Closed
+	err          error
+	socketClosed bool        // Conn.OnClosed was called
+	inside       bool        // a method of the handler is running
+	nested       bool        // Closed was called inside another method
+	input        func(*Conn) // if set, called by Input
 }
 
 func (e *endpoint) enter() func() {
@@ -52,8 +52,8 @@
 		return len(b)
 	}
 	e.received = append(e.received, b...)
-	if len(e.received) >= len(e.send) && !e.served {
-		e.served = bytes.Equal(e.received, e.send)
+	if len(e.received) >= len(e.send) && !e.echoReceived {
+		e.echoReceived = bytes.Equal(e.received, e.send)
 		c.CloseGracefully()
 	}
 	return len(b)
@@ -64,18 +64,17 @@
 	e.err, e.nested = err, e.nested || e.inside
 }
 
-// over reports whether the connection is closed and its owner knows how it ended.
-func (e *endpoint) over() bool { return e.gone && (e.closed > 0 || e.served) }
+// finished reports whether the connection is closed after the whole echo was received or Closed was called.
+func (e *endpoint) finished() bool { return e.socketClosed && (e.closed > 0 || e.echoReceived) }
 
-// scenario is a loop that dials a listener of its own, while functions are posted, datagrams are sent and system calls
-// fail.
+// scenario is a loop that dials its own listener, while functions are posted, datagrams are sent and system calls fail.
 type scenario struct {
 	t         testing.TB
 	loop      *Loop
 	endpoints []*endpoint
-	posts     int        // functions that have run
-	received  bool       // a datagram
-	done      chan bool  // closed once all is over
+	posts     int        // number of posted functions that have run
+	received  bool       // a datagram was received
+	done      chan bool  // closed when all parts of the scenario are finished
 	ended     chan error // the result of Run
 }
 
@@ -84,12 +83,12 @@
 	scenarioPosts   = 5
 )
 
-// fatal reports whether an error says that the arguments of epoll_wait are wrong; Run returns such an error.
+// fatal reports whether an error means that the arguments of epoll_wait are invalid. Run returns such an error.
 func fatal(err error) bool { return errors.Is(err, unix.EINVAL) || errors.Is(err, unix.EBADF) }
 
-// runScenario runs a scenario with the faults of a kernel. In the end each endpoint must have been served or told once
-// of its end, each function that was posted must have run, no descriptor may be open, and the number of calls must be
-// bounded.
+// runScenario runs a scenario with the faults of a kernel. At the end each endpoint must have received its echo or one
+// call of Closed, each posted function must have run, no descriptor may be open, and the number of calls must be within
+// its limit.
 func runScenario(t testing.TB, k *faultyKernel) {
 	t.Helper()
 	defer k.check(t)
@@ -106,24 +105,24 @@
 	if !s.start() || !s.awaitDone() {
 		return
 	}
-	expectCalls(t, "in all", k.count(""), 2000+200*faults, start)
-	// Nothing happens now, so that few calls may be made.
+	expectCalls(t, "in total", k.count(""), 2000+200*faults, start)
+	// The scenario is finished, so that few calls may be made.
 	idle, before := time.Now(), k.count("")
 	time.Sleep(5 * time.Millisecond)
-	expectCalls(t, "while nothing happens", k.count("")-before, 50, idle)
+	expectCalls(t, "while idle", k.count("")-before, 50, idle)
 	s.stop()
 	s.check()
 }
 
-// expectCalls bounds the number of calls in a time; what takes long may take more of them.
+// expectCalls limits the number of calls since a time. The limit grows by 10 calls per millisecond.
 func expectCalls(t testing.TB, when string, calls, atMost int, since time.Time) {
 	t.Helper()
 	if atMost += 10 * int(time.Since(since)/time.Millisecond); calls > atMost {
-		t.Errorf("%d calls %s, want %d at most", calls, when, atMost)
+		t.Errorf("%d calls %s, want at most %d", calls, when, atMost)
 	}
 }
 
-// start runs the loop. It reports false where the faults leave no listener or no UDP socket; then the loop has ended.
+// start runs the loop. It returns false if the faults prevent the listener or the UDP socket; then the loop has ended.
 func (s *scenario) start() bool {
 	s.t.Helper()
 	listener, err := s.loop.Listen("127.0.0.1:0", s.accept)
@@ -133,12 +132,12 @@
 	}
 	if err != nil {
 		s.loop.Stop()
-		_ = s.loop.Run() // the faults that forbid a listener may fail epoll_wait too
+		_ = s.loop.Run() // the faults may make epoll_wait fail too
 		return false
 	}
 	address := localAddress(s.t, listener.fd)
 	if got := listener.Address(); got != "" && got != address.String() {
-		s.t.Errorf("listens on %s, Address is %s", address, got)
+		s.t.Errorf("the listener is bound to %s, Address returned %s", address, got)
 	}
 	udpAddress := localAddress(s.t, udp.fd)
 	go func() { s.ended <- s.loop.Run() }()
@@ -152,18 +151,18 @@
 	return true
 }
 
-// awaitDone waits until all is over. It reports false where the loop has ended instead.
+// awaitDone waits until the scenario is finished. It returns false if the loop has ended instead.
 func (s *scenario) awaitDone() bool {
 	s.t.Helper()
 	select {
 	case <-s.done:
 	case err := <-s.ended:
 		if !fatal(err) {
-			s.t.Errorf("the loop has ended: %v", err)
+			s.t.Errorf("the loop ended with %v", err)
 		}
 		return false
 	case <-time.After(testTimeout):
-		s.t.Errorf("not over in %v", testTimeout)
+		s.t.Errorf("the scenario did not finish within %v", testTimeout)
 	}
 	return true
 }
@@ -174,14 +173,14 @@
 	select {
 	case err := <-s.ended:
 		if err != nil && !fatal(err) {
-			s.t.Errorf("the loop has ended: %v", err)
+			s.t.Errorf("the loop ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		s.t.Fatal("Run has not returned after Stop")
+		s.t.Fatal("Run did not return after Stop")
 	}
 }
 
-// localAddress is the address of a socket.
+// localAddress returns the address to which a socket is bound.
 func localAddress(t testing.TB, fd int) netip.AddrPort {
 	t.Helper()
 	name, err := unix.Getsockname(fd)
@@ -199,11 +198,11 @@
 
 func (s *scenario) accept(c *Conn) Handler {
 	server := s.newEndpoint("accepted", nil)
-	c.OnClosed = func() { server.gone = true }
+	c.OnClosed = func() { server.socketClosed = true }
 	return server
 }
 
-// dialAll dials for all clients; the first pauses at its first input.
+// dialAll dials for all clients; the first pauses its connection at its first input.
 func (s *scenario) dialAll(address string) {
 	for i := range scenarioClients {
 		client := s.newEndpoint(fmt.Sprint("client ", i), bytes.Repeat([]byte{byte('a' + i)}, 3000))
@@ -213,16 +212,16 @@
 		c, err := s.loop.Dial(address, client)
 		if err != nil {
 			if c != nil {
-				s.t.Errorf("Dial returns a connection and %v", err)
+				s.t.Errorf("Dial returned a connection and the error %v", err)
 			}
-			client.closed, client.gone = 1, true
+			client.closed, client.socketClosed = 1, true
 			continue
 		}
-		c.OnClosed = func() { client.gone = true }
+		c.OnClosed = func() { client.socketClosed = true }
 	}
 }
 
-// pauseOnce pauses a connection for a moment at its first input.
+// pauseOnce returns a function that pauses a connection for 1 ms at its first input.
 func (s *scenario) pauseOnce(client *endpoint) func(*Conn) {
 	return func(c *Conn) {
 		client.input = nil
@@ -232,12 +231,12 @@
 	}
 }
 
-// tick sends datagrams until one is received, and ends the scenario once all is over.
+// tick sends datagrams until one is received, and ends the scenario when all its parts are finished.
 func (s *scenario) tick(udp *UDPConn, to netip.AddrPort) {
 	if !s.received {
 		udp.Send(to, []byte("hello"))
 	}
-	open := slices.ContainsFunc(s.endpoints, func(e *endpoint) bool { return !e.over() })
+	open := slices.ContainsFunc(s.endpoints, func(e *endpoint) bool { return !e.finished() })
 	if s.received && s.posts == scenarioPosts && !open {
 		close(s.done)
 		return
@@ -248,21 +247,23 @@
 func (s *scenario) check() {
 	s.t.Helper()
 	for _, e := range s.endpoints {
-		if !e.over() || e.closed > 1 || e.nested {
-			s.t.Errorf("%s: opened %v, served %v, Closed called %d times (%v, inside another call: %v), closed %v",
-				e.name, e.opened, e.served, e.closed, e.err, e.nested, e.gone)
+		if !e.finished() || e.closed > 1 || e.nested {
+			s.t.Errorf("%s: opened %v, echo received %v, Closed called %d times (%v, nested %v), socket closed %v",
+				e.name, e.opened, e.echoReceived, e.closed, e.err, e.nested, e.socketClosed)
 		}
 	}
 	if s.posts != scenarioPosts {
 		s.t.Errorf("%d of %d posted functions have run", s.posts, scenarioPosts)
 	}
 	if !s.received {
-		s.t.Error("no datagram was received")
+		s.t.Error("no datagram received")
 	}
 }
 
-// TestFaults has each call fail in each way documented, at once or after some, singly and in runs.
-func TestFaults(t *testing.T) {
+// TestDocumentedErrors injects each documented error into each system call, one or several times in a row, from the
+// first call on or later. It guards against leaked descriptors, busy loops, and handlers or posted functions that are
+// never called.
+func TestDocumentedErrors(t *testing.T) {
 	for _, d := range documentedErrors {
 		t.Run(strings.ReplaceAll(d.call, " ", "_"), func(t *testing.T) {
 			t.Parallel()
--- a/eventloop/fuzz_test.go
+++ b/eventloop/fuzz_test.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxFaults bounds the faults of one sequence, so that a run is short.
+// maxFaults limits the faults of one sequence, so that a run is short.
 const maxFaults = 24
 
-// decodeFaults reads a sequence of faults, of three bytes each: which call, its error, and after how many that do not
-// fail.
+// decodeFaults decodes a sequence of faults. The three bytes of each select the system call, its error, and the number
+// of calls that succeed before it.
 func decodeFaults(b []byte) map[string][]unix.Errno {
 	faults := map[string][]unix.Errno{}
 	for b = b[:min(len(b), 3*maxFaults)]; len(b) >= 3; b = b[3:] {
@@ -22,8 +22,8 @@
 	return faults
 }
 
-// FuzzFaults has calls fail in sequences of any kind: no descriptor is left open or used after its close, the number of
-// calls is bounded, and every handler, posted function and connection comes to its end.
+// FuzzFaults injects arbitrary sequences of faults. No descriptor may be left open or used after its close, the number
+// of calls must be within its limit, and every connection must end and every posted function must run.
 func FuzzFaults(f *testing.F) {
 	call := func(name string) byte {
 		return byte(slices.IndexFunc(documentedErrors, func(d documentedError) bool { return d.call == name }))
--- a/eventloop/input.go
+++ b/eventloop/input.go
@@ -7,29 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrival bounds when the input of a connection has arrived. What waits in the socket while the loop is held up, or
-// the connection paused, has arrived earlier than it is read.
+// arrival has a lower bound of the time at which input of a connection arrived. Input that waits in the socket during a
+// process pause, or while the connection is paused, arrives earlier than it is read.
 type arrival struct {
-	after    time.Duration // what was read last has arrived after this
-	lastPoll time.Duration // the poll that the last read followed
-	backlog  bool          // that read did not take all there was, or reading was paused since
-	resumed  uint64        // number of the poll at which reading went on
+	after         time.Duration // the input read last arrived after this time
+	lastPoll      time.Duration // time of the poll before the last read
+	backlog       bool          // the last read may have left input in the socket, or reading was paused after it
+	resumedAtPoll uint64        // number of the poll at which reading resumed
 }
 
-// noteRead records a read. mayHaveMore says that the read filled its buffer, so that more input may wait.
+// noteRead records a read. mayHaveMore means that the read filled its buffer, so that more input may be in the socket.
 func (a *arrival) noteRead(l *Loop, mayHaveMore bool) {
 	a.after = l.eventsAfter
-	if a.backlog && l.polls <= a.resumed+1 { // it waited already when reading went on
+	if a.backlog && l.polls <= a.resumedAtPoll+1 { // the input was already in the socket when reading resumed
 		a.after = min(a.after, a.lastPoll)
 	}
-	a.lastPoll, a.backlog, a.resumed = l.lastPoll, mayHaveMore, l.polls
+	a.lastPoll, a.backlog, a.resumedAtPoll = l.lastPoll, mayHaveMore, l.polls
 }
 
-// ReceivedAfter is a clock time after which the input read last has arrived. Input that waits while the loop is held
-// up, or the connection paused, is read later than it has arrived.
+// ReceivedAfter returns a time of the loop's clock after which the input read last has arrived. During a process pause,
+// or while the connection is paused, input is read later than it arrives.
 func (c *Conn) ReceivedAfter() time.Duration { return c.arrival.after }
 
-// BufferedBytes is the number of bytes that were received and not used: the start of what the handler waits for.
+// BufferedBytes returns the number of bytes that were received and that the handler has not consumed, for example the
+// first part of an incomplete message.
 func (c *Conn) BufferedBytes() int { return len(c.input) }
 
 // Pause stops reading until Resume.
@@ -39,26 +40,26 @@
 	c.updateInterest()
 }
 
-// Resume reads again. Input that was received before and not used is offered once more.
+// Resume continues reading. Input that was received before and not consumed is passed to the handler again.
 func (c *Conn) Resume() {
 	if !c.paused || c.closed {
 		return
 	}
 	c.paused = false
-	c.arrival.resumed = c.loop.polls
+	c.arrival.resumedAtPoll = c.loop.polls
 	c.updateInterest()
 	if len(c.input) > 0 {
 		c.loop.Schedule(0, func() { c.offerInput(nil) })
 	}
 }
 
-// inputReady serves input, the end of the stream and errors.
+// inputReady handles input, the end of the stream and errors.
 func (c *Conn) inputReady(events uint32) {
 	broken := events&(unix.EPOLLHUP|unix.EPOLLERR) != 0
 	notifyHalfClose := c.NotifyHalfClose && !c.closing
 	switch {
 	case notifyHalfClose && broken:
-		c.failBroken()
+		c.failWithSocketError()
 	case notifyHalfClose && events&unix.EPOLLRDHUP != 0:
 		c.fail(nil)
 	case !c.paused:
@@ -66,7 +67,7 @@
 	case c.writeClosed && events&unix.EPOLLERR == 0:
 		c.closeWhenAcked()
 	case broken:
-		c.failBroken()
+		c.failWithSocketError()
 	}
 }
 
@@ -89,7 +90,7 @@
 	}
 }
 
-// received passes on what a read has returned.
+// received passes on the bytes that a read has returned.
 func (c *Conn) received(b []byte) {
 	c.loop.Stats.BytesIn.Add(int64(len(b)))
 	if c.Tap != nil {
@@ -101,7 +102,7 @@
 	c.offerInput(b)
 }
 
-// offerInput offers the handler what it has not used, followed by b.
+// offerInput passes to the handler the bytes that it has not consumed, followed by b.
 func (c *Conn) offerInput(b []byte) {
 	if c.closed || c.closing {
 		return
@@ -127,11 +128,11 @@
 	c.Send()
 }
 
-// maxInterruptions is how often in one round a call that does not wait is repeated after EINTR.
+// maxInterruptions limits the attempts of a non-blocking call that returns EINTR, in one round.
 const maxInterruptions = 16
 
-// NoInputPending reports whether everything received so far has been used, and the other end has not closed: bytes
-// that come from now on can answer what is sent now. It is false where that is not known.
+// NoInputPending reports whether all input received so far has been consumed and the peer has not closed. If so, bytes
+// that arrive later can be the answer to output that is sent now. It is false if the state cannot be determined.
 func (c *Conn) NoInputPending() bool {
 	if c.closed || c.dialing || len(c.input) > 0 {
 		return false
@@ -144,14 +145,14 @@
 	return false
 }
 
-// peerHasEnded reports whether the other end has ended its sending and all of it has been read.
-func (c *Conn) peerHasEnded() bool {
+// reachedEOF reports whether the peer has shut down sending and all its input has been read.
+func (c *Conn) reachedEOF() bool {
 	n, err := c.peek()
 	return n == 0 && err == nil
 }
 
-// peek looks for one byte of input without taking it, see MSG_PEEK in recv(2). No byte and no error is the end of the
-// stream.
+// peek returns the number of bytes, 0 or 1, that it can read without consuming them, see MSG_PEEK in recv(2). 0 without
+// an error means the end of the stream.
 func (c *Conn) peek() (int, error) {
 	c.loop.Stats.OtherCalls.Add(1)
 	n, _, err := c.loop.sys.Recvfrom(c.fd, c.loop.smallBuffer[:1], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/eventloop/kernel_test.go
+++ b/eventloop/kernel_test.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyKernel makes the calls of Linux, has some of them fail, and tracks descriptors.
+// faultyKernel makes the system calls of Linux, injects errors into some of them, and tracks descriptors.
 type faultyKernel struct {
 	Linux
 	mu     sync.Mutex
-	faults map[string][]unix.Errno // the errors of the next calls by name, in turn; 0: none
-	always map[string]unix.Errno   // the errors of all calls after these; 0: none
+	faults map[string][]unix.Errno // the errors of the next calls by name, in order; 0: no error
+	always map[string]unix.Errno   // the errors of all calls after these; 0: no error
 	calls  map[string]int
-	total  int            // of calls
+	total  int            // number of all calls
 	open   map[int]string // the name of the call that made each open descriptor
 	misuse []string       // calls on descriptors that are not open
 }
@@ -30,14 +30,14 @@
 	}
 }
 
-// documentedError is how a call can fail.
+// documentedError has the errors that a call can return.
 type documentedError struct {
 	call   string
 	errnos []unix.Errno
 }
 
-// documentedErrors is how the calls of a loop can fail, by the manual pages of Linux. "SO_ERROR" is the result of an
-// attempt to connect; "short read" and "short write" are calls that transfer one byte.
+// documentedErrors has the errors that the manual pages of Linux document for the system calls of a loop. "SO_ERROR" is
+// the result of an attempt to connect; "short read" and "short write" are calls that transfer one byte.
 var documentedErrors = []documentedError{
 	{"epoll_create", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM}},
 	{"eventfd", []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENODEV, unix.ENOMEM}},
@@ -70,20 +70,21 @@
 	{"close", []unix.Errno{unix.EINTR, unix.EIO}},
 }
 
-// documentedErrnos is how one call can fail.
+// documentedErrnos returns the errors that one call can return.
 func documentedErrnos(call string) []unix.Errno {
 	i := slices.IndexFunc(documentedErrors, func(d documentedError) bool { return d.call == call })
 	return slices.Clone(documentedErrors[i].errnos)
 }
 
-// setFaults sets the errors of the next calls of a name.
+// setFaults sets the errors of the next calls with a name.
 func (k *faultyKernel) setFaults(call string, errnos []unix.Errno) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults[call] = errnos
 }
 
-// nextFault counts a call on a descriptor, none if negative, and returns its error; 0: it does not fail.
+// nextFault counts a call and returns its error, or 0 if it does not fail. fd is negative if the call uses no
+// descriptor.
 func (k *faultyKernel) nextFault(call string, fd int) unix.Errno {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,7 +100,7 @@
 	return k.always[call]
 }
 
-// nextError is nextFault as an error.
+// nextError is like nextFault, with the result as an error.
 func (k *faultyKernel) nextError(call string, fd int) error {
 	if errno := k.nextFault(call, fd); errno != 0 {
 		return errno
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// opened notes a descriptor that a call has made.
+// opened records a descriptor that a call has made.
 func (k *faultyKernel) opened(call string, fd int, err error) (int, error) {
 	if err == nil {
 		k.mu.Lock()
@@ -117,7 +118,7 @@
 	return fd, err
 }
 
-// count is the number of calls of a name, or of all where it is empty.
+// count returns the number of calls with a name, or of all calls if the name is empty.
 func (k *faultyKernel) count(call string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -127,24 +128,24 @@
 	return k.calls[call]
 }
 
-// failAll has all calls of a name fail from now on; with 0 none fails any more.
+// failAll makes all further calls with a name fail; errno 0 ends this.
 func (k *faultyKernel) failAll(call string, errno unix.Errno) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.always[call] = errno
 }
 
-// check fails the test if descriptors are still open, or were used when they were not.
+// check fails the test if descriptors are still open, or if calls used descriptors that were not open.
 func (k *faultyKernel) check(t testing.TB) {
 	t.Helper()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for fd, call := range k.open {
-		t.Errorf("descriptor %d of %s is left open", fd, call)
+		t.Errorf("descriptor %d of %s was not closed", fd, call)
 		_ = unix.Close(fd) // the test has failed already
 	}
 	for _, call := range k.misuse {
-		t.Errorf("used although not open: %s", call)
+		t.Errorf("call on a descriptor that is not open: %s", call)
 	}
 }
 
@@ -198,7 +199,7 @@
 
 func (k *faultyKernel) Connect(fd int, to unix.Sockaddr) error {
 	err := k.nextError("connect", fd)
-	if err == nil || err == unix.EINTR { // the attempt goes on, see connect(2)
+	if err == nil || err == unix.EINTR { // the attempt continues, see connect(2)
 		if result := k.Linux.Connect(fd, to); err == nil {
 			return result
 		}
@@ -244,7 +245,7 @@
 	return k.Linux.SetsockoptInt(fd, level, option, value)
 }
 
-// nameFor is the name of a read or write of a descriptor.
+// nameFor returns the name under which faultyKernel counts a read or write of a descriptor.
 func (k *faultyKernel) nameFor(call string, fd int) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -268,8 +269,8 @@
 func (k *faultyKernel) Write(fd int, b []byte) (int, error) {
 	name := k.nameFor("write", fd)
 	if err := k.nextError(name, fd); err != nil {
-		if name == "write eventfd" && err == unix.EAGAIN { // the counter is full, so the loop wakes
-			_, _ = k.Linux.Write(fd, b) // the error returned is the fault
+		if name == "write eventfd" && err == unix.EAGAIN { // the counter is full, so the loop must wake
+			_, _ = k.Linux.Write(fd, b) // the caller gets the injected error
 		}
 		return -1, err
 	}
@@ -300,7 +301,7 @@
 	return k.Linux.Shutdown(fd, how)
 }
 
-// Close releases the descriptor whatever it returns, see close(2).
+// Close releases the descriptor even if it returns an error, see close(2).
 func (k *faultyKernel) Close(fd int) error {
 	err := k.nextError("close", fd)
 	k.mu.Lock()
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// listenBacklog is how many connections may wait to be accepted, see listen(2).
+	// listenBacklog is the number of connections that may wait to be accepted, see listen(2).
 	listenBacklog = 1024
-	// maxAccepts is how many connections a listener accepts in one round; then others have their turn.
+	// maxAccepts is the number of connections that a listener accepts in one round before other sockets are served.
 	maxAccepts = 32
-	// maxAcceptErrors is how many errors of single connections a listener skips in one round.
+	// maxAcceptErrors is the number of errors of single connections that a listener skips in one round.
 	maxAcceptErrors = 64
-	// acceptBackoff is how long a listener waits for descriptors or memory to come free.
+	// acceptBackoff is the time for which a listener waits until descriptors or memory may be available again.
 	acceptBackoff = 50 * time.Millisecond
 )
 
@@ -27,21 +27,22 @@
 	fd         int
 	accept     func(*Conn) Handler
 	closed     bool
-	backingOff bool // until the timer of resume
+	backingOff bool // accepting is suspended until resume runs
 }
 
-// Listen accepts connections on an IP address and port; port 0 takes any that is free. accept returns the handler of
-// each connection, or nil to close it. An error of the system is a *net.OpError; see Transient.
+// Listen accepts connections on an IP address and port; port 0 selects any free port. accept is called on the loop and
+// returns the handler of a new connection, or nil to close it. An error of bind(2), listen(2) or epoll_ctl(2) is a
+// *net.OpError, an error of socket(2) is an *os.SyscallError; see Transient.
 func (l *Loop) Listen(address string, accept func(*Conn) Handler) (*Listener, error) {
-	at, err := netip.ParseAddrPort(address)
+	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
-	fd, err := l.newSocket(at.Addr())
+	fd, err := l.newSocket(addr.Addr())
 	if err != nil {
 		return nil, err
 	}
-	if err := l.bindAndListen(fd, at); err != nil {
+	if err := l.bindAndListen(fd, addr); err != nil {
 		_ = l.sys.Close(fd) // unused; the error above is the one to report
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
@@ -52,17 +53,17 @@
 	return ln, nil
 }
 
-// bindAndListen sets SO_REUSEADDR, see socket(7): a port can be bound again while connections of a process before
-// linger.
-func (l *Loop) bindAndListen(fd int, at netip.AddrPort) error {
-	_ = l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // without it bind may fail, and says so
-	if err := l.sys.Bind(fd, sockaddr(at)); err != nil {
+// bindAndListen sets SO_REUSEADDR, see socket(7): a port can be bound again while connections of an earlier process are
+// still in a closing state.
+func (l *Loop) bindAndListen(fd int, addr netip.AddrPort) error {
+	_ = l.sys.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // if this fails, bind may return an error
+	if err := l.sys.Bind(fd, sockaddr(addr)); err != nil {
 		return os.NewSyscallError("bind", err)
 	}
 	return os.NewSyscallError("listen", l.sys.Listen(fd, listenBacklog))
 }
 
-// Address is the IP address and port on which the listener accepts; empty where getsockname(2) fails.
+// Address returns the IP address and port on which the listener accepts, or an empty string if getsockname(2) fails.
 func (ln *Listener) Address() string {
 	name, err := ln.loop.sys.Getsockname(ln.fd)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return ""
 }
 
-// Close stops accepting and closes the socket. Connections that were accepted stay.
+// Close stops accepting and closes the socket. Accepted connections stay open.
 func (ln *Listener) Close() {
 	if !ln.closed {
 		ln.closed = true
@@ -85,8 +86,8 @@
 	}
 }
 
-func (ln *Listener) ready(uint32) {
-	if ln.backingOff { // epoll could not be changed
+func (ln *Listener) handleEvents(uint32) {
+	if ln.backingOff { // epoll_ctl failed in backOff, so epoll still reports the listener
 		ln.backOff()
 		return
 	}
@@ -108,14 +109,14 @@
 	}
 }
 
-// isConnectionError reports whether an error is one that the next call of accept need not meet: a signal, or an error
-// that is pending on the new socket, which accept passes on (see "Error handling" in accept(2)).
+// isConnectionError reports whether the next call of accept may succeed after this error. The error is a signal, or a
+// pending error of the new socket that accept returns (see "Error handling" in accept(2)).
 func isConnectionError(err error) bool {
 	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN,
 		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
 }
 
-// serve gives a new connection to its handler, or closes it where there is none.
+// serve passes a new connection to its handler, or closes it if there is none.
 func (ln *Listener) serve(fd int, from unix.Sockaddr) {
 	ln.loop.setNoDelay(fd)
 	c := &Conn{loop: ln.loop, fd: fd, interest: unix.EPOLLIN}
@@ -143,8 +144,8 @@
 	}
 }
 
-// backOff stops accepting for a time. It guards against connections that wait and cannot be accepted: epoll is
-// level-triggered, see epoll(7), and would report them in every round. It delays new connections by acceptBackoff.
+// backOff suspends accepting for acceptBackoff. Without it, connections that cannot be accepted would wake the loop in
+// every round, since epoll is level-triggered, see epoll(7). Limitation: new connections are delayed by acceptBackoff.
 func (ln *Listener) backOff() {
 	if ln.loop.control(unix.EPOLL_CTL_MOD, ln.fd, 0) != nil {
 		ln.loop.pauseRound = true
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -1,14 +1,15 @@
-// Package eventloop is the event loop of one instance: epoll over sockets that do not block, timers, and an eventfd by
-// which other goroutines hand it work. The package knows bytes and connections, no protocol, and makes no decisions.
+// Package eventloop implements the event loop of one instance: epoll over non-blocking sockets, timers, and an eventfd
+// through which other goroutines post functions. The package handles bytes and connections. It implements no protocol
+// and makes no scheduling decisions.
 //
-// All handlers, timers and posted functions run on the goroutine that called Loop.Run, so what one loop serves needs no
-// locks; they must not block. Other goroutines may call only what is said to allow it, such as Loop.Post. The package
-// starts no goroutine, except that a timer of the time package repeats a wake-up that failed.
+// All handlers, timers and posted functions run on the goroutine that called Loop.Run, so the state of one loop needs
+// no locks. They must not block. Other goroutines may call only the methods that are documented for it, such as
+// Loop.Post. The package starts no goroutine, except that a timer of the time package retries a failed wake-up.
 //
-// A round of the loop takes up events, runs what was posted, runs the timers that are due, and then writes the output
-// of all connections. Where a round takes long, it looks for events again before it runs timers and before it writes.
+// A round of the loop handles events, runs posted functions, runs the timers that are due, and then writes the output
+// of all connections. If a round takes long, the loop polls again before it runs timers and before it writes.
 //
-// The package rests on epoll(7), eventfd(2), socket(7) and tcp(7) of Linux.
+// The package uses epoll(7), eventfd(2), socket(7) and tcp(7) of Linux.
 package eventloop
 
 import (
@@ -22,7 +23,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stats are totals since a loop was made. They may be read from any goroutine.
+// Stats has totals since the loop was made. They may be read from any goroutine.
 type Stats struct {
 	// EpollWaits, Reads, Writes and OtherCalls count system calls.
 	EpollWaits, Reads, Writes, OtherCalls atomic.Int64
@@ -32,7 +33,7 @@
 	Copied atomic.Int64
 }
 
-// Calls is the number of system calls.
+// Calls returns the number of system calls.
 func (s *Stats) Calls() int64 {
 	return s.EpollWaits.Load() + s.Reads.Load() + s.Writes.Load() + s.OtherCalls.Load()
 }
@@ -44,21 +45,21 @@
 	sys            Syscalls
 	epollFD        int
 	wakeFD         int       // the eventfd
-	start          time.Time // of the clock
-	files          map[int32]registration
+	start          time.Time // time 0 of the loop's clock
+	registrations  map[int32]registration
 	lastGeneration int32
 	timers         timers
 	pendingWrites  []*Conn // connections to write at the end of the round
-	readBuffer     []byte  // of all reads of sockets
-	smallBuffer    [8]byte // of reads of the eventfd, and of Conn.peek
+	readBuffer     []byte  // used for all reads of sockets
+	smallBuffer    [8]byte // used for reads of the eventfd and by Conn.peek
 	stopping       bool
-	pauseRound     bool // something that cannot be silenced would wake the loop at once
+	pauseRound     bool // an event that cannot be handled or masked would wake the loop immediately
 
-	lastPoll    time.Duration // when epoll_wait returned last
-	eventsAfter time.Duration // events that were not reported before the last poll have happened after this
+	lastPoll    time.Duration // the time at which epoll_wait last returned
+	eventsAfter time.Duration // events first reported by the last poll happened after this time
 	polls       uint64        // number of calls of epoll_wait
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	posted       []func()
 	acceptsPosts bool // Run has not ended
 	wakePending  bool // the eventfd is readable, or will be
@@ -67,18 +68,20 @@
 const (
 	// readSize is the size of the buffer of reads, in bytes.
 	readSize = 256 << 10
-	// eventsPerPoll is how many events one poll takes at most.
+	// eventsPerPoll is the maximum number of events of one poll.
 	eventsPerPoll = 256
-	// roundPause is how long a loop sleeps in a round in which something that cannot be served would wake it at once.
+	// roundPause is the time for which the loop sleeps in a round if an event that cannot be handled would wake it
+	// immediately.
 	roundPause = time.Millisecond
-	// maxPollAge is how long ago the last poll may be when timers run and when output is written.
+	// maxPollAge is the maximum age of the last poll when timers run and when output is written.
 	maxPollAge = 20 * time.Millisecond
 )
 
-// New makes a loop. Now is origin plus the time since New. The loop holds descriptors until Run has ended.
+// New makes a loop. Its clock, see Now, starts at origin. The loop holds descriptors until Run has returned. An error
+// is an *os.SyscallError; see Transient.
 func New(origin time.Duration) (*Loop, error) { return NewWithSyscalls(origin, Linux{}) }
 
-// NewWithSyscalls makes a loop that makes its system calls through sys.
+// NewWithSyscalls is like New, for a loop that makes its system calls through sys.
 func NewWithSyscalls(origin time.Duration, sys Syscalls) (*Loop, error) {
 	epollFD, err := sys.EpollCreate()
 	if err != nil {
@@ -90,13 +93,13 @@
 		return nil, os.NewSyscallError("eventfd", err)
 	}
 	l := &Loop{
-		sys:          sys,
-		epollFD:      epollFD,
-		wakeFD:       wakeFD,
-		start:        time.Now().Add(-origin),
-		files:        map[int32]registration{},
-		readBuffer:   make([]byte, readSize),
-		acceptsPosts: true,
+		sys:           sys,
+		epollFD:       epollFD,
+		wakeFD:        wakeFD,
+		start:         time.Now().Add(-origin),
+		registrations: map[int32]registration{},
+		readBuffer:    make([]byte, readSize),
+		acceptsPosts:  true,
 	}
 	if err := l.add(wakeFD, unix.EPOLLIN, wakeHandler{l}); err != nil {
 		_ = sys.Close(epollFD) // unused; the error above is the one to report
@@ -105,20 +108,20 @@
 	return l, nil
 }
 
-// Now is the time of the loop's clock: the time since its start.
+// Now returns the time of the loop's clock: origin plus the time since New.
 func (l *Loop) Now() time.Duration { return time.Since(l.start) }
 
-// WallTime converts a time of the loop's clock.
+// WallTime converts a time of the loop's clock to wall-clock time.
 func (l *Loop) WallTime(at time.Duration) time.Time { return l.start.Add(at) }
 
-// SinceStart converts a time to one of the loop's clock.
+// SinceStart converts a wall-clock time to a time of the loop's clock.
 func (l *Loop) SinceStart(at time.Time) time.Duration { return at.Sub(l.start) }
 
-// Stop has Run return after the present round. It must be called on the loop, or before Run.
+// Stop makes Run return after the current round. It must be called on the loop, or before Run.
 func (l *Loop) Stop() { l.stopping = true }
 
-// CPU is the processor time, of user and system, that the thread of the loop has used, see getrusage(2); 0 where the
-// call fails. It must be called on the loop.
+// CPU returns the user and system time that the thread of the loop has used, see getrusage(2), or 0 if the call fails.
+// It must be called on the loop.
 func (l *Loop) CPU() time.Duration {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_THREAD, &usage) != nil {
@@ -127,10 +130,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Run serves until Stop, then closes all descriptors without telling their owners. It must be called once. It ends
-// earlier, and returns the error, if epoll_wait fails in a way that is not Transient.
+// Run runs the loop until Stop, then closes all descriptors without calling their handlers. It must be called once. It
+// returns early, with the error, if epoll_wait fails with an error that is not Transient.
 func (l *Loop) Run() error {
-	runtime.LockOSThread() // so that CPU counts the loop alone
+	runtime.LockOSThread() // so that CPU measures the loop alone
 	defer runtime.UnlockOSThread()
 	events := make([]unix.EpollEvent, eventsPerPoll)
 	l.lastPoll = l.Now()
@@ -142,7 +145,7 @@
 	return os.NewSyscallError("epoll_wait", err)
 }
 
-// round waits for events and serves them, and all that is due.
+// round waits for events, handles them, runs posted functions and due timers, and writes output.
 func (l *Loop) round(events []unix.EpollEvent) error {
 	if err := l.poll(events, l.timers.timeout(l.Now())); err != nil {
 		return err
@@ -159,24 +162,25 @@
 	return nil
 }
 
-// closeAll closes all descriptors. Nothing that was posted and has not run will run.
+// closeAll closes all descriptors. Posted functions that have not run are dropped.
 func (l *Loop) closeAll() {
 	l.mu.Lock()
 	l.acceptsPosts, l.posted = false, nil
 	l.mu.Unlock()
-	for fd := range l.files {
+	for fd := range l.registrations {
 		_ = l.sys.Close(int(fd)) // released whatever close(2) returns
 	}
-	clear(l.files)             // a later Conn.Close must not close a descriptor that the kernel has given out again
+	clear(l.registrations)     // a later Conn.Close must not close a descriptor number that the kernel has reused
 	_ = l.sys.Close(l.epollFD) // released whatever close(2) returns
 }
 
-// minBlocked is how long epoll_wait takes at least if it has waited: then there was no event when it was called.
+// minBlocked is the shortest duration of an epoll_wait call that shows that the call has waited, so that no event was
+// pending when it began.
 const minBlocked = time.Millisecond
 
-// poll waits for events, up to a timeout in milliseconds (-1: none), and serves them. After a transient error it
-// returns nil, so that timers and posted functions have their turn before the next round waits again: a signal that
-// comes all the time would keep them from running otherwise.
+// poll waits for events, up to a timeout in milliseconds (-1: none), and handles them. After a transient error it
+// returns nil, so that timers and posted functions run before the next round waits again. Otherwise frequent signals
+// could keep them from running.
 func (l *Loop) poll(events []unix.EpollEvent, timeout int) error {
 	l.Stats.EpollWaits.Add(1)
 	called, previousPoll := l.Now(), l.lastPoll
@@ -184,7 +188,7 @@
 	l.lastPoll = l.Now()
 	l.polls++
 	l.eventsAfter = l.lastPoll
-	if l.lastPoll-called < minBlocked { // they may have happened before the call
+	if l.lastPoll-called < minBlocked { // the events may have happened before the call
 		l.eventsAfter = previousPoll
 	}
 	switch {
@@ -198,25 +202,25 @@
 		return err
 	}
 	for _, e := range events[:n] {
-		if f, ok := l.files[e.Fd]; ok && f.generation == e.Pad {
-			f.ready(e.Events)
+		if f, ok := l.registrations[e.Fd]; ok && f.generation == e.Pad {
+			f.handleEvents(e.Events)
 		}
 	}
 	return nil
 }
 
-// pollAgain polls once more where the round has taken long. It guards a loop that was held up against acting on a state
-// that has changed meanwhile, as for a client that has gone. It harms a loop that is always late: that takes up new
-// work before it has written its output, one round at most.
+// pollAgain polls once more if the round has taken long. After a process pause the loop would otherwise act on a state
+// that has changed meanwhile, for example for a client that has disconnected. Limitation: a loop that is always late
+// handles new events before it has written its output, by at most one round.
 func (l *Loop) pollAgain(events []unix.EpollEvent) {
 	if l.Now()-l.lastPoll > maxPollAge && !l.stopping {
-		_ = l.poll(events, 0) // the next round meets the error too
+		_ = l.poll(events, 0) // the poll of the next round returns the error too
 	}
 }
 
-// flush writes the output of the round, once for each connection.
+// flush writes the output of the round, with one call for each connection.
 func (l *Loop) flush() {
-	for i := 0; i < len(l.pendingWrites); i++ { // it may grow meanwhile
+	for i := 0; i < len(l.pendingWrites); i++ { // write may append to it
 		l.pendingWrites[i].writeQueued = false
 		l.pendingWrites[i].write()
 		l.pendingWrites[i] = nil
--- a/eventloop/output.go
+++ b/eventloop/output.go
@@ -7,16 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// UnsentBytes is the number of bytes of Output that are not written to the socket yet.
+// UnsentBytes returns the number of bytes of Output that are not written to the socket yet.
 func (c *Conn) UnsentBytes() int { return len(c.Output) - c.written }
 
-// DiscardUnsent removes a range of the unsent bytes; from and to count from the first unsent byte. It must not be used
-// together with FaultFilter.
+// DiscardUnsent removes the unsent bytes from index from up to, but not including, index to; index 0 is the first
+// unsent byte. It must not be used together with FaultFilter.
 func (c *Conn) DiscardUnsent(from, to int) {
 	c.Output = slices.Delete(c.Output, c.written+from, c.written+to)
 }
 
-// Send has Output written at the end of the round.
+// Send schedules Output to be written at the end of the round.
 func (c *Conn) Send() {
 	if !c.writeQueued && !c.closed && !c.dialing && c.written < len(c.Output) {
 		c.writeQueued = true
@@ -24,8 +24,8 @@
 	}
 }
 
-// UnackedBytes is the number of bytes that the other end's system has not acknowledged (SIOCOUTQ, see tcp(7)), unsent
-// ones included. Where the ioctl fails, it is the number of unsent bytes.
+// UnackedBytes returns the number of bytes that the peer's kernel has not acknowledged (SIOCOUTQ, see tcp(7)),
+// including unsent bytes. If the ioctl fails, it returns the number of unsent bytes.
 func (c *Conn) UnackedBytes() int {
 	if c.closed || c.dialing {
 		return 0
@@ -38,9 +38,9 @@
 	return n + c.UnsentBytes()
 }
 
-// write writes as much of Output as the socket takes.
+// write writes as much of Output as the socket accepts.
 func (c *Conn) write() {
-	if c.closed { // its descriptor may be another's
+	if c.closed { // the kernel may have reused its descriptor number
 		return
 	}
 	if c.FaultFilter != nil {
@@ -57,7 +57,7 @@
 	c.updateInterest()
 }
 
-// filterOutput passes what is new in Output through FaultFilter.
+// filterOutput passes the new bytes of Output through FaultFilter.
 func (c *Conn) filterOutput() {
 	c.filtered = min(c.filtered, len(c.Output))
 	unfiltered := append([]byte(nil), c.Output[c.filtered:]...)
@@ -65,12 +65,12 @@
 	c.filtered = len(c.Output)
 }
 
-// writeUnsent writes until all is written, the socket takes no more or the connection fails.
+// writeUnsent writes until all output is written, the socket accepts no more or the connection fails.
 func (c *Conn) writeUnsent() {
 	for !c.closed && c.written < len(c.Output) {
 		c.loop.Stats.Writes.Add(1)
 		n, err := c.loop.sys.Write(c.fd, c.Output[c.written:])
-		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll reports when to go on
+		if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) { // epoll reports when the socket is writable
 			return
 		}
 		if err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// releaseWritten drops what is written from Output, and goes on with a close that waits for it.
+// releaseWritten removes the written bytes from Output. When all are written, it continues a close that waits for them.
 func (c *Conn) releaseWritten() {
 	switch {
 	case c.written == len(c.Output):
--- a/eventloop/posts.go
+++ b/eventloop/posts.go
@@ -8,14 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// wakeRetryDelay is the time between a write to the eventfd that failed and its retry.
+// wakeRetryDelay is the time between a failed write to the eventfd and its retry.
 const wakeRetryDelay = time.Millisecond
 
-// eventfdIncrement is what a wake-up adds to the eventfd's counter, see eventfd(2).
+// eventfdIncrement is the value 1 that a wake-up adds to the counter of the eventfd, see eventfd(2).
 var eventfdIncrement = binary.NativeEndian.AppendUint64(nil, 1)
 
-// Post has f run on the loop, in the order of the calls. It may be called from any goroutine. It reports false, and f
-// does not run, once Run has ended; f does not run either where Run ends before its turn.
+// Post schedules f to run on the loop. Posted functions run in the order of the calls of Post. Post may be called from
+// any goroutine. After Run has ended, Post returns false and f does not run. If Post returns true, f still does not run
+// if Run ends before.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -27,9 +28,9 @@
 	return true
 }
 
-// signalWake makes the eventfd readable. EAGAIN tells that its counter is full, so that it is readable already, see
-// eventfd(2). After another error it is retried: a loop that waits without a timer would never run what was posted.
-// The caller holds mu.
+// signalWake makes the eventfd readable. EAGAIN means that its counter is full, so that it is already readable, see
+// eventfd(2). After another error the write is retried: otherwise a loop that waits without a timer would never run the
+// posted functions. The caller holds mu.
 func (l *Loop) signalWake() {
 	if l.wakePending || !l.acceptsPosts || len(l.posted) == 0 {
 		return
@@ -45,20 +46,20 @@
 	})
 }
 
-// wakeHandler serves the eventfd.
+// wakeHandler handles the events of the eventfd.
 type wakeHandler struct{ loop *Loop }
 
-func (w wakeHandler) ready(uint32) {
+func (w wakeHandler) handleEvents(uint32) {
 	l := w.loop
 	l.Stats.OtherCalls.Add(1)
 	_, err := l.sys.Read(l.wakeFD, l.smallBuffer[:])
 	if err != nil && !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) {
-		l.pauseRound = true // it stays readable
+		l.pauseRound = true // the eventfd stays readable
 	}
 	l.runPosts()
 }
 
-// runPosts runs what was posted, once epoll has reported the eventfd.
+// runPosts runs the posted functions after epoll has reported the eventfd.
 func (l *Loop) runPosts() {
 	l.mu.Lock()
 	posted := l.takePosts()
@@ -66,8 +67,8 @@
 	runAll(posted)
 }
 
-// runUnsignalledPosts runs what was posted while the eventfd could not be written. Other posts are left to the event
-// that epoll will report.
+// runUnsignalledPosts runs the posted functions if the write to the eventfd has failed. Otherwise they run when epoll
+// reports the eventfd.
 func (l *Loop) runUnsignalledPosts() {
 	l.mu.Lock()
 	var posted []func()
@@ -78,7 +79,7 @@
 	runAll(posted)
 }
 
-// takePosts returns what was posted and has not run. The caller holds mu.
+// takePosts removes and returns the posted functions that have not run. The caller holds mu.
 func (l *Loop) takePosts() []func() {
 	posted := l.posted
 	l.posted, l.wakePending = nil, false
--- a/eventloop/syscalls.go
+++ b/eventloop/syscalls.go
@@ -7,20 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Syscalls are the system calls that a loop makes. Linux makes them; tests wrap it to have calls fail in the ways that
-// the manual pages document. Write must be safe for concurrent use, since Loop.Post calls it; the others are called on
-// the loop alone, or before it runs. The methods are named after the calls, see section 2 of the manual.
+// Syscalls has the system calls that a loop makes. Linux implements it; tests wrap Linux to inject the errors that the
+// manual pages document. Write must be safe for concurrent use, since Loop.Post calls it. The other methods are called
+// only on the loop, or before it runs. The methods are named after the calls, see section 2 of the manual.
 type Syscalls interface {
 	// EpollCreate makes an epoll descriptor that is closed on exec.
 	EpollCreate() (int, error)
-	// Eventfd makes an eventfd that does not block and is closed on exec; its counter is 0.
+	// Eventfd makes a non-blocking eventfd that is closed on exec; its counter is 0.
 	Eventfd() (int, error)
 	EpollCtl(epoll, op, fd int, event unix.EpollEvent) error
 	EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error)
 
-	// Socket makes a socket that does not block and is closed on exec.
+	// Socket makes a non-blocking socket that is closed on exec.
 	Socket(family, kind int) (int, error)
-	// Accept returns a socket that does not block and is closed on exec, and the address of the other end.
+	// Accept returns a non-blocking socket that is closed on exec, and the address of the peer.
 	Accept(fd int) (int, unix.Sockaddr, error)
 	Connect(fd int, to unix.Sockaddr) error
 	Bind(fd int, at unix.Sockaddr) error
@@ -30,7 +30,7 @@
 	SetsockoptInt(fd, level, option, value int) error
 	// SetsockoptLinger sets SO_LINGER, see socket(7).
 	SetsockoptLinger(fd int, linger unix.Linger) error
-	// UnackedBytes is the number of bytes in a TCP socket's send buffer that the other end has not acknowledged
+	// UnackedBytes returns the number of bytes in a TCP socket's send buffer that the peer has not acknowledged
 	// (SIOCOUTQ, see tcp(7)).
 	UnackedBytes(fd int) (int, error)
 
@@ -42,7 +42,7 @@
 	Close(fd int) error
 }
 
-// Linux makes the calls of Syscalls to the kernel.
+// Linux implements Syscalls by system calls of the Linux kernel.
 type Linux struct{}
 
 // EpollCreate calls epoll_create1(2).
@@ -123,19 +123,19 @@
 // Close calls close(2).
 func (Linux) Close(fd int) error { return unix.Close(fd) }
 
-// Transient reports whether an error of New, Loop.Dial, Loop.Listen or Loop.ListenUDP may pass in a moment, and says
-// nothing of the other end nor of what was asked for, so that the call is worth repeating after a pause. It is true of
+// Transient reports whether an error of New, Loop.Dial, Loop.Listen or Loop.ListenUDP may disappear soon and is caused
+// neither by the peer nor by the arguments, so that the call should be retried after a delay. It is true for
 //
-//	EMFILE, ENFILE          no descriptors, of the process or of the system
+//	EMFILE, ENFILE          no free descriptors in the process or the system
 //	ENOBUFS, ENOMEM         no memory
 //	ENOSPC                  too many descriptors watched by epoll for one user
-//	EAGAIN                  no entry free in the kernel's tables
-//	EADDRNOTAVAIL           no local port free; a bind to an address that this host does not have yet
-//	ENETUNREACH, ENETDOWN   no route, or no interface, at this host
+//	EAGAIN                  no free entry in the kernel's tables
+//	EADDRNOTAVAIL           no free local port; a bind to an address that this host does not have yet
+//	ENETUNREACH, ENETDOWN   no route, or no interface, on this host
 //	EINTR                   a signal
 //
-// and of errors that wrap one of these. It is false of EADDRINUSE, since another socket listens there, and of
-// ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which are about the other end or the way to it.
+// and for errors that wrap one of these. It is false for EADDRINUSE, since another socket listens on the address, and
+// for ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH, which concern the peer or the route to it.
 func Transient(err error) bool {
 	return anyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN,
 		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN, unix.EINTR)
--- a/eventloop/timers.go
+++ b/eventloop/timers.go
@@ -5,43 +5,45 @@
 	"time"
 )
 
-// Timer is a call at a time of the loop's clock. The zero value is not armed; it is ready for Loop.Arm.
+// Timer calls a function or an Expirer at a time of the loop's clock. The zero value is not armed; it is ready for
+// Loop.Arm.
 type Timer struct {
 	at       time.Duration
-	run      func()  // of Schedule
-	expirer  Expirer // of Arm
-	position int     // in the heap, from 1; 0: not armed
+	run      func()  // set by Schedule
+	expirer  Expirer // set by Arm
+	position int     // index in the heap plus 1; 0: not armed
 }
 
-// Expirer is called by a Timer that was armed with it. A struct that has a Timer as a field can be its Expirer, so that
-// arming allocates nothing.
+// Expirer is called when a Timer that was armed with it expires. A struct that has a Timer as a field can be its
+// Expirer, so that arming allocates no memory.
 type Expirer interface {
-	// Expire is called on the loop at the time that Loop.Arm was given, or later.
+	// Expire is called on the loop, at the time passed to Loop.Arm or later.
 	Expire()
 }
 
-// Arm has expirer.Expire called at a time of the loop's clock; a timer that is armed already is armed again.
+// Arm makes the loop call expirer.Expire at a time of its clock. If the timer is already armed, the new time and
+// expirer replace the previous ones.
 func (l *Loop) Arm(t *Timer, at time.Duration, expirer Expirer) {
 	l.Cancel(t)
 	t.at, t.expirer = at, expirer
 	heap.Push(&l.timers, t)
 }
 
-// Schedule has run called at a time of the loop's clock, or as soon as timers run if that has passed.
+// Schedule makes the loop call run at a time of its clock. If that time has passed, run is called when timers next run.
 func (l *Loop) Schedule(at time.Duration, run func()) *Timer {
 	t := &Timer{at: at, run: run}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Cancel keeps a timer from running. It does nothing where t is nil, not armed, or has run.
+// Cancel disarms a timer. It does nothing if t is nil, is not armed or has run.
 func (l *Loop) Cancel(t *Timer) {
 	if t != nil && t.position > 0 {
 		heap.Remove(&l.timers, t.position-1)
 	}
 }
 
-// timers is a heap by time, see container/heap.
+// timers is a min-heap ordered by time, see container/heap.
 type timers []*Timer
 
 func (h timers) Len() int { return len(h) }
@@ -67,10 +69,11 @@
 	return t
 }
 
-// maxPoll bounds how long epoll_wait is asked to wait, so that the time fits its int.
+// maxPoll limits the timeout of epoll_wait, so that the milliseconds fit in an int.
 const maxPoll = time.Hour
 
-// timeout is how long epoll_wait(2) may wait for the next timer, in milliseconds, rounded up; -1: there is none.
+// timeout returns the time until the next timer, rounded up to milliseconds, as a timeout for epoll_wait(2); -1: there
+// is no timer.
 func (h timers) timeout(now time.Duration) int {
 	if len(h) == 0 {
 		return -1
@@ -79,7 +82,7 @@
 	return int(max(0, min(left, maxPoll)) / time.Millisecond)
 }
 
-// fire runs the timers that are due at the time of the call, also those that are set meanwhile.
+// fire runs the timers that are due at the time of the call, including those that are set while it runs.
 func (h *timers) fire(now func() time.Duration) {
 	for due := now(); len(*h) > 0 && (*h)[0].at <= due; {
 		t := heap.Pop(h).(*Timer)
