--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -1,7 +1,7 @@
-// Package peerlimit decides what one peer may use of a gateway before an op is admitted: connections, incomplete
-// handshakes, commands, bytes of write data, the time for a PDU, and the protocol violations after which it is
-// banned. Events go in, verdicts come out: the package does no I/O, reads no clock and starts no goroutine.
-// docs/peers.md has its tables.
+// Package peerlimit limits the resources of a gateway that one peer may use before an op is admitted: connections,
+// incomplete handshakes, commands, bytes of write data and the time for a PDU. It also bans a peer after too many
+// protocol violations. Its input are events with their times, its output are decisions: the package does no I/O, reads
+// no clock and starts no goroutine. docs/peers.md has its tables.
 //
 // The server that accepts the connections has a Guard and calls it on the goroutine of its event loop; a Guard is not
 // safe for concurrent use.
@@ -9,78 +9,79 @@
 
 import "time"
 
-// Settings are the limits for one peer. All come from the settings file; 0 means no limit.
+// Settings has the limits for one peer, as the settings file has them; 0 means no limit.
 type Settings struct {
 	MaxConnections int
-	// MaxHandshakes bounds the connections whose handshake is not complete.
+	// MaxHandshakes limits the connections whose handshake is not complete.
 	MaxHandshakes int
-	// MaxCommands bounds the Reads and Writes that are not answered, over all connections.
+	// MaxCommands limits the unanswered Reads and Writes over all connections of the peer.
 	MaxCommands int
-	// MaxBytes bounds the write data that the peer was asked for and has not sent.
+	// MaxBytes limits the write data that the gateway has requested and the peer has not sent.
 	MaxBytes int
 	// PDUTimeout is the time from the first byte of a PDU to its last.
 	PDUTimeout time.Duration
-	// BanThreshold is the number of violations within ViolationWindow that bans a peer; 0: none is banned.
+	// BanThreshold is the number of violations within ViolationWindow that bans a peer; 0: no peer is banned.
 	BanThreshold int
-	// ViolationWindow is also the time without a violation after which a peer is trusted again.
+	// ViolationWindow is the time within which violations are counted. After a ViolationWindow without a violation, a
+	// peer is trusted again.
 	ViolationWindow time.Duration
-	// InitialBan is the length of the first ban; each one after is twice as long.
+	// InitialBan is the length of the first ban. Each further ban is twice as long as the previous one.
 	InitialBan time.Duration
-	// MaxBan is the length of the longest ban; InitialBan where that is longer.
+	// MaxBan is the maximum length of a ban. A value below InitialBan counts as InitialBan.
 	MaxBan time.Duration
 }
 
-// Verdict is what becomes of a connection that a peer opens.
+// Verdict is the decision on a connection that a peer opens.
 type Verdict int
 
 const (
-	// Admit takes the connection.
+	// Admit accepts the connection.
 	Admit Verdict = iota
-	// Banned refuses it, since the peer is banned.
+	// Banned rejects it, since the peer is banned.
 	Banned
-	// TooManyConnections refuses it, since the peer has as many as it may.
+	// TooManyConnections rejects it, since the peer has reached its limit of connections.
 	TooManyConnections
-	// TooManyHandshakes refuses it, since as many handshakes of the peer as may be are not complete.
+	// TooManyHandshakes rejects it, since the peer has reached its limit of incomplete handshakes.
 	TooManyHandshakes
 )
 
-// String is the verdict as the log shows it.
+// String returns the text of the verdict for logs.
 func (v Verdict) String() string {
 	return [...]string{"admitted", "banned", "too many connections", "too many incomplete handshakes"}[v]
 }
 
-// peer is the one record of a peer.
+// peer is the usage and the standing of one peer.
 type peer struct {
 	standing      standing
 	connections   int
 	handshakes    int // connections whose handshake is not complete
-	bytes         int // of write data that it was asked for and has not sent
+	bytes         int // of write data that was requested and that the peer has not sent
 	commands      int
 	violations    []time.Duration // within Settings.ViolationWindow
 	lastViolation time.Duration
 	bannedUntil   time.Duration
-	banLength     time.Duration // of the last ban; 0: none since the peer was trusted
+	banLength     time.Duration // of the last ban; 0: no ban since the peer was last trusted
 }
 
-// idle reports whether nothing of a peer is open and nothing is held against it.
+// idle reports whether a peer is trusted and has no open connection, no reserved bytes and no unanswered command.
 func (p *peer) idle() bool {
 	return p.standing == trusted && p.connections == 0 && p.bytes == 0 && p.commands == 0
 }
 
-// Guard has the usage and standing of all peers, by their id. The zero value is not usable: call New. All times are
-// spans since a fixed moment of the caller's monotonic clock and don't decrease from call to call.
+// Guard tracks the usage and standing of all peers by their id, and decides what each may use. The zero value is not
+// usable: call New. All times are durations since a fixed moment of the caller's monotonic clock. They must not
+// decrease from call to call.
 type Guard struct {
 	settings Settings
 	now      time.Duration
 	peers    map[string]*peer
-	evictAt  time.Duration // when idle peers are dropped next
+	evictAt  time.Duration // the time at which idle peers are next removed
 }
 
-// New makes a guard without any peer.
+// New makes a Guard without peers.
 func New(settings Settings) *Guard { return &Guard{settings: settings, peers: map[string]*peer{}} }
 
-// Open decides on a connection that a peer opens. One that is admitted counts until Close or
-// CloseDuringHandshake.
+// Open decides whether a peer may open a connection. An admitted connection counts until Close or CloseDuringHandshake.
 func (g *Guard) Open(now time.Duration, id string) Verdict {
 	g.evictIdle(now)
 	p := g.peer(now, id)
@@ -99,21 +100,21 @@
 	return Admit
 }
 
-// HandshakeComplete notes that the handshake of an admitted connection is complete.
+// HandshakeComplete records that the handshake of an admitted connection is complete.
 func (g *Guard) HandshakeComplete(now time.Duration, id string) { g.peer(now, id).handshakes-- }
 
-// Close notes that an admitted connection whose handshake was complete has ended.
+// Close records the end of an admitted connection whose handshake was complete.
 func (g *Guard) Close(now time.Duration, id string) { g.peer(now, id).connections-- }
 
-// CloseDuringHandshake notes that an admitted connection has ended before its handshake was complete.
+// CloseDuringHandshake records the end of an admitted connection whose handshake was not complete.
 func (g *Guard) CloseDuringHandshake(now time.Duration, id string) {
 	p := g.peer(now, id)
 	p.connections--
 	p.handshakes--
 }
 
-// Violation notes that a peer violated the protocol or a timeout. It returns how long the peer is banned for it; 0:
-// it is not banned by this violation.
+// Violation records that a peer violated the protocol or a timeout. It returns the length of the ban that this
+// violation causes; 0: it causes none.
 func (g *Guard) Violation(now time.Duration, id string) time.Duration {
 	p := g.peer(now, id)
 	if p.standing == banned {
@@ -137,8 +138,8 @@
 	return 0
 }
 
-// ReserveBytes reports whether a peer may be asked for n more bytes of write data; if so they count until
-// ReleaseBytes. A peer without any may always be asked, so that none waits forever.
+// ReserveBytes reports whether n more bytes of write data may be requested from a peer. If so, they count until
+// ReleaseBytes. A peer without reserved bytes is always allowed to send, so that no command waits forever.
 func (g *Guard) ReserveBytes(now time.Duration, id string, n int) bool {
 	p := g.peer(now, id)
 	if g.settings.MaxBytes > 0 && p.bytes > 0 && p.bytes+n > g.settings.MaxBytes {
@@ -148,11 +149,11 @@
 	return true
 }
 
-// ReleaseBytes notes that n reserved bytes have come, or will not come any more.
+// ReleaseBytes records that n reserved bytes have arrived or will no longer arrive.
 func (g *Guard) ReleaseBytes(now time.Duration, id string, n int) { g.peer(now, id).bytes -= n }
 
-// BeginCommand reports whether a command of a peer may begin; if so it counts until EndCommand. One that may not is
-// to be answered at once: to queue it would use the memory that the limit is to save.
+// BeginCommand reports whether a command of a peer may begin. If so, it counts until EndCommand. If not, the caller
+// should answer it immediately: a queue would use the memory that the limit protects.
 func (g *Guard) BeginCommand(now time.Duration, id string) bool {
 	p := g.peer(now, id)
 	if reached(p.commands, g.settings.MaxCommands) {
@@ -162,15 +163,15 @@
 	return true
 }
 
-// EndCommand notes that a command that began has ended.
+// EndCommand records the end of a command for which BeginCommand returned true.
 func (g *Guard) EndCommand(now time.Duration, id string) { g.peer(now, id).commands-- }
 
-// PDUOverdue reports whether a PDU whose first byte came at a time should be complete.
+// PDUOverdue reports whether the timeout of a PDU whose first byte arrived at the time began has expired.
 func (g *Guard) PDUOverdue(now, began time.Duration) bool {
 	return g.settings.PDUTimeout > 0 && now-began >= g.settings.PDUTimeout
 }
 
-// peer is the record of a peer, with its standing as of now.
+// peer returns the record of a peer, with its standing as of now, and makes it if there is none.
 func (g *Guard) peer(now time.Duration, id string) *peer {
 	g.now = now
 	p := g.peers[id]
@@ -178,12 +179,12 @@
 		p = &peer{}
 		g.peers[id] = p
 	}
-	g.passTime(p)
+	g.applyDueInputs(p)
 	return p
 }
 
-// evictIdle drops idle peers from time to time. It bounds the records by the connections that are open and the recent
-// violations.
+// evictIdle removes idle peers periodically. This limits the number of records to the peers that have open connections,
+// unfinished commands or recent violations.
 func (g *Guard) evictIdle(now time.Duration) {
 	if now < g.evictAt {
 		return
@@ -196,5 +197,5 @@
 	}
 }
 
-// reached reports whether a count is at its limit; 0: there is none.
+// reached reports whether a count has reached its limit; limit 0 means that there is none.
 func reached(n, limit int) bool { return limit > 0 && n >= limit }
--- a/peerlimit/guard_test.go
+++ b/peerlimit/guard_test.go
@@ -22,7 +22,7 @@
 	MaxBan:          60 * second,
 }
 
-// banTest is a guard with one peer, "p", that a test follows through its standings.
+// banTest is a Guard with one peer, "p", whose standing a test checks.
 type banTest struct {
 	*testing.T
 	guard *Guard
@@ -41,7 +41,7 @@
 	}
 }
 
-// violate has a violation that bans the peer for a time, or not where that is 0.
+// violate records a violation and checks the length of the ban that it causes; 0: no ban.
 func (b *banTest) violate(wantBan time.Duration) {
 	b.Helper()
 	if got := b.guard.Violation(b.now, "p"); got != wantBan {
@@ -49,7 +49,7 @@
 	}
 }
 
-// ban has violations up to the threshold.
+// ban records violations up to the threshold.
 func (b *banTest) ban() {
 	b.Helper()
 	b.violate(0)
@@ -59,27 +59,28 @@
 	b.expectStanding(banned)
 }
 
-// endBan lets a ban pass.
+// endBan advances the time by the length of a ban.
 func (b *banTest) endBan(length time.Duration) {
 	b.Helper()
 	b.now += length
 	b.expectStanding(probation)
 }
 
-// TestBan bans a peer at the threshold: it may not open a connection, others may.
+// TestBan checks that a peer that reaches the threshold of violations may not open a connection, and that other peers
+// may.
 func TestBan(t *testing.T) {
 	b := newBanTest(t)
 	b.expectStanding(trusted)
 	b.ban()
 	if v := b.guard.Open(b.now, "p"); v != Banned {
-		t.Errorf("a banned peer: %v", v)
+		t.Errorf("a banned peer opens a connection: %v", v)
 	}
 	if v := b.guard.Open(b.now, "q"); v != Admit {
-		t.Errorf("another peer: %v", v)
+		t.Errorf("another peer opens a connection: %v", v)
 	}
 }
 
-// TestProbation has a peer open connections after a ban: it may have two.
+// TestProbation checks that a peer may open two connections after a ban, and that one violation then bans it again.
 func TestProbation(t *testing.T) {
 	b := newBanTest(t)
 	b.ban()
@@ -96,8 +97,9 @@
 	b.violate(10 * second)
 }
 
-// TestBanGrows has a peer violate after each ban: the next is twice as long, until the peer is trusted again.
-func TestBanGrows(t *testing.T) {
+// TestBanDoubles checks that each ban is twice as long as the previous one, up to MaxBan, until the peer is trusted
+// again.
+func TestBanDoubles(t *testing.T) {
 	b := newBanTest(t)
 	b.ban()
 	last := 5 * second
@@ -113,10 +115,10 @@
 		b.violate(0)
 		b.violate(0)
 	}
-	b.violate(5 * second) // the bans before are forgotten
+	b.violate(5 * second) // the previous bans no longer count
 }
 
-// TestViolationWindow has a peer's third violation at the end of the window of the first, and just before.
+// TestViolationWindow records a peer's third violation at the end of the window of the first one, and just before.
 func TestViolationWindow(t *testing.T) {
 	for name, c := range map[string]struct{ third, ban time.Duration }{
 		"within":     {10*second - 1, 5 * second},
@@ -133,7 +135,7 @@
 	}
 }
 
-// TestNoLimits has no limit at all.
+// TestNoLimits checks that settings of 0 limit nothing.
 func TestNoLimits(t *testing.T) {
 	g := New(Settings{})
 	for range 1000 {
@@ -146,9 +148,9 @@
 	}
 }
 
-// modelPeer counts by lists what the guard counts by numbers.
+// modelPeer is an independent model of a peer: it keeps lists where Guard keeps numbers.
 type modelPeer struct {
-	open          []bool // the connections, each with whether its handshake is complete
+	open          []bool // an element for each open connection: whether its handshake is complete
 	reserved      []int  // bytes
 	commands      int
 	violations    []time.Duration
@@ -158,8 +160,8 @@
 	probation     bool
 }
 
-// passTime ends a ban or the memory of violations.
-func (p *modelPeer) passTime(now time.Duration) {
+// applyDueInputs ends a ban or a quiet period whose time has come.
+func (p *modelPeer) applyDueInputs(now time.Duration) {
 	if until := p.bannedUntil; until > 0 && now >= until {
 		p.bannedUntil, p.probation, p.lastViolation = 0, true, until
 	}
@@ -168,7 +170,7 @@
 	}
 }
 
-// verdict is what becomes of one more connection.
+// verdict returns the decision on one more connection.
 func (p *modelPeer) verdict() Verdict {
 	handshakes := 0
 	for _, complete := range p.open {
@@ -208,7 +210,7 @@
 	return p.banLength
 }
 
-// history is a guard and the model of its peers, with the same events.
+// history applies the same random events to a Guard and to the models of its peers.
 type history struct {
 	rng   *rand.Rand
 	guard *Guard
@@ -216,7 +218,7 @@
 	peers map[string]*modelPeer
 }
 
-// step has one event of a peer happen, and fails where guard and model differ.
+// step applies one random event of a random peer, and fails the test if Guard and model differ.
 func (h *history) step(t *testing.T) {
 	t.Helper()
 	h.now += time.Duration(h.rng.Intn(3000)) * time.Millisecond / 4
@@ -225,7 +227,7 @@
 		h.peers[id] = &modelPeer{}
 	}
 	p := h.peers[id]
-	p.passTime(h.now)
+	p.applyDueInputs(h.now)
 	switch h.rng.Intn(7) {
 	case 0, 1:
 		h.stepOpen(t, id, p)
@@ -270,7 +272,7 @@
 	p.open = p.open[:last]
 }
 
-// stepViolation has a violation in one of three cases.
+// stepViolation records a violation with a probability of one third.
 func (h *history) stepViolation(t *testing.T, id string, p *modelPeer) {
 	t.Helper()
 	if h.rng.Intn(3) > 0 {
@@ -278,7 +280,7 @@
 	}
 	want := p.violate(h.now)
 	if got := h.guard.Violation(h.now, id); got != want {
-		t.Fatalf("at %v: %s violates: %v, want %v", h.now, id, got, want)
+		t.Fatalf("at %v: a violation bans %s for %v, want %v", h.now, id, got, want)
 	}
 }
 
@@ -291,7 +293,7 @@
 	if n := 1 + h.rng.Intn(1500); h.rng.Intn(2) == 0 {
 		want := sum == 0 || sum+n <= testSettings.MaxBytes
 		if got := h.guard.ReserveBytes(h.now, id, n); got != want {
-			t.Fatalf("at %v: %s with %d bytes asked for %d: %v", h.now, id, sum, n, got)
+			t.Fatalf("at %v: %s has reserved %d bytes, ReserveBytes of %d more: %v", h.now, id, sum, n, got)
 		}
 		if want {
 			p.reserved = append(p.reserved, n)
@@ -307,7 +309,7 @@
 	if h.rng.Intn(3) > 0 {
 		want := p.commands < testSettings.MaxCommands
 		if got := h.guard.BeginCommand(h.now, id); got != want {
-			t.Fatalf("at %v: %s with %d commands begins one: %v", h.now, id, p.commands, got)
+			t.Fatalf("at %v: %s has %d commands, BeginCommand returned %v", h.now, id, p.commands, got)
 		}
 		if want {
 			p.commands++
@@ -318,9 +320,9 @@
 	}
 }
 
-// TestGenerated compares long seeded histories of a few peers with the model: what one peer does must change nothing
-// for another.
-func TestGenerated(t *testing.T) {
+// TestModelRandom compares Guard with the model in long random histories of four peers, from fixed seeds. Events of one
+// peer must not change the decisions for another.
+func TestModelRandom(t *testing.T) {
 	for seed := range int64(100) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			h := history{rng: rand.New(rand.NewSource(seed)), guard: New(testSettings), peers: map[string]*modelPeer{}}
@@ -331,8 +333,9 @@
 	}
 }
 
-// TestEviction has peers come and go: idle ones are dropped.
-func TestEviction(t *testing.T) {
+// TestIdlePeersEvicted guards against records that accumulate: 100,000 peers connect and disconnect, and the records of
+// idle peers must be removed.
+func TestIdlePeersEvicted(t *testing.T) {
 	g := New(testSettings)
 	for i := range 100_000 {
 		id := string(rune(i))
@@ -341,6 +344,6 @@
 		}
 	}
 	if n := len(g.peers); n > 11_000 {
-		t.Errorf("%d peers have a record, none is connected", n)
+		t.Errorf("%d peers have a record, want at most 11,000: no peer is connected", n)
 	}
 }
--- a/peerlimit/standing.go
+++ b/peerlimit/standing.go
@@ -1,20 +1,20 @@
 package peerlimit
 
-// standing is a peer's state by its violations.
+// standing is the state of a peer that results from its protocol violations.
 type standing int
 
 const (
 	trusted   standing = iota // no recent violation
-	observed                  // there are violations, fewer than the threshold
-	banned                    // no connection is taken
+	observed                  // recent violations, fewer than the threshold
+	banned                    // every connection is rejected
 	probation                 // after a ban: one association at a time, and any violation bans again
 )
 
 const (
-	// probationConnections is how many connections a peer may have on probation: an association needs an admin and an
-	// I/O queue.
+	// probationConnections is the maximum number of connections of a peer on probation: an association needs one for
+	// the admin queue and one for an I/O queue.
 	probationConnections = 2
-	// banGrowth is by which factor each ban is longer than the one before.
+	// banGrowth is the ratio of the length of a ban to that of the previous one.
 	banGrowth = 2
 )
 
@@ -22,21 +22,21 @@
 type standingInput int
 
 const (
-	inputViolation        standingInput = iota // one more violation, below the threshold
-	inputThresholdReached                      // one more, and with it Settings.BanThreshold within the window
+	inputViolation        standingInput = iota // a violation, with fewer than Settings.BanThreshold in the window
+	inputThresholdReached                      // a violation, with which Settings.BanThreshold is reached
 	inputQuietPeriod                           // Settings.ViolationWindow without a violation
-	inputBanExpired                            // the ban is over
+	inputBanExpired                            // the ban has expired
 )
 
-// standingTransition is the standing after an input, and what is done besides.
+// standingTransition is the standing after an input, and the action on the input.
 type standingTransition struct {
 	next   standing
-	action func(*Guard, *peer) // nil: nothing
+	action func(*Guard, *peer) // nil: no action
 }
 
-// standingTransitions has the standings of a peer; an input that is not in the table changes nothing. It guards against
-// peers that use up work and connections by violating the protocol again and again, in whatever way; it could harm
-// where several hosts share one address and one of them is faulty.
+// standingTransitions is the state machine of a peer's standing; an input that is not in the table changes nothing. It
+// protects the gateway from abusive clients whose repeated protocol violations, of any kind, cost work and connections.
+// Limitation: if several hosts share one address, a faulty one gets all of them banned.
 var standingTransitions = map[standing]map[standingInput]standingTransition{
 	trusted: {
 		inputViolation:        {observed, nil},
@@ -45,7 +45,7 @@
 	observed: {
 		inputViolation:        {observed, nil},
 		inputThresholdReached: {banned, (*Guard).ban},
-		inputQuietPeriod:      {trusted, (*Guard).clear},
+		inputQuietPeriod:      {trusted, (*Guard).resetViolations},
 	},
 	banned: {
 		inputBanExpired: {probation, nil},
@@ -53,7 +53,7 @@
 	probation: {
 		inputViolation:        {banned, (*Guard).ban},
 		inputThresholdReached: {banned, (*Guard).ban},
-		inputQuietPeriod:      {trusted, (*Guard).clear},
+		inputQuietPeriod:      {trusted, (*Guard).resetViolations},
 	},
 }
 
@@ -69,22 +69,22 @@
 	}
 }
 
-// passTime applies the inputs that are due by now.
-func (g *Guard) passTime(p *peer) {
+// applyDueInputs applies the inputs whose time has come: the end of a ban and the end of a quiet period.
+func (g *Guard) applyDueInputs(p *peer) {
 	if p.standing == banned && g.now >= p.bannedUntil {
 		g.apply(p, inputBanExpired)
-		p.lastViolation = p.bannedUntil // the quiet period begins here: a banned peer has no way to violate anything
+		p.lastViolation = p.bannedUntil // the quiet period begins at the end of the ban: a banned peer cannot violate
 	}
 	if p.standing != banned && g.now >= p.lastViolation+g.settings.ViolationWindow {
 		g.apply(p, inputQuietPeriod)
 	}
 }
 
-// ban bans a peer, for longer each time.
+// ban bans a peer, for a longer time with each ban.
 func (g *Guard) ban(p *peer) {
 	p.banLength = min(max(banGrowth*p.banLength, g.settings.InitialBan), max(g.settings.MaxBan, g.settings.InitialBan))
 	p.bannedUntil, p.violations = g.now+p.banLength, nil
 }
 
-// clear forgets the violations and bans of a peer.
-func (g *Guard) clear(p *peer) { p.violations, p.banLength = nil, 0 }
+// resetViolations clears the violations of a peer and the length of its last ban.
+func (g *Guard) resetViolations(p *peer) { p.violations, p.banLength = nil, 0 }
