--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -10,8 +10,8 @@
 	"honeyplank/policy"
 )
 
-// BenchmarkChange measures one change through the rule and the decision module, by the size of the fleet: the
-// work must grow with the change, not with the fleet.
+// BenchmarkChange measures the time in which Ledger and the decision module handle one change, by the size of the
+// fleet. The time must depend on the size of the change, not on that of the fleet.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n, " nodes"), func(b *testing.B) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// reportsOfFleet returns a report for each of n servers, all up.
+// reportsOfFleet returns a report about each of n servers, all up.
 func reportsOfFleet(n int) []membership.Report {
 	var reports []membership.Report
 	for i := range n {
@@ -50,9 +50,9 @@
 	return reports
 }
 
-// drainOrReturn returns the i-th change: one server drains with an even i, and is up again with the next.
+// drainOrReturn returns the i-th change: with an even i a server starts to drain, with the next i it is up again.
 func drainOrReturn(reports []membership.Report, i int) membership.Report {
-	const stride = 7919 // a prime, so that the changes go through the whole fleet
+	const stride = 7919 // a prime, so that the changes reach all servers of the fleet
 	if i%2 == 1 {
 		return reports[(i-1)*stride%len(reports)]
 	}
--- a/membership/flap.go
+++ b/membership/flap.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// flapHoldGrowth is by which factor each hold is longer than the one before.
+// flapHoldGrowth is the ratio of the length of a hold to that of the previous one.
 const flapHoldGrowth = 2
 
-// flapHold counts the returns of one server and holds those that come too often. It guards against servers that the
-// sources take out and put back again and again, each time moving ops; it could harm where a server restarts often and
-// works each time.
+// flapHold counts the returns of one server to service, and delays them if they are too frequent. Without it, a server
+// that the sources remove and add again repeatedly would move ops each time. Limitation: a server that restarts often
+// and works each time is held out of service too.
 type flapHold struct {
-	returns   []time.Duration // within Settings.FlapWindow, which begins again at the end of a hold
+	returns   []time.Duration // times of the returns within Settings.FlapWindow, extended by the last hold
 	length    time.Duration   // of the last hold; 0: none within the window
-	heldUntil time.Duration   // end of the hold in force; 0: none
+	heldUntil time.Duration   // end of the current hold; 0: none
 }
 
-// holdReturn records that a server that was taken out would be up again, and reports whether it is held out for now.
+// holdReturn records that a server that was out of service would be up again, and reports whether it stays out of
+// service for now.
 func (f *flapHold) holdReturn(now time.Duration, settings Settings) bool {
 	if f.heldUntil > now {
 		return true
 	}
-	if f.heldUntil > 0 { // the hold is over, and the return was counted when it began
+	if f.heldUntil > 0 { // the hold has expired; the return was counted when the hold began
 		f.heldUntil = 0
 		return false
 	}
-	f.forget(now - settings.FlapWindow - f.length)
+	f.expireReturns(now - settings.FlapWindow - f.length)
 	f.returns = append(f.returns, now)
 	if settings.FlapThreshold <= 0 || len(f.returns) < settings.FlapThreshold {
 		return false
@@ -33,8 +34,8 @@
 	return f.heldUntil > now
 }
 
-// forget drops the returns up to a time. Where none remains, the next hold is as short as the first.
-func (f *flapHold) forget(upTo time.Duration) {
+// expireReturns removes the returns up to a time. If none remains, the next hold has the length of the first one.
+func (f *flapHold) expireReturns(upTo time.Duration) {
 	for len(f.returns) > 0 && f.returns[0] <= upTo {
 		f.returns = f.returns[1:]
 	}
--- a/membership/ledger.go
+++ b/membership/ledger.go
@@ -1,9 +1,11 @@
-// Package membership merges what two sources, etcd and DNS, report of the disk servers into one endpoint list.
-// Reports go in with the time at which they were received; the changes of the list for the decision module come out.
-// The package does no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule as a table.
+// Package membership merges the reports of two sources, etcd and DNS, about the disk servers into one endpoint list.
+// Its input are the reports, with the times at which they were received; its output are the changes of the list for the
+// decision module. The package does no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule
+// as a table.
 //
 // A gateway has one Ledger and calls it on the goroutine of its event loop; a Ledger is not safe for concurrent use.
-// All times are spans since a fixed moment of the caller's monotonic clock and do not decrease from call to call.
+// All times are durations since a fixed moment of the caller's monotonic clock. They must not decrease from call to
+// call.
 package membership
 
 import (
@@ -12,7 +14,7 @@
 	"honeyplank"
 )
 
-// Source is one of the two that report disk servers.
+// Source is a source of reports about disk servers.
 type Source int
 
 const (
@@ -23,70 +25,71 @@
 	sourceCount
 )
 
-// String is the name of the source in logs.
+// String returns the name of the source in logs.
 func (s Source) String() string { return [...]string{"etcd", "dns"}[s] }
 
-// other is the source beside this one.
+// other returns the other one of the two sources.
 func (s Source) other() Source { return 1 - s }
 
-// State is what a source reports of a server, and what the merge of both comes to. A greater state is a worse one.
+// State is the state of a server that a source reports, or the merged state of both sources. A greater value is a worse
+// state.
 type State int
 
 const (
 	// NeverListed means that the source has not reported the server yet.
 	NeverListed State = iota
-	// Up means that the server takes work.
+	// Up means that the server accepts ops.
 	Up
-	// Draining means that the server finishes what it has and gets no new work.
+	// Draining means that the server finishes its current ops and gets no new ones.
 	Draining
-	// Removed means that the server was listed and is not any more.
+	// Removed means that the server was listed and is no longer listed.
 	Removed
 	stateCount
 )
 
-// String is the state as logs and the nodes command show it.
+// String returns the state as logs and the nodes command show it.
 func (s State) String() string { return [...]string{"never", "on", "draining", "gone"}[s] }
 
 // listed reports whether a source that reports this state lists the server.
 func (s State) listed() bool { return s == Up || s == Draining }
 
-// takenOut reports whether a source that reports this state has taken the server out of service.
-func (s State) takenOut() bool { return s == Draining || s == Removed }
+// outOfService reports whether a report of this state, Draining or Removed, takes a server out of service.
+func (s State) outOfService() bool { return s == Draining || s == Removed }
 
-// Report is what a source reports of one server.
+// Report is the report of a source about one server.
 type Report struct {
-	Member honeyplank.Member // its State is not read
+	Member honeyplank.Member // its State is ignored
 	State  State             // Up, Draining or Removed
-	// StartedAfter is a time that the server's start surely came after; 0: none is known. Member.Started may be later
-	// than the true start, so it does not show by itself that a start is newer than something else.
+	// StartedAfter is a time that is certainly before the server's start; 0: none is known. Member.Started may be later
+	// than the true start, so it does not show by itself that a start is newer than another event.
 	StartedAfter time.Duration
 }
 
-// Settings are the limits of the merge rule. All come from the settings file.
+// Settings has the limits of the merge rule, as the settings file has them.
 type Settings struct {
-	// MaxRemovedShare is the share, 0 to 1, of the servers that a source lists which it may remove within ConfirmAfter
-	// and be followed at once. A removal of more is left unconfirmed: the source itself may be at fault.
+	// MaxRemovedShare is the share, 0 to 1, of a source's servers up to which removals within ConfirmAfter are applied
+	// immediately. If a source removes more, the removal is unconfirmed: the source itself may be faulty.
 	MaxRemovedShare float64
-	// ConfirmAfter is how long an unconfirmed removal must last to be followed, where the other source does not list
-	// the server as up.
+	// ConfirmAfter is the time after which an unconfirmed removal is applied, if the other source does not list the
+	// server as up.
 	ConfirmAfter time.Duration
-	// FlapWindow is the time within which returns of a server are counted, and the longest hold of one.
+	// FlapWindow is the time within which returns of a server are counted, and the maximum length of a hold.
 	FlapWindow time.Duration
-	// FlapThreshold is the number of the return within FlapWindow from which on returns are held; 0: none is. Taking a
-	// server out of service is never held.
+	// FlapThreshold is the number of returns within FlapWindow from which on returns are held; 0: returns are never
+	// held. Taking a server out of service is never held.
 	FlapThreshold int
-	// FlapHold is how long the first held return is held. Each one after is held twice as long as the one before.
+	// FlapHold is the length of the first hold. Each further hold is twice as long as the previous one.
 	FlapHold time.Duration
 }
 
-// sourceReport is what a source reported last of a server.
+// sourceReport is the latest report of a source about a server.
 type sourceReport struct {
 	state        State
-	reportedAt   time.Duration // when the source first reported this state with this start
+	reportedAt   time.Duration // the time at which the source first reported this state with this start
 	member       honeyplank.Member
 	startedAfter time.Duration
-	// removalUnconfirmed: the source has removed the server with too many others at once. state and reportedAt are
-	// those from before the removal, which came at removedAt.
+	// removalUnconfirmed means that the source has removed the server together with too many others. state and
+	// reportedAt are those from before the removal, which was received at removedAt.
 	removalUnconfirmed bool
 	removedAt          time.Duration
 }
@@ -94,7 +97,7 @@
 // confirmedUp reports whether the source lists the server as up, without an unconfirmed removal.
 func (r *sourceReport) confirmedUp() bool { return r.state == Up && !r.removalUnconfirmed }
 
-// confirmAt is when an unconfirmed removal has lasted long enough; 0: there is none.
+// confirmAt returns the time from which on an unconfirmed removal may be applied; 0: there is none.
 func (r *sourceReport) confirmAt(settings Settings) time.Duration {
 	if !r.removalUnconfirmed {
 		return 0
@@ -102,58 +105,59 @@
 	return r.removedAt + settings.ConfirmAfter
 }
 
-// node is the one record of a disk server.
+// node has the reports and the merged state of one disk server.
 type node struct {
 	id       honeyplank.ServerID
 	reports  [sourceCount]sourceReport
 	state    State // merged
 	cause    Cause
-	since    time.Duration // of state
+	since    time.Duration // the time of the last change of state
 	flap     flapHold
-	notified bool              // the decision module knows of the server
-	member   honeyplank.Member // as the decision module knows it
+	notified bool              // the decision module was notified of the server
+	member   honeyplank.Member // as last passed to the decision module
 	waiting  bool              // the node is in Ledger.waiting
 }
 
-// Ledger is the merged list. The zero value is not usable: call New.
+// Ledger keeps the reports of both sources and the endpoint list merged from them. The zero value is not usable: call
+// New.
 type Ledger struct {
 	settings Settings
 	now      time.Duration
 	nodes    map[honeyplank.ServerID]*node
 	sources  [sourceCount]sourceStatus
-	waiting  []*node       // nodes that the passing of time alone may change
-	nextTick time.Duration // the earliest of their times; 0: none
-	version  int64         // of the list, as the decision module is notified of it
+	waiting  []*node       // nodes whose merged state may change without a report, when a time comes
+	nextTick time.Duration // the earliest of these times; 0: none
+	version  int64         // of the list last passed to the decision module
 }
 
-// sourceStatus is what is known of a source as a whole.
+// sourceStatus is the state of a source as a whole.
 type sourceStatus struct {
-	listed         int             // servers that it lists, those with an unconfirmed removal included
-	recentRemovals []time.Duration // removals of servers that were up, followed within Settings.ConfirmAfter
-	heardAt        time.Duration   // last report; 0: never
-	failingSince   time.Duration   // 0: it does not fail
+	listed         int             // number of servers that it lists, including those with an unconfirmed removal
+	recentRemovals []time.Duration // times of applied removals of servers that were up, within Settings.ConfirmAfter
+	lastReportAt   time.Duration   // time of the last report; 0: none yet
+	failingSince   time.Duration   // time of the first failure since the last report; 0: no failure
 }
 
-// New makes a ledger without any report.
+// New makes a Ledger without reports.
 func New(settings Settings) *Ledger {
 	return &Ledger{settings: settings, nodes: map[honeyplank.ServerID]*node{}}
 }
 
-// Complete applies the complete list of a source: a server that the source listed before and that is missing now is
-// removed. It returns what the decision module is to be notified of: nothing, or one list, which is a delta or, the
-// first time, the complete list.
+// Complete applies the complete list of a source: a server that the source listed before and that is now missing is
+// removed. It returns the list that the caller must pass to the decision module, or none if nothing has changed. The
+// first list returned is complete, all further ones are deltas.
 func (l *Ledger) Complete(now time.Duration, from Source, reports []Report) []honeyplank.List {
 	l.received(now, from)
 	listedBefore := l.sources[from].listed
-	named := make(map[honeyplank.ServerID]bool, len(reports))
+	reported := make(map[honeyplank.ServerID]bool, len(reports))
 	var touched []*node
 	for _, report := range reports {
-		named[report.Member.ID] = true
+		reported[report.Member.ID] = true
 		touched = append(touched, l.record(from, report))
 	}
 	var removed []*node
 	for id, n := range l.nodes {
-		if n.reports[from].state.listed() && !named[id] {
+		if n.reports[from].state.listed() && !reported[id] {
 			removed = append(removed, n)
 		}
 	}
@@ -161,9 +165,9 @@
 	return l.update(append(touched, removed...))
 }
 
-// Delta applies changes of the list of a source, in order, and returns what Complete returns. Of several reports of
-// one server the last decides: a watch that was held up delivers several revisions of etcd at once, and a server that
-// is removed and put back within them has not been removed.
+// Delta applies changes of the list of a source, in order. Its results are as those of Complete. If there are several
+// reports about one server, the last one counts: a delayed watch delivers several revisions of etcd together, and a
+// server that is removed and added again within them is not removed.
 func (l *Ledger) Delta(now time.Duration, from Source, reports []Report) []honeyplank.List {
 	l.received(now, from)
 	listedBefore := l.sources[from].listed
@@ -184,7 +188,7 @@
 	return l.update(append(touched, removed...))
 }
 
-// SourceFailed records that a source could not be queried, or that its watch failed. Its reports stay in force.
+// SourceFailed records that a source could not be queried, or that its watch failed. Its reports stay valid.
 func (l *Ledger) SourceFailed(now time.Duration, from Source) {
 	l.now = now
 	if l.sources[from].failingSince == 0 {
@@ -192,7 +196,7 @@
 	}
 }
 
-// Tick applies the passing of time, and returns what Complete returns.
+// Tick applies changes that depend on time alone, such as the end of a hold. Its results are as those of Complete.
 func (l *Ledger) Tick(now time.Duration) []honeyplank.List {
 	l.now = now
 	waiting := l.waiting
@@ -203,16 +207,17 @@
 	return l.update(waiting)
 }
 
-// NextTick is when a Tick may change something; 0: no time is awaited. A Tick before that does no harm.
+// NextTick returns the time from which on a Tick may change the list; 0: no Tick is needed. An earlier Tick has no
+// effect.
 func (l *Ledger) NextTick() time.Duration { return l.nextTick }
 
 // received records that a source has reported.
 func (l *Ledger) received(now time.Duration, from Source) {
 	l.now = now
-	l.sources[from].heardAt, l.sources[from].failingSince = max(now, 1), 0
+	l.sources[from].lastReportAt, l.sources[from].failingSince = max(now, 1), 0
 }
 
-// record records that a source lists a server.
+// record stores the report of a source that lists a server, and returns the node.
 func (l *Ledger) record(from Source, report Report) *node {
 	n := l.nodes[report.Member.ID]
 	if n == nil {
@@ -224,13 +229,13 @@
 		l.sources[from].listed++
 	}
 	if r.state != report.State || r.member.Started != report.Member.Started || r.removalUnconfirmed {
-		r.reportedAt = l.now // a repeated report keeps its time: it is nothing new
+		r.reportedAt = l.now // a repeated report keeps its time, since it contains nothing new
 	}
 	r.state, r.member, r.startedAfter, r.removalUnconfirmed = report.State, report.Member, report.StartedAfter, false
 	return n
 }
 
-// update merges the reports of the nodes touched, and makes the list of what has changed.
+// update merges the reports of the touched nodes, and returns the list of the members that have changed.
 func (l *Ledger) update(touched []*node) []honeyplank.List {
 	var members []honeyplank.Member
 	for _, n := range touched {
@@ -255,7 +260,7 @@
 	return []honeyplank.List{{Kind: kind, Version: l.version, Members: members}}
 }
 
-// updateState sets a node's merged state, its cause and since when it holds.
+// updateState sets a node's merged state, its cause and the time of its last change.
 func (l *Ledger) updateState(n *node) {
 	before := n.state
 	confirmed := l.confirmRemovals(n)
@@ -263,7 +268,7 @@
 	if confirmed {
 		cause = Confirmed
 	}
-	if state == Up && before.takenOut() && n.flap.holdReturn(l.now, l.settings) {
+	if state == Up && before.outOfService() && n.flap.holdReturn(l.now, l.settings) {
 		state, cause = before, FlapHeld
 	}
 	if state != before {
@@ -272,7 +277,7 @@
 	n.state, n.cause = state, cause
 }
 
-// await has the next Tick look at a node that the passing of time alone may change.
+// await makes the next Tick update a node whose merged state may change without a report.
 func (l *Ledger) await(n *node) {
 	at := l.dueAt(n)
 	if at == 0 {
@@ -287,7 +292,7 @@
 	}
 }
 
-// dueAt is when time alone may next change the merged state of a node; 0: never.
+// dueAt returns the next time at which the merged state of a node may change without a report; 0: none.
 func (l *Ledger) dueAt(n *node) (due time.Duration) {
 	for _, at := range [...]time.Duration{
 		n.reports[Etcd].confirmAt(l.settings),
--- a/membership/ledger_test.go
+++ b/membership/ledger_test.go
@@ -20,7 +20,7 @@
 	FlapHold:        5 * second,
 }
 
-// input is one thing that can happen.
+// input is one event: a report, a failure of a source or the passing of time.
 type input struct {
 	name     string
 	from     Source
@@ -28,21 +28,21 @@
 	fails    bool
 	tick     time.Duration
 	reports  map[string]State
-	started  bool // reported with a start of now
+	started  bool // the servers are reported with the current time as their start
 }
 
-// inputs are all that the exhaustive search applies, for two servers.
+// inputs returns all inputs that the exhaustive test applies, for two servers.
 func inputs() (list []input) {
 	for from := range sourceCount {
 		for _, x := range []input{
-			{name: "a on", reports: map[string]State{"a": Up}},
+			{name: "a up", reports: map[string]State{"a": Up}},
 			{name: "a draining", reports: map[string]State{"a": Draining}},
-			{name: "a gone", reports: map[string]State{"a": Removed}},
-			{name: "a on, started", reports: map[string]State{"a": Up}, started: true},
-			{name: "b on", reports: map[string]State{"b": Up}},
+			{name: "a removed", reports: map[string]State{"a": Removed}},
+			{name: "a up, started", reports: map[string]State{"a": Up}, started: true},
+			{name: "b up", reports: map[string]State{"b": Up}},
 			{name: "all", complete: true, reports: map[string]State{"a": Up, "b": Up}},
 			{name: "none", complete: true},
-			{name: "b alone", complete: true, reports: map[string]State{"b": Up}},
+			{name: "only b", complete: true, reports: map[string]State{"b": Up}},
 			{name: "fails", fails: true},
 		} {
 			x.from = from
@@ -53,7 +53,7 @@
 	return append(list, input{name: "1 s", tick: second}, input{name: "11 s", tick: 11 * second})
 }
 
-// comparison runs the ledger and the model side by side and keeps the list as the decision module would.
+// comparison applies the same inputs to a Ledger and to the model, and keeps the list as the decision module would.
 type comparison struct {
 	ledger *Ledger
 	model  *model
@@ -64,7 +64,7 @@
 	return &comparison{New(testSettings), newModel(), map[honeyplank.ServerID]honeyplank.MemberState{}}
 }
 
-// apply applies one input to both and returns what is wrong after it.
+// apply applies one input to both, and returns an error if they differ or an invariant is violated after it.
 func (c *comparison) apply(x input) error {
 	before := map[string]State{}
 	for _, n := range c.model.nodes {
@@ -80,14 +80,14 @@
 		if err := c.compare(n); err != nil {
 			return err
 		}
-		if err := c.invariants(n, before[n], x); err != nil {
+		if err := c.checkInvariants(n, before[n], x); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// applyToLedger applies an input to the ledger, with the starts and the time that the model has after it.
+// applyToLedger applies an input to the Ledger, with the starts and the time that the model has after the input.
 func (c *comparison) applyToLedger(x input) []honeyplank.List {
 	now := c.model.now
 	switch {
@@ -111,55 +111,56 @@
 	return c.ledger.Delta(now, x.from, all)
 }
 
-// compare compares the ledger's view of a server with the model, and with what the decision module was notified of.
+// compare compares the Ledger's view of a server with the model and with the list passed to the decision module.
 func (c *comparison) compare(n string) error {
 	id := honeyplank.ServerID(n)
 	v, _ := c.ledger.View(id)
 	if v.State != c.model.state[n] {
-		return fmt.Errorf("%s is %v, the model has %v: ledger %+v, model %+v, now %v, held until %v",
+		return fmt.Errorf("state of %s is %v, model %v: ledger %+v, model %+v, now %v, held until %v",
 			n, v.State, c.model.state[n], v, c.model.reports[n], c.model.now, c.model.heldUntil[n])
 	}
 	for from, report := range c.model.reports[n] {
 		same := v.ReportedState[from] == report.state && v.ReportedAt[from] == report.at
 		if !same || v.Unconfirmed[from] != (report.unconfirmedSince > 0) {
-			return fmt.Errorf("%s as %v reports it: ledger %+v, model %+v", n, Source(from), v, report)
+			return fmt.Errorf("report of %s by %v differs: ledger %+v, model %+v", n, Source(from), v, report)
 		}
 	}
 	notified, known := c.list[id]
 	if known != (v.State != NeverListed) && v.State == Up || known && (notified == honeyplank.Up) != (v.State == Up) {
-		return fmt.Errorf("%s is %v, the decision module was notified of %v", n, v.State, notified)
+		return fmt.Errorf("state of %s is %v, the decision module was notified of %v", n, v.State, notified)
 	}
 	return nil
 }
 
-// invariants are what the rule guarantees for a server with a state before, checked without applying the rule.
-func (c *comparison) invariants(n string, before State, x input) error {
+// checkInvariants checks guarantees of the merge rule for a server, without applying the rule. before is the state of
+// the server before the input.
+func (c *comparison) checkInvariants(n string, before State, x input) error {
 	v, _ := c.ledger.View(honeyplank.ServerID(n))
 	reports := c.model.reports[n]
 	for i, report := range reports {
 		other := reports[1-i]
 		takenOut := report.state == Draining || report.state == Removed
 		if takenOut && v.State == Up && !(other.state == Up && other.started > report.at) {
-			return fmt.Errorf("%s gets work though %v reports %v", n, Source(i), report.state)
+			return fmt.Errorf("%s is up although %v reports %v", n, Source(i), report.state)
 		}
 	}
 	bothUp := reports[Etcd].confirmedUp() && reports[DNS].confirmedUp()
 	if bothUp && v.State != Up && c.model.heldUntil[n] <= c.model.now {
-		return fmt.Errorf("%s is %v though both sources list it as up", n, v.State)
+		return fmt.Errorf("%s is %v although both sources list it as up", n, v.State)
 	}
 	if x.fails && v.State != before {
 		return fmt.Errorf("a failing source changed %s from %v to %v", n, before, v.State)
 	}
 	emptied := x.complete && len(x.reports) == 0 && reports[x.from].unconfirmedSince > 0
 	if emptied && before == Up && v.State != Up && reports[x.from.other()].confirmedUp() {
-		return fmt.Errorf("%s was removed by a source that emptied at once", n)
+		return fmt.Errorf("%s was removed immediately by an empty list of one source", n)
 	}
 	return nil
 }
 
-// TestExhaustive applies every sequence of some inputs for two servers, both without any report before and after both
-// sources have listed both as up.
-func TestExhaustive(t *testing.T) {
+// TestModelExhaustive compares Ledger with the model after every sequence of 3 or 4 inputs for two servers. The
+// sequences begin without any report, or after both sources have listed both servers as up.
+func TestModelExhaustive(t *testing.T) {
 	all := inputs()
 	depth := 4
 	if testing.Short() {
@@ -168,7 +169,7 @@
 	count := 0
 	for _, begin := range [][]input{nil, {all[5], all[14]}} {
 		if len(begin) > 0 && (begin[0].name != "etcd: all" || begin[1].name != "dns: all") {
-			t.Fatal("the inputs have moved")
+			t.Fatal("the order of inputs() has changed")
 		}
 		sequence := make([]int, depth) // indices in all
 		for more := true; more; more = nextSequence(sequence, len(all)) {
@@ -183,7 +184,7 @@
 	t.Logf("%d sequences of %d inputs", count, depth)
 }
 
-// nextSequence counts a sequence up, each of its digits below base. It reports false after the last one.
+// nextSequence increments a sequence, as a number whose digits are below base. It returns false after the last one.
 func nextSequence(sequence []int, base int) bool {
 	for k := len(sequence) - 1; k >= 0; k-- {
 		if sequence[k]++; sequence[k] < base {
@@ -194,7 +195,7 @@
 	return false
 }
 
-// applyAll applies inputs to a new ledger and a new model.
+// applyAll applies inputs to a new Ledger and a new model.
 func applyAll(t *testing.T, inputs []input) {
 	t.Helper()
 	c := newComparison()
@@ -210,8 +211,9 @@
 	}
 }
 
-// TestGenerated applies long sequences for four nodes, from fixed seeds.
-func TestGenerated(t *testing.T) {
+// TestModelRandom compares Ledger with the model after each input of long random sequences for four servers, from fixed
+// seeds.
+func TestModelRandom(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
 		c := newComparison()
@@ -225,7 +227,7 @@
 	}
 }
 
-// generate draws an input.
+// generate returns a random input.
 func generate(rng *rand.Rand, nodes []string) input {
 	x := input{
 		from:     Source(rng.Intn(2)),
@@ -250,11 +252,12 @@
 	return x
 }
 
-// TestFlapping has a source take a node out and in for ten minutes: the decision module is notified of few returns.
-func TestFlapping(t *testing.T) {
+// TestFlappingServerHeld makes a source list a server as up and as draining in turn for ten simulated minutes. Each
+// return of a flapping server moves ops, so the decision module must be notified of few returns.
+func TestFlappingServerHeld(t *testing.T) {
 	c := newComparison()
 	c.model.now = second
-	ups := 0
+	returns := 0
 	for range 300 {
 		for _, x := range []input{
 			{reports: map[string]State{"a": Up}},
@@ -262,36 +265,36 @@
 			{reports: map[string]State{"a": Draining}},
 			{tick: second},
 		} {
-			was := c.list["a"]
+			stateBefore := c.list["a"]
 			if err := c.apply(x); err != nil {
 				t.Fatal(err)
 			}
-			if is := c.list["a"]; was != honeyplank.Up && is == honeyplank.Up {
-				ups++
+			if state := c.list["a"]; stateBefore != honeyplank.Up && state == honeyplank.Up {
+				returns++
 			}
 		}
 	}
-	if ups > 20 { // 300 without the rule
-		t.Errorf("the module was notified of %d returns in ten minutes", ups)
+	if returns > 20 { // without holds there would be 300
+		t.Errorf("the decision module was notified of %d returns in ten minutes, want at most 20", returns)
 	}
 }
 
-// TestSeveralReportsAtOnce has a source report one server several times at once, as a watch does that was held up:
-// the last report decides.
+// TestSeveralReportsAtOnce passes several reports about one server in one Delta, as a delayed watch does. The last
+// report must count.
 func TestSeveralReportsAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, reports []State
 		want            State
 	}{
-		"new, removed and back":  {nil, []State{Up, Removed, Up}, Up},
-		"removed and back":       {[]State{Up}, []State{Removed, Up}, Up},
-		"removed and draining":   {[]State{Up}, []State{Removed, Draining}, Draining},
-		"back and removed":       {[]State{Up, Removed}, []State{Up, Removed}, Removed},
-		"new and removed":        {nil, []State{Up, Removed}, Removed},
-		"draining and on":        {[]State{Up}, []State{Draining, Up}, Up},
-		"on and draining":        {[]State{Up}, []State{Up, Draining}, Draining},
-		"draining and removed":   {[]State{Up}, []State{Draining, Removed}, Removed},
-		"out and in three times": {[]State{Up}, []State{Removed, Up, Removed, Up, Removed, Up}, Up},
+		"new, removed, up":           {nil, []State{Up, Removed, Up}, Up},
+		"removed, up":                {[]State{Up}, []State{Removed, Up}, Up},
+		"removed, draining":          {[]State{Up}, []State{Removed, Draining}, Draining},
+		"up again, removed":          {[]State{Up, Removed}, []State{Up, Removed}, Removed},
+		"new, removed":               {nil, []State{Up, Removed}, Removed},
+		"draining, up":               {[]State{Up}, []State{Draining, Up}, Up},
+		"up, draining":               {[]State{Up}, []State{Up, Draining}, Draining},
+		"draining, removed":          {[]State{Up}, []State{Draining, Removed}, Removed},
+		"removed and up three times": {[]State{Up}, []State{Removed, Up, Removed, Up, Removed, Up}, Up},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := New(Settings{MaxRemovedShare: 1})
@@ -301,34 +304,35 @@
 				ledger.Delta(now, Etcd, []Report{{Member: honeyplank.Member{ID: "a"}, State: state}})
 			}
 			var all []Report
-			for i, state := range c.reports { // the start shows which of them the ledger took
+			for i, state := range c.reports { // the start shows which report the Ledger has stored
 				member := honeyplank.Member{ID: "a", Started: time.Duration(i + 1)}
 				all = append(all, Report{Member: member, State: state})
 			}
 			ledger.Delta(now+second, Etcd, all)
 			v, _ := ledger.View("a")
 			if v.State != c.want || c.want != Removed && v.Member.Started != time.Duration(len(all)) {
-				t.Errorf("%v after %v: %v, started %d", c.reports, c.before, v.State, v.Member.Started)
+				t.Errorf("reports %v after %v: state %v, start %d", c.reports, c.before, v.State, v.Member.Started)
 			}
 		})
 	}
 }
 
-// TestSurelyNewerStart has DNS list as up what etcd has taken out: only a start that surely came after that puts it
-// back.
-func TestSurelyNewerStart(t *testing.T) {
+// TestNewerStartRestoresServer makes DNS list a server as up that etcd has taken out of service. Only a start that is
+// certainly newer than the report of etcd may restore the server. When DNS lists a server for the first time, no such
+// start is known.
+func TestNewerStartRestoresServer(t *testing.T) {
 	for name, c := range map[string]struct {
 		out            State
 		started, after time.Duration
 		want           State
 	}{
-		"named again":              {Draining, 5 * second, 5 * second, Draining},
-		"first sight, after it":    {Draining, 30 * second, 0, Draining},
-		"perhaps before it":        {Draining, 30 * second, 15 * second, Draining},
-		"surely after it":          {Draining, 30 * second, 21 * second, Up},
-		"gone, first sight":        {Removed, 30 * second, 0, Removed},
-		"gone, surely after it":    {Removed, 30 * second, 21 * second, Up},
-		"gone, in the same moment": {Removed, 30 * second, 20 * second, Removed},
+		"draining, older start":           {Draining, 5 * second, 5 * second, Draining},
+		"draining, first seen in DNS":     {Draining, 30 * second, 0, Draining},
+		"draining, possibly older start":  {Draining, 30 * second, 15 * second, Draining},
+		"draining, newer start":           {Draining, 30 * second, 21 * second, Up},
+		"removed, first seen in DNS":      {Removed, 30 * second, 0, Removed},
+		"removed, newer start":            {Removed, 30 * second, 21 * second, Up},
+		"removed, start at the same time": {Removed, 30 * second, 20 * second, Removed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := New(Settings{MaxRemovedShare: 1})
@@ -340,7 +344,7 @@
 				StartedAfter: c.after,
 			}})
 			if v, _ := ledger.View("a"); v.State != c.want {
-				t.Errorf("%v, want %v", v.State, c.want)
+				t.Errorf("state %v, want %v", v.State, c.want)
 			}
 		})
 	}
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -2,36 +2,37 @@
 
 import "honeyplank"
 
-// Cause is why a server has its merged state.
+// Cause is the reason for the merged state of a server.
 type Cause int
 
 const (
 	// Unreported means that no source has reported the server.
 	Unreported Cause = iota
-	// Agreed means that no source reports anything else.
+	// Agreed means that no source reports a different state.
 	Agreed
 	// SourceReported means that a source reports the server as draining or removed.
 	SourceReported
-	// NewerStart means that the server has surely started after the report that took it out.
+	// NewerStart means that the server has certainly started after the report that took it out of service.
 	NewerStart
-	// Unconfirmed means that the server was removed with too many others; the state from before stays.
+	// Unconfirmed means that the server was removed with too many others and keeps its previous state.
 	Unconfirmed
-	// Confirmed means that such a removal has lasted.
+	// Confirmed means that an unconfirmed removal was applied after Settings.ConfirmAfter.
 	Confirmed
-	// FlapHeld means that the server has returned too often and is held out for some time.
+	// FlapHeld means that the server has returned too often and stays out of service for some time.
 	FlapHeld
 )
 
-// String is the cause as logs and the nodes command show it.
+// String returns the cause as logs and the nodes command show it.
 func (c Cause) String() string {
 	return [...]string{
 		"unheard", "agreed", "said", "newer start", "vanishing doubted", "vanishing confirmed", "held back",
 	}[c]
 }
 
-// mergeRule is the merged state by what etcd (row) and DNS (column) report; an unconfirmed removal counts as the
-// state from before. The worse report holds, whichever source it comes from. This guards against work for a server
-// that one source has taken out while the other still lists it; it could harm where one source is wrong for long.
+// mergeRule is the merged state by the states that etcd (row) and DNS (column) report. An unconfirmed removal counts as
+// the state before it. The worse state wins, so that a server gets no ops if one source has taken it out of service
+// while the other still lists it. Limitation: a source that is wrong for a long time keeps working servers out of
+// service.
 var mergeRule = [stateCount][stateCount]State{
 	//           DNS: NeverListed  Up        Draining  Removed
 	NeverListed: {NeverListed, Up, Draining, Removed},
@@ -40,15 +41,15 @@
 	Removed:     {Removed, Removed, Removed, Removed},
 }
 
-// merge is the merged state of a server and its cause. The one way past the rule is a start that is surely newer than
-// the report that took the server out, shown by a source that lists it as up: the first source has not received the
-// new start yet.
+// merge returns the merged state of a server and its cause. The only exception to mergeRule is a server that one source
+// lists as up with a start that is certainly newer than the report by which the other source took it out of service:
+// that source has not received the new start yet.
 func merge(reports *[sourceCount]sourceReport) (State, Cause) {
 	etcd, dns := &reports[Etcd], &reports[DNS]
 	state, cause := mergeRule[etcd.state][dns.state], Agreed
 	switch {
-	case !state.takenOut():
-	case putBack(etcd, dns) || putBack(dns, etcd):
+	case !state.outOfService():
+	case hasNewerStart(etcd, dns) || hasNewerStart(dns, etcd):
 		state, cause = Up, NewerStart
 	default:
 		cause = SourceReported
@@ -59,15 +60,15 @@
 	return state, cause
 }
 
-// putBack reports whether a source shows a start that is surely newer than the report by which the other one has
-// taken the server out.
-func putBack(out, other *sourceReport) bool {
-	return out.state.takenOut() && other.confirmedUp() && other.startedAfter > out.reportedAt
+// hasNewerStart reports whether the source of the report other lists the server as up, with a start that is certainly
+// newer than the report out, by which the server was taken out of service.
+func hasNewerStart(out, other *sourceReport) bool {
+	return out.state.outOfService() && other.confirmedUp() && other.startedAfter > out.reportedAt
 }
 
-// mergedMember is a server as the decision module is notified of it: the properties that etcd reports, or DNS where
-// etcd does not list the server, and the latest start that either reports. That guards against a server that is taken
-// for older than it is and overloaded while it warms up.
+// mergedMember returns a server as it is passed to the decision module. It has the properties that etcd reports, or
+// those that DNS reports if etcd does not list the server, and the latest start that either source reports. With an
+// earlier start, a server would get too many ops during its slow start.
 func (l *Ledger) mergedMember(n *node) honeyplank.Member {
 	etcd, dns := &n.reports[Etcd], &n.reports[DNS]
 	member := etcd.member
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// model is the merge rule of docs/sources.md, written a second time: slow, and without the structure of the ledger.
+// model is a second, independent implementation of the merge rule of docs/sources.md. It is slower than Ledger and does
+// not share its structure.
 type model struct {
 	now        time.Duration
 	reports    map[string]*[2]modelReport
@@ -18,7 +19,7 @@
 	state            State
 	at               time.Duration
 	started          time.Duration
-	unconfirmedSince time.Duration // 0: there is no unconfirmed removal
+	unconfirmedSince time.Duration // 0: no unconfirmed removal
 }
 
 // confirmedUp reports whether the server is listed as up, without an unconfirmed removal.
@@ -84,7 +85,7 @@
 	m.remove(x.from, removed, listed)
 }
 
-// set is a report of a server as listed.
+// set applies a report that lists a server.
 func (r *modelReport) set(now time.Duration, state State, started time.Duration) {
 	if r.state != state || r.started != started || r.unconfirmedSince > 0 {
 		r.at = now
@@ -92,7 +93,7 @@
 	r.state, r.started, r.unconfirmedSince = state, started, 0
 }
 
-// tooMany reports whether a source that listed so many servers before removes too many at once.
+// tooMany reports whether a source, which listed that many servers before, removes too many within ConfirmAfter.
 func (m *model) tooMany(from Source, removed []string, listed int) bool {
 	recent := 0
 	for _, at := range m.removals[from] {
@@ -109,7 +110,7 @@
 	return listed+recent > 1 && float64(removedUp+recent) > testSettings.MaxRemovedShare*float64(listed+recent)
 }
 
-// remove removes servers of a source that listed so many before.
+// remove removes servers of a source, which listed that many before.
 func (m *model) remove(from Source, removed []string, listed int) {
 	tooMany := m.tooMany(from, removed, listed)
 	for _, n := range removed {
@@ -151,7 +152,7 @@
 	m.state[n] = worst
 }
 
-// holdReturn reports whether a server that returns is held out.
+// holdReturn reports whether a server that would be up again is held out of service.
 func (m *model) holdReturn(n string) bool {
 	switch {
 	case m.heldUntil[n] > m.now:
--- a/membership/view.go
+++ b/membership/view.go
@@ -6,19 +6,19 @@
 	"honeyplank"
 )
 
-// View is what is known of one server, for logs and the nodes command.
+// View is the state of one server, for logs and the nodes command.
 type View struct {
-	Member        honeyplank.Member // as the decision module is notified of it
+	Member        honeyplank.Member // as it is passed to the decision module
 	State         State             // merged
 	Cause         Cause             // of State
-	Since         time.Duration     // of State
+	Since         time.Duration     // time of the last change of State
 	ReportedState [sourceCount]State
-	ReportedAt    [sourceCount]time.Duration // when each source first reported its state
+	ReportedAt    [sourceCount]time.Duration // the time at which each source first reported its state
 	Unconfirmed   [sourceCount]bool          // the source has removed the server, which is not confirmed yet
 	HeldUntil     time.Duration              // end of the hold of a server that returns too often; 0: none
 }
 
-// View is what is known of a server; ok is false for one that no source has reported.
+// View returns the state of a server; ok is false if no source has reported the server.
 func (l *Ledger) View(id honeyplank.ServerID) (v View, ok bool) {
 	n := l.nodes[id]
 	if n == nil {
@@ -31,7 +31,7 @@
 	return v, true
 }
 
-// Nodes is the ids of all servers that a source has reported, in no order.
+// Nodes returns the ids of all servers that a source has reported, in no particular order.
 func (l *Ledger) Nodes() (ids []honeyplank.ServerID) {
 	for id := range l.nodes {
 		ids = append(ids, id)
@@ -39,7 +39,8 @@
 	return ids
 }
 
-// SourceStatus is when a source last reported (0: never) and since when it fails (0: it does not).
-func (l *Ledger) SourceStatus(source Source) (heardAt, failingSince time.Duration) {
-	return l.sources[source].heardAt, l.sources[source].failingSince
+// SourceStatus returns the time at which a source last reported (0: never) and the time since which it has failed (0:
+// it does not fail).
+func (l *Ledger) SourceStatus(source Source) (lastReportAt, failingSince time.Duration) {
+	return l.sources[source].lastReportAt, l.sources[source].failingSince
 }
