--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,7 +1,7 @@
 // Package discovery has the types that the two sources of the endpoint list share. Package discovery/etcd watches the
-// list in etcd (docs/etcd.md), package discovery/dns polls SRV records in DNS (docs/dns.md). A source passes on what it
-// receives and reports what fails. It does not merge, which package membership does, and does not retry a watch, for
-// which the decision module asks.
+// list in etcd (docs/etcd.md), package discovery/dns polls SRV records in DNS (docs/dns.md). A source passes on the
+// updates that it receives and reports failures. It does not merge the two lists, which is done by package membership,
+// and it does not retry a watch, which the decision module requests.
 //
 // The package itself has no state and starts no goroutine.
 package discovery
@@ -17,15 +17,15 @@
 
 // The values of Record.State.
 const (
-	StateOn       = "on"       // the server takes work
-	StateDraining = "draining" // it gets no new work
+	StateOn       = "on"       // the server accepts ops
+	StateDraining = "draining" // the server gets no new ops
 )
 
-// Record is the value of a server's key in etcd; the key is the prefix and the server's address.
+// Record is the value of a server's key in etcd. The key is the prefix followed by the server's address.
 type Record struct {
 	State     string  `json:"state"`                // StateOn or StateDraining
-	StartedMS int64   `json:"started_ms,omitempty"` // Unix time of its last start, in milliseconds; 0: long ago
-	Size      float64 `json:"size,omitempty"`       // relative to other servers; 0: as all others
+	StartedMS int64   `json:"started_ms,omitempty"` // Unix time of the last start, in milliseconds; 0: long ago
+	Size      float64 `json:"size,omitempty"`       // relative to other servers; 0: the same as all others
 	Model     int     `json:"model,omitempty"`
 	Zone      int     `json:"zone,omitempty"`
 	Cell      int     `json:"cell"`
@@ -35,40 +35,40 @@
 type Node struct {
 	Record
 	Address string // IP address and port
-	Removed bool   // the server is not listed any more; Record is what was listed last
+	Removed bool   // the server is no longer listed; Record is the last one listed
 }
 
-// Update is what a source has received.
+// Update is a change of the list, or a failure, that a source reports.
 type Update struct {
-	// Kind is Complete for a complete list, Delta for changes, and WatchFailed where a request or watch failed: Err has
-	// the reason then, and there are no nodes.
+	// Kind is Complete for a complete list, Delta for changes, and WatchFailed if a request or a watch has failed. In
+	// the last case Err has the reason, and there are no nodes.
 	Kind     honeyplank.ListKind
 	Revision int64 // of etcd
 	Nodes    []Node
-	Skipped  []string // the entries that are not valid, each with the reason
+	Skipped  []string // the invalid entries, each with the reason
 	Err      error
-	// Current tells that every change up to this moment has been passed on. Only a Delta sets it, also one without
+	// Current means that every change up to this moment has been passed on. Only a Delta sets it, possibly one without
 	// nodes.
 	Current bool
 }
 
-// Why a record is not valid. RecordError wraps one of these, or the error of the JSON decoder.
+// The reasons why a record is invalid. RecordError wraps one of these, or the error of the JSON decoder.
 var (
 	ErrAddress  = errors.New("not an IP address and port")
 	ErrState    = errors.New("state is neither on nor draining")
 	ErrNegative = errors.New("a number is negative")
 )
 
-// RecordError says which record is not valid and why.
+// RecordError is the error for an invalid record, with the address of its server and the reason.
 type RecordError struct {
 	Address string
 	Err     error
 }
 
-// Error is the text that the log shows for a skipped entry.
+// Error returns the text that the log shows for a skipped entry.
 func (e *RecordError) Error() string { return fmt.Sprintf("discovery: %.80q: %v", e.Address, e.Err) }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e *RecordError) Unwrap() error { return e.Err }
 
 // ParseRecord decodes and checks the value of a server's key. An error is a *RecordError.
--- a/discovery/dns/client.go
+++ b/discovery/dns/client.go
@@ -1,10 +1,10 @@
-// Package dns polls the endpoint list in DNS SRV records. docs/dns.md has the convention of the records. It passes on
-// what it receives and reports what fails. It does not keep a list, and does not compare it with another source,
-// which package membership does.
+// Package dns polls the endpoint list in DNS SRV records. docs/dns.md has the convention of the records. The package
+// passes on the lists that it receives and reports failures. It does not keep a list, and does not compare it with
+// another source, which is done by package membership.
 //
-// Which name server is queried and when (resolver.go), and which records count (selection.go), is decided without
-// I/O. client.go owns the goroutine, which runs from New to Close and calls the function for updates; exchange.go
-// carries out the exchanges.
+// resolver.go decides which name server is queried and when; selection.go decides which records are used. Neither does
+// I/O. client.go owns the goroutine, which runs from New to Close and calls the function for updates. exchange.go
+// performs the exchanges with the name servers.
 package dns
 
 import (
@@ -20,19 +20,19 @@
 	"honeyplank/discovery"
 )
 
-// Settings are the name servers and limits of a Client.
+// Settings has the name servers and limits of a Client.
 type Settings struct {
 	Servers     []string      // addresses of the name servers, queried in turn
-	Name        string        // owner of the SRV records
-	MinInterval time.Duration // between queries, however short a record's lifetime
-	MaxInterval time.Duration // between queries, however long a record's lifetime
+	Name        string        // owner name of the SRV records
+	MinInterval time.Duration // between queries, even if the TTL of a record is shorter
+	MaxInterval time.Duration // between queries, even if the TTL of a record is longer
 	Timeout     time.Duration // of one exchange
 	Seed        int64         // of the jitter
 }
 
-// Client is the endpoint list in DNS. Updates are passed on from its one goroutine, in order, and none after Close:
-// Complete for an answer, also a negative one, and WatchFailed where all name servers have failed. The list from
-// before a failure is for the receiver to keep.
+// Client polls the endpoint list in DNS. It passes on updates from its only goroutine, in order, and none after Close:
+// Complete for an answer, including a negative one, and WatchFailed if all name servers have failed. After a failure
+// the receiver must keep the previous list.
 type Client struct {
 	settings Settings
 	update   func(discovery.Update)
@@ -40,11 +40,11 @@
 	query    func(server, name string, recordType uint16) (*mdns.Msg, error)
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
-	Queries  int // sent so far; to be read after Close only
+	Queries  int // number of queries sent; may be read only after Close
 }
 
-// New begins to poll. Updates go to update, on the goroutine of the Client, which runs until Close. update must not
-// call the Client.
+// New starts polling. It calls update for each update, on the goroutine of the Client, which runs until Close. update
+// must not call the Client.
 func New(settings Settings, update func(discovery.Update)) *Client {
 	settings.Name = mdns.Fqdn(settings.Name)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -62,16 +62,16 @@
 	return c
 }
 
-// Close ends the polling and waits for the goroutine; an exchange in progress is cancelled.
+// Close cancels an exchange in progress, stops polling and waits until the goroutine has ended.
 func (c *Client) Close() {
 	c.cancel()
 	c.running.Wait()
 }
 
-// run queries as the resolver decides, and passes on the outcome of each round, until the context ends.
+// run sends the queries that the resolver decides on, and passes on the result of each round, until ctx is cancelled.
 func (c *Client) run(ctx context.Context) {
 	start := time.Now()
-	var failures error // of this round
+	var failures error // of the current round
 	for {
 		next := c.resolver.Next()
 		if !waitUntil(ctx, start.Add(next.at)) {
@@ -83,7 +83,7 @@
 			return
 		}
 		if err != nil {
-			failures = errors.Join(failures, fmt.Errorf("discovery: %s asked for %s: %w", server, c.settings.Name, err))
+			failures = errors.Join(failures, fmt.Errorf("discovery: query %s for %s: %w", server, c.settings.Name, err))
 			if !c.resolver.Failed(time.Since(start)) {
 				continue
 			}
@@ -96,7 +96,7 @@
 	}
 }
 
-// waitUntil waits until a time. It reports false where the context has ended before.
+// waitUntil waits until a time. It returns false if ctx is cancelled before.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/discovery/dns/client_test.go
+++ b/discovery/dns/client_test.go
@@ -16,7 +16,7 @@
 
 const zone = "_honeyplank._tcp.storage.example."
 
-func nodes(n int) (list []fakedns.Record) {
+func testRecords(n int) (list []fakedns.Record) {
 	for i := range n {
 		list = append(list, fakedns.Record{
 			Target: fmt.Sprintf("n%d--c%d-z%d-t%d.storage.example.", i, i, i%3, 1000+i),
@@ -28,8 +28,8 @@
 	return list
 }
 
-// resolve starts fake name servers and a client that asks them in turn.
-func resolve(t *testing.T, n int, change func(*Settings)) ([]*fakedns.Server, chan discovery.Update) {
+// startClient starts n fake name servers, and a Client that queries them in turn and passes its updates to the channel.
+func startClient(t *testing.T, n int, change func(*Settings)) ([]*fakedns.Server, chan discovery.Update) {
 	t.Helper()
 	settings := Settings{
 		Name:        zone,
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		s.SetRecords(0, nodes(3))
+		s.SetRecords(0, testRecords(3))
 		servers, settings.Servers = append(servers, s), append(settings.Servers, s.Address())
 	}
 	if change != nil {
@@ -57,10 +57,11 @@
 	return servers, updates
 }
 
-// TestAnswers has a name server answer correctly and with every fault: a fault is a failure with its reason, and an
-// empty answer is only one with an SOA.
-func TestAnswers(t *testing.T) {
-	servers, updates := resolve(t, 1, nil)
+// TestFaultyAnswers makes a name server answer correctly and with every fault. A fault must be reported as a failure
+// with its reason. An empty answer must be accepted only with an SOA record: otherwise a faulty name server could empty
+// the list.
+func TestFaultyAnswers(t *testing.T) {
+	servers, updates := startClient(t, 1, nil)
 	s := servers[0]
 	for _, c := range []struct {
 		name      string
@@ -75,7 +76,7 @@
 		{"SERVFAIL", fakedns.Faults{Rcode: mdns.RcodeServerFailure}, 0, "SERVFAIL"},
 		{"REFUSED", fakedns.Faults{Rcode: mdns.RcodeRefused}, 0, "REFUSED"},
 		{"silent", fakedns.Faults{Silent: true}, 0, "over udp"},
-		{"malformed", fakedns.Faults{Malformed: true}, 0, "another question"}, // what could be read of it
+		{"malformed", fakedns.Faults{Malformed: true}, 0, "another question"}, // its question can still be decoded
 		{"another id", fakedns.Faults{WrongID: true}, 0, "over udp"},
 		{"another question", fakedns.Faults{OtherQuestion: true}, 0, "another question"},
 		{"no records, without an SOA", fakedns.Faults{Empty: true}, 0, "without an SOA"},
@@ -83,47 +84,47 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s.SetFaults(c.faults)
-			for range 2 { // queries in progress when the fault was set
+			for range 2 { // updates of queries that were in progress when the fault was set
 				select {
 				case <-updates:
 				case <-time.After(2 * time.Second):
-					t.Fatal("no update")
+					t.Fatal("no update within 2 s")
 				}
 			}
 			if n := <-updates; c.errorText != "" {
 				checkFailure(t, n, c.errorText)
 			} else if n.Kind != honeyplank.Complete || len(n.Nodes) != c.count {
-				t.Errorf("kind %d, %d nodes, %v", n.Kind, len(n.Nodes), n.Err)
+				t.Errorf("update of kind %d with %d nodes, error %v", n.Kind, len(n.Nodes), n.Err)
 			}
 		})
 	}
 }
 
-// checkFailure checks that an update is a failure whose reason has a text.
+// checkFailure checks that an update is a failure whose error contains a text.
 func checkFailure(t *testing.T, n discovery.Update, text string) {
 	t.Helper()
 	if n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), text) {
-		t.Errorf("%v, want %q", n.Err, text)
+		t.Errorf("error %v, want a failure with %q", n.Err, text)
 	}
 }
 
-// TestConvention reads the content of records: cell, zone, start, draining, and which of the servers of a cell are
-// listed.
-func TestConvention(t *testing.T) {
-	servers, updates := resolve(t, 1, nil)
+// TestRecordConvention checks the contents decoded from records: cell, zone, start and draining, and the selection of
+// the servers of a cell by priority.
+func TestRecordConvention(t *testing.T) {
+	servers, updates := startClient(t, 1, nil)
 	<-updates
 	servers[0].SetRecords(1, []fakedns.Record{
 		{Target: "a--c4-z2-t1700000000.x.", IP: "127.0.0.1", Port: 1, Weight: 3},
 		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // not listed, as a has a lower priority
 		{Target: "c--c5.x.", IP: "127.0.0.1", Port: 3, Weight: 0},              // draining
 		{Target: "d--c5.x.", IP: "127.0.0.1", Port: 4, Weight: 1, Priority: 9},
-		{Target: "d--c8.x.", IP: "127.0.0.1", Port: 8, Weight: 1}, // on, and draining: it drains
+		{Target: "d--c8.x.", IP: "127.0.0.1", Port: 8, Weight: 1}, // both up and draining: draining wins
 		{Target: "d--c8.x.", IP: "127.0.0.1", Port: 8, Weight: 0},
 		{Target: "nocell.x.", IP: "127.0.0.1", Port: 5, Weight: 1},
 		{Target: "e--c6.x.", Port: 6, Weight: 1}, // has no address
 		{Target: "f--c7.x.", IP: "::1", Port: 7, Weight: 1},
 	})
-	servers[0].SetFaults(fakedns.Faults{NoAdditional: true}) // A, then AAAA are asked for
+	servers[0].SetFaults(fakedns.Faults{NoAdditional: true}) // so that A, then AAAA records are queried
 	var n discovery.Update
 	for range 4 {
 		n = <-updates
@@ -140,13 +141,14 @@
 		"[::1]:7 on c7 z0 t0",
 	}
 	if !slices.Equal(got, want) || len(n.Skipped) != 2 {
-		t.Errorf("%q\nwant %q\nskipped %v", got, want, n.Skipped)
+		t.Errorf("nodes %q\nwant %q\nskipped %v, want 2 entries", got, want, n.Skipped)
 	}
 }
 
-// TestPreferredServer has the first server fail: the second is queried, and stays the preferred one while it answers.
-func TestPreferredServer(t *testing.T) {
-	servers, updates := resolve(t, 2, nil)
+// TestServerFailover makes the first name server fail. The second one must be queried, and must stay the preferred one
+// as long as it answers.
+func TestServerFailover(t *testing.T) {
+	servers, updates := startClient(t, 2, nil)
 	<-updates
 	servers[0].SetFaults(fakedns.Faults{Rcode: mdns.RcodeServerFailure})
 	for range 5 {
@@ -154,29 +156,30 @@
 			t.Fatal(n.Err)
 		}
 	}
-	was := servers[0].Queries()
+	queriesBefore := servers[0].Queries()
 	for range 5 {
 		<-updates
 	}
-	if now := servers[0].Queries(); now != was {
-		t.Errorf("the failing server was queried %d times more", now-was)
+	if queries := servers[0].Queries(); queries != queriesBefore {
+		t.Errorf("the failing server was queried %d more times, want 0", queries-queriesBefore)
 	}
 }
 
-// TestLifetimes has lifetimes of nothing and of a week: the bounds of the interval hold, and it has jitter.
-func TestLifetimes(t *testing.T) {
+// TestQueryIntervalBounds uses TTLs of zero and of one week. The interval between queries must be within its bounds and
+// must have jitter.
+func TestQueryIntervalBounds(t *testing.T) {
 	const week = 7 * 24 * 3600 // seconds
 	for _, c := range []struct {
 		name     string
 		ttl      uint32 // seconds
 		min, max time.Duration
 	}{
-		{"nothing", 0, 35 * time.Millisecond, 50 * time.Millisecond},
-		{"a week", week, 300 * time.Millisecond, 400 * time.Millisecond},
+		{"zero", 0, 35 * time.Millisecond, 50 * time.Millisecond},
+		{"one week", week, 300 * time.Millisecond, 400 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			servers, updates := resolve(t, 1, nil)
-			servers[0].SetRecords(c.ttl, nodes(2))
+			servers, updates := startClient(t, 1, nil)
+			servers[0].SetRecords(c.ttl, testRecords(2))
 			<-updates
 			<-updates
 			seen := map[time.Duration]bool{}
@@ -186,11 +189,11 @@
 				took := time.Since(began)
 				seen[took.Round(time.Millisecond)] = true
 				if took < c.min || took > c.max+50*time.Millisecond {
-					t.Errorf("queried again after %v, want %v to %v", took, c.min, c.max)
+					t.Errorf("interval %v, want %v to %v", took, c.min, c.max)
 				}
 			}
 			if len(seen) < 2 {
-				t.Error("no jitter")
+				t.Error("the intervals have no jitter")
 			}
 		})
 	}
--- a/discovery/dns/exchange.go
+++ b/discovery/dns/exchange.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	udpSize    = 1232 // bytes of a UDP answer that pass without fragments (DNS Flag Day 2020)
-	maxAliases = 8    // CNAME records followed in one answer; guards against a loop
+	udpSize    = 1232 // bytes; the largest UDP answer that is not fragmented (DNS Flag Day 2020)
+	maxAliases = 8    // CNAME records followed in one answer, so that a loop of aliases ends
 )
 
-// Why an answer is none. Update.Err wraps these.
+// The reasons why a message is not accepted as an answer. Update.Err wraps them.
 var (
-	ErrTruncated     = errors.New("truncated over TCP too")
-	ErrNotAResponse   = errors.New("no answer to a question")
-	ErrQuestionMismatch = errors.New("an answer to another question")
-	ErrEmptyAnswer   = errors.New("an empty answer without an SOA")
+	ErrTruncated        = errors.New("answer is truncated, also over TCP")
+	ErrNotAResponse     = errors.New("message is not a response to one question")
+	ErrQuestionMismatch = errors.New("answer to another question")
+	ErrEmptyAnswer      = errors.New("empty answer without an SOA record")
 )
 
-// RcodeError is the error code of a name server.
+// RcodeError is the response code by which a name server reports an error.
 type RcodeError int
 
-// Error names the code.
-func (e RcodeError) Error() string { return "the server answers " + mdns.RcodeToString[int(e)] }
+// Error returns a text with the name of the code.
+func (e RcodeError) Error() string { return "name server returned " + mdns.RcodeToString[int(e)] }
 
-// negativeError is the answer that a name has no records of a type (RFC 2308), with its lifetime in seconds.
+// negativeError is the answer that a name has no records of a type (RFC 2308), with its TTL in seconds.
 type negativeError struct{ ttl uint32 }
 
-func (negativeError) Error() string { return "there are no such records" }
+func (negativeError) Error() string { return "no such records" }
 
-// exchange sends one query to one server: over UDP, and over TCP where that answer is truncated. The error is a
-// negativeError where the server answers that there are no such records.
+// exchange sends one query to one server over UDP, and again over TCP if the answer is truncated. The error is a
+// negativeError if the server answers that there are no such records.
 func (c *Client) exchange(ctx context.Context, server, name string, recordType uint16) (*mdns.Msg, error) {
 	query := new(mdns.Msg)
 	query.SetQuestion(name, recordType)
@@ -57,20 +57,21 @@
 	return answer, nil
 }
 
-// exchangeOver sends a query to a server over a network, "udp" or "tcp", and returns the message that comes back.
+// exchangeOver sends a query to a server over a network, "udp" or "tcp", and returns the reply.
 func (c *Client) exchangeOver(ctx context.Context, network, server string, query *mdns.Msg) (*mdns.Msg, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	c.Queries++
 	transport := &mdns.Client{Net: network, Timeout: c.settings.Timeout, UDPSize: udpSize}
-	answer, _, err := transport.ExchangeContext(ctx, query, server) // compares the message ids
+	answer, _, err := transport.ExchangeContext(ctx, query, server) // checks that the message ids are equal
 	if err != nil {
 		return nil, fmt.Errorf("over %s: %w", network, err)
 	}
 	return answer, nil
 }
 
-// validAnswer is the records by which a message answers a question, or why it is no answer.
+// validAnswer returns the records of a message that answer a question, or the reason why the message does not answer
+// it.
 func validAnswer(m *mdns.Msg, name string, recordType uint16) ([]mdns.RR, error) {
 	if err := checkHeader(m, name, recordType); err != nil {
 		return nil, err
@@ -79,7 +80,7 @@
 	if m.Rcode == mdns.RcodeSuccess && len(records) > 0 {
 		return records, nil
 	}
-	for _, record := range m.Ns { // a negative answer carries the SOA, which has its lifetime (RFC 2308)
+	for _, record := range m.Ns { // a negative answer contains the SOA record, which has its TTL (RFC 2308)
 		if soa, ok := record.(*mdns.SOA); ok {
 			return nil, negativeError{min(soa.Hdr.Ttl, soa.Minttl)}
 		}
@@ -87,7 +88,8 @@
 	return nil, ErrEmptyAnswer
 }
 
-// checkHeader returns why a message is no answer to a question, as far as its header and question section go.
+// checkHeader returns an error if the header and question section of a message show that it is not an answer to a
+// question.
 func checkHeader(m *mdns.Msg, name string, recordType uint16) error {
 	switch {
 	case m.Truncated:
@@ -107,7 +109,8 @@
 	return strings.EqualFold(question.Name, name) && question.Qtype == recordType && question.Qclass == mdns.ClassINET
 }
 
-// followAliases is the records of a type that a name has, or that its aliases have, in whatever order they come.
+// followAliases returns the records of a type that a name has, or that the target of its aliases has. The records may
+// be in any order.
 func followAliases(all []mdns.RR, name string, recordType uint16) []mdns.RR {
 	var records []mdns.RR
 	owner := strings.ToLower(name)
--- a/discovery/dns/fuzz_test.go
+++ b/discovery/dns/fuzz_test.go
@@ -12,8 +12,9 @@
 	"honeyplank/internal/heap"
 )
 
-// FuzzAnswer holds any message against a question, as it comes from the wire: no panic, and only records of the
-// question's type, under its name or an alias of it, are taken.
+// FuzzAnswer checks arbitrary messages, in wire format, as answers to a question. The code must not panic, must
+// allocate a limited amount of memory, and must accept only records of the queried type, of the queried name or an
+// alias of it.
 func FuzzAnswer(f *testing.F) {
 	b, err := wellFormedAnswer().Pack()
 	if err != nil {
@@ -30,7 +31,7 @@
 				found, err = validAnswer(m, zone, mdns.TypeSRV)
 			}
 		}); n > uint64(1<<20+1000*len(b)) {
-			t.Fatalf("%d bytes are allocated for a message of %d", n, len(b))
+			t.Fatalf("%d bytes allocated for a message of %d bytes", n, len(b))
 		}
 		if err == nil {
 			checkRecords(t, found)
@@ -38,7 +39,7 @@
 	})
 }
 
-// wellFormedAnswer is an answer with an SRV record, an alias and an address.
+// wellFormedAnswer returns an answer with an SRV record, an alias and an address.
 func wellFormedAnswer() *mdns.Msg {
 	head := func(name string, recordType uint16) mdns.RR_Header {
 		return mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET}
@@ -60,23 +61,23 @@
 	for _, record := range records {
 		srv, ok := record.(*mdns.SRV)
 		if !ok {
-			t.Fatalf("%v is taken for an SRV record", record)
+			t.Fatalf("record accepted as an SRV record: %v", record)
 		}
 		e, err := parseTarget(srv.Target, srv)
 		if err == nil && (e.node.Cell < 0 || e.node.StartedMS < 0 || e.node.Zone < 0) {
-			t.Fatalf("%+v", e)
+			t.Fatalf("negative number in %+v", e)
 		}
 	}
 }
 
-// scriptedServer is a name server whose answers follow a script, two bytes a record or fault.
+// scriptedServer is a name server whose answers follow a script, which has two bytes for each record or fault.
 type scriptedServer struct {
 	script  []byte
-	given   map[string]bool // addresses that it has given
+	given   map[string]bool // IP addresses in its answers so far
 	queries int
 }
 
-// query answers a question by up to four steps of the script. At the end of the script the answer is negative.
+// query answers a question with up to four steps of the script. After the end of the script the answer is negative.
 func (s *scriptedServer) query(_, name string, recordType uint16) (*mdns.Msg, error) {
 	if s.queries++; len(s.script) < 2 {
 		return nil, negativeError{5}
@@ -102,7 +103,7 @@
 	return m, nil
 }
 
-// add carries out one step of the script on an answer; false: there is no answer.
+// add applies one step of the script to an answer. It returns false if the server does not answer.
 func (s *scriptedServer) add(m *mdns.Msg, name string, recordType uint16, action, n byte) bool {
 	target := fmt.Sprintf("n%d--c%d-z1.%s", n&3, n>>4, zone)
 	head := mdns.RR_Header{Name: name, Rrtype: recordType, Class: mdns.ClassINET, Ttl: uint32(n)}
@@ -116,11 +117,11 @@
 	case 2:
 		m.Answer = append(m.Answer, address)
 		s.given[address.A.String()] = true
-	case 3: // an address that was not asked for, along with the answer
+	case 3: // an address that was not queried, in the additional section
 		address.Hdr.Name = target
 		m.Extra = append(m.Extra, address)
 		s.given[address.A.String()] = true
-	case 4: // an alias, perhaps of itself
+	case 4: // an alias, possibly of itself
 		alias := mdns.RR_Header{Name: name, Rrtype: mdns.TypeCNAME, Class: mdns.ClassINET}
 		m.Answer = append(m.Answer, &mdns.CNAME{Hdr: alias, Target: target})
 	case 5:
@@ -143,7 +144,7 @@
 		m.Answer = append(m.Answer, srv)
 	case 13:
 		m.Question = nil
-	case 14: // an address whose length is none that there is
+	case 14: // an address with an invalid length
 		address.A = address.A[:n&15]
 		m.Extra = append(m.Extra, address)
 	case 15:
@@ -153,10 +154,10 @@
 	return true
 }
 
-// FuzzNames has a name server answer each question with some message, in any order and of any kind: answers to other
-// questions, chains of aliases, targets without addresses, negative answers, failures. Whatever comes, the list is
-// complete or fails as a whole: every node has an address that its target was given in this conversation, no server
-// comes twice, and the number of questions is bounded.
+// FuzzNames makes a name server answer each question with an arbitrary message: answers to other questions, chains of
+// aliases, targets without addresses, negative answers and failures. In every case the list must be complete or fail as
+// a whole. Every node must have an address that the name server has returned in this run, no server may be listed
+// twice, and the number of questions must be within its limit.
 func FuzzNames(f *testing.F) {
 	f.Add([]byte{0, 0x11, 0, 0x22, 1, 0x10, 2, 0})
 	f.Add([]byte{7, 0x31, 3, 1, 4, 2, 5, 3, 6, 4, 1, 1})
@@ -166,27 +167,27 @@
 		c := &Client{settings: Settings{Name: zone}, query: server.query}
 		update, _, err := c.readList("any")
 		if err != nil && len(update.Nodes) > 0 {
-			t.Fatalf("%d nodes with %v", len(update.Nodes), err)
+			t.Fatalf("%d nodes with the error %v", len(update.Nodes), err)
 		}
 		seen := map[string]bool{}
 		for _, n := range update.Nodes {
 			server.checkAddress(t, n.Address)
 			if seen[n.Address] || n.State != "on" && n.State != "draining" {
-				t.Fatalf("%+v, after %v", n, seen)
+				t.Fatalf("node listed twice or with an invalid state: %+v, nodes before: %v", n, seen)
 			}
 			seen[n.Address] = true
 		}
 		if server.queries > 1+2*4 {
-			t.Fatalf("%d questions for one answer of at most four records", server.queries)
+			t.Fatalf("%d questions, want at most 9 for an answer of at most four records", server.queries)
 		}
 	})
 }
 
-// checkAddress checks that an address has a port, and that the server has given the IP address.
+// checkAddress checks that an address has a port, and that the server has returned the IP address.
 func (s *scriptedServer) checkAddress(t *testing.T, address string) {
 	t.Helper()
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || at.Port() == 0 || !s.given[at.Addr().String()] {
-		t.Fatalf("%s, given were %v, %v", address, s.given, err)
+		t.Fatalf("address %s is not valid or not among the returned ones %v, error %v", address, s.given, err)
 	}
 }
--- a/discovery/dns/list.go
+++ b/discovery/dns/list.go
@@ -17,15 +17,15 @@
 
 const millisecondsPerSecond = 1000
 
-// errNoCell: the first label of a target does not follow the convention, or the record has no port.
-var errNoCell = errors.New("names no cell")
+// errNoCell means that the first label of a target does not follow the convention, or that the record has no port.
+var errNoCell = errors.New("has no cell label or no port")
 
-// listRead is one reading of the list from one server.
+// listRead has the records of the list while it is read from one name server.
 type listRead struct {
 	*Client
 	server    string
 	addresses map[string][]netip.Addr // by target
-	ttl       uint32                  // seconds; the shortest of the records used
+	ttl       uint32                  // the shortest TTL of the records used, in seconds
 	entries   []entry
 	skipped   []string
 }
@@ -36,8 +36,8 @@
 	priority uint16
 }
 
-// readList reads the SRV records and the addresses of their targets from one server. ttl is the shortest lifetime in
-// seconds. Where one address can't be read the whole list is an error: without it, a server would seem to be removed.
+// readList reads the SRV records and the addresses of their targets from one server. ttl is the shortest TTL in
+// seconds. If one address cannot be read, the whole list fails: otherwise its server would appear to be removed.
 func (c *Client) readList(server string) (update discovery.Update, ttl uint32, err error) {
 	update = discovery.Update{Kind: honeyplank.Complete}
 	answer, err := c.query(server, c.settings.Name, mdns.TypeSRV)
@@ -79,12 +79,12 @@
 		r.skipped = append(r.skipped, "discovery: "+target+" has no address")
 		return nil
 	}
-	e.node.Address = netip.AddrPortFrom(r.addresses[target][0], srv.Port).String() // one target is one server
+	e.node.Address = netip.AddrPortFrom(r.addresses[target][0], srv.Port).String() // each target is one server
 	r.entries = append(r.entries, e)
 	return nil
 }
 
-// queryAddress asks for the A and then the AAAA records of a target, until there is an address.
+// queryAddress queries the A records of a target, and then the AAAA records if there is no address yet.
 func (r *listRead) queryAddress(target string) error {
 	for _, recordType := range []uint16{mdns.TypeA, mdns.TypeAAAA} {
 		if len(r.addresses[target]) > 0 {
@@ -100,14 +100,14 @@
 			return err
 		}
 		for _, record := range answer.Answer {
-			record.Header().Name = target // also where an alias led to it
+			record.Header().Name = target // the record may belong to an alias of the target
 			r.addAddress(record)
 		}
 	}
 	return nil
 }
 
-// addAddress adds an A or AAAA record under its owner; others are ignored.
+// addAddress adds the address of an A or AAAA record under its owner name, and ignores other records.
 func (r *listRead) addAddress(record mdns.RR) {
 	var raw []byte
 	switch a := record.(type) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// selected returns the nodes of the entries that count.
+// selected returns the nodes of the entries that selectRecords selects.
 func (r *listRead) selected() (nodes []discovery.Node) {
 	candidates := make([]candidate, len(r.entries))
 	for i, e := range r.entries {
@@ -140,10 +140,11 @@
 	return nodes
 }
 
-// targetLabel is the first label of a target: a name, the cell, and where given the zone and the start in Unix seconds.
+// targetLabel matches the first label of a target: a name, the cell, and optionally the zone and the start in Unix
+// seconds.
 var targetLabel = regexp.MustCompile(`^[a-z0-9-]*--c([0-9]{1,6})(?:-z([0-9]{1,4}))?(?:-t([0-9]{1,12}))?$`)
 
-// parseTarget decodes a record and the first label of its target, in lower case.
+// parseTarget decodes a record and the first label of its target, which must be in lower case.
 func parseTarget(target string, r *mdns.SRV) (e entry, err error) {
 	label, _, _ := strings.Cut(target, ".")
 	part := targetLabel.FindStringSubmatch(label)
@@ -155,7 +156,7 @@
 	if r.Weight == 0 {
 		e.node.State = discovery.StateDraining
 	}
-	e.node.Cell, _ = strconv.Atoi(part[1]) // the pattern bounds the digits; a part that is left out is 0
+	e.node.Cell, _ = strconv.Atoi(part[1]) // the pattern limits the digits; an omitted part is 0
 	e.node.Zone, _ = strconv.Atoi(part[2])
 	started, _ := strconv.ParseInt(part[3], 10, 64)
 	e.node.StartedMS = millisecondsPerSecond * started
--- a/discovery/dns/resolver_test.go
+++ b/discovery/dns/resolver_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestTransitions has the table complete.
-func TestTransitions(t *testing.T) {
+// TestTransitionTableComplete checks that the table has a transition for every state and input: a missing one would
+// cause a call of a nil function.
+func TestTransitionTableComplete(t *testing.T) {
 	for state := answered; state <= allFailed; state++ {
 		for input := inputAnswer; input <= inputLastFailure; input++ {
 			if resolverTransitions[state][input].action == nil {
@@ -19,8 +20,8 @@
 	}
 }
 
-// FuzzAsk applies outcomes in any order against a plain model that keeps the whole history and works out from it, each
-// time, which server is to be queried and between which times.
+// FuzzAsk applies arbitrary outcomes of queries to a resolver and to a simple model. After each outcome the model
+// computes from the whole history the server that must be queried next, and the bounds of the time of the query.
 func FuzzAsk(f *testing.F) {
 	f.Add(byte(2), []byte{1, 200, 0, 0, 0, 0, 0, 0, 1, 5})
 	f.Add(byte(3), []byte{0, 0, 0, 0, 1, 255, 1, 0, 0, 1, 0, 2, 0, 3, 0, 0, 0, 0, 0, 0})
@@ -36,9 +37,9 @@
 		for len(script) >= 2 {
 			query := resolver.Next()
 			if query.at < now {
-				t.Fatalf("the next query is due at %v, it is %v", query.at, now)
+				t.Fatalf("the next query is due at %v, before the current time %v", query.at, now)
 			}
-			now = query.at + time.Duration(script[1])*time.Millisecond // the exchange took as long
+			now = query.at + time.Duration(script[1])*time.Millisecond // duration of the exchange
 			last := outcome{query.server, script[0]&1 != 0, time.Duration(script[1]) * 50 * time.Millisecond}
 			script = script[2:]
 			roundEnded := true
@@ -49,27 +50,27 @@
 			}
 			model.history = append(model.history, last)
 			if want := model.roundEnded(); roundEnded != want {
-				t.Fatalf("after %v: round ended: %v, the model: %v", model.history, roundEnded, want)
+				t.Fatalf("after %v: round ended %v, model %v", model.history, roundEnded, want)
 			}
 			model.check(t, resolver.Next(), now)
 		}
 	})
 }
 
-// outcome is how a query ended.
+// outcome is the result of a query.
 type outcome struct {
 	server   int
 	answered bool
 	ttl      time.Duration
 }
 
-// resolverModel is the plain rule of a resolver: it keeps all outcomes.
+// resolverModel is a simple model of a resolver, which keeps all outcomes.
 type resolverModel struct {
 	settings resolverSettings
 	history  []outcome
 }
 
-// failures counts the failures since the last answer, and returns the server of that answer; 0 without one.
+// failures returns the number of failures since the last answer, and the server of that answer, or 0 if there is none.
 func (m *resolverModel) failures() (count, answeredBy int) {
 	for i := len(m.history) - 1; i >= 0; i-- {
 		if m.history[i].answered {
@@ -86,7 +87,7 @@
 	return failures%m.settings.servers == 0
 }
 
-// next returns the server to be queried next, and how long after the last outcome at the latest.
+// next returns the server to be queried next, and the maximum time between the last outcome and the query.
 func (m *resolverModel) next() (server int, interval time.Duration) {
 	failures, answeredBy := m.failures()
 	if !m.roundEnded() {
@@ -109,11 +110,11 @@
 	server, interval := m.next()
 	wait := next.at - now
 	if next.server != server || wait > interval || wait < interval-interval/4 {
-		t.Fatalf("after %v: server %d in %v; the model: %d in %v", m.history, next.server, wait, server, interval)
+		t.Fatalf("after %v: query to server %d in %v; model: %d in %v", m.history, next.server, wait, server, interval)
 	}
 }
 
-// TestSelectRecords compares the selection with a plain one, record by record.
+// TestSelectRecords compares the selection with a simple implementation, record by record.
 func TestSelectRecords(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 20000 {
@@ -124,13 +125,13 @@
 		selected := selectRecords(all)
 		for i := range all {
 			if want := shouldSelect(all, selected, i); want != slices.Contains(selected, i) {
-				t.Fatalf("%+v: record %d selected: %v", all, i, !want)
+				t.Fatalf("records %+v: record %d selected: %v, want the opposite", all, i, !want)
 			}
 		}
 	}
 }
 
-// shouldSelect is the plain rule of the selection for record i, given what is selected of the records before it.
+// shouldSelect reports whether record i must be selected, given the selected ones of the records before it.
 func shouldSelect(all []candidate, selected []int, i int) bool {
 	r := all[i]
 	drains := func(server string) bool {
--- a/discovery/dns/selection.go
+++ b/discovery/dns/selection.go
@@ -1,6 +1,6 @@
 package dns
 
-// candidate is an SRV record, as far as its selection goes.
+// candidate has the properties of an SRV record that its selection depends on.
 type candidate struct {
 	server   string
 	cell     int
@@ -8,8 +8,9 @@
 	draining bool
 }
 
-// selectRecords returns the indices of the records that count: of each cell those of the lowest priority that do not
-// drain, and all that drain, each server once. Of two records of one server the one that drains counts.
+// selectRecords returns the indices of the records that are used. In each cell these are the records with the lowest
+// priority value that are not draining, and all draining records. Each server is selected once; if one of its records
+// is draining, that record is used.
 func selectRecords(all []candidate) (selected []int) {
 	lowest, draining, seen := map[int]uint16{}, map[string]bool{}, map[string]bool{}
 	for _, r := range all {
--- a/discovery/fuzz_test.go
+++ b/discovery/fuzz_test.go
@@ -7,7 +7,8 @@
 	"honeyplank/internal/heap"
 )
 
-// FuzzRecord reads any value of a key: no panic, and what is taken reads back the same.
+// FuzzRecord parses arbitrary values of a key. ParseRecord must not panic, must allocate a limited amount of memory,
+// and must return only valid records, which are equal after encoding and parsing.
 func FuzzRecord(f *testing.F) {
 	f.Add("127.0.0.1:7000", []byte(`{"state":"on","cell":3,"started_ms":5,"size":2.5,"zone":1,"model":2}`))
 	f.Add("[::1]:7000", []byte(`{"state":"draining"}`))
@@ -18,20 +19,20 @@
 		var r Record
 		var err error
 		if n := heap.Bytes(func() { r, err = ParseRecord(address, value) }); n > uint64(1<<20+1000*len(value)) {
-			t.Fatalf("%d bytes are allocated for a value of %d", n, len(value))
+			t.Fatalf("%d bytes allocated for a value of %d bytes", n, len(value))
 		}
 		if err != nil {
 			return
 		}
 		if r.Cell < 0 || r.Zone < 0 || r.Size < 0 || r.StartedMS < 0 || r.State != "on" && r.State != "draining" {
-			t.Fatalf("%+v", r)
+			t.Fatalf("invalid record accepted: %+v", r)
 		}
 		b, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if again, err := ParseRecord(address, b); err != nil || again != r {
-			t.Fatalf("%+v reads back as %+v, %v", r, again, err)
+			t.Fatalf("%+v is parsed as %+v after encoding, error %v", r, again, err)
 		}
 	})
 }
