--- a/discovery/etcd/client.go
+++ b/discovery/etcd/client.go
@@ -1,9 +1,11 @@
 // Package etcd watches the endpoint list in etcd over its published gRPC API. docs/etcd.md has the keys and values.
-// It passes on what it receives and reports what fails. It does not compare the list with another source, which package
-// membership does, and it does not retry by itself: the decision module asks for each watch and each complete list.
+// The package passes on the changes that it receives and reports failures. It does not compare the list with another
+// source, which is done by package membership. It does not retry by itself: the decision module requests each watch and
+// each complete list.
 //
-// The state machines of the watch (watch.go) and of the list (list.go) do no I/O. client.go owns the goroutines and
-// rpc.go carries out the calls. One goroutine calls a Client's methods; updates come from the goroutines of the Client.
+// The state machines of the watch (watch.go) and of the list (list.go) do no I/O. client.go owns the goroutines, and
+// rpc.go makes the calls. The methods of a Client must be called from one goroutine; updates come from the goroutines
+// of the Client.
 package etcd
 
 import (
@@ -18,40 +20,40 @@
 	"honeyplank/discovery"
 )
 
-// Settings say which list a Client watches, and where.
+// Settings has the endpoints, the key prefix and the limits of a Client.
 type Settings struct {
 	Endpoints []string // used in turn
-	UserAgent string   // by which the client names itself to etcd
+	UserAgent string   // sent to etcd with each call
 	Prefix    string   // of the keys of the list
-	MaxNodes  int      // nodes beyond this number are skipped
-	// Timeout is the time within which a call must be answered and a watch created. A watch on which nothing arrives
-	// for as long, not even a progress notification on request, has failed. 0: no limit for a watch.
+	MaxNodes  int      // further nodes are skipped
+	// Timeout is the time within which a call must be answered and a watch created. A watch has failed if it receives
+	// nothing for this time, not even a requested progress notification. 0: no limit for a watch.
 	Timeout time.Duration
 }
 
-// Client is the endpoint list in etcd. Watch, StopWatch, Fetch and Close are called from one goroutine. Updates are
-// passed on from other goroutines, one at a time and in order, and none after Close.
+// Client watches the endpoint list in etcd. Watch, StopWatch, Fetch and Close must be called from one goroutine.
+// Updates are passed on from other goroutines, one at a time and in order, and none after Close.
 //
-// Each Watch and each Fetch runs on a goroutine of the Client. It ends when its work is done or has failed, a watch
-// also with the next call of Watch or StopWatch; Close waits for all of them.
+// Each Watch and each Fetch runs on a goroutine of the Client. The goroutine ends when its work is done or has failed;
+// a watch also ends at the next call of Watch or StopWatch. Close waits for all goroutines.
 type Client struct {
 	settings Settings
 	update   func(discovery.Update)
 	running  sync.WaitGroup
 
 	mu           sync.Mutex
-	cancelWatch  context.CancelFunc // nil: there is no watch
-	nextEndpoint int                // counts up; the index is the remainder
-	generation   int                // of the watch: results of an earlier one are dropped
+	cancelWatch  context.CancelFunc // nil: no watch
+	nextEndpoint int                // number of sessions started; the index of the endpoint is the remainder
+	generation   int                // of the watch: results of an earlier generation are dropped
 	closed       bool
 	list         list
 }
 
-// errReplaced: the session is of an earlier generation, or the client is closed.
+// errReplaced means that the session is of an earlier generation, or that the Client is closed.
 var errReplaced = errors.New("discovery: replaced by a later watch")
 
-// New makes a client, which does nothing before Watch or Fetch. Updates go to update, which is called with a lock held
-// and must not call the client.
+// New makes a Client, which does nothing before Watch or Fetch. It calls update for each update, with a lock held;
+// update must not call the Client.
 func New(settings Settings, update func(discovery.Update)) *Client {
 	return &Client{
 		settings: settings,
@@ -60,8 +62,8 @@
 	}
 }
 
-// Watch replaces the watch, if any, by a new one at the next endpoint: from the last revision passed on where there is
-// one and etcd still has its history, else from the complete list.
+// Watch replaces the watch, if any, by a new one at the next endpoint. The new watch resumes after the last revision
+// passed on, if there is one and etcd still has the history since; otherwise it begins with the complete list.
 func (c *Client) Watch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +80,7 @@
 	c.endWatch()
 }
 
-// endWatch ends the watch and has its late results dropped. It is called with the lock held.
+// endWatch ends the watch; its late results are dropped. The caller holds mu.
 func (c *Client) endWatch() {
 	if c.cancelWatch != nil {
 		c.cancelWatch()
@@ -87,7 +89,7 @@
 	c.generation++
 }
 
-// Fetch reads the complete list once, beside the watch.
+// Fetch reads the complete list once, in parallel to the watch.
 func (c *Client) Fetch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +98,8 @@
 	}
 }
 
-// Close ends the watch and waits for all goroutines. It waits for a Fetch in progress, Settings.Timeout a call at most.
+// Close ends the watch and waits for all goroutines. It does not cancel a Fetch in progress, whose calls take at most
+// Settings.Timeout each.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -108,7 +111,7 @@
 }
 
 // start runs a session at the next endpoint, on a goroutine that ends with the session. The function that it returns
-// ends the session early. It is called with the lock held.
+// cancels the session. The caller holds mu.
 func (c *Client) start(run func(session, context.Context, *grpc.ClientConn) error) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	endpoint := c.settings.Endpoints[c.nextEndpoint%len(c.settings.Endpoints)]
@@ -130,7 +133,8 @@
 	generation int
 }
 
-// apply changes the list and passes on the resulting update, unless the session has been replaced: errReplaced then.
+// apply changes the list and passes on the resulting update. It returns errReplaced, without a change, if the session
+// has been replaced or the Client is closed.
 func (s session) apply(change func(*list) (*discovery.Update, error)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,9 +148,9 @@
 	return err
 }
 
-// reportFailure passes on that the session has failed.
+// reportFailure passes on an update for the failure of the session.
 func (s session) reportFailure(failure error) {
-	_ = s.apply(func(*list) (*discovery.Update, error) { // its only error: nobody waits for a replaced session
+	_ = s.apply(func(*list) (*discovery.Update, error) { // the only error is errReplaced, which needs no report
 		return &discovery.Update{Kind: honeyplank.WatchFailed, Err: failure}, nil
 	})
 }
--- a/discovery/etcd/list.go
+++ b/discovery/etcd/list.go
@@ -12,44 +12,45 @@
 	"honeyplank/discovery"
 )
 
-// maxPendingFactor is how many times the maximum of nodes may be pending of one response or complete list, as nodes
-// and skipped entries. It guards against a response without an end; it could harm where one response really has more
-// changes than that, which only costs reading the complete list.
+// maxPendingFactor limits the nodes and skipped entries that are pending for one response or complete list, as a
+// multiple of the maximum number of nodes. It bounds the memory for an endless response. Limitation: a valid response
+// with more changes makes the watch fail, so that the complete list must be read.
 const maxPendingFactor = 2
 
-// Why a complete list is given up.
+// The reasons why a complete list is rejected.
 var (
-	errTooManyKeys = errors.New("more than twice as many keys as list most allows")
-	errNoRevision  = errors.New("a page without its revision")
-	errKeyOrder    = errors.New("a page with keys out of order")
-	errEmptyPage   = errors.New("an empty page with more to come")
+	errTooManyKeys = errors.New("more keys than twice the maximum number of nodes (attribute most of list)")
+	errNoRevision  = errors.New("page without a revision")
+	errKeyOrder    = errors.New("page with keys out of order")
+	errEmptyPage   = errors.New("empty page although more keys follow")
 )
 
-// list is what has been passed on of the list in etcd, and the state of its watch. It does no I/O: pages and responses
-// go in, updates and errors come out. Whatever comes, it keeps a bounded number of nodes.
+// list has the nodes of the list in etcd that were passed on, and the state of the watch. It does no I/O: its input are
+// pages and responses, its output are updates and errors. It keeps a limited number of nodes for any input.
 type list struct {
 	prefix   string
 	maxNodes int
 	revision int64                     // every change up to it has been passed on
-	nodes    map[string]discovery.Node // as passed on, by address; removed ones are not in it
+	nodes    map[string]discovery.Node // as passed on, by address, without removed ones
 
 	state        watchState
-	lastRevision int64 // of the last event taken
+	lastRevision int64 // of the last event collected
 	pendingChanges
 }
 
-// pendingChanges are the changes of a response whose last fragment has not come.
+// pendingChanges has the changes of a response whose last fragment has not arrived.
 type pendingChanges struct {
 	pending []discovery.Node // in order
 	latest  map[string]int   // the last index of an address in pending
-	growth  int              // by how much pending changes the number of nodes
+	growth  int              // the change of the number of nodes by pending
 	events  int
 	skipped []string
 }
 
 func (l *list) dropPending() { l.pendingChanges = pendingChanges{latest: map[string]int{}} }
 
-// collect takes the events of a response or fragment. Those that were passed on before are ignored.
+// collect adds the events of a response or fragment to the pending changes. It ignores events that were already passed
+// on.
 func (l *list) collect(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	for _, e := range r.Events {
 		if e.Kv.ModRevision <= l.revision {
@@ -57,7 +58,7 @@
 		}
 		l.events++
 		if e.Kv.ModRevision < l.lastRevision || l.events > maxPendingFactor*l.maxNodes {
-			return nil, errHistoryLost // revisions that decrease between fragments; more than a complete list has
+			return nil, errHistoryLost // revisions decrease between fragments, or there are too many events
 		}
 		l.lastRevision = e.Kv.ModRevision
 		if e.Type == mvccpb.DELETE {
@@ -69,8 +70,8 @@
 	return nil, nil
 }
 
-// commit takes the last events of a response and passes on all that is pending: the changes of one revision belong
-// together.
+// commit collects the last events of a response and passes on all pending changes in one update: the changes of one
+// revision belong together.
 func (l *list) commit(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	if _, err := l.collect(r); err != nil {
 		return nil, err
@@ -90,8 +91,8 @@
 	return update, nil
 }
 
-// addPut adds the change that a pair was set. A value that is not valid changes nothing. Once there are as many nodes
-// as the maximum, new ones are skipped; changes of the others, for example that one drains, are not.
+// addPut adds the change for a key that was set. An invalid value changes nothing. If the maximum number of nodes is
+// reached, new nodes are skipped; changes of listed nodes, for example to draining, are still applied.
 func (l *list) addPut(pair *mvccpb.KeyValue) {
 	address, ok := l.address(pair)
 	if !ok {
@@ -104,7 +105,7 @@
 	}
 	if _, listed := l.node(address); !listed {
 		if len(l.nodes)+l.growth >= l.maxNodes {
-			l.skip("%s would be node %d, list most is %d", address, l.maxNodes+1, l.maxNodes)
+			l.skip("%s would be node %d, the maximum (attribute most of list) is %d", address, l.maxNodes+1, l.maxNodes)
 			return
 		}
 		l.growth++
@@ -112,7 +113,7 @@
 	l.addChange(discovery.Node{Record: record, Address: address})
 }
 
-// addDeletion adds the change that a pair was deleted. It changes nothing where the node is not listed.
+// addDeletion adds the change for a key that was deleted. It does nothing if the node is not listed.
 func (l *list) addDeletion(pair *mvccpb.KeyValue) {
 	address, ok := l.address(pair)
 	if !ok {
@@ -130,16 +131,17 @@
 	l.pending = append(l.pending, n)
 }
 
-// address is the address that a pair's key has after the prefix. Without the prefix the pair is skipped: ok is false.
+// address returns the address that follows the prefix in the key of a pair. If the key does not have the prefix, the
+// pair is skipped and ok is false.
 func (l *list) address(pair *mvccpb.KeyValue) (address string, ok bool) {
 	address, ok = strings.CutPrefix(string(pair.Key), l.prefix)
 	if !ok {
-		l.skip("the key %.80q is not of the list", pair.Key)
+		l.skip("key %.80q does not have the prefix of the list", pair.Key)
 	}
 	return address, ok
 }
 
-// node is a node by its address, with the changes that are pending.
+// node returns the node with an address, including pending changes, and whether it is listed.
 func (l *list) node(address string) (n discovery.Node, listed bool) {
 	if i, ok := l.latest[address]; ok {
 		return l.pending[i], !l.pending[i].Removed
@@ -152,20 +154,20 @@
 	l.skipped = append(l.skipped, fmt.Sprintf("discovery: "+format, a...))
 }
 
-// listRead is a complete list that is read page by page, all of them at the revision of the first.
+// listRead is a complete list while it is read page by page. All pages are read at the revision of the first one.
 type listRead struct {
 	list
-	nextKey []byte // where the next page begins
+	nextKey []byte // the key at which the next page begins
 }
 
-// newRead begins to read the complete list.
+// newRead returns an empty listRead with the settings of the list.
 func (l *list) newRead() *listRead {
 	r := &listRead{list: list{prefix: l.prefix, maxNodes: l.maxNodes}, nextKey: []byte(l.prefix)}
 	r.dropPending()
 	return r
 }
 
-// addPage adds a page and reports whether there are more.
+// addPage adds a page and reports whether more pages follow.
 func (r *listRead) addPage(p *etcdserverpb.RangeResponse) (more bool, err error) {
 	if p.GetHeader() == nil || p.Header.Revision < 1 {
 		return false, errNoRevision
@@ -189,7 +191,7 @@
 	return p.More, nil
 }
 
-// replace puts a complete list in place of what was passed on, unless the watch has passed on a later revision.
+// replace replaces the nodes that were passed on by a complete list, unless the watch has passed on a later revision.
 func (l *list) replace(r *listRead) *discovery.Update {
 	if r.revision < l.revision && (l.state == watching || l.state == receivingFragments) {
 		return &discovery.Update{Kind: honeyplank.Delta}
--- a/discovery/etcd/rpc.go
+++ b/discovery/etcd/rpc.go
@@ -17,20 +17,21 @@
 const (
 	// pagesOfFullList is the number of pages in which a list of the maximum length is read.
 	pagesOfFullList = 20
-	// keepalivePeriods is how many times Settings.Timeout a connection may be without traffic before it is checked.
+	// keepalivePeriods is the time without traffic after which a connection is checked, as a multiple of
+	// Settings.Timeout.
 	keepalivePeriods = 2
-	// progressChecks is how often within Settings.Timeout a watch is checked for responses: at the first check without
-	// any, its progress is requested; at the next, the watch has failed.
+	// progressChecks is the number of checks of a watch within Settings.Timeout. At the first check without a response,
+	// a progress notification is requested. At the next one, the watch has failed.
 	progressChecks = 2
 )
 
-// Why a watch has failed that etcd has not ended. Update.Err wraps them.
+// The reasons for a failure of a watch that etcd has not ended. Update.Err wraps them.
 var (
 	// ErrNotCreated means that etcd did not confirm the watch in time: there is no connection, or the endpoint accepted
 	// the call and did not answer it.
-	ErrNotCreated = errors.New("the watch was not created in time")
-	// ErrNoProgress means that nothing came on the watch, not even the progress that was requested.
-	ErrNoProgress = errors.New("nothing came on the watch in time")
+	ErrNotCreated = errors.New("watch not created in time")
+	// ErrNoProgress means that the watch received nothing, not even the progress notification that was requested.
+	ErrNoProgress = errors.New("no response on the watch in time")
 )
 
 // connect runs a session on a connection to its endpoint.
@@ -49,8 +50,8 @@
 	return run(s, ctx, conn)
 }
 
-// follow watches from the last revision passed on. Where there is none, or etcd has lost the history since, it reads
-// the complete list first.
+// follow resumes watching after the last revision passed on. If there is none, or if etcd no longer has the history
+// since then, it reads the complete list first.
 func (s session) follow(ctx context.Context, conn *grpc.ClientConn) error {
 	if s.hasRevision() {
 		if err := s.watch(ctx, conn); !errors.Is(err, errHistoryLost) {
@@ -99,8 +100,8 @@
 	})
 }
 
-// watch watches from after the last revision passed on until the watch fails. It returns errHistoryLost where the
-// complete list is needed.
+// watch watches the changes after the last revision passed on, until the watch fails. It returns errHistoryLost if the
+// complete list must be read.
 func (s session) watch(ctx context.Context, conn *grpc.ClientConn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -143,7 +144,7 @@
 	}
 }
 
-// beginWatch prepares the list for a watch. It returns the revision after which the watch is to begin.
+// beginWatch prepares the list for a watch. It returns the revision after which the watch must begin.
 func (s session) beginWatch() (from int64, err error) {
 	err = s.apply(func(l *list) (*discovery.Update, error) {
 		l.beginWatch()
@@ -153,7 +154,7 @@
 	return from, err
 }
 
-// limitCreation cancels the watch after Settings.Timeout, unless the function that it returns is called before.
+// limitCreation cancels the watch after Settings.Timeout, unless the function that it returns is called before then.
 func (s session) limitCreation(cancel context.CancelCauseFunc) (created func()) {
 	if s.settings.Timeout <= 0 {
 		return func() {}
@@ -164,7 +165,7 @@
 	return func() { timer.Stop() }
 }
 
-// create asks for a watch from after a revision.
+// create opens a stream and requests a watch of the changes after a revision.
 func (s session) create(
 	ctx context.Context, conn *grpc.ClientConn, from int64,
 ) (etcdserverpb.Watch_WatchClient, error) {
@@ -184,13 +185,13 @@
 	})
 }
 
-// handle applies a response, and reports on active one that shows that the watch works.
+// handle applies a response. It sends to active if the response shows that the watch works.
 func (s session) handle(response *etcdserverpb.WatchResponse, active chan<- struct{}) error {
 	works := true
 	err := s.apply(func(l *list) (*discovery.Update, error) {
 		update, err := l.handle(response)
-		// A progress response says nothing of a watch that is not created, or of a response whose fragments are
-		// awaited.
+		// A progress notification does not show that a watch works if it is not created yet, or if fragments of a
+		// response are awaited.
 		works = l.state == watching || len(response.Events) > 0
 		return update, err
 	})
@@ -203,9 +204,9 @@
 	return err
 }
 
-// checkProgress requests the progress of a watch without responses and cancels one that does not answer. It guards
-// against a watch that stays open and delivers nothing; it could harm where a slow etcd takes longer than
-// Settings.Timeout.
+// checkProgress requests a progress notification if the watch receives no responses, and cancels the watch if it does
+// not answer. This detects a watch that stays open and delivers nothing. Limitation: the watch of a slow etcd, which
+// takes longer than Settings.Timeout, is cancelled too.
 func (s session) checkProgress(
 	ctx context.Context, cancel context.CancelCauseFunc, stream etcdserverpb.Watch_WatchClient, active <-chan struct{},
 ) {
@@ -241,7 +242,7 @@
 	}
 }
 
-// prefixEnd is the key after all that begin with a prefix, by etcd's convention for ranges.
+// prefixEnd returns the end of the range of all keys with a prefix, by etcd's convention for ranges.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/discovery/etcd/watch.go
+++ b/discovery/etcd/watch.go
@@ -10,20 +10,20 @@
 	"honeyplank/discovery"
 )
 
-// errHistoryLost: a watch can't resume from where it was, and the complete list is needed.
+// errHistoryLost means that a watch cannot resume after its last revision, so that the complete list must be read.
 var errHistoryLost = errors.New("discovery: the history since the last revision is compacted or inconsistent")
 
-// errCancelled: etcd has cancelled the watch for a reason other than compaction.
-var errCancelled = errors.New("cancelled")
+// errCancelled means that etcd has cancelled the watch for a reason other than compaction.
+var errCancelled = errors.New("cancelled by etcd")
 
 // watchState is the state of a watch.
 type watchState int
 
 const (
-	awaitingCreated    watchState = iota // the response that the watch is created is awaited
-	watching                             // the watch is created and no response is incomplete
+	awaitingCreated    watchState = iota // the response that confirms the watch is awaited
+	watching                             // the watch is created, and no response is incomplete
 	receivingFragments                   // fragments of a response are pending, and more are awaited
-	ended                                // no response is taken
+	ended                                // responses are no longer accepted
 )
 
 // watchInput is the kind of a response.
@@ -31,57 +31,58 @@
 
 const (
 	inputCreated   watchInput = iota
-	inputCompacted            // cancelled, since the revision to resume from is compacted
+	inputCompacted            // cancelled, since the revision after which the watch resumes is compacted
 	inputCancelled            // cancelled for another reason
-	inputFragment             // events, and more fragments of the same response follow
+	inputFragment             // events; more fragments of the same response follow
 	inputEvents               // events: a complete response, or its last fragment
 	inputProgress             // no events
-	inputMalformed            // no header, an event without its pair, or revisions that decrease within a response
+	inputMalformed            // no header, an event without a pair, or revisions that decrease within a response
 )
 
-// transition is what a watch does on an input.
+// transition has the next state of a watch and the action on an input.
 type transition struct {
 	next   watchState
 	action func(*list, *etcdserverpb.WatchResponse) (*discovery.Update, error)
 }
 
-// transitions has the actions of a watch. An input that is not in the table is out of order: the watch ends, and the
-// next one begins with the complete list.
+// transitions is the state machine of a watch. An input that is not in the table is out of order: the watch ends, and
+// the next one begins with the complete list.
 var transitions = map[watchState]map[watchInput]transition{
 	awaitingCreated: {
 		inputCreated:   {watching, (*list).created},
-		inputCompacted: {ended, (*list).loseHistory},
+		inputCompacted: {ended, (*list).failHistoryLost},
 		inputCancelled: {ended, (*list).cancelled},
-		inputProgress:  {awaitingCreated, ignore}, // of another watch on the stream
+		inputProgress:  {awaitingCreated, ignore}, // belongs to another watch on the stream
 	},
 	watching: {
 		inputFragment:  {receivingFragments, (*list).collect},
 		inputEvents:    {watching, (*list).commit},
 		inputProgress:  {watching, (*list).progress},
-		inputCompacted: {ended, (*list).loseHistory},
+		inputCompacted: {ended, (*list).failHistoryLost},
 		inputCancelled: {ended, (*list).cancelled},
 	},
 	receivingFragments: {
 		inputFragment:  {receivingFragments, (*list).collect},
 		inputEvents:    {watching, (*list).commit},
-		inputProgress:  {receivingFragments, ignore}, // says nothing of the events in fragments
-		inputCompacted: {ended, (*list).loseHistory},
+		inputProgress:  {receivingFragments, ignore}, // does not cover the events in fragments
+		inputCompacted: {ended, (*list).failHistoryLost},
 		inputCancelled: {ended, (*list).cancelled},
 	},
 }
 
-// beginWatch drops what is pending of the watch before and awaits a new one, from after the last revision passed on.
+// beginWatch drops the pending changes of the previous watch and awaits a new one, which begins after the last revision
+// passed on.
 func (l *list) beginWatch() {
 	l.state, l.lastRevision = awaitingCreated, l.revision
 	l.dropPending()
 }
 
-// handle applies a response. The update is nil where there is nothing to pass on. After an error the watch has ended;
-// errHistoryLost asks for the complete list.
+// handle applies a response. The update is nil if there is nothing to pass on. After an error the watch has ended;
+// after errHistoryLost the complete list must be read.
 func (l *list) handle(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	t, ok := transitions[l.state][l.classify(r)]
 	if !ok {
-		t = transition{ended, (*list).loseHistory}
+		t = transition{ended, (*list).failHistoryLost}
 	}
 	l.state = t.next
 	update, err := t.action(l, r)
@@ -92,7 +93,7 @@
 	return update, err
 }
 
-// classify returns the kind of input that a response is.
+// classify returns the input that a response is for the state machine.
 func (l *list) classify(r *etcdserverpb.WatchResponse) watchInput {
 	switch {
 	case r.GetHeader() == nil:
@@ -104,7 +105,7 @@
 	case r.Created:
 		return inputCreated
 	case len(r.Events) == 0 && !r.Fragment && l.state == receivingFragments && r.WatchId >= 0:
-		return inputEvents // the last fragment may be empty; requested progress has no watch id
+		return inputEvents // the last fragment may be empty; a requested progress notification has no watch id
 	case len(r.Events) == 0 && !r.Fragment:
 		return inputProgress
 	}
@@ -124,17 +125,17 @@
 // ignore does nothing.
 func ignore(*list, *etcdserverpb.WatchResponse) (*discovery.Update, error) { return nil, nil }
 
-// created handles the confirmation of the watch. Where etcd's revision is below the last one passed on, etcd has
-// another history, and the complete list is needed.
+// created handles the confirmation of the watch. If etcd's revision is below the last one passed on, etcd has a
+// different history, and the complete list must be read.
 func (l *list) created(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	if r.Header.Revision < l.revision {
 		return nil, errHistoryLost
 	}
-	// An update without nodes, since it may take long until an event comes.
+	// An update without nodes, since the first event may arrive much later.
 	return &discovery.Update{Kind: honeyplank.Delta, Current: r.Header.Revision == l.revision}, nil
 }
 
-func (l *list) loseHistory(*etcdserverpb.WatchResponse) (*discovery.Update, error) {
+func (l *list) failHistoryLost(*etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	return nil, errHistoryLost
 }
 
@@ -142,8 +143,8 @@
 	return nil, fmt.Errorf("%w: %.200s", errCancelled, r.CancelReason)
 }
 
-// progress handles the notification that no event up to a revision is missing. A response with events does not mean
-// that: etcd sends a long history in several, each with the current revision in its header.
+// progress handles the notification that all events up to a revision have been sent. A response with events does not
+// mean that: etcd sends a long history in several responses, each with the current revision in its header.
 func (l *list) progress(r *etcdserverpb.WatchResponse) (*discovery.Update, error) {
 	l.revision = max(l.revision, r.Header.Revision)
 	l.lastRevision = max(l.lastRevision, l.revision)
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -17,28 +17,28 @@
 
 const testMaxNodes = 5 // of the fuzzed list
 
-// change is one event as the model remembers it.
+// change is one event in the model.
 type change struct {
 	revision int64
 	key      string
 	node     *discovery.Node // nil: deleted
 }
 
-// model is the slow plain rule of a watch: it keeps all that was ever taken and works out each time, from the
-// beginning, what must be known by now. It knows no fragments, tables or bounds but the rule itself.
+// model is a simple and slow model of a watch. It keeps all accepted events and computes the list from the beginning
+// each time. It has no state table and shares no code with list.
 type model struct {
-	base    map[string]discovery.Node
-	baseAt  int64
-	taken   []change // of responses that are complete
-	pending []change // of fragments
-	upTo    int64    // by a progress notice
-	open    bool     // more fragments are to come
-	created bool
-	over    bool
+	base              map[string]discovery.Node
+	baseAt            int64
+	taken             []change // events of complete responses
+	pending           []change // events of fragments of an incomplete response
+	progressRevision  int64    // of the last progress notification
+	awaitingFragments bool     // more fragments of the response follow
+	created           bool
+	ended             bool
 }
 
 func (m *model) revision() int64 {
-	r := max(m.baseAt, m.upTo)
+	r := max(m.baseAt, m.progressRevision)
 	for _, c := range m.taken {
 		r = max(r, c.revision)
 	}
@@ -48,49 +48,49 @@
 func (m *model) known() map[string]discovery.Node {
 	out := maps.Clone(m.base)
 	for _, c := range m.taken {
-		if _, there := out[c.key]; c.node == nil {
+		if _, listed := out[c.key]; c.node == nil {
 			delete(out, c.key)
-		} else if there || len(out) < testMaxNodes {
+		} else if listed || len(out) < testMaxNodes {
 			out[c.key] = *c.node
 		}
 	}
 	return out
 }
 
-// handle applies a response and reports whether the watch goes on.
+// handle applies a response and reports whether the watch continues.
 func (m *model) handle(r *etcdserverpb.WatchResponse) bool {
-	progress := len(r.Events) == 0 && !r.Fragment && (!m.open || r.WatchId < 0) && !r.Created
+	progress := len(r.Events) == 0 && !r.Fragment && (!m.awaitingFragments || r.WatchId < 0) && !r.Created
 	switch {
-	case m.over:
+	case m.ended:
 	case r.Header == nil || r.Canceled || !wellFormed(r.Events),
 		r.Created == m.created && !progress,
 		r.Created && r.Header.Revision < m.revision():
-		m.over = true
+		m.ended = true
 	case r.Created:
 		m.created = true
 	case progress:
-		if m.created && !m.open {
-			m.upTo = max(m.upTo, r.Header.Revision)
+		if m.created && !m.awaitingFragments {
+			m.progressRevision = max(m.progressRevision, r.Header.Revision)
 		}
 	case !m.collect(r.Events):
-		m.over = true
+		m.ended = true
 	case r.Fragment:
-		m.open = true
+		m.awaitingFragments = true
 	default:
 		m.commit()
 	}
-	return !m.over
+	return !m.ended
 }
 
-// wellFormed reports whether each event has a pair, and their revisions do not decrease.
+// wellFormed reports whether each event has a pair and the revisions do not decrease.
 func wellFormed(events []*mvccpb.Event) bool {
 	withoutPair := func(e *mvccpb.Event) bool { return e.Kv == nil }
 	byRevision := func(a, b *mvccpb.Event) int { return cmp.Compare(a.Kv.ModRevision, b.Kv.ModRevision) }
 	return !slices.ContainsFunc(events, withoutPair) && slices.IsSortedFunc(events, byRevision)
 }
 
-// collect adds the events of a response or fragment to the pending changes. It reports false where they end the watch:
-// their revision is before that of a pending one, or there are too many.
+// collect adds the events of a response or fragment to the pending changes. It returns false if they end the watch: a
+// revision is lower than that of a pending change, or there are too many changes.
 func (m *model) collect(events []*mvccpb.Event) bool {
 	revision := m.revision()
 	for _, e := range events {
@@ -109,7 +109,7 @@
 	return true
 }
 
-// parseChange is the change that an event is; one that is skipped has no key.
+// parseChange returns the change by an event. A skipped event has no key.
 func parseChange(e *mvccpb.Event) change {
 	c := change{revision: e.Kv.ModRevision}
 	address, ok := strings.CutPrefix(string(e.Kv.Key), prefix)
@@ -127,18 +127,18 @@
 	return c
 }
 
-// commit takes the pending changes: the response is complete.
+// commit moves the pending changes to taken, since the response is complete.
 func (m *model) commit() {
 	for _, c := range m.pending {
-		if c.key == "" { // passed on as skipped; of its change only the revision counts
+		if c.key == "" { // a skipped event: only its revision counts
 			c = change{revision: c.revision, key: "-"}
 		}
 		m.taken = append(m.taken, c)
 	}
-	m.pending, m.open = nil, false
+	m.pending, m.awaitingFragments = nil, false
 }
 
-// scriptedResponse is a response of one kind; n has its revision, key and value.
+// scriptedResponse returns a response of one kind; n encodes its revision, key and value.
 func scriptedResponse(kind, n byte) *etcdserverpb.WatchResponse {
 	revision := int64(n >> 4)
 	head := &etcdserverpb.ResponseHeader{Revision: max(revision, 9)}
@@ -166,7 +166,7 @@
 		event.Kv.Key = []byte("/other/" + string(event.Kv.Key))
 	case 6:
 		event.Kv = nil
-	case 7: // two of one response, the second before or after the first
+	case 7: // two events in one response, with the second revision lower or higher than the first
 		deleted := &mvccpb.KeyValue{Key: event.Kv.Key, ModRevision: int64(n & 15)}
 		out.Events = append(out.Events, &mvccpb.Event{Type: mvccpb.DELETE, Kv: deleted})
 	case 8:
@@ -182,9 +182,10 @@
 	return out
 }
 
-// FuzzWatch has responses of etcd in any order, with revisions that go back, events for unknown keys and keys
-// outside the list, events without pairs, fragments, progress, cancels and what follows them. The watch and the plain
-// model must have the same nodes and end together; the updates, applied in order, come to what is known.
+// FuzzWatch applies arbitrary responses of etcd, in any order: decreasing revisions, events for unknown keys and for
+// keys outside the list, events without pairs, fragments, progress notifications, cancellations and the responses after
+// them. The watch and the model must have the same nodes and end at the same response. The updates, applied in order,
+// must result in the same nodes.
 func FuzzWatch(f *testing.F) {
 	f.Add([]byte{0, 5, 1, 0x61, 1, 0x72, 2, 0x83, 1, 0x91, 3, 0, 1, 0xA1})
 	f.Add([]byte{0, 5, 1, 0x61, 1, 0x51, 7, 0x81, 4, 0, 1, 0x90})
@@ -199,15 +200,15 @@
 	})
 }
 
-// fuzzedWatch is a list and its model, which get the same responses.
+// fuzzedWatch applies the same responses to a list and its model.
 type fuzzedWatch struct {
 	t        *testing.T
 	list     list
 	model    *model
-	received map[string]discovery.Node // by the updates, applied in order
+	received map[string]discovery.Node // the nodes that result from the updates, by address
 }
 
-// newFuzzedWatch begins a watch of a list of three nodes at revision 5.
+// newFuzzedWatch starts a watch of a list of three nodes at revision 5.
 func newFuzzedWatch(t *testing.T) *fuzzedWatch {
 	t.Helper()
 	w := &fuzzedWatch{
@@ -240,23 +241,23 @@
 	w.t.Helper()
 	revisionBefore := w.list.revision
 	update, err := w.list.handle(response)
-	if goesOn := w.model.handle(response); goesOn != (err == nil) {
-		w.t.Fatalf("%v: the watch returns %v, the model goes on: %v", response, err, goesOn)
+	if continues := w.model.handle(response); continues != (err == nil) {
+		w.t.Fatalf("%v: the watch returned %v, the model continues: %v", response, err, continues)
 	}
 	if err != nil {
 		if update != nil || errors.Is(err, errTooManyKeys) {
-			w.t.Fatalf("%+v with %v", update, err)
+			w.t.Fatalf("update %+v with the error %v", update, err)
 		}
 		return // further responses change nothing
 	}
 	if update != nil {
 		w.receive(update)
 	}
-	if update != nil && update.Current && (w.model.open || w.model.revision() < response.Header.Revision) {
-		w.t.Fatalf("%v: passed on as current, the model is at %d", response, w.model.revision())
+	if update != nil && update.Current && (w.model.awaitingFragments || w.model.revision() < response.Header.Revision) {
+		w.t.Fatalf("%v: update is marked as current, the model is at revision %d", response, w.model.revision())
 	}
 	if w.list.revision < revisionBefore || w.list.revision != w.model.revision() {
-		w.t.Fatalf("revision %d, was %d, the model's is %d", w.list.revision, revisionBefore, w.model.revision())
+		w.t.Fatalf("revision %d, previously %d, model %d", w.list.revision, revisionBefore, w.model.revision())
 	}
 	w.checkNodes()
 }
@@ -270,7 +271,7 @@
 	}
 }
 
-// checkNodes compares the nodes of list, updates and model, and checks that their number is bounded.
+// checkNodes compares the nodes of list, updates and model, and checks that their number is within its limit.
 func (w *fuzzedWatch) checkNodes() {
 	w.t.Helper()
 	l := &w.list
@@ -282,23 +283,24 @@
 	}
 }
 
-// TestPages has lists that lie: without a revision, out of order, without an end. What is kept stays bounded.
-func TestPages(t *testing.T) {
+// TestMalformedPages reads faulty pages: without a revision, with keys out of order, or in an endless list. They must
+// be rejected, and the number of nodes kept must be within its limit.
+func TestMalformedPages(t *testing.T) {
 	pair := func(i int) *mvccpb.KeyValue {
 		return &mvccpb.KeyValue{Key: fmt.Appendf(nil, "%s127.0.0.1:%05d", prefix, i), Value: []byte(`{"state":"on"}`)}
 	}
 	l := list{prefix: prefix, maxNodes: testMaxNodes, nodes: map[string]discovery.Node{}}
 	head := &etcdserverpb.ResponseHeader{Revision: 7}
 	for name, p := range map[string]*etcdserverpb.RangeResponse{
-		"without a revision":       {Kvs: []*mvccpb.KeyValue{pair(1)}},
-		"out of order":             {Header: head, Kvs: []*mvccpb.KeyValue{pair(2), pair(1)}},
-		"the same key twice":       {Header: head, Kvs: []*mvccpb.KeyValue{pair(2), pair(2)}},
-		"before the list":          {Header: head, Kvs: []*mvccpb.KeyValue{{Key: []byte("/")}}},
-		"empty, with more to come": {Header: head, More: true},
+		"without a revision":          {Kvs: []*mvccpb.KeyValue{pair(1)}},
+		"out of order":                {Header: head, Kvs: []*mvccpb.KeyValue{pair(2), pair(1)}},
+		"the same key twice":          {Header: head, Kvs: []*mvccpb.KeyValue{pair(2), pair(2)}},
+		"before the list":             {Header: head, Kvs: []*mvccpb.KeyValue{{Key: []byte("/")}}},
+		"empty, although more follow": {Header: head, More: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := l.newRead().addPage(p); err == nil {
-				t.Error("the page is accepted")
+				t.Error("the faulty page was accepted")
 			}
 		})
 	}
@@ -310,6 +312,6 @@
 		_, err = r.addPage(page)
 	}
 	if !errors.Is(err, errTooManyKeys) || n > 2*testMaxNodes+1 || len(r.pending) != testMaxNodes {
-		t.Errorf("a list without an end: %v after %d pages, %d pending", err, n, len(r.pending))
+		t.Errorf("endless list: error %v after %d pages, %d nodes pending", err, n, len(r.pending))
 	}
 }
