--- a/discovery/dns/client_test.go
+++ b/discovery/dns/client_test.go
@@ -91,20 +91,20 @@
 					t.Fatal("no update within 2 s")
 				}
 			}
-			if n := <-updates; c.errorText != "" {
-				checkFailure(t, n, c.errorText)
-			} else if n.Kind != honeyplank.Complete || len(n.Nodes) != c.count {
-				t.Errorf("update of kind %d with %d nodes, error %v", n.Kind, len(n.Nodes), n.Err)
+			if update := <-updates; c.errorText != "" {
+				checkFailure(t, update, c.errorText)
+			} else if update.Kind != honeyplank.Complete || len(update.Nodes) != c.count {
+				t.Errorf("update of kind %d with %d nodes, error %v", update.Kind, len(update.Nodes), update.Err)
 			}
 		})
 	}
 }
 
 // checkFailure checks that an update is a failure whose error contains a text.
-func checkFailure(t *testing.T, n discovery.Update, text string) {
+func checkFailure(t *testing.T, update discovery.Update, text string) {
 	t.Helper()
-	if n.Kind != honeyplank.WatchFailed || n.Err == nil || !strings.Contains(n.Err.Error(), text) {
-		t.Errorf("error %v, want a failure with %q", n.Err, text)
+	if update.Kind != honeyplank.WatchFailed || update.Err == nil || !strings.Contains(update.Err.Error(), text) {
+		t.Errorf("error %v, want a failure with %q", update.Err, text)
 	}
 }
 
@@ -125,12 +125,12 @@
 		{Target: "f--c7.x.", IP: "::1", Port: 7, Weight: 1},
 	})
 	servers[0].SetFaults(fakedns.Faults{NoAdditional: true}) // so that A, then AAAA records are queried
-	var n discovery.Update
+	var update discovery.Update
 	for range 4 {
-		n = <-updates
+		update = <-updates
 	}
 	var got []string
-	for _, x := range n.Nodes {
+	for _, x := range update.Nodes {
 		got = append(got, fmt.Sprintf("%s %s c%d z%d t%d", x.Address, x.State, x.Cell, x.Zone, x.StartedMS))
 	}
 	want := []string{
@@ -140,8 +140,8 @@
 		"127.0.0.1:8 draining c8 z0 t0",
 		"[::1]:7 on c7 z0 t0",
 	}
-	if !slices.Equal(got, want) || len(n.Skipped) != 2 {
-		t.Errorf("nodes %q\nwant %q\nskipped %v, want 2 entries", got, want, n.Skipped)
+	if !slices.Equal(got, want) || len(update.Skipped) != 2 {
+		t.Errorf("nodes %q\nwant %q\nskipped %v, want 2 entries", got, want, update.Skipped)
 	}
 }
 
@@ -152,8 +152,8 @@
 	<-updates
 	servers[0].SetFaults(fakedns.Faults{Rcode: mdns.RcodeServerFailure})
 	for range 5 {
-		if n := <-updates; n.Err != nil {
-			t.Fatal(n.Err)
+		if update := <-updates; update.Err != nil {
+			t.Fatal(update.Err)
 		}
 	}
 	queriesBefore := servers[0].Queries()
--- a/discovery/dns/list.go
+++ b/discovery/dns/list.go
@@ -20,8 +20,8 @@
 // errNoCell means that the first label of a target does not follow the convention, or that the record has no port.
 var errNoCell = errors.New("has no cell label or no port")
 
-// listRead has the records of the list while it is read from one name server.
-type listRead struct {
+// listReader has the records of the list while it is read from one name server.
+type listReader struct {
 	*Client
 	server    string
 	addresses map[string][]netip.Addr // by target
@@ -48,23 +48,23 @@
 	if err != nil {
 		return update, 0, err
 	}
-	read := &listRead{Client: c, server: server, addresses: map[string][]netip.Addr{}, ttl: math.MaxUint32}
+	reader := &listReader{Client: c, server: server, addresses: map[string][]netip.Addr{}, ttl: math.MaxUint32}
 	for _, record := range answer.Extra {
-		read.addAddress(record)
+		reader.addAddress(record)
 	}
 	for _, record := range answer.Answer {
 		if srv, ok := record.(*mdns.SRV); ok {
-			if err := read.addRecord(srv); err != nil {
+			if err := reader.addRecord(srv); err != nil {
 				return update, 0, err
 			}
 		}
 	}
-	update.Nodes, update.Skipped = read.selected(), read.skipped
-	return update, read.ttl, nil
+	update.Nodes, update.Skipped = reader.selected(), reader.skipped
+	return update, reader.ttl, nil
 }
 
 // addRecord adds an SRV record as an entry, or skips it.
-func (r *listRead) addRecord(srv *mdns.SRV) error {
+func (r *listReader) addRecord(srv *mdns.SRV) error {
 	r.ttl = min(r.ttl, srv.Hdr.Ttl)
 	target := strings.ToLower(srv.Target)
 	e, err := parseTarget(target, srv)
@@ -85,7 +85,7 @@
 }
 
 // queryAddress queries the A records of a target, and then the AAAA records if there is no address yet.
-func (r *listRead) queryAddress(target string) error {
+func (r *listReader) queryAddress(target string) error {
 	for _, recordType := range []uint16{mdns.TypeA, mdns.TypeAAAA} {
 		if len(r.addresses[target]) > 0 {
 			return nil
@@ -108,7 +108,7 @@
 }
 
 // addAddress adds the address of an A or AAAA record under its owner name, and ignores other records.
-func (r *listRead) addAddress(record mdns.RR) {
+func (r *listReader) addAddress(record mdns.RR) {
 	var raw []byte
 	switch a := record.(type) {
 	case *mdns.A:
@@ -124,7 +124,7 @@
 }
 
 // selected returns the nodes of the entries that selectRecords selects.
-func (r *listRead) selected() (nodes []discovery.Node) {
+func (r *listReader) selected() (nodes []discovery.Node) {
 	candidates := make([]candidate, len(r.entries))
 	for i, e := range r.entries {
 		candidates[i] = candidate{
--- a/discovery/etcd/client_test.go
+++ b/discovery/etcd/client_test.go
@@ -28,23 +28,24 @@
 		MaxNodes:  20000,
 		Timeout:   400 * time.Millisecond,
 	}
-	c := New(settings, func(n discovery.Update) { out <- n })
+	c := New(settings, func(update discovery.Update) { out <- update })
 	t.Cleanup(func() { c.Close(); s.Close() })
 	return s, c, out
 }
 
+// nextUpdate returns the next update, which must be of a kind, and passes over updates of a watch without changes.
 func nextUpdate(t *testing.T, updates chan discovery.Update, kind honeyplank.ListKind) discovery.Update {
 	t.Helper()
 	for timeout := time.After(5 * time.Second); ; {
 		select {
-		case n := <-updates:
-			if n.Kind == honeyplank.Delta && len(n.Nodes)+len(n.Skipped) == 0 && n.Err == nil && kind >= 0 {
+		case got := <-updates:
+			if got.Kind == honeyplank.Delta && len(got.Nodes)+len(got.Skipped) == 0 && got.Err == nil && kind >= 0 {
 				continue // confirmation of the watch, or a progress notification
 			}
-			if n.Kind != kind {
-				t.Fatalf("update of kind %d, want %d: %+v", n.Kind, kind, n)
+			if got.Kind != kind {
+				t.Fatalf("update of kind %d, want %d: %+v", got.Kind, kind, got)
 			}
-			return n
+			return got
 		case <-timeout:
 			t.Fatalf("no update of kind %d within 5 s", kind)
 		}
@@ -74,9 +75,9 @@
 	}
 	s.Set("/honeyplank/other", []byte("not of the list"))
 	c.Watch()
-	n := nextUpdate(t, updates, honeyplank.Complete)
-	if len(n.Nodes) != fleetSize || n.Nodes[0].Cell != 3 || n.Nodes[0].StartedMS != 5 {
-		t.Fatalf("complete list of %d nodes, or the first has a wrong cell or start", len(n.Nodes))
+	update := nextUpdate(t, updates, honeyplank.Complete)
+	if len(update.Nodes) != fleetSize || update.Nodes[0].Cell != 3 || update.Nodes[0].StartedMS != 5 {
+		t.Fatalf("complete list of %d nodes, or the first has a wrong cell or start", len(update.Nodes))
 	}
 	return s, c, updates
 }
@@ -95,17 +96,17 @@
 func TestWatchDeliversChanges(t *testing.T) {
 	s, _, updates := watchFleet(t)
 	s.Set(prefix+firstServer, drainingRecord(3))
-	n := nextUpdate(t, updates, honeyplank.Delta).Nodes
-	if len(n) != 1 || n[0].Address != firstServer || n[0].State != "draining" {
-		t.Errorf("%+v", n)
+	got := nextUpdate(t, updates, honeyplank.Delta).Nodes
+	if len(got) != 1 || got[0].Address != firstServer || got[0].State != "draining" {
+		t.Errorf("want the first server as draining, got %+v", got)
 	}
 	s.Delete(prefix + firstServer)
-	if n := nextUpdate(t, updates, honeyplank.Delta).Nodes; len(n) != 1 || !n[0].Removed || n[0].Cell != 3 {
-		t.Errorf("%+v", n)
+	if got := nextUpdate(t, updates, honeyplank.Delta).Nodes; len(got) != 1 || !got[0].Removed || got[0].Cell != 3 {
+		t.Errorf("want the first server as removed, got %+v", got)
 	}
 	s.BreakWatches()
-	if n := nextUpdate(t, updates, honeyplank.WatchFailed); n.Err == nil || len(n.Nodes) > 0 {
-		t.Errorf("%+v", n)
+	if got := nextUpdate(t, updates, honeyplank.WatchFailed); got.Err == nil || len(got.Nodes) > 0 {
+		t.Errorf("update without an error, or with nodes: %+v", got)
 	}
 }
 
@@ -117,8 +118,8 @@
 	s.Set(prefix+firstServer, onRecord(9))
 	s.Delete(prefix + serverAddress(1))
 	c.Watch()
-	if n := nextUpdate(t, updates, honeyplank.Delta).Nodes; len(n) != 2 || n[0].Cell != 9 || !n[1].Removed {
-		t.Errorf("changes after the watch has resumed: %+v", n)
+	if got := nextUpdate(t, updates, honeyplank.Delta).Nodes; len(got) != 2 || got[0].Cell != 9 || !got[1].Removed {
+		t.Errorf("changes after the watch has resumed: %+v", got)
 	}
 }
 
@@ -133,9 +134,9 @@
 	s.Set(prefix+firstServer, drainingRecord(8))
 	s.CompactHistory() // the events of the drain and of the removals are lost
 	c.Watch()
-	n := nextUpdate(t, updates, honeyplank.Complete)
-	if len(n.Nodes) != fleetSize-2 || n.Nodes[0].State != "draining" || n.Nodes[0].Cell != 8 {
-		t.Errorf("after compaction: %d nodes, the first %+v", len(n.Nodes), n.Nodes[0])
+	update := nextUpdate(t, updates, honeyplank.Complete)
+	if len(update.Nodes) != fleetSize-2 || update.Nodes[0].State != "draining" || update.Nodes[0].Cell != 8 {
+		t.Errorf("after compaction: %d nodes, the first %+v", len(update.Nodes), update.Nodes[0])
 	}
 }
 
@@ -147,8 +148,8 @@
 		prefix + serverAddress(4): []byte(`{"state":"draining"}`),
 		prefix + serverAddress(5): nil,
 	})
-	if n := nextUpdate(t, updates, honeyplank.Delta).Nodes; len(n) != 3 {
-		t.Errorf("first update has %d changes of the revision, want 3", len(n))
+	if got := nextUpdate(t, updates, honeyplank.Delta).Nodes; len(got) != 3 {
+		t.Errorf("first update has %d changes of the revision, want 3", len(got))
 	}
 }
 
@@ -161,8 +162,8 @@
 	c.StopWatch()
 	s.Set(prefix+firstServer, drainingRecord(9))
 	select {
-	case n := <-updates:
-		t.Errorf("update after StopWatch: %+v", n)
+	case update := <-updates:
+		t.Errorf("update after StopWatch: %+v", update)
 	case <-time.After(100 * time.Millisecond):
 	}
 }
@@ -177,12 +178,12 @@
 	}
 	s.Set(prefix+"no address", []byte(`{"state":"on"}`))
 	c.Watch()
-	if n := nextUpdate(t, updates, honeyplank.Complete); len(n.Nodes) != 1 || len(n.Skipped) != 6 {
-		t.Errorf("%d nodes and %d skipped entries, want 1 and 6", len(n.Nodes), len(n.Skipped))
+	if update := nextUpdate(t, updates, honeyplank.Complete); len(update.Nodes) != 1 || len(update.Skipped) != 6 {
+		t.Errorf("%d nodes and %d skipped entries, want 1 and 6", len(update.Nodes), len(update.Skipped))
 	}
 	s.Set(prefix+"127.0.0.1:1", []byte("gibberish"))
-	if n := nextUpdate(t, updates, honeyplank.Delta); len(n.Nodes) != 0 || len(n.Skipped) != 1 {
-		t.Errorf("%+v", n)
+	if update := nextUpdate(t, updates, honeyplank.Delta); len(update.Nodes) != 0 || len(update.Skipped) != 1 {
+		t.Errorf("want no node and one skipped entry, got %+v", update)
 	}
 }
 
@@ -209,13 +210,13 @@
 	time.Sleep(time.Second) // a watch without events that answers progress requests must not fail
 	s.SetSilent(true)
 	s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
-	if n := nextUpdate(t, updates, honeyplank.WatchFailed); n.Err == nil {
+	if update := nextUpdate(t, updates, honeyplank.WatchFailed); update.Err == nil {
 		t.Error("the failure of the watch has no error")
 	}
 	s.SetSilent(false)
 	c.Watch()
-	if n := nextUpdate(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
-		t.Errorf("%+v", n)
+	if update := nextUpdate(t, updates, honeyplank.Delta); len(update.Nodes) != 1 {
+		t.Errorf("want one missed change, got %+v", update)
 	}
 }
 
@@ -250,8 +251,8 @@
 			s.SetWithholdWatches(false)
 			s.Set(prefix+"127.0.0.1:1", []byte(`{"state":"on"}`))
 			c.Watch()
-			if n := nextUpdate(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
-				t.Errorf("%+v", n)
+			if update := nextUpdate(t, updates, honeyplank.Delta); len(update.Nodes) != 1 {
+				t.Errorf("want one change, got %+v", update)
 			}
 		})
 	}
@@ -266,8 +267,8 @@
 	s.SetWatchDelay(600 * time.Millisecond) // three times the time after which progress is requested
 	for i := range 3 {
 		s.Set(fmt.Sprintf("%s127.0.0.1:%d", prefix, 1+i), []byte(`{"state":"on"}`))
-		if n := nextUpdate(t, updates, honeyplank.Delta); len(n.Nodes) != 1 {
-			t.Errorf("%+v", n)
+		if update := nextUpdate(t, updates, honeyplank.Delta); len(update.Nodes) != 1 {
+			t.Errorf("want one change, got %+v", update)
 		}
 	}
 }
--- a/discovery/etcd/list.go
+++ b/discovery/etcd/list.go
@@ -154,21 +154,21 @@
 	l.skipped = append(l.skipped, fmt.Sprintf("discovery: "+format, a...))
 }
 
-// listRead is a complete list while it is read page by page. All pages are read at the revision of the first one.
-type listRead struct {
+// listReader is a complete list while it is read page by page. All pages are read at the revision of the first one.
+type listReader struct {
 	list
 	nextKey []byte // the key at which the next page begins
 }
 
-// newRead returns an empty listRead with the settings of the list.
-func (l *list) newRead() *listRead {
-	r := &listRead{list: list{prefix: l.prefix, maxNodes: l.maxNodes}, nextKey: []byte(l.prefix)}
+// newListReader returns an empty listReader with the prefix and limit of the list.
+func (l *list) newListReader() *listReader {
+	r := &listReader{list: list{prefix: l.prefix, maxNodes: l.maxNodes}, nextKey: []byte(l.prefix)}
 	r.dropPending()
 	return r
 }
 
 // addPage adds a page and reports whether more pages follow.
-func (r *listRead) addPage(p *etcdserverpb.RangeResponse) (more bool, err error) {
+func (r *listReader) addPage(p *etcdserverpb.RangeResponse) (more bool, err error) {
 	if p.GetHeader() == nil || p.Header.Revision < 1 {
 		return false, errNoRevision
 	}
@@ -192,7 +192,7 @@
 }
 
 // replace replaces the nodes that were passed on by a complete list, unless the watch has passed on a later revision.
-func (l *list) replace(r *listRead) *discovery.Update {
+func (l *list) replace(r *listReader) *discovery.Update {
 	if r.revision < l.revision && (l.state == watching || l.state == receivingFragments) {
 		return &discovery.Update{Kind: honeyplank.Delta}
 	}
--- a/discovery/etcd/rpc.go
+++ b/discovery/etcd/rpc.go
@@ -73,30 +73,30 @@
 
 // readList reads the complete list, page by page, and passes it on.
 func (s session) readList(ctx context.Context, conn *grpc.ClientConn) error {
-	kv, read := etcdserverpb.NewKVClient(conn), s.list.newRead()
+	kv, reader := etcdserverpb.NewKVClient(conn), s.list.newListReader()
 	for more := true; more; {
-		page, err := s.readPage(ctx, kv, read)
+		page, err := s.readPage(ctx, kv, reader)
 		if err == nil {
-			more, err = read.addPage(page)
+			more, err = reader.addPage(page)
 		}
 		if err != nil {
 			return fmt.Errorf("discovery: range at %s: %w", s.endpoint, err)
 		}
 	}
-	return s.apply(func(l *list) (*discovery.Update, error) { return l.replace(read), nil })
+	return s.apply(func(l *list) (*discovery.Update, error) { return l.replace(reader), nil })
 }
 
 // readPage requests the next page of a complete list.
 func (s session) readPage(
-	ctx context.Context, kv etcdserverpb.KVClient, read *listRead,
+	ctx context.Context, kv etcdserverpb.KVClient, reader *listReader,
 ) (*etcdserverpb.RangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 	defer cancel()
 	return kv.Range(ctx, &etcdserverpb.RangeRequest{
-		Key:      read.nextKey,
+		Key:      reader.nextKey,
 		RangeEnd: prefixEnd(s.settings.Prefix),
 		Limit:    int64(max(1, s.settings.MaxNodes/pagesOfFullList)),
-		Revision: read.revision,
+		Revision: reader.revision,
 	})
 }
 
--- a/discovery/etcd/watch_test.go
+++ b/discovery/etcd/watch_test.go
@@ -225,11 +225,11 @@
 			ModRevision: 5,
 		})
 	}
-	read := w.list.newRead()
-	if _, err := read.addPage(page); err != nil {
+	reader := w.list.newListReader()
+	if _, err := reader.addPage(page); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range w.list.replace(read).Nodes {
+	for _, n := range w.list.replace(reader).Nodes {
 		w.received[n.Address], w.model.base[n.Address] = n, n
 	}
 	w.list.beginWatch()
@@ -299,12 +299,12 @@
 		"empty, although more follow": {Header: head, More: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := l.newRead().addPage(p); err == nil {
+			if _, err := l.newListReader().addPage(p); err == nil {
 				t.Error("the faulty page was accepted")
 			}
 		})
 	}
-	r := l.newRead()
+	r := l.newListReader()
 	var err error
 	n := 0
 	for ; err == nil && n < 100; n++ {
--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -23,7 +23,7 @@
 		return
 	}
 	c.closed = true
-	c.loop.closeFile(c.fd)
+	c.loop.closeDescriptor(c.fd)
 	if c.Tap != nil {
 		c.Tap(false, nil)
 	}
--- a/eventloop/descriptors.go
+++ b/eventloop/descriptors.go
@@ -20,16 +20,16 @@
 }
 
 // register sets the handler for the events of a descriptor.
-func (l *Loop) register(fd int, f eventHandler) {
+func (l *Loop) register(fd int, handler eventHandler) {
 	l.lastGeneration++
-	l.registrations[int32(fd)] = registration{f, l.lastGeneration}
+	l.registrations[int32(fd)] = registration{handler, l.lastGeneration}
 }
 
 // add registers a descriptor and adds it to epoll; if that fails, it closes the descriptor.
-func (l *Loop) add(fd int, events uint32, f eventHandler) error {
-	l.register(fd, f)
+func (l *Loop) add(fd int, events uint32, handler eventHandler) error {
+	l.register(fd, handler)
 	if err := l.control(unix.EPOLL_CTL_ADD, fd, events); err != nil {
-		l.closeFile(fd)
+		l.closeDescriptor(fd)
 		return os.NewSyscallError("epoll_ctl", err)
 	}
 	return nil
@@ -43,9 +43,9 @@
 	return l.sys.EpollCtl(l.epollFD, operation, fd, event)
 }
 
-// closeFile closes a descriptor. Linux releases it even if close returns an error, so the call is not retried, see
-// close(2).
-func (l *Loop) closeFile(fd int) {
+// closeDescriptor closes a descriptor. Linux releases it even if close returns an error, so the call is not retried,
+// see close(2).
+func (l *Loop) closeDescriptor(fd int) {
 	if _, ok := l.registrations[int32(fd)]; !ok { // Run has ended
 		return
 	}
--- a/eventloop/input.go
+++ b/eventloop/input.go
@@ -112,14 +112,14 @@
 		c.loop.Stats.Copied.Add(int64(len(b)))
 		b = c.input
 	}
-	used := 0
+	consumed := 0
 	if !c.paused {
-		used = c.handler.Input(c, b)
+		consumed = c.handler.Input(c, b)
 	}
 	if c.closed {
 		return
 	}
-	rest := b[used:]
+	rest := b[consumed:]
 	c.loop.Stats.Copied.Add(int64(len(rest)))
 	c.input = append(c.input[:0], rest...)
 	if len(c.input) == 0 && cap(c.input) > readSize {
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -82,7 +82,7 @@
 func (ln *Listener) Close() {
 	if !ln.closed {
 		ln.closed = true
-		ln.loop.closeFile(ln.fd)
+		ln.loop.closeDescriptor(ln.fd)
 	}
 }
 
@@ -132,7 +132,7 @@
 	case c.closed:
 	case c.handler == nil:
 		c.closed = true
-		ln.loop.closeFile(fd)
+		ln.loop.closeDescriptor(fd)
 	default:
 		if c.NotifyHalfClose {
 			c.interest |= unix.EPOLLRDHUP
--- a/eventloop/timers.go
+++ b/eventloop/timers.go
@@ -29,7 +29,8 @@
 	heap.Push(&l.timers, t)
 }
 
-// Schedule makes the loop call run at a time of its clock. If that time has passed, run is called when timers next run.
+// Schedule schedules a call of run at a time of the loop's clock. If that time has passed, run is called when timers
+// next run.
 func (l *Loop) Schedule(at time.Duration, run func()) *Timer {
 	t := &Timer{at: at, run: run}
 	heap.Push(&l.timers, t)
