--- a/discovery/etcd/list.go
+++ b/discovery/etcd/list.go
@@ -25,8 +25,8 @@
 	errEmptyPage   = errors.New("empty page although more keys follow")
 )
 
-// list has the nodes of the list in etcd that were passed on, and the state of the watch. It does no I/O: its input are
-// pages and responses, its output are updates and errors. It keeps a limited number of nodes for any input.
+// list has the nodes of the list in etcd that were passed on, and the state of the watch. It does no I/O: it receives
+// pages and responses, and returns updates and errors. It keeps a limited number of nodes for any input.
 type list struct {
 	prefix   string
 	maxNodes int
--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -282,8 +282,8 @@
 	k.check(t)
 }
 
-// TestNoInputPendingErrors makes recvfrom fail. NoInputPending must repeat an interrupted call and return false after
-// other errors than EAGAIN.
+// TestNoInputPendingErrors makes recvfrom fail. NoInputPending must repeat an interrupted call, and must return false
+// after errors other than EAGAIN and EINTR.
 func TestNoInputPendingErrors(t *testing.T) {
 	for errno, want := range map[unix.Errno]bool{
 		0:               true,
--- a/eventloop/posts.go
+++ b/eventloop/posts.go
@@ -15,8 +15,8 @@
 var eventfdIncrement = binary.NativeEndian.AppendUint64(nil, 1)
 
 // Post schedules f to run on the loop. Posted functions run in the order of the calls of Post. Post may be called from
-// any goroutine. After Run has ended, Post returns false and f does not run. If Post returns true, f still does not run
-// if Run ends before.
+// any goroutine. After Run has ended, Post returns false and f does not run. If Run ends after Post has returned true
+// and before f runs, f does not run either.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/membership/ledger.go
+++ b/membership/ledger.go
@@ -1,7 +1,6 @@
 // Package membership merges the reports of two sources, etcd and DNS, about the disk servers into one endpoint list.
-// Its input are the reports, with the times at which they were received; its output are the changes of the list for the
-// decision module. The package does no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule
-// as a table.
+// It receives reports with the times of their arrival and returns the changes of the list for the decision module. The
+// package does no I/O, reads no clock and starts no goroutine. docs/sources.md has the merge rule as a table.
 //
 // A gateway has one Ledger and calls it on the goroutine of its event loop; a Ledger is not safe for concurrent use.
 // All times are durations since a fixed moment of the caller's monotonic clock. They must not decrease from call to
@@ -125,7 +124,7 @@
 	now      time.Duration
 	nodes    map[honeyplank.ServerID]*node
 	sources  [sourceCount]sourceStatus
-	waiting  []*node       // nodes whose merged state may change without a report, when a time comes
+	waiting  []*node       // nodes whose merged state may change at a later time without a report
 	nextTick time.Duration // the earliest of these times; 0: none
 	version  int64         // of the list last passed to the decision module
 }
--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -1,7 +1,7 @@
 // Package peerlimit limits the resources of a gateway that one peer may use before an op is admitted: connections,
 // incomplete handshakes, commands, bytes of write data and the time for a PDU. It also bans a peer after too many
-// protocol violations. Its input are events with their times, its output are decisions: the package does no I/O, reads
-// no clock and starts no goroutine. docs/peers.md has its tables.
+// protocol violations. It receives events with their times and returns decisions. It does no I/O, reads no clock and
+// starts no goroutine. docs/peers.md has its tables.
 //
 // The server that accepts the connections has a Guard and calls it on the goroutine of its event loop; a Guard is not
 // safe for concurrent use.
@@ -18,7 +18,7 @@
 	MaxCommands int
 	// MaxBytes limits the write data that the gateway has requested and the peer has not sent.
 	MaxBytes int
-	// PDUTimeout is the time from the first byte of a PDU to its last.
+	// PDUTimeout limits the time from the first byte of a PDU to its last.
 	PDUTimeout time.Duration
 	// BanThreshold is the number of violations within ViolationWindow that bans a peer; 0: no peer is banned.
 	BanThreshold int
@@ -57,7 +57,7 @@
 	handshakes    int // connections whose handshake is not complete
 	bytes         int // of write data that was requested and that the peer has not sent
 	commands      int
-	violations    []time.Duration // within Settings.ViolationWindow
+	violations    []time.Duration // times of the violations within Settings.ViolationWindow
 	lastViolation time.Duration
 	bannedUntil   time.Duration
 	banLength     time.Duration // of the last ban; 0: no ban since the peer was last trusted
