--- a/fuzzcorpus/mutations.go
+++ b/fuzzcorpus/mutations.go
@@ -144,7 +144,7 @@
 		Package: "target",
 		Target:  "FuzzModel",
 		File:    "target/transfer.go",
-		Old:     "	if p.BadData && c.state == commandReceiving {",
+		Old:     "	if p.DataDigestError && c.state == commandReceiving {",
 		New:     "	if false {",
 		Kind:    "damaged data is written",
 	},
--- a/initiator/transfer.go
+++ b/initiator/transfer.go
@@ -23,7 +23,7 @@
 		s.options.buffers.Copied(n)
 	}
 	v.received += n
-	v.damaged = v.damaged || p.BadData
+	v.damaged = v.damaged || p.DataDigestError
 	if p.Flags&nvme.FlagSuccess == 0 {
 		return nil
 	}
--- a/nvme/decode.go
+++ b/nvme/decode.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if e.dataDigest {
-		p.BadData = binary.LittleEndian.Uint32(b[e.dataTo:]) != CRC32C(p.Data)
+		p.DataDigestError = binary.LittleEndian.Uint32(b[e.dataTo:]) != CRC32C(p.Data)
 	}
 	if (p.Type == TypeH2CData || p.Type == TypeC2HData) && int(p.Length()) != len(p.Data) {
 		return PDU{}, 0, fatal(FatalHeaderField, dataLengthField, b,
--- a/nvme/fuzz_test.go
+++ b/nvme/fuzz_test.go
@@ -37,7 +37,7 @@
 				t.Fatalf("%d of %d bytes: %d used, %v; all: %d used, %v", n, len(b), u, e, used, err)
 			}
 		}
-		if used > 0 && !p.BadData {
+		if used > 0 && !p.DataDigestError {
 			checkEncoding(t, framing, p)
 		}
 	})
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -85,7 +85,7 @@
 			if used == 0 {
 				break
 			}
-			if want := sent[n]; p.Type != want.kind || !bytes.Equal(p.Data, want.data) || p.BadData {
+			if want := sent[n]; p.Type != want.kind || !bytes.Equal(p.Data, want.data) || p.DataDigestError {
 				t.Fatalf("PDU %d is of type %d with %d bytes, want %d with %d",
 					n, p.Type, len(p.Data), want.kind, len(want.data))
 			}
@@ -109,7 +109,7 @@
 		p, used, err := f.Decode(bad)
 		pad := bit/8 >= commandCapsuleLen+digestLen && bit/8 < int(pdu[3])
 		switch {
-		case err != nil || used == 0 || p.BadData || pad:
+		case err != nil || used == 0 || p.DataDigestError || pad:
 		default:
 			t.Fatalf("bit %d of byte %d was not detected", bit%8, bit/8)
 		}
--- a/nvme/pdu.go
+++ b/nvme/pdu.go
@@ -87,9 +87,9 @@
 	Flags  uint8
 	Header []byte
 	Data   []byte
-	// BadData tells that the data digest did not match; the transport goes on, the command fails with a
+	// DataDigestError tells that the data digest did not match; the transport goes on, the command fails with a
 	// transient transport error (TCP 3.3.1.1).
-	BadData bool
+	DataDigestError bool
 }
 
 // CCCID is the command identifier of a data or R2T PDU (TCP 3.6.2.8 to 3.6.2.10).
--- a/target/session.go
+++ b/target/session.go
@@ -162,7 +162,7 @@
 	if s.queueSize > 0 {
 		s.queueHead = uint16((int(s.queueHead) + 1) % s.queueSize)
 	}
-	if p.BadData {
+	if p.DataDigestError {
 		s.respond(c.CID(), response{status: nvme.TransientTransport})
 		return nil
 	}
--- a/target/transfer.go
+++ b/target/transfer.go
@@ -80,7 +80,7 @@
 	if complete != (p.Flags&nvme.FlagLast != 0) {
 		return fatalError(nvme.FatalHeaderField, flagsField, p, "LAST_PDU where it does not belong")
 	}
-	if p.BadData && c.state == commandReceiving {
+	if p.DataDigestError && c.state == commandReceiving {
 		c.state = commandDiscarding
 		s.respond(c.CID(), response{status: nvme.TransientTransport})
 	}
