--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -86,7 +86,7 @@
 // Rejected implements inflight.Client. The client may retry after the given time; 0: no delay is given.
 func (o *op) Rejected(retryAfter time.Duration) {
 	o.instance.log.Debug().Uint32("volume", o.command.NSID()).Dur("retry_after_ms", retryAfter).Msg("op rejected")
-	status := nvme.CommandInterrupted.WithDelay(o.instance.retryDelayIndex(retryAfter))
+	status := nvme.CommandInterrupted.WithRetryDelay(o.instance.retryDelayIndex(retryAfter))
 	o.answer(status, uint32(retryAfter/time.Millisecond), nil)
 }
 
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -58,7 +58,7 @@
 	if r.lost || r.took >= limit || r.status.Code() != nvme.CommandInterrupted {
 		t.Errorf("an op on the silent server: %#x after %v, lost %v", r.status, r.took, r.lost)
 	}
-	if r.dw0 == 0 || r.status.Delay() == 0 {
+	if r.dw0 == 0 || r.status.RetryDelay() == 0 {
 		t.Errorf("an op on the silent server is rejected without a retry delay: %#x after %v", r.status, r.took)
 	}
 }
--- a/nvme/completion.go
+++ b/nvme/completion.go
@@ -42,11 +42,11 @@
 // Code is the status without retry delay, more and do not retry.
 func (s Status) Code() Status { return s & 0x7FF }
 
-// WithDelay sets the retry delay index, 1 to 3 for CRDT1 to CRDT3 (Base 3.3.3.2.1, CRD).
-func (s Status) WithDelay(crd int) Status { return s&^(3<<11) | Status(crd&3)<<11 }
+// WithRetryDelay sets the retry delay index, 1 to 3 for CRDT1 to CRDT3 (Base 3.3.3.2.1, CRD).
+func (s Status) WithRetryDelay(crd int) Status { return s&^(3<<11) | Status(crd&3)<<11 }
 
-// Delay is the retry delay index.
-func (s Status) Delay() int { return int(s >> 11 & 3) }
+// RetryDelay is the retry delay index.
+func (s Status) RetryDelay() int { return int(s >> 11 & 3) }
 
 // NewCompletion makes a completion of the command cid with a status and two result dwords.
 func NewCompletion(cid uint16, status Status, dw0, dw1 uint32) (c Completion) {
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -174,8 +174,8 @@
 func TestCompletion(t *testing.T) {
 	load := Load{1, 2, 3, 4}
 	dw0, dw1 := load.Dwords()
-	c := NewCompletion(9, Rejected.WithDelay(2), dw0, dw1)
-	if c.Load() != load || c.CID() != 9 || c.Status().Code() != Rejected || c.Status().Delay() != 2 {
+	c := NewCompletion(9, Rejected.WithRetryDelay(2), dw0, dw1)
+	if c.Load() != load || c.CID() != 9 || c.Status().Code() != Rejected || c.Status().RetryDelay() != 2 {
 		t.Errorf("%x", c)
 	}
 }
--- a/target/session.go
+++ b/target/session.go
@@ -191,7 +191,7 @@
 		return
 	}
 	if s.controller == nil || !s.controller.honoursDelays {
-		r.status = r.status.WithDelay(0)
+		r.status = r.status.WithRetryDelay(0)
 	}
 	s.buffers.Copied(len(r.data))
 	// With flow control off the last data PDU can stand for a completion without results.
