--- a/nvme/command.go
+++ b/nvme/command.go
@@ -39,7 +39,7 @@
 const (
 	IdentifyNamespace   = 0x00
 	IdentifyController  = 0x01
-	IdentifyActive      = 0x02
+	IdentifyActiveNamespaces      = 0x02
 	IdentifyDescriptors = 0x03
 )
 
--- a/nvme/identify.go
+++ b/nvme/identify.go
@@ -89,13 +89,13 @@
 	return dst
 }
 
-// Namespace reads size in blocks and block shift from an Identify Namespace data structure.
-func Namespace(d []byte) (blocks uint64, blockShift uint8) {
+// ParseNamespace reads size in blocks and block shift from an Identify ParseNamespace data structure.
+func ParseNamespace(d []byte) (blocks uint64, blockShift uint8) {
 	return binary.LittleEndian.Uint64(d), uint8(binary.LittleEndian.Uint32(d[128+4*int(d[26]&0xF):]) >> 16)
 }
 
-// AppendActive appends the active namespace list (Base 5.17.2.2): ids above after, in order.
-func AppendActive(dst []byte, after uint32, ids []uint32) []byte {
+// AppendActiveNamespaces appends the active namespace list (Base 5.17.2.2): ids above after, in order.
+func AppendActiveNamespaces(dst []byte, after uint32, ids []uint32) []byte {
 	at := len(dst)
 	dst = append(dst, make([]byte, IdentifyLen)...)
 	d := dst[at:]
@@ -108,8 +108,8 @@
 	return dst
 }
 
-// Active reads an active namespace list.
-func Active(d []byte) (ids []uint32) {
+// ParseActiveNamespaces reads an active namespace list.
+func ParseActiveNamespaces(d []byte) (ids []uint32) {
 	for ; len(d) >= 4; d = d[4:] {
 		id := binary.LittleEndian.Uint32(d)
 		if id == 0 {
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -154,10 +154,10 @@
 	if len(d) != IdentifyLen || CapsuleBytes(d) != 64+8192 || RetryDelays(d) != [3]uint16{1, 2, 3} {
 		t.Error("Identify Controller")
 	}
-	if blocks, shift := Namespace(AppendNamespace(nil, 77, 12)); blocks != 77 || shift != 12 {
+	if blocks, shift := ParseNamespace(AppendNamespace(nil, 77, 12)); blocks != 77 || shift != 12 {
 		t.Error("Identify Namespace")
 	}
-	if ids := Active(AppendActive(nil, 2, []uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
+	if ids := ParseActiveNamespaces(AppendActiveNamespaces(nil, 2, []uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
 		t.Error("active namespaces", ids)
 	}
 }
--- a/target/admin.go
+++ b/target/admin.go
@@ -116,12 +116,12 @@
 	switch cns := uint8(c.DW(10)); cns {
 	case nvme.IdentifyController:
 		return response{status: nvme.Success, data: nvme.AppendController(nil, s.controllerData())}
-	case nvme.IdentifyActive:
+	case nvme.IdentifyActiveNamespaces:
 		ids := make([]uint32, 0, len(s.settings.Namespaces))
 		for _, n := range s.settings.Namespaces {
 			ids = append(ids, n.ID)
 		}
-		return response{status: nvme.Success, data: nvme.AppendActive(nil, c.NSID(), ids)}
+		return response{status: nvme.Success, data: nvme.AppendActiveNamespaces(nil, c.NSID(), ids)}
 	case nvme.IdentifyNamespace, nvme.IdentifyDescriptors:
 		n := s.namespace(c.NSID())
 		if n == nil {
