--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -128,8 +128,8 @@
 	s.beginQueued()
 }
 
-// Log returns the load log page. The target calls it.
-func (s *Server) Log(id uint8) ([]byte, bool) {
+// LogPage returns the load log page. The target calls it.
+func (s *Server) LogPage(id uint8) ([]byte, bool) {
 	if id != nvme.LogLoad {
 		return nil, false
 	}
--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Log implements target.Handler: the gateway has no log pages of its own.
-func (g *Instance) Log(uint8) ([]byte, bool) { return nil, false }
+// LogPage implements target.Handler: the gateway has no log pages of its own.
+func (g *Instance) LogPage(uint8) ([]byte, bool) { return nil, false }
 
 // Succeeded implements inflight.Client.
 func (o *op) Succeeded(data []byte) { o.answer(nvme.Success, 0, data) }
--- a/loadgen/generator_test.go
+++ b/loadgen/generator_test.go
@@ -240,7 +240,7 @@
 }
 
 func (h *rejectingHandler) ClientGone(*target.Command) {}
-func (h *rejectingHandler) Log(uint8) ([]byte, bool)   { return nil, false }
+func (h *rejectingHandler) LogPage(uint8) ([]byte, bool)   { return nil, false }
 
 // TestRetries has a target reject all ops: each is attempted twice more, with other blocks, after the time that the
 // target says.
--- a/target/admin.go
+++ b/target/admin.go
@@ -186,7 +186,7 @@
 		host, port, _ := net.SplitHostPort(s.associations.address) // the listener's own form
 		return nvme.AppendDiscovery(nil, s.settings.Subsystem, host, port), true
 	}
-	return s.handler.Log(id)
+	return s.handler.LogPage(id)
 }
 
 // queuesResult is the result of the number of queues, for submission and completion queues, both 0's based.
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -26,7 +26,7 @@
 
 func (h *harness) Admit(c *Command)            { h.admitted = append(h.admitted, c) }
 func (h *harness) ClientGone(c *Command)       { h.gone = append(h.gone, c) }
-func (h *harness) Log(id uint8) ([]byte, bool) { return []byte{1, 2, 3, 4}, id == nvme.LogLoad }
+func (h *harness) LogPage(id uint8) ([]byte, bool) { return []byte{1, 2, 3, 4}, id == nvme.LogLoad }
 
 func (h *harness) flush()                {}
 func (h *harness) truncate()             {}
--- a/target/target.go
+++ b/target/target.go
@@ -42,8 +42,8 @@
 	Admit(c *Command)
 	// ClientGone tells that the client of an admitted command has gone or has aborted it; it needs no answer any more.
 	ClientGone(c *Command)
-	// Log returns a vendor specific log page, or false.
-	Log(id uint8) ([]byte, bool)
+	// LogPage returns a vendor specific log page, or false.
+	LogPage(id uint8) ([]byte, bool)
 }
 
 // connection is what a session needs of the connection it runs on, and of the limits of its client.
