--- a/bench/driver.go
+++ b/bench/driver.go
@@ -94,7 +94,7 @@
 	began := d.bed.clientLoop.Now()
 	_, ok := d.associations[cell].IO.Submit(command, nil, opBytes, initiator.CallFunc(func(r initiator.Result) {
 		d.completed++
-		if r.Lost || r.Status() != nvme.Success {
+		if r.ConnectionLost || r.Status() != nvme.Success {
 			d.unsuccessful++
 		}
 		// The error says that the latency is beyond the histogram, which an op timeout is not.
--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -123,8 +123,8 @@
 	return func(next func()) {
 		command := nvme.NewRW(nvme.Write, nsid, lba, 1)
 		b.submit(command, data, 0, func(r initiator.Result) {
-			if r.Lost || r.Status() != want {
-				b.Errorf("write: lost %v, status %v, want %v", r.Lost, r.Status(), want)
+			if r.ConnectionLost || r.Status() != want {
+				b.Errorf("write: lost %v, status %v, want %v", r.ConnectionLost, r.Status(), want)
 			}
 			next()
 		})
@@ -135,8 +135,8 @@
 func (b *testbed) read(lba uint64, want []byte) func(func()) {
 	return func(next func()) {
 		b.submit(nvme.NewRW(nvme.Read, nsid, lba, 1), nil, blockSize, func(r initiator.Result) {
-			if r.Lost || r.Status() != nvme.Success || !bytes.Equal(r.Data, want) {
-				b.Errorf("read of block %d: lost %v, status %v, %d bytes", lba, r.Lost, r.Status(), len(r.Data))
+			if r.ConnectionLost || r.Status() != nvme.Success || !bytes.Equal(r.Data, want) {
+				b.Errorf("read of block %d: lost %v, status %v, %d bytes", lba, r.ConnectionLost, r.Status(), len(r.Data))
 			}
 			next()
 		})
@@ -146,7 +146,7 @@
 // expectLost reads one block and expects the connection to end before an answer.
 func (b *testbed) expectLost(next func()) {
 	b.submit(nvme.NewRW(nvme.Read, nsid, 0, 1), nil, blockSize, func(r initiator.Result) {
-		if !r.Lost {
+		if !r.ConnectionLost {
 			b.Errorf("answered with status %v", r.Status())
 		}
 		next()
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -73,7 +73,7 @@
 		return
 	}
 	dispatch.SenderState.(*diskServer).outstanding--
-	if result.Lost {
+	if result.ConnectionLost {
 		dispatch.Finish(honeyplank.Reset, nil, inflight.Feedback{})
 		return
 	}
--- a/gateway/healthcheck.go
+++ b/gateway/healthcheck.go
@@ -19,7 +19,7 @@
 	}
 	pageRead := initiator.CallFunc(func(result initiator.Result) {
 		switch {
-		case result.Lost:
+		case result.ConnectionLost:
 			deliver(honeyplank.Reset, nvme.Load{})
 		case result.Status() != nvme.Success || len(result.Data) < nvme.LoadLen:
 			deliver(honeyplank.Failed, nvme.Load{})
--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -29,7 +29,7 @@
 func (a *Association) step(what string, next func(Result)) Call {
 	return CallFunc(func(r Result) {
 		switch {
-		case r.Lost || a.closed:
+		case r.ConnectionLost || a.closed:
 		case r.Status() != nvme.Success:
 			a.end(fmt.Errorf("initiator: %s was answered with status %#x", what, r.Status()))
 		default:
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -268,7 +268,7 @@
 	case m.abandoned && len(m.results) == 0:
 	case m.abandoned || len(m.results) != 1:
 		p.t.Fatalf("%+v ended %d times", m, len(m.results))
-	case m.results[0].Status() != status || m.results[0].Lost:
+	case m.results[0].Status() != status || m.results[0].ConnectionLost:
 		p.t.Fatalf("ended with %+v, the model says %#x", m.results[0], status)
 	}
 }
@@ -277,7 +277,7 @@
 	p.t.Helper()
 	p.session.lose()
 	for number, m := range p.commands {
-		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].Lost {
+		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].ConnectionLost {
 			p.t.Fatalf("command %d: %+v", number, m)
 		}
 	}
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -18,8 +18,8 @@
 	nvme.Completion
 	// Data is what a Read brought; it holds only during the call.
 	Data []byte
-	// Lost tells that the connection ended first. Whether the command ran is unknown if it was sent.
-	Lost bool
+	// ConnectionLost tells that the connection ended first. Whether the command ran is unknown if it was sent.
+	ConnectionLost bool
 }
 
 // Call is called once, with how a command ended.
@@ -215,7 +215,7 @@
 	s.ready = false
 	for i := range s.slots {
 		if s.slots[i].busy {
-			s.end(&s.slots[i], Result{Lost: true})
+			s.end(&s.slots[i], Result{ConnectionLost: true})
 		}
 	}
 }
--- a/loadgen/op.go
+++ b/loadgen/op.go
@@ -111,7 +111,7 @@
 	o.generator.loop.Cancel(o.timeout)
 	status := r.Status()
 	switch {
-	case r.Lost:
+	case r.ConnectionLost:
 		o.connectionLost()
 	case status.Code() == nvme.CommandInterrupted && o.mayRetry():
 		o.retry(time.Duration(r.DW0()) * time.Millisecond)
