--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -14,7 +14,7 @@
 		size, controllerID, next = a.settings.Depth+1, a.controllerID, a.ioJoined
 	}
 	s := a.sessions[id]
-	s.Capsule = nvme.ConnectLen
+	s.MaxCapsule = nvme.ConnectLen
 	c := nvme.NewConnect(uint16(id), size, uint32(a.settings.KeepAlive/time.Millisecond))
 	data := nvme.ConnectData{
 		HostID:       a.settings.HostID,
@@ -98,7 +98,7 @@
 // ioJoined makes the association ready.
 func (a *Association) ioJoined(Result) {
 	a.IO = a.sessions[ioQueue]
-	a.IO.Capsule = a.ioCapsule
+	a.IO.MaxCapsule = a.ioCapsule
 	a.ready = true
 	a.loop.Cancel(a.timer)
 	a.keepAliveAnswered = a.loop.Now()
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -33,7 +33,7 @@
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
 		c := newController(true)
 		c.accept(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
-		c.session.Capsule = inCapsuleBytes
+		c.session.MaxCapsule = inCapsuleBytes
 		p := &modelPlay{controller: c, t: t}
 		for ; len(script) >= 2 && !p.over; script = script[2:] {
 			p.step(script[0], script[1])
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -34,8 +34,8 @@
 // Session is one queue's state machine. Commands may be submitted once its connection is ready; the zero value takes
 // none.
 type Session struct {
-	// Capsule is how much data may travel in a command's capsule.
-	Capsule int
+	// MaxCapsule is how much data may travel in a command's capsule.
+	MaxCapsule int
 
 	options sessionOptions
 	input   nvme.Framing
@@ -82,7 +82,7 @@
 	c.SetCID(v.commandID())
 	inCapsule := data
 	switch {
-	case len(data) > s.Capsule:
+	case len(data) > s.MaxCapsule:
 		c.SetSGL(nvme.SGLTransport, len(data))
 		v.data = s.options.buffers.Get(len(data))
 		copy(v.data, data)
