--- a/bench/driver.go
+++ b/bench/driver.go
@@ -92,7 +92,7 @@
 	lba := uint64(cell)*blocksOfExtent + uint64(d.submitted)%blocksOfExtent
 	command := nvme.NewRW(nvme.Read, volume.NSID, lba, opBytes/int(volumes.Block))
 	began := d.bed.clientLoop.Now()
-	_, ok := d.associations[cell].IO.Submit(command, nil, opBytes, initiator.CallFunc(func(r initiator.Result) {
+	_, ok := d.associations[cell].IO.Submit(command, nil, opBytes, initiator.CallbackFunc(func(r initiator.Result) {
 		d.completed++
 		if r.ConnectionLost || r.Status() != nvme.Success {
 			d.unsuccessful++
--- a/cmd/honeyplank/serve_test.go
+++ b/cmd/honeyplank/serve_test.go
@@ -176,7 +176,7 @@
 	}
 	done := make(chan string, 1)
 	loop.Post(func() {
-		association.IO.Submit(c, data, read, initiator.CallFunc(func(r initiator.Result) {
+		association.IO.Submit(c, data, read, initiator.CallbackFunc(func(r initiator.Result) {
 			done <- fmt.Sprintf("%d cell %d: %#x %x", number, extent, r.Status(), sha256.Sum256(r.Data))
 		}))
 	})
--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -154,7 +154,7 @@
 }
 
 func (b *testbed) submit(command nvme.Command, data []byte, readBytes int, done func(initiator.Result)) {
-	if _, ok := b.client.IO.Submit(command, data, readBytes, initiator.CallFunc(done)); !ok {
+	if _, ok := b.client.IO.Submit(command, data, readBytes, initiator.CallbackFunc(done)); !ok {
 		b.Fatal("the command can't be sent")
 	}
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -261,7 +261,7 @@
 	}
 	h.onLoop(func() {
 		began := time.Now()
-		done := initiator.CallFunc(func(r initiator.Result) {
+		done := initiator.CallbackFunc(func(r initiator.Result) {
 			out <- answer{bytes.Clone(r.Data), r.Status(), r.ConnectionLost, time.Since(began), r.DW0()}
 		})
 		if _, ok := a.IO.Submit(c, data, read, done); !ok {
--- a/gateway/healthcheck.go
+++ b/gateway/healthcheck.go
@@ -17,7 +17,7 @@
 			Load:    loadMetrics(load),
 		})
 	}
-	pageRead := initiator.CallFunc(func(result initiator.Result) {
+	pageRead := initiator.CallbackFunc(func(result initiator.Result) {
 		switch {
 		case result.ConnectionLost:
 			deliver(honeyplank.Reset, nvme.Load{})
--- a/initiator/admin.go
+++ b/initiator/admin.go
@@ -5,7 +5,7 @@
 )
 
 // Identify sends an Identify.
-func (a *Association) Identify(cns uint8, nsid uint32, call Call) {
+func (a *Association) Identify(cns uint8, nsid uint32, call Callback) {
 	c := nvme.Command{nvme.AdminIdentify}
 	c.SetNSID(nsid)
 	c.SetDW(10, uint32(cns))
@@ -13,7 +13,7 @@
 }
 
 // GetLogPage asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
-func (a *Association) GetLogPage(id uint8, n int, call Call) bool {
+func (a *Association) GetLogPage(id uint8, n int, call Callback) bool {
 	if !a.IsReady() {
 		return false
 	}
--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -81,7 +81,7 @@
 
 func (s *sequence) submit(c nvme.Command, data []byte, read int) {
 	number := len(s.ids)
-	if cid, ok := s.session.Submit(c, data, read, CallFunc(func(Result) { s.ended[number]++ })); ok {
+	if cid, ok := s.session.Submit(c, data, read, CallbackFunc(func(Result) { s.ended[number]++ })); ok {
 		s.ids = append(s.ids, cid)
 	}
 }
--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -26,8 +26,8 @@
 }
 
 // step is a Call that ends the association if its command fails.
-func (a *Association) step(what string, next func(Result)) Call {
-	return CallFunc(func(r Result) {
+func (a *Association) step(what string, next func(Result)) Callback {
+	return CallbackFunc(func(r Result) {
 		switch {
 		case r.ConnectionLost || a.closed:
 		case r.Status() != nvme.Success:
@@ -92,7 +92,7 @@
 	c.SetDW(10, nvme.FeatureHostBehavior)
 	behaviour := make([]byte, nvme.HostBehaviorLen)
 	behaviour[0] = 1 // ACRE
-	a.Admin.Submit(c, behaviour, 0, CallFunc(func(Result) {}))
+	a.Admin.Submit(c, behaviour, 0, CallbackFunc(func(Result) {}))
 }
 
 // ioJoined makes the association ready.
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -132,7 +132,7 @@
 		c, data, read = nvme.NewRW(nvme.Write, 1, 0, 2), make([]byte, m.bytes), 0
 	}
 	open := p.countOpen()
-	cid, ok := p.session.Submit(c, data, read, CallFunc(func(r Result) { m.results = append(m.results, r) }))
+	cid, ok := p.session.Submit(c, data, read, CallbackFunc(func(r Result) { m.results = append(m.results, r) }))
 	if ok != (open < testDepth) || ok && p.find(cid) != nil {
 		p.t.Fatalf("with %d in flight, submitted %v as %d", open, ok, cid)
 	}
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -22,14 +22,14 @@
 	ConnectionLost bool
 }
 
-// Call is called once, with how a command ended.
-type Call interface{ Done(Result) }
+// Callback is called once, with how a command ended.
+type Callback interface{ Done(Result) }
 
-// CallFunc is a function as a Call.
-type CallFunc func(Result)
+// CallbackFunc is a function as a Call.
+type CallbackFunc func(Result)
 
 // Done calls the function.
-func (f CallFunc) Done(r Result) { f(r) }
+func (f CallbackFunc) Done(r Result) { f(r) }
 
 // Session is one queue's state machine. Commands may be submitted once its connection is ready; the zero value takes
 // none.
@@ -74,7 +74,7 @@
 
 // Submit sends a command with the data of a Write, or expecting read bytes. Data is copied. It returns the command
 // id.
-func (s *Session) Submit(c nvme.Command, data []byte, read int, call Call) (cid uint16, ok bool) {
+func (s *Session) Submit(c nvme.Command, data []byte, read int, call Callback) (cid uint16, ok bool) {
 	if !s.ready || len(s.free) == 0 {
 		return 0, false
 	}
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -68,7 +68,7 @@
 // readBlock submits a Read of a block, and has its result appended.
 func (c *controller) readBlock(results *[]Result) (cid uint16, ok bool) {
 	done := func(r Result) { *results = append(*results, r) }
-	return c.session.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, testBlock, CallFunc(done))
+	return c.session.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, testBlock, CallbackFunc(done))
 }
 
 func (c *controller) mustReadBlock(t *testing.T, results *[]Result) uint16 {
--- a/initiator/slot.go
+++ b/initiator/slot.go
@@ -9,7 +9,7 @@
 	busy      bool
 	write     bool
 	damaged   bool   // data came with a wrong digest
-	call      Call   // nil: abandoned
+	call      Callback   // nil: abandoned
 	data      []byte // of a Write whose R2T may come, or of a Read
 	readBytes int    // that a Read is to bring
 	received  int    // of them
@@ -25,7 +25,7 @@
 func (v *slot) commandID() uint16 { return v.uses<<slotBits | v.index }
 
 // takeSlot takes a free slot for a command; there must be one.
-func (s *Session) takeSlot(call Call, readBytes int, write bool) *slot {
+func (s *Session) takeSlot(call Callback, readBytes int, write bool) *slot {
 	i := s.free[len(s.free)-1]
 	s.free = s.free[:len(s.free)-1]
 	v := &s.slots[i]
