--- a/fuzzcorpus/mutations.go
+++ b/fuzzcorpus/mutations.go
@@ -153,7 +153,7 @@
 		Target:  "FuzzSequence",
 		File:    "target/transfer.go",
 		Old:     "	if c.state == commandReceiving && s.phase != phaseEnded {",
-		New:     "	if c.state != commandOver {",
+		New:     "	if c.state != commandEnded {",
 		Kind:    "a command may be given up twice",
 	},
 	{
--- a/target/admin.go
+++ b/target/admin.go
@@ -17,7 +17,7 @@
 		s.asyncEvents++
 		return
 	}
-	r := s.admin(c, in)
+	r := s.adminResponse(c, in)
 	if r.data != nil {
 		kind, _, length := c.SGL()
 		if kind != nvme.SGLTransport || int64(length) < int64(len(r.data)) {
@@ -27,10 +27,10 @@
 	s.respond(c.CID(), r)
 }
 
-func (s *Session) admin(c *nvme.Command, in []byte) response {
+func (s *Session) adminResponse(c *nvme.Command, in []byte) response {
 	switch c.Opcode() {
 	case nvme.Fabrics:
-		return s.property(c)
+		return s.propertyResponse(c)
 	case nvme.AdminKeepAlive:
 		return response{status: nvme.Success}
 	case nvme.AdminIdentify:
@@ -40,7 +40,7 @@
 	case nvme.AdminSetFeatures:
 		return s.setFeature(c, in)
 	case nvme.AdminGetFeatures:
-		return s.feature(c)
+		return s.getFeature(c)
 	case nvme.AdminAsyncEvent:
 		return response{status: asyncLimitExceeded}
 	case nvme.AdminAbort:
@@ -59,7 +59,7 @@
 	return response{status: nvme.Success}
 }
 
-func (s *Session) property(c *nvme.Command) response {
+func (s *Session) propertyResponse(c *nvme.Command) response {
 	switch c.FabricsType() {
 	case nvme.FabricsPropertyGet:
 		return s.getProperty(c.PropertyOffset())
@@ -94,7 +94,7 @@
 		return response{status: nvme.Success, dw0: k.config}
 	case nvme.PropertyCSTS:
 		csts := k.config & statusReady
-		if k.isShutDown() {
+		if k.shutdownRequested() {
 			csts |= shutdownComplete
 		}
 		return response{status: nvme.Success, dw0: csts}
@@ -106,7 +106,7 @@
 func (s *Session) setConfig(config uint32) response {
 	k := s.controller
 	k.config = config
-	if !k.isEnabled() || k.isShutDown() {
+	if !k.isEnabled() || k.shutdownRequested() {
 		k.endIOQueues()
 	}
 	return response{status: nvme.Success}
@@ -163,7 +163,7 @@
 const emptyLogLen = 512
 
 func (s *Session) logPage(c *nvme.Command) response {
-	page, ok := s.logContent(uint8(c.DW(10)))
+	page, ok := s.logPageContent(uint8(c.DW(10)))
 	if !ok {
 		return rejected(nvme.InvalidLogPage)
 	}
@@ -177,8 +177,8 @@
 	return response{status: nvme.Success, data: data}
 }
 
-// logContent is a complete log page; ok reports whether there is one of that id.
-func (s *Session) logContent(id uint8) (page []byte, ok bool) {
+// logPageContent is a complete log page; ok reports whether there is one of that id.
+func (s *Session) logPageContent(id uint8) (page []byte, ok bool) {
 	switch id {
 	case nvme.LogError, nvme.LogHealth, nvme.LogFirmware:
 		return make([]byte, emptyLogLen), true
@@ -195,7 +195,7 @@
 	return response{status: nvme.Success, dw0: n | n<<16}
 }
 
-func (s *Session) feature(c *nvme.Command) response {
+func (s *Session) getFeature(c *nvme.Command) response {
 	switch uint8(c.DW(10)) {
 	case nvme.FeatureQueues:
 		return s.queuesResult()
@@ -205,7 +205,7 @@
 		return response{status: nvme.Success}
 	case nvme.FeatureHostBehavior:
 		data := make([]byte, nvme.HostBehaviorLen)
-		if s.controller.honoursDelays {
+		if s.controller.honoursRetryDelays {
 			data[0] = 1 // ACRE
 		}
 		return response{status: nvme.Success, data: data}
@@ -226,7 +226,7 @@
 		if len(in) != nvme.HostBehaviorLen || in[0] > 1 {
 			return rejected(nvme.InvalidField)
 		}
-		s.controller.honoursDelays = in[0] == 1 // ACRE
+		s.controller.honoursRetryDelays = in[0] == 1 // ACRE
 		return response{status: nvme.Success}
 	}
 	return rejected(nvme.InvalidField)
--- a/target/command.go
+++ b/target/command.go
@@ -31,7 +31,7 @@
 	commandReceiving  commandState = iota // an R2T has been sent, or waits for buffers
 	commandAdmitted                       // with the handler
 	commandDiscarding                     // answered while its data still comes
-	commandOver
+	commandEnded
 )
 
 // Complete answers an admitted command, with data for a Read. Data is copied. If the client has gone it does nothing.
@@ -39,9 +39,9 @@
 	if c.state != commandAdmitted {
 		return
 	}
-	c.state = commandOver
+	c.state = commandEnded
 	delete(c.session.commands, c.CID())
-	c.session.endCounting(c)
+	c.session.uncountCommand(c)
 	c.session.respond(c.CID(), response{status, dw0, dw1, data})
 	c.session.connection.flush()
 }
@@ -134,8 +134,8 @@
 	s.commands[c.CID()] = c
 	if c.Opcode() == nvme.Write && len(data) == 0 {
 		s.connection.awaitData(c)
-		s.associations.waiting = append(s.associations.waiting, c)
-		s.associations.grant(s.settings, s.buffers)
+		s.associations.pendingWrites = append(s.associations.pendingWrites, c)
+		s.associations.grantTransfers(s.settings, s.buffers)
 		return
 	}
 	if len(data) > 0 {
@@ -147,8 +147,8 @@
 	s.handler.Admit(c)
 }
 
-// endCounting tells once that a command no longer counts for its client.
-func (s *Session) endCounting(c *Command) {
+// uncountCommand tells once that a command no longer counts for its client.
+func (s *Session) uncountCommand(c *Command) {
 	if c.counted {
 		c.counted = false
 		s.connection.endCommand()
@@ -158,12 +158,12 @@
 // drop forgets a command that is not with the handler.
 func (s *Session) drop(c *Command) {
 	delete(s.commands, c.CID())
-	s.endCounting(c)
-	s.endTransfer(c)
-	c.state = commandOver
+	s.uncountCommand(c)
+	s.releaseTransfer(c)
+	c.state = commandEnded
 	s.buffers.Put(c.Data)
 	c.Data = nil
-	s.associations.grant(s.settings, s.buffers)
+	s.associations.grantTransfers(s.settings, s.buffers)
 }
 
 // abort ends a command for its client; it tells whether there was one to end.
--- a/target/connect.go
+++ b/target/connect.go
@@ -8,21 +8,21 @@
 
 // controller is an association: one admin queue with its I/O queues.
 type controller struct {
-	id            uint16
-	host          string
-	hostID        [16]byte
-	discovery     bool
-	keepAlive     time.Duration
-	config        uint32 // CC
-	honoursDelays bool   // the host's, by ACRE of Host Behavior Support (Base 5.27.1.18)
-	queues        map[uint16]*Session
+	id                 uint16
+	host               string
+	hostID             [16]byte
+	discovery          bool
+	keepAlive          time.Duration
+	config             uint32 // CC
+	honoursRetryDelays bool   // the host's, by ACRE of Host Behavior Support (Base 5.27.1.18)
+	queues             map[uint16]*Session
 }
 
 // isEnabled tells CC.EN (Base 3.1.3.5).
 func (k *controller) isEnabled() bool { return k.config&1 != 0 }
 
-// isShutDown tells CC.SHN: the host has asked for a shutdown.
-func (k *controller) isShutDown() bool { return k.config>>14&3 != 0 }
+// shutdownRequested tells CC.SHN: the host has asked for a shutdown.
+func (k *controller) shutdownRequested() bool { return k.config>>14&3 != 0 }
 
 // endIOQueues ends the connections of the I/O queues.
 func (k *controller) endIOQueues() {
@@ -35,12 +35,12 @@
 
 // associations are the controllers of one server, and the Writes that wait for buffers.
 type associations struct {
-	address  string // of the server
-	lastID   uint16
-	byID     map[uint16]*controller
-	waiting  []*Command // Writes whose R2T has not been sent
-	granting bool       // grant is running
-	again    bool       // it has been called meanwhile
+	address       string // of the server
+	lastID        uint16
+	byID          map[uint16]*controller
+	pendingWrites []*Command // Writes whose R2T has not been sent
+	granting      bool       // grant is running
+	grantAgain    bool       // it has been called meanwhile
 }
 
 // maxControllerID is the largest id that a controller may have (Base 3.1.2).
@@ -58,11 +58,11 @@
 // Where a Connect is wrong, as dword 0 of its completion tells (Base 6.3): IPO, an offset in the command or, with
 // IATTR, in its data.
 const (
-	inData            = 1 << 16
+	offsetInData      = 1 << 16
 	invalidQueueID    = 42
 	invalidQueueSize  = 44
-	invalidController = inData | 16
-	invalidSubsystem  = inData | 256
+	invalidController = offsetInData | 16
+	invalidSubsystem  = offsetInData | 256
 )
 
 func invalidConnect(dw0 uint32) response {
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -15,7 +15,7 @@
 	f.Add([]byte{3, 1, 4, 0x81, 4, 1, 7, 1, 8, 0, 11, 0, 1, 1})
 	f.Add([]byte{2, 7, 5, 7, 4, 7, 2, 7, 4, 7, 9, 0, 12, 0, 13, 0})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		admin, io := pair(t)
+		admin, io := newQueuePair(t)
 		s := &sequence{t: t, admin: admin, io: io, sent: map[uint16]int{}, answered: map[uint16]int{}}
 		for ; len(script) >= 2; script = script[2:] {
 			s.step(script[0], script[1])
@@ -177,7 +177,7 @@
 	}
 	open := 0
 	for _, c := range s.io.admitted {
-		if c.state != commandOver {
+		if c.state != commandEnded {
 			open++
 		}
 		s.io.session.buffers.Put(c.Data) // the handler's
--- a/target/model_test.go
+++ b/target/model_test.go
@@ -77,11 +77,11 @@
 // verdict is what is allowed: one of the statuses as answer, or one of the fatal ones, or, where both are empty, that
 // the frame is accepted without an answer.
 type verdict struct {
-	statuses []nvme.Status
-	fatal    []uint16
-	command  *modelCommand // it began, or its data is complete
-	wantsR2T bool
-	admits   bool
+	statuses   []nvme.Status
+	fatal      []uint16
+	command    *modelCommand // it began, or its data is complete
+	expectsR2T bool
+	admits     bool
 }
 
 func (v *verdict) statusIf(applies bool, s nvme.Status) {
@@ -147,9 +147,9 @@
 	if v.isDecided() {
 		return
 	}
-	v.wantsR2T = f.opcode == nvme.Write && !inCapsule
-	v.admits = !v.wantsR2T
-	v.command = &modelCommand{cid: f.cid, bytes: bytes, receiving: v.wantsR2T, admitted: v.admits}
+	v.expectsR2T = f.opcode == nvme.Write && !inCapsule
+	v.admits = !v.expectsR2T
+	v.command = &modelCommand{cid: f.cid, bytes: bytes, receiving: v.expectsR2T, admitted: v.admits}
 	m.commands = append(m.commands, v.command)
 }
 
--- a/target/modelplay_test.go
+++ b/target/modelplay_test.go
@@ -39,7 +39,7 @@
 
 func newModelPlay(t *testing.T, i nvme.Init) *modelPlay {
 	t.Helper()
-	admin, io := pairWith(t, i)
+	admin, io := newQueuePairWith(t, i)
 	s := io.session
 	m := &model{depth: s.queueSize, namespaces: s.settings.Namespaces, maxTransfer: s.settings.MaxTransfer}
 	return &modelPlay{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
@@ -104,7 +104,7 @@
 		f.data(p.model, n)
 	case playWrongData:
 		f.data(p.model, n)
-		f.spoilData(n, p.dataDigests)
+		f.corruptData(n, p.dataDigests)
 	case playFlush:
 		f.opcode, f.nsid = nvme.Flush, []uint32{1, 5, 2, allNamespaces}[n&3]
 		f.blocks, f.sglLength = 0, 0
@@ -143,8 +143,8 @@
 	}
 }
 
-// spoilData makes data a part, or wrong in one way.
-func (f *frame) spoilData(n byte, digests bool) {
+// corruptData makes data a part, or wrong in one way.
+func (f *frame) corruptData(n byte, digests bool) {
 	switch n >> 5 {
 	case 0:
 		f.size, f.last = min(f.size, testBlock), f.size <= testBlock
@@ -239,8 +239,8 @@
 		p.t.Fatalf("%+v: the connection ended: %v; the model: %v, %v", f, ended, p.model.over, v.fatal)
 	}
 	p.checkStatuses(f, &v, statuses)
-	if admits := len(p.io.admitted) > admitted; r2t != v.wantsR2T || admits != v.admits {
-		p.t.Fatalf("%+v: R2T %v, want %v; admitted %v, want %v", f, r2t, v.wantsR2T, admits, v.admits)
+	if admits := len(p.io.admitted) > admitted; r2t != v.expectsR2T || admits != v.admits {
+		p.t.Fatalf("%+v: R2T %v, want %v; admitted %v, want %v", f, r2t, v.expectsR2T, admits, v.admits)
 	}
 	if v.admits {
 		p.io.admitted[admitted].User = v.command
--- a/target/server.go
+++ b/target/server.go
@@ -67,7 +67,7 @@
 // Release takes back the data of a Write and lets others use the buffer.
 func (s *Server) Release(b []byte) {
 	s.Buffers.Put(b)
-	s.associations.grant(&s.settings, &s.Buffers)
+	s.associations.grantTransfers(&s.settings, &s.Buffers)
 }
 
 // Close stops listening and ends all connections gracefully; closed is called once they are. I/O queues end first, so
@@ -149,6 +149,6 @@
 		commands:     map[uint16]*Command{},
 		transfers:    map[uint16]*Command{},
 	}
-	session.input.FromHost = true
+	session.inputFraming.FromHost = true
 	return session
 }
--- a/target/session.go
+++ b/target/session.go
@@ -31,12 +31,12 @@
 	connection   connection
 	output       *[]byte // of the connection
 
-	phase       phase
-	violated    bool // the connection ends for a violation of the protocol
-	input       nvme.Framing
-	framing     nvme.Framing // of the output
-	connectedAt time.Duration
-	lastInput   time.Duration
+	phase         phase
+	violated      bool // the connection ends for a violation of the protocol
+	inputFraming  nvme.Framing
+	outputFraming nvme.Framing // of the output
+	connectedAt   time.Duration
+	lastInput     time.Duration
 
 	queueID        uint16
 	queueSize      int
@@ -62,7 +62,7 @@
 // Input handles bytes and returns how many it used.
 func (s *Session) Input(now time.Duration, b []byte) (used int) {
 	for s.phase != phaseEnded {
-		p, n, err := s.input.Decode(b[used:])
+		p, n, err := s.inputFraming.Decode(b[used:])
 		if err == nil && n > 0 {
 			used += n
 			s.lastInput = now
@@ -136,13 +136,13 @@
 	if i.Align > maxAlign {
 		return fatalError(nvme.FatalHeaderField, alignField, p, "HPDA is over 31")
 	}
-	s.input = nvme.Framing{
+	s.inputFraming = nvme.Framing{
 		HeaderDigest: i.HeaderDigest,
 		DataDigest:   i.DataDigest,
 		MaxData:      max(s.settings.MaxDataPDU, s.settings.MaxCapsule, nvme.ConnectLen),
 		FromHost:     true,
 	}
-	s.framing = nvme.Framing{
+	s.outputFraming = nvme.Framing{
 		HeaderDigest: i.HeaderDigest,
 		DataDigest:   i.DataDigest,
 		Align:        i.Align,
@@ -190,7 +190,7 @@
 	if s.phase == phaseEnded {
 		return
 	}
-	if s.controller == nil || !s.controller.honoursDelays {
+	if s.controller == nil || !s.controller.honoursRetryDelays {
 		r.status = r.status.WithRetryDelay(0)
 	}
 	s.buffers.Copied(len(r.data))
@@ -205,7 +205,7 @@
 		completion := nvme.NewCompletion(cid, r.status, r.dw0, r.dw1)
 		completion.SetHead(s.queueHead)
 		completion.SetQueue(s.queueID)
-		*s.output = s.framing.AppendCompletion(*s.output, &completion)
+		*s.output = s.outputFraming.AppendCompletion(*s.output, &completion)
 	}
 }
 
@@ -218,7 +218,7 @@
 			flags = lastFlags
 		}
 		header := nvme.DataHeader{Type: nvme.TypeC2HData, Flags: flags, CID: cid, Offset: from}
-		*s.output = s.framing.AppendData(*s.output, header, part)
+		*s.output = s.outputFraming.AppendData(*s.output, header, part)
 	}
 }
 
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -24,8 +24,8 @@
 	hostInput   nvme.Framing // of what it receives
 }
 
-func (h *harness) Admit(c *Command)            { h.admitted = append(h.admitted, c) }
-func (h *harness) ClientGone(c *Command)       { h.gone = append(h.gone, c) }
+func (h *harness) Admit(c *Command)                { h.admitted = append(h.admitted, c) }
+func (h *harness) ClientGone(c *Command)           { h.gone = append(h.gone, c) }
 func (h *harness) LogPage(id uint8) ([]byte, bool) { return []byte{1, 2, 3, 4}, id == nvme.LogLoad }
 
 func (h *harness) flush()                {}
@@ -82,7 +82,7 @@
 		commands:     map[uint16]*Command{},
 		transfers:    map[uint16]*Command{},
 	}
-	h.session.input.FromHost = true
+	h.session.inputFraming.FromHost = true
 	return h
 }
 
@@ -154,14 +154,14 @@
 	return received[0].Completion()
 }
 
-// pair is a live admin queue with a live I/O queue.
-func pair(t *testing.T) (admin, io *harness) {
+// newQueuePair is a live admin queue with a live I/O queue.
+func newQueuePair(t *testing.T) (admin, io *harness) {
 	t.Helper()
-	return pairWith(t, nvme.Init{})
+	return newQueuePairWith(t, nvme.Init{})
 }
 
-// pairWith is a pair whose I/O queue has digests as i says.
-func pairWith(t *testing.T, i nvme.Init) (admin, io *harness) {
+// newQueuePairWith is a pair whose I/O queue has digests as i says.
+func newQueuePairWith(t *testing.T, i nvme.Init) (admin, io *harness) {
 	t.Helper()
 	settings := testSettings()
 	a := &associations{byID: map[uint16]*controller{}, address: "127.0.0.1:4420"}
@@ -205,9 +205,9 @@
 	return c
 }
 
-// TestStatuses sends commands and reads the status that the specification names.
-func TestStatuses(t *testing.T) {
-	admin, io := pair(t)
+// TestCommandStatuses sends commands and reads the status that the specification names.
+func TestCommandStatuses(t *testing.T) {
+	admin, io := newQueuePair(t)
 	rw, sgl := nvme.NewRW, nvme.SGLTransport
 	for _, c := range []struct {
 		name    string
@@ -257,9 +257,9 @@
 	}
 }
 
-// TestSequence sends well-formed PDUs in an impossible order: each ends its connection with a TermReq, and the clients
+// TestInvalidSequences sends well-formed PDUs in an impossible order: each ends its connection with a TermReq, and the clients
 // of admitted commands are gone.
-func TestSequence(t *testing.T) {
+func TestInvalidSequences(t *testing.T) {
 	const cid, size = 3, 512
 	// tagOfWrite sends a Write and returns the tag of its R2T.
 	tagOfWrite := func(io *harness) uint16 {
@@ -293,7 +293,7 @@
 		}, nvme.FatalSequence},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, io := pair(t)
+			_, io := newQueuePair(t)
 			io.send(io.command(30, readOneBlock(), nil))
 			checkTermination(t, io, io.send(c.bytes(io)), c.status)
 		})
@@ -321,7 +321,7 @@
 
 // TestAbort ends an admitted command for its client: once with the status for that, and never again.
 func TestAbort(t *testing.T) {
-	admin, io := pair(t)
+	admin, io := newQueuePair(t)
 	io.send(io.command(7, readOneBlock(), nil))
 	if c := admin.abort(7); c.DW0() != 0 || len(io.gone) != 1 || io.statusOf(io.receive()) != nvme.AbortRequested {
 		t.Error("an admitted command was not aborted")
@@ -339,7 +339,7 @@
 
 // TestAbortTransfer ends a Write that waits for its data: the data that still comes is discarded.
 func TestAbortTransfer(t *testing.T) {
-	admin, io := pair(t)
+	admin, io := newQueuePair(t)
 	received := io.send(io.command(8, transfer(nvme.Write, 0, 2), nil))
 	if c := admin.abort(8); c.DW0() != 0 || io.statusOf(io.receive()) != nvme.AbortRequested {
 		t.Error("a receiving command was not aborted")
@@ -350,9 +350,9 @@
 	}
 }
 
-// TestSameID uses a command id that is in use.
-func TestSameID(t *testing.T) {
-	_, io := pair(t)
+// TestDuplicateCommandID uses a command id that is in use.
+func TestDuplicateCommandID(t *testing.T) {
+	_, io := newQueuePair(t)
 	io.send(io.command(7, readOneBlock(), nil))
 	if s := io.statusOf(io.send(io.command(7, readOneBlock(), nil))); s != nvme.IDConflict {
 		t.Errorf("%#x", s)
--- a/target/termination.go
+++ b/target/termination.go
@@ -13,8 +13,8 @@
 	s.phase = phaseEnded
 	for _, c := range s.openCommands() {
 		if c.state == commandAdmitted {
-			c.state = commandOver
-			s.endCounting(c)
+			c.state = commandEnded
+			s.uncountCommand(c)
 			s.handler.ClientGone(c)
 		} else {
 			s.drop(c)
--- a/target/transfer.go
+++ b/target/transfer.go
@@ -5,33 +5,33 @@
 	"honeyplank/nvme"
 )
 
-// grant sends R2Ts while there are buffers for the data, past those whose client has its share already. One always
+// grantTransfers sends R2Ts while there are buffers for the data, past those whose client has its share already. One always
 // fits, so that none waits forever.
-func (a *associations) grant(settings *Settings, buffers *eventloop.Buffers) {
+func (a *associations) grantTransfers(settings *Settings, buffers *eventloop.Buffers) {
 	if a.granting { // sending an R2T has ended a connection, which gave buffers back
-		a.again = true
+		a.grantAgain = true
 		return
 	}
 	a.granting = true
-	for a.again = true; a.again; {
-		a.again = false
-		a.grantWaiting(settings, buffers)
+	for a.grantAgain = true; a.grantAgain; {
+		a.grantAgain = false
+		a.grantPending(settings, buffers)
 	}
 	a.granting = false
 }
 
-// grantWaiting goes once through the Writes that wait.
-func (a *associations) grantWaiting(settings *Settings, buffers *eventloop.Buffers) {
-	waiting := a.waiting
-	a.waiting = nil
-	for i, c := range waiting {
+// grantPending goes once through the Writes that wait.
+func (a *associations) grantPending(settings *Settings, buffers *eventloop.Buffers) {
+	pendingWrites := a.pendingWrites
+	a.pendingWrites = nil
+	for i, c := range pendingWrites {
 		switch {
 		case c.state != commandReceiving || c.session.phase == phaseEnded:
 		case buffers.InUse > 0 && buffers.InUse+c.Bytes > settings.MaxBuffered:
-			a.waiting = append(a.waiting, waiting[i:]...)
+			a.pendingWrites = append(a.pendingWrites, pendingWrites[i:]...)
 			return
 		case !c.session.connection.reserveBytes(c.Bytes):
-			a.waiting = append(a.waiting, c)
+			a.pendingWrites = append(a.pendingWrites, c)
 		default:
 			c.session.sendR2T(c)
 		}
@@ -46,12 +46,12 @@
 	c.transferTag, c.r2tSent = s.lastTag, true
 	c.Data = s.buffers.Get(c.Bytes)
 	s.transfers[c.transferTag] = c
-	*s.output = s.framing.AppendR2T(*s.output, c.CID(), c.transferTag, 0, c.Bytes)
+	*s.output = s.outputFraming.AppendR2T(*s.output, c.CID(), c.transferTag, 0, c.Bytes)
 	s.connection.flush()
 }
 
-// endTransfer tells once that the bytes of a Write no longer count for its client.
-func (s *Session) endTransfer(c *Command) {
+// releaseTransfer tells once that the bytes of a Write no longer count for its client.
+func (s *Session) releaseTransfer(c *Command) {
 	if c.r2tSent {
 		c.r2tSent = false
 		s.connection.releaseBytes(c.Bytes)
@@ -93,7 +93,7 @@
 // completeTransfer hands over a Write whose data is complete, unless it has been answered.
 func (s *Session) completeTransfer(c *Command) {
 	delete(s.transfers, c.transferTag)
-	s.endTransfer(c)
+	s.releaseTransfer(c)
 	if c.state == commandDiscarding {
 		s.drop(c)
 		return
