--- a/fuzzcorpus/mutations.go
+++ b/fuzzcorpus/mutations.go
@@ -16,8 +16,8 @@
 		Package: "nvme",
 		Target:  "FuzzDecode",
 		File:    "nvme/decode.go",
-		Old:     "if len(b) < headLen {",
-		New:     "if len(b) < headLen-1 {",
+		Old:     "if len(b) < commonHeaderLen {",
+		New:     "if len(b) < commonHeaderLen-1 {",
 		Kind:    "a header one byte short is read",
 	},
 	{
@@ -72,8 +72,8 @@
 		Package: "nvme",
 		Target:  "FuzzFrame",
 		File:    "nvme/decode.go",
-		Old:     "	if len(p.Data) > f.MaxData && layouts",
-		New:     "	if len(p.Data) > f.MaxData+1 && layouts",
+		Old:     "	if len(p.Data) > f.MaxData && pduFormats",
+		New:     "	if len(p.Data) > f.MaxData+1 && pduFormats",
 		Kind:    "data a byte over the bound",
 	},
 	{
--- a/nvme/bench_test.go
+++ b/nvme/bench_test.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// answerHeader is the header of a Read's only data PDU.
-var answerHeader = DataHeader{Type: TypeC2HData, Flags: FlagLast, CID: 1}
+// readDataHeader is the header of a Read's only data PDU.
+var readDataHeader = DataHeader{Type: TypeC2HData, Flags: FlagLast, CID: 1}
 
 // BenchmarkDecode reads what an op costs at the gateway: a Read's command, its data and completion, with and without
 // digests. docs/fuzzing.md has its ratio to earlier versions.
@@ -23,7 +23,7 @@
 		host.FromHost = true
 		c, d := NewRW(Read, 1, 2, 1), NewCompletion(1, Success, 0, 0)
 		command := host.AppendCommand(nil, &c, nil)
-		answer := f.AppendCompletion(f.AppendData(nil, answerHeader, make([]byte, 4096)), &d)
+		answer := f.AppendCompletion(f.AppendData(nil, readDataHeader, make([]byte, 4096)), &d)
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -47,7 +47,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				out = f.AppendCommand(out[:0], &c, nil)
-				out = f.AppendCompletion(f.AppendData(out, answerHeader, data), &d)
+				out = f.AppendCompletion(f.AppendData(out, readDataHeader, data), &d)
 			}
 		})
 	}
--- a/nvme/command.go
+++ b/nvme/command.go
@@ -37,10 +37,10 @@
 
 // Identify CNS values (Base 5.17.2).
 const (
-	IdentifyNamespace   = 0x00
-	IdentifyController  = 0x01
-	IdentifyActiveNamespaces      = 0x02
-	IdentifyDescriptors = 0x03
+	IdentifyNamespace        = 0x00
+	IdentifyController       = 0x01
+	IdentifyActiveNamespaces = 0x02
+	IdentifyDescriptors      = 0x03
 )
 
 // Feature and log page identifiers (Base 5.27.1, 5.16.1).
--- a/nvme/connect.go
+++ b/nvme/connect.go
@@ -56,13 +56,13 @@
 	return ConnectData{
 		HostID:       [16]byte(d[connectHostID:]),
 		ControllerID: binary.LittleEndian.Uint16(d[connectControllerID:]),
-		Subsystem:    text(d[connectSubsystem : connectSubsystem+connectNameLen]),
-		Host:         text(d[connectHost : connectHost+connectNameLen]),
+		Subsystem:    nulTerminated(d[connectSubsystem : connectSubsystem+connectNameLen]),
+		Host:         nulTerminated(d[connectHost : connectHost+connectNameLen]),
 	}
 }
 
-// text is a name without the zeros behind it.
-func text(b []byte) string {
+// nulTerminated is a name without the zeros behind it.
+func nulTerminated(b []byte) string {
 	if i := bytes.IndexByte(b, 0); i >= 0 {
 		b = b[:i]
 	}
--- a/nvme/encode.go
+++ b/nvme/encode.go
@@ -2,16 +2,16 @@
 
 import "encoding/binary"
 
-// begin appends a header with type and flags set and the rest zero; finish completes it.
-func begin(dst []byte, kind, flags uint8, hlen int) []byte {
+// appendHeader appends a header with type and flags set and the rest zero; finish completes it.
+func appendHeader(dst []byte, kind, flags uint8, hlen int) []byte {
 	n := len(dst)
 	dst = append(dst, make([]byte, hlen)...)
 	dst[n], dst[n+1], dst[n+2] = kind, flags, uint8(hlen)
 	return dst
 }
 
-// finish adds digests, padding and data behind a header that begins at dst[start:], and sets the lengths.
-func (f *Framing) finish(dst []byte, start int, data []byte) []byte {
+// finishPDU adds digests, padding and data behind a header that begins at dst[start:], and sets the lengths.
+func (f *Framing) finishPDU(dst []byte, start int, data []byte) []byte {
 	h := dst[start:]
 	hlen := len(h)
 	size := hlen
@@ -48,7 +48,7 @@
 // AppendInit appends an ICReq or ICResp.
 func AppendInit(dst []byte, kind uint8, i Init) []byte {
 	start := len(dst)
-	dst = begin(dst, kind, 0, icLen)
+	dst = appendHeader(dst, kind, 0, icHeaderLen)
 	h := dst[start:]
 	binary.LittleEndian.PutUint16(h[8:], i.Version)
 	h[10] = i.Align
@@ -59,35 +59,35 @@
 		h[11] |= 2
 	}
 	binary.LittleEndian.PutUint32(h[12:], i.Limit)
-	binary.LittleEndian.PutUint32(h[4:], icLen)
+	binary.LittleEndian.PutUint32(h[4:], icHeaderLen)
 	return dst
 }
 
 // AppendTerm appends the TermReq by which the end kind names ends a connection.
 func AppendTerm(dst []byte, kind uint8, e *FatalError) []byte {
 	start := len(dst)
-	dst = begin(dst, kind, 0, termLen)
+	dst = appendHeader(dst, kind, 0, termHeaderLen)
 	h := dst[start:]
 	binary.LittleEndian.PutUint16(h[8:], e.Status)
 	binary.LittleEndian.PutUint32(h[10:], e.Info)
-	binary.LittleEndian.PutUint32(h[4:], uint32(termLen+len(e.Header)))
+	binary.LittleEndian.PutUint32(h[4:], uint32(termHeaderLen+len(e.Header)))
 	return append(dst, e.Header...)
 }
 
 // AppendCommand appends a CapsuleCmd, with in-capsule data where there is some.
 func (f *Framing) AppendCommand(dst []byte, c *Command, data []byte) []byte {
 	start := len(dst)
-	dst = begin(dst, TypeCapsuleCmd, 0, commandCapsuleLen)
-	copy(dst[start+headLen:], c[:])
-	return f.finish(dst, start, data)
+	dst = appendHeader(dst, TypeCapsuleCmd, 0, commandCapsuleLen)
+	copy(dst[start+commonHeaderLen:], c[:])
+	return f.finishPDU(dst, start, data)
 }
 
 // AppendCompletion appends a CapsuleResp.
 func (f *Framing) AppendCompletion(dst []byte, c *Completion) []byte {
 	start := len(dst)
-	dst = begin(dst, TypeCapsuleResp, 0, responseCapsuleLen)
-	copy(dst[start+headLen:], c[:])
-	return f.finish(dst, start, nil)
+	dst = appendHeader(dst, TypeCapsuleResp, 0, responseCapsuleLen)
+	copy(dst[start+commonHeaderLen:], c[:])
+	return f.finishPDU(dst, start, nil)
 }
 
 // DataHeader is the header of an H2CData or C2HData PDU, without lengths.
@@ -102,17 +102,17 @@
 // AppendData appends one H2CData or C2HData PDU.
 func (f *Framing) AppendData(dst []byte, h DataHeader, data []byte) []byte {
 	start := len(dst)
-	dst = begin(dst, h.Type, h.Flags, dataLen)
+	dst = appendHeader(dst, h.Type, h.Flags, dataHeaderLen)
 	putData(dst[start:], h.CID, h.TTAG, uint32(h.Offset), uint32(len(data)))
-	return f.finish(dst, start, data)
+	return f.finishPDU(dst, start, data)
 }
 
 // AppendR2T appends an R2T for length bytes from offset.
 func (f *Framing) AppendR2T(dst []byte, cid, ttag uint16, offset, length int) []byte {
 	start := len(dst)
-	dst = begin(dst, TypeR2T, 0, dataLen)
+	dst = appendHeader(dst, TypeR2T, 0, dataHeaderLen)
 	putData(dst[start:], cid, ttag, uint32(offset), uint32(length))
-	return f.finish(dst, start, nil)
+	return f.finishPDU(dst, start, nil)
 }
 
 func putData(h []byte, cid, ttag uint16, offset, length uint32) {
--- a/nvme/frame_test.go
+++ b/nvme/frame_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// form is what the specification says of a PDU type, in other words than the decoder's layout (TCP 3.6.2).
-type form struct {
+// specFormat is what the specification says of a PDU type, in other words than the decoder's layout (TCP 3.6.2).
+type specFormat struct {
 	fromHost, data, digests bool
 	header                  int
 }
 
-var forms = map[byte]form{
+var specFormats = map[byte]specFormat{
 	0x00: {true, false, false, 128},
 	0x01: {false, false, false, 128},
 	0x02: {true, true, false, 24},
@@ -32,7 +32,7 @@
 // modelDecode is the slow and simple model: every rule there is on the fields of a PDU. It tells whether a whole buffer
 // begins with a PDU.
 func modelDecode(f Framing, b []byte) (pdu modelPDU, valid bool) {
-	g, known := forms[b[0]]
+	g, known := specFormats[b[0]]
 	if !known || g.fromHost != f.FromHost || int(b[2]) != g.header {
 		return modelPDU{}, false
 	}
@@ -55,7 +55,7 @@
 	if !g.digests { // a TermReq: its data follows its header
 		return pdu, pdu.size <= g.header+128
 	}
-	if pdu.size > body && !modelPlaceData(f.DataDigest && g.data, b, &pdu) {
+	if pdu.size > body && !modelLocateData(f.DataDigest && g.data, b, &pdu) {
 		return modelPDU{}, false
 	}
 	size := pdu.dataTo - pdu.dataFrom
@@ -67,8 +67,8 @@
 	return pdu, size <= f.MaxData
 }
 
-// modelPlaceData sets where the data is of a PDU that has some behind its header.
-func modelPlaceData(digest bool, b []byte, pdu *modelPDU) (valid bool) {
+// modelLocateData sets where the data is of a PDU that has some behind its header.
+func modelLocateData(digest bool, b []byte, pdu *modelPDU) (valid bool) {
 	body := pdu.dataFrom
 	pdu.dataFrom = int(b[3])
 	if pdu.dataFrom < body || pdu.dataFrom > pdu.size || pdu.dataFrom%4 != 0 || (b[1]&2 == 2) != digest {
@@ -97,7 +97,7 @@
 	f.Add(byte(15), byte(4), byte(0), int8(4), int8(0), int16(0), byte(8), int8(0))
 	f.Add(byte(15), byte(4), byte(0), int8(0), int8(0), int16(0), byte(65), int8(0))
 	f.Fuzz(func(t *testing.T, how, kind, flags byte, header, offset int8, length int16, data byte, stated int8) {
-		framing := framings()[how&7]
+		framing := allFramings()[how&7]
 		framing.FromHost, framing.MaxData = how&8 != 0, 64
 		fields := wrongFields{kind, flags, int(header), int(offset), int(length), int(data), int(stated)}
 		if b := fields.encode(framing); b != nil {
@@ -116,12 +116,12 @@
 
 // encode makes the bytes of a PDU with room behind it; nil where the fields can't be written.
 func (w wrongFields) encode(f Framing) []byte {
-	headerLen := forms[w.kind].header + w.header
+	headerLen := specFormats[w.kind].header + w.header
 	if headerLen < 8 || headerLen > 255 {
 		return nil
 	}
-	headerDigest := f.HeaderDigest && forms[w.kind].digests
-	dataDigest := f.DataDigest && forms[w.kind].digests
+	headerDigest := f.HeaderDigest && specFormats[w.kind].digests
+	dataDigest := f.DataDigest && specFormats[w.kind].digests
 	body, flags := headerLen, w.flags
 	if headerDigest {
 		body, flags = body+4, flags^FlagHeaderDigest
--- a/nvme/fuzz_test.go
+++ b/nvme/fuzz_test.go
@@ -8,7 +8,7 @@
 // FuzzDecode decodes bytes at once and byte by byte; both must agree, use no more than there is, keep within the
 // bound, and what a PDU is encoded to again must decode to the same.
 func FuzzDecode(f *testing.F) {
-	for i, framing := range framings() {
+	for i, framing := range allFramings() {
 		c := NewRW(Write, 1, 2, 1)
 		framing.FromHost = true
 		written := DataHeader{Type: TypeH2CData, Flags: FlagLast, CID: 1, TTAG: 2}
@@ -24,7 +24,7 @@
 	f.Add(byte(0), AppendInit(nil, TypeICResp, Init{Limit: 4096}))
 	f.Add(byte(8), AppendTerm(nil, TypeH2CTermReq, &FatalError{Status: 1, Header: make([]byte, 24)}))
 	f.Fuzz(func(t *testing.T, how byte, b []byte) {
-		framing := framings()[how&7]
+		framing := allFramings()[how&7]
 		framing.FromHost = how&8 != 0
 		p, used, err := framing.Decode(b)
 		isTermReq := p.Type == TypeH2CTermReq || p.Type == TypeC2HTermReq
--- a/nvme/identify.go
+++ b/nvme/identify.go
@@ -25,9 +25,9 @@
 	at := len(dst)
 	dst = append(dst, make([]byte, IdentifyLen)...)
 	d, le := dst[at:], binary.LittleEndian
-	padded(d[4:24], c.Serial)
-	padded(d[24:64], c.Model)
-	padded(d[64:72], "1")
+	putPadded(d[4:24], c.Serial)
+	putPadded(d[24:64], c.Model)
+	putPadded(d[64:72], "1")
 	d[77] = c.MaxTransfer
 	le.PutUint16(d[78:], c.ID)
 	le.PutUint32(d[80:], Version)
@@ -71,7 +71,7 @@
 // Version is VS for revision 2.0 (Base 3.1.3.2).
 const Version = 0x00020000
 
-func padded(dst []byte, s string) {
+func putPadded(dst []byte, s string) {
 	for i := copy(dst, s); i < len(dst); i++ {
 		dst[i] = ' '
 	}
@@ -140,8 +140,8 @@
 	e[0], e[1], e[2] = 3, 1, 2 // TRTYPE TCP, ADRFAM IPv4, SUBTYPE NVM subsystem
 	le.PutUint16(e[6:], DynamicController)
 	le.PutUint16(e[8:], 32) // ASQSZ
-	padded(e[32:64], port)
+	putPadded(e[32:64], port)
 	copy(e[256:512], subsystem)
-	padded(e[512:768], address)
+	putPadded(e[512:768], address)
 	return dst
 }
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -12,8 +12,8 @@
 	"honeyplank/internal/heap"
 )
 
-// framings are all that two ends can agree on here.
-func framings() (list []Framing) {
+// allFramings are all that two ends can agree on here.
+func allFramings() (list []Framing) {
 	for i := range 8 {
 		f := Framing{HeaderDigest: i&1 != 0, DataDigest: i&2 != 0, MaxData: 1 << 16}
 		if i&4 != 0 {
@@ -30,8 +30,8 @@
 	data []byte
 }
 
-// sample is a stream of PDUs of one end, and what they carry.
-func sample(f Framing, rng *rand.Rand) (stream []byte, sent []sentPDU) {
+// sampleStream is a stream of PDUs of one end, and what they carry.
+func sampleStream(f Framing, rng *rand.Rand) (stream []byte, sent []sentPDU) {
 	for range 20 {
 		data := make([]byte, 4*(1+rng.Intn(3000)))
 		for i := range data {
@@ -55,13 +55,13 @@
 	return stream, sent
 }
 
-// TestPieces decodes a stream whole and in pieces of several sizes; each must give what was sent.
-func TestPieces(t *testing.T) {
+// TestDecodeInPieces decodes a stream whole and in pieces of several sizes; each must give what was sent.
+func TestDecodeInPieces(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	for _, f := range framings() {
+	for _, f := range allFramings() {
 		for _, fromHost := range []bool{true, false} {
 			f.FromHost = fromHost
-			stream, sent := sample(f, rng)
+			stream, sent := sampleStream(f, rng)
 			for _, size := range []int{1, 3, 7, 100, 4096, len(stream)} {
 				t.Run(fmt.Sprintf("%+v in pieces of %d", f, size), func(t *testing.T) {
 					decodePieces(t, f, slices.Collect(slices.Chunk(stream, size)), sent)
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestDamage flips every bit of a PDU with digests: no damage goes undetected.
-func TestDamage(t *testing.T) {
+// TestBitFlipsDetected flips every bit of a PDU with digests: no damage goes undetected.
+func TestBitFlipsDetected(t *testing.T) {
 	f := Framing{HeaderDigest: true, DataDigest: true, MaxData: 1 << 16, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
 	pdu := f.AppendCommand(nil, &c, bytes.Repeat([]byte{7}, 64))
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestWrongHeaders decodes headers whose lengths are not what the type allows.
-func TestWrongHeaders(t *testing.T) {
+// TestInvalidHeadersRejected decodes headers whose lengths are not what the type allows.
+func TestInvalidHeadersRejected(t *testing.T) {
 	f := Framing{MaxData: 8192, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
 	valid := f.AppendCommand(nil, &c, make([]byte, 64))
@@ -136,7 +136,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := bytes.Clone(valid)
 			change(b)
-			_, used, err := f.Decode(b[:headLen]) // before a byte of the rest is there
+			_, used, err := f.Decode(b[:commonHeaderLen]) // before a byte of the rest is there
 			if err == nil {
 				_, used, err = f.Decode(b)
 			}
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestIdentify reads back the Identify data structures.
-func TestIdentify(t *testing.T) {
+// TestIdentifyRoundTrip reads back the Identify data structures.
+func TestIdentifyRoundTrip(t *testing.T) {
 	d := AppendController(nil, Controller{ID: 3, RetryDelay: [3]uint16{1, 2, 3}, CapsuleBytes: 64 + 8192})
 	if len(d) != IdentifyLen || CapsuleBytes(d) != 64+8192 || RetryDelays(d) != [3]uint16{1, 2, 3} {
 		t.Error("Identify Controller")
@@ -162,16 +162,16 @@
 	}
 }
 
-// TestConnectData reads back the data of a Connect.
-func TestConnectData(t *testing.T) {
+// TestConnectDataRoundTrip reads back the data of a Connect.
+func TestConnectDataRoundTrip(t *testing.T) {
 	want := ConnectData{HostID: [16]byte{1}, ControllerID: 5, Subsystem: "a", Host: "b"}
 	if got := ParseConnectData(AppendConnectData(nil, want)); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
 
-// TestCompletion reads back a completion with a load report.
-func TestCompletion(t *testing.T) {
+// TestCompletionRoundTrip reads back a completion with a load report.
+func TestCompletionRoundTrip(t *testing.T) {
 	load := Load{1, 2, 3, 4}
 	dw0, dw1 := load.Dwords()
 	c := NewCompletion(9, Rejected.WithRetryDelay(2), dw0, dw1)
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestNoAllocation decodes valid PDUs without an allocation.
-func TestNoAllocation(t *testing.T) {
+// TestDecodeDoesNotAllocate decodes valid PDUs without an allocation.
+func TestDecodeDoesNotAllocate(t *testing.T) {
 	f := Framing{MaxData: 64 << 10, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
 	header := DataHeader{Type: TypeH2CData, Flags: FlagLast, CID: 1, TTAG: 1}
@@ -219,9 +219,9 @@
 	return nil
 }
 
-// TestWrongLengthAllocation decodes headers whose lengths are wrong: nothing is allocated for what a length states,
+// TestWrongLengthsDoNotAllocate decodes headers whose lengths are wrong: nothing is allocated for what a length states,
 // only the error that tells of it.
-func TestWrongLengthAllocation(t *testing.T) {
+func TestWrongLengthsDoNotAllocate(t *testing.T) {
 	f := Framing{MaxData: 64 << 10, FromHost: true}
 	for _, length := range []uint32{0, 1, 71, 73, 64 << 10, 64<<10 + 72, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1} {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
--- a/nvme/pdu.go
+++ b/nvme/pdu.go
@@ -46,16 +46,16 @@
 )
 
 const (
-	headLen   = 8 // of the common header
-	digestLen = 4
+	commonHeaderLen = 8 // of the common header
+	digestLen       = 4
 
-	commandCapsuleLen  = headLen + CommandLen
-	responseCapsuleLen = headLen + CompletionLen
+	commandCapsuleLen  = commonHeaderLen + CommandLen
+	responseCapsuleLen = commonHeaderLen + CompletionLen
 
-	icLen    = 128
-	dataLen  = 24
-	termLen  = 24
-	termData = 128 // most bytes of the offending header that a TermReq repeats
+	icHeaderLen   = 128
+	dataHeaderLen = 24
+	termHeaderLen = 24
+	maxTermData   = 128 // most bytes of the offending header that a TermReq repeats
 	// MaxDataOffset is the largest data offset a header can state (one byte, TCP 3.6.1).
 	MaxDataOffset = 255
 )
@@ -70,8 +70,8 @@
 
 func (e *FatalError) Error() string { return fmt.Sprintf("nvme/tcp: %s (FES %d)", e.Text, e.Status) }
 
-func fatal(status uint16, info uint32, header []byte, format string, a ...any) error {
-	header = append([]byte(nil), header[:min(len(header), termData)]...)
+func fatalErrorf(status uint16, info uint32, header []byte, format string, a ...any) error {
+	header = append([]byte(nil), header[:min(len(header), maxTermData)]...)
 	return &FatalError{status, info, fmt.Sprintf(format, a...), header}
 }
 
