--- a/fuzzcorpus/mutations.go
+++ b/fuzzcorpus/mutations.go
@@ -200,8 +200,8 @@
 		Package: "initiator",
 		Target:  "FuzzController",
 		File:    "initiator/slot.go",
-		Old:     "	s.free = append(s.free, v.index)\n	if call",
-		New:     "	s.free = append(s.free, v.index, v.index)\n	if call",
+		Old:     "	s.free = append(s.free, v.index)\n	if callback",
+		New:     "	s.free = append(s.free, v.index, v.index)\n	if callback",
 		Kind:    "a slot is freed twice",
 	},
 	{
--- a/initiator/admin.go
+++ b/initiator/admin.go
@@ -5,21 +5,21 @@
 )
 
 // Identify sends an Identify.
-func (a *Association) Identify(cns uint8, nsid uint32, call Callback) {
+func (a *Association) Identify(cns uint8, nsid uint32, callback Callback) {
 	c := nvme.Command{nvme.AdminIdentify}
 	c.SetNSID(nsid)
 	c.SetDW(10, uint32(cns))
-	a.Admin.Submit(c, nil, nvme.IdentifyLen, call)
+	a.Admin.Submit(c, nil, nvme.IdentifyLen, callback)
 }
 
 // GetLogPage asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
-func (a *Association) GetLogPage(id uint8, n int, call Callback) bool {
+func (a *Association) GetLogPage(id uint8, n int, callback Callback) bool {
 	if !a.IsReady() {
 		return false
 	}
 	c := nvme.Command{nvme.AdminGetLogPage}
 	c.SetDW(10, uint32(id)|uint32(n/4-1)<<16) // NUMD, 0's based dwords
-	_, ok := a.Admin.Submit(c, nil, n, call)
+	_, ok := a.Admin.Submit(c, nil, n, callback)
 	return ok
 }
 
@@ -36,7 +36,7 @@
 	}
 	if a.Admin.Free() > adminDepth/2 {
 		answered := func(Result) { a.keepAliveAnswered = a.loop.Now() }
-		a.Admin.Submit(nvme.Command{nvme.AdminKeepAlive}, nil, 0, a.step("Keep Alive", answered))
+		a.Admin.Submit(nvme.Command{nvme.AdminKeepAlive}, nil, 0, a.mustSucceed("Keep Alive", answered))
 	}
 	a.timer = a.loop.Schedule(now+a.settings.KeepAlive/keepAliveAttempts, a.sendKeepAlive)
 }
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -69,7 +69,7 @@
 	conns             [queueCount]*eventloop.Conn
 	sessions          [queueCount]*Session
 	controllerID      uint16
-	ioCapsule         int // bytes of data in a capsule of the I/O queue
+	ioMaxCapsule      int // bytes of data in a capsule of the I/O queue
 	ready             bool
 	closed            bool
 	timer             *eventloop.Timer // of the handshake, then of Keep Alive
@@ -118,7 +118,7 @@
 		buffers: &a.Buffers,
 		output:  &c.Output,
 		flush:   c.Send,
-		onReady: func() { a.join(q.id) },
+		onReady: func() { a.sendConnect(q.id) },
 	}
 	if q.id == ioQueue {
 		options.depth, options.maxData = a.settings.Depth, max(a.settings.MaxData, nvme.IdentifyLen)
@@ -159,7 +159,7 @@
 			conn.CloseGracefully()
 		}
 		if s := a.sessions[id]; s != nil {
-			s.lose()
+			s.endInFlight()
 		}
 	}
 }
--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -91,7 +91,7 @@
 		return
 	}
 	s.session.Abandon(cid)
-	if s.ended[number] == 0 && s.session.find(cid) != nil {
+	if s.ended[number] == 0 && s.session.findSlot(cid) != nil {
 		s.abandoned[number] = true
 	}
 }
@@ -114,7 +114,7 @@
 
 func (s *sequence) finish(t *testing.T) {
 	t.Helper()
-	s.session.lose()
+	s.session.endInFlight()
 	for number := range s.ids {
 		if n := s.ended[number]; n > 1 || n == 0 && !s.abandoned[number] {
 			t.Fatalf("command %d ended %d times", number, n)
--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -7,11 +7,11 @@
 	"honeyplank/nvme"
 )
 
-// join sends the Connect of a queue, whose connection is ready.
-func (a *Association) join(id queueID) {
-	size, controllerID, next := adminDepth+1, uint16(nvme.DynamicController), a.adminJoined
+// sendConnect sends the Connect of a queue, whose connection is ready.
+func (a *Association) sendConnect(id queueID) {
+	size, controllerID, next := adminDepth+1, uint16(nvme.DynamicController), a.adminConnected
 	if id == ioQueue {
-		size, controllerID, next = a.settings.Depth+1, a.controllerID, a.ioJoined
+		size, controllerID, next = a.settings.Depth+1, a.controllerID, a.ioConnected
 	}
 	s := a.sessions[id]
 	s.MaxCapsule = nvme.ConnectLen
@@ -22,24 +22,24 @@
 		Subsystem:    a.settings.Subsystem,
 		Host:         a.settings.Host,
 	}
-	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.step("Connect", next))
+	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.mustSucceed("Connect", next))
 }
 
-// step is a Call that ends the association if its command fails.
-func (a *Association) step(what string, next func(Result)) Callback {
+// mustSucceed is a Call that ends the association if its command fails.
+func (a *Association) mustSucceed(commandName string, next func(Result)) Callback {
 	return CallbackFunc(func(r Result) {
 		switch {
 		case r.ConnectionLost || a.closed:
 		case r.Status() != nvme.Success:
-			a.end(fmt.Errorf("initiator: %s was answered with status %#x", what, r.Status()))
+			a.end(fmt.Errorf("initiator: %s was answered with status %#x", commandName, r.Status()))
 		default:
 			next(r)
 		}
 	})
 }
 
-// adminJoined sets CC.EN (Base 3.5.1, 3.1.3.5) and waits until the controller is ready.
-func (a *Association) adminJoined(r Result) {
+// adminConnected sets CC.EN (Base 3.5.1, 3.1.3.5) and waits until the controller is ready.
+func (a *Association) adminConnected(r Result) {
 	const enabled = 1 | 6<<16 | 4<<20 // EN, IOSQES, IOCQES
 	a.controllerID = uint16(r.DW0())
 	a.Admin = a.sessions[adminQueue]
@@ -48,14 +48,14 @@
 		a.settings.Depth = min(a.settings.Depth, maxEntries)
 	})
 	enable := nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, enabled)
-	a.Admin.Submit(enable, nil, 0, a.step("Property Set", func(Result) {
+	a.Admin.Submit(enable, nil, 0, a.mustSucceed("Property Set", func(Result) {
 		a.getProperty(nvme.PropertyCSTS, a.enabled)
 	}))
 }
 
 func (a *Association) getProperty(offset uint32, next func(Result)) {
 	get := nvme.NewProperty(nvme.FabricsPropertyGet, offset, 0)
-	a.Admin.Submit(get, nil, 0, a.step("Property Get", next))
+	a.Admin.Submit(get, nil, 0, a.mustSucceed("Property Get", next))
 }
 
 // enabled reads CSTS.RDY, then asks who the controller is.
@@ -64,7 +64,7 @@
 		a.end(errNotReady)
 		return
 	}
-	a.Identify(nvme.IdentifyController, 0, a.step("Identify", a.identified))
+	a.Identify(nvme.IdentifyController, 0, a.mustSucceed("Identify", a.identified))
 }
 
 // identified connects the I/O queue by what the controller tells.
@@ -73,7 +73,7 @@
 		a.end(errNoIdentifyData)
 		return
 	}
-	a.ioCapsule = max(nvme.CapsuleBytes(r.Data)-nvme.CommandLen, 0)
+	a.ioMaxCapsule = max(nvme.CapsuleBytes(r.Data)-nvme.CommandLen, 0)
 	a.RetryDelays = nvme.RetryDelays(r.Data)
 	if a.RetryDelays != [3]uint16{} {
 		a.honourRetryDelays()
@@ -95,10 +95,10 @@
 	a.Admin.Submit(c, behaviour, 0, CallbackFunc(func(Result) {}))
 }
 
-// ioJoined makes the association ready.
-func (a *Association) ioJoined(Result) {
+// ioConnected makes the association ready.
+func (a *Association) ioConnected(Result) {
 	a.IO = a.sessions[ioQueue]
-	a.IO.MaxCapsule = a.ioCapsule
+	a.IO.MaxCapsule = a.ioMaxCapsule
 	a.ready = true
 	a.loop.Cancel(a.timer)
 	a.keepAliveAnswered = a.loop.Now()
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -32,7 +32,7 @@
 	f.Add(byte(2), []byte{8, 0, 4, 0, 0, 0, 9, 1, 4, 1})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
 		c := newController(true)
-		c.accept(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
+		c.sendICResp(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
 		c.session.MaxCapsule = inCapsuleBytes
 		p := &modelPlay{controller: c, t: t}
 		for ; len(script) >= 2 && !p.over; script = script[2:] {
@@ -275,7 +275,7 @@
 
 func (p *modelPlay) finish() {
 	p.t.Helper()
-	p.session.lose()
+	p.session.endInFlight()
 	for number, m := range p.commands {
 		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].ConnectionLost {
 			p.t.Fatalf("command %d: %+v", number, m)
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -37,12 +37,12 @@
 	// MaxCapsule is how much data may travel in a command's capsule.
 	MaxCapsule int
 
-	options sessionOptions
-	input   nvme.Framing
-	framing nvme.Framing // of the output
-	ready   bool
-	slots   []slot
-	free    []uint16 // indices of slots
+	options       sessionOptions
+	inputFraming  nvme.Framing
+	outputFraming nvme.Framing // of the output
+	ready         bool
+	slots         []slot
+	free          []uint16 // indices of slots
 }
 
 // sessionOptions are a session's bounds and its connection.
@@ -59,7 +59,7 @@
 // newSession makes a session and sends its ICReq.
 func newSession(o sessionOptions) *Session {
 	s := &Session{options: o, slots: make([]slot, o.depth), free: make([]uint16, 0, o.depth)}
-	s.input.MaxData = o.maxData
+	s.inputFraming.MaxData = o.maxData
 	for i := o.depth - 1; i >= 0; i-- {
 		s.free = append(s.free, uint16(i))
 	}
@@ -74,11 +74,11 @@
 
 // Submit sends a command with the data of a Write, or expecting read bytes. Data is copied. It returns the command
 // id.
-func (s *Session) Submit(c nvme.Command, data []byte, read int, call Callback) (cid uint16, ok bool) {
+func (s *Session) Submit(c nvme.Command, data []byte, readBytes int, callback Callback) (cid uint16, ok bool) {
 	if !s.ready || len(s.free) == 0 {
 		return 0, false
 	}
-	v := s.takeSlot(call, read, len(data) > 0)
+	v := s.takeSlot(callback, readBytes, len(data) > 0)
 	c.SetCID(v.commandID())
 	inCapsule := data
 	switch {
@@ -91,9 +91,9 @@
 	case len(data) > 0:
 		c.SetSGL(nvme.SGLInCapsule, len(data))
 	default:
-		c.SetSGL(nvme.SGLTransport, read)
+		c.SetSGL(nvme.SGLTransport, readBytes)
 	}
-	*s.options.output = s.framing.AppendCommand(*s.options.output, &c, inCapsule)
+	*s.options.output = s.outputFraming.AppendCommand(*s.options.output, &c, inCapsule)
 	s.options.buffers.Copied(len(inCapsule))
 	cid = v.commandID()
 	s.options.flush()
@@ -102,8 +102,8 @@
 
 // Abandon discards a command's answer; its id stays in use until the answer has come.
 func (s *Session) Abandon(cid uint16) {
-	if v := s.find(cid); v != nil {
-		v.call = nil
+	if v := s.findSlot(cid); v != nil {
+		v.callback = nil
 	}
 }
 
@@ -115,7 +115,7 @@
 // Input handles bytes and returns how many it used; after an error the connection must be closed.
 func (s *Session) Input(b []byte) (used int, err error) {
 	for {
-		p, n, err := s.input.Decode(b[used:])
+		p, n, err := s.inputFraming.Decode(b[used:])
 		if err == nil && n > 0 {
 			used += n
 			err = s.handlePDU(&p)
@@ -167,8 +167,8 @@
 		return protocolError(nvme.FatalUnsupportedParameter, p,
 			"ICResp with PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
 	}
-	s.input.HeaderDigest, s.input.DataDigest = i.HeaderDigest, i.DataDigest
-	s.framing = nvme.Framing{
+	s.inputFraming.HeaderDigest, s.inputFraming.DataDigest = i.HeaderDigest, i.DataDigest
+	s.outputFraming = nvme.Framing{
 		HeaderDigest: i.HeaderDigest,
 		DataDigest:   i.DataDigest,
 		Align:        i.Align,
@@ -183,7 +183,7 @@
 // handleCompletion ends a command. A success before all data was transferred can't be one.
 func (s *Session) handleCompletion(p *nvme.PDU) error {
 	c := p.Completion()
-	v := s.find(c.CID())
+	v := s.findSlot(c.CID())
 	if v == nil {
 		return protocolError(nvme.FatalSequence, p, "an answer to command id %d, which is not in flight", c.CID())
 	}
@@ -200,22 +200,22 @@
 
 // complete ends a command with its completion; damaged data turns a success into a transport error.
 func (s *Session) complete(v *slot, c nvme.Completion) {
-	if v.damaged && c.Status() == nvme.Success {
+	if v.dataDigestError && c.Status() == nvme.Success {
 		c = nvme.NewCompletion(c.CID(), nvme.TransientTransport, 0, 0)
 	}
 	r := Result{Completion: c}
 	if !v.write && c.Status() == nvme.Success {
 		r.Data = v.data
 	}
-	s.end(v, r)
+	s.endSlot(v, r)
 }
 
-// lose ends every command that is in flight.
-func (s *Session) lose() {
+// endInFlight ends every command that is in flight.
+func (s *Session) endInFlight() {
 	s.ready = false
 	for i := range s.slots {
 		if s.slots[i].busy {
-			s.end(&s.slots[i], Result{ConnectionLost: true})
+			s.endSlot(&s.slots[i], Result{ConnectionLost: true})
 		}
 	}
 }
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -39,8 +39,8 @@
 	return c
 }
 
-// accept sends the ICResp.
-func (c *controller) accept(t *testing.T, i nvme.Init) {
+// sendICResp sends the ICResp.
+func (c *controller) sendICResp(t *testing.T, i nvme.Init) {
 	t.Helper()
 	i.Limit = maxPDUData
 	if err := c.send(nvme.AppendInit(nil, nvme.TypeICResp, i)); err != nil {
@@ -56,7 +56,7 @@
 func readyController(t *testing.T) *controller {
 	t.Helper()
 	c := newController(false)
-	c.accept(t, nvme.Init{})
+	c.sendICResp(t, nvme.Init{})
 	return c
 }
 
@@ -106,7 +106,7 @@
 func (c *controller) abandoned() int {
 	n := 0
 	for _, v := range c.session.slots {
-		if v.busy && v.call == nil {
+		if v.busy && v.callback == nil {
 			n++
 		}
 	}
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestSequence has a controller send well-formed PDUs in an impossible order: each ends the connection, and every
+// TestInvalidSequences has a controller send well-formed PDUs in an impossible order: each ends the connection, and every
 // command still ends once.
-func TestSequence(t *testing.T) {
+func TestInvalidSequences(t *testing.T) {
 	for name, bytes := range map[string]func(c *controller, cid uint16) []byte{
 		"an answer to what was never sent": func(c *controller, cid uint16) []byte { return c.success(cid + 1) },
 		"an answer to an earlier use": func(c *controller, cid uint16) []byte {
@@ -155,7 +155,7 @@
 			if !errors.As(err, &fatal) {
 				t.Errorf("%v", err)
 			}
-			c.session.lose()
+			c.session.endInFlight()
 			if len(results) != 1 {
 				t.Errorf("the command ended %d times", len(results))
 			}
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestLateAnswer abandons a command and uses every id that is free: the late answer is discarded, and its id comes back
+// TestLateAnswerToAbandonedCommand abandons a command and uses every id that is free: the late answer is discarded, and its id comes back
 // only then.
-func TestLateAnswer(t *testing.T) {
+func TestLateAnswerToAbandonedCommand(t *testing.T) {
 	c := readyController(t)
 	var first, others []Result
 	cid := c.mustReadBlock(t, &first)
--- a/initiator/transfer.go
+++ b/initiator/transfer.go
@@ -6,7 +6,7 @@
 
 // handleData handles data of a Read.
 func (s *Session) handleData(p *nvme.PDU) error {
-	v := s.find(p.CCCID())
+	v := s.findSlot(p.CCCID())
 	if v == nil || v.write {
 		return protocolError(nvme.FatalSequence, p, "data for command id %d, which reads nothing", p.CCCID())
 	}
@@ -15,7 +15,7 @@
 		return protocolError(nvme.FatalDataRange, p,
 			"data from %d to %d of %d, %d have come", from, from+int64(n), v.readBytes, v.received)
 	}
-	if v.call != nil {
+	if v.callback != nil {
 		if v.data == nil {
 			v.data = s.options.buffers.Get(v.readBytes)
 		}
@@ -23,7 +23,7 @@
 		s.options.buffers.Copied(n)
 	}
 	v.received += n
-	v.damaged = v.damaged || p.DataDigestError
+	v.dataDigestError = v.dataDigestError || p.DataDigestError
 	if p.Flags&nvme.FlagSuccess == 0 {
 		return nil
 	}
@@ -36,7 +36,7 @@
 
 // handleR2T sends the data of a Write that the controller asks for.
 func (s *Session) handleR2T(p *nvme.PDU) error {
-	v := s.find(p.CCCID())
+	v := s.findSlot(p.CCCID())
 	if v == nil || !v.write || v.data == nil {
 		return protocolError(nvme.FatalSequence, p, "R2T for command id %d, which has nothing to send", p.CCCID())
 	}
@@ -52,13 +52,13 @@
 
 // sendData answers an R2T with the data from an offset on, in as many PDUs as the controller's bound needs.
 func (s *Session) sendData(r2t *nvme.PDU, data []byte, from int) {
-	for ; from < len(data); from += s.framing.MaxData {
-		part := data[from:min(from+s.framing.MaxData, len(data))]
+	for ; from < len(data); from += s.outputFraming.MaxData {
+		part := data[from:min(from+s.outputFraming.MaxData, len(data))]
 		header := nvme.DataHeader{Type: nvme.TypeH2CData, CID: r2t.CCCID(), TTAG: r2t.TTAG(), Offset: from}
 		if from+len(part) == len(data) {
 			header.Flags = nvme.FlagLast
 		}
 		s.options.buffers.Copied(len(part))
-		*s.options.output = s.framing.AppendData(*s.options.output, header, part)
+		*s.options.output = s.outputFraming.AppendData(*s.options.output, header, part)
 	}
 }
