--- a/target/admin.go
+++ b/target/admin.go
@@ -8,10 +8,10 @@
 	"honeyplank/nvme"
 )
 
-// asyncLimitExceeded is Asynchronous Event Request Limit Exceeded.
+// asyncLimitExceeded is the status Asynchronous Event Request Limit Exceeded.
 const asyncLimitExceeded nvme.Status = 0x105
 
-// handleAdmin answers a command of the admin queue. docs/protocol.md lists what is accepted.
+// handleAdmin answers a command of the admin queue. docs/protocol.md lists the accepted commands.
 func (s *Session) handleAdmin(c *nvme.Command, in []byte) {
 	if c.Opcode() == nvme.AdminAsyncEvent && s.asyncEvents < maxAsyncEvents {
 		s.asyncEvents++
@@ -49,7 +49,7 @@
 	return rejected(nvme.InvalidOpcode)
 }
 
-// abortResponse answers an Abort; bit 0 of the result tells that nothing was aborted (Base 5.1).
+// abortResponse executes an Abort. Bit 0 of the result is set if no command was aborted (Base 5.1).
 func (s *Session) abortResponse(c *nvme.Command) response {
 	const notAborted = 1
 	queue := s.controller.queues[uint16(c.DW(10))]
@@ -135,9 +135,9 @@
 	return rejected(nvme.InvalidField)
 }
 
-// controllerData is what Identify Controller tells.
+// controllerData returns the fields of Identify Controller.
 func (s *Session) controllerData() nvme.Controller {
-	const minPageShift = 12 // MDTS counts in pages of 4 KiB
+	const minPageShift = 12 // the unit of MDTS is a page of 4 KiB
 	k := nvme.Controller{
 		ID:             s.controller.id,
 		Serial:         s.settings.Serial,
@@ -150,7 +150,7 @@
 		KeepAliveUnits: 1,
 		Discovery:      s.controller.discovery,
 	}
-	if n := len(s.settings.Namespaces); n > 0 { // NN is the largest id
+	if n := len(s.settings.Namespaces); n > 0 { // NN is the largest namespace id
 		k.Namespaces = s.settings.Namespaces[n-1].ID
 	}
 	if k.Discovery {
@@ -159,7 +159,7 @@
 	return k
 }
 
-// emptyLogLen is the size of the log pages that have nothing to tell.
+// emptyLogLen is the size in bytes of the log pages that are always zero.
 const emptyLogLen = 512
 
 func (s *Session) logPage(c *nvme.Command) response {
@@ -172,24 +172,25 @@
 	if from > uint64(len(page)) || length > int64(s.settings.MaxTransfer) {
 		return rejected(nvme.InvalidField)
 	}
-	data := make([]byte, length) // past the page's end: zeros
+	data := make([]byte, length) // bytes beyond the end of the page are zero
 	copy(data, page[from:])
 	return response{status: nvme.Success, data: data}
 }
 
-// logPageContent is a complete log page; ok reports whether there is one of that id.
+// logPageContent returns a complete log page; ok is false if there is no page with this id.
 func (s *Session) logPageContent(id uint8) (page []byte, ok bool) {
 	switch id {
 	case nvme.LogError, nvme.LogHealth, nvme.LogFirmware:
 		return make([]byte, emptyLogLen), true
 	case nvme.LogDiscovery:
-		host, port, _ := net.SplitHostPort(s.associations.address) // the listener's own form
+		host, port, _ := net.SplitHostPort(s.associations.address) // cannot fail: the listener formatted the address
 		return nvme.AppendDiscovery(nil, s.settings.Subsystem, host, port), true
 	}
 	return s.handler.LogPage(id)
 }
 
-// queuesResult is the result of the number of queues, for submission and completion queues, both 0's based.
+// queuesResult returns the response to Get and Set Features for the number of submission and completion queues, both
+// 0's based.
 func (s *Session) queuesResult() response {
 	n := uint32(s.settings.MaxQueues - 1)
 	return response{status: nvme.Success, dw0: n | n<<16}
--- a/target/command.go
+++ b/target/command.go
@@ -13,28 +13,29 @@
 	nvme.Command
 	Data    []byte        // of a Write
 	Bytes   int           // length of the transfer
-	Arrived time.Duration // when the command came; its data may have come later
+	Arrived time.Duration // the time at which the command came; its data may have come later
 	Host    string        // NQN of the client's host
-	User    any           // the handler's own
+	User    any           // for use by the handler; the session does not read it
 
 	session     *Session
 	state       commandState
 	transferTag uint16
 	received    int
-	r2tSent     bool // its bytes count for the client
+	r2tSent     bool // the bytes of the transfer count for the client
 	counted     bool // the command counts for the client
 }
 
 type commandState int
 
 const (
-	commandReceiving  commandState = iota // an R2T has been sent, or waits for buffers
-	commandAdmitted                       // with the handler
-	commandDiscarding                     // answered while its data still comes
+	commandReceiving  commandState = iota // an R2T has been sent, or waits for a buffer
+	commandAdmitted                       // passed to the handler, and not answered
+	commandDiscarding                     // answered before all of its data has come; the rest is discarded
 	commandEnded
 )
 
-// Complete answers an admitted command, with data for a Read. Data is copied. If the client has gone it does nothing.
+// Complete answers an admitted command, with data for a Read. It copies data. If the client has gone or has aborted the
+// command, Complete does nothing.
 func (c *Command) Complete(status nvme.Status, dw0, dw1 uint32, data []byte) {
 	if c.state != commandAdmitted {
 		return
@@ -46,7 +47,8 @@
 	c.session.connection.flush()
 }
 
-// Truncate answers a Read by half of its PDU and a broken connection: a fault of a fake.
+// Truncate answers a Read with a part of its data and closes the connection. Fake disk servers use it for fault
+// injection.
 func (c *Command) Truncate(data []byte) {
 	if c.state == commandAdmitted {
 		c.session.respond(c.CID(), response{status: nvme.Success, data: data})
@@ -63,10 +65,11 @@
 	return &s.settings.Namespaces[i]
 }
 
-// allNamespaces as the namespace of a Flush means each of them.
+// allNamespaces is the namespace id of a Flush for all namespaces.
 const allNamespaces = 0xFFFFFFFF
 
-// checkIO tells why a Read, Write or Flush is rejected, and how many bytes it transfers.
+// checkIO returns the status by which a command of an I/O queue is rejected, or Success and the number of bytes that it
+// transfers.
 func (s *Session) checkIO(c *nvme.Command, data []byte) (status nvme.Status, size int) {
 	switch c.Opcode() {
 	case nvme.Read, nvme.Write:
@@ -77,7 +80,7 @@
 		}
 		return nvme.Success, 0
 	case nvme.Fabrics:
-		if c.FabricsType() == nvme.FabricsConnect { // the queue has been made (Base 3.3.2.2)
+		if c.FabricsType() == nvme.FabricsConnect { // the queue is connected already (Base 3.3.2.2)
 			return nvme.SequenceError | nvme.DoNotRetry, 0
 		}
 	}
@@ -102,7 +105,7 @@
 	return nvme.Success, size
 }
 
-// checkSGL holds the descriptor of a Read or Write of size bytes against its capsule.
+// checkSGL checks the SGL descriptor of a Read or Write of size bytes against the command and the data in its capsule.
 func checkSGL(c *nvme.Command, size int, data []byte) nvme.Status {
 	kind, offset, length := c.SGL()
 	switch {
@@ -118,15 +121,15 @@
 	return nvme.Success
 }
 
-// handleIO answers a command of an I/O queue, hands it over, or waits for its data.
+// handleIO handles a command of an I/O queue: it answers the command, admits it, or waits for its data.
 func (s *Session) handleIO(now time.Duration, entry *nvme.Command, data []byte) {
 	status, size := s.checkIO(entry, data)
 	if status != nvme.Success || entry.Opcode() == nvme.Flush {
-		// Flush: no volatile write cache is reported (VWC 0), so there is nothing to do (Base 7.1).
+		// A Flush has no effect, since the controller reports no volatile write cache (VWC 0, Base 7.1).
 		s.respond(entry.CID(), response{status: status})
 		return
 	}
-	if !s.connection.beginCommand() { // too many in flight for one client: the host may retry
+	if !s.connection.beginCommand() { // too many commands of one client are in flight: the host may retry
 		s.respond(entry.CID(), response{status: nvme.CommandInterrupted})
 		return
 	}
@@ -147,7 +150,7 @@
 	s.handler.Admit(c)
 }
 
-// uncountCommand tells once that a command no longer counts for its client.
+// uncountCommand ends the counting of a command for its client, if it counts.
 func (s *Session) uncountCommand(c *Command) {
 	if c.counted {
 		c.counted = false
@@ -155,7 +158,7 @@
 	}
 }
 
-// drop forgets a command that is not with the handler.
+// drop removes a command that is not with the handler, and releases its buffer.
 func (s *Session) drop(c *Command) {
 	delete(s.commands, c.CID())
 	s.uncountCommand(c)
@@ -166,7 +169,8 @@
 	s.associations.grantTransfers(s.settings, s.buffers)
 }
 
-// abort ends a command for its client; it tells whether there was one to end.
+// abort answers a command with status AbortRequested. It returns false if no command has this id, or if the command has
+// been answered already.
 func (s *Session) abort(cid uint16) bool {
 	c := s.commands[cid]
 	if c == nil {
--- a/target/conn.go
+++ b/target/conn.go
@@ -6,16 +6,17 @@
 	"honeyplank/eventloop"
 )
 
-// conn is a connection with its session, as eventloop.Handler of the one and connection of the other.
+// conn joins an event loop connection and a session. It implements eventloop.Handler for the former and connection for
+// the latter.
 type conn struct {
 	*eventloop.Conn
 	server            *Server
 	session           *Session
 	timer             *eventloop.Timer
-	client            string // its address
+	client            string // IP address of the client
 	dropInput         bool
 	handshakeComplete bool
-	pduBegan          time.Duration // when the PDU that is being received began; 0: none is
+	pduBegan          time.Duration // the time at which the first bytes of an incomplete PDU came; 0: there is none
 }
 
 func (c *conn) Opened(*eventloop.Conn) {}
@@ -41,8 +42,8 @@
 
 func (c *conn) Closed(*eventloop.Conn, error) { c.remove() }
 
-// flush sends, and bounds what a client that does not read can cost: past half of MaxUnsent its input is paused, past
-// all of it the connection ends.
+// flush sends the output, and bounds the memory that a client which does not read can use: above half of MaxUnsent the
+// input of the connection is paused, above MaxUnsent the connection is closed.
 func (c *conn) flush() {
 	c.Send()
 	switch unsent, limit := c.UnsentBytes(), c.server.settings.MaxUnsent; {
@@ -75,7 +76,7 @@
 	c.CloseGracefully()
 }
 
-// end closes the connection after its answers have been sent.
+// end closes the connection after its output has been sent.
 func (c *conn) end() {
 	if c.isOpen() {
 		c.remove()
@@ -83,7 +84,7 @@
 	}
 }
 
-// abort closes the connection at once.
+// abort closes the connection immediately.
 func (c *conn) abort() {
 	if c.isOpen() {
 		c.remove()
@@ -93,7 +94,7 @@
 
 func (c *conn) isOpen() bool { return c.server.conns[c] }
 
-// remove ends the session and what the connection counts for its client.
+// remove ends the session, and removes the connection from the counts of its client.
 func (c *conn) remove() {
 	if !c.isOpen() {
 		return
@@ -116,13 +117,13 @@
 	}
 }
 
-// checkDeadlines ends the connection when the handshake, a Keep Alive or the rest of a PDU is overdue, resumes its
-// input when the client has read, and schedules the next check.
+// checkDeadlines closes the connection if the handshake, a Keep Alive or the rest of a PDU is overdue. Otherwise it
+// resumes the input if the client has read enough of the output, and schedules the next check.
 func (c *conn) checkDeadlines() {
 	now, settings := c.server.loop.Now(), &c.server.settings
 	deadline := c.session.Deadline()
 	if deadline > 0 && now >= deadline || c.pduBegan > 0 && c.server.Guard.PDUOverdue(now, c.pduBegan) {
-		c.session.violated = !c.handshakeComplete || c.pduBegan > 0 // a missing Keep Alive is no violation
+		c.session.violated = !c.handshakeComplete || c.pduBegan > 0 // a missing Keep Alive is not a violation
 		c.abort()
 		return
 	}
--- a/target/connect.go
+++ b/target/connect.go
@@ -6,7 +6,7 @@
 	"honeyplank/nvme"
 )
 
-// controller is an association: one admin queue with its I/O queues.
+// controller is the controller of one association, with its admin queue and I/O queues.
 type controller struct {
 	id                 uint16
 	host               string
@@ -14,17 +14,17 @@
 	discovery          bool
 	keepAlive          time.Duration
 	config             uint32 // CC
-	honoursRetryDelays bool   // the host's, by ACRE of Host Behavior Support (Base 5.27.1.18)
+	honoursRetryDelays bool   // the host honours retry delays: ACRE of Host Behavior Support (Base 5.27.1.18)
 	queues             map[uint16]*Session
 }
 
-// isEnabled tells CC.EN (Base 3.1.3.5).
+// isEnabled reports whether CC.EN is set (Base 3.1.3.5).
 func (k *controller) isEnabled() bool { return k.config&1 != 0 }
 
-// shutdownRequested tells CC.SHN: the host has asked for a shutdown.
+// shutdownRequested reports whether CC.SHN is not 0, by which a host requests a shutdown.
 func (k *controller) shutdownRequested() bool { return k.config>>14&3 != 0 }
 
-// endIOQueues ends the connections of the I/O queues.
+// endIOQueues closes the connections of the I/O queues.
 func (k *controller) endIOQueues() {
 	for id, queue := range k.queues {
 		if id != 0 {
@@ -33,20 +33,20 @@
 	}
 }
 
-// associations are the controllers of one server, and the Writes that wait for buffers.
+// associations holds the controllers of one server, and the Writes that wait for a buffer.
 type associations struct {
 	address       string // of the server
 	lastID        uint16
 	byID          map[uint16]*controller
 	pendingWrites []*Command // Writes whose R2T has not been sent
-	granting      bool       // grant is running
-	grantAgain    bool       // it has been called meanwhile
+	granting      bool       // grantTransfers is running
+	grantAgain    bool       // grantTransfers has been called while it was running
 }
 
 // maxControllerID is the largest id that a controller may have (Base 3.1.2).
 const maxControllerID = 0xFFEF
 
-// add makes a controller, with an id that is not in use.
+// add adds a controller and gives it an id that is not in use.
 func (a *associations) add(k *controller) {
 	for a.lastID++; a.byID[a.lastID] != nil || a.lastID == 0 || a.lastID > maxControllerID; {
 		a.lastID++
@@ -55,10 +55,10 @@
 	a.byID[k.id] = k
 }
 
-// Where a Connect is wrong, as dword 0 of its completion tells (Base 6.3): IPO, an offset in the command or, with
-// IATTR, in its data.
+// Dword 0 of the completion of an invalid Connect (Base 6.3): IPO, the offset of the invalid parameter in the command
+// or, if IATTR is set, in its data.
 const (
-	offsetInData      = 1 << 16
+	offsetInData      = 1 << 16 // IATTR
 	invalidQueueID    = 42
 	invalidQueueSize  = 44
 	invalidController = offsetInData | 16
@@ -107,7 +107,7 @@
 	return response{status: nvme.Success, dw0: uint32(s.controller.id)}
 }
 
-// connectAdmin makes the controller of an admin queue; it returns what is wrong with the Connect, or 0.
+// connectAdmin creates the controller of an admin queue. It returns dword 0 for an invalid Connect, or 0.
 func (s *Session) connectAdmin(d nvme.ConnectData, keepAlive time.Duration) (invalid uint32) {
 	if d.ControllerID != nvme.DynamicController {
 		return invalidController
@@ -123,7 +123,7 @@
 	return 0
 }
 
-// connectIO joins an I/O queue to its controller; it returns what is wrong with the Connect, or 0.
+// connectIO adds an I/O queue to its controller. It returns dword 0 for an invalid Connect, or 0.
 func (s *Session) connectIO(d nvme.ConnectData, queueID uint16) (invalid uint32) {
 	k := s.associations.byID[d.ControllerID]
 	if k == nil || k.host != d.Host || k.hostID != d.HostID || k.discovery != (d.Subsystem == DiscoveryNQN) {
--- a/target/server.go
+++ b/target/server.go
@@ -7,26 +7,29 @@
 	"honeyplank/peerlimit"
 )
 
-// Server accepts connections on a loop and drives a session for each. All of it is used on the loop's goroutine.
+// Server accepts connections on an event loop and drives a session for each. Its fields and methods are used only on
+// the goroutine of the loop.
 type Server struct {
-	// Buffers holds write data; whoever gives some back calls Release.
+	// Buffers provides the buffers for write data. The owner of a buffer returns it with Release.
 	Buffers eventloop.Buffers
-	// DataTimeout is how long the data of a Write is waited for; nil: without bound.
+	// DataTimeout returns the timeout for the data of a Write, from the arrival of the command; nil: no timeout.
 	DataTimeout func(*Command) time.Duration
-	// Tap, where set, is called for a tap of each new connection.
+	// Tap, if not nil, is called for each new connection and returns a function that receives the bytes of the
+	// connection.
 	Tap func() func(sent bool, b []byte)
-	// OnConnect, where set, is called with each new connection, for fault injection.
+	// OnConnect, if not nil, is called with each new connection, for fault injection.
 	OnConnect func(*eventloop.Conn)
-	// DropNewInput drops the input of new connections, DropAllInput that of all: fault injection.
+	// DropNewInput discards the input of new connections, DropAllInput that of all connections, for fault injection.
 	DropNewInput, DropAllInput bool
-	// Guard decides what one client may cost.
+	// Guard enforces the limits of each client.
 	Guard *peerlimit.Guard
-	// OnBan is called when Guard bans a client for a time, OnReject when it rejects a connection.
+	// OnBan is called when Guard bans a client, OnReject when it rejects a connection.
 	OnBan    func(client string, duration time.Duration)
 	OnReject func(client, reason string)
-	// Draining rejects new connections.
+	// Draining makes the server reject new connections.
 	Draining bool
-	// Rejected counts rejected connections, Violations those ended for a violation of the protocol.
+	// Rejected is the number of rejected connections, Violations the number of connections that were closed because the
+	// client violated the protocol.
 	Rejected, Violations int
 
 	settings     Settings
@@ -37,7 +40,7 @@
 	conns        map[*conn]bool
 }
 
-// Listen starts a server at an address.
+// Listen starts a server that listens on an IP address and port.
 func Listen(l *eventloop.Loop, address string, settings Settings, handler Handler) (*Server, error) {
 	s := &Server{
 		settings:     settings,
@@ -58,20 +61,21 @@
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address and port on which the server listens.
 func (s *Server) Address() string { return s.associations.address }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return len(s.conns) }
 
-// Release takes back the data of a Write and lets others use the buffer.
+// Release returns the data buffer of a Write, and sends the R2Ts of Writes that waited for a buffer.
 func (s *Server) Release(b []byte) {
 	s.Buffers.Put(b)
 	s.associations.grantTransfers(&s.settings, &s.Buffers)
 }
 
-// Close stops listening and ends all connections gracefully; closed is called once they are. I/O queues end first, so
-// that a host has read their last answers before its association ends. Open commands get no answer.
+// Close stops listening and closes all connections gracefully. It calls closed when they are closed. The connections of
+// I/O queues are closed first, so that a host has read their last answers before its association ends. Open commands
+// are not answered.
 func (s *Server) Close(closed func()) {
 	s.listener.Close()
 	isIOQueue := func(c *conn) bool { return c.session.queueID != 0 }
@@ -80,9 +84,9 @@
 	})
 }
 
-// endWhere ends some connections gracefully and calls closed once they are.
+// endWhere closes the selected connections gracefully and calls closed when they are closed.
 func (s *Server) endWhere(selected func(*conn) bool, closed func()) {
-	open := 1 // and one for the loop below
+	open := 1 // one more than the connections, so that closed is not called before the loop below has ended
 	onClosed := func() {
 		if open--; open == 0 {
 			closed()
@@ -98,13 +102,13 @@
 	onClosed()
 }
 
-// Kill stops listening and ends all connections at once, as the death of the process would.
+// Kill stops listening and closes all connections immediately, as if the process had been killed.
 func (s *Server) Kill() {
 	s.listener.Close()
 	s.AbortConnections()
 }
 
-// AbortConnections ends all connections at once.
+// AbortConnections closes all connections immediately.
 func (s *Server) AbortConnections() {
 	for c := range s.conns {
 		c.abort()
--- a/target/session.go
+++ b/target/session.go
@@ -8,21 +8,21 @@
 	"honeyplank/nvme"
 )
 
-// phase is how far a connection has come.
+// phase is the phase of a connection.
 type phase int
 
 const (
-	phaseInit    phase = iota // ICReq is awaited
-	phaseConnect              // Connect is awaited
+	phaseInit    phase = iota // waiting for ICReq
+	phaseConnect              // waiting for Connect
 	phaseLive
 	phaseEnded
 )
 
-// maxAsyncEvents is AERL: how many Asynchronous Event Requests may be open on a controller. It reports no events, so
-// that they stay open.
+// maxAsyncEvents is AERL, the number of Asynchronous Event Requests that may be open on a controller. The controller
+// reports no events, so they stay open.
 const maxAsyncEvents = 4
 
-// Session is one connection's state machine.
+// Session is the state machine of one connection. Its methods are called on the event loop.
 type Session struct {
 	settings     *Settings
 	associations *associations
@@ -32,16 +32,16 @@
 	output       *[]byte // of the connection
 
 	phase         phase
-	violated      bool // the connection ends for a violation of the protocol
+	violated      bool // the connection is closed because the client violated the protocol
 	inputFraming  nvme.Framing
-	outputFraming nvme.Framing // of the output
+	outputFraming nvme.Framing
 	connectedAt   time.Duration
 	lastInput     time.Duration
 
 	queueID        uint16
 	queueSize      int
 	queueHead      uint16
-	flowControlOff bool // reads may end by the SUCCESS flag
+	flowControlOff bool // a Read may end with the SUCCESS flag, without a completion
 	controller     *controller
 	commands       map[uint16]*Command // by command id; also those whose data is discarded
 	transfers      map[uint16]*Command // by transfer tag
@@ -49,17 +49,18 @@
 	asyncEvents    int
 }
 
-// response is how a command is answered.
+// response is the answer to a command.
 type response struct {
 	status   nvme.Status
 	dw0, dw1 uint32
 	data     []byte
 }
 
-// rejected is the response with an error that the host must not retry.
+// rejected returns the response for an error after which the host must not retry the command.
 func rejected(status nvme.Status) response { return response{status: status | nvme.DoNotRetry} }
 
-// Input handles bytes and returns how many it used.
+// Input handles the complete PDUs in b and returns the number of bytes used. The caller passes the rest again, with the
+// bytes that follow. If the connection ends, all of b counts as used.
 func (s *Session) Input(now time.Duration, b []byte) (used int) {
 	for s.phase != phaseEnded {
 		p, n, err := s.inputFraming.Decode(b[used:])
@@ -79,20 +80,21 @@
 	return len(b)
 }
 
-// terminate ends the connection with a TermReq for a violation of the protocol.
+// terminate ends the connection with a TermReq because the host violated the protocol.
 func (s *Session) terminate(err error) {
 	if s.phase == phaseEnded {
 		return
 	}
 	s.violated = true
-	var fatal *nvme.FatalError // the only error of the decoder and the session
+	var fatal *nvme.FatalError // the decoder and the session return no other error
 	if errors.As(err, &fatal) {
 		*s.output = nvme.AppendTerm(*s.output, nvme.TypeC2HTermReq, fatal)
 	}
 	s.connection.end()
 }
 
-// fatalError is the error for a violation; info is the offset of the field that is wrong, where it is one.
+// fatalError returns the error for a violation of the protocol. info is the offset of the invalid field, or 0 if the
+// status has no field.
 func fatalError(status uint16, info uint32, p *nvme.PDU, text string) error {
 	return &nvme.FatalError{Status: status, Info: info, Text: text, Header: append([]byte(nil), p.Header...)}
 }
@@ -107,7 +109,7 @@
 	switch s.phase {
 	case phaseInit:
 		if p.Type != nvme.TypeICReq {
-			return sequenceError(p, "a PDU before ICReq")
+			return sequenceError(p, "the first PDU is not ICReq")
 		}
 		return s.handleICReq(p)
 	case phaseConnect, phaseLive:
@@ -118,10 +120,10 @@
 			return s.handleData(p)
 		}
 	}
-	return sequenceError(p, "a PDU that does not belong here")
+	return sequenceError(p, "PDU type is not expected in this state")
 }
 
-// Fields of an ICReq, as FEI tells which is wrong, and the largest alignment that a host may ask for (TCP 3.6.2.2).
+// Offsets of the fields of an ICReq, reported as FEI, and the largest alignment that a host may request (TCP 3.6.2.2).
 const (
 	versionField = 8
 	alignField   = 10
@@ -175,7 +177,7 @@
 		return nil
 	}
 	if len(s.commands)+s.asyncEvents >= s.queueSize {
-		return sequenceError(p, "more commands than the queue has entries")
+		return sequenceError(p, "more commands in flight than the queue has entries")
 	}
 	if s.queueID == 0 {
 		s.handleAdmin(&c, p.Data)
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// respond appends data, where there is some, and the completion.
+// respond appends the data of a response, if there is any, and the completion to the output.
 func (s *Session) respond(cid uint16, r response) {
 	if s.phase == phaseEnded {
 		return
@@ -194,7 +196,7 @@
 		r.status = r.status.WithRetryDelay(0)
 	}
 	s.buffers.Copied(len(r.data))
-	// With flow control off the last data PDU can stand for a completion without results.
+	// With flow control disabled, the SUCCESS flag of the last data PDU replaces a completion without results.
 	withoutCompletion := s.flowControlOff && r.dw0 == 0 && r.dw1 == 0 && r.status == nvme.Success && len(r.data) > 0
 	lastFlags := uint8(nvme.FlagLast)
 	if withoutCompletion {
@@ -209,7 +211,7 @@
 	}
 }
 
-// appendData appends data in as many PDUs as it needs, the last of them with lastFlags.
+// appendData appends data to the output, in PDUs of at most MaxDataPDU bytes. The last PDU has lastFlags.
 func (s *Session) appendData(cid uint16, data []byte, lastFlags uint8) {
 	for from := 0; from < len(data); from += s.settings.MaxDataPDU {
 		part := data[from:min(from+s.settings.MaxDataPDU, len(data))]
@@ -222,7 +224,8 @@
 	}
 }
 
-// Deadline is when the session must have had input next; 0: never.
+// Deadline returns the time by which the handshake must be complete or, after it, the time by which the admin queue
+// must have received input. 0 means that there is no deadline.
 func (s *Session) Deadline() time.Duration {
 	switch {
 	case s.phase < phaseLive:
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestInvalidSequences sends well-formed PDUs in an impossible order: each ends its connection with a TermReq, and the clients
-// of admitted commands are gone.
+// TestInvalidSequences sends well-formed PDUs in an impossible order: each ends its connection with a TermReq, and the
+// clients of admitted commands are gone.
 func TestInvalidSequences(t *testing.T) {
 	const cid, size = 3, 512
 	// tagOfWrite sends a Write and returns the tag of its R2T.
--- a/target/target.go
+++ b/target/target.go
@@ -1,17 +1,18 @@
-// Package target is the controller's side of NVMe over TCP: what clients connect to. Session is one connection's state
-// machine, in memory: bytes in, bytes and commands out. Server drives sessions on an event loop, and all of the package
-// runs on that loop's goroutine. It answers what the protocol alone decides, and hands every Read and Write to its
-// Handler; it must not decide whether, when or where those run. The gateway and the fake disk servers use it.
+// Package target implements the controller side of NVMe over TCP, to which clients connect. Session is the state
+// machine of one connection: it does no I/O, takes bytes as input, and produces bytes and commands. Server drives
+// sessions on an event loop; the whole package runs on the goroutine of that loop. The package itself answers each
+// command whose answer follows from the protocol alone, and passes every Read and Write to its Handler. It must not
+// decide whether, when or where those are executed. The gateway and the fake disk servers use it.
 package target
 
 import (
 	"time"
 )
 
-// DiscoveryNQN is the well-known name of discovery (Base 4.7).
+// DiscoveryNQN is the well-known NQN of the discovery service (Base 4.7).
 const DiscoveryNQN = "nqn.2014-08.org.nvmexpress.discovery"
 
-// Namespace is a volume as a controller shows it.
+// Namespace is a volume as a controller presents it to hosts.
 type Namespace struct {
 	ID     uint32
 	Blocks uint64
@@ -19,47 +20,51 @@
 	UUID   [16]byte
 }
 
-// Settings is what the controllers of a subsystem offer, and what one client may cost.
+// Settings holds the properties of a subsystem's controllers and the limits of its server.
 type Settings struct {
 	Subsystem        string
 	Serial           string
-	Namespaces       []Namespace   // by id
+	Namespaces       []Namespace   // in ascending order of ID
 	RetryDelays      [3]uint16     // CRDT1 to CRDT3, in 100 ms
 	MaxTransfer      int           // bytes of one Read or Write, a power of two of at least 4 KiB
 	MaxCapsule       int           // bytes of data in a command capsule
-	MaxDataPDU       int           // bytes of one data PDU, either way
+	MaxDataPDU       int           // bytes of data in one data PDU, in either direction
 	QueueDepth       int           // entries of a queue
 	MaxQueues        int           // I/O queues of a controller
-	HandshakeTimeout time.Duration // until Connect
+	HandshakeTimeout time.Duration // from the start of a connection until its Connect has succeeded
 	MaxConnections   int
-	MaxUnsent        int // bytes that a client may leave unread before its connection ends
-	MaxBuffered      int // bytes of write data in transfer over all connections, past which R2Ts wait
+	MaxUnsent        int // unsent bytes of a connection above which it is closed
+	MaxBuffered      int // bytes of write data in transfer on all connections, above which R2Ts are delayed
 }
 
-// Handler acts on what a client wants. It is called on the loop.
+// Handler executes the commands of clients. It is called on the event loop.
 type Handler interface {
-	// Admit hands over a Read or Write with its data. The handler owns c.Data and answers once by c.Complete.
+	// Admit passes a Read or Write, with its data, to the handler. The handler then owns c.Data, and answers the
+	// command by one call of c.Complete.
 	Admit(c *Command)
-	// ClientGone tells that the client of an admitted command has gone or has aborted it; it needs no answer any more.
+	// ClientGone reports that the connection of an admitted command has ended, or that its client has aborted it. The
+	// command no longer needs an answer.
 	ClientGone(c *Command)
-	// LogPage returns a vendor specific log page, or false.
+	// LogPage returns the content of a vendor specific log page. It returns false if there is no page with this id.
 	LogPage(id uint8) ([]byte, bool)
 }
 
-// connection is what a session needs of the connection it runs on, and of the limits of its client.
+// connection is the part of a connection, and of the limits of its client, that a session uses.
 type connection interface {
 	// flush sends what the session has appended to its output.
 	flush()
 	// end closes the connection gracefully.
 	end()
-	// truncate sends half of what is unsent and breaks the connection.
+	// truncate sends half of the unsent bytes and closes the connection.
 	truncate()
-	// awaitData is called when data is to come for a command: Session.Expire must follow once that takes too long.
+	// awaitData starts the timeout for the data of a Write. When it expires, the connection calls Session.Expire.
 	awaitData(c *Command)
-	// reserveBytes tells whether the client may send so much data now, and counts it; releaseBytes ends that.
+	// reserveBytes reports whether the client may send n more bytes of data now. If so, they count for the client until
+	// releaseBytes is called.
 	reserveBytes(n int) bool
 	releaseBytes(n int)
-	// beginCommand tells whether the client may have one more command, and counts it; endCommand ends that.
+	// beginCommand reports whether the client may have one more command in flight. If so, the command counts for the
+	// client until endCommand is called.
 	beginCommand() bool
 	endCommand()
 }
--- a/target/termination.go
+++ b/target/termination.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Closed tells the session that its connection is gone: its commands end without an answer.
+// Closed ends the session when its connection has closed. Its open commands end without an answer.
 func (s *Session) Closed() {
 	if s.phase == phaseEnded {
 		return
@@ -24,7 +24,7 @@
 	s.leaveController()
 }
 
-// openCommands are the commands in order of their ids.
+// openCommands returns the commands in order of their ids.
 func (s *Session) openCommands() []*Command {
 	open := make([]*Command, 0, len(s.commands))
 	for _, c := range s.commands {
@@ -34,7 +34,7 @@
 	return open
 }
 
-// leaveController ends the association with its admin queue (TCP 3.5).
+// leaveController removes the session from its controller. The association ends with its admin queue (TCP 3.5).
 func (s *Session) leaveController() {
 	k := s.controller
 	if k == nil || k.queues[s.queueID] != s {
--- a/target/transfer.go
+++ b/target/transfer.go
@@ -5,10 +5,11 @@
 	"honeyplank/nvme"
 )
 
-// grantTransfers sends R2Ts while there are buffers for the data, past those whose client has its share already. One always
-// fits, so that none waits forever.
+// grantTransfers sends the R2Ts of Writes in the order of their arrival, until the limit MaxBuffered is reached. It
+// skips the Writes of clients that have reached their own limit. If no buffer is in use, MaxBuffered does not apply, so
+// that a large Write does not wait forever.
 func (a *associations) grantTransfers(settings *Settings, buffers *eventloop.Buffers) {
-	if a.granting { // sending an R2T has ended a connection, which gave buffers back
+	if a.granting { // sending an R2T has closed a connection, which has released its buffers
 		a.grantAgain = true
 		return
 	}
@@ -20,7 +21,7 @@
 	a.granting = false
 }
 
-// grantPending goes once through the Writes that wait.
+// grantPending goes once through the Writes that wait for a buffer.
 func (a *associations) grantPending(settings *Settings, buffers *eventloop.Buffers) {
 	pendingWrites := a.pendingWrites
 	a.pendingWrites = nil
@@ -38,7 +39,7 @@
 	}
 }
 
-// sendR2T asks the client for all data of a Write.
+// sendR2T requests all data of a Write from the client.
 func (s *Session) sendR2T(c *Command) {
 	for s.lastTag++; s.transfers[s.lastTag] != nil; {
 		s.lastTag++
@@ -50,7 +51,7 @@
 	s.connection.flush()
 }
 
-// releaseTransfer tells once that the bytes of a Write no longer count for its client.
+// releaseTransfer ends the counting of a Write's bytes for its client, if they count.
 func (s *Session) releaseTransfer(c *Command) {
 	if c.r2tSent {
 		c.r2tSent = false
@@ -58,7 +59,7 @@
 	}
 }
 
-// Fields of a PDU's header, as FEI tells which is wrong (TCP 3.6.1, 3.6.2.8).
+// Offsets of the fields of a PDU's header, reported as FEI (TCP 3.6.1, 3.6.2.8).
 const (
 	flagsField      = 1
 	dataOffsetField = 12
@@ -67,18 +68,18 @@
 func (s *Session) handleData(p *nvme.PDU) error {
 	c := s.transfers[p.TTAG()]
 	if c == nil || c.CID() != p.CCCID() {
-		return sequenceError(p, "H2CData without an R2T")
+		return sequenceError(p, "H2CData for a command without an open R2T")
 	}
 	from, n := int64(p.Offset()), len(p.Data)
 	if from != int64(c.received) || from+int64(n) > int64(c.Bytes) || n == 0 {
-		return fatalError(nvme.FatalDataRange, dataOffsetField, p, "H2CData outside what was asked for")
+		return fatalError(nvme.FatalDataRange, dataOffsetField, p, "H2CData is not the next part of the transfer")
 	}
 	copy(c.Data[from:], p.Data)
 	s.buffers.Copied(n)
 	c.received += n
 	complete := c.received == c.Bytes
 	if complete != (p.Flags&nvme.FlagLast != 0) {
-		return fatalError(nvme.FatalHeaderField, flagsField, p, "LAST_PDU where it does not belong")
+		return fatalError(nvme.FatalHeaderField, flagsField, p, "LAST_PDU does not match the end of the transfer")
 	}
 	if p.DataDigestError && c.state == commandReceiving {
 		c.state = commandDiscarding
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// completeTransfer hands over a Write whose data is complete, unless it has been answered.
+// completeTransfer admits a Write whose data is complete, unless the Write has been answered.
 func (s *Session) completeTransfer(c *Command) {
 	delete(s.transfers, c.transferTag)
 	s.releaseTransfer(c)
@@ -102,14 +103,14 @@
 	s.handler.Admit(c)
 }
 
-// Expire fails a Write whose data has not come by now.
+// Expire fails a Write if its data is not complete.
 func (s *Session) Expire(c *Command) {
 	if c.state == commandReceiving && s.phase != phaseEnded {
 		s.cancelTransfer(c, nvme.DataTransferError)
 	}
 }
 
-// cancelTransfer answers a Write whose data is awaited; data that still comes is read and discarded.
+// cancelTransfer answers a Write that waits for data. Data that comes later is read and discarded.
 func (s *Session) cancelTransfer(c *Command, status nvme.Status) {
 	s.respond(c.CID(), response{status: status})
 	c.state = commandDiscarding
