--- a/nvme/command.go
+++ b/nvme/command.go
@@ -64,22 +64,22 @@
 	PropertyCSTS = 0x1C
 )
 
-// Opcode is the command's opcode.
+// Opcode returns the opcode.
 func (c *Command) Opcode() uint8 { return c[0] }
 
-// CID is the command identifier.
+// CID returns the command identifier.
 func (c *Command) CID() uint16 { return binary.LittleEndian.Uint16(c[2:]) }
 
 // SetCID sets the command identifier.
 func (c *Command) SetCID(id uint16) { binary.LittleEndian.PutUint16(c[2:], id) }
 
-// FabricsType is the type of a Fabrics command.
+// FabricsType returns the type of a Fabrics command.
 func (c *Command) FabricsType() uint8 { return c[4] }
 
-// NSID is the namespace identifier.
+// NSID returns the namespace identifier.
 func (c *Command) NSID() uint32 { return binary.LittleEndian.Uint32(c[4:]) }
 
-// DW is command dword n, 10 to 15.
+// DW returns command dword n, 10 to 15.
 func (c *Command) DW(n int) uint32 { return binary.LittleEndian.Uint32(c[4*n:]) }
 
 // SetDW sets command dword n, 10 to 15.
@@ -88,45 +88,45 @@
 // SetNSID sets the namespace identifier.
 func (c *Command) SetNSID(n uint32) { binary.LittleEndian.PutUint32(c[4:], n) }
 
-// SLBA is the first logical block of a Read or Write.
+// SLBA returns the first logical block of a Read or Write.
 func (c *Command) SLBA() uint64 { return binary.LittleEndian.Uint64(c[40:]) }
 
-// Blocks is the number of logical blocks of a Read or Write, 1 or more; the wire counts from 0.
+// Blocks returns the number of logical blocks of a Read or Write, at least 1. The field on the wire is 0's based.
 func (c *Command) Blocks() int { return int(binary.LittleEndian.Uint16(c[48:])) + 1 }
 
-// PropertyOffset is the offset of a Property Get or Set.
+// PropertyOffset returns the offset of the property of a Property Get or Set.
 func (c *Command) PropertyOffset() uint32 { return c.DW(11) }
 
-// PropertyValue is the value of a Property Set.
+// PropertyValue returns the value of a Property Set.
 func (c *Command) PropertyValue() uint64 { return binary.LittleEndian.Uint64(c[48:]) }
 
-// ClientTimeout is how long a client of ours waits for a Read or Write, in milliseconds; 0: as long as the op type
-// says. It travels in command dword 3, which is reserved there: docs/protocol.md.
+// ClientTimeout returns the time in milliseconds that a client waits for a Read or Write; 0: the timeout of the op
+// type. It is an extension of honeyplank in command dword 3, which the specification reserves: docs/protocol.md.
 func (c *Command) ClientTimeout() uint32 { return c.DW(3) }
 
-// SetClientTimeout sets the client timeout, in milliseconds.
+// SetClientTimeout sets the client timeout in milliseconds.
 func (c *Command) SetClientTimeout(n uint32) { c.SetDW(3, n) }
 
-// SGL descriptor types a host sends over TCP (TCP 3.3.2; Base 4.1.2): data in the capsule, or moved by the
-// transport.
+// SGL descriptor types that a host sends over TCP (TCP 3.3.2; Base 4.1.2): the data is in the capsule, or the transport
+// transfers it in data PDUs.
 const (
 	SGLInCapsule = 0x01
 	SGLTransport = 0x5A
 )
 
-// SGL reads the one descriptor of a command (SGL1, bytes 24 to 39).
+// SGL returns the fields of the one SGL descriptor of a command (SGL1, bytes 24 to 39).
 func (c *Command) SGL() (kind uint8, address uint64, length uint32) {
 	return c[39], binary.LittleEndian.Uint64(c[24:]), binary.LittleEndian.Uint32(c[32:])
 }
 
-// SetSGL writes the descriptor, and sets PSDT to SGL.
+// SetSGL sets the SGL descriptor, with address 0, and sets PSDT to SGL.
 func (c *Command) SetSGL(kind uint8, length int) {
 	c[1] = c[1]&0x3F | 0x40
 	binary.LittleEndian.PutUint32(c[32:], uint32(length))
 	c[39] = kind
 }
 
-// NewRW makes a Read or Write of blocks from slba.
+// NewRW returns a Read or Write of a number of blocks from slba on, without its SGL descriptor.
 func NewRW(opcode uint8, nsid uint32, slba uint64, blocks int) Command {
 	var c Command
 	c[0] = opcode
@@ -136,12 +136,12 @@
 	return c
 }
 
-// NewProperty makes a Property Get, or a Property Set of four bytes (Base 6.5, 6.6).
+// NewProperty returns a Property Get, or a Property Set of four bytes (Base 6.5, 6.6).
 func NewProperty(kind uint8, offset uint32, value uint32) Command {
 	var c Command
 	c[0], c[4] = Fabrics, kind
 	if kind == FabricsPropertyGet && offset == PropertyCAP {
-		c[40] = 1 // eight bytes
+		c[40] = 1 // the property has eight bytes
 	}
 	c.SetDW(11, offset)
 	c.SetDW(12, value)
--- a/nvme/completion.go
+++ b/nvme/completion.go
@@ -5,8 +5,8 @@
 // Completion is a completion queue entry (Base 3.3.3.2).
 type Completion [CompletionLen]byte
 
-// Status is the status field of a completion without the phase tag (Base 3.3.3.2.1): code in bits 7:0, code
-// type in 10:8, retry delay in 12:11, more in 13, do not retry in 14.
+// Status is the status field of a completion without the phase tag (Base 3.3.3.2.1): status code in bits 7:0, status
+// code type in 10:8, command retry delay in 12:11, more in 13, do not retry in 14.
 type Status uint16
 
 // Generic, command specific, data integrity and path related statuses (Base 3.3.3.2.1.1 and after).
@@ -32,23 +32,24 @@
 	ConnectBusy          Status = 0x181
 	ConnectInvalid       Status = 0x182
 	FeatureNotChangeable Status = 0x10E
-	// Rejected is vendor specific (code type 7h): a disk server did not look at the command, its queue is
-	// full or it drains. It proves that the command never ran.
+	// Rejected is vendor specific (status code type 7h): a disk server rejected the command before executing it,
+	// because its queue is full or it is draining. The command has had no effect.
 	Rejected Status = 0x7C0
 	// DoNotRetry is the DNR bit.
 	DoNotRetry Status = 1 << 14
 )
 
-// Code is the status without retry delay, more and do not retry.
+// Code returns the status code and its type, without retry delay, more and do not retry.
 func (s Status) Code() Status { return s & 0x7FF }
 
-// WithRetryDelay sets the retry delay index, 1 to 3 for CRDT1 to CRDT3 (Base 3.3.3.2.1, CRD).
+// WithRetryDelay returns the status with a retry delay index: 1 to 3 for CRDT1 to CRDT3, 0 for none (Base 3.3.3.2.1,
+// CRD).
 func (s Status) WithRetryDelay(crd int) Status { return s&^(3<<11) | Status(crd&3)<<11 }
 
-// RetryDelay is the retry delay index.
+// RetryDelay returns the retry delay index.
 func (s Status) RetryDelay() int { return int(s >> 11 & 3) }
 
-// NewCompletion makes a completion of the command cid with a status and two result dwords.
+// NewCompletion returns the completion of the command cid with a status and two result dwords.
 func NewCompletion(cid uint16, status Status, dw0, dw1 uint32) (c Completion) {
 	binary.LittleEndian.PutUint32(c[0:], dw0)
 	binary.LittleEndian.PutUint32(c[4:], dw1)
@@ -57,16 +58,16 @@
 	return c
 }
 
-// CID is the identifier of the command that completed.
+// CID returns the identifier of the command that completed.
 func (c *Completion) CID() uint16 { return binary.LittleEndian.Uint16(c[12:]) }
 
-// Status is the status field without the phase tag.
+// Status returns the status field without the phase tag.
 func (c *Completion) Status() Status { return Status(binary.LittleEndian.Uint16(c[14:]) >> 1) }
 
-// DW0 is the first result dword.
+// DW0 returns the first result dword.
 func (c *Completion) DW0() uint32 { return binary.LittleEndian.Uint32(c[0:]) }
 
-// DW1 is the second result dword.
+// DW1 returns the second result dword.
 func (c *Completion) DW1() uint32 { return binary.LittleEndian.Uint32(c[4:]) }
 
 // SetHead sets the submission queue head.
--- a/nvme/connect.go
+++ b/nvme/connect.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 )
 
-// NewConnect makes a Connect for a queue of size entries (Base 6.3); keepAlive is in milliseconds and
-// counts on the admin queue only. Its data is ConnectData.
+// NewConnect returns a Connect for a queue of size entries (Base 6.3). keepAlive is in milliseconds and applies to the
+// admin queue only. The data of the command is ConnectData.
 func NewConnect(qid uint16, size int, keepAlive uint32) Command {
 	var c Command
 	c[0], c[4] = Fabrics, FabricsConnect
@@ -16,13 +16,13 @@
 	return c
 }
 
-// ConnectLen is the size of a Connect's data (Base 6.3, figure of Connect data).
+// ConnectLen is the size of a Connect's data in bytes (Base 6.3, figure of Connect data).
 const ConnectLen = 1024
 
-// DynamicController as a controller id asks for any.
+// DynamicController is the controller id by which a host requests any controller.
 const DynamicController = 0xFFFF
 
-// Where the fields of a Connect's data are; names end with a zero.
+// Offsets of the fields of a Connect's data, and the size of a name, which is NUL-terminated.
 const (
 	connectHostID       = 0
 	connectControllerID = 16
@@ -51,7 +51,7 @@
 	return dst
 }
 
-// ParseConnectData reads a Connect's data of ConnectLen bytes.
+// ParseConnectData decodes a Connect's data, which has ConnectLen bytes.
 func ParseConnectData(d []byte) ConnectData {
 	return ConnectData{
 		HostID:       [16]byte(d[connectHostID:]),
@@ -61,7 +61,7 @@
 	}
 }
 
-// nulTerminated is a name without the zeros behind it.
+// nulTerminated returns the text before the first NUL byte.
 func nulTerminated(b []byte) string {
 	if i := bytes.IndexByte(b, 0); i >= 0 {
 		b = b[:i]
--- a/nvme/decode.go
+++ b/nvme/decode.go
@@ -2,23 +2,24 @@
 
 import "encoding/binary"
 
-// Framing is what both ends of a connection agreed on in ICReq and ICResp. The zero value is what holds
-// before: no digests, no alignment beyond four bytes.
+// Framing holds the parameters by which the PDUs of a connection are encoded and decoded. ICReq and ICResp negotiate
+// them. The zero value applies before that: no digests, and an alignment of four bytes.
 type Framing struct {
 	HeaderDigest bool
 	DataDigest   bool
-	// Align is the alignment that the receiver of data asked for, as HPDA or CPDA.
+	// Align is HPDA or CPDA, the alignment of data that its receiver requested: data offsets are multiples of
+	// (Align+1)*4 bytes. Decode does not check it.
 	Align uint8
-	// MaxData bounds the data of one PDU in bytes.
+	// MaxData is the largest number of data bytes in one PDU.
 	MaxData int
-	// FromHost tells which end sends what is decoded.
+	// FromHost is true if the host sends the PDUs that are decoded, false if the controller does.
 	FromHost bool
 }
 
-// pduFormat is the form of a type of PDU.
+// pduFormat describes a PDU type.
 type pduFormat struct {
-	headerLen int  // 0: there is no such type
-	fromHost  bool // which end sends it
+	headerLen int  // in bytes; 0: there is no such type
+	fromHost  bool // the host sends it, not the controller
 	data      bool // it may carry data
 	digests   bool // it may carry digests
 }
@@ -35,7 +36,7 @@
 	TypeR2T:         {headerLen: dataHeaderLen, digests: true},
 }
 
-// Offsets of the fields of the common header (TCP 3.6.1) and of a data PDU's length, as FEI tells which is wrong.
+// Offsets of the fields of the common header (TCP 3.6.1) and of a data PDU's data length, reported as FEI.
 const (
 	typeField       = 0
 	flagsField      = 1
@@ -45,19 +46,20 @@
 	dataLengthField = 16
 )
 
-// pduBounds is where the parts of a PDU are, by its header.
+// pduBounds holds the offsets of the parts of a PDU, computed from its header.
 type pduBounds struct {
 	headerLen    int
-	headerDigest bool // it stands behind the header
+	headerDigest bool // a digest follows the header
 	dataFrom     int
 	dataTo       int
-	dataDigest   bool // it stands behind the data
-	size         int  // of all
+	dataDigest   bool // a digest follows the data
+	size         int  // of the whole PDU
 }
 
-// Decode reads the PDU at the start of b. It returns the bytes used, 0 while more are needed, and a
-// *FatalError as soon as the header, or as much of it as is there, cannot be one. Every length is checked
-// against what the type allows before more bytes are waited for; nothing is allocated.
+// Decode decodes the PDU at the start of b. It returns the number of bytes used, or 0 if the PDU is incomplete. If the
+// PDU is invalid, it returns a *FatalError; an error in the common header is reported before the rest of the PDU has
+// come. Every length is checked against the limit of the PDU type before Decode reports that more bytes are needed.
+// Decode allocates nothing, except for an error.
 func (f *Framing) Decode(b []byte) (p PDU, used int, err error) {
 	if len(b) < commonHeaderLen {
 		return PDU{}, 0, nil
@@ -70,7 +72,7 @@
 	p.Header, p.Data = b[:e.headerLen], b[e.dataFrom:e.dataTo]
 	if e.headerDigest {
 		if got, sum := binary.LittleEndian.Uint32(b[e.headerLen:]), CRC32C(p.Header); got != sum {
-			return PDU{}, 0, fatalErrorf(FatalHeaderDigest, got, b, "header digest %#x is not %#x", got, sum)
+			return PDU{}, 0, fatalErrorf(FatalHeaderDigest, got, b, "header digest %#x, expected %#x", got, sum)
 		}
 	}
 	if e.dataDigest {
@@ -78,31 +80,32 @@
 	}
 	if (p.Type == TypeH2CData || p.Type == TypeC2HData) && int(p.Length()) != len(p.Data) {
 		return PDU{}, 0, fatalErrorf(FatalHeaderField, dataLengthField, b,
-			"data length %d is not the %d bytes that came", p.Length(), len(p.Data))
+			"data length field %d, but the PDU has %d bytes of data", p.Length(), len(p.Data))
 	}
 	if len(p.Data) > f.MaxData && pduFormats[p.Type].digests {
-		return PDU{}, 0, fatalErrorf(FatalTransferLimit, 0, b, "%d bytes of data are over %d", len(p.Data), f.MaxData)
+		return PDU{}, 0, fatalErrorf(FatalTransferLimit, 0, b,
+			"%d bytes of data in one PDU, at most %d allowed", len(p.Data), f.MaxData)
 	}
 	return p, e.size, nil
 }
 
-// parseHeader checks the common header of a PDU and sets where its parts are.
+// parseHeader checks the common header of a PDU and sets the bounds of its parts.
 func (f *Framing) parseHeader(b []byte, e *pduBounds) error {
 	kind, headerLen, length := b[typeField], int(b[headerLenField]), binary.LittleEndian.Uint32(b[lengthField:])
 	if int(kind) >= len(pduFormats) || pduFormats[kind].headerLen == 0 {
-		return fatalErrorf(FatalHeaderField, typeField, b, "PDU type %#x is unknown", kind)
+		return fatalErrorf(FatalHeaderField, typeField, b, "unknown PDU type %#x", kind)
 	}
 	l := &pduFormats[kind]
 	if l.fromHost != f.FromHost {
-		return fatalErrorf(FatalSequence, 0, b, "PDU type %#x comes from the wrong end", kind)
+		return fatalErrorf(FatalSequence, 0, b, "PDU type %#x sent by the wrong end", kind)
 	}
 	if headerLen != l.headerLen {
 		return fatalErrorf(FatalHeaderField, headerLenField, b,
-			"header length %d of type %#x is not %d", headerLen, kind, l.headerLen)
+			"header length %d of PDU type %#x, expected %d", headerLen, kind, l.headerLen)
 	}
 	headerDigest := f.HeaderDigest && l.digests
 	if (b[flagsField]&FlagHeaderDigest != 0) != headerDigest {
-		return fatalErrorf(FatalHeaderField, flagsField, b, "header digest flag does not match what was agreed")
+		return fatalErrorf(FatalHeaderField, flagsField, b, "header digest flag does not match the negotiated digests")
 	}
 	minLen := headerLen
 	if headerDigest {
@@ -114,7 +117,7 @@
 	}
 	if length < uint32(minLen) || length > uint32(maxLen) {
 		return fatalErrorf(FatalHeaderField, lengthField, b,
-			"PDU length %d is not within %d and %d", length, minLen, maxLen)
+			"PDU length %d, expected %d to %d", length, minLen, maxLen)
 	}
 	e.size, e.headerLen, e.headerDigest = int(length), headerLen, headerDigest
 	e.dataFrom, e.dataTo = minLen, e.size
@@ -124,30 +127,30 @@
 	return nil
 }
 
-// locateData checks the part of a PDU behind its header, and sets where its data is.
+// locateData checks the part of a PDU after its header, and sets the bounds of its data.
 func (f *Framing) locateData(b []byte, e *pduBounds) error {
-	if !pduFormats[b[typeField]].digests { // a TermReq: its data follows its header
+	if !pduFormats[b[typeField]].digests { // a TermReq: its data directly follows its header
 		if e.size > termHeaderLen+maxTermData {
 			return fatalErrorf(FatalHeaderField, lengthField, b,
-				"PDU length %d of a TermReq is over %d", e.size, termHeaderLen+maxTermData)
+				"PDU length %d of a TermReq, at most %d allowed", e.size, termHeaderLen+maxTermData)
 		}
 		return nil
 	}
 	offset := int(b[dataOffsetField])
 	if offset < e.dataFrom || offset > e.size || offset%4 != 0 {
 		return fatalErrorf(FatalHeaderField, dataOffsetField, b,
-			"data offset %d is not within %d and %d", offset, e.dataFrom, e.size)
+			"data offset %d, expected a multiple of 4 from %d to %d", offset, e.dataFrom, e.size)
 	}
 	e.dataFrom = offset
 	e.dataDigest = f.DataDigest
 	if (b[flagsField]&FlagDataDigest != 0) != e.dataDigest {
-		return fatalErrorf(FatalHeaderField, flagsField, b, "data digest flag does not match what was agreed")
+		return fatalErrorf(FatalHeaderField, flagsField, b, "data digest flag does not match the negotiated digests")
 	}
 	if !e.dataDigest {
 		return nil
 	}
 	if e.size < e.dataFrom+digestLen {
-		return fatalErrorf(FatalHeaderField, lengthField, b, "no room for the data digest")
+		return fatalErrorf(FatalHeaderField, lengthField, b, "PDU length leaves no room for the data digest")
 	}
 	e.dataTo = e.size - digestLen
 	return nil
--- a/nvme/encode.go
+++ b/nvme/encode.go
@@ -2,29 +2,30 @@
 
 import "encoding/binary"
 
-// appendHeader appends a header with type and flags set and the rest zero; finish completes it.
-func appendHeader(dst []byte, kind, flags uint8, hlen int) []byte {
+// appendHeader appends a header of headerLen bytes with its type, flags and header length. The other bytes are zero.
+func appendHeader(dst []byte, kind, flags uint8, headerLen int) []byte {
 	n := len(dst)
-	dst = append(dst, make([]byte, hlen)...)
-	dst[n], dst[n+1], dst[n+2] = kind, flags, uint8(hlen)
+	dst = append(dst, make([]byte, headerLen)...)
+	dst[n], dst[n+1], dst[n+2] = kind, flags, uint8(headerLen)
 	return dst
 }
 
-// finishPDU adds digests, padding and data behind a header that begins at dst[start:], and sets the lengths.
+// finishPDU appends digests, padding and data to a header that begins at dst[start:], and sets the digest flags, the
+// data offset and the PDU length.
 func (f *Framing) finishPDU(dst []byte, start int, data []byte) []byte {
 	h := dst[start:]
-	hlen := len(h)
-	size := hlen
+	headerLen := len(h)
+	size := headerLen
 	if f.HeaderDigest {
 		h[1] |= FlagHeaderDigest
 		size += digestLen
 	}
-	pdo := 0
+	dataOffset := 0
 	if len(data) > 0 {
 		unit := (int(f.Align) + 1) * 4
-		pdo = (size + unit - 1) / unit * unit
-		h[3] = uint8(pdo)
-		size = pdo + len(data)
+		dataOffset = (size + unit - 1) / unit * unit
+		h[3] = uint8(dataOffset)
+		size = dataOffset + len(data)
 		if f.DataDigest {
 			h[1] |= FlagDataDigest
 			size += digestLen
@@ -32,11 +33,11 @@
 	}
 	binary.LittleEndian.PutUint32(h[4:], uint32(size))
 	if f.HeaderDigest {
-		dst = binary.LittleEndian.AppendUint32(dst, CRC32C(dst[start:start+hlen]))
+		dst = binary.LittleEndian.AppendUint32(dst, CRC32C(dst[start:start+headerLen]))
 	}
 	if len(data) > 0 {
 		var zero [MaxDataOffset + 1]byte
-		dst = append(dst, zero[:pdo-(len(dst)-start)]...)
+		dst = append(dst, zero[:dataOffset-(len(dst)-start)]...)
 		dst = append(dst, data...)
 		if f.DataDigest {
 			dst = binary.LittleEndian.AppendUint32(dst, CRC32C(data))
@@ -63,7 +64,7 @@
 	return dst
 }
 
-// AppendTerm appends the TermReq by which the end kind names ends a connection.
+// AppendTerm appends the TermReq for an error. kind is TypeH2CTermReq or TypeC2HTermReq.
 func AppendTerm(dst []byte, kind uint8, e *FatalError) []byte {
 	start := len(dst)
 	dst = appendHeader(dst, kind, 0, termHeaderLen)
@@ -74,7 +75,7 @@
 	return append(dst, e.Header...)
 }
 
-// AppendCommand appends a CapsuleCmd, with in-capsule data where there is some.
+// AppendCommand appends a CapsuleCmd, with in-capsule data if data is not empty.
 func (f *Framing) AppendCommand(dst []byte, c *Command, data []byte) []byte {
 	start := len(dst)
 	dst = appendHeader(dst, TypeCapsuleCmd, 0, commandCapsuleLen)
@@ -90,13 +91,13 @@
 	return f.finishPDU(dst, start, nil)
 }
 
-// DataHeader is the header of an H2CData or C2HData PDU, without lengths.
+// DataHeader holds the fields of the header of an H2CData or C2HData PDU, without its lengths.
 type DataHeader struct {
 	Type   uint8
 	Flags  uint8 // FlagLast and FlagSuccess
 	CID    uint16
 	TTAG   uint16
-	Offset int // from the start of the command's data
+	Offset int // in bytes, from the start of the command's data
 }
 
 // AppendData appends one H2CData or C2HData PDU.
@@ -107,7 +108,7 @@
 	return f.finishPDU(dst, start, data)
 }
 
-// AppendR2T appends an R2T for length bytes from offset.
+// AppendR2T appends an R2T for length bytes from offset on.
 func (f *Framing) AppendR2T(dst []byte, cid, ttag uint16, offset, length int) []byte {
 	start := len(dst)
 	dst = appendHeader(dst, TypeR2T, 0, dataHeaderLen)
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -157,8 +157,9 @@
 	if blocks, shift := ParseNamespace(AppendNamespace(nil, 77, 12)); blocks != 77 || shift != 12 {
 		t.Error("Identify Namespace")
 	}
-	if ids := ParseActiveNamespaces(AppendActiveNamespaces(nil, 2, []uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
-		t.Error("active namespaces", ids)
+	if ids := ParseActiveNamespaces(AppendActiveNamespaces(nil, 2,
+		[]uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
+		t.Error("active namespaces above 2 are", ids, "want [3 9]")
 	}
 }
 
--- a/nvme/pdu.go
+++ b/nvme/pdu.go
@@ -1,7 +1,7 @@
-// Package nvme holds the layouts of NVMe over TCP that honeyplank accepts and sends: PDUs of the TCP transport, and
-// commands, completions and data structures of the base specification. It does no I/O, keeps no connection state beyond
-// what a decoder needs, and decides nothing. Initiators, targets and the auditor call it, each on its own goroutine: a
-// value of this package is not shared between them.
+// Package nvme encodes and decodes the part of NVMe over TCP that honeyplank uses: PDUs of the TCP transport, and
+// commands, completions and data structures of the base specification. It does no I/O, and keeps no state of a
+// connection except for the parameters of its framing. It takes no decisions about a command. Initiators, targets and
+// the auditor call it, each on its own goroutine; values of this package are not safe for concurrent use.
 //
 // Sources: "NVM Express TCP Transport Specification" revision 1.0 (cited as TCP), "NVM Express Base Specification"
 // revision 2.0 (cited as Base) and "NVM Command Set Specification" revision 1.0 (cited as NVM). All integers on the
@@ -32,7 +32,7 @@
 	FlagHeaderDigest = 1 << 0
 	FlagDataDigest   = 1 << 1
 	FlagLast         = 1 << 2 // H2CData, C2HData: the last PDU of a transfer
-	FlagSuccess      = 1 << 3 // C2HData: no CapsuleResp follows, the command succeeded
+	FlagSuccess      = 1 << 3 // C2HData: the command succeeded and no CapsuleResp follows
 )
 
 // Fatal error statuses of H2CTermReq and C2HTermReq (TCP 3.6.2.4, 3.6.2.5).
@@ -41,12 +41,12 @@
 	FatalSequence             = 2 // PDU Sequence Error
 	FatalHeaderDigest         = 3 // Header Digest Error; FEI is the digest received
 	FatalDataRange            = 4 // Data Transfer Out of Range
-	FatalTransferLimit        = 5 // Data Transfer Limit Exceeded (R2T Limit Exceeded to a host)
+	FatalTransferLimit        = 5 // Data Transfer Limit Exceeded; in an H2CTermReq: R2T Limit Exceeded
 	FatalUnsupportedParameter = 6 // Unsupported Parameter; FEI is the offset of the parameter
 )
 
 const (
-	commonHeaderLen = 8 // of the common header
+	commonHeaderLen = 8
 	digestLen       = 4
 
 	commandCapsuleLen  = commonHeaderLen + CommandLen
@@ -55,17 +55,17 @@
 	icHeaderLen   = 128
 	dataHeaderLen = 24
 	termHeaderLen = 24
-	maxTermData   = 128 // most bytes of the offending header that a TermReq repeats
-	// MaxDataOffset is the largest data offset a header can state (one byte, TCP 3.6.1).
+	maxTermData   = 128 // bytes of the invalid PDU's header that a TermReq may repeat
+	// MaxDataOffset is the largest data offset that a header can contain (one byte, TCP 3.6.1).
 	MaxDataOffset = 255
 )
 
-// FatalError is a violation of the transport after which a connection ends with a TermReq.
+// FatalError is a violation of the transport protocol, after which the connection is ended with a TermReq.
 type FatalError struct {
 	Status uint16 // one of the Fatal constants
-	Info   uint32 // FEI: offset or digest, by status
+	Info   uint32 // FEI, whose meaning depends on Status: offset of a field, or digest received
 	Text   string
-	Header []byte // the beginning of the offending PDU
+	Header []byte // the beginning of the invalid PDU
 }
 
 func (e *FatalError) Error() string { return fmt.Sprintf("nvme/tcp: %s (FES %d)", e.Text, e.Status) }
@@ -77,37 +77,37 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CRC32C is the digest of headers and data (TCP 3.3.1.1).
+// CRC32C returns the digest of a header or of data (TCP 3.3.1.1).
 func CRC32C(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// PDU is one decoded PDU. Header and Data alias the buffer it was decoded from and hold only until that is
-// reused; the type-specific header begins at Header[8].
+// PDU is one decoded PDU. Header and Data alias the buffer from which it was decoded, and are valid only until the
+// buffer is reused. The type-specific header begins at Header[8].
 type PDU struct {
 	Type   uint8
 	Flags  uint8
 	Header []byte
 	Data   []byte
-	// DataDigestError tells that the data digest did not match; the transport goes on, the command fails with a
+	// DataDigestError is true if the data digest did not match. The connection continues, and the command fails with a
 	// transient transport error (TCP 3.3.1.1).
 	DataDigestError bool
 }
 
-// CCCID is the command identifier of a data or R2T PDU (TCP 3.6.2.8 to 3.6.2.10).
+// CCCID returns the command identifier of a data or R2T PDU (TCP 3.6.2.8 to 3.6.2.10).
 func (p *PDU) CCCID() uint16 { return binary.LittleEndian.Uint16(p.Header[8:]) }
 
-// TTAG is the transfer tag of an H2CData or R2T PDU.
+// TTAG returns the transfer tag of an H2CData or R2T PDU.
 func (p *PDU) TTAG() uint16 { return binary.LittleEndian.Uint16(p.Header[10:]) }
 
-// Offset is the data offset of a data or R2T PDU, in bytes.
+// Offset returns the data offset of a data or R2T PDU in bytes.
 func (p *PDU) Offset() uint32 { return binary.LittleEndian.Uint32(p.Header[12:]) }
 
-// Length is the data length of a data or R2T PDU, in bytes.
+// Length returns the data length of a data or R2T PDU in bytes.
 func (p *PDU) Length() uint32 { return binary.LittleEndian.Uint32(p.Header[16:]) }
 
-// Command is the submission queue entry of a CapsuleCmd (TCP 3.6.2.6).
+// Command returns the submission queue entry of a CapsuleCmd (TCP 3.6.2.6).
 func (p *PDU) Command() Command { return Command(p.Header[8:72]) }
 
-// Completion is the completion queue entry of a CapsuleResp (TCP 3.6.2.7).
+// Completion returns the completion queue entry of a CapsuleResp (TCP 3.6.2.7).
 func (p *PDU) Completion() Completion { return Completion(p.Header[8:24]) }
 
 // Init holds the fields of ICReq and ICResp (TCP 3.6.2.2, 3.6.2.3).
@@ -116,11 +116,11 @@
 	Align        uint8  // HPDA or CPDA: data offsets are multiples of (Align+1)*4 bytes
 	HeaderDigest bool
 	DataDigest   bool
-	// Limit is MAXR2T, a 0's based count, in ICReq; MAXH2CDATA in bytes in ICResp.
+	// Limit is MAXR2T, a 0's based count, in an ICReq, and MAXH2CDATA, in bytes, in an ICResp.
 	Limit uint32
 }
 
-// Init reads an ICReq or ICResp.
+// Init returns the fields of an ICReq or ICResp.
 func (p *PDU) Init() Init {
 	h := p.Header
 	return Init{
@@ -132,7 +132,7 @@
 	}
 }
 
-// Term reads a TermReq.
+// Term returns FES and FEI of a TermReq.
 func (p *PDU) Term() (status uint16, info uint32) {
 	return binary.LittleEndian.Uint16(p.Header[8:]), binary.LittleEndian.Uint32(p.Header[10:])
 }
