--- a/initiator/admin.go
+++ b/initiator/admin.go
@@ -4,7 +4,8 @@
 	"honeyplank/nvme"
 )
 
-// Identify sends an Identify.
+// Identify sends an Identify command. The admin queue must be connected. If the command cannot be sent, callback is not
+// called.
 func (a *Association) Identify(cns uint8, nsid uint32, callback Callback) {
 	c := nvme.Command{nvme.AdminIdentify}
 	c.SetNSID(nsid)
@@ -12,7 +13,8 @@
 	a.Admin.Submit(c, nil, nvme.IdentifyLen, callback)
 }
 
-// GetLogPage asks for the first n bytes of a log page; n is a multiple of four. It tells whether it was sent.
+// GetLogPage requests the first n bytes of a log page. n must be a multiple of four. It returns false, and callback is
+// not called, if the association is not ready or the admin queue is full.
 func (a *Association) GetLogPage(id uint8, n int, callback Callback) bool {
 	if !a.IsReady() {
 		return false
@@ -23,10 +25,10 @@
 	return ok
 }
 
-// keepAliveAttempts is how many Keep Alives are sent in the time after which the association ends.
+// keepAliveAttempts is the number of Keep Alives that are sent within Settings.KeepAlive.
 const keepAliveAttempts = 4
 
-// sendKeepAlive sends Keep Alives at intervals, and ends the association once none has been answered for
+// sendKeepAlive sends a Keep Alive and schedules the next one. It ends the association if none has been answered for
 // Settings.KeepAlive (Base 3.9).
 func (a *Association) sendKeepAlive() {
 	now := a.loop.Now()
--- a/initiator/association.go
+++ b/initiator/association.go
@@ -8,31 +8,34 @@
 	"honeyplank/nvme"
 )
 
-// Settings say how to associate with a controller.
+// Settings holds the address of a controller and the parameters of an association with it.
 type Settings struct {
 	Address        string // IPv4 address and port
 	Subsystem      string
 	Host           string // NQN of this host
 	HostID         [16]byte
-	Depth          int           // commands in flight at a time on the I/O queue, at most MaxDepth
-	MaxData        int           // bytes of one Read
-	Digests        bool          // ask for header and data digests
+	Depth          int           // largest number of commands in flight on the I/O queue, at most MaxDepth
+	MaxData        int           // largest number of bytes of one Read
+	Digests        bool          // request header and data digests
 	ConnectTimeout time.Duration // for the whole handshake
-	KeepAlive      time.Duration // 0: none. Silence of this long on the admin queue ends the association
-	Tap            func() func(sent bool, b []byte)
-	// OnConnect, where set, is called with each new connection, for fault injection.
+	KeepAlive      time.Duration // time without an answer to a Keep Alive that ends the association; 0: no Keep Alive
+	// Tap, if not nil, is called for each new connection and returns a function that receives the bytes of the
+	// connection.
+	Tap func() func(sent bool, b []byte)
+	// OnConnect, if not nil, is called with each new connection, for fault injection.
 	OnConnect func(*eventloop.Conn)
 }
 
-// Handler hears of an association. It is called on the loop.
+// Handler receives the events of an association. It is called on the event loop.
 type Handler interface {
-	// Ready is called once the I/O queue may be used.
+	// Ready is called when the I/O queue may be used.
 	Ready(*Association)
-	// Ended is called once when the association has ended, after the calls of its commands in flight.
+	// Ended is called once, when the association has ended, after the callbacks of the commands in flight. It is not
+	// called after Association.Close.
 	Ended(*Association, error)
 }
 
-// queueID tells which of an association's queues it is.
+// queueID is the id of one of an association's queues.
 type queueID int
 
 const (
@@ -41,24 +44,24 @@
 	queueCount
 )
 
-// adminDepth is how many commands may be in flight on the admin queue.
+// adminDepth is the number of commands that may be in flight on the admin queue.
 const adminDepth = 32
 
-// maxKeptReads bounds the memory that is kept for reads, in reads of the largest size.
+// maxKeptReads bounds the size of the free buffers that are kept for reuse, as a number of Reads of the largest size.
 const maxKeptReads = 64
 
 var (
-	errHandshakeTimeout = errors.New("initiator: the handshake was not complete in time")
-	errKeepAliveTimeout = errors.New("initiator: Keep Alive was not answered in time")
-	errClosed           = errors.New("initiator: the controller closed the connection")
-	errNotReady         = errors.New("initiator: the controller did not become ready")
-	errNoIdentifyData   = errors.New("initiator: Identify brought no data")
+	errHandshakeTimeout = errors.New("initiator: handshake not complete within the connect timeout")
+	errKeepAliveTimeout = errors.New("initiator: no Keep Alive answered within the keep-alive time")
+	errClosed           = errors.New("initiator: controller closed the connection")
+	errNotReady         = errors.New("initiator: controller not ready after it was enabled")
+	errNoIdentifyData   = errors.New("initiator: no data in the answer to Identify Controller")
 )
 
 // Association is an admin queue and one I/O queue to a controller.
 type Association struct {
-	IO      *Session // it takes commands once the association is ready
-	Admin   *Session
+	IO      *Session // accepts commands once the association is ready
+	Admin   *Session // nil until the admin queue is connected
 	Buffers eventloop.Buffers
 	// RetryDelays are CRDT1 to CRDT3 of the controller, in units of 100 ms.
 	RetryDelays [3]uint16
@@ -69,14 +72,14 @@
 	conns             [queueCount]*eventloop.Conn
 	sessions          [queueCount]*Session
 	controllerID      uint16
-	ioMaxCapsule      int // bytes of data in a capsule of the I/O queue
+	ioMaxCapsule      int // largest number of data bytes in a capsule of the I/O queue
 	ready             bool
 	closed            bool
 	timer             *eventloop.Timer // of the handshake, then of Keep Alive
-	keepAliveAnswered time.Duration    // when a Keep Alive was last answered
+	keepAliveAnswered time.Duration    // the time at which a Keep Alive was last answered
 }
 
-// Dial begins an association; the handler hears of it later, never during the call.
+// Dial starts an association. The handler is not called before Dial has returned.
 func Dial(l *eventloop.Loop, settings Settings, h Handler) *Association {
 	a := &Association{IO: &Session{}, settings: settings, loop: l, handler: h}
 	a.Buffers.MaxKept, a.Buffers.Stats = maxKeptReads*settings.MaxData, &l.Stats
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// queue is one of the association's connections, as its eventloop.Handler.
+// queue is the eventloop.Handler of one of the association's connections.
 type queue struct {
 	association *Association
 	id          queueID
@@ -141,13 +144,14 @@
 	q.association.end(err)
 }
 
-// IsReady tells whether commands may be submitted.
+// IsReady reports whether commands may be submitted.
 func (a *Association) IsReady() bool { return a.ready && !a.closed }
 
-// IsClosed tells whether the association has ended.
+// IsClosed reports whether the association has ended.
 func (a *Association) IsClosed() bool { return a.closed }
 
-// Close ends the association; commands in flight end as Lost, the handler is not called.
+// Close ends the association. The callbacks of the commands in flight are called with ConnectionLost; the handler is
+// not called.
 func (a *Association) Close() {
 	if a.closed {
 		return
@@ -164,7 +168,7 @@
 	}
 }
 
-// end closes the association and tells the handler why.
+// end closes the association and passes the error to the handler.
 func (a *Association) end(err error) {
 	if !a.closed {
 		a.Close()
--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -7,7 +7,7 @@
 	"honeyplank/nvme"
 )
 
-// sendConnect sends the Connect of a queue, whose connection is ready.
+// sendConnect sends the Connect of a queue after its connection has become ready.
 func (a *Association) sendConnect(id queueID) {
 	size, controllerID, next := adminDepth+1, uint16(nvme.DynamicController), a.adminConnected
 	if id == ioQueue {
@@ -25,20 +25,21 @@
 	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.mustSucceed("Connect", next))
 }
 
-// mustSucceed is a Call that ends the association if its command fails.
+// mustSucceed returns a callback that calls next if the command has succeeded, and ends the association if it has
+// failed.
 func (a *Association) mustSucceed(commandName string, next func(Result)) Callback {
 	return CallbackFunc(func(r Result) {
 		switch {
 		case r.ConnectionLost || a.closed:
 		case r.Status() != nvme.Success:
-			a.end(fmt.Errorf("initiator: %s was answered with status %#x", commandName, r.Status()))
+			a.end(fmt.Errorf("initiator: %s failed with status %#x", commandName, r.Status()))
 		default:
 			next(r)
 		}
 	})
 }
 
-// adminConnected sets CC.EN (Base 3.5.1, 3.1.3.5) and waits until the controller is ready.
+// adminConnected reads CAP, sets CC.EN (Base 3.5.1, 3.1.3.5) and then reads CSTS.
 func (a *Association) adminConnected(r Result) {
 	const enabled = 1 | 6<<16 | 4<<20 // EN, IOSQES, IOCQES
 	a.controllerID = uint16(r.DW0())
@@ -58,7 +59,7 @@
 	a.Admin.Submit(get, nil, 0, a.mustSucceed("Property Get", next))
 }
 
-// enabled reads CSTS.RDY, then asks who the controller is.
+// enabled checks CSTS.RDY and sends Identify Controller.
 func (a *Association) enabled(r Result) {
 	if r.DW0()&1 == 0 {
 		a.end(errNotReady)
@@ -67,7 +68,8 @@
 	a.Identify(nvme.IdentifyController, 0, a.mustSucceed("Identify", a.identified))
 }
 
-// identified connects the I/O queue by what the controller tells.
+// identified takes the capsule size and the retry delays from the Identify Controller data, and opens the connection of
+// the I/O queue.
 func (a *Association) identified(r Result) {
 	if len(r.Data) != nvme.IdentifyLen {
 		a.end(errNoIdentifyData)
@@ -85,8 +87,8 @@
 	a.settings.MaxData = max(a.settings.MaxData, nvme.IdentifyLen)
 }
 
-// honourRetryDelays tells the controller that this host honours its retry delays (ACRE). A controller that does not
-// know the feature does not send any.
+// honourRetryDelays sets ACRE, by which a host declares that it honours the controller's retry delays. Its result is
+// ignored: a controller without the feature sends no retry delays.
 func (a *Association) honourRetryDelays() {
 	c := nvme.Command{nvme.AdminSetFeatures}
 	c.SetDW(10, nvme.FeatureHostBehavior)
@@ -95,7 +97,7 @@
 	a.Admin.Submit(c, behaviour, 0, CallbackFunc(func(Result) {}))
 }
 
-// ioConnected makes the association ready.
+// ioConnected makes the association ready and starts Keep Alive.
 func (a *Association) ioConnected(Result) {
 	a.IO = a.sessions[ioQueue]
 	a.IO.MaxCapsule = a.ioMaxCapsule
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -1,8 +1,8 @@
-// Package initiator is the host's side of NVMe over TCP: what talks to a controller. Session is one queue's state
-// machine, in memory; Association drives an admin queue and one I/O queue on an event loop, and all of the package
-// runs on that loop's goroutine. It must not retry, choose or time a command out: every command ends once, by its
-// answer or with its connection. The gateway uses it towards disk servers, the load generator and the benchmarks as
-// clients.
+// Package initiator implements the host side of NVMe over TCP. Session is the state machine of one queue and does no
+// I/O. Association connects an admin queue and one I/O queue to a controller on an event loop; the whole package runs
+// on the goroutine of that loop. It must not retry a command, choose between commands, or time a command out: every
+// command ends once, when it is answered or when its connection ends. The gateway uses the package for its connections
+// to disk servers, the load generator and the benchmarks use it as clients.
 package initiator
 
 import (
@@ -13,28 +13,29 @@
 	"honeyplank/nvme"
 )
 
-// Result is how a command ended.
+// Result is the result of a command.
 type Result struct {
 	nvme.Completion
-	// Data is what a Read brought; it holds only during the call.
+	// Data is the data of a Read. It is valid only during the callback.
 	Data []byte
-	// ConnectionLost tells that the connection ended first. Whether the command ran is unknown if it was sent.
+	// ConnectionLost is true if the connection ended before the command was answered. The controller may have executed
+	// the command, if it was sent.
 	ConnectionLost bool
 }
 
-// Callback is called once, with how a command ended.
+// Callback receives the result of a command. Done is called once, on the event loop.
 type Callback interface{ Done(Result) }
 
-// CallbackFunc is a function as a Call.
+// CallbackFunc adapts a function to a Callback.
 type CallbackFunc func(Result)
 
-// Done calls the function.
+// Done calls f.
 func (f CallbackFunc) Done(r Result) { f(r) }
 
-// Session is one queue's state machine. Commands may be submitted once its connection is ready; the zero value takes
-// none.
+// Session is the state machine of one queue. Commands may be submitted once the connection is ready. The zero value
+// accepts no commands.
 type Session struct {
-	// MaxCapsule is how much data may travel in a command's capsule.
+	// MaxCapsule is the largest number of data bytes in a command capsule.
 	MaxCapsule int
 
 	options       sessionOptions
@@ -42,21 +43,21 @@
 	outputFraming nvme.Framing // of the output
 	ready         bool
 	slots         []slot
-	free          []uint16 // indices of slots
+	free          []uint16 // indices of free slots
 }
 
-// sessionOptions are a session's bounds and its connection.
+// sessionOptions holds a session's limits, and the functions and buffers of its connection.
 type sessionOptions struct {
-	depth   int // commands in flight at a time
-	maxData int // bytes of one data PDU that the controller sends
-	digests bool
+	depth   int  // largest number of commands in flight
+	maxData int  // bytes of data in one PDU from the controller
+	digests bool // request header and data digests
 	buffers *eventloop.Buffers
 	output  *[]byte
 	flush   func() // sends the output
-	onReady func() // ICResp has come
+	onReady func() // called when ICResp has been received
 }
 
-// newSession makes a session and sends its ICReq.
+// newSession creates a session and sends its ICReq.
 func newSession(o sessionOptions) *Session {
 	s := &Session{options: o, slots: make([]slot, o.depth), free: make([]uint16, 0, o.depth)}
 	s.inputFraming.MaxData = o.maxData
@@ -69,11 +70,11 @@
 	return s
 }
 
-// Free is how many commands may be submitted now.
+// Free returns the number of commands that may be submitted without waiting for an answer.
 func (s *Session) Free() int { return len(s.free) }
 
-// Submit sends a command with the data of a Write, or expecting read bytes. Data is copied. It returns the command
-// id.
+// Submit sends a command with the data of a Write, or one that reads readBytes bytes. It copies data. It returns the
+// command id. ok is false, and nothing is sent, if the session is not ready or too many commands are in flight.
 func (s *Session) Submit(c nvme.Command, data []byte, readBytes int, callback Callback) (cid uint16, ok bool) {
 	if !s.ready || len(s.free) == 0 {
 		return 0, false
@@ -100,7 +101,8 @@
 	return cid, true
 }
 
-// Abandon discards a command's answer; its id stays in use until the answer has come.
+// Abandon makes the session discard the answer of a command. The callback is not called. The command id stays in use
+// until the answer has come.
 func (s *Session) Abandon(cid uint16) {
 	if v := s.findSlot(cid); v != nil {
 		v.callback = nil
@@ -112,7 +114,8 @@
 	return &nvme.FatalError{Status: status, Text: fmt.Sprintf(format, a...), Header: header}
 }
 
-// Input handles bytes and returns how many it used; after an error the connection must be closed.
+// Input handles the complete PDUs in b and returns the number of bytes used. The caller passes the rest again, with the
+// bytes that follow. After an error the caller must close the connection.
 func (s *Session) Input(b []byte) (used int, err error) {
 	for {
 		p, n, err := s.inputFraming.Decode(b[used:])
@@ -136,7 +139,7 @@
 func (s *Session) handlePDU(p *nvme.PDU) error {
 	if p.Type == nvme.TypeC2HTermReq {
 		status, info := p.Term()
-		return fmt.Errorf("initiator: the controller ended the connection, FES %d, FEI %d", status, info)
+		return fmt.Errorf("initiator: controller terminated the connection: FES %d, FEI %d", status, info)
 	}
 	if !s.ready {
 		return s.handleICResp(p)
@@ -149,10 +152,10 @@
 	case nvme.TypeR2T:
 		return s.handleR2T(p)
 	}
-	return protocolError(nvme.FatalSequence, p, "a PDU that does not belong here")
+	return protocolError(nvme.FatalSequence, p, "PDU type is not expected in this state")
 }
 
-// Bounds of an ICResp (TCP 3.6.2.3).
+// Limits of the fields of an ICResp (TCP 3.6.2.3).
 const (
 	maxAlign   = 31
 	minMaxData = 4096 // MAXH2CDATA
@@ -160,12 +163,12 @@
 
 func (s *Session) handleICResp(p *nvme.PDU) error {
 	if p.Type != nvme.TypeICResp {
-		return protocolError(nvme.FatalSequence, p, "a PDU before ICResp")
+		return protocolError(nvme.FatalSequence, p, "the first PDU is not ICResp")
 	}
 	i := p.Init()
 	if i.Version != 0 || i.Align > maxAlign || i.Limit < minMaxData {
 		return protocolError(nvme.FatalUnsupportedParameter, p,
-			"ICResp with PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
+			"invalid ICResp: PFV %d, CPDA %d, MAXH2CDATA %d", i.Version, i.Align, i.Limit)
 	}
 	s.inputFraming.HeaderDigest, s.inputFraming.DataDigest = i.HeaderDigest, i.DataDigest
 	s.outputFraming = nvme.Framing{
@@ -180,25 +183,26 @@
 	return nil
 }
 
-// handleCompletion ends a command. A success before all data was transferred can't be one.
+// handleCompletion ends a command. Success before all data has been transferred is a protocol error.
 func (s *Session) handleCompletion(p *nvme.PDU) error {
 	c := p.Completion()
 	v := s.findSlot(c.CID())
 	if v == nil {
-		return protocolError(nvme.FatalSequence, p, "an answer to command id %d, which is not in flight", c.CID())
+		return protocolError(nvme.FatalSequence, p, "completion of command id %d, which is not in flight", c.CID())
 	}
 	succeeded := c.Status().Code() == nvme.Success
 	if succeeded && v.received != v.readBytes {
-		return protocolError(nvme.FatalSequence, p, "success after %d of %d bytes", v.received, v.readBytes)
+		return protocolError(nvme.FatalSequence, p, "success of a Read after %d of %d bytes", v.received, v.readBytes)
 	}
 	if succeeded && v.write && v.requested != len(v.data) {
-		return protocolError(nvme.FatalSequence, p, "success of a write after %d of %d bytes", v.requested, len(v.data))
+		return protocolError(nvme.FatalSequence, p, "success of a Write after %d of %d bytes", v.requested, len(v.data))
 	}
 	s.complete(v, c)
 	return nil
 }
 
-// complete ends a command with its completion; damaged data turns a success into a transport error.
+// complete ends a command with its completion. If the data digest did not match, success becomes a transient transport
+// error.
 func (s *Session) complete(v *slot, c nvme.Completion) {
 	if v.dataDigestError && c.Status() == nvme.Success {
 		c = nvme.NewCompletion(c.CID(), nvme.TransientTransport, 0, 0)
@@ -210,7 +214,7 @@
 	s.endSlot(v, r)
 }
 
-// endInFlight ends every command that is in flight.
+// endInFlight ends every command in flight with a result whose ConnectionLost is true.
 func (s *Session) endInFlight() {
 	s.ready = false
 	for i := range s.slots {
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestInvalidSequences has a controller send well-formed PDUs in an impossible order: each ends the connection, and every
-// command still ends once.
+// TestInvalidSequences has a controller send well-formed PDUs in an impossible order: each ends the connection, and
+// every command still ends once.
 func TestInvalidSequences(t *testing.T) {
 	for name, bytes := range map[string]func(c *controller, cid uint16) []byte{
 		"an answer to what was never sent": func(c *controller, cid uint16) []byte { return c.success(cid + 1) },
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestLateAnswerToAbandonedCommand abandons a command and uses every id that is free: the late answer is discarded, and its id comes back
-// only then.
+// TestLateAnswerToAbandonedCommand abandons a command and uses every id that is free: the late answer is discarded, and
+// its id comes back only then.
 func TestLateAnswerToAbandonedCommand(t *testing.T) {
 	c := readyController(t)
 	var first, others []Result
--- a/initiator/slot.go
+++ b/initiator/slot.go
@@ -1,30 +1,30 @@
 package initiator
 
-// slot holds a command that is in flight. Its command id is its index with a count of its uses above, so that an
-// answer to an earlier use is distinguished from one to this. A slot is used again only when its command has been
-// answered: a late answer finds the slot abandoned, never another's op in it.
+// slot holds the state of a command in flight. The command id has the slot's index in its lower bits and the number of
+// uses of the slot in its upper bits, so that an answer to an earlier use is recognised. A slot is reused only when its
+// command has been answered: if the command was abandoned, its late answer cannot be taken for that of another command.
 type slot struct {
 	index           uint16
 	uses            uint16
 	busy            bool
 	write           bool
-	dataDigestError bool     // data came with a wrong digest
+	dataDigestError bool     // the digest of some data of a Read did not match
 	callback        Callback // nil: abandoned
 	data            []byte   // of a Write whose R2T may come, or of a Read
-	readBytes       int      // that a Read is to bring
-	received        int      // of them
-	requested       int      // bytes of a Write that R2Ts have asked for
+	readBytes       int      // expected bytes of a Read
+	received        int      // received bytes of a Read
+	requested       int      // bytes of a Write that R2Ts have requested
 }
 
-// slotBits are the bits of a command id that are the slot's index.
+// slotBits is the number of bits of a command id that hold the slot's index.
 const slotBits = 10
 
-// MaxDepth is the most commands that one session keeps in flight.
+// MaxDepth is the largest number of commands that one session keeps in flight.
 const MaxDepth = 1 << slotBits
 
 func (v *slot) commandID() uint16 { return v.uses<<slotBits | v.index }
 
-// takeSlot takes a free slot for a command; there must be one.
+// takeSlot allocates a free slot for a command. There must be one.
 func (s *Session) takeSlot(callback Callback, readBytes int, write bool) *slot {
 	i := s.free[len(s.free)-1]
 	s.free = s.free[:len(s.free)-1]
@@ -33,7 +33,7 @@
 	return v
 }
 
-// findSlot is the slot of a command that is in flight.
+// findSlot returns the slot of a command in flight, or nil if no command with this id is in flight.
 func (s *Session) findSlot(cid uint16) *slot {
 	if i := int(cid & (MaxDepth - 1)); i < len(s.slots) {
 		if v := &s.slots[i]; v.busy && v.commandID() == cid {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// endSlot frees the slot and tells its owner.
+// endSlot frees the slot and calls the command's callback with the result.
 func (s *Session) endSlot(v *slot, r Result) {
 	callback, data := v.callback, v.data
 	v.busy, v.callback, v.data = false, nil, nil
--- a/initiator/transfer.go
+++ b/initiator/transfer.go
@@ -4,16 +4,16 @@
 	"honeyplank/nvme"
 )
 
-// handleData handles data of a Read.
+// handleData copies data of a Read. With the SUCCESS flag it also completes the command.
 func (s *Session) handleData(p *nvme.PDU) error {
 	v := s.findSlot(p.CCCID())
 	if v == nil || v.write {
-		return protocolError(nvme.FatalSequence, p, "data for command id %d, which reads nothing", p.CCCID())
+		return protocolError(nvme.FatalSequence, p, "C2HData for command id %d, not a Read in flight", p.CCCID())
 	}
 	from, n := int64(p.Offset()), len(p.Data)
 	if from != int64(v.received) || from+int64(n) > int64(v.readBytes) || n == 0 {
 		return protocolError(nvme.FatalDataRange, p,
-			"data from %d to %d of %d, %d have come", from, from+int64(n), v.readBytes, v.received)
+			"C2HData with bytes %d to %d of %d, after %d bytes", from, from+int64(n), v.readBytes, v.received)
 	}
 	if v.callback != nil {
 		if v.data == nil {
@@ -28,21 +28,21 @@
 		return nil
 	}
 	if p.Flags&nvme.FlagLast == 0 || v.received != v.readBytes {
-		return protocolError(nvme.FatalHeaderField, p, "success before the last byte")
+		return protocolError(nvme.FatalHeaderField, p, "SUCCESS flag before the end of the data")
 	}
 	s.complete(v, nvme.NewCompletion(p.CCCID(), nvme.Success, 0, 0))
 	return nil
 }
 
-// handleR2T sends the data of a Write that the controller asks for.
+// handleR2T sends the data of a Write that the controller requests.
 func (s *Session) handleR2T(p *nvme.PDU) error {
 	v := s.findSlot(p.CCCID())
 	if v == nil || !v.write || v.data == nil {
-		return protocolError(nvme.FatalSequence, p, "R2T for command id %d, which has nothing to send", p.CCCID())
+		return protocolError(nvme.FatalSequence, p, "R2T for command id %d, which has no data to send", p.CCCID())
 	}
 	from, n := int64(p.Offset()), int64(p.Length())
 	if from != int64(v.requested) || n == 0 || from+n > int64(len(v.data)) {
-		return protocolError(nvme.FatalDataRange, p, "R2T from %d to %d of %d", from, from+n, len(v.data))
+		return protocolError(nvme.FatalDataRange, p, "R2T for bytes %d to %d of %d", from, from+n, len(v.data))
 	}
 	v.requested += int(n)
 	s.sendData(p, v.data[:from+n], int(from))
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// sendData answers an R2T with the data from an offset on, in as many PDUs as the controller's bound needs.
+// sendData answers an R2T with data[from:], in PDUs of at most the size that the controller accepts.
 func (s *Session) sendData(r2t *nvme.PDU, data []byte, from int) {
 	for ; from < len(data); from += s.outputFraming.MaxData {
 		part := data[from:min(from+s.outputFraming.MaxData, len(data))]
