--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -159,7 +159,7 @@
 	}
 	if ids := ParseActiveNamespaces(AppendActiveNamespaces(nil, 2,
 		[]uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
-		t.Error("active namespaces above 2 are", ids, "want [3 9]")
+		t.Error("active namespaces above 2, want [3 9]:", ids)
 	}
 }
 
