--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -6,9 +6,9 @@
 	"honeyplank/nvme"
 )
 
-// FuzzSequence sends well-formed PDUs in any order on an admin and an I/O queue, with the handler's answers and the
-// client's disconnects between. Whatever comes: no panic; no command is answered twice; what is admitted is answered by
-// its handler alone; once both connections are gone nothing is buffered and every admitted command is over.
+// FuzzSequence sends well-formed PDUs in any order on an admin and an I/O queue, mixed with answers of the handler and
+// disconnects of the client. It checks that the session does not panic and answers no command twice, and that after
+// both connections have closed no buffer is in use and every admitted command has ended.
 func FuzzSequence(f *testing.F) {
 	f.Add([]byte{1, 0, 9, 0, 2, 1, 9, 1, 3, 2, 4, 2, 9, 2})
 	f.Add([]byte{2, 1, 2, 1, 2, 2, 4, 1, 4, 2, 5, 1, 6, 2, 9, 0, 10, 0})
@@ -25,14 +25,14 @@
 	})
 }
 
-// sequence plays the steps of an input, and counts what was sent and answered on the I/O queue by command id.
+// sequence executes the steps of an input. It counts the commands sent and answered on the I/O queue, by command id.
 type sequence struct {
 	t              *testing.T
 	admin, io      *harness
 	sent, answered map[uint16]int
 }
 
-// The steps of a sequence, as an input's byte names them.
+// The kinds of steps of a sequence; a byte of the input selects one.
 const (
 	stepICReq = iota
 	stepRead
@@ -64,7 +64,7 @@
 		s.command(id, nvme.NewRW(nvme.Write, 1, 0, 1), make([]byte, testBlock))
 	case stepData:
 		s.data(n)
-	case stepAbort: // of what is there or never was
+	case stepAbort: // the command may be unknown
 		s.sendAdmin(withDW10(nvme.AdminAbort, uint32(id)<<16|1), 50)
 	case stepConnect:
 		data := nvme.ConnectData{ControllerID: 1, Subsystem: testSubsystem, Host: "h"}
@@ -77,7 +77,7 @@
 	case stepAnyOpcode:
 		s.send(s.io.hostFraming.AppendCommand(nil, &nvme.Command{n}, nil))
 		s.sent[0]++
-	case stepExpire: // perhaps long after the data has come
+	case stepExpire: // the data may have come already
 		if c := s.io.session.commands[id]; c != nil {
 			s.io.session.Expire(c)
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-// send feeds the I/O queue and counts its answers.
+// send passes bytes to the I/O queue and counts the answers.
 func (s *sequence) send(bytes []byte) {
 	if s.io.session.phase != phaseEnded {
 		s.count(s.io.send(bytes))
@@ -105,7 +105,8 @@
 	s.send(s.io.command(id, c, data))
 }
 
-// sendAdmin feeds the admin queue, which may have the I/O queue answer too. Its own command ids don't count.
+// sendAdmin sends a command on the admin queue and counts the answers on the I/O queue that result from it. The answers
+// on the admin queue are not counted.
 func (s *sequence) sendAdmin(c nvme.Command, id uint16) {
 	if s.admin.session.phase != phaseEnded {
 		s.admin.send(s.admin.command(id, c, nil))
@@ -122,7 +123,7 @@
 	}
 }
 
-// data sends the data of a Write: all of it, the first half, the second, or with a wrong offset.
+// data sends data of a Write: all of it, the first half, the second half, or all of it with a wrong offset.
 func (s *sequence) data(n byte) {
 	const total = 8 * testBlock
 	size, from, lastFlags := total, 0, uint8(nvme.FlagLast)
@@ -148,7 +149,7 @@
 	}
 }
 
-// check wants no more answers than commands, and buffers within their bound.
+// check checks that there are no more answers than commands, and that the buffers in use are within their limit.
 func (s *sequence) check() {
 	s.t.Helper()
 	for cid, n := range s.answered {
@@ -159,11 +160,11 @@
 	settings := s.io.session.settings
 	limit := settings.MaxBuffered + settings.MaxTransfer + 16*settings.MaxCapsule
 	if buffered := s.io.session.buffers.InUse; buffered > limit {
-		s.t.Fatalf("%d bytes are buffered", buffered)
+		s.t.Fatalf("%d bytes of buffers in use, over the limit", buffered)
 	}
 }
 
-// finish ends both connections; nothing may be left of them.
+// finish ends both connections, and checks that no command is open, no association exists and no buffer is in use.
 func (s *sequence) finish() {
 	s.t.Helper()
 	s.admin.session.Closed()
@@ -171,7 +172,7 @@
 	gone := map[*Command]bool{}
 	for _, c := range s.io.gone {
 		if gone[c] {
-			s.t.Fatal("the client of a command has gone twice")
+			s.t.Fatal("ClientGone was called twice for a command")
 		}
 		gone[c] = true
 	}
@@ -180,13 +181,14 @@
 		if c.state != commandEnded {
 			open++
 		}
-		s.io.session.buffers.Put(c.Data) // the handler's
+		s.io.session.buffers.Put(c.Data) // the handler owns it
 	}
 	if s.io.counted != 0 {
-		s.t.Fatalf("%d commands count for their client after the end", s.io.counted)
+		s.t.Fatalf("%d commands still count for their client after the connections ended", s.io.counted)
 	}
 	buffered, associations := s.io.session.buffers.InUse, len(s.io.session.associations.byID)
 	if open > 0 || buffered != 0 || associations != 0 {
-		s.t.Fatalf("%d commands open, %d bytes in use, %d associations after the end", open, buffered, associations)
+		s.t.Fatalf("after the connections ended: %d commands open, %d bytes of buffers in use, %d associations",
+			open, buffered, associations)
 	}
 }
--- a/target/model_test.go
+++ b/target/model_test.go
@@ -6,7 +6,7 @@
 	"honeyplank/nvme"
 )
 
-// frame is a PDU of a host before it is encoded: the model judges this, the session the bytes.
+// frame is a PDU from a host. The model judges the frame, the session receives its encoded bytes.
 type frame struct {
 	kind      frameKind
 	cid       uint16
@@ -21,7 +21,7 @@
 	offset    int
 	size      int // bytes of an H2CData
 	last      bool
-	badDigest bool // the data digest is over other data
+	badDigest bool // the data digest does not match the data
 }
 
 type frameKind int
@@ -33,20 +33,20 @@
 	frameTermReq
 )
 
-// modelCommand is a command as the model remembers it.
+// modelCommand is the state of a command in the model.
 type modelCommand struct {
 	cid             uint16
 	bytes, received int
 	tag             uint16
 	receiving       bool
 	admitted        bool
-	discarding      bool // answered, but data is still to come
+	discarding      bool // answered before all of its data has come
 }
 
 func (c *modelCommand) isOpen() bool { return c.receiving || c.admitted || c.discarding }
 
-// model is the slow and simple model of an I/O queue: for each frame it says which answers are allowed, by all reasons
-// that apply at once, and looks through every command there ever was.
+// model is a simple, slow model of an I/O queue. For each frame it collects all allowed answers: one for each violated
+// rule. It keeps all commands ever sent and searches them linearly.
 type model struct {
 	depth       int
 	namespaces  []Namespace
@@ -74,12 +74,12 @@
 	return n
 }
 
-// verdict is what is allowed: one of the statuses as answer, or one of the fatal ones, or, where both are empty, that
-// the frame is accepted without an answer.
+// verdict holds the allowed answers to a frame: one of statuses in a completion, or one of fatal in a TermReq. If both
+// are empty, the session must accept the frame without an answer.
 type verdict struct {
 	statuses   []nvme.Status
 	fatal      []uint16
-	command    *modelCommand // it began, or its data is complete
+	command    *modelCommand // the command that began, or whose data is complete
 	expectsR2T bool
 	admits     bool
 }
@@ -134,7 +134,7 @@
 	return v
 }
 
-// judgeTransfer judges a Read or Write, and remembers it where nothing is wrong.
+// judgeTransfer judges a Read or Write, and adds it to the model if it is valid.
 func (m *model) judgeTransfer(v *verdict, f frame, n Namespace) {
 	const dnr = nvme.DoNotRetry
 	bytes := f.blocks << n.Shift
@@ -153,7 +153,7 @@
 	m.commands = append(m.commands, v.command)
 }
 
-// awaiting is the command that data with a tag belongs to.
+// awaiting returns the command that waits for data with a tag, or nil.
 func (m *model) awaiting(tag uint16) *modelCommand {
 	var found *modelCommand
 	for _, c := range m.commands {
--- a/target/modelplay_test.go
+++ b/target/modelplay_test.go
@@ -8,16 +8,16 @@
 	"honeyplank/nvme"
 )
 
-// FuzzModel sends what hosts can send, right and wrong, to a live I/O queue with digests, and holds the session against
-// the model: an answer must be one of those allowed, a violation must end the connection with a status that names one
-// of its reasons, and what violates nothing must be accepted. Digests are right over wrong data (which nobody can tell)
-// and wrong over right data.
+// FuzzModel sends valid and invalid PDUs of a host to a connected I/O queue, with or without digests, and compares the
+// session with the model: an answer must be one of the allowed answers, a violation of the protocol must end the
+// connection with the status of one of the violated rules, and a valid PDU must be accepted. Some data has a digest
+// that does not match; some is invalid under a digest that matches, so that the digest does not reveal the error.
 func FuzzModel(f *testing.F) {
 	f.Add(byte(0), []byte{0, 0x01, 1, 0x02, 6, 0, 8, 0, 8, 1})
 	f.Add(byte(3), []byte{1, 0x10, 1, 0x20, 6, 0x11, 6, 0x10, 7, 0, 9, 1, 10, 2})
-	f.Add(byte(0), []byte{1, 0x01, 7, 0x01, 7, 0xA1})       // data that came already
-	f.Add(byte(0), []byte{1, 0x01, 7, 0x41, 1, 0x02})       // a byte past the end
-	f.Add(byte(1), []byte{1, 0x01, 1, 0x11, 7, 0x81, 7, 1}) // another command's
+	f.Add(byte(0), []byte{1, 0x01, 7, 0x01, 7, 0xA1})       // data sent twice
+	f.Add(byte(0), []byte{1, 0x01, 7, 0x41, 1, 0x02})       // one byte beyond the end of the data
+	f.Add(byte(1), []byte{1, 0x01, 1, 0x11, 7, 0x81, 7, 1}) // data with the id of another command
 	f.Add(byte(2), []byte{1, 0x01, 7, 0x01, 7, 0xC1, 9, 0, 10, 0})
 	f.Add(byte(2), []byte{2, 0x11, 3, 0x12, 4, 0x13, 5, 0x14, 11, 0x10, 12, 0x10, 1, 0x40, 6, 0x80})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
@@ -29,7 +29,7 @@
 	})
 }
 
-// modelPlay plays the steps of an input on a session and on the model.
+// modelPlay executes the steps of an input on a session and on the model.
 type modelPlay struct {
 	t           *testing.T
 	admin, io   *harness
@@ -45,7 +45,7 @@
 	return &modelPlay{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
 }
 
-// The steps of a play, as an input's byte names them.
+// The kinds of steps; a byte of the input selects one.
 const (
 	playRead = iota
 	playWrite
@@ -79,7 +79,7 @@
 	}
 }
 
-// frame makes the frame of a step: a Write of one to eight blocks, changed by the step's kind.
+// frame returns the frame of a step: a Write of one to eight blocks, changed according to the kind of the step.
 func (p *modelPlay) frame(kind, n byte) frame {
 	f := frame{
 		cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7),
@@ -98,7 +98,7 @@
 	case playWrongLength:
 		lengths := [...]int{0, 1, f.sglLength - 1, f.sglLength + 1, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1}
 		f.sglLength = lengths[n&7]
-	case playWrongCapsule: // something else than the SGL states
+	case playWrongCapsule: // the capsule has more or less data than the SGL descriptor states
 		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, []int{0, 512, 4092, 8192}[n&3]
 	case playData:
 		f.data(p.model, n)
@@ -121,7 +121,8 @@
 	return f
 }
 
-// outOfRange makes it a Read past the end of its namespace, at its very edge, or of another namespace.
+// outOfRange changes the frame to a Read that goes past the end of its namespace, ends exactly there, or has another
+// namespace.
 func (f *frame) outOfRange(n byte) {
 	blocks := uint64(f.blocks)
 	f.opcode = nvme.Read
@@ -133,7 +134,7 @@
 	}
 }
 
-// data makes it all the data that a command waits for, or data that none waits for.
+// data changes the frame to an H2CData with the rest of the data of a command, or with data that no command waits for.
 func (f *frame) data(m *model, n byte) {
 	f.kind, f.tag, f.cid, f.size, f.last = frameData, uint16(n&7), 99, testBlock, true
 	for _, c := range m.commands {
@@ -143,7 +144,7 @@
 	}
 }
 
-// corruptData makes data a part, or wrong in one way.
+// corruptData shortens the data of a frame, or makes one of its fields invalid.
 func (f *frame) corruptData(n byte, digests bool) {
 	switch n >> 5 {
 	case 0:
@@ -165,7 +166,7 @@
 	}
 }
 
-// send sends a frame. A PDU has MaxDataPDU bytes of data at most: more goes in several, each a frame of its own.
+// send sends a frame. An H2CData with more than MaxDataPDU bytes is sent as several frames.
 func (p *modelPlay) send(f frame) {
 	p.t.Helper()
 	if f.kind == frameData {
@@ -209,7 +210,7 @@
 	return bytes
 }
 
-// check sends a frame and holds what comes against what the model allows.
+// check sends a frame and compares the PDUs that the session sends with those that the model allows.
 func (p *modelPlay) check(f frame) {
 	p.t.Helper()
 	admitted := len(p.io.admitted)
@@ -222,21 +223,21 @@
 		case nvme.TypeCapsuleResp:
 			c := pdu.Completion()
 			if statuses = append(statuses, c.Status()); c.CID() != f.cid {
-				p.t.Fatalf("%+v: an answer to command %d", f, c.CID())
+				p.t.Fatalf("%+v: the answer has command id %d", f, c.CID())
 			}
 		case nvme.TypeR2T:
 			r2t = true
 			p.checkR2T(f, &v, &pdu)
 		case nvme.TypeC2HTermReq:
 			if s, _ := pdu.Term(); !slices.Contains(v.fatal, s) {
-				p.t.Fatalf("%+v: ended with %d, allowed are %v", f, s, v.fatal)
+				p.t.Fatalf("%+v: TermReq with status %d, allowed are %v", f, s, v.fatal)
 			}
 		default:
-			p.t.Fatalf("%+v: PDU type %#x", f, pdu.Type)
+			p.t.Fatalf("%+v: the session sent a PDU of type %#x", f, pdu.Type)
 		}
 	}
 	if ended := p.io.session.phase == phaseEnded; ended != p.model.over {
-		p.t.Fatalf("%+v: the connection ended: %v; the model: %v, %v", f, ended, p.model.over, v.fatal)
+		p.t.Fatalf("%+v: the connection ended: %v, want %v; allowed statuses %v", f, ended, p.model.over, v.fatal)
 	}
 	p.checkStatuses(f, &v, statuses)
 	if admits := len(p.io.admitted) > admitted; r2t != v.expectsR2T || admits != v.admits {
@@ -250,23 +251,23 @@
 func (p *modelPlay) checkR2T(f frame, v *verdict, r2t *nvme.PDU) {
 	p.t.Helper()
 	if v.command == nil || r2t.CCCID() != f.cid || r2t.Offset() != 0 || int(r2t.Length()) != v.command.bytes {
-		p.t.Fatalf("%+v: R2T for command %d, %d bytes from %d", f, r2t.CCCID(), r2t.Length(), r2t.Offset())
+		p.t.Fatalf("%+v: R2T for command %d, %d bytes from offset %d", f, r2t.CCCID(), r2t.Length(), r2t.Offset())
 	}
 	v.command.tag = r2t.TTAG()
 }
 
-// checkStatuses wants one of the allowed answers, or none where none is allowed.
+// checkStatuses checks that there is exactly one answer with an allowed status, or no answer if none is allowed.
 func (p *modelPlay) checkStatuses(f frame, v *verdict, statuses []nvme.Status) {
 	p.t.Helper()
 	if len(statuses) == 0 && len(v.statuses) == 0 {
 		return
 	}
 	if len(statuses) != 1 || !slices.Contains(v.statuses, statuses[0]) {
-		p.t.Fatalf("%+v: answered %#x, allowed are %#x", f, statuses, v.statuses)
+		p.t.Fatalf("%+v: statuses %#x, allowed are %#x", f, statuses, v.statuses)
 	}
 }
 
-// answers are the completions that the I/O queue has sent, as "id:status".
+// answers returns the completions that the I/O queue has sent, as "id:status".
 func (p *modelPlay) answers() []string {
 	p.t.Helper()
 	var answers []string
@@ -281,22 +282,22 @@
 
 func answerText(cid uint16, s nvme.Status) string { return fmt.Sprintf("%d:%#x", cid, uint16(s)) }
 
-// complete has the handler answer a command, which may be over.
+// complete answers an admitted command as its handler does. The command may have ended already.
 func (p *modelPlay) complete(n byte) {
 	p.t.Helper()
 	if len(p.io.admitted) == 0 {
 		return
 	}
 	c := p.io.admitted[int(n)%len(p.io.admitted)]
-	remembered := c.User.(*modelCommand)
+	command := c.User.(*modelCommand)
 	var want []string
-	if remembered.admitted {
+	if command.admitted {
 		want = []string{answerText(c.CID(), nvme.Success)}
 	}
-	remembered.admitted = false
+	command.admitted = false
 	c.Complete(nvme.Success, 0, 0, nil)
 	if got := p.answers(); !slices.Equal(got, want) {
-		p.t.Fatalf("the handler's answer came as %v, want %v", got, want)
+		p.t.Fatalf("answers after Complete: %v, want %v", got, want)
 	}
 }
 
@@ -311,11 +312,11 @@
 	}
 	aborted := completion.DW0()&notAborted == 0
 	if got := p.answers(); !slices.Equal(got, want) || aborted != (want != nil) {
-		p.t.Fatalf("Abort of %d: %v and %#x, want %v", cid, got, completion.DW0(), want)
+		p.t.Fatalf("Abort of command %d: answers %v, result %#x; want answers %v", cid, got, completion.DW0(), want)
 	}
 }
 
-// expire has the time for a command's data be over, whatever has come of it meanwhile.
+// expire calls Session.Expire for a command, whatever its state is.
 func (p *modelPlay) expire(cid uint16) {
 	p.t.Helper()
 	c := p.model.open(cid)
@@ -329,17 +330,17 @@
 	}
 	p.io.session.Expire(p.io.session.commands[cid])
 	if got := p.answers(); !slices.Equal(got, want) {
-		p.t.Fatalf("expiry was answered with %v, want %v", got, want)
+		p.t.Fatalf("answers after Expire: %v, want %v", got, want)
 	}
 }
 
 func (p *modelPlay) finish() {
 	p.t.Helper()
 	for _, c := range p.io.admitted {
-		p.io.session.buffers.Put(c.Data) // the handler's
+		p.io.session.buffers.Put(c.Data) // the handler owns it
 	}
 	p.io.session.Closed()
 	if buffered := p.io.session.buffers.InUse; buffered != 0 {
-		p.t.Fatalf("%d bytes are in use after the end", buffered)
+		p.t.Fatalf("%d bytes of buffers are in use after the connection ended", buffered)
 	}
 }
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -9,19 +9,19 @@
 	"honeyplank/nvme"
 )
 
-// harness is a session in memory: its handler, its connection and its host.
+// harness is a session without a network. It acts as the session's handler, connection and host.
 type harness struct {
 	t       *testing.T
 	session *Session
 	output  []byte
 	ended   bool
-	counted int // commands that count for the client
-	// The commands that the handler was given, and those of them whose client has gone.
+	counted int // number of commands that count for the client
+	// The admitted commands, and those of them whose client has gone.
 	admitted []*Command
 	gone     []*Command
 
-	hostFraming nvme.Framing // of what the host sends
-	hostInput   nvme.Framing // of what it receives
+	hostFraming nvme.Framing // of the PDUs from the host
+	hostInput   nvme.Framing // of the PDUs to the host
 }
 
 func (h *harness) Admit(c *Command)                { h.admitted = append(h.admitted, c) }
@@ -62,7 +62,7 @@
 	}
 }
 
-// maxHostData bounds the data that the host receives in one PDU, and sends where a test has it send too much.
+// maxHostData is the largest number of data bytes that the host accepts in one PDU.
 const maxHostData = 1 << 20
 
 func newHarness(t *testing.T, settings *Settings, a *associations) *harness {
@@ -86,7 +86,7 @@
 	return h
 }
 
-// send feeds bytes and returns the PDUs that came back.
+// send passes bytes to the session and returns the PDUs that the session sends.
 func (h *harness) send(bytes []byte) []nvme.PDU {
 	h.t.Helper()
 	h.session.Input(0, bytes)
@@ -110,17 +110,17 @@
 	}
 }
 
-// statusOf is of the one completion that must have come.
+// statusOf returns the status of the completion, which must be the last PDU.
 func (h *harness) statusOf(received []nvme.PDU) nvme.Status {
 	h.t.Helper()
 	if len(received) == 0 || received[len(received)-1].Type != nvme.TypeCapsuleResp {
-		h.t.Fatalf("no completion among %d PDUs", len(received))
+		h.t.Fatalf("the last of %d PDUs is not a completion", len(received))
 	}
 	c := received[len(received)-1].Completion()
 	return c.Status()
 }
 
-// command is a command capsule of the host.
+// command returns a command capsule from the host.
 func (h *harness) command(id uint16, c nvme.Command, data []byte) []byte {
 	c.SetCID(id)
 	if len(data) > 0 {
@@ -129,7 +129,7 @@
 	return h.hostFraming.AppendCommand(nil, &c, data)
 }
 
-// dataPDU is a data PDU of the host.
+// dataPDU returns an H2CData PDU with size zero bytes.
 func (h *harness) dataPDU(flags uint8, cid, tag uint16, offset, size int) []byte {
 	header := nvme.DataHeader{Type: nvme.TypeH2CData, Flags: flags, CID: cid, TTAG: tag, Offset: offset}
 	return h.hostFraming.AppendData(nil, header, make([]byte, size))
@@ -142,25 +142,25 @@
 	return h.statusOf(h.send(capsule))
 }
 
-// abort has the admin queue abort a command of the I/O queue, and returns the completion.
+// abort sends an Abort of a command of the I/O queue on the admin queue, and returns its completion.
 func (h *harness) abort(id uint16) nvme.Completion {
 	h.t.Helper()
 	c := nvme.Command{nvme.AdminAbort}
 	c.SetDW(10, uint32(id)<<16|1)
 	received := h.send(h.command(50, c, nil))
 	if len(received) != 1 {
-		h.t.Fatalf("%d answers to an Abort", len(received))
+		h.t.Fatalf("%d PDUs in answer to an Abort, want 1", len(received))
 	}
 	return received[0].Completion()
 }
 
-// newQueuePair is a live admin queue with a live I/O queue.
+// newQueuePair returns a connected admin queue and a connected I/O queue of the same controller.
 func newQueuePair(t *testing.T) (admin, io *harness) {
 	t.Helper()
 	return newQueuePairWith(t, nvme.Init{})
 }
 
-// newQueuePairWith is a pair whose I/O queue has digests as i says.
+// newQueuePairWith is like newQueuePair, but the I/O queue has the digests of i.
 func newQueuePairWith(t *testing.T, i nvme.Init) (admin, io *harness) {
 	t.Helper()
 	settings := testSettings()
@@ -171,41 +171,42 @@
 	io.hostFraming.HeaderDigest, io.hostFraming.DataDigest = i.HeaderDigest, i.DataDigest
 	io.hostInput.HeaderDigest, io.hostInput.DataDigest = i.HeaderDigest, i.DataDigest
 	if s := admin.connect(0, nvme.DynamicController, 32); s != nvme.Success {
-		t.Fatalf("Connect: %#x", s)
+		t.Fatalf("Connect of the admin queue: status %#x", s)
 	}
 	if s := io.connect(1, 1, 8); s.Code() != nvme.ConnectInvalid {
-		t.Errorf("an I/O queue of a controller that is not enabled: %#x", s)
+		t.Errorf("Connect of an I/O queue before its controller is enabled: status %#x", s)
 	}
 	admin.send(admin.command(1, nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, 1), nil))
 	if s := io.connect(1, 1, 8); s != nvme.Success {
-		t.Fatalf("Connect: %#x", s)
+		t.Fatalf("Connect of the I/O queue: status %#x", s)
 	}
 	return admin, io
 }
 
-// withSGL is a command with a descriptor.
+// withSGL returns a command with an SGL descriptor.
 func withSGL(c nvme.Command, kind uint8, bytes int) nvme.Command {
 	c.SetSGL(kind, bytes)
 	return c
 }
 
-const testBlock = 4096 // of namespace 1
+const testBlock = 4096 // block size of namespace 1 in bytes
 
-// transfer is a Read or Write of namespace 1 whose data the transport moves.
+// transfer returns a Read or Write of namespace 1 whose data is sent in data PDUs.
 func transfer(opcode uint8, lba uint64, blocks int) nvme.Command {
 	return withSGL(nvme.NewRW(opcode, 1, lba, blocks), nvme.SGLTransport, blocks*testBlock)
 }
 
 func readOneBlock() nvme.Command { return transfer(nvme.Read, 0, 1) }
 
-// withDW10 is a command of any opcode with a first dword.
+// withDW10 returns a command with an opcode and command dword 10.
 func withDW10(opcode uint8, dw10 uint32) nvme.Command {
 	c := withSGL(nvme.Command{opcode}, nvme.SGLTransport, 4096)
 	c.SetDW(10, dw10)
 	return c
 }
 
-// TestCommandStatuses sends commands and reads the status that the specification names.
+// TestCommandStatuses checks that each command, valid or invalid, is answered with the status that the specification
+// requires, and that none of them reaches the handler or ends the connection.
 func TestCommandStatuses(t *testing.T) {
 	admin, io := newQueuePair(t)
 	rw, sgl := nvme.NewRW, nvme.SGLTransport
@@ -219,15 +220,15 @@
 		{"unknown I/O opcode", io, withDW10(0x99, 0), nil, nvme.InvalidOpcode},
 		{"unknown admin opcode", admin, withDW10(0x99, 0), nil, nvme.InvalidOpcode},
 		{"unknown namespace", io, withSGL(rw(nvme.Read, 9, 0, 1), uint8(sgl), 4096), nil, nvme.InvalidNamespace},
-		{"past the end", io, transfer(nvme.Read, 999, 2), nil, nvme.LBAOutOfRange},
-		{"past 2^63", io, transfer(nvme.Read, 1<<63, 2), nil, nvme.LBAOutOfRange},
-		{"too long", io, transfer(nvme.Read, 0, 64), nil, nvme.InvalidField},
+		{"blocks past the end of the namespace", io, transfer(nvme.Read, 999, 2), nil, nvme.LBAOutOfRange},
+		{"first block at 2^63", io, transfer(nvme.Read, 1<<63, 2), nil, nvme.LBAOutOfRange},
+		{"transfer over MaxTransfer", io, transfer(nvme.Read, 0, 64), nil, nvme.InvalidField},
 		{"descriptor too short", io, withSGL(rw(nvme.Read, 1, 0, 2), uint8(sgl), 4096), nil, nvme.InvalidSGLLength},
-		{"descriptor of a type", io, withSGL(rw(nvme.Read, 1, 0, 1), 0x22, 4096), nil, nvme.InvalidSGLType},
-		{"less data than stated", io, withSGL(rw(nvme.Write, 5, 0, 2), nvme.SGLInCapsule, 1024), make([]byte, 512),
+		{"unknown descriptor type", io, withSGL(rw(nvme.Read, 1, 0, 1), 0x22, 4096), nil, nvme.InvalidSGLType},
+		{"too little in-capsule data", io, withSGL(rw(nvme.Write, 5, 0, 2), nvme.SGLInCapsule, 1024), make([]byte, 512),
 			nvme.InvalidSGLLength},
 		{"flush", io, withSGL(rw(nvme.Flush, 1, 0, 1), uint8(sgl), 0), nil, nvme.Success},
-		{"flush of none", io, withSGL(rw(nvme.Flush, 8, 0, 1), uint8(sgl), 0), nil, nvme.InvalidNamespace},
+		{"flush, unknown namespace", io, withSGL(rw(nvme.Flush, 8, 0, 1), uint8(sgl), 0), nil, nvme.InvalidNamespace},
 		{"a second Connect", admin, nvme.NewConnect(0, 32, 0), nil, nvme.SequenceError},
 		{"unknown feature", admin, withDW10(nvme.AdminSetFeatures, 0x55), nil, nvme.InvalidField},
 		{"number of queues", admin, withDW10(nvme.AdminSetFeatures, nvme.FeatureQueues), nil, nvme.Success},
@@ -240,7 +241,7 @@
 		{"log page too long", admin, withDW10(nvme.AdminGetLogPage, nvme.LogError|0xFFFF<<16), nil, nvme.InvalidField},
 		{"unknown Identify", admin, withDW10(nvme.AdminIdentify, 0x77), nil, nvme.InvalidField},
 		{"Identify Controller", admin, withDW10(nvme.AdminIdentify, nvme.IdentifyController), nil, nvme.Success},
-		{"Identify of no namespace", admin, withDW10(nvme.AdminIdentify, nvme.IdentifyNamespace), nil,
+		{"Identify of namespace 0", admin, withDW10(nvme.AdminIdentify, nvme.IdentifyNamespace), nil,
 			nvme.InvalidNamespace},
 		{"Keep Alive", admin, withDW10(nvme.AdminKeepAlive, 0), nil, nvme.Success},
 		{"an unknown property", admin, nvme.NewProperty(nvme.FabricsPropertyGet, 0x44, 0), nil, nvme.InvalidField},
@@ -248,17 +249,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			received := c.queue.send(c.queue.command(77, c.command, c.data))
 			if got := c.queue.statusOf(received); got.Code() != c.want {
-				t.Errorf("%#x, want %#x", got, c.want)
+				t.Errorf("status %#x, want %#x", got, c.want)
 			}
 		})
 	}
 	if len(io.admitted) > 0 || admin.ended || io.ended {
-		t.Error("something got through, or a connection ended")
+		t.Error("a command was admitted, or a connection ended")
 	}
 }
 
-// TestInvalidSequences sends well-formed PDUs in an impossible order: each ends its connection with a TermReq, and the
-// clients of admitted commands are gone.
+// TestInvalidSequences checks that well-formed PDUs in an invalid order end their connection with a TermReq, and that
+// ClientGone is then called for the admitted commands.
 func TestInvalidSequences(t *testing.T) {
 	const cid, size = 3, 512
 	// tagOfWrite sends a Write and returns the tag of its R2T.
@@ -282,10 +283,10 @@
 		"data of another command": {func(io *harness) []byte {
 			return io.dataPDU(nvme.FlagLast, cid+1, tagOfWrite(io), 0, size)
 		}, nvme.FatalSequence},
-		"last too early": {func(io *harness) []byte {
+		"LAST_PDU before the end of the data": {func(io *harness) []byte {
 			return io.dataPDU(nvme.FlagLast, cid, tagOfWrite(io), 0, size)
 		}, nvme.FatalHeaderField},
-		"more commands than entries": {func(io *harness) (b []byte) {
+		"more commands than queue entries": {func(io *harness) (b []byte) {
 			for id := range uint16(20) {
 				b = append(b, io.command(id, readOneBlock(), nil)...)
 			}
@@ -300,26 +301,28 @@
 	}
 }
 
-// checkTermination wants a connection to have ended with a TermReq of a status, and nothing of it to be left.
+// checkTermination checks that a connection has ended with a TermReq with a status, that the clients of all admitted
+// commands have gone, and that no buffer is in use.
 func checkTermination(t *testing.T, io *harness, received []nvme.PDU, status uint16) {
 	t.Helper()
 	if len(received) == 0 || received[len(received)-1].Type != nvme.TypeC2HTermReq || !io.ended {
-		t.Fatal("no TermReq")
+		t.Fatal("the connection did not end with a TermReq")
 	}
 	if got, _ := received[len(received)-1].Term(); got != status {
 		t.Errorf("FES %d, want %d", got, status)
 	}
 	if len(io.admitted) == 0 || len(io.gone) != len(io.admitted) {
-		t.Errorf("%d admitted, the clients of %d have gone", len(io.admitted), len(io.gone))
+		t.Errorf("%d commands admitted, ClientGone called for %d", len(io.admitted), len(io.gone))
 	}
 	if buffered := io.session.buffers.InUse; buffered != 0 {
-		t.Errorf("%d bytes are still in use", buffered)
+		t.Errorf("%d bytes of buffers are still in use", buffered)
 	}
 }
 
-const notAborted = 1 // result of an Abort
+const notAborted = 1 // result of an Abort that aborted no command
 
-// TestAbort ends an admitted command for its client: once with the status for that, and never again.
+// TestAbort checks that an Abort of an admitted command answers the command once, with the status Abort Requested, and
+// that the handler's later answer is not sent.
 func TestAbort(t *testing.T) {
 	admin, io := newQueuePair(t)
 	io.send(io.command(7, readOneBlock(), nil))
@@ -328,21 +331,22 @@
 	}
 	for _, id := range []uint16{7, 8} {
 		if c := admin.abort(id); c.DW0() != notAborted {
-			t.Errorf("command %d, which is over or never was, counts as aborted", id)
+			t.Errorf("command %d is not open, but the Abort reports that it was aborted", id)
 		}
 	}
 	io.admitted[0].Complete(nvme.Success, 0, 0, make([]byte, testBlock))
 	if received := io.receive(); len(received) != 0 {
-		t.Error("an aborted command was answered again")
+		t.Error("an aborted command was answered twice")
 	}
 }
 
-// TestAbortTransfer ends a Write that waits for its data: the data that still comes is discarded.
+// TestAbortTransfer checks that an Abort ends a Write that waits for its data, and that data that comes later is
+// discarded.
 func TestAbortTransfer(t *testing.T) {
 	admin, io := newQueuePair(t)
 	received := io.send(io.command(8, transfer(nvme.Write, 0, 2), nil))
 	if c := admin.abort(8); c.DW0() != 0 || io.statusOf(io.receive()) != nvme.AbortRequested {
-		t.Error("a receiving command was not aborted")
+		t.Error("a Write that waits for data was not aborted")
 	}
 	io.send(io.dataPDU(nvme.FlagLast, 8, received[0].TTAG(), 0, 2*testBlock))
 	if io.ended || len(io.admitted) != 0 || io.session.buffers.InUse != 0 {
@@ -350,15 +354,16 @@
 	}
 }
 
-// TestDuplicateCommandID uses a command id that is in use.
+// TestDuplicateCommandID checks that a command is rejected if its command id is in use, and that the first command with
+// the id is still answered.
 func TestDuplicateCommandID(t *testing.T) {
 	_, io := newQueuePair(t)
 	io.send(io.command(7, readOneBlock(), nil))
 	if s := io.statusOf(io.send(io.command(7, readOneBlock(), nil))); s != nvme.IDConflict {
-		t.Errorf("%#x", s)
+		t.Errorf("command with an id in use: status %#x", s)
 	}
 	io.admitted[0].Complete(nvme.Success, 0, 0, make([]byte, testBlock))
 	if s := io.statusOf(io.receive()); s != nvme.Success || len(io.admitted) != 1 {
-		t.Errorf("%#x, %d admitted", s, len(io.admitted))
+		t.Errorf("first command: status %#x, %d commands admitted, want 1", s, len(io.admitted))
 	}
 }
