--- a/nvme/bench_test.go
+++ b/nvme/bench_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// benchmarkFramings are what the benchmarks run with.
+// benchmarkFramings returns the framings of the benchmarks by name.
 func benchmarkFramings() map[string]Framing {
 	return map[string]Framing{
 		"plain":   {MaxData: 1 << 20},
@@ -12,11 +12,11 @@
 	}
 }
 
-// readDataHeader is the header of a Read's only data PDU.
+// readDataHeader is the header of the one data PDU of a Read.
 var readDataHeader = DataHeader{Type: TypeC2HData, Flags: FlagLast, CID: 1}
 
-// BenchmarkDecode reads what an op costs at the gateway: a Read's command, its data and completion, with and without
-// digests. docs/fuzzing.md has its ratio to earlier versions.
+// BenchmarkDecode decodes the PDUs of a Read: command, data and completion, with and without digests. docs/fuzzing.md
+// compares its result with that of earlier versions.
 func BenchmarkDecode(b *testing.B) {
 	for name, f := range benchmarkFramings() {
 		host := f
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkAppend writes the same.
+// BenchmarkAppend encodes the same PDUs.
 func BenchmarkAppend(b *testing.B) {
 	for name, f := range benchmarkFramings() {
 		c, d, data := NewRW(Read, 1, 2, 1), NewCompletion(1, Success, 0, 0), make([]byte, 4096)
--- a/nvme/frame_test.go
+++ b/nvme/frame_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// specFormat is what the specification says of a PDU type, in other words than the decoder's layout (TCP 3.6.2).
+// specFormat describes a PDU type according to the specification (TCP 3.6.2), independently of the decoder's table.
 type specFormat struct {
 	fromHost, data, digests bool
 	header                  int
@@ -24,13 +24,13 @@
 	0x09: {false, false, true, 24},
 }
 
-// modelPDU is where a PDU has its data and how long it is, by the model.
+// modelPDU holds the bounds of a PDU's data and the size of the PDU, according to the model.
 type modelPDU struct {
 	dataFrom, dataTo, size int
 }
 
-// modelDecode is the slow and simple model: every rule there is on the fields of a PDU. It tells whether a whole buffer
-// begins with a PDU.
+// modelDecode is a simple, slow model of the decoder that applies every rule on the fields of a PDU. It reports whether
+// b begins with a complete valid PDU.
 func modelDecode(f Framing, b []byte) (pdu modelPDU, valid bool) {
 	g, known := specFormats[b[0]]
 	if !known || g.fromHost != f.FromHost || int(b[2]) != g.header {
@@ -52,7 +52,7 @@
 		return modelPDU{}, false
 	}
 	pdu = modelPDU{dataFrom: body, dataTo: int(length), size: int(length)}
-	if !g.digests { // a TermReq: its data follows its header
+	if !g.digests { // a TermReq: its data directly follows its header
 		return pdu, pdu.size <= g.header+128
 	}
 	if pdu.size > body && !modelLocateData(f.DataDigest && g.data, b, &pdu) {
@@ -67,7 +67,7 @@
 	return pdu, size <= f.MaxData
 }
 
-// modelLocateData sets where the data is of a PDU that has some behind its header.
+// modelLocateData sets the bounds of the data of a PDU that is longer than its header.
 func modelLocateData(digest bool, b []byte, pdu *modelPDU) (valid bool) {
 	body := pdu.dataFrom
 	pdu.dataFrom = int(b[3])
@@ -84,9 +84,9 @@
 	return crc32.Checksum(b, crc32.MakeTable(crc32.Castagnoli)) == binary.LittleEndian.Uint32(digest)
 }
 
-// FuzzFrame builds PDUs whose fields are a little wrong: lengths a byte off, offsets within the header or past the end,
-// flags that were not agreed on, data over the bound; their digests are right over what they then cover, so that what
-// is wrong is looked at. The decoder must agree with the model.
+// FuzzFrame builds PDUs whose fields are slightly wrong: lengths that are a byte off, offsets within the header or past
+// the end, flags that were not negotiated, data over the limit. The digests match the changed bytes, so that the
+// decoder gets past the digest check to the wrong field. The decoder must agree with the model.
 func FuzzFrame(f *testing.F) {
 	for how := range byte(16) {
 		for _, kind := range []byte{0, 1, 2, 3, 4, 5, 6, 7, 9} {
@@ -106,15 +106,15 @@
 	})
 }
 
-// wrongFields are the fields of a PDU: how far each is off, and the bytes of its data.
+// wrongFields describes a PDU with wrong fields.
 type wrongFields struct {
 	kind, flags            byte
-	header, offset, length int
-	data                   int
-	statedLength           int
+	header, offset, length int // differences of header length, data offset and PDU length from the correct values
+	data                   int // bytes of data
+	statedLength           int // difference of the data length field from data
 }
 
-// encode makes the bytes of a PDU with room behind it; nil where the fields can't be written.
+// encode returns the bytes of a PDU, followed by zero bytes, or nil if the values do not fit into the fields.
 func (w wrongFields) encode(f Framing) []byte {
 	headerLen := specFormats[w.kind].header + w.header
 	if headerLen < 8 || headerLen > 255 {
@@ -154,27 +154,27 @@
 	return b
 }
 
-// compareWithModel decodes a PDU with room behind it.
+// compareWithModel decodes a PDU that is followed by other bytes, and compares the result with the model.
 func compareWithModel(t *testing.T, f Framing, b []byte) {
 	t.Helper()
 	headerLen, size := int(b[2]), int(binary.LittleEndian.Uint32(b[4:]))
 	p, used, err := f.Decode(b)
 	want, valid := modelDecode(f, b)
 	if valid != (err == nil && used > 0) {
-		t.Fatalf("% x...: the decoder says %d used, %v; the model %v", b[:24], used, err, valid)
+		t.Fatalf("% x...: the decoder used %d bytes, error %v; the model says valid: %v", b[:24], used, err, valid)
 	}
 	if valid && (used != want.size || len(p.Header) != headerLen) {
-		t.Fatalf("% x...: %d used, header of %d; the model: %d", b[:24], used, len(p.Header), want.size)
+		t.Fatalf("% x...: %d bytes used, header of %d bytes; want %d used", b[:24], used, len(p.Header), want.size)
 	}
 	dataSize := want.dataTo - want.dataFrom
 	if valid && (len(p.Data) != dataSize || dataSize > 0 && &p.Data[0] != &b[want.dataFrom]) {
 		from := cap(b) - cap(p.Data)
-		t.Fatalf("% x...: data of %d from %d, the model: %d from %d",
+		t.Fatalf("% x...: %d bytes of data from offset %d, want %d bytes from offset %d",
 			b[:24], len(p.Data), from, dataSize, want.dataFrom)
 	}
-	if used == 0 && err == nil { // more is awaited: never more than the type and the bound allow
-		if most := headerLen + 4 + 255 + 128 + 4; size > most {
-			t.Fatalf("% x...: %d bytes are awaited, at most %d can be right", b[:24], size, most)
+	if used == 0 && err == nil { // the decoder waits for more bytes
+		if maxSize := headerLen + 4 + 255 + 128 + 4; size > maxSize {
+			t.Fatalf("% x...: the decoder waits for %d bytes, a valid PDU has at most %d", b[:24], size, maxSize)
 		}
 	}
 }
--- a/nvme/fuzz_test.go
+++ b/nvme/fuzz_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// FuzzDecode decodes bytes at once and byte by byte; both must agree, use no more than there is, keep within the
-// bound, and what a PDU is encoded to again must decode to the same.
+// FuzzDecode decodes any bytes as a whole, and every prefix of them. The results must agree, and Decode must not use
+// more bytes than there are or return more data than the limit. A decoded PDU is encoded again, and must decode to the
+// same PDU.
 func FuzzDecode(f *testing.F) {
 	for i, framing := range allFramings() {
 		c := NewRW(Write, 1, 2, 1)
@@ -29,12 +30,13 @@
 		p, used, err := framing.Decode(b)
 		isTermReq := p.Type == TypeH2CTermReq || p.Type == TypeC2HTermReq
 		if used > len(b) || err != nil && used != 0 || len(p.Data) > framing.MaxData && !isTermReq {
-			t.Fatalf("%d of %d bytes used, %d of data, %v", used, len(b), len(p.Data), err)
+			t.Fatalf("%d of %d bytes used, %d bytes of data, error %v", used, len(b), len(p.Data), err)
 		}
-		for n := range b { // what is there decides sooner or later, never differently
+		for n := range b { // a prefix may need more bytes, but must not give a different result
 			q, u, e := framing.Decode(b[:n])
 			if e != nil && err == nil || u > 0 && (u != used || !bytes.Equal(q.Data, p.Data)) {
-				t.Fatalf("%d of %d bytes: %d used, %v; all: %d used, %v", n, len(b), u, e, used, err)
+				t.Fatalf("first %d of %d bytes: %d used, error %v; all bytes: %d used, error %v",
+					n, len(b), u, e, used, err)
 			}
 		}
 		if used > 0 && !p.DataDigestError {
@@ -43,7 +45,7 @@
 	})
 }
 
-// encode makes the bytes of a PDU again; nil for types that are not encoded from their fields alone.
+// encode encodes a decoded PDU again. It returns nil for the types that it does not support.
 func encode(f Framing, p PDU) []byte {
 	switch p.Type {
 	case TypeCapsuleCmd:
@@ -60,8 +62,8 @@
 	return nil
 }
 
-// checkEncoding encodes a PDU again and decodes that. Reserved flags are for the receiver to ignore (TCP 3.6.1): only
-// those that the type knows come back.
+// checkEncoding encodes a PDU again, decodes the result and compares it with the PDU. Flags that are reserved in a PDU
+// type are not compared, since a receiver ignores them (TCP 3.6.1).
 func checkEncoding(t *testing.T, f Framing, p PDU) {
 	t.Helper()
 	b := encode(f, p)
@@ -74,9 +76,9 @@
 	}
 	q, n, err := f.Decode(b)
 	if err != nil || n != len(b) || q.Type != p.Type || (q.Flags^p.Flags)&known != 0 {
-		t.Fatalf("encoded again: %v, %+v was %+v", err, q, p)
+		t.Fatalf("encoded again: error %v, PDU %+v, want %+v", err, q, p)
 	}
 	if !bytes.Equal(q.Data, p.Data) || !bytes.Equal(q.Header[8:20], p.Header[8:20]) {
-		t.Fatalf("encoded again: %+v was %+v", q, p)
+		t.Fatalf("encoded again: PDU %+v, want %+v", q, p)
 	}
 }
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -12,7 +12,7 @@
 	"honeyplank/internal/heap"
 )
 
-// allFramings are all that two ends can agree on here.
+// allFramings returns framings with all combinations of digests and two alignments.
 func allFramings() (list []Framing) {
 	for i := range 8 {
 		f := Framing{HeaderDigest: i&1 != 0, DataDigest: i&2 != 0, MaxData: 1 << 16}
@@ -24,13 +24,13 @@
 	return list
 }
 
-// sentPDU is what a PDU of a stream carries.
+// sentPDU is the type and data of a PDU in a stream.
 type sentPDU struct {
 	kind uint8
 	data []byte
 }
 
-// sampleStream is a stream of PDUs of one end, and what they carry.
+// sampleStream returns a stream of PDUs from one end, and their types and data.
 func sampleStream(f Framing, rng *rand.Rand) (stream []byte, sent []sentPDU) {
 	for range 20 {
 		data := make([]byte, 4*(1+rng.Intn(3000)))
@@ -55,7 +55,8 @@
 	return stream, sent
 }
 
-// TestDecodeInPieces decodes a stream whole and in pieces of several sizes; each must give what was sent.
+// TestDecodeInPieces checks that a stream decodes to the PDUs that were sent, as a whole and in pieces of several
+// sizes.
 func TestDecodeInPieces(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for _, f := range allFramings() {
@@ -94,11 +95,11 @@
 		}
 	}
 	if n != len(sent) {
-		t.Fatalf("%d PDUs of %d", n, len(sent))
+		t.Fatalf("%d PDUs decoded, want %d", n, len(sent))
 	}
 }
 
-// TestBitFlipsDetected flips every bit of a PDU with digests: no damage goes undetected.
+// TestBitFlipsDetected checks that a flip of any bit of a PDU with digests is detected, except in the padding.
 func TestBitFlipsDetected(t *testing.T) {
 	f := Framing{HeaderDigest: true, DataDigest: true, MaxData: 1 << 16, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
@@ -116,46 +117,47 @@
 	}
 }
 
-// TestInvalidHeadersRejected decodes headers whose lengths are not what the type allows.
+// TestInvalidHeadersRejected checks that a common header with an invalid field is rejected before the rest of the PDU
+// has come, or with it.
 func TestInvalidHeadersRejected(t *testing.T) {
 	f := Framing{MaxData: 8192, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
 	valid := f.AppendCommand(nil, &c, make([]byte, 64))
 	for name, change := range map[string]func(b []byte){
 		"unknown type":        func(b []byte) { b[0] = 0x0F },
-		"the other end's":     func(b []byte) { b[0] = TypeR2T },
+		"type of other end":   func(b []byte) { b[0] = TypeR2T },
 		"header too short":    func(b []byte) { b[2] = 8 },
 		"length 0":            func(b []byte) { copy(b[4:], []byte{0, 0, 0, 0}) },
 		"length past 2^31":    func(b []byte) { copy(b[4:], []byte{0, 0, 0, 0x90}) },
-		"more than the bound": func(b []byte) { copy(b[4:], []byte{0, 0x40, 0, 0}) },
+		"more than MaxData":   func(b []byte) { copy(b[4:], []byte{0, 0x40, 0, 0}) },
 		"data in the header":  func(b []byte) { b[3] = 16 },
 		"data past the end":   func(b []byte) { b[3] = 252 },
 		"odd offset":          func(b []byte) { b[3] = 73 },
-		"digest not agreed":   func(b []byte) { b[1] = FlagHeaderDigest },
+		"unnegotiated digest": func(b []byte) { b[1] = FlagHeaderDigest },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := bytes.Clone(valid)
 			change(b)
-			_, used, err := f.Decode(b[:commonHeaderLen]) // before a byte of the rest is there
+			_, used, err := f.Decode(b[:commonHeaderLen]) // the common header alone
 			if err == nil {
 				_, used, err = f.Decode(b)
 			}
 			var fatal *FatalError
 			if used != 0 || !errors.As(err, &fatal) || fatal.Status == 0 {
-				t.Errorf("%v, %d bytes used", err, used)
+				t.Errorf("error %v, %d bytes used, want a FatalError", err, used)
 			}
 		})
 	}
 }
 
-// TestIdentifyRoundTrip reads back the Identify data structures.
+// TestIdentifyRoundTrip checks that the Identify data structures decode to the values that were encoded.
 func TestIdentifyRoundTrip(t *testing.T) {
 	d := AppendController(nil, Controller{ID: 3, RetryDelay: [3]uint16{1, 2, 3}, CapsuleBytes: 64 + 8192})
 	if len(d) != IdentifyLen || CapsuleBytes(d) != 64+8192 || RetryDelays(d) != [3]uint16{1, 2, 3} {
-		t.Error("Identify Controller")
+		t.Error("Identify Controller does not decode to the encoded values")
 	}
 	if blocks, shift := ParseNamespace(AppendNamespace(nil, 77, 12)); blocks != 77 || shift != 12 {
-		t.Error("Identify Namespace")
+		t.Error("Identify Namespace does not decode to the encoded values")
 	}
 	if ids := ParseActiveNamespaces(AppendActiveNamespaces(nil, 2,
 		[]uint32{1, 2, 3, 9})); len(ids) != 2 || ids[1] != 9 {
@@ -163,7 +165,7 @@
 	}
 }
 
-// TestConnectDataRoundTrip reads back the data of a Connect.
+// TestConnectDataRoundTrip checks that the data of a Connect decodes to the values that were encoded.
 func TestConnectDataRoundTrip(t *testing.T) {
 	want := ConnectData{HostID: [16]byte{1}, ControllerID: 5, Subsystem: "a", Host: "b"}
 	if got := ParseConnectData(AppendConnectData(nil, want)); got != want {
@@ -171,23 +173,23 @@
 	}
 }
 
-// TestCompletionRoundTrip reads back a completion with a load report.
+// TestCompletionRoundTrip checks that a completion with a load report decodes to the values that were encoded.
 func TestCompletionRoundTrip(t *testing.T) {
 	load := Load{1, 2, 3, 4}
 	dw0, dw1 := load.Dwords()
 	c := NewCompletion(9, Rejected.WithRetryDelay(2), dw0, dw1)
 	if c.Load() != load || c.CID() != 9 || c.Status().Code() != Rejected || c.Status().RetryDelay() != 2 {
-		t.Errorf("%x", c)
+		t.Errorf("completion %x does not decode to the encoded values", c)
 	}
 }
 
 func TestCRC32C(t *testing.T) {
 	if got := CRC32C([]byte("123456789")); got != 0xE3069283 { // the check value of CRC-32C
-		t.Errorf("%#x", got)
+		t.Errorf("check value %#x, want 0xe3069283", got)
 	}
 }
 
-// TestDecodeDoesNotAllocate decodes valid PDUs without an allocation.
+// TestDecodeDoesNotAllocate checks that valid PDUs are decoded without an allocation.
 func TestDecodeDoesNotAllocate(t *testing.T) {
 	f := Framing{MaxData: 64 << 10, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
@@ -199,13 +201,13 @@
 		}
 	}
 	if n := testing.AllocsPerRun(100, decode); n > 0 {
-		t.Errorf("%v allocations for two PDUs", n)
+		t.Errorf("%v allocations for two PDUs, want 0", n)
 	}
 }
 
 var errIncomplete = errors.New("the last PDU is incomplete")
 
-// decodeAll decodes a stream of whole PDUs.
+// decodeAll decodes a stream of complete PDUs.
 func decodeAll(f *Framing, stream []byte) error {
 	for len(stream) > 0 {
 		_, n, err := f.Decode(stream)
@@ -220,8 +222,8 @@
 	return nil
 }
 
-// TestWrongLengthsDoNotAllocate decodes headers whose lengths are wrong: nothing is allocated for what a length states,
-// only the error that tells of it.
+// TestWrongLengthsDoNotAllocate checks that a wrong PDU length causes no allocation of that size, so that a host cannot
+// exhaust memory with a header. Only the error may be allocated.
 func TestWrongLengthsDoNotAllocate(t *testing.T) {
 	f := Framing{MaxData: 64 << 10, FromHost: true}
 	for _, length := range []uint32{0, 1, 71, 73, 64 << 10, 64<<10 + 72, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1} {
@@ -229,11 +231,11 @@
 			head := append([]byte{TypeCapsuleCmd, 0, 72, 72}, binary.LittleEndian.AppendUint32(nil, length)...)
 			allocated := heap.Bytes(func() {
 				for range 1000 {
-					_, _, _ = f.Decode(head) // an error, or more is awaited
+					_, _, _ = f.Decode(head) // returns an error, or that more bytes are needed
 				}
 			})
 			if allocated > 1000*1024 {
-				t.Errorf("%d bytes for a thousand headers", allocated)
+				t.Errorf("%d bytes allocated for 1000 headers, want at most 1024 for each", allocated)
 			}
 		})
 	}
