--- a/initiator/fuzz_test.go
+++ b/initiator/fuzz_test.go
@@ -6,11 +6,11 @@
 	"honeyplank/nvme"
 )
 
-const transferBytes = 2 * testBlock // of the fuzz targets' commands
+const transferBytes = 2 * testBlock // bytes of a Read or Write of the fuzz targets
 
-// FuzzController plays a controller that sends well-formed PDUs in any order to a host with reads and writes in flight:
-// no panic; every command ends once, at the latest with its connection; a slot is free or busy, never both; nothing
-// stays in use.
+// FuzzController sends well-formed PDUs of a controller in any order to a host with Reads and Writes in flight. It
+// checks that the session does not panic, that every command ends once, at the latest with its connection, that each
+// slot is either free or busy, and that no buffer is in use at the end.
 func FuzzController(f *testing.F) {
 	f.Add([]byte{0, 0, 3, 0, 4, 0, 0, 1, 3, 1, 4, 1})
 	f.Add([]byte{1, 0, 5, 0, 4, 0, 2, 0, 4, 0, 1, 1})
@@ -27,7 +27,7 @@
 	})
 }
 
-// sequence plays the steps of an input; commands are numbered in the order they were submitted.
+// sequence executes the steps of an input. Commands are numbered in the order in which they were submitted.
 type sequence struct {
 	*controller
 	ids       []uint16
@@ -35,7 +35,7 @@
 	abandoned map[int]bool
 }
 
-// The steps of a sequence, as an input's byte names them.
+// The kinds of steps of a sequence; a byte of the input selects one.
 const (
 	stepRead = iota
 	stepWrite
@@ -49,7 +49,7 @@
 	stepKinds
 )
 
-// step does a step for a command, or an id that was never used; it returns the error that ends the connection.
+// step executes a step for a command, or for an id that was never used. It returns the error that ends the connection.
 func (s *sequence) step(kind, n byte) error {
 	number, cid := -1, uint16(n)
 	if len(s.ids) > 0 {
@@ -105,10 +105,10 @@
 		}
 	}
 	if busy+free != slots {
-		t.Fatalf("%d slots busy, %d free of %d", busy, free, slots)
+		t.Fatalf("%d slots busy and %d free, of %d in all", busy, free, slots)
 	}
 	if s.buffers.InUse > testDepth*2*transferBytes {
-		t.Fatalf("%d bytes in use by %d commands", s.buffers.InUse, testDepth)
+		t.Fatalf("%d bytes of buffers in use by at most %d commands", s.buffers.InUse, testDepth)
 	}
 }
 
@@ -117,10 +117,10 @@
 	s.session.endInFlight()
 	for number := range s.ids {
 		if n := s.ended[number]; n > 1 || n == 0 && !s.abandoned[number] {
-			t.Fatalf("command %d ended %d times", number, n)
+			t.Fatalf("the callback of command %d was called %d times", number, n)
 		}
 	}
 	if s.buffers.InUse != 0 {
-		t.Fatalf("%d bytes are still in use", s.buffers.InUse)
+		t.Fatalf("%d bytes of buffers are still in use", s.buffers.InUse)
 	}
 }
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -6,25 +6,26 @@
 	"honeyplank/nvme"
 )
 
-// modelCommand is a command as the model remembers it.
+// modelCommand is the state of a command in the model.
 type modelCommand struct {
 	cid              uint16
 	write, inCapsule bool
 	bytes            int
-	received         int // data that a Read has brought
-	requested        int // data that a Write was asked for
+	received         int // received bytes of a Read
+	requested        int // bytes of a Write that R2Ts have requested
 	damaged          bool
 	abandoned        bool
 	ended            bool
 	results          []Result
 }
 
-// inCapsuleBytes is the capsule's size and that of the Writes whose data is in it.
+// inCapsuleBytes is the limit of data in a capsule, and the size of the Writes whose data is in the capsule.
 const inCapsuleBytes = 512
 
-// FuzzModel plays what a controller can send to a host with commands in flight, and holds the session against a simple
-// model that searches all commands there ever were: what is allowed must be accepted, with the end that follows from
-// it; what is not must end the connection. A success that comes before the data of its command is no success.
+// FuzzModel sends valid and invalid PDUs of a controller to a host with commands in flight, and compares the session
+// with a simple model that searches all commands ever submitted. The session must accept what the model allows, and end
+// the command as the model does; anything else must end the connection. A success that comes before all data of its
+// command has been transferred is not allowed.
 func FuzzModel(f *testing.F) {
 	f.Add(byte(0), []byte{0, 0, 3, 0, 4, 0, 0, 1, 3, 1, 4, 1})
 	f.Add(byte(1), []byte{1, 0, 5, 0x20, 4, 0, 2, 0, 4, 0, 1, 1})
@@ -42,7 +43,7 @@
 	})
 }
 
-// modelPlay plays the steps of an input on a session and on the model.
+// modelPlay executes the steps of an input on a session and on the model.
 type modelPlay struct {
 	*controller
 	t        *testing.T
@@ -50,7 +51,7 @@
 	over     bool // the connection has ended
 }
 
-// The steps of a play, as an input's byte names them.
+// The kinds of steps; a byte of the input selects one.
 const (
 	playRead = iota
 	playWrite
@@ -65,18 +66,18 @@
 	playKinds
 )
 
-// verdict is what the model says of bytes that the controller sends.
+// verdict is the result that the model expects of a PDU from the controller.
 type verdict struct {
 	allowed  bool
-	wantSent int           // bytes that the session is to send
-	ends     *modelCommand // by this status
+	wantSent int           // bytes of data that the session must send
+	ends     *modelCommand // the command that ends, with status
 	status   nvme.Status
 }
 
 func (p *modelPlay) step(kind, n byte) {
 	kind %= playKinds
 	cid := p.commandID(n)
-	if n&0x10 != 0 && kind > playAbandon { // an id that is not in flight, or no longer
+	if n&0x10 != 0 && kind > playAbandon { // an id that is not in flight, or no longer in flight
 		cid += 1 << slotBits
 	}
 	m := p.find(cid)
@@ -98,7 +99,7 @@
 	}
 }
 
-// commandID is the id of a command that was submitted, if there is one.
+// commandID returns the id of a command that was submitted, or any id if there is none.
 func (p *modelPlay) commandID(n byte) uint16 {
 	if len(p.commands) > 0 {
 		return p.commands[int(n&15)%len(p.commands)].cid
@@ -134,7 +135,7 @@
 	open := p.countOpen()
 	cid, ok := p.session.Submit(c, data, read, CallbackFunc(func(r Result) { m.results = append(m.results, r) }))
 	if ok != (open < testDepth) || ok && p.find(cid) != nil {
-		p.t.Fatalf("with %d in flight, submitted %v as %d", open, ok, cid)
+		p.t.Fatalf("with %d commands in flight, Submit returned %v and id %d", open, ok, cid)
 	}
 	if m.cid = cid; ok {
 		p.commands = append(p.commands, m)
@@ -142,7 +143,7 @@
 	p.output = nil
 }
 
-// message makes the bytes of a step for a command, which is nil where there is none of the id, and judges them.
+// message returns the bytes of a step and the verdict of the model. m is the command with the id, or nil.
 func (p *modelPlay) message(kind, n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	switch kind {
 	case playData:
@@ -171,7 +172,7 @@
 	return nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}), verdict{}
 }
 
-// dataMessage is data of a Read: the next piece, or one at another offset.
+// dataMessage returns data of a Read, at the next offset or at another one.
 func (p *modelPlay) dataMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	offset, size := 0, testBlock<<(n>>5&1)
 	if m != nil {
@@ -187,7 +188,7 @@
 	return p.data(cid, offset, size), verdict{allowed: allowed}
 }
 
-// judgeCompletion allows a success only once all data was transferred.
+// judgeCompletion allows a success only after all data has been transferred.
 func (m *modelCommand) judgeCompletion(status nvme.Status) verdict {
 	v := verdict{allowed: m != nil, ends: m, status: status}
 	if m == nil || status != nvme.Success {
@@ -202,7 +203,7 @@
 	return v
 }
 
-// r2tMessage is an R2T for the next piece of a Write, or another.
+// r2tMessage returns an R2T for the next part of a Write, or for another range.
 func (p *modelPlay) r2tMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	offset, size := 0, testBlock<<(n>>5&1)
 	if m != nil {
@@ -220,36 +221,36 @@
 	return bytes, verdict{allowed: true, wantSent: size}
 }
 
-// check sends bytes and holds what comes of them against the model.
+// check passes bytes to the session and compares the result with the verdict of the model.
 func (p *modelPlay) check(cid uint16, bytes []byte, v verdict) {
 	p.t.Helper()
 	err := p.send(bytes)
 	if (err == nil) != v.allowed {
-		p.t.Fatalf("% x... for id %d: %v; the model allows it: %v", bytes[:8], cid, err, v.allowed)
+		p.t.Fatalf("% x... for id %d: error %v; allowed by the model: %v", bytes[:8], cid, err, v.allowed)
 	}
 	if err != nil {
 		p.over = true
 		return
 	}
 	if sent := p.receiveData(cid); sent != v.wantSent {
-		p.t.Fatalf("%d bytes were sent, %d requested", sent, v.wantSent)
+		p.t.Fatalf("the session sent %d bytes of data, want %d", sent, v.wantSent)
 	}
 	if v.ends != nil {
 		p.checkEnd(v.ends, v.status)
 	}
 }
 
-// receiveData reads the data that the session has sent of a command, and nothing else.
+// receiveData returns the number of data bytes that the session has sent for a command. Any other output is an error.
 func (p *modelPlay) receiveData(cid uint16) int {
 	p.t.Helper()
 	sent := 0
 	for len(p.output) > 0 {
 		pdu, used, err := p.input.Decode(p.output)
 		if err != nil || used == 0 {
-			p.t.Fatalf("after an R2T: %d bytes used, %v", used, err)
+			p.t.Fatalf("output of the session: %d bytes used, error %v", used, err)
 		}
 		if pdu.Type != nvme.TypeH2CData || pdu.CCCID() != cid || len(pdu.Data) > maxPDUData {
-			p.t.Fatalf("after an R2T: %+v", pdu)
+			p.t.Fatalf("the session sent an unexpected PDU: %+v", pdu)
 		}
 		sent += len(pdu.Data)
 		p.output = p.output[used:]
@@ -257,7 +258,7 @@
 	return sent
 }
 
-// checkEnd wants a command to have ended once with a status, or to have been abandoned.
+// checkEnd checks that a command has ended once with a status, or that it was abandoned and has no result.
 func (p *modelPlay) checkEnd(m *modelCommand, status nvme.Status) {
 	p.t.Helper()
 	m.ended = true
@@ -267,9 +268,9 @@
 	switch {
 	case m.abandoned && len(m.results) == 0:
 	case m.abandoned || len(m.results) != 1:
-		p.t.Fatalf("%+v ended %d times", m, len(m.results))
+		p.t.Fatalf("command %+v has %d results", m, len(m.results))
 	case m.results[0].Status() != status || m.results[0].ConnectionLost:
-		p.t.Fatalf("ended with %+v, the model says %#x", m.results[0], status)
+		p.t.Fatalf("the command ended with %+v, want status %#x", m.results[0], status)
 	}
 }
 
@@ -278,10 +279,10 @@
 	p.session.endInFlight()
 	for number, m := range p.commands {
 		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].ConnectionLost {
-			p.t.Fatalf("command %d: %+v", number, m)
+			p.t.Fatalf("command %d has wrong results: %+v", number, m)
 		}
 	}
 	if p.buffers.InUse != 0 {
-		p.t.Fatalf("%d bytes are still in use", p.buffers.InUse)
+		p.t.Fatalf("%d bytes of buffers are still in use", p.buffers.InUse)
 	}
 }
--- a/initiator/session_test.go
+++ b/initiator/session_test.go
@@ -12,19 +12,19 @@
 const (
 	testDepth  = 4
 	testBlock  = 4096
-	maxPDUData = 4096 // that the controller takes in one PDU
+	maxPDUData = 4096 // data bytes that the controller accepts in one PDU
 )
 
-// controller is a session in memory, and the controller at its other end, which sends what it likes.
+// controller is a session without a network, and a controller that can send it any PDU.
 type controller struct {
 	session *Session
 	buffers eventloop.Buffers
 	output  []byte       // of the session
-	framing nvme.Framing // of what the controller sends
-	input   nvme.Framing // of what it receives
+	framing nvme.Framing // of the PDUs from the controller
+	input   nvme.Framing // of the PDUs to the controller
 }
 
-// newController makes a session that waits for its ICResp.
+// newController returns a controller whose session waits for ICResp.
 func newController(digests bool) *controller {
 	c := &controller{}
 	c.session = newSession(sessionOptions{
@@ -39,7 +39,7 @@
 	return c
 }
 
-// sendICResp sends the ICResp.
+// sendICResp sends an ICResp with the digests of i, after which the session is ready.
 func (c *controller) sendICResp(t *testing.T, i nvme.Init) {
 	t.Helper()
 	i.Limit = maxPDUData
@@ -52,7 +52,7 @@
 	c.input.FromHost = true
 }
 
-// readyController makes a session that is ready, without digests.
+// readyController returns a controller whose session is ready, without digests.
 func readyController(t *testing.T) *controller {
 	t.Helper()
 	c := newController(false)
@@ -65,7 +65,7 @@
 	return err
 }
 
-// readBlock submits a Read of a block, and has its result appended.
+// readBlock submits a Read of one block, whose result is appended to results.
 func (c *controller) readBlock(results *[]Result) (cid uint16, ok bool) {
 	done := func(r Result) { *results = append(*results, r) }
 	return c.session.Submit(nvme.NewRW(nvme.Read, 1, 0, 1), nil, testBlock, CallbackFunc(done))
@@ -75,7 +75,7 @@
 	t.Helper()
 	cid, ok := c.readBlock(results)
 	if !ok {
-		t.Fatal("a Read was not taken")
+		t.Fatal("Submit did not accept a Read")
 	}
 	return cid
 }
@@ -85,7 +85,7 @@
 	return c.framing.AppendData(nil, header, make([]byte, size))
 }
 
-// dataWithSuccess is data that stands for a completion too.
+// dataWithSuccess returns a C2HData with the SUCCESS flag, which replaces a completion.
 func (c *controller) dataWithSuccess(cid uint16, size int) []byte {
 	header := nvme.DataHeader{Type: nvme.TypeC2HData, Flags: nvme.FlagLast | nvme.FlagSuccess, CID: cid}
 	return c.framing.AppendData(nil, header, make([]byte, size))
@@ -102,7 +102,7 @@
 	return c.framing.AppendR2T(nil, cid, 1, offset, size)
 }
 
-// abandoned is how many abandoned commands wait for an answer.
+// abandoned returns the number of abandoned commands that wait for an answer.
 func (c *controller) abandoned() int {
 	n := 0
 	for _, v := range c.session.slots {
@@ -116,30 +116,30 @@
 func TestSubmitBeforeReady(t *testing.T) {
 	var results []Result
 	if _, ok := newController(false).readBlock(&results); ok {
-		t.Error("a command was taken before ICResp")
+		t.Error("Submit accepted a command before ICResp")
 	}
 }
 
-// TestInvalidSequences has a controller send well-formed PDUs in an impossible order: each ends the connection, and
-// every command still ends once.
+// TestInvalidSequences checks that well-formed PDUs in an invalid order end the connection with a FatalError, and that
+// the command in flight still ends exactly once.
 func TestInvalidSequences(t *testing.T) {
 	for name, bytes := range map[string]func(c *controller, cid uint16) []byte{
-		"an answer to what was never sent": func(c *controller, cid uint16) []byte { return c.success(cid + 1) },
+		"an answer to an id that was never used": func(c *controller, cid uint16) []byte { return c.success(cid + 1) },
 		"an answer to an earlier use": func(c *controller, cid uint16) []byte {
 			return c.success(cid ^ 1<<slotBits)
 		},
 		"two answers to one command": func(c *controller, cid uint16) []byte {
 			return slices.Concat(c.data(cid, 0, testBlock), c.success(cid), c.success(cid))
 		},
-		"data for a finished read": func(c *controller, cid uint16) []byte {
+		"data for a completed read": func(c *controller, cid uint16) []byte {
 			return slices.Concat(c.data(cid, 0, testBlock), c.success(cid), c.data(cid, 0, testBlock))
 		},
-		"data past what was asked": func(c *controller, cid uint16) []byte { return c.data(cid, 0, 2*testBlock) },
+		"data past the end of the read": func(c *controller, cid uint16) []byte { return c.data(cid, 0, 2*testBlock) },
 		"data twice": func(c *controller, cid uint16) []byte {
 			return slices.Concat(c.data(cid, 0, testBlock/2), c.data(cid, 0, testBlock/2))
 		},
 		"an R2T for a read": func(c *controller, cid uint16) []byte { return c.r2t(cid, 0, testBlock) },
-		"a completion before its data": func(c *controller, cid uint16) []byte {
+		"success before the end of the data": func(c *controller, cid uint16) []byte {
 			return slices.Concat(c.data(cid, 0, testBlock/2), c.success(cid))
 		},
 		"a second ICResp": func(*controller, uint16) []byte {
@@ -153,18 +153,18 @@
 			err := c.send(bytes(c, cid))
 			var fatal *nvme.FatalError
 			if !errors.As(err, &fatal) {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want a FatalError", err)
 			}
 			c.session.endInFlight()
 			if len(results) != 1 {
-				t.Errorf("the command ended %d times", len(results))
+				t.Errorf("the command has %d results, want 1", len(results))
 			}
 		})
 	}
 }
 
-// TestLateAnswerToAbandonedCommand abandons a command and uses every id that is free: the late answer is discarded, and
-// its id comes back only then.
+// TestLateAnswerToAbandonedCommand checks that the late answer to an abandoned command is discarded and reaches no
+// other command, and that the command id is not reused before that answer.
 func TestLateAnswerToAbandonedCommand(t *testing.T) {
 	c := readyController(t)
 	var first, others []Result
@@ -178,20 +178,21 @@
 		t.Fatal(err)
 	}
 	if len(first) != 0 || len(others) != before {
-		t.Errorf("the late answer reached %d and %d", len(first), len(others)-before)
+		t.Errorf("the late answer gave %d results to its command, %d to others", len(first), len(others)-before)
 	}
 	if n, free := c.abandoned(), c.session.Free(); n != 0 || free != testDepth {
-		t.Errorf("its id is lost: %d abandoned, %d free", n, free)
+		t.Errorf("after the late answer: %d commands abandoned, want 0; %d slots free", n, free)
 	}
 }
 
-// useFreeIDs reads blocks one after another until more than eight have been read in all.
+// useFreeIDs reads blocks one after another until results has more than eight. No Read may get the slot of the
+// abandoned command.
 func (c *controller) useFreeIDs(t *testing.T, abandoned uint16, results *[]Result) {
 	t.Helper()
 	for c.session.Free() > 0 {
 		cid := c.mustReadBlock(t, results)
 		if cid&(MaxDepth-1) == abandoned&(MaxDepth-1) {
-			t.Fatal("an id that is in flight was used again")
+			t.Fatal("the slot of the abandoned command was used again before its answer")
 		}
 		if err := c.send(slices.Concat(c.data(cid, 0, testBlock), c.success(cid))); err != nil {
 			t.Fatal(err)
