--- a/initiator/association.go
+++ b/initiator/association.go
@@ -18,7 +18,7 @@
 	MaxData        int           // largest number of bytes of one Read
 	Digests        bool          // request header and data digests
 	ConnectTimeout time.Duration // for the whole handshake
-	KeepAlive      time.Duration // time without an answer to a Keep Alive that ends the association; 0: no Keep Alive
+	KeepAlive      time.Duration // the association ends if no Keep Alive is answered for this time; 0: no Keep Alive
 	// Tap, if not nil, is called for each new connection and returns a function that receives the bytes of the
 	// connection.
 	Tap func() func(sent bool, b []byte)
--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -87,7 +87,7 @@
 	a.settings.MaxData = max(a.settings.MaxData, nvme.IdentifyLen)
 }
 
-// honourRetryDelays sets ACRE, by which a host declares that it honours the controller's retry delays. Its result is
+// honourRetryDelays sets ACRE, by which a host declares that it honours the controller's retry delays. The answer is
 // ignored: a controller without the feature sends no retry delays.
 func (a *Association) honourRetryDelays() {
 	c := nvme.Command{nvme.AdminSetFeatures}
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -35,7 +35,7 @@
 		c := newController(true)
 		c.sendICResp(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
 		c.session.MaxCapsule = inCapsuleBytes
-		p := &modelPlay{controller: c, t: t}
+		p := &modelRun{controller: c, t: t}
 		for ; len(script) >= 2 && !p.over; script = script[2:] {
 			p.step(script[0], script[1])
 		}
@@ -43,8 +43,8 @@
 	})
 }
 
-// modelPlay executes the steps of an input on a session and on the model.
-type modelPlay struct {
+// modelRun executes the steps of an input on a session and on the model.
+type modelRun struct {
 	*controller
 	t        *testing.T
 	commands []*modelCommand
@@ -53,17 +53,17 @@
 
 // The kinds of steps; a byte of the input selects one.
 const (
-	playRead = iota
-	playWrite
-	playAbandon
-	playData
-	playCompletion
-	playR2T
-	playDataWithSuccess
-	playTermReq
-	playWriteInCapsule
-	playDamagedData
-	playKinds
+	modelStepRead = iota
+	modelStepWrite
+	modelStepAbandon
+	modelStepData
+	modelStepCompletion
+	modelStepR2T
+	modelStepDataWithSuccess
+	modelStepTermReq
+	modelStepWriteInCapsule
+	modelStepDamagedData
+	modelStepKinds
 )
 
 // verdict is the result that the model expects of a PDU from the controller.
@@ -74,21 +74,21 @@
 	status   nvme.Status
 }
 
-func (p *modelPlay) step(kind, n byte) {
-	kind %= playKinds
+func (p *modelRun) step(kind, n byte) {
+	kind %= modelStepKinds
 	cid := p.commandID(n)
-	if n&0x10 != 0 && kind > playAbandon { // an id that is not in flight, or no longer in flight
+	if n&0x10 != 0 && kind > modelStepAbandon { // an id that is not in flight, or no longer in flight
 		cid += 1 << slotBits
 	}
 	m := p.find(cid)
 	switch kind {
-	case playRead:
+	case modelStepRead:
 		p.submit(&modelCommand{bytes: transferBytes})
-	case playWrite:
+	case modelStepWrite:
 		p.submit(&modelCommand{write: true, bytes: transferBytes})
-	case playWriteInCapsule:
+	case modelStepWriteInCapsule:
 		p.submit(&modelCommand{write: true, inCapsule: true, bytes: inCapsuleBytes})
-	case playAbandon:
+	case modelStepAbandon:
 		p.session.Abandon(cid)
 		if m != nil {
 			m.abandoned = true
@@ -100,14 +100,14 @@
 }
 
 // commandID returns the id of a command that was submitted, or any id if there is none.
-func (p *modelPlay) commandID(n byte) uint16 {
+func (p *modelRun) commandID(n byte) uint16 {
 	if len(p.commands) > 0 {
 		return p.commands[int(n&15)%len(p.commands)].cid
 	}
 	return uint16(n) << 8
 }
 
-func (p *modelPlay) find(cid uint16) *modelCommand {
+func (p *modelRun) find(cid uint16) *modelCommand {
 	for _, m := range p.commands {
 		if m.cid == cid && !m.ended {
 			return m
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (p *modelPlay) countOpen() int {
+func (p *modelRun) countOpen() int {
 	n := 0
 	for _, m := range p.commands {
 		if !m.ended {
@@ -126,7 +126,7 @@
 	return n
 }
 
-func (p *modelPlay) submit(m *modelCommand) {
+func (p *modelRun) submit(m *modelCommand) {
 	p.t.Helper()
 	c, data, read := nvme.NewRW(nvme.Read, 1, 0, 2), []byte(nil), m.bytes
 	if m.write {
@@ -144,11 +144,11 @@
 }
 
 // message returns the bytes of a step and the verdict of the model. m is the command with the id, or nil.
-func (p *modelPlay) message(kind, n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+func (p *modelRun) message(kind, n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	switch kind {
-	case playData:
+	case modelStepData:
 		return p.dataMessage(n, cid, m)
-	case playDamagedData:
+	case modelStepDamagedData:
 		bytes, v := p.dataMessage(n, cid, m)
 		if p.framing.DataDigest {
 			bytes[len(bytes)-1] ^= 1
@@ -157,12 +157,12 @@
 			}
 		}
 		return bytes, v
-	case playCompletion:
+	case modelStepCompletion:
 		status := nvme.Status(n >> 6)
 		return p.completion(cid, status), m.judgeCompletion(status)
-	case playR2T:
+	case modelStepR2T:
 		return p.r2tMessage(n, cid, m)
-	case playDataWithSuccess:
+	case modelStepDataWithSuccess:
 		v := verdict{allowed: m != nil && !m.write && m.received == 0, ends: m}
 		if v.allowed {
 			m.received = m.bytes
@@ -173,7 +173,7 @@
 }
 
 // dataMessage returns data of a Read, at the next offset or at another one.
-func (p *modelPlay) dataMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+func (p *modelRun) dataMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	offset, size := 0, testBlock<<(n>>5&1)
 	if m != nil {
 		offset = m.received
@@ -204,7 +204,7 @@
 }
 
 // r2tMessage returns an R2T for the next part of a Write, or for another range.
-func (p *modelPlay) r2tMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+func (p *modelRun) r2tMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	offset, size := 0, testBlock<<(n>>5&1)
 	if m != nil {
 		offset = m.requested
@@ -222,7 +222,7 @@
 }
 
 // check passes bytes to the session and compares the result with the verdict of the model.
-func (p *modelPlay) check(cid uint16, bytes []byte, v verdict) {
+func (p *modelRun) check(cid uint16, bytes []byte, v verdict) {
 	p.t.Helper()
 	err := p.send(bytes)
 	if (err == nil) != v.allowed {
@@ -241,7 +241,7 @@
 }
 
 // receiveData returns the number of data bytes that the session has sent for a command. Any other output is an error.
-func (p *modelPlay) receiveData(cid uint16) int {
+func (p *modelRun) receiveData(cid uint16) int {
 	p.t.Helper()
 	sent := 0
 	for len(p.output) > 0 {
@@ -259,7 +259,7 @@
 }
 
 // checkEnd checks that a command has ended once with a status, or that it was abandoned and has no result.
-func (p *modelPlay) checkEnd(m *modelCommand, status nvme.Status) {
+func (p *modelRun) checkEnd(m *modelCommand, status nvme.Status) {
 	p.t.Helper()
 	m.ended = true
 	if m.damaged && status == nvme.Success {
@@ -274,7 +274,7 @@
 	}
 }
 
-func (p *modelPlay) finish() {
+func (p *modelRun) finish() {
 	p.t.Helper()
 	p.session.endInFlight()
 	for number, m := range p.commands {
--- a/initiator/session.go
+++ b/initiator/session.go
@@ -40,7 +40,7 @@
 
 	options       sessionOptions
 	inputFraming  nvme.Framing
-	outputFraming nvme.Framing // of the output
+	outputFraming nvme.Framing
 	ready         bool
 	slots         []slot
 	free          []uint16 // indices of free slots
--- a/nvme/completion.go
+++ b/nvme/completion.go
@@ -33,7 +33,7 @@
 	ConnectInvalid       Status = 0x182
 	FeatureNotChangeable Status = 0x10E
 	// Rejected is vendor specific (status code type 7h): a disk server rejected the command before executing it,
-	// because its queue is full or it is draining. The command has had no effect.
+	// because its queue is full or it is draining. It guarantees that the command was not executed.
 	Rejected Status = 0x7C0
 	// DoNotRetry is the DNR bit.
 	DoNotRetry Status = 1 << 14
--- a/target/modelplay_test.go
+++ b/target/modelplay_test.go
@@ -21,7 +21,7 @@
 	f.Add(byte(2), []byte{1, 0x01, 7, 0x01, 7, 0xC1, 9, 0, 10, 0})
 	f.Add(byte(2), []byte{2, 0x11, 3, 0x12, 4, 0x13, 5, 0x14, 11, 0x10, 12, 0x10, 1, 0x40, 6, 0x80})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
-		p := newModelPlay(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
+		p := newModelRun(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
 		for ; len(script) >= 2 && !p.model.over; script = script[2:] {
 			p.step(script[0], script[1])
 		}
@@ -29,92 +29,92 @@
 	})
 }
 
-// modelPlay executes the steps of an input on a session and on the model.
-type modelPlay struct {
+// modelRun executes the steps of an input on a session and on the model.
+type modelRun struct {
 	t           *testing.T
 	admin, io   *harness
 	model       *model
 	dataDigests bool
 }
 
-func newModelPlay(t *testing.T, i nvme.Init) *modelPlay {
+func newModelRun(t *testing.T, i nvme.Init) *modelRun {
 	t.Helper()
 	admin, io := newQueuePairWith(t, i)
 	s := io.session
 	m := &model{depth: s.queueSize, namespaces: s.settings.Namespaces, maxTransfer: s.settings.MaxTransfer}
-	return &modelPlay{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
+	return &modelRun{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
 }
 
 // The kinds of steps; a byte of the input selects one.
 const (
-	playRead = iota
-	playWrite
-	playWriteInCapsule
-	playOutOfRange
-	playWrongLength
-	playWrongCapsule
-	playData
-	playWrongData
-	playComplete
-	playAbort
-	playExpire
-	playFlush
-	playOtherOpcode
-	playICReq
-	playTermReq
-	playBadDigest
-	playKinds
+	modelStepRead = iota
+	modelStepWrite
+	modelStepWriteInCapsule
+	modelStepOutOfRange
+	modelStepWrongLength
+	modelStepWrongCapsule
+	modelStepData
+	modelStepWrongData
+	modelStepComplete
+	modelStepAbort
+	modelStepExpire
+	modelStepFlush
+	modelStepOtherOpcode
+	modelStepICReq
+	modelStepTermReq
+	modelStepBadDigest
+	modelStepKinds
 )
 
-func (p *modelPlay) step(kind, n byte) {
-	switch kind % playKinds {
-	case playComplete:
+func (p *modelRun) step(kind, n byte) {
+	switch kind % modelStepKinds {
+	case modelStepComplete:
 		p.complete(n)
-	case playAbort:
+	case modelStepAbort:
 		p.abort(uint16(n >> 4))
-	case playExpire:
+	case modelStepExpire:
 		p.expire(uint16(n >> 4))
 	default:
-		p.send(p.frame(kind%playKinds, n))
+		p.send(p.frame(kind%modelStepKinds, n))
 	}
 }
 
 // frame returns the frame of a step: a Write of one to eight blocks, changed according to the kind of the step.
-func (p *modelPlay) frame(kind, n byte) frame {
+func (p *modelRun) frame(kind, n byte) frame {
 	f := frame{
 		cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7),
 		sgl: nvme.SGLTransport,
 	}
 	f.sglLength = f.blocks * testBlock
 	switch kind {
-	case playRead:
+	case modelStepRead:
 		f.opcode = nvme.Read
-	case playWriteInCapsule:
+	case modelStepWriteInCapsule:
 		f.sgl, f.blocks = nvme.SGLInCapsule, 1+int(n&1)
 		f.sglLength = f.blocks * testBlock
 		f.inCapsule = f.sglLength
-	case playOutOfRange:
+	case modelStepOutOfRange:
 		f.outOfRange(n)
-	case playWrongLength:
+	case modelStepWrongLength:
 		lengths := [...]int{0, 1, f.sglLength - 1, f.sglLength + 1, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1}
 		f.sglLength = lengths[n&7]
-	case playWrongCapsule: // the capsule has more or less data than the SGL descriptor states
+	case modelStepWrongCapsule: // the capsule has more or less data than the SGL descriptor states
 		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, []int{0, 512, 4092, 8192}[n&3]
-	case playData:
+	case modelStepData:
 		f.data(p.model, n)
-	case playWrongData:
+	case modelStepWrongData:
 		f.data(p.model, n)
 		f.corruptData(n, p.dataDigests)
-	case playFlush:
+	case modelStepFlush:
 		f.opcode, f.nsid = nvme.Flush, []uint32{1, 5, 2, allNamespaces}[n&3]
 		f.blocks, f.sglLength = 0, 0
-	case playOtherOpcode:
+	case modelStepOtherOpcode:
 		f.opcode = []uint8{nvme.Fabrics, 0x04, 0x05, 0x7E}[n&3]
-	case playICReq:
+	case modelStepICReq:
 		f.kind = frameICReq
-	case playTermReq:
+	case modelStepTermReq:
 		f.kind = frameTermReq
-	case playBadDigest:
+	case modelStepBadDigest:
 		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, testBlock
 		f.badDigest = p.dataDigests
 	}
@@ -167,7 +167,7 @@
 }
 
 // send sends a frame. An H2CData with more than MaxDataPDU bytes is sent as several frames.
-func (p *modelPlay) send(f frame) {
+func (p *modelRun) send(f frame) {
 	p.t.Helper()
 	if f.kind == frameData {
 		for part := p.io.session.settings.MaxDataPDU; f.size > part && !p.model.over; {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (p *modelPlay) encode(f frame) []byte {
+func (p *modelRun) encode(f frame) []byte {
 	var bytes []byte
 	switch f.kind {
 	case frameCommand:
@@ -211,7 +211,7 @@
 }
 
 // check sends a frame and compares the PDUs that the session sends with those that the model allows.
-func (p *modelPlay) check(f frame) {
+func (p *modelRun) check(f frame) {
 	p.t.Helper()
 	admitted := len(p.io.admitted)
 	v := p.model.judge(f)
@@ -248,7 +248,7 @@
 	}
 }
 
-func (p *modelPlay) checkR2T(f frame, v *verdict, r2t *nvme.PDU) {
+func (p *modelRun) checkR2T(f frame, v *verdict, r2t *nvme.PDU) {
 	p.t.Helper()
 	if v.command == nil || r2t.CCCID() != f.cid || r2t.Offset() != 0 || int(r2t.Length()) != v.command.bytes {
 		p.t.Fatalf("%+v: R2T for command %d, %d bytes from offset %d", f, r2t.CCCID(), r2t.Length(), r2t.Offset())
@@ -257,7 +257,7 @@
 }
 
 // checkStatuses checks that there is exactly one answer with an allowed status, or no answer if none is allowed.
-func (p *modelPlay) checkStatuses(f frame, v *verdict, statuses []nvme.Status) {
+func (p *modelRun) checkStatuses(f frame, v *verdict, statuses []nvme.Status) {
 	p.t.Helper()
 	if len(statuses) == 0 && len(v.statuses) == 0 {
 		return
@@ -268,7 +268,7 @@
 }
 
 // answers returns the completions that the I/O queue has sent, as "id:status".
-func (p *modelPlay) answers() []string {
+func (p *modelRun) answers() []string {
 	p.t.Helper()
 	var answers []string
 	for _, pdu := range p.io.receive() {
@@ -283,7 +283,7 @@
 func answerText(cid uint16, s nvme.Status) string { return fmt.Sprintf("%d:%#x", cid, uint16(s)) }
 
 // complete answers an admitted command as its handler does. The command may have ended already.
-func (p *modelPlay) complete(n byte) {
+func (p *modelRun) complete(n byte) {
 	p.t.Helper()
 	if len(p.io.admitted) == 0 {
 		return
@@ -301,7 +301,7 @@
 	}
 }
 
-func (p *modelPlay) abort(cid uint16) {
+func (p *modelRun) abort(cid uint16) {
 	p.t.Helper()
 	completion := p.admin.abort(cid)
 	c := p.model.open(cid)
@@ -317,7 +317,7 @@
 }
 
 // expire calls Session.Expire for a command, whatever its state is.
-func (p *modelPlay) expire(cid uint16) {
+func (p *modelRun) expire(cid uint16) {
 	p.t.Helper()
 	c := p.model.open(cid)
 	if c == nil {
@@ -334,7 +334,7 @@
 	}
 }
 
-func (p *modelPlay) finish() {
+func (p *modelRun) finish() {
 	p.t.Helper()
 	for _, c := range p.io.admitted {
 		p.io.session.buffers.Put(c.Data) // the handler owns it
--- a/target/server.go
+++ b/target/server.go
@@ -79,13 +79,13 @@
 func (s *Server) Close(closed func()) {
 	s.listener.Close()
 	isIOQueue := func(c *conn) bool { return c.session.queueID != 0 }
-	s.endWhere(isIOQueue, func() {
-		s.endWhere(func(*conn) bool { return true }, closed)
+	s.closeSelected(isIOQueue, func() {
+		s.closeSelected(func(*conn) bool { return true }, closed)
 	})
 }
 
-// endWhere closes the selected connections gracefully and calls closed when they are closed.
-func (s *Server) endWhere(selected func(*conn) bool, closed func()) {
+// closeSelected closes the selected connections gracefully and calls closed when they are closed.
+func (s *Server) closeSelected(selected func(*conn) bool, closed func()) {
 	open := 1 // one more than the connections, so that closed is not called before the loop below has ended
 	onClosed := func() {
 		if open--; open == 0 {
--- a/target/session.go
+++ b/target/session.go
@@ -8,7 +8,7 @@
 	"honeyplank/nvme"
 )
 
-// phase is the phase of a connection.
+// phase is the stage that a connection has reached.
 type phase int
 
 const (
