--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -136,7 +136,8 @@
 	return func(next func()) {
 		b.submit(nvme.NewRW(nvme.Read, nsid, lba, 1), nil, blockSize, func(r initiator.Result) {
 			if r.ConnectionLost || r.Status() != nvme.Success || !bytes.Equal(r.Data, want) {
-				b.Errorf("read of block %d: lost %v, status %v, %d bytes", lba, r.ConnectionLost, r.Status(), len(r.Data))
+				b.Errorf("read of block %d: lost %v, status %v, %d bytes",
+					lba, r.ConnectionLost, r.Status(), len(r.Data))
 			}
 			next()
 		})
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -66,7 +66,7 @@
 // submission is a dispatch that has been submitted.
 type submission inflight.Dispatch
 
-// Done implements initiator.Call: it finishes the dispatch with the outcome of its command.
+// Done implements initiator.Callback: it finishes the dispatch with the outcome of its command.
 func (s *submission) Done(result initiator.Result) {
 	dispatch := (*inflight.Dispatch)(s)
 	if dispatch.Ended() {
--- a/loadgen/generator_test.go
+++ b/loadgen/generator_test.go
@@ -239,8 +239,8 @@
 	h.server.Release(c.Data)
 }
 
-func (h *rejectingHandler) ClientGone(*target.Command) {}
-func (h *rejectingHandler) LogPage(uint8) ([]byte, bool)   { return nil, false }
+func (h *rejectingHandler) ClientGone(*target.Command)   {}
+func (h *rejectingHandler) LogPage(uint8) ([]byte, bool) { return nil, false }
 
 // TestRetries has a target reject all ops: each is attempted twice more, with other blocks, after the time that the
 // target says.
