--- a/gateway/commands.go
+++ b/gateway/commands.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Log implements target.Handler: the gateway has no log pages of its own.
-func (g *Instance) Log(uint8) ([]byte, bool) { return nil, false }
+// LogPage implements target.Handler: the gateway has no log pages of its own.
+func (g *Instance) LogPage(uint8) ([]byte, bool) { return nil, false }
 
 // Succeeded implements inflight.Client.
 func (o *op) Succeeded(data []byte) { o.answer(nvme.Success, 0, data) }
@@ -86,7 +86,7 @@
 // Rejected implements inflight.Client. The client may retry after retryAfter; 0: no delay is given.
 func (o *op) Rejected(retryAfter time.Duration) {
 	o.instance.log.Debug().Uint32("volume", o.command.NSID()).Dur("retry_after_ms", retryAfter).Msg("op rejected")
-	status := nvme.CommandInterrupted.WithDelay(o.instance.retryDelayIndex(retryAfter))
+	status := nvme.CommandInterrupted.WithRetryDelay(o.instance.retryDelayIndex(retryAfter))
 	o.answer(status, uint32(retryAfter/time.Millisecond), nil)
 }
 
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("op on the silent server: status %#x after %v, lost %v; want a rejection in time",
 			r.status, r.took, r.lost)
 	}
-	if r.dw0 == 0 || r.status.Delay() == 0 {
+	if r.dw0 == 0 || r.status.RetryDelay() == 0 {
 		t.Errorf("op on the silent server is rejected without a retry delay: status %#x after %v", r.status, r.took)
 	}
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -66,14 +66,14 @@
 // submission is a dispatch that has been submitted.
 type submission inflight.Dispatch
 
-// Done implements initiator.Call. It finishes the dispatch with the outcome of its command.
+// Done implements initiator.Callback. It finishes the dispatch with the outcome of its command.
 func (s *submission) Done(result initiator.Result) {
 	dispatch := (*inflight.Dispatch)(s)
 	if dispatch.Ended() {
 		return
 	}
 	dispatch.SenderState.(*diskServer).outstanding--
-	if result.Lost {
+	if result.ConnectionLost {
 		dispatch.Finish(honeyplank.Reset, nil, inflight.Feedback{})
 		return
 	}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -262,8 +262,8 @@
 	}
 	h.onLoop(func() {
 		began := time.Now()
-		done := initiator.CallFunc(func(r initiator.Result) {
-			out <- answer{bytes.Clone(r.Data), r.Status(), r.Lost, time.Since(began), r.DW0()}
+		done := initiator.CallbackFunc(func(r initiator.Result) {
+			out <- answer{bytes.Clone(r.Data), r.Status(), r.ConnectionLost, time.Since(began), r.DW0()}
 		})
 		if _, ok := client.IO.Submit(command, data, read, done); !ok {
 			out <- answer{lost: true}
--- a/initiator/handshake.go
+++ b/initiator/handshake.go
@@ -7,14 +7,14 @@
 	"honeyplank/nvme"
 )
 
-// join sends the Connect of a queue, whose connection is ready.
-func (a *Association) join(id queueID) {
-	size, controllerID, next := adminDepth+1, uint16(nvme.DynamicController), a.adminJoined
+// sendConnect sends the Connect of a queue after its connection has become ready.
+func (a *Association) sendConnect(id queueID) {
+	size, controllerID, next := adminDepth+1, uint16(nvme.DynamicController), a.adminConnected
 	if id == ioQueue {
-		size, controllerID, next = a.settings.Depth+1, a.controllerID, a.ioJoined
+		size, controllerID, next = a.settings.Depth+1, a.controllerID, a.ioConnected
 	}
 	s := a.sessions[id]
-	s.Capsule = nvme.ConnectLen
+	s.MaxCapsule = nvme.ConnectLen
 	c := nvme.NewConnect(uint16(id), size, uint32(a.settings.KeepAlive/time.Millisecond))
 	data := nvme.ConnectData{
 		HostID:       a.settings.HostID,
@@ -22,24 +22,25 @@
 		Subsystem:    a.settings.Subsystem,
 		Host:         a.settings.Host,
 	}
-	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.step("Connect", next))
+	s.Submit(c, nvme.AppendConnectData(nil, data), 0, a.mustSucceed("Connect", next))
 }
 
-// step is a Call that ends the association if its command fails.
-func (a *Association) step(what string, next func(Result)) Call {
-	return CallFunc(func(r Result) {
+// mustSucceed returns a callback that calls next if the command has succeeded, and ends the association if it has
+// failed.
+func (a *Association) mustSucceed(commandName string, next func(Result)) Callback {
+	return CallbackFunc(func(r Result) {
 		switch {
-		case r.Lost || a.closed:
+		case r.ConnectionLost || a.closed:
 		case r.Status() != nvme.Success:
-			a.end(fmt.Errorf("initiator: %s was answered with status %#x", what, r.Status()))
+			a.end(fmt.Errorf("initiator: %s failed with status %#x", commandName, r.Status()))
 		default:
 			next(r)
 		}
 	})
 }
 
-// adminJoined sets CC.EN (Base 3.5.1, 3.1.3.5) and waits until the controller is ready.
-func (a *Association) adminJoined(r Result) {
+// adminConnected reads CAP, sets CC.EN (Base 3.5.1, 3.1.3.5) and then reads CSTS.
+func (a *Association) adminConnected(r Result) {
 	const enabled = 1 | 6<<16 | 4<<20 // EN, IOSQES, IOCQES
 	a.controllerID = uint16(r.DW0())
 	a.Admin = a.sessions[adminQueue]
@@ -48,32 +49,33 @@
 		a.settings.Depth = min(a.settings.Depth, maxEntries)
 	})
 	enable := nvme.NewProperty(nvme.FabricsPropertySet, nvme.PropertyCC, enabled)
-	a.Admin.Submit(enable, nil, 0, a.step("Property Set", func(Result) {
+	a.Admin.Submit(enable, nil, 0, a.mustSucceed("Property Set", func(Result) {
 		a.getProperty(nvme.PropertyCSTS, a.enabled)
 	}))
 }
 
 func (a *Association) getProperty(offset uint32, next func(Result)) {
 	get := nvme.NewProperty(nvme.FabricsPropertyGet, offset, 0)
-	a.Admin.Submit(get, nil, 0, a.step("Property Get", next))
+	a.Admin.Submit(get, nil, 0, a.mustSucceed("Property Get", next))
 }
 
-// enabled reads CSTS.RDY, then asks who the controller is.
+// enabled checks CSTS.RDY and sends Identify Controller.
 func (a *Association) enabled(r Result) {
 	if r.DW0()&1 == 0 {
 		a.end(errNotReady)
 		return
 	}
-	a.Identify(nvme.IdentifyController, 0, a.step("Identify", a.identified))
+	a.Identify(nvme.IdentifyController, 0, a.mustSucceed("Identify", a.identified))
 }
 
-// identified connects the I/O queue by what the controller tells.
+// identified takes the capsule size and the retry delays from the Identify Controller data, and opens the connection of
+// the I/O queue.
 func (a *Association) identified(r Result) {
 	if len(r.Data) != nvme.IdentifyLen {
 		a.end(errNoIdentifyData)
 		return
 	}
-	a.ioCapsule = max(nvme.CapsuleBytes(r.Data)-nvme.CommandLen, 0)
+	a.ioMaxCapsule = max(nvme.CapsuleBytes(r.Data)-nvme.CommandLen, 0)
 	a.RetryDelays = nvme.RetryDelays(r.Data)
 	if a.RetryDelays != [3]uint16{} {
 		a.honourRetryDelays()
@@ -85,20 +87,20 @@
 	a.settings.MaxData = max(a.settings.MaxData, nvme.IdentifyLen)
 }
 
-// honourRetryDelays tells the controller that this host honours its retry delays (ACRE). A controller that does not
-// know the feature does not send any.
+// honourRetryDelays sets ACRE, by which a host declares that it honours the controller's retry delays. The answer is
+// ignored: a controller without the feature sends no retry delays.
 func (a *Association) honourRetryDelays() {
 	c := nvme.Command{nvme.AdminSetFeatures}
 	c.SetDW(10, nvme.FeatureHostBehavior)
 	behaviour := make([]byte, nvme.HostBehaviorLen)
 	behaviour[0] = 1 // ACRE
-	a.Admin.Submit(c, behaviour, 0, CallFunc(func(Result) {}))
+	a.Admin.Submit(c, behaviour, 0, CallbackFunc(func(Result) {}))
 }
 
-// ioJoined makes the association ready.
-func (a *Association) ioJoined(Result) {
+// ioConnected makes the association ready and starts Keep Alive.
+func (a *Association) ioConnected(Result) {
 	a.IO = a.sessions[ioQueue]
-	a.IO.Capsule = a.ioCapsule
+	a.IO.MaxCapsule = a.ioMaxCapsule
 	a.ready = true
 	a.loop.Cancel(a.timer)
 	a.keepAliveAnswered = a.loop.Now()
--- a/initiator/model_test.go
+++ b/initiator/model_test.go
@@ -6,25 +6,26 @@
 	"honeyplank/nvme"
 )
 
-// modelCommand is a command as the model remembers it.
+// modelCommand is the state of a command in the model.
 type modelCommand struct {
 	cid              uint16
 	write, inCapsule bool
 	bytes            int
-	received         int // data that a Read has brought
-	requested        int // data that a Write was asked for
+	received         int // received bytes of a Read
+	requested        int // bytes of a Write that R2Ts have requested
 	damaged          bool
 	abandoned        bool
 	ended            bool
 	results          []Result
 }
 
-// inCapsuleBytes is the capsule's size and that of the Writes whose data is in it.
+// inCapsuleBytes is the limit of data in a capsule, and the size of the Writes whose data is in the capsule.
 const inCapsuleBytes = 512
 
-// FuzzModel plays what a controller can send to a host with commands in flight, and holds the session against a simple
-// model that searches all commands there ever were: what is allowed must be accepted, with the end that follows from
-// it; what is not must end the connection. A success that comes before the data of its command is no success.
+// FuzzModel sends valid and invalid PDUs of a controller to a host with commands in flight, and compares the session
+// with a simple model that searches all commands ever submitted. The session must accept what the model allows, and end
+// the command as the model does; anything else must end the connection. A success that comes before all data of its
+// command has been transferred is not allowed.
 func FuzzModel(f *testing.F) {
 	f.Add(byte(0), []byte{0, 0, 3, 0, 4, 0, 0, 1, 3, 1, 4, 1})
 	f.Add(byte(1), []byte{1, 0, 5, 0x20, 4, 0, 2, 0, 4, 0, 1, 1})
@@ -32,9 +33,9 @@
 	f.Add(byte(2), []byte{8, 0, 4, 0, 0, 0, 9, 1, 4, 1})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
 		c := newController(true)
-		c.accept(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
-		c.session.Capsule = inCapsuleBytes
-		p := &modelPlay{controller: c, t: t}
+		c.sendICResp(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
+		c.session.MaxCapsule = inCapsuleBytes
+		p := &modelRun{controller: c, t: t}
 		for ; len(script) >= 2 && !p.over; script = script[2:] {
 			p.step(script[0], script[1])
 		}
@@ -42,52 +43,52 @@
 	})
 }
 
-// modelPlay plays the steps of an input on a session and on the model.
-type modelPlay struct {
+// modelRun executes the steps of an input on a session and on the model.
+type modelRun struct {
 	*controller
 	t        *testing.T
 	commands []*modelCommand
 	over     bool // the connection has ended
 }
 
-// The steps of a play, as an input's byte names them.
+// The kinds of steps; a byte of the input selects one.
 const (
-	playRead = iota
-	playWrite
-	playAbandon
-	playData
-	playCompletion
-	playR2T
-	playDataWithSuccess
-	playTermReq
-	playWriteInCapsule
-	playDamagedData
-	playKinds
+	modelStepRead = iota
+	modelStepWrite
+	modelStepAbandon
+	modelStepData
+	modelStepCompletion
+	modelStepR2T
+	modelStepDataWithSuccess
+	modelStepTermReq
+	modelStepWriteInCapsule
+	modelStepDamagedData
+	modelStepKinds
 )
 
-// verdict is what the model says of bytes that the controller sends.
+// verdict is the result that the model expects of a PDU from the controller.
 type verdict struct {
 	allowed  bool
-	wantSent int           // bytes that the session is to send
-	ends     *modelCommand // by this status
+	wantSent int           // bytes of data that the session must send
+	ends     *modelCommand // the command that ends, with status
 	status   nvme.Status
 }
 
-func (p *modelPlay) step(kind, n byte) {
-	kind %= playKinds
+func (p *modelRun) step(kind, n byte) {
+	kind %= modelStepKinds
 	cid := p.commandID(n)
-	if n&0x10 != 0 && kind > playAbandon { // an id that is not in flight, or no longer
+	if n&0x10 != 0 && kind > modelStepAbandon { // an id that is not in flight, or no longer in flight
 		cid += 1 << slotBits
 	}
 	m := p.find(cid)
 	switch kind {
-	case playRead:
+	case modelStepRead:
 		p.submit(&modelCommand{bytes: transferBytes})
-	case playWrite:
+	case modelStepWrite:
 		p.submit(&modelCommand{write: true, bytes: transferBytes})
-	case playWriteInCapsule:
+	case modelStepWriteInCapsule:
 		p.submit(&modelCommand{write: true, inCapsule: true, bytes: inCapsuleBytes})
-	case playAbandon:
+	case modelStepAbandon:
 		p.session.Abandon(cid)
 		if m != nil {
 			m.abandoned = true
@@ -98,15 +99,15 @@
 	}
 }
 
-// commandID is the id of a command that was submitted, if there is one.
-func (p *modelPlay) commandID(n byte) uint16 {
+// commandID returns the id of a command that was submitted, or any id if there is none.
+func (p *modelRun) commandID(n byte) uint16 {
 	if len(p.commands) > 0 {
 		return p.commands[int(n&15)%len(p.commands)].cid
 	}
 	return uint16(n) << 8
 }
 
-func (p *modelPlay) find(cid uint16) *modelCommand {
+func (p *modelRun) find(cid uint16) *modelCommand {
 	for _, m := range p.commands {
 		if m.cid == cid && !m.ended {
 			return m
@@ -115,7 +116,7 @@
 	return nil
 }
 
-func (p *modelPlay) countOpen() int {
+func (p *modelRun) countOpen() int {
 	n := 0
 	for _, m := range p.commands {
 		if !m.ended {
@@ -125,16 +126,16 @@
 	return n
 }
 
-func (p *modelPlay) submit(m *modelCommand) {
+func (p *modelRun) submit(m *modelCommand) {
 	p.t.Helper()
 	c, data, read := nvme.NewRW(nvme.Read, 1, 0, 2), []byte(nil), m.bytes
 	if m.write {
 		c, data, read = nvme.NewRW(nvme.Write, 1, 0, 2), make([]byte, m.bytes), 0
 	}
 	open := p.countOpen()
-	cid, ok := p.session.Submit(c, data, read, CallFunc(func(r Result) { m.results = append(m.results, r) }))
+	cid, ok := p.session.Submit(c, data, read, CallbackFunc(func(r Result) { m.results = append(m.results, r) }))
 	if ok != (open < testDepth) || ok && p.find(cid) != nil {
-		p.t.Fatalf("with %d in flight, submitted %v as %d", open, ok, cid)
+		p.t.Fatalf("with %d commands in flight, Submit returned %v and id %d", open, ok, cid)
 	}
 	if m.cid = cid; ok {
 		p.commands = append(p.commands, m)
@@ -142,12 +143,12 @@
 	p.output = nil
 }
 
-// message makes the bytes of a step for a command, which is nil where there is none of the id, and judges them.
-func (p *modelPlay) message(kind, n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+// message returns the bytes of a step and the verdict of the model. m is the command with the id, or nil.
+func (p *modelRun) message(kind, n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	switch kind {
-	case playData:
+	case modelStepData:
 		return p.dataMessage(n, cid, m)
-	case playDamagedData:
+	case modelStepDamagedData:
 		bytes, v := p.dataMessage(n, cid, m)
 		if p.framing.DataDigest {
 			bytes[len(bytes)-1] ^= 1
@@ -156,12 +157,12 @@
 			}
 		}
 		return bytes, v
-	case playCompletion:
+	case modelStepCompletion:
 		status := nvme.Status(n >> 6)
 		return p.completion(cid, status), m.judgeCompletion(status)
-	case playR2T:
+	case modelStepR2T:
 		return p.r2tMessage(n, cid, m)
-	case playDataWithSuccess:
+	case modelStepDataWithSuccess:
 		v := verdict{allowed: m != nil && !m.write && m.received == 0, ends: m}
 		if v.allowed {
 			m.received = m.bytes
@@ -171,8 +172,8 @@
 	return nvme.AppendTerm(nil, nvme.TypeC2HTermReq, &nvme.FatalError{Status: uint16(n)}), verdict{}
 }
 
-// dataMessage is data of a Read: the next piece, or one at another offset.
-func (p *modelPlay) dataMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+// dataMessage returns data of a Read, at the next offset or at another one.
+func (p *modelRun) dataMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	offset, size := 0, testBlock<<(n>>5&1)
 	if m != nil {
 		offset = m.received
@@ -187,7 +188,7 @@
 	return p.data(cid, offset, size), verdict{allowed: allowed}
 }
 
-// judgeCompletion allows a success only once all data was transferred.
+// judgeCompletion allows a success only after all data has been transferred.
 func (m *modelCommand) judgeCompletion(status nvme.Status) verdict {
 	v := verdict{allowed: m != nil, ends: m, status: status}
 	if m == nil || status != nvme.Success {
@@ -202,8 +203,8 @@
 	return v
 }
 
-// r2tMessage is an R2T for the next piece of a Write, or another.
-func (p *modelPlay) r2tMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
+// r2tMessage returns an R2T for the next part of a Write, or for another range.
+func (p *modelRun) r2tMessage(n byte, cid uint16, m *modelCommand) ([]byte, verdict) {
 	offset, size := 0, testBlock<<(n>>5&1)
 	if m != nil {
 		offset = m.requested
@@ -220,36 +221,36 @@
 	return bytes, verdict{allowed: true, wantSent: size}
 }
 
-// check sends bytes and holds what comes of them against the model.
-func (p *modelPlay) check(cid uint16, bytes []byte, v verdict) {
+// check passes bytes to the session and compares the result with the verdict of the model.
+func (p *modelRun) check(cid uint16, bytes []byte, v verdict) {
 	p.t.Helper()
 	err := p.send(bytes)
 	if (err == nil) != v.allowed {
-		p.t.Fatalf("% x... for id %d: %v; the model allows it: %v", bytes[:8], cid, err, v.allowed)
+		p.t.Fatalf("% x... for id %d: error %v; allowed by the model: %v", bytes[:8], cid, err, v.allowed)
 	}
 	if err != nil {
 		p.over = true
 		return
 	}
 	if sent := p.receiveData(cid); sent != v.wantSent {
-		p.t.Fatalf("%d bytes were sent, %d requested", sent, v.wantSent)
+		p.t.Fatalf("the session sent %d bytes of data, want %d", sent, v.wantSent)
 	}
 	if v.ends != nil {
 		p.checkEnd(v.ends, v.status)
 	}
 }
 
-// receiveData reads the data that the session has sent of a command, and nothing else.
-func (p *modelPlay) receiveData(cid uint16) int {
+// receiveData returns the number of data bytes that the session has sent for a command. Any other output is an error.
+func (p *modelRun) receiveData(cid uint16) int {
 	p.t.Helper()
 	sent := 0
 	for len(p.output) > 0 {
 		pdu, used, err := p.input.Decode(p.output)
 		if err != nil || used == 0 {
-			p.t.Fatalf("after an R2T: %d bytes used, %v", used, err)
+			p.t.Fatalf("output of the session: %d bytes used, error %v", used, err)
 		}
 		if pdu.Type != nvme.TypeH2CData || pdu.CCCID() != cid || len(pdu.Data) > maxPDUData {
-			p.t.Fatalf("after an R2T: %+v", pdu)
+			p.t.Fatalf("the session sent an unexpected PDU: %+v", pdu)
 		}
 		sent += len(pdu.Data)
 		p.output = p.output[used:]
@@ -257,8 +258,8 @@
 	return sent
 }
 
-// checkEnd wants a command to have ended once with a status, or to have been abandoned.
-func (p *modelPlay) checkEnd(m *modelCommand, status nvme.Status) {
+// checkEnd checks that a command has ended once with a status, or that it was abandoned and has no result.
+func (p *modelRun) checkEnd(m *modelCommand, status nvme.Status) {
 	p.t.Helper()
 	m.ended = true
 	if m.damaged && status == nvme.Success {
@@ -267,21 +268,21 @@
 	switch {
 	case m.abandoned && len(m.results) == 0:
 	case m.abandoned || len(m.results) != 1:
-		p.t.Fatalf("%+v ended %d times", m, len(m.results))
-	case m.results[0].Status() != status || m.results[0].Lost:
-		p.t.Fatalf("ended with %+v, the model says %#x", m.results[0], status)
+		p.t.Fatalf("command %+v has %d results", m, len(m.results))
+	case m.results[0].Status() != status || m.results[0].ConnectionLost:
+		p.t.Fatalf("the command ended with %+v, want status %#x", m.results[0], status)
 	}
 }
 
-func (p *modelPlay) finish() {
+func (p *modelRun) finish() {
 	p.t.Helper()
-	p.session.lose()
+	p.session.endInFlight()
 	for number, m := range p.commands {
-		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].Lost {
-			p.t.Fatalf("command %d: %+v", number, m)
+		if n := len(m.results); n > 1 || n == 0 && !m.abandoned || n == 1 && !m.ended && !m.results[0].ConnectionLost {
+			p.t.Fatalf("command %d has wrong results: %+v", number, m)
 		}
 	}
 	if p.buffers.InUse != 0 {
-		p.t.Fatalf("%d bytes are still in use", p.buffers.InUse)
+		p.t.Fatalf("%d bytes of buffers are still in use", p.buffers.InUse)
 	}
 }
--- a/nvme/bench_test.go
+++ b/nvme/bench_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// benchmarkFramings are what the benchmarks run with.
+// benchmarkFramings returns the framings of the benchmarks by name.
 func benchmarkFramings() map[string]Framing {
 	return map[string]Framing{
 		"plain":   {MaxData: 1 << 20},
@@ -12,18 +12,18 @@
 	}
 }
 
-// answerHeader is the header of a Read's only data PDU.
-var answerHeader = DataHeader{Type: TypeC2HData, Flags: FlagLast, CID: 1}
+// readDataHeader is the header of the one data PDU of a Read.
+var readDataHeader = DataHeader{Type: TypeC2HData, Flags: FlagLast, CID: 1}
 
-// BenchmarkDecode reads what an op costs at the gateway: a Read's command, its data and completion, with and without
-// digests. docs/fuzzing.md has its ratio to earlier versions.
+// BenchmarkDecode decodes the PDUs of a Read: command, data and completion, with and without digests. docs/fuzzing.md
+// compares its result with that of earlier versions.
 func BenchmarkDecode(b *testing.B) {
 	for name, f := range benchmarkFramings() {
 		host := f
 		host.FromHost = true
 		c, d := NewRW(Read, 1, 2, 1), NewCompletion(1, Success, 0, 0)
 		command := host.AppendCommand(nil, &c, nil)
-		answer := f.AppendCompletion(f.AppendData(nil, answerHeader, make([]byte, 4096)), &d)
+		answer := f.AppendCompletion(f.AppendData(nil, readDataHeader, make([]byte, 4096)), &d)
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkAppend writes the same.
+// BenchmarkAppend encodes the same PDUs.
 func BenchmarkAppend(b *testing.B) {
 	for name, f := range benchmarkFramings() {
 		c, d, data := NewRW(Read, 1, 2, 1), NewCompletion(1, Success, 0, 0), make([]byte, 4096)
@@ -47,7 +47,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				out = f.AppendCommand(out[:0], &c, nil)
-				out = f.AppendCompletion(f.AppendData(out, answerHeader, data), &d)
+				out = f.AppendCompletion(f.AppendData(out, readDataHeader, data), &d)
 			}
 		})
 	}
--- a/target/admin.go
+++ b/target/admin.go
@@ -8,16 +8,16 @@
 	"honeyplank/nvme"
 )
 
-// asyncLimitExceeded is Asynchronous Event Request Limit Exceeded.
+// asyncLimitExceeded is the status Asynchronous Event Request Limit Exceeded.
 const asyncLimitExceeded nvme.Status = 0x105
 
-// handleAdmin answers a command of the admin queue. docs/protocol.md lists what is accepted.
+// handleAdmin answers a command of the admin queue. docs/protocol.md lists the accepted commands.
 func (s *Session) handleAdmin(c *nvme.Command, in []byte) {
 	if c.Opcode() == nvme.AdminAsyncEvent && s.asyncEvents < maxAsyncEvents {
 		s.asyncEvents++
 		return
 	}
-	r := s.admin(c, in)
+	r := s.adminResponse(c, in)
 	if r.data != nil {
 		kind, _, length := c.SGL()
 		if kind != nvme.SGLTransport || int64(length) < int64(len(r.data)) {
@@ -27,10 +27,10 @@
 	s.respond(c.CID(), r)
 }
 
-func (s *Session) admin(c *nvme.Command, in []byte) response {
+func (s *Session) adminResponse(c *nvme.Command, in []byte) response {
 	switch c.Opcode() {
 	case nvme.Fabrics:
-		return s.property(c)
+		return s.propertyResponse(c)
 	case nvme.AdminKeepAlive:
 		return response{status: nvme.Success}
 	case nvme.AdminIdentify:
@@ -40,7 +40,7 @@
 	case nvme.AdminSetFeatures:
 		return s.setFeature(c, in)
 	case nvme.AdminGetFeatures:
-		return s.feature(c)
+		return s.getFeature(c)
 	case nvme.AdminAsyncEvent:
 		return response{status: asyncLimitExceeded}
 	case nvme.AdminAbort:
@@ -49,7 +49,7 @@
 	return rejected(nvme.InvalidOpcode)
 }
 
-// abortResponse answers an Abort; bit 0 of the result tells that nothing was aborted (Base 5.1).
+// abortResponse executes an Abort. Bit 0 of the result is set if no command was aborted (Base 5.1).
 func (s *Session) abortResponse(c *nvme.Command) response {
 	const notAborted = 1
 	queue := s.controller.queues[uint16(c.DW(10))]
@@ -59,7 +59,7 @@
 	return response{status: nvme.Success}
 }
 
-func (s *Session) property(c *nvme.Command) response {
+func (s *Session) propertyResponse(c *nvme.Command) response {
 	switch c.FabricsType() {
 	case nvme.FabricsPropertyGet:
 		return s.getProperty(c.PropertyOffset())
@@ -94,7 +94,7 @@
 		return response{status: nvme.Success, dw0: k.config}
 	case nvme.PropertyCSTS:
 		csts := k.config & statusReady
-		if k.isShutDown() {
+		if k.shutdownRequested() {
 			csts |= shutdownComplete
 		}
 		return response{status: nvme.Success, dw0: csts}
@@ -106,7 +106,7 @@
 func (s *Session) setConfig(config uint32) response {
 	k := s.controller
 	k.config = config
-	if !k.isEnabled() || k.isShutDown() {
+	if !k.isEnabled() || k.shutdownRequested() {
 		k.endIOQueues()
 	}
 	return response{status: nvme.Success}
@@ -116,12 +116,12 @@
 	switch cns := uint8(c.DW(10)); cns {
 	case nvme.IdentifyController:
 		return response{status: nvme.Success, data: nvme.AppendController(nil, s.controllerData())}
-	case nvme.IdentifyActive:
+	case nvme.IdentifyActiveNamespaces:
 		ids := make([]uint32, 0, len(s.settings.Namespaces))
 		for _, n := range s.settings.Namespaces {
 			ids = append(ids, n.ID)
 		}
-		return response{status: nvme.Success, data: nvme.AppendActive(nil, c.NSID(), ids)}
+		return response{status: nvme.Success, data: nvme.AppendActiveNamespaces(nil, c.NSID(), ids)}
 	case nvme.IdentifyNamespace, nvme.IdentifyDescriptors:
 		n := s.namespace(c.NSID())
 		if n == nil {
@@ -135,9 +135,9 @@
 	return rejected(nvme.InvalidField)
 }
 
-// controllerData is what Identify Controller tells.
+// controllerData returns the fields of Identify Controller.
 func (s *Session) controllerData() nvme.Controller {
-	const minPageShift = 12 // MDTS counts in pages of 4 KiB
+	const minPageShift = 12 // the unit of MDTS is a page of 4 KiB
 	k := nvme.Controller{
 		ID:             s.controller.id,
 		Serial:         s.settings.Serial,
@@ -150,7 +150,7 @@
 		KeepAliveUnits: 1,
 		Discovery:      s.controller.discovery,
 	}
-	if n := len(s.settings.Namespaces); n > 0 { // NN is the largest id
+	if n := len(s.settings.Namespaces); n > 0 { // NN is the largest namespace id
 		k.Namespaces = s.settings.Namespaces[n-1].ID
 	}
 	if k.Discovery {
@@ -159,11 +159,11 @@
 	return k
 }
 
-// emptyLogLen is the size of the log pages that have nothing to tell.
+// emptyLogLen is the size in bytes of the log pages that are always zero.
 const emptyLogLen = 512
 
 func (s *Session) logPage(c *nvme.Command) response {
-	page, ok := s.logContent(uint8(c.DW(10)))
+	page, ok := s.logPageContent(uint8(c.DW(10)))
 	if !ok {
 		return rejected(nvme.InvalidLogPage)
 	}
@@ -172,30 +172,31 @@
 	if from > uint64(len(page)) || length > int64(s.settings.MaxTransfer) {
 		return rejected(nvme.InvalidField)
 	}
-	data := make([]byte, length) // past the page's end: zeros
+	data := make([]byte, length) // bytes beyond the end of the page are zero
 	copy(data, page[from:])
 	return response{status: nvme.Success, data: data}
 }
 
-// logContent is a complete log page; ok reports whether there is one of that id.
-func (s *Session) logContent(id uint8) (page []byte, ok bool) {
+// logPageContent returns a complete log page; ok is false if there is no page with this id.
+func (s *Session) logPageContent(id uint8) (page []byte, ok bool) {
 	switch id {
 	case nvme.LogError, nvme.LogHealth, nvme.LogFirmware:
 		return make([]byte, emptyLogLen), true
 	case nvme.LogDiscovery:
-		host, port, _ := net.SplitHostPort(s.associations.address) // the listener's own form
+		host, port, _ := net.SplitHostPort(s.associations.address) // cannot fail: the listener formatted the address
 		return nvme.AppendDiscovery(nil, s.settings.Subsystem, host, port), true
 	}
-	return s.handler.Log(id)
+	return s.handler.LogPage(id)
 }
 
-// queuesResult is the result of the number of queues, for submission and completion queues, both 0's based.
+// queuesResult returns the response to Get and Set Features for the number of submission and completion queues, both
+// 0's based.
 func (s *Session) queuesResult() response {
 	n := uint32(s.settings.MaxQueues - 1)
 	return response{status: nvme.Success, dw0: n | n<<16}
 }
 
-func (s *Session) feature(c *nvme.Command) response {
+func (s *Session) getFeature(c *nvme.Command) response {
 	switch uint8(c.DW(10)) {
 	case nvme.FeatureQueues:
 		return s.queuesResult()
@@ -205,7 +206,7 @@
 		return response{status: nvme.Success}
 	case nvme.FeatureHostBehavior:
 		data := make([]byte, nvme.HostBehaviorLen)
-		if s.controller.honoursDelays {
+		if s.controller.honoursRetryDelays {
 			data[0] = 1 // ACRE
 		}
 		return response{status: nvme.Success, data: data}
@@ -226,7 +227,7 @@
 		if len(in) != nvme.HostBehaviorLen || in[0] > 1 {
 			return rejected(nvme.InvalidField)
 		}
-		s.controller.honoursDelays = in[0] == 1 // ACRE
+		s.controller.honoursRetryDelays = in[0] == 1 // ACRE
 		return response{status: nvme.Success}
 	}
 	return rejected(nvme.InvalidField)
--- a/target/modelplay_test.go
+++ b/target/modelplay_test.go
@@ -8,20 +8,20 @@
 	"honeyplank/nvme"
 )
 
-// FuzzModel sends what hosts can send, right and wrong, to a live I/O queue with digests, and holds the session against
-// the model: an answer must be one of those allowed, a violation must end the connection with a status that names one
-// of its reasons, and what violates nothing must be accepted. Digests are right over wrong data (which nobody can tell)
-// and wrong over right data.
+// FuzzModel sends valid and invalid PDUs of a host to a connected I/O queue, with or without digests, and compares the
+// session with the model: an answer must be one of the allowed answers, a violation of the protocol must end the
+// connection with the status of one of the violated rules, and a valid PDU must be accepted. Some data has a digest
+// that does not match; some is invalid under a digest that matches, so that the digest does not reveal the error.
 func FuzzModel(f *testing.F) {
 	f.Add(byte(0), []byte{0, 0x01, 1, 0x02, 6, 0, 8, 0, 8, 1})
 	f.Add(byte(3), []byte{1, 0x10, 1, 0x20, 6, 0x11, 6, 0x10, 7, 0, 9, 1, 10, 2})
-	f.Add(byte(0), []byte{1, 0x01, 7, 0x01, 7, 0xA1})       // data that came already
-	f.Add(byte(0), []byte{1, 0x01, 7, 0x41, 1, 0x02})       // a byte past the end
-	f.Add(byte(1), []byte{1, 0x01, 1, 0x11, 7, 0x81, 7, 1}) // another command's
+	f.Add(byte(0), []byte{1, 0x01, 7, 0x01, 7, 0xA1})       // data sent twice
+	f.Add(byte(0), []byte{1, 0x01, 7, 0x41, 1, 0x02})       // one byte beyond the end of the data
+	f.Add(byte(1), []byte{1, 0x01, 1, 0x11, 7, 0x81, 7, 1}) // data with the id of another command
 	f.Add(byte(2), []byte{1, 0x01, 7, 0x01, 7, 0xC1, 9, 0, 10, 0})
 	f.Add(byte(2), []byte{2, 0x11, 3, 0x12, 4, 0x13, 5, 0x14, 11, 0x10, 12, 0x10, 1, 0x40, 6, 0x80})
 	f.Fuzz(func(t *testing.T, digests byte, script []byte) {
-		p := newModelPlay(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
+		p := newModelRun(t, nvme.Init{HeaderDigest: digests&1 != 0, DataDigest: digests&2 != 0})
 		for ; len(script) >= 2 && !p.model.over; script = script[2:] {
 			p.step(script[0], script[1])
 		}
@@ -29,99 +29,100 @@
 	})
 }
 
-// modelPlay plays the steps of an input on a session and on the model.
-type modelPlay struct {
+// modelRun executes the steps of an input on a session and on the model.
+type modelRun struct {
 	t           *testing.T
 	admin, io   *harness
 	model       *model
 	dataDigests bool
 }
 
-func newModelPlay(t *testing.T, i nvme.Init) *modelPlay {
+func newModelRun(t *testing.T, i nvme.Init) *modelRun {
 	t.Helper()
-	admin, io := pairWith(t, i)
+	admin, io := newQueuePairWith(t, i)
 	s := io.session
 	m := &model{depth: s.queueSize, namespaces: s.settings.Namespaces, maxTransfer: s.settings.MaxTransfer}
-	return &modelPlay{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
+	return &modelRun{t: t, admin: admin, io: io, model: m, dataDigests: i.DataDigest}
 }
 
-// The steps of a play, as an input's byte names them.
+// The kinds of steps; a byte of the input selects one.
 const (
-	playRead = iota
-	playWrite
-	playWriteInCapsule
-	playOutOfRange
-	playWrongLength
-	playWrongCapsule
-	playData
-	playWrongData
-	playComplete
-	playAbort
-	playExpire
-	playFlush
-	playOtherOpcode
-	playICReq
-	playTermReq
-	playBadDigest
-	playKinds
+	modelStepRead = iota
+	modelStepWrite
+	modelStepWriteInCapsule
+	modelStepOutOfRange
+	modelStepWrongLength
+	modelStepWrongCapsule
+	modelStepData
+	modelStepWrongData
+	modelStepComplete
+	modelStepAbort
+	modelStepExpire
+	modelStepFlush
+	modelStepOtherOpcode
+	modelStepICReq
+	modelStepTermReq
+	modelStepBadDigest
+	modelStepKinds
 )
 
-func (p *modelPlay) step(kind, n byte) {
-	switch kind % playKinds {
-	case playComplete:
+func (p *modelRun) step(kind, n byte) {
+	switch kind % modelStepKinds {
+	case modelStepComplete:
 		p.complete(n)
-	case playAbort:
+	case modelStepAbort:
 		p.abort(uint16(n >> 4))
-	case playExpire:
+	case modelStepExpire:
 		p.expire(uint16(n >> 4))
 	default:
-		p.send(p.frame(kind%playKinds, n))
+		p.send(p.frame(kind%modelStepKinds, n))
 	}
 }
 
-// frame makes the frame of a step: a Write of one to eight blocks, changed by the step's kind.
-func (p *modelPlay) frame(kind, n byte) frame {
+// frame returns the frame of a step: a Write of one to eight blocks, changed according to the kind of the step.
+func (p *modelRun) frame(kind, n byte) frame {
 	f := frame{
 		cid: uint16(n >> 4), opcode: nvme.Write, nsid: 1, lba: uint64(n & 3), blocks: 1 + int(n&7),
 		sgl: nvme.SGLTransport,
 	}
 	f.sglLength = f.blocks * testBlock
 	switch kind {
-	case playRead:
+	case modelStepRead:
 		f.opcode = nvme.Read
-	case playWriteInCapsule:
+	case modelStepWriteInCapsule:
 		f.sgl, f.blocks = nvme.SGLInCapsule, 1+int(n&1)
 		f.sglLength = f.blocks * testBlock
 		f.inCapsule = f.sglLength
-	case playOutOfRange:
+	case modelStepOutOfRange:
 		f.outOfRange(n)
-	case playWrongLength:
+	case modelStepWrongLength:
 		lengths := [...]int{0, 1, f.sglLength - 1, f.sglLength + 1, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1}
 		f.sglLength = lengths[n&7]
-	case playWrongCapsule: // something else than the SGL states
+	case modelStepWrongCapsule: // the capsule has more or less data than the SGL descriptor states
 		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, []int{0, 512, 4092, 8192}[n&3]
-	case playData:
+	case modelStepData:
 		f.data(p.model, n)
-	case playWrongData:
+	case modelStepWrongData:
 		f.data(p.model, n)
-		f.spoilData(n, p.dataDigests)
-	case playFlush:
+		f.corruptData(n, p.dataDigests)
+	case modelStepFlush:
 		f.opcode, f.nsid = nvme.Flush, []uint32{1, 5, 2, allNamespaces}[n&3]
 		f.blocks, f.sglLength = 0, 0
-	case playOtherOpcode:
+	case modelStepOtherOpcode:
 		f.opcode = []uint8{nvme.Fabrics, 0x04, 0x05, 0x7E}[n&3]
-	case playICReq:
+	case modelStepICReq:
 		f.kind = frameICReq
-	case playTermReq:
+	case modelStepTermReq:
 		f.kind = frameTermReq
-	case playBadDigest:
+	case modelStepBadDigest:
 		f.sgl, f.blocks, f.sglLength, f.inCapsule = nvme.SGLInCapsule, 1, testBlock, testBlock
 		f.badDigest = p.dataDigests
 	}
 	return f
 }
 
-// outOfRange makes it a Read past the end of its namespace, at its very edge, or of another namespace.
+// outOfRange changes the frame to a Read that goes past the end of its namespace, ends exactly there, or has another
+// namespace.
 func (f *frame) outOfRange(n byte) {
 	blocks := uint64(f.blocks)
 	f.opcode = nvme.Read
@@ -133,7 +134,7 @@
 	}
 }
 
-// data makes it all the data that a command waits for, or data that none waits for.
+// data changes the frame to an H2CData with the rest of the data of a command, or with data that no command waits for.
 func (f *frame) data(m *model, n byte) {
 	f.kind, f.tag, f.cid, f.size, f.last = frameData, uint16(n&7), 99, testBlock, true
 	for _, c := range m.commands {
@@ -143,8 +144,8 @@
 	}
 }
 
-// spoilData makes data a part, or wrong in one way.
-func (f *frame) spoilData(n byte, digests bool) {
+// corruptData shortens the data of a frame, or makes one of its fields invalid.
+func (f *frame) corruptData(n byte, digests bool) {
 	switch n >> 5 {
 	case 0:
 		f.size, f.last = min(f.size, testBlock), f.size <= testBlock
@@ -165,8 +166,8 @@
 	}
 }
 
-// send sends a frame. A PDU has MaxDataPDU bytes of data at most: more goes in several, each a frame of its own.
-func (p *modelPlay) send(f frame) {
+// send sends a frame. An H2CData with more than MaxDataPDU bytes is sent as several frames.
+func (p *modelRun) send(f frame) {
 	p.t.Helper()
 	if f.kind == frameData {
 		for part := p.io.session.settings.MaxDataPDU; f.size > part && !p.model.over; {
@@ -181,7 +182,7 @@
 	}
 }
 
-func (p *modelPlay) encode(f frame) []byte {
+func (p *modelRun) encode(f frame) []byte {
 	var bytes []byte
 	switch f.kind {
 	case frameCommand:
@@ -209,8 +210,8 @@
 	return bytes
 }
 
-// check sends a frame and holds what comes against what the model allows.
-func (p *modelPlay) check(f frame) {
+// check sends a frame and compares the PDUs that the session sends with those that the model allows.
+func (p *modelRun) check(f frame) {
 	p.t.Helper()
 	admitted := len(p.io.admitted)
 	v := p.model.judge(f)
@@ -222,52 +223,52 @@
 		case nvme.TypeCapsuleResp:
 			c := pdu.Completion()
 			if statuses = append(statuses, c.Status()); c.CID() != f.cid {
-				p.t.Fatalf("%+v: an answer to command %d", f, c.CID())
+				p.t.Fatalf("%+v: the answer has command id %d", f, c.CID())
 			}
 		case nvme.TypeR2T:
 			r2t = true
 			p.checkR2T(f, &v, &pdu)
 		case nvme.TypeC2HTermReq:
 			if s, _ := pdu.Term(); !slices.Contains(v.fatal, s) {
-				p.t.Fatalf("%+v: ended with %d, allowed are %v", f, s, v.fatal)
+				p.t.Fatalf("%+v: TermReq with status %d, allowed are %v", f, s, v.fatal)
 			}
 		default:
-			p.t.Fatalf("%+v: PDU type %#x", f, pdu.Type)
+			p.t.Fatalf("%+v: the session sent a PDU of type %#x", f, pdu.Type)
 		}
 	}
 	if ended := p.io.session.phase == phaseEnded; ended != p.model.over {
-		p.t.Fatalf("%+v: the connection ended: %v; the model: %v, %v", f, ended, p.model.over, v.fatal)
+		p.t.Fatalf("%+v: the connection ended: %v, want %v; allowed statuses %v", f, ended, p.model.over, v.fatal)
 	}
 	p.checkStatuses(f, &v, statuses)
-	if admits := len(p.io.admitted) > admitted; r2t != v.wantsR2T || admits != v.admits {
-		p.t.Fatalf("%+v: R2T %v, want %v; admitted %v, want %v", f, r2t, v.wantsR2T, admits, v.admits)
+	if admits := len(p.io.admitted) > admitted; r2t != v.expectsR2T || admits != v.admits {
+		p.t.Fatalf("%+v: R2T %v, want %v; admitted %v, want %v", f, r2t, v.expectsR2T, admits, v.admits)
 	}
 	if v.admits {
 		p.io.admitted[admitted].User = v.command
 	}
 }
 
-func (p *modelPlay) checkR2T(f frame, v *verdict, r2t *nvme.PDU) {
+func (p *modelRun) checkR2T(f frame, v *verdict, r2t *nvme.PDU) {
 	p.t.Helper()
 	if v.command == nil || r2t.CCCID() != f.cid || r2t.Offset() != 0 || int(r2t.Length()) != v.command.bytes {
-		p.t.Fatalf("%+v: R2T for command %d, %d bytes from %d", f, r2t.CCCID(), r2t.Length(), r2t.Offset())
+		p.t.Fatalf("%+v: R2T for command %d, %d bytes from offset %d", f, r2t.CCCID(), r2t.Length(), r2t.Offset())
 	}
 	v.command.tag = r2t.TTAG()
 }
 
-// checkStatuses wants one of the allowed answers, or none where none is allowed.
-func (p *modelPlay) checkStatuses(f frame, v *verdict, statuses []nvme.Status) {
+// checkStatuses checks that there is exactly one answer with an allowed status, or no answer if none is allowed.
+func (p *modelRun) checkStatuses(f frame, v *verdict, statuses []nvme.Status) {
 	p.t.Helper()
 	if len(statuses) == 0 && len(v.statuses) == 0 {
 		return
 	}
 	if len(statuses) != 1 || !slices.Contains(v.statuses, statuses[0]) {
-		p.t.Fatalf("%+v: answered %#x, allowed are %#x", f, statuses, v.statuses)
+		p.t.Fatalf("%+v: statuses %#x, allowed are %#x", f, statuses, v.statuses)
 	}
 }
 
-// answers are the completions that the I/O queue has sent, as "id:status".
-func (p *modelPlay) answers() []string {
+// answers returns the completions that the I/O queue has sent, as "id:status".
+func (p *modelRun) answers() []string {
 	p.t.Helper()
 	var answers []string
 	for _, pdu := range p.io.receive() {
@@ -281,26 +282,26 @@
 
 func answerText(cid uint16, s nvme.Status) string { return fmt.Sprintf("%d:%#x", cid, uint16(s)) }
 
-// complete has the handler answer a command, which may be over.
-func (p *modelPlay) complete(n byte) {
+// complete answers an admitted command as its handler does. The command may have ended already.
+func (p *modelRun) complete(n byte) {
 	p.t.Helper()
 	if len(p.io.admitted) == 0 {
 		return
 	}
 	c := p.io.admitted[int(n)%len(p.io.admitted)]
-	remembered := c.User.(*modelCommand)
+	command := c.User.(*modelCommand)
 	var want []string
-	if remembered.admitted {
+	if command.admitted {
 		want = []string{answerText(c.CID(), nvme.Success)}
 	}
-	remembered.admitted = false
+	command.admitted = false
 	c.Complete(nvme.Success, 0, 0, nil)
 	if got := p.answers(); !slices.Equal(got, want) {
-		p.t.Fatalf("the handler's answer came as %v, want %v", got, want)
+		p.t.Fatalf("answers after Complete: %v, want %v", got, want)
 	}
 }
 
-func (p *modelPlay) abort(cid uint16) {
+func (p *modelRun) abort(cid uint16) {
 	p.t.Helper()
 	completion := p.admin.abort(cid)
 	c := p.model.open(cid)
@@ -311,12 +312,12 @@
 	}
 	aborted := completion.DW0()&notAborted == 0
 	if got := p.answers(); !slices.Equal(got, want) || aborted != (want != nil) {
-		p.t.Fatalf("Abort of %d: %v and %#x, want %v", cid, got, completion.DW0(), want)
+		p.t.Fatalf("Abort of command %d: answers %v, result %#x; want answers %v", cid, got, completion.DW0(), want)
 	}
 }
 
-// expire has the time for a command's data be over, whatever has come of it meanwhile.
-func (p *modelPlay) expire(cid uint16) {
+// expire calls Session.Expire for a command, whatever its state is.
+func (p *modelRun) expire(cid uint16) {
 	p.t.Helper()
 	c := p.model.open(cid)
 	if c == nil {
@@ -329,17 +330,17 @@
 	}
 	p.io.session.Expire(p.io.session.commands[cid])
 	if got := p.answers(); !slices.Equal(got, want) {
-		p.t.Fatalf("expiry was answered with %v, want %v", got, want)
+		p.t.Fatalf("answers after Expire: %v, want %v", got, want)
 	}
 }
 
-func (p *modelPlay) finish() {
+func (p *modelRun) finish() {
 	p.t.Helper()
 	for _, c := range p.io.admitted {
-		p.io.session.buffers.Put(c.Data) // the handler's
+		p.io.session.buffers.Put(c.Data) // the handler owns it
 	}
 	p.io.session.Closed()
 	if buffered := p.io.session.buffers.InUse; buffered != 0 {
-		p.t.Fatalf("%d bytes are in use after the end", buffered)
+		p.t.Fatalf("%d bytes of buffers are in use after the connection ended", buffered)
 	}
 }
--- a/target/transfer.go
+++ b/target/transfer.go
@@ -5,40 +5,41 @@
 	"honeyplank/nvme"
 )
 
-// grant sends R2Ts while there are buffers for the data, past those whose client has its share already. One always
-// fits, so that none waits forever.
-func (a *associations) grant(settings *Settings, buffers *eventloop.Buffers) {
-	if a.granting { // sending an R2T has ended a connection, which gave buffers back
-		a.again = true
+// grantTransfers sends the R2Ts of Writes in the order of their arrival, until the limit MaxBuffered is reached. It
+// skips the Writes of clients that have reached their own limit. If no buffer is in use, MaxBuffered does not apply, so
+// that a large Write does not wait forever.
+func (a *associations) grantTransfers(settings *Settings, buffers *eventloop.Buffers) {
+	if a.granting { // sending an R2T has closed a connection, which has released its buffers
+		a.grantAgain = true
 		return
 	}
 	a.granting = true
-	for a.again = true; a.again; {
-		a.again = false
-		a.grantWaiting(settings, buffers)
+	for a.grantAgain = true; a.grantAgain; {
+		a.grantAgain = false
+		a.grantPending(settings, buffers)
 	}
 	a.granting = false
 }
 
-// grantWaiting goes once through the Writes that wait.
-func (a *associations) grantWaiting(settings *Settings, buffers *eventloop.Buffers) {
-	waiting := a.waiting
-	a.waiting = nil
-	for i, c := range waiting {
+// grantPending goes once through the Writes that wait for a buffer.
+func (a *associations) grantPending(settings *Settings, buffers *eventloop.Buffers) {
+	pendingWrites := a.pendingWrites
+	a.pendingWrites = nil
+	for i, c := range pendingWrites {
 		switch {
 		case c.state != commandReceiving || c.session.phase == phaseEnded:
 		case buffers.InUse > 0 && buffers.InUse+c.Bytes > settings.MaxBuffered:
-			a.waiting = append(a.waiting, waiting[i:]...)
+			a.pendingWrites = append(a.pendingWrites, pendingWrites[i:]...)
 			return
 		case !c.session.connection.reserveBytes(c.Bytes):
-			a.waiting = append(a.waiting, c)
+			a.pendingWrites = append(a.pendingWrites, c)
 		default:
 			c.session.sendR2T(c)
 		}
 	}
 }
 
-// sendR2T asks the client for all data of a Write.
+// sendR2T requests all data of a Write from the client.
 func (s *Session) sendR2T(c *Command) {
 	for s.lastTag++; s.transfers[s.lastTag] != nil; {
 		s.lastTag++
@@ -46,19 +47,19 @@
 	c.transferTag, c.r2tSent = s.lastTag, true
 	c.Data = s.buffers.Get(c.Bytes)
 	s.transfers[c.transferTag] = c
-	*s.output = s.framing.AppendR2T(*s.output, c.CID(), c.transferTag, 0, c.Bytes)
+	*s.output = s.outputFraming.AppendR2T(*s.output, c.CID(), c.transferTag, 0, c.Bytes)
 	s.connection.flush()
 }
 
-// endTransfer tells once that the bytes of a Write no longer count for its client.
-func (s *Session) endTransfer(c *Command) {
+// releaseTransfer ends the counting of a Write's bytes for its client, if they count.
+func (s *Session) releaseTransfer(c *Command) {
 	if c.r2tSent {
 		c.r2tSent = false
 		s.connection.releaseBytes(c.Bytes)
 	}
 }
 
-// Fields of a PDU's header, as FEI tells which is wrong (TCP 3.6.1, 3.6.2.8).
+// Offsets of the fields of a PDU's header, reported as FEI (TCP 3.6.1, 3.6.2.8).
 const (
 	flagsField      = 1
 	dataOffsetField = 12
@@ -67,20 +68,20 @@
 func (s *Session) handleData(p *nvme.PDU) error {
 	c := s.transfers[p.TTAG()]
 	if c == nil || c.CID() != p.CCCID() {
-		return sequenceError(p, "H2CData without an R2T")
+		return sequenceError(p, "H2CData for a command without an open R2T")
 	}
 	from, n := int64(p.Offset()), len(p.Data)
 	if from != int64(c.received) || from+int64(n) > int64(c.Bytes) || n == 0 {
-		return fatalError(nvme.FatalDataRange, dataOffsetField, p, "H2CData outside what was asked for")
+		return fatalError(nvme.FatalDataRange, dataOffsetField, p, "H2CData is not the next part of the transfer")
 	}
 	copy(c.Data[from:], p.Data)
 	s.buffers.Copied(n)
 	c.received += n
 	complete := c.received == c.Bytes
 	if complete != (p.Flags&nvme.FlagLast != 0) {
-		return fatalError(nvme.FatalHeaderField, flagsField, p, "LAST_PDU where it does not belong")
+		return fatalError(nvme.FatalHeaderField, flagsField, p, "LAST_PDU does not match the end of the transfer")
 	}
-	if p.BadData && c.state == commandReceiving {
+	if p.DataDigestError && c.state == commandReceiving {
 		c.state = commandDiscarding
 		s.respond(c.CID(), response{status: nvme.TransientTransport})
 	}
@@ -90,10 +91,10 @@
 	return nil
 }
 
-// completeTransfer hands over a Write whose data is complete, unless it has been answered.
+// completeTransfer admits a Write whose data is complete, unless the Write has been answered.
 func (s *Session) completeTransfer(c *Command) {
 	delete(s.transfers, c.transferTag)
-	s.endTransfer(c)
+	s.releaseTransfer(c)
 	if c.state == commandDiscarding {
 		s.drop(c)
 		return
@@ -102,14 +103,14 @@
 	s.handler.Admit(c)
 }
 
-// Expire fails a Write whose data has not come by now.
+// Expire fails a Write if its data is not complete.
 func (s *Session) Expire(c *Command) {
 	if c.state == commandReceiving && s.phase != phaseEnded {
 		s.cancelTransfer(c, nvme.DataTransferError)
 	}
 }
 
-// cancelTransfer answers a Write whose data is awaited; data that still comes is read and discarded.
+// cancelTransfer answers a Write that waits for data. Data that comes later is read and discarded.
 func (s *Session) cancelTransfer(c *Command, status nvme.Status) {
 	s.respond(c.CID(), response{status: status})
 	c.state = commandDiscarding
