--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	s.repeat(model.DeferredWorkEvery.Duration(), s.doDeferredWork)
-	s.repeat(model.PauseEvery.Duration(), func() { s.Stall(model.Pause.Duration()) })
+	s.repeat(model.PauseEvery.Duration(), func() { s.Pause(model.Pause.Duration()) })
 	s.repeat(model.ReportInterval.Duration(), func() {
 		if !s.Faults.StaleReports {
 			s.reportLoad()
@@ -113,8 +113,8 @@
 // Adopt makes a new server the replacement of one that is dead: it has the same data and starts cold now.
 func (s *Server) Adopt(former *Server) { s.storage, s.Started = former.storage, s.loop.Now() }
 
-// Stall has the server begin nothing for a time.
-func (s *Server) Stall(span time.Duration) {
+// Pause has the server begin nothing for a time.
+func (s *Server) Pause(span time.Duration) {
 	s.process.stalledUntil = max(s.process.stalledUntil, s.loop.Now()+span)
 }
 
