--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	d.SetFaults(disk.Faults{SlowFactor: c.Slow, FailShare: c.Fail, LoseShare: c.Lose})
+	d.SetFaults(disk.Faults{SlowFactor: c.Slow, FailShare: c.Fail, DropShare: c.Lose})
 	if c.Silent > 0 {
 		l.Schedule(l.Now()+c.Silent, func() {
 			log.Warn().Msg("fake stops answering")
--- a/fake/disk/model.go
+++ b/fake/disk/model.go
@@ -43,8 +43,8 @@
 	SlowFactor float64
 	// FailShare is the share of ops that fail at once.
 	FailShare float64
-	// LoseShare is the share of answers that are not sent.
-	LoseShare float64
+	// DropShare is the share of answers that are not sent.
+	DropShare float64
 	// Truncate breaks off the next answer with data in its middle.
 	Truncate bool
 	// StaleReports has load reports stay as they are.
--- a/fake/disk/service.go
+++ b/fake/disk/service.go
@@ -123,7 +123,7 @@
 	defer s.target.Release(data)
 	report := s.answerLoad(c)
 	switch {
-	case s.Faults.Silent || s.rng.Float64() < s.Faults.LoseShare:
+	case s.Faults.Silent || s.rng.Float64() < s.Faults.DropShare:
 	case s.Faults.Truncate && len(data) > 0:
 		s.Faults.Truncate = false
 		c.Truncate(data)
--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -46,7 +46,7 @@
 		return disk.Faults{FailShare: cmp.Or(f.Factor, defaultFailureShare)}
 	}),
 	"lose-answers": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{LoseShare: cmp.Or(f.Factor, defaultLossShare)}
+		return disk.Faults{DropShare: cmp.Or(f.Factor, defaultLossShare)}
 	}),
 	"stale-reports":  diskFault(func(settings.Fault) disk.Faults { return disk.Faults{StaleReports: true} }),
 	"mute-handshake": diskFault(func(settings.Fault) disk.Faults { return disk.Faults{NoHandshake: true} }),
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -68,7 +68,7 @@
 func TestOnceOnly(t *testing.T) {
 	h := newHarness(t)
 	a := h.connect("client")
-	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{LoseShare: 1}) })
+	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{DropShare: 1}) })
 	r := <-h.submit(a, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
 	if r.status != nvme.InternalError|nvme.DoNotRetry || r.took >= h.opTimeout() {
 		t.Errorf("at most once, answer lost: %#x after %v", r.status, r.took)
