--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -110,8 +110,8 @@
 	return s.listen()
 }
 
-// Adopt makes a new server the replacement of one that is dead: it has the same data and starts cold now.
-func (s *Server) Adopt(former *Server) { s.storage, s.Started = former.storage, s.loop.Now() }
+// Replace makes a new server the replacement of one that is dead: it has the same data and starts cold now.
+func (s *Server) Replace(former *Server) { s.storage, s.Started = former.storage, s.loop.Now() }
 
 // Pause has the server begin nothing for a time.
 func (s *Server) Pause(span time.Duration) {
--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -208,7 +208,7 @@
 			if b.server, err = New(b.loop, "127.0.0.1:0", testModel(), 2); err != nil {
 				t.Fatal(err)
 			}
-			b.server.Adopt(former)
+			b.server.Replace(former)
 			if b.server.Started == 0 {
 				t.Error("the replacement is warm")
 			}
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -235,7 +235,7 @@
 			r.injected = err
 			return
 		}
-		replacement.Adopt(&former)
+		replacement.Replace(&former)
 		r.recordStart(replacement)
 		r.unlist(former.Address())
 		r.list(cell, stateOn)
