--- a/fake/disk/service.go
+++ b/fake/disk/service.go
@@ -153,7 +153,7 @@
 	report.UnitsElsewhere = clampUint16(s.usage.servedElsewhere(c.NSID(), c.Host, units))
 	report.PlanUsage = 0
 	if s.model.Meter != nil {
-		report.PlanUsage = uint16(s.model.Meter.Serve(s.loop.Now(), c.NSID(), units))
+		report.PlanUsage = uint16(s.model.Meter.Record(s.loop.Now(), c.NSID(), units))
 	}
 	return report
 }
--- a/fake/disk/usage.go
+++ b/fake/disk/usage.go
@@ -38,12 +38,12 @@
 	previous map[uint32]float64 // nil: nothing was served in it
 }
 
-// maxUsagePercent is the largest usage that Serve returns, less the 1 that it adds.
+// maxUsagePercent is the largest usage that Record returns, less the 1 that it adds.
 const maxUsagePercent = 65534
 
-// Serve counts units and returns 1 + the percentage of its rate that the volume was served in the previous period; 0:
+// Record counts units and returns 1 + the percentage of its rate that the volume was served in the previous period; 0:
 // it is not known.
-func (m *Meter) Serve(at time.Duration, nsid uint32, units float64) int {
+func (m *Meter) Record(at time.Duration, nsid uint32, units float64) int {
 	if m.Period <= 0 {
 		return 0
 	}
--- a/fake/disk/usage_test.go
+++ b/fake/disk/usage_test.go
@@ -44,7 +44,7 @@
 		{3 * time.Second, 1, 65535},
 		{5 * time.Second, 1, 0}, // a period was left out
 	} {
-		if got := m.Serve(c.at, 1, c.units); got != c.want {
+		if got := m.Record(c.at, 1, c.units); got != c.want {
 			t.Errorf("answer %d: %d, want %d", i, got, c.want)
 		}
 	}
@@ -53,7 +53,7 @@
 // TestMeterWithoutPeriod counts nothing.
 func TestMeterWithoutPeriod(t *testing.T) {
 	m := &Meter{}
-	if got := m.Serve(time.Second, 1, 1); got != 0 {
+	if got := m.Record(time.Second, 1, 1); got != 0 {
 		t.Errorf("%d", got)
 	}
 }
