--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	s.repeat(model.DeferredWorkEvery.Duration(), s.doDeferredWork)
-	s.repeat(model.PauseEvery.Duration(), func() { s.Pause(model.Pause.Duration()) })
+	s.repeat(model.PauseEvery.Duration(), func() { s.PauseFor(model.Pause.Duration()) })
 	s.repeat(model.ReportInterval.Duration(), func() {
 		if !s.Faults.StaleReports {
 			s.reportLoad()
@@ -113,8 +113,8 @@
 // Replace makes a new server the replacement of one that is dead: it has the same data and starts cold now.
 func (s *Server) Replace(former *Server) { s.storage, s.Started = former.storage, s.loop.Now() }
 
-// Pause has the server begin nothing for a time.
-func (s *Server) Pause(span time.Duration) {
+// PauseFor has the server begin nothing for a time.
+func (s *Server) PauseFor(span time.Duration) {
 	s.process.stalledUntil = max(s.process.stalledUntil, s.loop.Now()+span)
 }
 
--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -260,7 +260,7 @@
 	var start time.Duration
 	b.run(
 		b.connect,
-		func(next func()) { start = b.loop.Now(); b.server.Pause(span); next() },
+		func(next func()) { start = b.loop.Now(); b.server.PauseFor(span); next() },
 		b.read(0, filled(0)),
 	)
 	if took := b.loop.Now() - start; took < span {
--- a/fake/disk/service.go
+++ b/fake/disk/service.go
@@ -109,7 +109,7 @@
 
 // doDeferredWork has the deferred work of writes stall the server.
 func (s *Server) doDeferredWork() {
-	s.Pause(s.process.deferredWork)
+	s.PauseFor(s.process.deferredWork)
 	s.process.deferredWork = 0
 }
 
--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -111,7 +111,7 @@
 
 func injectPause(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.serverOfCell[cell].Pause(f.Duration.Duration())
+		r.serverOfCell[cell].PauseFor(f.Duration.Duration())
 	}
 }
 
--- a/gateway/clients_test.go
+++ b/gateway/clients_test.go
@@ -36,7 +36,7 @@
 // clientGoneInFlight closes a connection with ops queued and dispatched.
 func clientGoneInFlight(t *testing.T, h *harness) {
 	t.Helper()
-	h.onLoop(func() { h.disks[1].Pause(400 * time.Millisecond) })
+	h.onLoop(func() { h.disks[1].PauseFor(400 * time.Millisecond) })
 	a := h.connect("leaves")
 	var answers []chan answer
 	for i := range 40 { // more than the window: some are dispatched, some queued
--- a/gateway/lifecycle_test.go
+++ b/gateway/lifecycle_test.go
@@ -23,7 +23,7 @@
 	half := connectRaw(t, h, "half")
 	half.write(half.command(9, nvme.Write, 1, 0, 16, nil))
 	half.expect(nvme.TypeR2T)
-	h.onLoop(func() { h.disks[1].Pause(300 * time.Millisecond) })
+	h.onLoop(func() { h.disks[1].PauseFor(300 * time.Millisecond) })
 	var answers []chan answer
 	for i := range 40 {
 		answers = append(answers, h.submit(a, nvme.NewRW(nvme.Read, 2, uint64(i), 1), nil))
