--- a/fake/disk/capacity.go
+++ b/fake/disk/capacity.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// arrival is units received at a time.
+// arrival is a number of units and the time at which they were received.
 type arrival struct {
 	at    time.Duration
 	units float64
 }
 
-// CapacityAt is what the server can do at an age, the time since its start, in units a second.
+// CapacityAt returns the capacity, in units per second, that a cold server has at the given age. The age is the time
+// since its start.
 func (s *Server) CapacityAt(age time.Duration) float64 {
-	return float64(s.model.Cores) / s.model.UnitServiceTime.Duration().Seconds() * s.capacityPart(age)
+	return float64(s.model.Cores) / s.model.UnitServiceTime.Duration().Seconds() * s.capacityFraction(age)
 }
 
-// capacityPart is the part of its capacity that it has at an age.
-func (s *Server) capacityPart(age time.Duration) float64 {
-	warmth := min(1, max(0, float64(age)/float64(s.model.ColdTime)))
-	return s.model.ColdCapacity + (1-s.model.ColdCapacity)*warmth
+// capacityFraction returns the fraction of its full capacity that a cold server has at the given age.
+func (s *Server) capacityFraction(age time.Duration) float64 {
+	warmUpProgress := min(1, max(0, float64(age)/float64(s.model.ColdTime)))
+	return s.model.ColdCapacity + (1-s.model.ColdCapacity)*warmUpProgress
 }
 
-// presentCapacity is the part of its capacity that it has now.
-func (s *Server) presentCapacity() float64 {
+// currentCapacityFraction returns the fraction of its full capacity that the server has now; it is 1 for a warm server.
+func (s *Server) currentCapacityFraction() float64 {
 	if s.Started == 0 || s.model.ColdTime <= 0 {
 		return 1
 	}
-	return s.capacityPart(s.loop.Now() - s.Started)
+	return s.capacityFraction(s.loop.Now() - s.Started)
 }
 
-// overloadedBy counts units that are received, and reports whether they overload a cold server.
+// overloadedBy counts received units and reports whether they overload a cold server.
 func (s *Server) overloadedBy(units float64) bool {
 	now := s.loop.Now()
 	window := s.model.OverloadWindow
--- a/fake/disk/model.go
+++ b/fake/disk/model.go
@@ -8,47 +8,49 @@
 	"honeyplank/target"
 )
 
-// Model is what a fake disk server is like.
+// Model is the configuration of a fake disk server.
 type Model struct {
-	// FakeServers has the cores, the queue, the service times and the intervals of reports and pauses.
+	// FakeServers sets the number of cores, the queue limit, the service times and the intervals of load reports and
+	// pauses.
 	settings.FakeServers
 	// Block, Unit and Extent are sizes in bytes.
 	Block  int
 	Unit   int
 	Extent int64
-	// ColdCapacity is the part of its capacity that a server has at its start; it grows to the whole in ColdTime.
+	// ColdCapacity is the fraction of its full capacity that a server has when it starts. The fraction grows linearly
+	// to 1 within ColdTime.
 	ColdCapacity float64
 	ColdTime     time.Duration
-	// A cold server that receives more than OverloadFactor times its capacity within OverloadWindow ends; with a factor
-	// of 0 none does.
+	// A cold server kills itself when the units that it receives within OverloadWindow are more than OverloadFactor
+	// times those that its current capacity serves in that time. A factor of 0 disables this.
 	OverloadFactor float64
 	OverloadWindow time.Duration
-	// Meter, where set, counts the usage of volumes.
+	// Meter, if set, counts the usage of volumes.
 	Meter *Meter
-	// Target is how the server speaks NVMe/TCP.
+	// Target holds the NVMe/TCP settings of the server.
 	Target target.Settings
-	// Tap, where set, is asked for a tap of each new connection.
+	// Tap, if set, is called for each new connection and returns the tap of that connection.
 	Tap func() func(sent bool, b []byte)
-	// OnConnection, where set, is called with each new connection.
+	// OnConnection, if set, is called with each new connection.
 	OnConnection func(*eventloop.Conn)
 }
 
-// Faults are what is wrong with a server now.
+// Faults are the faults that a server injects.
 type Faults struct {
-	// Silent drops input and serves nothing, though connections are accepted.
+	// Silent makes the server accept connections, but drop all input and serve nothing.
 	Silent bool
-	// NoHandshake closes all connections and drops the input of new ones.
+	// NoHandshake makes the server close all connections and drop the input of new ones.
 	NoHandshake bool
-	// SlowFactor multiplies service times; 0: 1.
+	// SlowFactor multiplies service times; 0 means 1.
 	SlowFactor float64
-	// FailShare is the share of ops that fail at once.
+	// FailShare is the fraction of ops that fail immediately.
 	FailShare float64
-	// DropShare is the share of answers that are not sent.
+	// DropShare is the fraction of answers that are not sent.
 	DropShare float64
-	// Truncate breaks off the next answer with data in its middle.
+	// Truncate makes the server send only half of the next answer that has data, and break the connection.
 	Truncate bool
-	// StaleReports has load reports stay as they are.
+	// StaleReports stops the periodic update of the load report.
 	StaleReports bool
-	// Draining rejects new ops.
+	// Draining makes the server reject new ops.
 	Draining bool
 }
--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -1,9 +1,9 @@
-// Package disk is a fake disk server: it speaks the same NVMe/TCP subset, has cores, a bounded queue and service
-// times, stores what is written, and has faults on command. It keeps its data in memory, and its service times are a
-// model's: they say nothing about real disks. It must not be used but by tests and fault tests.
+// Package disk is a fake disk server, for use in tests, fault tests and benchmarks only. It speaks the NVMe/TCP subset
+// of package target, models cores, a bounded queue and service times, stores written data and injects faults on
+// request. Data is kept in memory. Service times come from a model and say nothing about real disks.
 //
-// All of it runs on the event loop that it is given: functions, methods and fields may be used on the goroutine of
-// that loop only. The package starts no goroutine.
+// A server runs on the event loop that is passed to New. Functions, methods and fields may be used only on the
+// goroutine of that loop. The package starts no goroutine.
 package disk
 
 import (
@@ -15,13 +15,13 @@
 	"honeyplank/target"
 )
 
-// Server is one fake disk server. It is the handler of its target.
+// Server is a fake disk server. It is the handler of its target.
 type Server struct {
-	// Faults are those of SetFaults.
+	// Faults are the faults set by the last call of SetFaults. Start clears them.
 	Faults Faults
-	// Overloaded is whether the server has ended because it was sent too much while it was cold.
+	// Overloaded is set when the server kills itself because it received too many units while it was cold.
 	Overloaded bool
-	// Started is the last start, by the loop's clock; 0: long ago.
+	// Started is the time of the last cold start, by the loop's clock; 0 means that the server is warm.
 	Started time.Duration
 
 	model   Model
@@ -30,25 +30,26 @@
 	target  *target.Server
 	address string
 	process process
-	// generation counts the deaths of the process: what an earlier one began is void.
-	generation int
-	storage    *storage
-	usage      volumeUsage
-	cached     []uint64 // extents served last, newest first
-	load       nvme.Load
-	recent     float64 // moving average of service times, in seconds
+	// generation is the number of kills. An op that was begun in an earlier generation is not finished.
+	generation         int
+	storage            *storage
+	usage              volumeUsage
+	cached             []uint64 // most recently served extents, newest first
+	load               nvme.Load
+	averageServiceTime float64 // moving average, in seconds
 }
 
-// process is what is lost when the server is killed.
+// process is the state that is lost when the server is killed.
 type process struct {
 	queue        []*target.Command
 	busyCores    int
-	stalledUntil time.Duration // nothing is begun before
-	deferredWork time.Duration // of writes, not done yet
-	received     []arrival     // units received within the overload window
+	pausedUntil  time.Duration // no op is begun before this time
+	deferredWork time.Duration // of writes; the server has not paused for it yet
+	received     []arrival     // within the overload window
 }
 
-// New starts a warm server at an address, port 0 for any.
+// New starts a warm server that listens on address; port 0 selects a free port. Seed initializes the random numbers of
+// the model.
 func New(l *eventloop.Loop, address string, model Model, seed int64) (*Server, error) {
 	s := &Server{
 		model:   model,
@@ -61,7 +62,7 @@
 	if err := s.listen(); err != nil {
 		return nil, err
 	}
-	s.repeat(model.DeferredWorkEvery.Duration(), s.doDeferredWork)
+	s.repeat(model.DeferredWorkEvery.Duration(), s.runDeferred)
 	s.repeat(model.PauseEvery.Duration(), func() { s.PauseFor(model.Pause.Duration()) })
 	s.repeat(model.ReportInterval.Duration(), func() {
 		if !s.Faults.StaleReports {
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// repeat calls f about once an interval, if that is positive, for as long as the loop runs.
+// repeat calls f repeatedly for as long as the loop runs, each time after a random 75 % to 125 % of interval, and
+// begins queued ops after each call. It does nothing if interval is not positive.
 func (s *Server) repeat(interval time.Duration, f func()) {
 	if interval <= 0 {
 		return
@@ -94,31 +96,32 @@
 	})
 }
 
-// Address is where it listens, the same over all its starts.
+// Address returns the address on which the server listens. It is the same for all its starts.
 func (s *Server) Address() string { return s.address }
 
-// Kill ends the server as the death of its process does; what it has stored stays.
+// Kill ends the server as if its process had been killed. Stored data is kept.
 func (s *Server) Kill() {
 	s.target.Kill()
 	s.process = process{}
 	s.generation++
 }
 
-// Start starts it again, cold and without faults.
+// Start restarts a killed server, cold and without faults.
 func (s *Server) Start() error {
 	s.Faults, s.Started = Faults{}, s.loop.Now()
 	return s.listen()
 }
 
-// Replace makes a new server the replacement of one that is dead: it has the same data and starts cold now.
+// Replace makes s, a new server, the replacement of a killed one: s shares the stored data of former and is cold from
+// now on.
 func (s *Server) Replace(former *Server) { s.storage, s.Started = former.storage, s.loop.Now() }
 
-// PauseFor has the server begin nothing for a time.
+// PauseFor keeps the server from beginning ops for the given time. Ops that have begun still finish.
 func (s *Server) PauseFor(span time.Duration) {
-	s.process.stalledUntil = max(s.process.stalledUntil, s.loop.Now()+span)
+	s.process.pausedUntil = max(s.process.pausedUntil, s.loop.Now()+span)
 }
 
-// SetFaults sets what is wrong with the server from now on.
+// SetFaults replaces the faults of the server.
 func (s *Server) SetFaults(faults Faults) {
 	s.Faults = faults
 	s.target.DropAllInput, s.target.DropNewInput = faults.Silent, faults.NoHandshake
@@ -128,7 +131,7 @@
 	s.beginQueued()
 }
 
-// Log returns the load log page. The target calls it.
+// Log returns the load log page, and reports false for any other page. The target calls it.
 func (s *Server) Log(id uint8) ([]byte, bool) {
 	if id != nvme.LogLoad {
 		return nil, false
@@ -136,11 +139,11 @@
 	return nvme.AppendLoad(nil, s.load), true
 }
 
-// reportLoad computes the load report.
+// reportLoad updates the load report.
 func (s *Server) reportLoad() {
-	const latencyUnitsPerSecond = 10000 // of nvme.Load.Latency
+	const latencyUnitsPerSecond = 10000 // units of nvme.Load.Latency
 	s.load = nvme.Load{
-		Latency:  clampUint16(s.recent * latencyUnitsPerSecond),
+		Latency:  clampUint16(s.averageServiceTime * latencyUnitsPerSecond),
 		Inflight: clampUint16(float64(s.process.busyCores + len(s.process.queue))),
 	}
 }
--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -16,11 +16,11 @@
 	blockSize = 4096
 	nsid      = 1
 	subsystem = "nqn.2026-12.org.honeyplank:disk"
-	// testTimeout is how long a test waits for what must happen.
+	// testTimeout is the time within which all steps of a test must finish.
 	testTimeout = 10 * time.Second
 )
 
-// testModel is a server of two cores with one namespace.
+// testModel returns the model of a server with two cores and one namespace.
 func testModel() Model {
 	return Model{
 		FakeServers: settings.FakeServers{
@@ -46,7 +46,7 @@
 	}
 }
 
-// testbed is a server with a client on one loop.
+// testbed is a server and a client on the same loop.
 type testbed struct {
 	*testing.T
 	loop   *eventloop.Loop
@@ -67,12 +67,13 @@
 	return &testbed{T: t, loop: loop, server: server}
 }
 
-// Ready and Ended make the testbed the handler of its client.
+// Ready and Ended implement the handler of the client.
 func (b *testbed) Ready(*initiator.Association) {}
 
 func (b *testbed) Ended(*initiator.Association, error) {}
 
-// run calls steps in turn on the loop, each once the one before has called next, and closes the loop.
+// run calls the steps in order on the loop and then closes the loop. Each step starts when the step before has called
+// next.
 func (b *testbed) run(steps ...func(next func())) {
 	b.Helper()
 	finished := false
@@ -91,11 +92,11 @@
 		b.Fatal(err)
 	}
 	if !finished {
-		b.Fatal("a step has not come to its end")
+		b.Fatal("not all steps finished within testTimeout")
 	}
 }
 
-// connect connects the client anew.
+// connect opens a new connection of the client.
 func (b *testbed) connect(next func()) {
 	b.client = initiator.Dial(b.loop, initiator.Settings{
 		Address:        b.server.Address(),
@@ -143,11 +144,11 @@
 	}
 }
 
-// expectLost reads one block and expects the connection to end before an answer.
+// expectLost reads one block and expects the connection to end before the answer.
 func (b *testbed) expectLost(next func()) {
 	b.submit(nvme.NewRW(nvme.Read, nsid, 0, 1), nil, blockSize, func(r initiator.Result) {
 		if !r.Lost {
-			b.Errorf("answered with status %v", r.Status())
+			b.Errorf("the read was answered with status %v, want a lost connection", r.Status())
 		}
 		next()
 	})
@@ -155,7 +156,7 @@
 
 func (b *testbed) submit(command nvme.Command, data []byte, readBytes int, done func(initiator.Result)) {
 	if _, ok := b.client.IO.Submit(command, data, readBytes, initiator.CallFunc(done)); !ok {
-		b.Fatal("the command can't be sent")
+		b.Fatal("the client accepts no further command")
 	}
 }
 
@@ -172,7 +173,8 @@
 	return block
 }
 
-// TestStoredData reads a block that was never written, writes it, and reads it again, also after a death.
+// TestStoredData checks that a block has its initial content before the first write, and the written data afterwards,
+// also after the server has been killed and restarted.
 func TestStoredData(t *testing.T) {
 	b := newTestbed(t, testModel())
 	written := bytes.Repeat([]byte("honeyplank------"), blockSize/16)
@@ -194,8 +196,8 @@
 	)
 }
 
-// TestAdopt has a replacement with the data of the server before.
-func TestAdopt(t *testing.T) {
+// TestReplace checks that a replacement serves the data that the killed server has stored, and starts cold.
+func TestReplace(t *testing.T) {
 	b := newTestbed(t, testModel())
 	written := bytes.Repeat([]byte("x"), blockSize)
 	b.run(
@@ -210,7 +212,7 @@
 			}
 			b.server.Replace(former)
 			if b.server.Started == 0 {
-				t.Error("the replacement is warm")
+				t.Error("the replacement is warm, want a cold start")
 			}
 			next()
 		},
@@ -219,7 +221,8 @@
 	)
 }
 
-// TestFaults has ops rejected, failed, broken off and served again.
+// TestFaults checks that ops are rejected, fail or have their answer truncated, each by its fault, and are served once
+// the fault is cleared.
 func TestFaults(t *testing.T) {
 	b := newTestbed(t, testModel())
 	block := filled(0)
@@ -234,27 +237,27 @@
 		b.setFaults(Faults{Truncate: true}),
 		b.expectLost,
 		b.connect,
-		b.read(0, block), // once alone
+		b.read(0, block), // Truncate affects one answer only
 	)
 }
 
-// TestSlowFactor has ops take longer.
+// TestSlowFactor checks that SlowFactor multiplies the service time.
 func TestSlowFactor(t *testing.T) {
 	b := newTestbed(t, testModel())
 	var start time.Duration
 	b.run(
 		b.connect,
-		b.setFaults(Faults{SlowFactor: 10}), // of 10 ms
+		b.setFaults(Faults{SlowFactor: 10}), // a service time of 10 ms becomes 100 ms
 		func(next func()) { start = b.loop.Now(); next() },
 		b.read(0, filled(0)),
 	)
 	if took := b.loop.Now() - start; took < 100*time.Millisecond {
-		t.Errorf("a read takes %v", took)
+		t.Errorf("a read took %v, want at least 100ms", took)
 	}
 }
 
-// TestStall has a server begin nothing for a time.
-func TestStall(t *testing.T) {
+// TestPause checks that a paused server begins no op before the end of the pause.
+func TestPause(t *testing.T) {
 	b := newTestbed(t, testModel())
 	const span = 100 * time.Millisecond
 	var start time.Duration
@@ -264,11 +267,11 @@
 		b.read(0, filled(0)),
 	)
 	if took := b.loop.Now() - start; took < span {
-		t.Errorf("a read takes %v while the server stalls for %v", took, span)
+		t.Errorf("a read took %v, want at least the pause of %v", took, span)
 	}
 }
 
-// TestQueueLimit sends more ops than cores and queue take: the rest is rejected.
+// TestQueueLimit checks that ops beyond the free cores and the queue limit are rejected.
 func TestQueueLimit(t *testing.T) {
 	model := testModel()
 	model.QueueLimit = 3
@@ -288,11 +291,11 @@
 	})
 	served := model.Cores + model.QueueLimit
 	if results[nvme.Success] != served || results[nvme.Rejected] != ops-served {
-		t.Errorf("%v, want %d served", results, served)
+		t.Errorf("number of ops by status: %v, want %d served and the rest rejected", results, served)
 	}
 }
 
-// TestCapacity checks what a cold server can do by its age, whatever starts come later.
+// TestCapacity checks that the capacity of a cold server depends on its age only, also after another start.
 func TestCapacity(t *testing.T) {
 	model := testModel()
 	model.ColdCapacity, model.ColdTime = 0.25, 4*time.Second
@@ -310,28 +313,29 @@
 			time.Hour:       200,
 		} {
 			if got := b.server.CapacityAt(age); got != want {
-				t.Errorf("%v after a start: %v units a second, want %v", age, got, want)
+				t.Errorf("capacity %v after a start is %v units per second, want %v", age, got, want)
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// TestOverload has a cold server receive units: more than its bound within the window overloads it, a warm one is not.
+// TestOverload checks that a cold server is overloaded by more units within the window than its limit, and a warm
+// server is not.
 func TestOverload(t *testing.T) {
 	model := testModel()
 	model.ColdCapacity, model.ColdTime = 0.25, time.Hour
-	model.OverloadFactor, model.OverloadWindow = 2, time.Second // 100 units
+	model.OverloadFactor, model.OverloadWindow = 2, time.Second // a limit of 100 units
 	b := newTestbed(t, model)
 	defer b.run()
 	if b.server.overloadedBy(1000) {
-		t.Error("a warm server is overloaded")
+		t.Error("a warm server is overloaded by 1000 units")
 	}
 	b.server.Started = b.loop.Now()
 	if b.server.overloadedBy(60) {
-		t.Error("overloaded by 60 units")
+		t.Error("overloaded by 60 units, the limit is 100")
 	}
 	if !b.server.overloadedBy(60) {
-		t.Error("not overloaded by 120 units")
+		t.Error("not overloaded by 120 units, the limit is 100")
 	}
 }
--- a/fake/disk/service.go
+++ b/fake/disk/service.go
@@ -9,10 +9,11 @@
 	"honeyplank/target"
 )
 
-// recentWeight is the weight of one service time in the moving average.
-const recentWeight = 1.0 / 8
+// serviceTimeWeight is the weight of a new service time in the moving average.
+const serviceTimeWeight = 1.0 / 8
 
-// Admit takes an op. A cold server counts each, also those that it rejects. The target calls it.
+// Admit queues, rejects or fails an op. On a cold server, rejected and failed ops also count towards overload. The
+// target calls it.
 func (s *Server) Admit(c *target.Command) {
 	if s.overloadedBy(s.units(c)) {
 		s.Overloaded = true
@@ -30,13 +31,13 @@
 	}
 }
 
-// refuse answers an op that is not served.
+// refuse answers an op with a status without serving it.
 func (s *Server) refuse(c *target.Command, status nvme.Status) {
 	c.Complete(status, 0, 0, nil)
 	s.target.Release(c.Data)
 }
 
-// ClientGone drops an op whose connection has ended, if it is queued. The target calls it.
+// ClientGone removes an op from the queue, if it is still there, because its connection has ended. The target calls it.
 func (s *Server) ClientGone(c *target.Command) {
 	if i := slices.Index(s.process.queue, c); i >= 0 {
 		s.process.queue = slices.Delete(s.process.queue, i, i+1)
@@ -44,21 +45,22 @@
 	}
 }
 
-// beginQueued has free cores begin queued ops, in the order of their arrival.
+// beginQueued begins queued ops on free cores, in the order of their arrival. During a pause, it schedules itself for
+// the end of the pause.
 func (s *Server) beginQueued() {
 	p := &s.process
 	now := s.loop.Now()
-	for !s.Faults.Silent && now >= p.stalledUntil && p.busyCores < s.model.Cores && len(p.queue) > 0 {
+	for !s.Faults.Silent && now >= p.pausedUntil && p.busyCores < s.model.Cores && len(p.queue) > 0 {
 		c := p.queue[0]
 		p.queue = p.queue[1:]
 		s.begin(c)
 	}
-	if now < p.stalledUntil && len(p.queue) > 0 {
-		s.loop.Schedule(p.stalledUntil, s.beginQueued)
+	if now < p.pausedUntil && len(p.queue) > 0 {
+		s.loop.Schedule(p.pausedUntil, s.beginQueued)
 	}
 }
 
-// begin serves an op on a free core.
+// begin serves an op on a free core and finishes it after its service time.
 func (s *Server) begin(c *target.Command) {
 	s.process.busyCores++
 	serviceTime, generation := s.serviceTime(c), s.generation
@@ -72,15 +74,16 @@
 	})
 }
 
-// units is the size of an op.
+// units returns the size of an op in units, rounded up and at least 1.
 func (s *Server) units(c *target.Command) float64 {
 	return float64(max((c.Bytes+s.model.Unit-1)/s.model.Unit, 1))
 }
 
-// serviceTime is how long an op takes on a core. The work of a write that is deferred is left out.
+// serviceTime returns the time that an op takes on a core. For a write, it adds the deferred share to the deferred work
+// and leaves it out of the result.
 func (s *Server) serviceTime(c *target.Command) time.Duration {
 	spread := 1 + s.model.ServiceTimeSpread*(2*s.rng.Float64()-1)
-	full := float64(s.model.UnitServiceTime.Duration()) * s.units(c) * spread / s.presentCapacity()
+	full := float64(s.model.UnitServiceTime.Duration()) * s.units(c) * spread / s.currentCapacityFraction()
 	if s.Faults.SlowFactor > 0 {
 		full *= s.Faults.SlowFactor
 	}
@@ -94,9 +97,9 @@
 	return time.Duration(full)
 }
 
-// touchCache puts the extent of an op first among the cached ones, and reports whether it was cached.
+// touchCache moves the extent of an op to the front of the cache, and reports whether it was cached before.
 func (s *Server) touchCache(c *target.Command) bool {
-	const extentBits = 40 // of the number of an extent, below the namespace
+	const extentBits = 40 // the bits of the extent number, below those of the namespace ID
 	extent := uint64(c.NSID())<<extentBits | uint64(int64(c.SLBA())*int64(s.model.Block)/s.model.Extent)
 	i := slices.Index(s.cached, extent)
 	if i >= 0 {
@@ -107,19 +110,19 @@
 	return i >= 0
 }
 
-// doDeferredWork has the deferred work of writes stall the server.
-func (s *Server) doDeferredWork() {
+// runDeferred pauses the server for the time of the deferred work of writes.
+func (s *Server) runDeferred() {
 	s.PauseFor(s.process.deferredWork)
 	s.process.deferredWork = 0
 }
 
-// finish carries an op out and answers it.
+// finish executes an op and answers it, unless a fault drops or truncates the answer.
 func (s *Server) finish(c *target.Command, serviceTime time.Duration) {
-	s.recent += (serviceTime.Seconds() - s.recent) * recentWeight
+	s.averageServiceTime += (serviceTime.Seconds() - s.averageServiceTime) * serviceTimeWeight
 	if s.model.ReportInterval == 0 {
 		s.reportLoad()
 	}
-	data := s.carryOut(c)
+	data := s.execute(c)
 	defer s.target.Release(data)
 	report := s.answerLoad(c)
 	switch {
@@ -133,8 +136,9 @@
 	}
 }
 
-// carryOut writes or reads. It returns the data of a read, in a buffer of the target.
-func (s *Server) carryOut(c *target.Command) []byte {
+// execute writes or reads the blocks of an op. It returns the data of a read, in a buffer of the target that the caller
+// releases.
+func (s *Server) execute(c *target.Command) []byte {
 	if c.Opcode() == nvme.Write {
 		s.storage.write(c.NSID(), c.SLBA(), c.Data)
 		s.target.Release(c.Data)
@@ -146,7 +150,7 @@
 	return data
 }
 
-// answerLoad counts the usage of an op's volume and returns the load report of its answer.
+// answerLoad counts the usage of an op's volume and returns the load report for its answer.
 func (s *Server) answerLoad(c *target.Command) nvme.Load {
 	units := s.units(c)
 	report := s.load
@@ -158,5 +162,5 @@
 	return report
 }
 
-// clampUint16 is a number as a uint16, at its bounds where it is beyond.
+// clampUint16 converts a number to uint16. Numbers outside the range become the nearest bound.
 func clampUint16(x float64) uint16 { return uint16(min(max(x, 0), math.MaxUint16)) }
--- a/fake/disk/storage.go
+++ b/fake/disk/storage.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// storage is the blocks that were written.
+// storage holds the blocks that have been written.
 type storage struct {
 	blockSize int // bytes
 	blocks    map[blockID][]byte
@@ -17,7 +17,7 @@
 	return &storage{blockSize: blockSize, blocks: map[blockID][]byte{}}
 }
 
-// write stores blocks from lba on.
+// write stores data in consecutive blocks that start at lba. The size of data is a multiple of the block size.
 func (s *storage) write(nsid uint32, lba uint64, data []byte) {
 	for at := 0; at < len(data); at += s.blockSize {
 		id := blockID{nsid, lba + uint64(at/s.blockSize)}
@@ -25,7 +25,7 @@
 	}
 }
 
-// read fills data with blocks from lba on.
+// read fills data with consecutive blocks that start at lba. The size of data is a multiple of the block size.
 func (s *storage) read(nsid uint32, lba uint64, data []byte) {
 	for at := 0; at < len(data); at += s.blockSize {
 		id := blockID{nsid, lba + uint64(at/s.blockSize)}
@@ -37,7 +37,8 @@
 	}
 }
 
-// Fill writes what a block has before its first write: its namespace and number, again and again.
+// Fill writes the initial content of a block: its namespace ID and its LBA, repeated. A server returns this content for
+// a block that has never been written.
 func Fill(block []byte, nsid uint32, lba uint64) {
 	const patternSize = 16
 	for at := 0; at+patternSize <= len(block); at += patternSize {
--- a/fake/disk/usage.go
+++ b/fake/disk/usage.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// volumeUsage is what a server has served of each volume, and what each host knows of that.
+// volumeUsage counts the units that a server has served for each volume, and how many of them each host has been told
+// about.
 type volumeUsage struct {
-	served map[uint32]float64     // units, by nsid
-	known  map[volumeHost]float64 // of served, as of the host's last answer
+	served   map[uint32]float64     // units, by nsid
+	reported map[volumeHost]float64 // value of served at the time of the last answer to the host
 }
 
 type volumeHost struct {
@@ -14,47 +15,49 @@
 }
 
 func newVolumeUsage() volumeUsage {
-	return volumeUsage{served: map[uint32]float64{}, known: map[volumeHost]float64{}}
+	return volumeUsage{served: map[uint32]float64{}, reported: map[volumeHost]float64{}}
 }
 
-// servedElsewhere counts units that a host is served, and returns the units of the volume that others were served since
-// the host's last answer.
+// servedElsewhere counts units that are served to a host. It returns the units of the volume that were served to other
+// hosts since the last answer to this host.
 func (u *volumeUsage) servedElsewhere(nsid uint32, host string, units float64) float64 {
 	u.served[nsid] += units
 	key := volumeHost{nsid, host}
-	elsewhere := u.served[nsid] - u.known[key] - units
-	u.known[key] = u.served[nsid]
+	elsewhere := u.served[nsid] - u.reported[key] - units
+	u.reported[key] = u.served[nsid]
 	return elsewhere
 }
 
-// Meter counts what volumes are served by all servers that share it, on one loop, by periods.
+// Meter counts, for each period, the units that all servers sharing it serve for each volume. These servers run on one
+// loop.
 type Meter struct {
+	// Period is the length of a period; if it is 0, nothing is counted.
 	Period time.Duration
-	// Rate is the rate of a volume's plan, in units a second.
+	// Rate returns the rate of a volume's plan, in units per second.
 	Rate func(nsid uint32) float64
 
-	number   int64 // of the present period
-	present  map[uint32]float64
-	previous map[uint32]float64 // nil: nothing was served in it
+	periodNumber int64              // of the current period
+	current      map[uint32]float64 // units, by nsid
+	previous     map[uint32]float64 // nil if nothing was served in the previous period
 }
 
-// maxUsagePercent is the largest usage that Record returns, less the 1 that it adds.
+// maxUsagePercent limits the percentage, so that the result of Record, which is 1 larger, fits in 16 bits.
 const maxUsagePercent = 65534
 
-// Record counts units and returns 1 + the percentage of its rate that the volume was served in the previous period; 0:
-// it is not known.
+// Record counts units that are served for a volume at a time of the loop's clock. It returns 1 + the usage of the
+// volume in the previous period, as a percentage of its plan's rate, or 0 if that usage is unknown.
 func (m *Meter) Record(at time.Duration, nsid uint32, units float64) int {
 	if m.Period <= 0 {
 		return 0
 	}
-	if number := int64(at / m.Period); number != m.number || m.present == nil {
-		m.previous = m.present
-		if number != m.number+1 {
+	if periodNumber := int64(at / m.Period); periodNumber != m.periodNumber || m.current == nil {
+		m.previous = m.current
+		if periodNumber != m.periodNumber+1 {
 			m.previous = nil
 		}
-		m.number, m.present = number, map[uint32]float64{}
+		m.periodNumber, m.current = periodNumber, map[uint32]float64{}
 	}
-	m.present[nsid] += units
+	m.current[nsid] += units
 	rate := m.Rate(nsid)
 	if rate <= 0 || m.previous == nil {
 		return 0
