--- a/fake/disk/usage.go
+++ b/fake/disk/usage.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// volumeUsage counts the units that a server has served for each volume, and how many of them each host has been told
-// about.
+// volumeUsage counts the units that a server has served for each volume, and how many of them have been reported to
+// each host.
 type volumeUsage struct {
 	served   map[uint32]float64     // units, by nsid
 	reported map[volumeHost]float64 // value of served at the time of the last answer to the host
@@ -38,7 +38,7 @@
 
 	periodNumber int64              // of the current period
 	current      map[uint32]float64 // units, by nsid
-	previous     map[uint32]float64 // nil if nothing was served in the previous period
+	previous     map[uint32]float64 // nil if nothing was counted in the previous period
 }
 
 // maxUsagePercent limits the percentage, so that the result of Record, which is 1 larger, fits in 16 bits.
--- a/fake/dns/answer.go
+++ b/fake/dns/answer.go
@@ -7,7 +7,7 @@
 	"github.com/miekg/dns"
 )
 
-// transport is how a query has come.
+// transport is the protocol over which a query arrived.
 type transport int
 
 const (
@@ -15,14 +15,14 @@
 	overTCP
 )
 
-// defaultUDPSize is the largest UDP message where a query names none (RFC 1035, 2.3.4).
+// defaultUDPSize is the size in bytes of the largest UDP reply if the query gives no size (RFC 1035, 2.3.4).
 const defaultUDPSize = 512
 
 func (s *Server) handler(from transport) dns.Handler {
 	return dns.HandlerFunc(func(w dns.ResponseWriter, query *dns.Msg) { s.answer(w, query, from) })
 }
 
-// answer answers a query, as the faults say. Failed writes are left to the client, which asks again.
+// answer answers a query, subject to the faults. Write errors are ignored because the client repeats its query.
 func (s *Server) answer(w dns.ResponseWriter, query *dns.Msg, from transport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,20 +41,20 @@
 	if from == overUDP {
 		reply.Truncate(maxUDPSize(query))
 	}
-	if s.OnAnswer != nil && query.Question[0].Qtype == dns.TypeSRV && s.isSound(reply) {
-		s.OnAnswer(s.answered())
+	if s.OnAnswer != nil && query.Question[0].Qtype == dns.TypeSRV && s.isValid(reply) {
+		s.OnAnswer(s.validRecords())
 	}
 	_ = w.WriteMsg(reply)
 }
 
-// malformedReply is a reply that ends early.
+// malformedReply returns a reply that is cut short.
 func malformedReply(query *dns.Msg) []byte {
 	reply := new(dns.Msg).SetReply(query)
-	b, _ := reply.Pack() // it was unpacked before
+	b, _ := reply.Pack() // cannot fail: the query was unpacked from a valid message
 	return append(b[:len(b)-3], 0xFF)
 }
 
-// reply is the reply to a query. The caller holds mu.
+// reply builds the reply to a query. The caller holds mu.
 func (s *Server) reply(query *dns.Msg, from transport) *dns.Msg {
 	reply := new(dns.Msg).SetReply(query)
 	switch {
@@ -80,7 +80,7 @@
 	return reply
 }
 
-// maxUDPSize is the largest reply over UDP that a query allows.
+// maxUDPSize returns the size in bytes of the largest UDP reply that a query allows.
 func maxUDPSize(query *dns.Msg) int {
 	if option := query.IsEdns0(); option != nil {
 		return int(option.UDPSize())
@@ -88,14 +88,14 @@
 	return defaultUDPSize
 }
 
-// isSound reports whether a client may believe a reply. The caller holds mu.
-func (s *Server) isSound(reply *dns.Msg) bool {
+// isValid reports whether a client may use the content of a reply. The caller holds mu.
+func (s *Server) isValid(reply *dns.Msg) bool {
 	wrong := s.faults.OtherQuestion || s.faults.WrongID || s.faults.Empty
 	return !wrong && !reply.Truncated && reply.Rcode != dns.RcodeServerFailure
 }
 
-// answered is the records that a valid reply has. The caller holds mu.
-func (s *Server) answered() []Record {
+// validRecords returns the records that a valid reply contains. The caller holds mu.
+func (s *Server) validRecords() []Record {
 	if s.faults.NameError {
 		return nil
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// addressRecord is the A or AAAA record of a target.
+// addressRecord returns the A or AAAA record of a target.
 func (s *Server) addressRecord(r Record) dns.RR {
 	ip := net.ParseIP(r.IP)
 	if strings.Contains(r.IP, ":") {
--- a/fake/dns/server.go
+++ b/fake/dns/server.go
@@ -1,8 +1,9 @@
-// Package dns is a fake name server: SRV, A and AAAA records of one name over UDP and TCP. It can truncate, fail,
-// give wrong answers and be silent on command. It caches and resolves nothing, and must not be used but by tests.
+// Package dns is a fake name server, for use in tests, fault tests and benchmarks only. It serves the SRV, A and AAAA
+// records of one name over UDP and TCP. On request it truncates answers, fails queries, gives wrong answers or does not
+// answer. It has no cache and does not resolve other names.
 //
-// The methods of a Server may be called from any goroutine. Queries are answered on goroutines of the DNS library,
-// one at a time; Close ends them.
+// The methods of a Server may be called from any goroutine. Queries are answered on goroutines of the DNS library, one
+// at a time; Close ends them.
 package dns
 
 import (
@@ -16,43 +17,45 @@
 	"github.com/miekg/dns"
 )
 
-// Record is one disk server as DNS has it.
+// Record is the DNS data of one disk server.
 type Record struct {
-	Target   string // fully qualified
-	IP       string // of the target; empty: it has no address
+	Target   string // fully qualified host name
+	IP       string // address of the target; empty if it has none
 	Port     uint16
 	Priority uint16
 	Weight   uint16
 }
 
-// Faults are what is wrong with a server now. Of several that exclude each other the first acts.
+// Faults are the faults that a server injects. If several of them exclude each other, the first in this list takes
+// effect.
 type Faults struct {
-	// Silent answers nothing.
+	// Silent makes the server answer no query.
 	Silent bool
-	// NoTCP closes TCP connections at once.
+	// NoTCP makes the server close a TCP connection when a query arrives on it.
 	NoTCP bool
-	// Malformed answers with a message that ends early.
+	// Malformed makes the server answer with a message that is cut short.
 	Malformed bool
-	// Truncate sends nothing over UDP but a message with the TC flag.
+	// Truncate makes the server answer over UDP with the TC flag and without records.
 	Truncate bool
-	// Rcode, where not 0, is the response code, without records.
+	// Rcode, if not 0, is the response code of answers, which then have no records.
 	Rcode int
-	// Empty answers NOERROR without records or an SOA: an answer that is empty by mistake.
+	// Empty makes the server answer NOERROR without records and without an SOA, as a faulty server does.
 	Empty bool
-	// NameError answers NXDOMAIN with the SOA: there is no such name.
+	// NameError makes the server answer NXDOMAIN with the SOA, as if the name did not exist.
 	NameError bool
 
-	// NoAdditional leaves addresses out of the additional section.
+	// NoAdditional makes the server omit addresses from the additional section.
 	NoAdditional bool
-	// OtherQuestion answers another question than was asked.
+	// OtherQuestion makes the server answer with a question section that differs from the query's.
 	OtherQuestion bool
-	// WrongID answers with another message id.
+	// WrongID makes the server answer with a message ID that differs from the query's.
 	WrongID bool
 }
 
-// Server is one fake name server.
+// Server is a fake name server.
 type Server struct {
-	// OnAnswer, where set before the first query, is called with the records of each valid answer to a query for SRV.
+	// OnAnswer, if set, is called with the records of each valid answer to an SRV query. It must be set before the
+	// first query.
 	OnAnswer func([]Record)
 
 	name    string
@@ -60,14 +63,14 @@
 	tcp     *dns.Server
 	address string
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	records []Record
 	ttl     uint32 // seconds
 	faults  Faults
 	queries int
 }
 
-// New serves the records of a name on one loopback port, UDP and TCP.
+// New starts a server for the records of name, over UDP and TCP on the same free port of the loopback address.
 func New(name string) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,35 +89,35 @@
 	return s, nil
 }
 
-// serve serves until Close.
+// serve answers queries until Close.
 func serve(server *dns.Server) {
-	_ = server.ActivateAndServe() // clients see a socket that fails
+	_ = server.ActivateAndServe() // if it fails, queries of the clients fail too
 }
 
-// Address is where it serves, over UDP and TCP.
+// Address returns the address on which the server listens, over UDP and TCP.
 func (s *Server) Address() string { return s.address }
 
-// Close ends it.
+// Close stops the server.
 func (s *Server) Close() {
-	_ = s.udp.Shutdown() // fails where it was closed before
+	_ = s.udp.Shutdown() // fails if the server was closed before
 	_ = s.tcp.Shutdown()
 }
 
-// SetRecords sets the records and their time to live in seconds.
+// SetRecords replaces the records and sets their time to live in seconds.
 func (s *Server) SetRecords(ttl uint32, records []Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ttl, s.records = ttl, slices.Clone(records) // the caller may change its own
+	s.ttl, s.records = ttl, slices.Clone(records) // the caller may change its slice later
 }
 
-// SetFaults sets what is wrong with answers from now on.
+// SetFaults replaces the faults of the server.
 func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Queries is how many queries have come.
+// Queries returns the number of queries received.
 func (s *Server) Queries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fake/dns/server_test.go
+++ b/fake/dns/server_test.go
@@ -10,10 +10,10 @@
 
 const (
 	zone = "disks.example."
-	// queryTimeout is how long a query waits for an answer that comes.
+	// queryTimeout limits the wait for an answer that is expected.
 	queryTimeout = 5 * time.Second
-	// silence is how long a query waits where no answer is to come.
-	silence = 100 * time.Millisecond
+	// noReplyTimeout limits the wait of a query for which no answer is expected.
+	noReplyTimeout = 100 * time.Millisecond
 )
 
 var testRecords = []Record{
@@ -32,14 +32,14 @@
 	return s
 }
 
-// query asks for records over "udp" or "tcp".
+// query queries records over the given network, "udp" or "tcp".
 func query(s *Server, network, name string, rrType uint16, timeout time.Duration) (*dns.Msg, error) {
 	client := &dns.Client{Net: network, Timeout: timeout}
 	reply, _, err := client.Exchange(new(dns.Msg).SetQuestion(name, rrType), s.Address())
 	return reply, err
 }
 
-// TestRecords asks for each type of record over UDP and TCP.
+// TestRecords checks that queries for each type of record are answered over UDP and TCP.
 func TestRecords(t *testing.T) {
 	s := newTestServer(t)
 	for name, c := range map[string]struct {
@@ -66,18 +66,19 @@
 	}
 }
 
-// expectRecords checks how many records a reply has in its sections; one without an answer has an SOA.
+// expectRecords checks the number of records in the answer and additional sections of a reply. Only a reply without
+// answer records has an SOA.
 func expectRecords(t *testing.T, reply *dns.Msg, answer, extra int) {
 	t.Helper()
 	if len(reply.Answer) != answer || len(reply.Extra) != extra {
-		t.Errorf("%v", reply)
+		t.Errorf("wrong number of records in the answer or additional section: %v", reply)
 	}
 	if hasSOA := len(reply.Ns) == 1; hasSOA != (answer == 0) {
-		t.Errorf("%d records in the authority section", len(reply.Ns))
+		t.Errorf("%d records in the authority section, want 1 if and only if there is no answer", len(reply.Ns))
 	}
 }
 
-// TestSRV checks the fields of an SRV record.
+// TestSRV checks that the fields of an SRV record are those that were set.
 func TestSRV(t *testing.T) {
 	s := newTestServer(t)
 	reply, err := query(s, "udp", zone, dns.TypeSRV, queryTimeout)
@@ -86,15 +87,15 @@
 	}
 	srv, ok := reply.Answer[0].(*dns.SRV)
 	if !ok {
-		t.Fatalf("%v", reply.Answer[0])
+		t.Fatalf("the first answer is %v, want an SRV record", reply.Answer[0])
 	}
 	got := Record{Target: srv.Target, IP: "127.0.0.1", Port: srv.Port, Priority: srv.Priority, Weight: srv.Weight}
 	if got != testRecords[0] || srv.Hdr.Ttl != 7 {
-		t.Errorf("%v", srv)
+		t.Errorf("the SRV record is %v, which differs from the record that was set", srv)
 	}
 }
 
-// TestFaults has each fault change the reply to a query over UDP.
+// TestFaults checks how each fault changes the reply to a query over UDP.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults Faults
@@ -125,13 +126,13 @@
 				t.Fatal(err)
 			}
 			if !c.want(reply) {
-				t.Errorf("%v", reply)
+				t.Errorf("the reply does not show the fault: %v", reply)
 			}
 		})
 	}
 }
 
-// TestNoReply has faults by which a query has no reply that the client takes.
+// TestNoReply checks the faults after which the client receives no reply, or one that it ignores.
 func TestNoReply(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults  Faults
@@ -144,24 +145,24 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestServer(t)
 			s.SetFaults(c.faults)
-			if reply, err := query(s, c.network, zone, dns.TypeSRV, silence); err == nil {
-				t.Errorf("%v", reply)
+			if reply, err := query(s, c.network, zone, dns.TypeSRV, noReplyTimeout); err == nil {
+				t.Errorf("the client accepted the reply %v, want an error", reply)
 			}
 			if n := s.Queries(); n != 1 {
-				t.Errorf("%d queries", n)
+				t.Errorf("%d queries were counted, want 1", n)
 			}
 		})
 	}
 }
 
-// TestOnAnswer is called for sound answers to queries for SRV alone.
+// TestOnAnswer checks that OnAnswer is called for valid answers to SRV queries only.
 func TestOnAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults Faults
 		rrType uint16
-		want   []int // numbers of records, one for each call
+		want   []int // the number of records of each call
 	}{
-		"sound":          {Faults{}, dns.TypeSRV, []int{2}},
+		"no faults":      {Faults{}, dns.TypeSRV, []int{2}},
 		"name error":     {Faults{NameError: true}, dns.TypeSRV, []int{0}},
 		"address":        {Faults{}, dns.TypeA, nil},
 		"truncated":      {Faults{Truncate: true}, dns.TypeSRV, nil},
@@ -170,37 +171,38 @@
 		"other question": {Faults{OtherQuestion: true}, dns.TypeSRV, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := answersTold(t, c.faults, c.rrType); !slices.Equal(got, c.want) {
-				t.Errorf("answers of %v records, want %v", got, c.want)
+			if got := onAnswerCounts(t, c.faults, c.rrType); !slices.Equal(got, c.want) {
+				t.Errorf("OnAnswer was called with %v records, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// answersTold is the numbers of records with which OnAnswer is called for one query.
-func answersTold(t *testing.T, faults Faults, rrType uint16) []int {
+// onAnswerCounts returns the number of records of each call of OnAnswer for one query.
+func onAnswerCounts(t *testing.T, faults Faults, rrType uint16) []int {
 	t.Helper()
 	s := newTestServer(t)
-	told := make(chan int, 10)
-	s.OnAnswer = func(records []Record) { told <- len(records) }
+	counts := make(chan int, 10)
+	s.OnAnswer = func(records []Record) { counts <- len(records) }
 	s.SetFaults(faults)
 	if _, err := query(s, "udp", zone, rrType, queryTimeout); err != nil {
 		t.Fatal(err)
 	}
 	var numbers []int
-	for len(told) > 0 {
-		numbers = append(numbers, <-told)
+	for len(counts) > 0 {
+		numbers = append(numbers, <-counts)
 	}
 	return numbers
 }
 
-// TestMalformed has a reply that ends early: it can't be read, or has another question.
+// TestMalformed checks that the client cannot take a malformed reply for a valid one: unpacking fails, or the question
+// differs.
 func TestMalformed(t *testing.T) {
 	s := newTestServer(t)
 	s.SetFaults(Faults{Malformed: true})
 	reply, err := query(s, "udp", zone, dns.TypeSRV, queryTimeout)
 	asked := dns.Question{Name: zone, Qtype: dns.TypeSRV, Qclass: dns.ClassINET}
 	if err == nil && len(reply.Question) == 1 && reply.Question[0] == asked {
-		t.Errorf("%v", reply)
+		t.Errorf("a malformed reply was unpacked with the question of the query: %v", reply)
 	}
 }
