--- a/fake/etcd/client_test.go
+++ b/fake/etcd/client_test.go
@@ -10,13 +10,13 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout limits the duration of a test.
 const testTimeout = 20 * time.Second
 
-// prefix is the prefix of the keys that are watched.
+// prefix is the prefix of the watched keys.
 const prefix = "/n/"
 
-// testbed is a fake with etcd's own Go client.
+// testbed is a fake etcd server and a client of etcd's Go client library.
 type testbed struct {
 	*testing.T
 	server *Server
@@ -45,7 +45,7 @@
 	return &testbed{T: t, server: s, client: c, ctx: ctx}
 }
 
-// put puts a value and returns the revision.
+// put sets the value of a key and returns the revision.
 func (b *testbed) put(key, value string) int64 {
 	b.Helper()
 	r, err := b.client.Put(b.ctx, key, value)
@@ -55,7 +55,7 @@
 	return r.Header.Revision
 }
 
-// putThree puts two keys of the prefix and another, and returns the revision of the first.
+// putThree sets three keys with the prefix and then one without it. It returns the revision of the first.
 func (b *testbed) putThree() int64 {
 	b.Helper()
 	first := b.put("/n/a", "1")
@@ -76,7 +76,7 @@
 	return b.client.Watch(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(revision))
 }
 
-// events receives a number of events.
+// events receives exactly n events from a watch.
 func (b *testbed) events(watch clientv3.WatchChan, n int) []*clientv3.Event {
 	b.Helper()
 	var events []*clientv3.Event
@@ -88,12 +88,12 @@
 		events = append(events, r.Events...)
 	}
 	if len(events) > n {
-		b.Fatalf("%d events, want %d", len(events), n)
+		b.Fatalf("received %d events, want %d", len(events), n)
 	}
 	return events
 }
 
-// TestRange reads a prefix, with a limit and at an earlier revision.
+// TestRange checks a range over a prefix, with a limit and at an earlier revision.
 func TestRange(t *testing.T) {
 	b := newTestbed(t)
 	first := b.putThree()
@@ -102,29 +102,29 @@
 		t.Fatal(err)
 	}
 	if got.Count != 3 || len(got.Kvs) != 2 || !got.More || string(got.Kvs[0].Key) != "/n/a" {
-		t.Errorf("with a limit: %+v", got)
+		t.Errorf("range with a limit of 2: %+v, want the first 2 of 3 keys", got)
 	}
 	earlier, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(first))
 	if err != nil || len(earlier.Kvs) != 1 {
-		t.Errorf("at an earlier revision: %v, %+v", err, earlier)
+		t.Errorf("range at an earlier revision: error %v, response %+v, want 1 key", err, earlier)
 	}
 }
 
-// TestWatch watches a prefix from an earlier revision: it has the history, then each change.
+// TestWatch checks that a watch from an earlier revision receives the history and then each change.
 func TestWatch(t *testing.T) {
 	b := newTestbed(t)
 	watch := b.watch(b.putThree())
 	b.delete("/n/b")
 	events := b.events(watch, 4) // a, b and c put, b deleted
 	if !events[0].IsCreate() {
-		t.Errorf("the first event is no create: %v", events[0])
+		t.Errorf("the first event is %v, want the creation of a key", events[0])
 	}
 	if last := events[3]; last.Type != clientv3.EventTypeDelete || string(last.Kv.Key) != "/n/b" {
-		t.Errorf("the last event is %v", last)
+		t.Errorf("the last event is %v, want the deletion of /n/b", last)
 	}
 }
 
-// TestBreakWatches breaks a watch: the client goes on by itself from the revision it has.
+// TestBreakWatches checks that after BreakWatches the client resumes the watch without missing or repeating an event.
 func TestBreakWatches(t *testing.T) {
 	b := newTestbed(t)
 	watch := b.watch(b.putThree())
@@ -132,11 +132,11 @@
 	b.server.BreakWatches()
 	b.put("/n/d", "3")
 	if events := b.events(watch, 1); string(events[0].Kv.Key) != "/n/d" {
-		t.Errorf("after a break: %v", events)
+		t.Errorf("events after the break: %v, want the put of /n/d", events)
 	}
 }
 
-// TestCompact compacts the history: what is before is refused.
+// TestCompact checks that requests for compacted revisions are rejected.
 func TestCompact(t *testing.T) {
 	b := newTestbed(t)
 	first := b.putThree()
@@ -146,23 +146,23 @@
 		t.Fatal(err)
 	}
 	if _, err := b.client.Compact(b.ctx, last); !errors.Is(err, rpctypes.ErrCompacted) {
-		t.Errorf("a second compaction: %v", err)
+		t.Errorf("second compaction at the same revision: error %v, want ErrCompacted", err)
 	}
 	_, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(first))
 	if !errors.Is(err, rpctypes.ErrCompacted) {
-		t.Errorf("range at a compacted revision: %v", err)
+		t.Errorf("range at a compacted revision: error %v, want ErrCompacted", err)
 	}
 	r := <-b.watch(first)
 	if r.CompactRevision != last || !errors.Is(r.Err(), rpctypes.ErrCompacted) {
-		t.Errorf("watch from a compacted revision: %+v", r)
+		t.Errorf("watch from a compacted revision: %+v, want ErrCompacted with the compacted revision", r)
 	}
-	present, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(last))
-	if err != nil || len(present.Kvs) != 3 { // a, c and d
-		t.Errorf("range at the revision of the compaction: %v, %+v", err, present)
+	current, err := b.client.Get(b.ctx, prefix, clientv3.WithPrefix(), clientv3.WithRev(last))
+	if err != nil || len(current.Kvs) != 3 { // a, c and d
+		t.Errorf("range at the revision of the compaction: error %v, response %+v, want 3 keys", err, current)
 	}
 }
 
-// TestPutAll puts and deletes keys in one revision.
+// TestPutAll checks that PutAll puts and deletes keys in the same revision.
 func TestPutAll(t *testing.T) {
 	b := newTestbed(t)
 	first := b.putThree()
@@ -170,11 +170,11 @@
 	b.server.PutAll(map[string][]byte{"/n/a": nil, "/n/d": []byte("3")})
 	events := b.events(watch, 2)
 	if events[0].Kv.ModRevision != events[1].Kv.ModRevision {
-		t.Errorf("%v", events)
+		t.Errorf("the events have different revisions: %v", events)
 	}
 }
 
-// TestUnavailable has the server refuse calls until it is available again.
+// TestUnavailable checks that the server rejects calls until it is available again.
 func TestUnavailable(t *testing.T) {
 	b := newTestbed(t)
 	b.put("/n/a", "1")
@@ -188,7 +188,7 @@
 	b.put("/n/a", "3")
 }
 
-// TestSilent has a watch send nothing until it is not silent any more; nothing is lost.
+// TestSilent checks that a watch sends nothing while it is silent, and afterwards sends the events of that time.
 func TestSilent(t *testing.T) {
 	b := newTestbed(t)
 	watch := b.watch(b.put("/n/a", "1"))
@@ -197,16 +197,16 @@
 	b.put("/n/b", "2")
 	select {
 	case r := <-watch:
-		t.Errorf("while silent: %+v", r)
+		t.Errorf("a silent watch sent %+v", r)
 	case <-time.After(100 * time.Millisecond):
 	}
 	b.server.SetSilent(false)
 	if events := b.events(watch, 1); string(events[0].Kv.Key) != "/n/b" {
-		t.Errorf("%v", events)
+		t.Errorf("events after the silence: %v, want the put of /n/b", events)
 	}
 }
 
-// TestWatchDelay has a watch send each event later.
+// TestWatchDelay checks that a watch sends an event only after the delay.
 func TestWatchDelay(t *testing.T) {
 	const delay = 100 * time.Millisecond
 	b := newTestbed(t)
@@ -217,17 +217,17 @@
 	b.put("/n/b", "2")
 	b.events(watch, 1)
 	if took := time.Since(start); took < delay {
-		t.Errorf("an event after %v, with a delay of %v", took, delay)
+		t.Errorf("the event arrived after %v, want at least the delay of %v", took, delay)
 	}
 }
 
-// TestOnNotify is called with what a range and a watch send.
+// TestOnNotify checks that OnNotify is called with the keys and values that a watch sends.
 func TestOnNotify(t *testing.T) {
 	b := newTestbed(t)
 	notified := make(chan string, 10)
 	b.server.OnNotify = func(agent, key string, value []byte) {
 		if agent == "" {
-			t.Error("no user agent")
+			t.Error("OnNotify was called without a user agent")
 		}
 		notified <- key + "=" + string(value)
 	}
@@ -237,7 +237,7 @@
 	b.events(watch, 1)
 	for _, want := range []string{"/n/a=1", "/n/a="} {
 		if got := <-notified; got != want {
-			t.Errorf("notified of %s, want %s", got, want)
+			t.Errorf("OnNotify was called with %s, want %s", got, want)
 		}
 	}
 }
--- a/fake/etcd/kv.go
+++ b/fake/etcd/kv.go
@@ -15,7 +15,7 @@
 	errFutureRevision = status.Error(codes.OutOfRange, "etcdserver: mvcc: required revision is a future revision")
 )
 
-// Range reads the present state, or an earlier one.
+// Range returns key-value pairs of the current state or of an earlier one.
 func (s *Server) Range(ctx context.Context, r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	if r.Revision > 0 && r.Revision < s.store.compactRevision {
 		return nil, errCompacted
 	}
-	pairs := s.store.at(r.Revision)
+	pairs := s.store.stateAt(r.Revision)
 	keys := keysIn(pairs, keyRange{r.Key, r.RangeEnd})
 	out := &etcdserverpb.RangeResponse{Header: s.header(), Count: int64(len(keys))}
 	if r.Limit > 0 && int64(len(keys)) > r.Limit {
@@ -40,7 +40,7 @@
 	return out, nil
 }
 
-// Put sets a value.
+// Put sets the value of a key.
 func (s *Server) Put(_ context.Context, r *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	return &etcdserverpb.PutResponse{Header: s.header()}, nil
 }
 
-// DeleteRange removes the keys of a range.
+// DeleteRange removes the keys in a range.
 func (s *Server) DeleteRange(
 	_ context.Context, r *etcdserverpb.DeleteRangeRequest,
 ) (*etcdserverpb.DeleteRangeResponse, error) {
@@ -73,7 +73,7 @@
 	return out, nil
 }
 
-// Compact drops the history before a revision.
+// Compact discards the history before a revision.
 func (s *Server) Compact(
 	_ context.Context, r *etcdserverpb.CompactionRequest,
 ) (*etcdserverpb.CompactionResponse, error) {
--- a/fake/etcd/server.go
+++ b/fake/etcd/server.go
@@ -1,9 +1,9 @@
-// Package etcd is a fake etcd: KV Range, Put, DeleteRange and Compact and the Watch service, over the published gRPC
-// API, in memory. It can refuse calls, break, silence and delay watches on command. It has no leases, transactions or
-// authentication, keeps nothing on disk, and must not be used but by tests.
+// Package etcd is a fake etcd server, for use in tests, fault tests and benchmarks only. It implements Range, Put,
+// DeleteRange and Compact of the KV service and the Watch service of etcd's gRPC API. On request it rejects calls and
+// breaks, silences or delays watches. It keeps its data in memory and has no leases, transactions or authentication.
 //
-// The methods of a Server may be called from any goroutine. gRPC runs each call on a goroutine of its own; Close ends
-// all of them.
+// The methods of a Server may be called from any goroutine. gRPC runs each call on its own goroutine; Close ends all of
+// them.
 package etcd
 
 import (
@@ -22,10 +22,10 @@
 
 var errUnavailable = status.Error(codes.Unavailable, "fake etcd: out of service")
 
-// Server is one fake etcd.
+// Server is a fake etcd server.
 type Server struct {
-	// OnNotify, where set before the first call, is called with each key and value that a client is about to be sent;
-	// agent is the client's user agent. A key that was deleted has no value.
+	// OnNotify, if set, is called before a key and its value are sent to a client; agent is the client's user agent.
+	// The value of a deleted key is empty. OnNotify must be set before the first call.
 	OnNotify func(agent, key string, value []byte)
 
 	etcdserverpb.UnimplementedKVServer
@@ -33,22 +33,22 @@
 	server  *grpc.Server
 	address string
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	store   *store
 	changed chan struct{} // closed at the next change
-	breaks  chan struct{} // closed when watches break
+	broken  chan struct{} // closed to end all watches with an error
 	faults  faults
 }
 
-// faults is what is wrong with a server now.
+// faults are the faults that a server injects.
 type faults struct {
-	unavailable     bool // calls are refused
+	unavailable     bool // calls are rejected
 	silent          bool // watches stay open and send nothing
 	watchesWithheld bool // new watches are not created
 	watchDelay      time.Duration
 }
 
-// New serves at a loopback address, port 0 for any.
+// New starts a server on a loopback address; port 0 selects a free port.
 func New(address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -59,23 +59,23 @@
 		address: listener.Addr().String(),
 		store:   newStore(),
 		changed: make(chan struct{}),
-		breaks:  make(chan struct{}),
+		broken:  make(chan struct{}),
 	}
 	etcdserverpb.RegisterKVServer(s.server, s)
 	etcdserverpb.RegisterWatchServer(s.server, s)
 	go func() {
-		_ = s.server.Serve(listener) // until Close; clients see a listener that fails
+		_ = s.server.Serve(listener) // until Close; if it fails, calls of the clients fail too
 	}()
 	return s, nil
 }
 
-// Address is where it serves.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.address }
 
-// Close ends it with all its connections.
+// Close stops the server and closes all connections.
 func (s *Server) Close() { s.server.Stop() }
 
-// Set puts a value.
+// Set sets the value of a key.
 func (s *Server) Set(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// PutAll puts (or, without a value, deletes) many keys in one revision, as a transaction does.
+// PutAll changes many keys in one revision, as a transaction does. Keys with an empty value are deleted.
 func (s *Server) PutAll(values map[string][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,13 +100,13 @@
 	s.signalChange()
 }
 
-// signalChange has watches look for events. The caller holds mu.
+// signalChange wakes all watches, which then check for new events. The caller holds mu.
 func (s *Server) signalChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetUnavailable refuses every call and breaks all watches, until it is set to false.
+// SetUnavailable sets whether the server rejects every call. Setting it to true also ends all watches.
 func (s *Server) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,27 +116,28 @@
 	}
 }
 
-// BreakWatches ends all watches once.
+// BreakWatches ends all current watches with an error; clients may create new ones.
 func (s *Server) BreakWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endWatches()
 }
 
-// endWatches ends all watches. The caller holds mu.
+// endWatches ends all watches with an error. The caller holds mu.
 func (s *Server) endWatches() {
-	close(s.breaks)
-	s.breaks = make(chan struct{})
+	close(s.broken)
+	s.broken = make(chan struct{})
 }
 
-// CompactHistory drops the history before the present revision; watches from before it are cancelled.
+// CompactHistory discards the history before the current revision. Watches that are created with an earlier start
+// revision are cancelled.
 func (s *Server) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.compact(s.store.revision)
 }
 
-// SetSilent has watches stay open and send nothing, until it is set to false.
+// SetSilent sets whether watches send nothing. They stay open, and send the missing events when it is set to false.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +145,7 @@
 	s.signalChange()
 }
 
-// SetWithholdWatches has watches that are asked for from now on not created; their streams stay open, and answer
+// SetWithholdWatches sets whether the server ignores requests to create a watch. The streams stay open and answer
 // progress requests.
 func (s *Server) SetWithholdWatches(withhold bool) {
 	s.mu.Lock()
@@ -152,32 +153,32 @@
 	s.faults.watchesWithheld = withhold
 }
 
-// SetWatchDelay has watches send each event so much later.
+// SetWatchDelay sets the time by which watches delay each event.
 func (s *Server) SetWatchDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.watchDelay = delay
 }
 
-// notify calls OnNotify for the client of a call.
+// notify calls OnNotify, if set, with the user agent from the context of a call.
 func (s *Server) notify(ctx context.Context, key, value []byte) {
 	if s.OnNotify == nil {
 		return
 	}
-	md, _ := metadata.FromIncomingContext(ctx) // none: it has no user agent
+	md, _ := metadata.FromIncomingContext(ctx) // without metadata there is no user agent
 	if agents := md.Get("user-agent"); len(agents) > 0 {
 		agent, _, _ := strings.Cut(agents[0], " ")
 		s.OnNotify(agent, string(key), value)
 	}
 }
 
-// header is the header of responses. The caller holds mu.
+// header returns the header of a response. The caller holds mu.
 func (s *Server) header() *etcdserverpb.ResponseHeader {
 	return &etcdserverpb.ResponseHeader{ClusterId: 1, MemberId: 1, Revision: s.store.revision, RaftTerm: 1}
 }
 
-// presentHeader is header for callers that don't hold mu.
-func (s *Server) presentHeader() *etcdserverpb.ResponseHeader {
+// currentHeader is like header, for callers that do not hold mu.
+func (s *Server) currentHeader() *etcdserverpb.ResponseHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.header()
--- a/fake/etcd/store.go
+++ b/fake/etcd/store.go
@@ -9,14 +9,14 @@
 	"go.etcd.io/etcd/api/v3/mvccpb"
 )
 
-// store is the keys with their history.
+// store holds the key-value pairs and their history.
 type store struct {
 	revision int64
-	pairs    map[string]*mvccpb.KeyValue // the present state
-	events   []*mvccpb.Event             // since the compaction, in order of revision
+	pairs    map[string]*mvccpb.KeyValue // the current state
+	events   []*mvccpb.Event             // all events since the last compaction, in order of revision
 
-	compactRevision int64                       // revisions before are compacted away
-	compacted       map[string]*mvccpb.KeyValue // the state before events
+	compactRevision int64                       // earlier revisions are compacted
+	compacted       map[string]*mvccpb.KeyValue // the state before the first of events
 }
 
 func newStore() *store {
@@ -27,7 +27,7 @@
 	}
 }
 
-// put sets the value of a key in a revision of its own.
+// put sets the value of a key in a new revision.
 func (s *store) put(key string, value []byte) {
 	s.revision++
 	pair := &mvccpb.KeyValue{
@@ -44,7 +44,7 @@
 	s.events = append(s.events, &mvccpb.Event{Type: mvccpb.PUT, Kv: pair})
 }
 
-// remove removes a key in a revision of its own. It reports false, and does nothing, where there is no such key.
+// remove removes a key in a new revision. If the key does not exist, it does nothing and reports false.
 func (s *store) remove(key string) bool {
 	if s.pairs[key] == nil {
 		return false
@@ -56,7 +56,7 @@
 	return true
 }
 
-// putAll puts (or, without a value, removes) many keys in one revision.
+// putAll changes many keys in one new revision. Keys with an empty value are removed.
 func (s *store) putAll(values map[string][]byte) {
 	before := s.revision
 	for key, value := range values {
@@ -70,7 +70,7 @@
 	s.revision = before + 1
 }
 
-// compact drops the history before a revision.
+// compact discards the history before a revision.
 func (s *store) compact(revision int64) {
 	s.compactRevision = revision
 	first := s.firstEvent(revision)
@@ -80,13 +80,14 @@
 	s.events = slices.Clone(s.events[first:])
 }
 
-// firstEvent is the index of the first event of a revision or a later one.
+// firstEvent returns the index of the first event at or after a revision.
 func (s *store) firstEvent(revision int64) int {
 	return sort.Search(len(s.events), func(i int) bool { return s.events[i].Kv.ModRevision >= revision })
 }
 
-// at is the state at a revision that is not compacted away; 0: the present state. It must not be changed.
-func (s *store) at(revision int64) map[string]*mvccpb.KeyValue {
+// stateAt returns the state at a revision that has not been compacted; 0 means the current state. The caller must not
+// change the result.
+func (s *store) stateAt(revision int64) map[string]*mvccpb.KeyValue {
 	if revision <= 0 || revision >= s.revision {
 		return s.pairs
 	}
@@ -106,8 +107,8 @@
 	}
 }
 
-// keyRange is a range of keys as etcd's API gives it: without an end it is one key, with the end "\x00" all keys from
-// its start on.
+// keyRange is a range of keys as in etcd's API. Without an end it contains only the start key. With the end "\x00" it
+// contains all keys from the start on.
 type keyRange struct{ start, end []byte }
 
 func (r keyRange) contains(key []byte) bool {
@@ -120,7 +121,7 @@
 	return bytes.Compare(key, r.start) >= 0 && bytes.Compare(key, r.end) < 0
 }
 
-// keysIn are the keys of a state in a range, in order.
+// keysIn returns the keys of a state that are in a range, in ascending order.
 func keysIn(pairs map[string]*mvccpb.KeyValue, r keyRange) []string {
 	var keys []string
 	for key := range pairs {
--- a/fake/etcd/watch.go
+++ b/fake/etcd/watch.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// revisionsPerResponse is how many revisions one response covers at most.
+	// revisionsPerResponse is the maximum number of revisions that one response covers.
 	revisionsPerResponse = 1000
-	// progressWatchID is the id in responses that concern all watches of a stream.
+	// progressWatchID is the watch ID in responses that concern all watches of a stream.
 	progressWatchID = -1
 )
 
-// watchStream is one call of Watch. A goroutine receives its requests, and each of its watches has a goroutine that
-// sends; all end with the call's context, which ends when Watch returns.
+// watchStream is one call of Watch. One goroutine receives its requests, and one goroutine for each watch sends events.
+// All of them end with the call's context, which is cancelled when Watch returns.
 type watchStream struct {
 	server *Server
 	stream etcdserverpb.Watch_WatchServer
 	ctx    context.Context
-	ended  chan error // the first result
+	ended  chan error // the result of the call; holds the first one only
 	sendMu sync.Mutex // held while a response is sent
 
-	// Of the goroutine that receives:
+	// Used by the receiving goroutine only:
 	watches map[int64]*watch
 	nextID  int64
 }
 
-// Watch serves one stream of watches.
+// Watch serves one watch stream until the client ends it or a fault does.
 func (s *Server) Watch(stream etcdserverpb.Watch_WatchServer) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
@@ -45,7 +45,7 @@
 	return <-ws.ended
 }
 
-// end ends the stream; calls after the first do nothing.
+// end ends the stream with a result. Calls after the first have no effect.
 func (ws *watchStream) end(err error) {
 	select {
 	case ws.ended <- err:
@@ -59,7 +59,7 @@
 	return ws.stream.Send(r)
 }
 
-// receive serves the requests of the stream until the client ends it.
+// receive handles the requests of the stream until the client ends the stream.
 func (ws *watchStream) receive() {
 	for {
 		r, err := ws.stream.Recv()
@@ -94,21 +94,21 @@
 	}
 	w.cancel()
 	delete(ws.watches, id)
-	_ = ws.send(&etcdserverpb.WatchResponse{ // a stream that has broken ends by itself
-		Header:   ws.server.presentHeader(),
+	_ = ws.send(&etcdserverpb.WatchResponse{ // if it fails, receive fails too and ends the stream
+		Header:   ws.server.currentHeader(),
 		WatchId:  id,
 		Canceled: true,
 	})
 }
 
-// sendProgress answers a progress request: as etcd promises, nothing up to the revision that it names is still to be
+// sendProgress answers a progress request. As etcd guarantees, all events up to the revision in the response have been
 // sent on this stream.
 func (ws *watchStream) sendProgress() {
-	header := ws.server.presentHeader()
+	header := ws.server.currentHeader()
 	for _, w := range ws.watches {
 		header.Revision = min(header.Revision, w.sentUpTo.Load())
 	}
-	// A stream that has broken ends by itself.
+	// If sending fails, receive fails too and ends the stream.
 	_ = ws.send(&etcdserverpb.WatchResponse{Header: header, WatchId: progressWatchID})
 }
 
@@ -119,11 +119,11 @@
 	request  *etcdserverpb.WatchCreateRequest
 	ctx      context.Context
 	cancel   context.CancelFunc
-	breaks   chan struct{} // closed when the watch breaks
+	broken   chan struct{} // closed to end the watch with an error
 	sentUpTo atomic.Int64  // the revision up to which all events have been sent
 }
 
-// run sends events until the watch is cancelled or breaks, or its stream ends.
+// run sends events until the watch is cancelled or broken, or its stream ends.
 func (w *watch) run() {
 	next, ok := w.open()
 	if !ok {
@@ -141,7 +141,7 @@
 		}
 		select {
 		case <-batch.changed:
-		case <-w.breaks:
+		case <-w.broken:
 			w.stream.end(errUnavailable)
 			return
 		case <-w.ctx.Done():
@@ -150,12 +150,12 @@
 	}
 }
 
-// open creates the watch and returns the revision from which it sends events. It reports false where there is none, or
-// its history is compacted away.
+// open creates the watch and returns the revision from which it sends events. It reports false if the watch was not
+// created, or if its start revision is compacted.
 func (w *watch) open() (next int64, ok bool) {
 	s := w.stream.server
 	s.mu.Lock()
-	w.breaks = s.breaks
+	w.broken = s.broken
 	faults, header, compactRevision := s.faults, s.header(), s.store.compactRevision
 	s.mu.Unlock()
 	if faults.unavailable {
@@ -174,7 +174,7 @@
 	case next == 0:
 		next = header.Revision + 1
 	case next > 0 && next < compactRevision:
-		_ = w.stream.send(&etcdserverpb.WatchResponse{ // a stream that has broken ends by itself
+		_ = w.stream.send(&etcdserverpb.WatchResponse{ // if it fails, receive fails too and ends the stream
 			Header:          header,
 			WatchId:         w.id,
 			Canceled:        true,
@@ -186,17 +186,17 @@
 	return next, true
 }
 
-// watchBatch is what a watch sends in one response.
+// watchBatch holds the events that a watch sends in one response.
 type watchBatch struct {
 	response *etcdserverpb.WatchResponse
-	next     int64         // the revision that follows
-	more     bool          // there are events from next on
+	next     int64         // the first revision after the batch
+	more     bool          // there are events at next or later
 	changed  chan struct{} // closed at the next change
 	delay    time.Duration
 }
 
-// nextBatch collects events from a revision on. A long history is sent in pieces of revisionsPerResponse, each with the
-// present revision in its header.
+// nextBatch collects the events from a revision on. A batch covers at most revisionsPerResponse revisions, so a long
+// history takes several batches. The header of each has the current revision.
 func (w *watch) nextBatch(from int64) watchBatch {
 	s := w.stream.server
 	s.mu.Lock()
@@ -224,8 +224,7 @@
 	return batch
 }
 
-// sendBatch sends the events of a batch, if there are any, after its delay. It reports false where the stream is
-// broken.
+// sendBatch sends the events of a batch, if there are any, after the delay. It reports false if sending fails.
 func (w *watch) sendBatch(batch watchBatch) bool {
 	events := batch.response.Events
 	if len(events) == 0 {
@@ -234,7 +233,7 @@
 	if batch.delay > 0 {
 		select {
 		case <-time.After(batch.delay):
-		case <-w.breaks:
+		case <-w.broken:
 		case <-w.ctx.Done():
 		}
 	}
