--- a/fake/resp/conn.go
+++ b/fake/resp/conn.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// lateDataDelay is the time from an answer to Faults.LateData.
+	// lateDataDelay is the time between building an answer and sending Faults.LateData.
 	lateDataDelay = 2 * time.Millisecond
-	// maxArguments is how many arguments of a command are looked at, its name included.
+	// maxArguments is the number of arguments of a command that are read, its name included.
 	maxArguments = 5
 )
 
-// commandLimits bound a command that comes.
+// commandLimits are the size limits of a received command.
 var commandLimits = resp.Limits{
 	Line:         64,
 	Bulk:         64 << 10,
@@ -25,28 +25,28 @@
 	CommandsOnly: true,
 }
 
-// conn is a connection of a client. It runs on the loop.
+// conn is a client's connection. Its methods are called on the loop.
 type conn struct {
 	disk   *Disk
 	raw    *eventloop.Conn
 	number int
 	reader resp.Reader
 
-	answers     [][]byte // not sent yet, in the order of commands; nil: not ready
-	firstAnswer int      // number of the first of answers
-	nextAnswer  int      // number of the next command's
+	answers     [][]byte // not sent yet, in the order of commands; nil means not ready
+	firstAnswer int      // the number of the first entry of answers
+	nextAnswer  int      // the number of the answer to the next command
 }
 
 func newConn(disk *Disk, raw *eventloop.Conn, number int) *conn {
 	return &conn{disk: disk, raw: raw, number: number, reader: resp.Reader{Limits: commandLimits}}
 }
 
-// Opened and Closed are of eventloop.Handler.
+// Opened and Closed implement eventloop.Handler.
 func (c *conn) Opened(*eventloop.Conn) {}
 
 func (c *conn) Closed(*eventloop.Conn, error) {}
 
-// Input serves the commands that have come.
+// Input serves the received commands and returns the number of bytes used.
 func (c *conn) Input(_ *eventloop.Conn, b []byte) int {
 	used := 0
 	for used < len(b) {
@@ -63,7 +63,7 @@
 	return used
 }
 
-// arguments are the arguments of a command; those that it does not have are empty.
+// arguments returns the arguments of a command. Missing arguments are empty.
 func arguments(list []resp.Value) [maxArguments]string {
 	var args [maxArguments]string
 	for i := range min(len(list), maxArguments) {
@@ -72,7 +72,7 @@
 	return args
 }
 
-// serve answers a command. It reports false where the connection has ended.
+// serve answers a command, subject to the faults. It reports false if it has reset the connection.
 func (c *conn) serve(args [maxArguments]string) bool {
 	number := c.nextAnswer
 	c.nextAnswer++
@@ -107,16 +107,16 @@
 	loop.Schedule(loop.Now()+delay, f)
 }
 
-// faultsOf are the faults that a command meets.
+// faultsOf returns the faults that apply to a command.
 func (c *conn) faultsOf(command Command) Faults {
-	faults := c.disk.presentFaults()
+	faults := c.disk.currentFaults()
 	if faults.Class != "" && !strings.HasPrefix(command.Attributes, "c="+faults.Class+",") {
 		return Faults{}
 	}
 	return faults
 }
 
-// answer is the answer to a command.
+// answer builds the answer to a command.
 func (c *conn) answer(command Command, faults Faults) []byte {
 	switch command.Name {
 	case "BLK.READ", "BLK.WRITE":
@@ -131,7 +131,7 @@
 	return resp.AppendError(nil, "ERR unknown command")
 }
 
-// answerBlock is the answer to a read or a write: its value, usage and load report.
+// answerBlock builds the answer to a read or a write. Without faults it has the value, the usage and the load report.
 func (c *conn) answerBlock(command Command, faults Faults) []byte {
 	switch {
 	case faults.Fail:
@@ -157,7 +157,7 @@
 	return append(answer, faults.TrailingData...)
 }
 
-// appendBulkOrNull appends a bulk string, or null where the text is empty.
+// appendBulkOrNull appends text as a bulk string, or null if it is empty.
 func appendBulkOrNull(b []byte, text string) []byte {
 	if text == "" {
 		return resp.AppendNull(b)
@@ -165,9 +165,9 @@
 	return resp.AppendBulk(b, []byte(text))
 }
 
-// sendAnswer sends an answer once all before it are sent.
+// sendAnswer sends an answer when all answers before it have been sent.
 func (c *conn) sendAnswer(number int, answer []byte) {
-	if c.disk.presentFaults().HalfAnswer {
+	if c.disk.currentFaults().HalfAnswer {
 		c.raw.Output = append(c.raw.Output, answer[:len(answer)/2]...)
 		c.raw.CloseGracefully()
 		return
--- a/fake/resp/discovery.go
+++ b/fake/resp/discovery.go
@@ -14,11 +14,11 @@
 const (
 	// discoveryPath is the path of the endpoint list.
 	discoveryPath = "/discovery/hosts"
-	// heartbeatInterval is the time between empty lines of a watch on which nothing else is sent.
+	// heartbeatInterval is the time between the empty lines that a watch sends when it has nothing else to send.
 	heartbeatInterval = 2 * time.Second
 )
 
-// Member is an entry of the endpoint list.
+// Member is an entry in the endpoint list.
 type Member struct {
 	ID        string  `json:"id"`
 	Address   string  `json:"host_port"`
@@ -30,27 +30,27 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-// message is the complete list, or the members that have changed.
+// message is the complete endpoint list, or the members that have changed.
 type message struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Discovery is the platform's discovery: the endpoint list of disk servers, over HTTP.
+// Discovery is a fake of the platform's discovery service. It serves the endpoint list of disk servers over HTTP.
 type Discovery struct {
 	server  *http.Server
 	address string
 
-	mu       sync.Mutex // guards what follows
-	changed  *sync.Cond // of all that watches send
-	messages []message  // the n-th has revision n+1
+	mu       sync.Mutex // guards the fields below
+	changed  *sync.Cond // wakes the watches
+	messages []message  // messages[n] has revision n+1
 	rawLines []string   // sent as they are, after the messages
 	stopped  bool
-	watches  int // begun
+	watches  int // number of watches ever started
 }
 
-// NewDiscovery starts one on loopback with a first list.
+// NewDiscovery starts a discovery service on a free loopback port. Members are the initial list.
 func NewDiscovery(members ...Member) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,15 +63,15 @@
 	d.changed = sync.NewCond(&d.mu)
 	d.server = &http.Server{Handler: d}
 	go func() {
-		_ = d.server.Serve(listener) // until Stop; clients see a listener that fails
+		_ = d.server.Serve(listener) // until Stop; if it fails, calls of the clients fail too
 	}()
 	return d, nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the service listens.
 func (d *Discovery) Address() string { return d.address }
 
-// Stop closes it and ends all watches.
+// Stop stops the service and ends all watches.
 func (d *Discovery) Stop() {
 	_ = d.server.Close() // the listener is closed either way
 	d.mu.Lock()
@@ -80,7 +80,7 @@
 	d.changed.Broadcast()
 }
 
-// Change sends members that have changed to every watch.
+// Change adds members to the list, or replaces those with the same ID, and sends them to every watch.
 func (d *Discovery) Change(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +88,7 @@
 	d.changed.Broadcast()
 }
 
-// SendLine sends a line to every watch as it is.
+// SendLine sends a line, unchanged, to every watch.
 func (d *Discovery) SendLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,14 +96,15 @@
 	d.changed.Broadcast()
 }
 
-// Watches is how many watches were ever begun.
+// Watches returns the number of watches ever started.
 func (d *Discovery) Watches() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watches
 }
 
-// ServeHTTP answers a call: with the complete list, or, with stream=1, as a watch from a revision on.
+// ServeHTTP answers a request with the complete list. With stream=1, it serves a watch that starts after the revision
+// in the parameter index.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != discoveryPath {
 		http.NotFound(w, r)
@@ -119,7 +120,8 @@
 	d.watch(w, r)
 }
 
-// watch sends messages and lines until the client has gone or discovery stops. The caller holds mu.
+// watch sends messages and lines until the client disconnects or the service stops. It starts with the complete list if
+// the client's index is unknown. The caller holds mu.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
 	sentLines := len(d.rawLines)
 	sentMessages, ok := d.knownRevision(r.URL.Query().Get("index"))
@@ -145,7 +147,8 @@
 	}
 }
 
-// knownRevision is the revision of an index that a client names, if its messages are kept. The caller holds mu.
+// knownRevision returns the revision that a client gives as its index, and reports whether the service has reached it.
+// The caller holds mu.
 func (d *Discovery) knownRevision(index string) (int, bool) {
 	revision, err := strconv.ParseInt(index, 10, 64)
 	if err != nil || revision < 1 || revision > int64(len(d.messages)) {
@@ -154,13 +157,13 @@
 	return int(revision), true
 }
 
-// writeMessage writes a message. One that can't be written is dropped: its client has gone.
+// writeMessage writes a message. Errors are ignored because they mean that the client has disconnected.
 func writeMessage(w io.Writer, m message) { _ = json.NewEncoder(w).Encode(m) }
 
-// writeLine writes a line. One that can't be written is dropped: its client has gone.
+// writeLine writes a line. Errors are ignored because they mean that the client has disconnected.
 func writeLine(w io.Writer, line string) { _, _ = io.WriteString(w, line+"\n") }
 
-// completeList is the present list. The caller holds mu.
+// completeList returns the current list. The caller holds mu.
 func (d *Discovery) completeList() message {
 	list := message{Revision: int64(len(d.messages)), Complete: true}
 	index := map[string]int{} // in list.Members, by id
--- a/fake/resp/discovery_test.go
+++ b/fake/resp/discovery_test.go
@@ -20,7 +20,7 @@
 	return d
 }
 
-// get calls discovery until the test ends.
+// get sends a GET request, which is cancelled at the end of the test or after testTimeout.
 func get(t *testing.T, d *Discovery, path string) *http.Response {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -33,18 +33,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = r.Body.Close() }) // the call is cancelled either way
+	t.Cleanup(func() { _ = r.Body.Close() }) // the request is cancelled in any case
 	return r
 }
 
-// watch begins a watch behind a revision.
+// watch starts a watch after the revision in index.
 func watch(t *testing.T, d *Discovery, index string) *lines {
 	t.Helper()
 	r := get(t, d, discoveryPath+"?stream=1&index="+index)
 	return &lines{t, bufio.NewScanner(r.Body)}
 }
 
-// lines reads the lines of a watch that are not empty.
+// lines reads the lines of a watch and skips empty ones.
 type lines struct {
 	*testing.T
 	scanner *bufio.Scanner
@@ -56,14 +56,14 @@
 		if got := l.scanner.Text(); got == want {
 			return
 		} else if got != "" {
-			l.Fatalf("%s, want %s", got, want)
+			l.Fatalf("received line %s, want %s", got, want)
 		}
 	}
-	l.Fatalf("the watch has ended (%v), want %s", l.scanner.Err(), want)
+	l.Fatalf("the watch ended (error %v), want line %s", l.scanner.Err(), want)
 }
 
-// line is a message with one member of a phase for each id.
-func line(revision int, complete bool, phases ...string) string {
+// messageLine returns the line of a message whose members have the IDs a, b, ... and the given phases.
+func messageLine(revision int, complete bool, phases ...string) string {
 	var members []string
 	for i, phase := range phases {
 		members = append(members, fmt.Sprintf(`{"id":"%c","host_port":"","locality":"","flavor":"","cell":0,`+
@@ -72,7 +72,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// TestList has the complete list with all changes.
+// TestList checks that a request is answered with the complete list, including all changes.
 func TestList(t *testing.T) {
 	d := startDiscovery(t, Member{ID: "a", Phase: "up"}, Member{ID: "b", Phase: "up"})
 	d.Change(Member{ID: "b", Phase: "draining"}, Member{ID: "c", Phase: "up"})
@@ -81,63 +81,63 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := strings.TrimSpace(string(body)), line(2, true, "up", "draining", "up"); got != want {
-		t.Errorf("%s, want %s", got, want)
+	if got, want := strings.TrimSpace(string(body)), messageLine(2, true, "up", "draining", "up"); got != want {
+		t.Errorf("list is %s, want %s", got, want)
 	}
 	if n := d.Watches(); n != 0 {
-		t.Errorf("%d watches", n)
+		t.Errorf("%d watches were counted, want 0", n)
 	}
 }
 
-// TestWatch has a watch without an index begin with the complete list, then each change and each line.
+// TestWatch checks that a watch without an index sends the complete list, then each change and each line.
 func TestWatch(t *testing.T) {
 	d := startDiscovery(t, Member{ID: "a", Phase: "up"})
 	w := watch(t, d, "")
-	w.expect(line(1, true, "up"))
+	w.expect(messageLine(1, true, "up"))
 	d.Change(Member{ID: "a", Phase: "draining"})
-	w.expect(line(2, false, "draining"))
+	w.expect(messageLine(2, false, "draining"))
 	d.SendLine("anything")
 	w.expect("anything")
 	if n := d.Watches(); n != 1 {
-		t.Errorf("%d watches", n)
+		t.Errorf("%d watches were counted, want 1", n)
 	}
 }
 
-// TestWatchFromRevision has a watch with a known index begin with the changes behind it, and one with an unknown index
-// with the complete list.
+// TestWatchFromRevision checks that a watch with a known index starts with the changes after that revision, and a watch
+// with an unknown index starts with the complete list.
 func TestWatchFromRevision(t *testing.T) {
 	d := startDiscovery(t, Member{ID: "a", Phase: "up"})
 	d.Change(Member{ID: "a", Phase: "draining"})
 	d.Change(Member{ID: "a", Phase: "removed"})
 	known := watch(t, d, "1")
-	known.expect(line(2, false, "draining"))
-	known.expect(line(3, false, "removed"))
+	known.expect(messageLine(2, false, "draining"))
+	known.expect(messageLine(3, false, "removed"))
 	for _, index := range []string{"0", "4", "x"} {
-		watch(t, d, index).expect(line(3, true, "removed"))
+		watch(t, d, index).expect(messageLine(3, true, "removed"))
 	}
 }
 
-// TestStop ends watches and refuses calls.
+// TestStop checks that Stop ends watches and that later requests fail.
 func TestStop(t *testing.T) {
 	d := startDiscovery(t, Member{ID: "a", Phase: "up"})
 	w := watch(t, d, "")
-	w.expect(line(1, true, "up"))
+	w.expect(messageLine(1, true, "up"))
 	d.Stop()
 	for w.scanner.Scan() {
 		if text := w.scanner.Text(); text != "" {
-			t.Errorf("after Stop: %s", text)
+			t.Errorf("a watch sent %s after Stop", text)
 		}
 	}
 	if r, err := http.Get("http://" + d.Address() + discoveryPath); err == nil {
 		_ = r.Body.Close()
-		t.Error("a call is answered after Stop")
+		t.Error("a request was answered after Stop")
 	}
 }
 
-// TestOtherPath is not found.
-func TestOtherPath(t *testing.T) {
+// TestUnknownPath checks that a request for an unknown path is answered with 404.
+func TestUnknownPath(t *testing.T) {
 	d := startDiscovery(t)
 	if r := get(t, d, "/"); r.StatusCode != http.StatusNotFound {
-		t.Errorf("status %d", r.StatusCode)
+		t.Errorf("status is %d, want 404", r.StatusCode)
 	}
 }
--- a/fake/resp/disk.go
+++ b/fake/resp/disk.go
@@ -1,8 +1,9 @@
-// Package resp is a fake of the platform: disk servers that speak its RESP2 commands, with faults, and its discovery.
-// It knows nothing of the scheduler, stores no data, and must not be used but by tests and benchmarks.
+// Package resp is a fake of the platform, for use in tests and benchmarks only. It has disk servers that speak the
+// platform's RESP2 commands and inject faults, and the platform's discovery service. It does not depend on the
+// scheduler and stores no data.
 //
-// The methods of Disk and Discovery may be called from any goroutine. A Disk has an event loop on a goroutine of its
-// own, a Discovery an HTTP server; Stop ends them.
+// The methods of Disk and Discovery may be called from any goroutine. A Disk runs an event loop on its own goroutine, a
+// Discovery runs an HTTP server. Stop ends them.
 package resp
 
 import (
@@ -16,51 +17,53 @@
 	"honeyplank/eventloop"
 )
 
-// Faults are what a disk server does instead of, or beside, serving.
+// Faults are the faults that a disk server injects.
 type Faults struct {
-	// Delay is the time before each answer.
+	// Delay is the time between a command and its answer.
 	Delay time.Duration
-	// Fail answers with an error that makes no promise, Busy with the promise that nothing ran.
+	// Fail makes the server answer with an error that leaves open whether the command was executed. Busy makes it
+	// answer with an error that guarantees that the command was not executed.
 	Fail, Busy bool
-	// Silent answers nothing.
+	// Silent makes the server answer no read or write.
 	Silent bool
-	// ResetOnCommand resets the connection once a command has come.
+	// ResetOnCommand makes the server reset the connection when it receives a read or a write.
 	ResetOnCommand bool
-	// HalfAnswer sends half an answer and closes the connection.
+	// HalfAnswer makes the server send half of an answer and close the connection. It applies to every answer that is
+	// due while it is set, also to commands of other classes than Class.
 	HalfAnswer bool
-	// Malformed is sent in place of an answer; the connection stays open.
+	// Malformed is sent in place of an answer. The connection stays open.
 	Malformed string
-	// TrailingData is sent right behind an answer, LateData a moment later.
+	// TrailingData is sent immediately after an answer, LateData a short time later (lateDataDelay).
 	TrailingData, LateData string
-	// Value is the value of an answer; empty: that of the function Value.
+	// Value is the value in an answer. If it is empty, the result of the function Value is sent.
 	Value string
-	// LoadReport and Usage are those of an answer; empty: null.
+	// LoadReport and Usage are sent in an answer, or null if they are empty.
 	LoadReport, Usage string
-	// Class, where set, is the class of the commands that meet the faults; others are served.
+	// Class, if set, limits the other faults to commands of this class.
 	Class string
 }
 
-// Command is a complete command.
+// Command is a command that has been received completely.
 type Command struct {
 	Name, Piece, ID, Attributes string
 	Body                        []byte
 	At                          time.Time
-	Conn                        int // number of the connection on which it came, from 0
+	Conn                        int // number of the connection on which it was received, from 0
 }
 
-// Disk is one fake disk server.
+// Disk is a fake disk server.
 type Disk struct {
 	loop    *eventloop.Loop
 	address string
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	faults   Faults
 	commands []Command
-	opened   int // connections
-	conns    map[*conn]bool
+	opened   int            // number of connections ever opened
+	conns    map[*conn]bool // open connections
 }
 
-// NewDisk starts a disk server at an address of loopback, port 0 for any.
+// NewDisk starts a disk server on a loopback address; port 0 selects a free port.
 func NewDisk(address string) (*Disk, error) {
 	l, err := eventloop.New(time.Minute)
 	if err != nil {
@@ -74,28 +77,28 @@
 	}
 	d.address = listener.Address()
 	go func() {
-		_ = l.Run() // until Stop; clients see a loop that ends before
+		_ = l.Run() // until Stop; if it fails, connections of the clients fail too
 	}()
 	return d, nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the server listens.
 func (d *Disk) Address() string { return d.address }
 
-// SetFaults sets the faults of the commands that come from now on.
+// SetFaults sets the faults that apply to commands received from now on.
 func (d *Disk) SetFaults(faults Faults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = faults
 }
 
-func (d *Disk) presentFaults() Faults {
+func (d *Disk) currentFaults() Faults {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.faults
 }
 
-// Commands are all reads and writes that have come, in order.
+// Commands returns all reads and writes received, in order of arrival.
 func (d *Disk) Commands() []Command {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,17 +111,17 @@
 	d.commands = append(d.commands, command)
 }
 
-// Connections is how many connections are open, and how many were ever opened.
+// Connections returns the number of open connections and the number of connections ever opened.
 func (d *Disk) Connections() (open, opened int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.conns), d.opened
 }
 
-// Stop ends the server as the death of its process does: connections break, new ones are refused.
+// Stop ends the server as if its process had been killed: connections break and new ones are refused.
 func (d *Disk) Stop() { d.loop.Post(d.loop.Stop) }
 
-// CloseConnections closes all connections in order, as a disk server does with idle ones.
+// CloseConnections closes all connections gracefully, as a disk server closes idle ones.
 func (d *Disk) CloseConnections() { d.forEachConnection((*eventloop.Conn).CloseGracefully) }
 
 // ResetConnections resets all connections.
@@ -153,8 +156,9 @@
 	return c
 }
 
-// Value is the value that a disk server answers for a piece and a command's id: no two of them have the same.
+// Value returns the value that a disk server answers for a piece and a command ID. Different pairs have different
+// values.
 func Value(piece, id string) []byte {
-	const padding = "\r\n$" // what a reader that looks for ends of lines would stumble over
+	const padding = "\r\n$" // exposes a reader that searches for line ends within a value
 	return append(fmt.Appendf(nil, "%s for %s ", piece, id), bytes.Repeat([]byte(padding), 20)...)
 }
--- a/fake/resp/disk_test.go
+++ b/fake/resp/disk_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// testTimeout is how long a test waits for what must happen.
+	// testTimeout limits the wait for an expected event.
 	testTimeout = 5 * time.Second
-	// silence is how long a test waits where nothing is to come.
+	// silence is the time for which a test checks that no data arrives.
 	silence = 100 * time.Millisecond
 )
 
@@ -45,7 +45,6 @@
 	return &client{t, c}
 }
 
-// send sends a command.
 func (c *client) send(arguments ...string) {
 	c.Helper()
 	var list [][]byte
@@ -57,7 +56,7 @@
 	}
 }
 
-// expect expects exactly this text next.
+// expect reads len(want) bytes and expects them to equal want.
 func (c *client) expect(want string) {
 	c.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -66,11 +65,11 @@
 	got := make([]byte, len(want))
 	n, err := io.ReadFull(c, got)
 	if err != nil || string(got) != want {
-		c.Fatalf("%q, %v; want %q", got[:n], err, want)
+		c.Fatalf("received %q, error %v; want %q", got[:n], err, want)
 	}
 }
 
-// expectEnd expects the connection to end without anything else, with EOF or a reset.
+// expectEnd expects the connection to end, with EOF or a reset, before any more data arrives.
 func (c *client) expectEnd() {
 	c.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -78,28 +77,28 @@
 	}
 	n, err := c.Read(make([]byte, 1))
 	if n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		c.Errorf("%d bytes, %v; want the end", n, err)
+		c.Errorf("received %d bytes, error %v; want the end of the connection", n, err)
 	}
 }
 
-// expectSilence expects nothing for a moment.
+// expectSilence expects that no data arrives for the time silence.
 func (c *client) expectSilence() {
 	c.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(silence)); err != nil {
 		c.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.Errorf("%d bytes, %v; want silence", n, err)
+		c.Errorf("received %d bytes, error %v; want no data before the read deadline", n, err)
 	}
 }
 
-// answerOf is the answer to a read without faults.
+// answerOf returns the answer to a read without faults.
 func answerOf(piece, id string) string {
 	b := resp.AppendBulk(resp.AppendArray(nil, 3), Value(piece, id))
 	return string(resp.AppendNull(resp.AppendNull(b)))
 }
 
-// TestCommands answers commands in their order and records reads and writes.
+// TestCommands checks that commands are answered in order, and that reads and writes are recorded.
 func TestCommands(t *testing.T) {
 	d := startDisk(t)
 	c := dial(t, d)
@@ -114,14 +113,14 @@
 		t.Fatalf("%d commands are recorded, want 2", len(got))
 	}
 	if got[0].Name != "BLK.READ" || got[0].Piece != "p1" || got[0].ID != "id1" || got[0].Attributes != "c=a," {
-		t.Errorf("%+v", got[0])
+		t.Errorf("the first recorded command is %+v, want the read", got[0])
 	}
 	if got[1].Name != "BLK.WRITE" || string(got[1].Body) != "body" || got[1].Conn != 0 {
-		t.Errorf("%+v", got[1])
+		t.Errorf("the second recorded command is %+v, want the write", got[1])
 	}
 }
 
-// TestAnswerFaults has faults that change the answer to a read.
+// TestAnswerFaults checks the faults that change the answer to a read.
 func TestAnswerFaults(t *testing.T) {
 	answer := answerOf("p", "id")
 	for name, c := range map[string]struct {
@@ -150,12 +149,12 @@
 	}
 }
 
-// TestConnectionFaults has faults that leave a read without a whole answer.
+// TestConnectionFaults checks the faults that leave a read without a complete answer.
 func TestConnectionFaults(t *testing.T) {
 	answer := answerOf("p", "id")
 	for name, c := range map[string]struct {
 		faults Faults
-		want   string // before the end, or silence
+		want   string // data before the connection ends or becomes silent
 		then   func(*client)
 	}{
 		"silent":      {Faults{Silent: true}, "", (*client).expectSilence},
@@ -176,7 +175,7 @@
 	}
 }
 
-// TestDelay answers later; a command behind waits for its turn.
+// TestDelay checks that an answer is delayed, and that the answer to a later command without a delay is sent after it.
 func TestDelay(t *testing.T) {
 	d := startDisk(t)
 	c := dial(t, d)
@@ -190,11 +189,11 @@
 	c.send("BLK.READ", "p", "id2", "")
 	c.expect(answerOf("p", "id1") + answerOf("p", "id2"))
 	if took := time.Since(start); took < silence {
-		t.Errorf("an answer after %v, with a delay of %v", took, silence)
+		t.Errorf("the answers arrived after %v, want at least the delay of %v", took, silence)
 	}
 }
 
-// TestMalformedCommand closes the connection.
+// TestMalformedCommand checks that a malformed command closes the connection.
 func TestMalformedCommand(t *testing.T) {
 	d := startDisk(t)
 	c := dial(t, d)
@@ -204,7 +203,7 @@
 	c.expectEnd()
 }
 
-// TestConnections counts connections and ends them.
+// TestConnections checks that connections are counted, and that each way of ending them reaches the clients.
 func TestConnections(t *testing.T) {
 	for name, end := range map[string]func(*Disk){
 		"close": (*Disk).CloseConnections,
@@ -220,14 +219,14 @@
 				defer c.expectEnd()
 			}
 			if open, opened := d.Connections(); open != 2 || opened != 2 {
-				t.Errorf("%d connections are open of %d", open, opened)
+				t.Errorf("%d connections are open and %d were opened, want 2 and 2", open, opened)
 			}
 			end(d)
 		})
 	}
 }
 
-// TestValue has no two values the same.
+// TestValue checks that different pairs of piece and ID have different values, and that values contain line ends.
 func TestValue(t *testing.T) {
 	seen := map[string]bool{}
 	for _, piece := range []string{"a", "b"} {
@@ -236,9 +235,9 @@
 		}
 	}
 	if len(seen) != 4 {
-		t.Errorf("%d values, want 4", len(seen))
+		t.Errorf("%d different values, want 4", len(seen))
 	}
 	if value := string(Value("a", "1")); !strings.Contains(value, "\r\n") {
-		t.Errorf("%q has no end of a line", value)
+		t.Errorf("value %q contains no line end", value)
 	}
 }
