--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -46,7 +46,7 @@
 		return disk.Faults{FailShare: cmp.Or(f.Factor, defaultFailureShare)}
 	}),
 	"lose-answers": diskFault(func(f settings.Fault) disk.Faults {
-		return disk.Faults{LoseShare: cmp.Or(f.Factor, defaultLossShare)}
+		return disk.Faults{DropShare: cmp.Or(f.Factor, defaultLossShare)}
 	}),
 	"stale-reports":  diskFault(func(settings.Fault) disk.Faults { return disk.Faults{StaleReports: true} }),
 	"mute-handshake": diskFault(func(settings.Fault) disk.Faults { return disk.Faults{NoHandshake: true} }),
@@ -111,7 +111,7 @@
 
 func injectPause(r *run, f settings.Fault) {
 	for _, cell := range r.pick(f.Count) {
-		r.serverOfCell[cell].Stall(f.Duration.Duration())
+		r.serverOfCell[cell].PauseFor(f.Duration.Duration())
 	}
 }
 
--- a/gateway/diskfaults_test.go
+++ b/gateway/diskfaults_test.go
@@ -69,7 +69,7 @@
 func TestAtMostOnceWrite(t *testing.T) {
 	h := newHarness(t)
 	client := h.connect("client")
-	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{LoseShare: 1}) })
+	h.onLoop(func() { h.disks[1].SetFaults(disk.Faults{DropShare: 1}) })
 	r := <-h.submit(client, nvme.NewRW(nvme.Write, 2, 0, 20), pattern(1, 20))
 	if r.status != nvme.InternalError|nvme.DoNotRetry || r.took >= h.opTimeout() {
 		t.Errorf("at-most-once write whose answer is dropped: status %#x after %v, want a failure in time",
