--- a/settings/document.go
+++ b/settings/document.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Error is what is wrong with a file, where, and what would be right.
+// Error is a problem in a file, with the place where it was found and what would be valid there.
 type Error struct {
 	File     string
 	Line     int
@@ -31,12 +31,12 @@
 	line int
 }
 
-// fault is an error at the position; expected may be empty.
-func (p position) fault(problem, expected string) error {
+// newError returns an *Error at the position. The text expected may be empty.
+func (p position) newError(problem, expected string) error {
 	return &Error{File: p.file, Line: p.line, Problem: problem, Expected: expected}
 }
 
-// node is an element of a file with where it stands.
+// node is an element of a file with its position.
 type node struct {
 	name       string
 	at         position
@@ -44,7 +44,7 @@
 	children   []*node
 }
 
-// find lists the nodes that a path of element names leads to.
+// find returns the descendants that match a path of element names, in the order of the file.
 func (n *node) find(path string) []*node {
 	found := []*node{n}
 	for _, name := range strings.Split(path, "/") {
@@ -61,27 +61,27 @@
 	return found
 }
 
-// Bounds of what a file may cost before it is found wrong.
+// Limits on the memory and time that an invalid file may use before it is rejected.
 const (
 	maxDepth    = 16
 	maxElements = 200_000
 	maxFileSize = 32 << 20
 )
 
-// parser builds the nodes of a file. Entities beyond XML's own five, directives and text are rejected.
+// parser builds the nodes of a file. It rejects directives, text, and entities other than XML's predefined five.
 type parser struct {
 	decoder  *xml.Decoder
-	at       position // where the current token begins
+	at       position // start of the current token
 	root     *node
-	open     []*node // from the root to the element that the current token stands in
+	open     []*node // path from the root to the element that contains the current token
 	elements int
 }
 
-// parseDocument reads a file into nodes.
+// parseDocument parses a file and returns its root element.
 func parseDocument(file string, text []byte) (*node, error) {
 	p := parser{decoder: xml.NewDecoder(bytes.NewReader(text)), at: position{file, 1}}
 	if len(text) > maxFileSize {
-		return nil, p.at.fault("the file is too large", fmt.Sprintf("at most %d bytes", maxFileSize))
+		return nil, p.at.newError("the file is too large", fmt.Sprintf("at most %d bytes", maxFileSize))
 	}
 	for {
 		p.at.line, _ = p.decoder.InputPos() // the column is not used
@@ -90,7 +90,7 @@
 			return p.root, nil
 		}
 		if err != nil {
-			return nil, p.malformed(err)
+			return nil, p.syntaxError(err)
 		}
 		if err := p.token(token); err != nil {
 			return nil, err
@@ -98,13 +98,13 @@
 	}
 }
 
-// malformed is the error for what the decoder can't read.
-func (p *parser) malformed(err error) error {
+// syntaxError converts an error of the decoder. A syntax error has a line of its own.
+func (p *parser) syntaxError(err error) error {
 	var syntax *xml.SyntaxError
 	if errors.As(err, &syntax) {
-		return position{p.at.file, syntax.Line}.fault("not well-formed XML: "+syntax.Msg, "")
+		return position{p.at.file, syntax.Line}.newError("not well-formed XML: "+syntax.Msg, "")
 	}
-	return p.at.fault("not well-formed XML: "+err.Error(), "")
+	return p.at.newError("not well-formed XML: "+err.Error(), "")
 }
 
 func (p *parser) token(token xml.Token) error {
@@ -114,20 +114,20 @@
 	case xml.EndElement:
 		p.open = p.open[:len(p.open)-1]
 	case xml.CharData:
-		return p.text(t)
+		return p.checkText(t)
 	case xml.Directive:
-		return p.at.fault("a document type or other directive", "leave it out")
+		return p.at.newError("unexpected document type or other directive", "remove it")
 	}
 	return nil
 }
 
 func (p *parser) startElement(t xml.StartElement) error {
 	if p.elements++; p.elements > maxElements || len(p.open) == maxDepth {
-		return p.at.fault("too many or too deeply nested elements", "")
+		return p.at.newError("too many or too deeply nested elements", "")
 	}
 	if t.Name.Space != "" {
 		problem := fmt.Sprintf("element <%s> is in a namespace", t.Name.Local)
-		return p.at.fault(problem, "write it without a prefix or xmlns")
+		return p.at.newError(problem, "write it without a prefix or xmlns")
 	}
 	attributes, err := p.attributes(t.Attr)
 	if err != nil {
@@ -139,7 +139,7 @@
 		parent := p.open[len(p.open)-1]
 		parent.children = append(parent.children, n)
 	case p.root != nil:
-		return p.at.fault("a second root element", "")
+		return p.at.newError("a second root element", "")
 	default:
 		p.root = n
 	}
@@ -152,23 +152,23 @@
 	for _, a := range list {
 		name := a.Name.Local
 		if a.Name.Space != "" || name == "xmlns" {
-			return nil, p.at.fault(fmt.Sprintf("attribute %q is in a namespace", name), "write it without a prefix")
+			return nil, p.at.newError(fmt.Sprintf("attribute %q is in a namespace", name), "write it without a prefix")
 		}
 		if _, duplicate := attributes[name]; duplicate {
-			return nil, p.at.fault(fmt.Sprintf("attribute %q stands twice", name), "")
+			return nil, p.at.newError(fmt.Sprintf("duplicate attribute %q", name), "")
 		}
 		attributes[name] = a.Value
 	}
 	return attributes, nil
 }
 
-// text admits white space alone.
-func (p *parser) text(t xml.CharData) error {
+// checkText returns an error if the text is not only white space.
+func (p *parser) checkText(t xml.CharData) error {
 	word := bytes.TrimSpace(t)
 	if len(word) == 0 {
 		return nil
 	}
 	before := t[:len(t)-len(bytes.TrimLeft(t, " \t\r\n"))]
 	at := position{p.at.file, p.at.line + bytes.Count(before, []byte("\n"))}
-	return at.fault(fmt.Sprintf("text %.20q has no place here", word), "values are given as attributes")
+	return at.newError(fmt.Sprintf("unexpected text %.20q", word), "values are given as attributes")
 }
--- a/settings/example_test.go
+++ b/settings/example_test.go
@@ -8,7 +8,8 @@
 	"honeyplank/settings"
 )
 
-// A gateway's file is read once. Sections are fields, and the decision module gets its part under its own names.
+// Read parses a settings file. Its sections are struct fields, and ModuleSettings converts the part that the decision
+// module uses.
 func ExampleRead() {
 	g, err := settings.Read("examples/gateway.xml")
 	if err != nil {
@@ -24,7 +25,7 @@
 	// a Read of 8 KiB is of op type read
 }
 
-// What is wrong with a file is an Error: where, what, and what would be right.
+// An invalid file gives an Error with the place, the problem and what is expected.
 func ExampleParse() {
 	_, err := settings.Parse("gateway.xml", []byte(`<honeyplank version="2"/>`))
 	var fault *settings.Error
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -13,7 +13,8 @@
 	"honeyplank/internal/heap"
 )
 
-// FuzzParse reads any text: no panic; what is accepted can be shown, and what is shown reads back as the same.
+// FuzzParse parses any text. Parse must not panic and must allocate little. Settings that it accepts must be the same
+// after XML has encoded them and Parse has read them back.
 func FuzzParse(f *testing.F) {
 	for _, file := range []string{exampleFile, "../faulttest/badday.xml", "../faulttest/sources.xml"} {
 		b, err := os.ReadFile(file)
@@ -26,7 +27,7 @@
 		var g *Gateway
 		var err error
 		if n := heap.Bytes(func() { g, err = Parse("x.xml", text) }); n > uint64(1<<20+1000*len(text)) {
-			t.Fatalf("%d bytes are allocated for a file of %d", n, len(text))
+			t.Fatalf("Parse allocated %d bytes for a file of %d bytes", n, len(text))
 		}
 		if err != nil {
 			return
@@ -36,22 +37,22 @@
 	})
 }
 
-// values are what an attribute is set to: at the edges of types and past them.
-var values = []string{
+// attributeValues are values that FuzzEdit gives to attributes: at the bounds of the types and beyond them.
+var attributeValues = []string{
 	"", "0", "1", "-1", "1.5", "1e3", "NaN", "1000000", "1000001", "99999999999999999999",
 	"250", "250ms", "1h", "-1s", "4KiB", "4kib", "true", "on",
 	"read", "replayable", "127.0.0.1:1", "127.0.0.1:99999", "nqn.2026-12.x:y", "/a/", "a b", "0 1",
 	"\u00e9", " 1 ", "+1", "01", "1.", "all", "x.example.",
 }
 
-// Bounds of an edited file: edits of one input, and elements after them.
+// Limits of an edited file: the number of edits of one input, and the number of elements after them.
 const (
 	maxEdits       = 8
 	maxEditedNodes = 5000
 )
 
-// FuzzEdit edits the example's elements and attributes and holds the program's reading of the schema against
-// xmllint's, which knows nothing of it: both must accept a file, or both reject it.
+// FuzzEdit edits elements and attributes of the example file and compares the schema check of this package with that of
+// xmllint, an independent implementation. Both must accept a file, or both must reject it.
 func FuzzEdit(f *testing.F) {
 	xmllint := lookUpXMLLint(f)
 	text, err := os.ReadFile(exampleFile)
@@ -75,21 +76,21 @@
 			return
 		}
 		var b bytes.Buffer
-		if err := write(&b, root); err != nil {
+		if err := writeNode(&b, root); err != nil {
 			t.Fatal(err)
 		}
 		compareWithXMLLint(t, s, xmllint, b.Bytes())
 	})
 }
 
-// editAll edits a file as an input says; it tells whether the file has stayed within its bound.
+// editAll applies the edits of an input to a file. It reports whether the file has at most maxEditedNodes elements.
 func editAll(root *node, script []byte) bool {
 	for edits := 0; len(script) >= 3 && edits < maxEdits; edits++ {
-		if !edit(root, script[0], int(script[1]), int(script[2])) {
+		if !editNode(root, script[0], int(script[1]), int(script[2])) {
 			break
 		}
 		script = script[3:]
-		if size(root, 0) > maxEditedNodes {
+		if countNodes(root, 0) > maxEditedNodes {
 			return false
 		}
 	}
@@ -103,7 +104,7 @@
 		if os.Getenv("CI") != "" {
 			f.Fatal("xmllint is missing; .ci/run installs it")
 		}
-		f.Skip("no xmllint")
+		f.Skip("xmllint is not installed")
 	}
 	return xmllint
 }
@@ -118,39 +119,40 @@
 	lint.Stdin = bytes.NewReader(text)
 	out, lintErr := lint.CombinedOutput()
 	if (err == nil) != (lintErr == nil) {
-		t.Fatalf("the program: %v\nxmllint: %v\n%s\n%s", err, lintErr, out, text)
+		t.Fatalf("schema check: %v\nxmllint: %v\n%s\n%s", err, lintErr, out, text)
 	}
 }
 
-// placed is a node below the root, with its parent.
-type placed struct{ node, parent *node }
+// childNode is a node below the root with its parent.
+type childNode struct{ node, parent *node }
 
-func descendants(n *node) []placed {
-	var all []placed
+func descendants(n *node) []childNode {
+	var all []childNode
 	for _, c := range n.children {
-		all = append(all, placed{c, n})
+		all = append(all, childNode{c, n})
 		all = append(all, descendants(c)...)
 	}
 	return all
 }
 
-// The kinds of edit, as an input's byte names them.
+// The kinds of edit. A byte of an input chooses one of them. The kinds with Again are the same as those without; they
+// make these kinds more frequent.
 const (
 	editDelete = iota
 	editRepeat
 	editSwap
 	editValue
-	editOtherValue
+	editValueAgain
 	editDropAttribute
 	editAddAttribute
 	editCopyInto
-	editRepeatMore
+	editRepeatAgain
 	editKinds
 )
 
-// edit changes one node below the root; it tells whether there was one. The kind, the node and what is done with it
-// are chosen by an input's bytes.
-func edit(root *node, kind byte, at, n int) bool {
+// editNode edits one node below the root and reports whether there was one. Bytes of an input choose the kind, the node
+// and the details of the edit.
+func editNode(root *node, kind byte, at, n int) bool {
 	all := descendants(root)
 	if len(all) == 0 {
 		return false
@@ -161,16 +163,16 @@
 	switch kind % editKinds {
 	case editDelete:
 		parent.children = slices.Delete(parent.children, place, place+1)
-	case editRepeat, editRepeatMore:
+	case editRepeat, editRepeatAgain:
 		for range 1 + n%9 {
 			parent.children = slices.Insert(parent.children, place, e)
 		}
 	case editSwap:
 		other := (place + 1) % len(parent.children)
 		parent.children[place], parent.children[other] = parent.children[other], parent.children[place]
-	case editValue, editOtherValue:
+	case editValue, editValueAgain:
 		if len(names) > 0 {
-			e.attributes[names[n%len(names)]] = values[(n*7+at)%len(values)]
+			e.attributes[names[n%len(names)]] = attributeValues[(n*7+at)%len(attributeValues)]
 		}
 	case editDropAttribute:
 		if len(names) > 0 {
@@ -186,14 +188,15 @@
 	return true
 }
 
-// size is how many elements there are; an element within itself ends the count.
-func size(n *node, depth int) int {
+// countNodes returns the number of elements. If an element contains itself, it stops and returns a number above every
+// limit.
+func countNodes(n *node, depth int) int {
 	if depth > maxDepth {
 		return 1 << 20
 	}
 	sum := 1
 	for _, c := range n.children {
-		sum += size(c, depth+1)
+		sum += countNodes(c, depth+1)
 		if sum > 1<<20 {
 			break
 		}
@@ -201,8 +204,8 @@
 	return sum
 }
 
-// write puts the text of a node into a buffer, whose writes do not fail.
-func write(b *bytes.Buffer, n *node) error {
+// writeNode writes a node as XML to a buffer. Writes to a buffer do not fail.
+func writeNode(b *bytes.Buffer, n *node) error {
 	fmt.Fprintf(b, "<%s", n.name)
 	for _, k := range slices.Sorted(maps.Keys(n.attributes)) {
 		fmt.Fprintf(b, " %s=\"", k)
@@ -213,7 +216,7 @@
 	}
 	b.WriteByte('>')
 	for _, c := range n.children {
-		if err := write(b, c); err != nil {
+		if err := writeNode(b, c); err != nil {
 			return err
 		}
 	}
--- a/settings/module.go
+++ b/settings/module.go
@@ -20,7 +20,7 @@
 	ScopeCell: honeyplank.ScopeCell,
 }
 
-// ModuleSettings returns the settings of the decision module.
+// ModuleSettings converts the settings for the decision module.
 func (g *Gateway) ModuleSettings() *honeyplank.Settings {
 	return &honeyplank.Settings{
 		Step:         g.Scheduler.Step.Duration(),
@@ -44,8 +44,8 @@
 			Allowed: g.Dispatches.MaxRetryAfter > 0,
 			Max:     g.Dispatches.MaxRetryAfter.Duration(),
 		},
-		RetryBudget: g.Policy.RetryBudget.module(),
-		SlowStart:   g.Policy.SlowStart.module(),
+		RetryBudget: g.Policy.RetryBudget.moduleSettings(),
+		SlowStart:   g.Policy.SlowStart.moduleSettings(),
 		Usage: honeyplank.UsageSettings{
 			Period:    g.Policy.UsagePeriod.Duration(),
 			Elsewhere: g.Policy.UsageElsewhere,
@@ -55,16 +55,16 @@
 	}
 }
 
-// module is the budget as the decision module has it; without one, retries are not limited.
-func (b *RetryBudget) module() honeyplank.RetryBudget {
+// moduleSettings converts the budget for the decision module. If b is nil, retries are not limited.
+func (b *RetryBudget) moduleSettings() honeyplank.RetryBudget {
 	if b == nil {
 		return honeyplank.RetryBudget{}
 	}
 	return honeyplank.RetryBudget{Limited: true, Free: b.Free, Share: b.Share, Window: b.Window.Duration()}
 }
 
-// module is the slow start as the decision module has it; without one, disk servers start warm.
-func (s *SlowStart) module() honeyplank.SlowStartSettings {
+// moduleSettings converts the slow start for the decision module. If s is nil, disk servers start at the full rate.
+func (s *SlowStart) moduleSettings() honeyplank.SlowStartSettings {
 	if s == nil {
 		return honeyplank.SlowStartSettings{}
 	}
@@ -108,13 +108,14 @@
 	return plans
 }
 
-// Units is the size of an op in units: whole ones, at least one.
+// Units returns the size of an op in units, rounded up, and at least 1.
 func (g *Gateway) Units(bytes int64) int64 {
 	unit := int64(g.Volumes.Unit)
 	return max((bytes+unit-1)/unit, 1)
 }
 
-// OpTypeIndex is the op type of a Read or Write by its NVMe opcode and length, -1 where there is none.
+// OpTypeIndex returns the index of the op type of a Read or Write with an NVMe opcode and a length in bytes, or -1 if
+// there is none.
 func (g *Gateway) OpTypeIndex(opcode uint8, bytes int64) int {
 	want := OpcodeRead
 	if opcode == nvme.Write {
@@ -129,7 +130,7 @@
 	return -1
 }
 
-// PlanIndex is the index of a plan by its name, -1 where there is none.
+// PlanIndex returns the index of the plan with a name, or -1 if there is none.
 func (g *Gateway) PlanIndex(name string) int {
 	for i, p := range g.Plans.List {
 		if p.Name == name {
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -14,13 +14,13 @@
 	"sync"
 )
 
-// Schema is the XSD that settings and scripts follow. The program checks files by this very text.
+// Schema is the XSD of settings files and fault test scripts. Parse checks files against it.
 //
 //go:embed honeyplank.xsd
 var Schema []byte
 
-// The parts of XML Schema that honeyplank.xsd uses. A part that is not here is an error in the schema, since
-// it would go unchecked.
+// The parts of XML Schema that honeyplank.xsd uses. The schema must not use any other part, since it would not be
+// checked.
 type (
 	schemaDocument struct {
 		Types    []simpleType    `xml:"simpleType"`
@@ -70,7 +70,7 @@
 	}
 )
 
-// attribute is the name of the attribute that a key's field leads to.
+// attribute returns the name of the attribute that the key's field selects.
 func (k *schemaKey) attribute() string { return strings.TrimPrefix(k.Field.Path, "@") }
 
 type schema struct {
@@ -97,11 +97,11 @@
 	return s, nil
 })
 
-// check holds a file against the schema.
+// check validates a file against the schema.
 func (s *schema) check(root *node) error {
 	if root.name != s.root.Name {
 		problem := fmt.Sprintf("root element <%s>", root.name)
-		return root.at.fault(problem, fmt.Sprintf("it must be <%s>", s.root.Name))
+		return root.at.newError(problem, fmt.Sprintf("it must be <%s>", s.root.Name))
 	}
 	if err := s.checkElement(root, &s.root); err != nil {
 		return err
@@ -125,25 +125,26 @@
 		value, given := n.attributes[a.Name]
 		if !given {
 			if a.Use == "required" {
-				return n.at.fault(fmt.Sprintf("<%s> lacks the attribute %q", n.name, a.Name), s.describe(a.Type))
+				return n.at.newError(fmt.Sprintf("<%s> lacks the attribute %q", n.name, a.Name), s.describe(a.Type))
 			}
 			continue
 		}
 		if !s.accepts(a.Type, value) {
 			problem := fmt.Sprintf("%s=%q of <%s> is not valid", a.Name, value, n.name)
-			return n.at.fault(problem, s.describe(a.Type))
+			return n.at.newError(problem, s.describe(a.Type))
 		}
 	}
 	for name := range n.attributes {
 		if !known[name] {
 			problem := fmt.Sprintf("<%s> has no attribute %q", n.name, name)
-			return n.at.fault(problem, "known are "+strings.Join(names, ", "))
+			return n.at.newError(problem, "known attributes: "+strings.Join(names, ", "))
 		}
 	}
 	return nil
 }
 
-// checkChildren wants the children in the order of the schema, each as often as it may stand.
+// checkChildren checks that the children are in the order of the schema, and that each occurs a permitted number of
+// times.
 func (s *schema) checkChildren(n *node, sequence []schemaElement) error {
 	rest := n.children
 	for i := range sequence {
@@ -152,27 +153,27 @@
 			return err
 		}
 		rest = rest[count:]
-		if count < occurs(sequence[i].MinOccurs) {
-			return missing(n, rest, sequence[i].Name)
+		if count < parseOccurs(sequence[i].MinOccurs) {
+			return missingError(n, rest, sequence[i].Name)
 		}
 	}
 	if len(rest) > 0 {
-		problem := fmt.Sprintf("<%s> is unknown or stands in the wrong place in <%s>", rest[0].name, n.name)
-		return rest[0].at.fault(problem, "")
+		problem := fmt.Sprintf("<%s> is unknown or misplaced in <%s>", rest[0].name, n.name)
+		return rest[0].at.newError(problem, "")
 	}
 	return nil
 }
 
-// checkRepeated checks the nodes of one name that a list begins with, and returns how many they are.
+// checkRepeated checks the nodes at the start of a list that have the element's name, and returns their number.
 func (s *schema) checkRepeated(nodes []*node, e *schemaElement) (count int, err error) {
-	most := occurs(e.MaxOccurs)
+	maximum := parseOccurs(e.MaxOccurs)
 	for _, n := range nodes {
 		if n.name != e.Name {
 			break
 		}
-		if count++; count > most {
-			problem := fmt.Sprintf("one <%s> too many", e.Name)
-			return count, n.at.fault(problem, fmt.Sprintf("at most %d may stand here", most))
+		if count++; count > maximum {
+			problem := fmt.Sprintf("too many <%s> elements", e.Name)
+			return count, n.at.newError(problem, fmt.Sprintf("at most %d allowed here", maximum))
 		}
 		if err := s.checkElement(n, e); err != nil {
 			return count, err
@@ -181,25 +182,25 @@
 	return count, nil
 }
 
-// missing is the error for a child that should stand before the rest of its parent's children.
-func missing(parent *node, rest []*node, name string) error {
+// missingError returns the error for a child that must occur before the rest of its parent's children.
+func missingError(parent *node, rest []*node, name string) error {
 	at, found := parent.at, "the end of <"+parent.name+">"
 	if len(rest) > 0 {
 		at, found = rest[0].at, "<"+rest[0].name+">"
 	}
-	problem := fmt.Sprintf("%s stands where <%s> is missing", found, name)
-	return at.fault(problem, fmt.Sprintf("<%s> must come first", name))
+	problem := fmt.Sprintf("%s found where <%s> is missing", found, name)
+	return at.newError(problem, fmt.Sprintf("<%s> must be first", name))
 }
 
-// occurs reads how often an element may stand; left out, it is once.
-func occurs(text string) int {
+// parseOccurs reads the value of minOccurs or maxOccurs, whose default is 1.
+func parseOccurs(text string) int {
 	if n, err := strconv.Atoi(text); err == nil {
 		return n
 	}
 	return 1
 }
 
-// checkKeys wants keys to be unique, and what refers to one to name one that stands.
+// checkKeys checks that the values of keys are unique and that references name a value that is defined.
 func (s *schema) checkKeys(root *node) error {
 	defined := map[string]map[string]bool{}
 	for i := range s.root.Keys {
@@ -219,18 +220,18 @@
 	return nil
 }
 
-// checkUnique returns the values of a key.
+// checkUnique checks that the values of a key are unique and returns them.
 func checkUnique(root *node, k *schemaKey) (map[string]bool, error) {
 	attribute := k.attribute()
 	values := map[string]bool{}
 	for _, n := range root.find(k.Selector.Path) {
 		value := n.attributes[attribute]
-		if number, ok := integer(value); ok && attribute == "nsid" {
+		if number, ok := parseInteger(value); ok && attribute == "nsid" {
 			value = number.String() // "+1" and "01" are the same key as "1"
 		}
 		if values[value] {
-			problem := fmt.Sprintf("%s=%q of <%s> stands twice", attribute, value, n.name)
-			return nil, n.at.fault(problem, "each must be its own")
+			problem := fmt.Sprintf("%s=%q of <%s> is a duplicate", attribute, value, n.name)
+			return nil, n.at.newError(problem, "each value must be unique")
 		}
 		values[value] = true
 	}
@@ -244,12 +245,12 @@
 		if given && !defined[value] {
 			problem := fmt.Sprintf("%s=%q of <%s> is not defined", attribute, value, n.name)
 			names := slices.Sorted(maps.Keys(defined))
-			return n.at.fault(problem, "defined are "+strings.Join(names, ", "))
+			return n.at.newError(problem, "defined: "+strings.Join(names, ", "))
 		}
 	}
 	return nil
 }
 
-func integer(text string) (*big.Int, bool) {
+func parseInteger(text string) (*big.Int, bool) {
 	return new(big.Int).SetString(strings.TrimPrefix(collapse(text), "+"), 10)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,8 @@
-// Package settings reads a gateway's settings and fault test scripts from XML, checks them against the schema beside
-// it and among each other, and hands them over: to the decision module under the module's own names, to the other
-// packages as fields. It sets no value of its own, keeps no state and starts no goroutine; its functions may be called
-// from any. The commands call it when they start, the gateway and the fault tests read the fields.
+// Package settings reads the settings of a gateway and the scripts of fault tests from XML. It checks a file against
+// the embedded XML schema, and then checks the constraints between values that the schema can't express. The commands
+// call it when they start. The gateway and the fault tests read the settings as struct fields; the decision module gets
+// a honeyplank.Settings. The package sets no value of its own, keeps no state and starts no goroutine. Its functions
+// may be called from any goroutine.
 package settings
 
 import (
@@ -10,7 +11,8 @@
 	"os"
 )
 
-// Gateway is a file of settings; with FaultTest it is a script. docs/settings.md explains each field.
+// Gateway is the content of a settings file. If FaultTest is set, the file is the script of a fault test.
+// docs/settings.md explains each field.
 type Gateway struct {
 	XMLName      xml.Name     `xml:"honeyplank"`
 	Version      string       `xml:"version,attr"`
@@ -27,7 +29,7 @@
 	FaultTest    *FaultTest   `xml:"rehearsal"`
 }
 
-// Read reads and checks a file. What is wrong with its content is an *Error.
+// Read reads and checks a file. If the content is not valid, it returns an *Error.
 func Read(file string) (*Gateway, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -36,11 +38,12 @@
 	return Parse(file, text)
 }
 
-// Parse checks a text and reads it; file names it in errors.
+// Parse checks and reads the text of a settings file. If the text is not valid, it returns an *Error, with file as the
+// name of the file.
 func Parse(file string, text []byte) (*Gateway, error) {
 	s, err := loadSchema()
 	if err != nil {
-		return nil, fmt.Errorf("settings: the schema: %w", err)
+		return nil, fmt.Errorf("settings: read the embedded schema: %w", err)
 	}
 	root, err := parseDocument(file, text)
 	if err != nil {
@@ -51,7 +54,7 @@
 	}
 	g := &Gateway{}
 	if err := xml.Unmarshal(text, g); err != nil {
-		return nil, root.at.fault(err.Error(), "")
+		return nil, root.at.newError(err.Error(), "")
 	}
 	if err := validate(g, root); err != nil {
 		return nil, err
@@ -59,7 +62,7 @@
 	return g, nil
 }
 
-// XML writes the settings out, with what was left to defaults.
+// XML encodes the settings as a file that Parse reads back as the same settings.
 func (g *Gateway) XML() ([]byte, error) {
 	b, err := xml.MarshalIndent(g, "", "  ")
 	return append(b, '\n'), err
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -16,7 +16,7 @@
 
 const exampleFile = "examples/gateway.xml"
 
-func example(t *testing.T) string {
+func exampleText(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile(exampleFile)
 	if err != nil {
@@ -25,10 +25,10 @@
 	return string(b)
 }
 
-func change(t *testing.T, text, from, to string) string {
+func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
 	if from != "" && !strings.Contains(text, from) {
-		t.Fatalf("the example has no %q", from)
+		t.Fatalf("the example file does not contain %q", from)
 	}
 	return strings.Replace(text, from, to, 1)
 }
@@ -43,42 +43,42 @@
 }
 
 const (
-	dnsElement = `<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"><server address="127.0.0.1:53"/></dns>`
-	trust      = `<believe vanish="0.5" confirm="9s" calm="60s" flaps="3" hold="5s"/>`
+	dnsElement   = `<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"><server address="127.0.0.1:53"/></dns>`
+	trustElement = `<believe vanish="0.5" confirm="9s" calm="60s" flaps="3" hold="5s"/>`
 )
 
-// schemaCases change the example once; the schema alone tells whether what comes out is right.
+// schemaCases are changes to the example file. The schema alone decides whether the result is valid.
 var schemaCases = []struct {
 	name, from, to string
-	right          bool
-	line           int // where the fault is
+	valid          bool
+	line           int // line of the error
 }{
-	{"as it is", "", "", true, 0},
+	{"unchanged", "", "", true, 0},
 	{"a comment", `version="1">`, `version="1"><!-- x -->`, true, 0},
 	{"no budget", `<budget free="5" share="0.25" window="5s"/>`, ``, true, 0},
 	{"two endpoints", `<etcd endpoint="127.0.0.1:2379"/>`,
 		`<etcd endpoint="127.0.0.1:2379"/><etcd endpoint="127.0.0.1:2380"/>`, true, 0},
-	{"a bare point", `weight="2"`, `weight="2."`, true, 0},
-	{"a sign", `hosts="2"`, `hosts="+2"`, true, 0},
+	{"decimal point without digits after it", `weight="2"`, `weight="2."`, true, 0},
+	{"plus sign", `hosts="2"`, `hosts="+2"`, true, 0},
 	{"true as 1", `ordered="true"`, `ordered="1"`, true, 0},
-	{"DNS beside etcd", `</list>`, dnsElement + trust + `</list>`, true, 0},
-	{"DNS of no domain", `</list>`, strings.Replace(dnsElement, "_h._tcp.x.", "x", 1) + `</list>`, false, 3},
+	{"DNS beside etcd", `</list>`, dnsElement + trustElement + `</list>`, true, 0},
+	{"DNS name without a domain", `</list>`, strings.Replace(dnsElement, "_h._tcp.x.", "x", 1) + `</list>`, false, 3},
 	{"DNS without a server", `</list>`,
 		`<dns name="_h._tcp.x." floor="1s" ceiling="9s" timeout="1s"/></list>`, false, 3},
 	{"unknown element", `<scheduler `, `<shceduler `, false, 4},
 	{"unknown attribute", `<scheduler hosts`, `<scheduler host="1" hosts`, false, 4},
 	{"attribute missing", `<scheduler hosts="2" `, `<scheduler `, false, 4},
 	{"wrong order", `<listen`, `<dispatches most="4"/><listen`, false, 2},
-	{"one too many", `<plans within-share`,
+	{"element twice", `<plans within-share`,
 		`<plans><plan name="z" rate="1" reserve="1" weight="1"/></plans><plans within-share`, false, 12},
-	{"bad span", `ask-within="4s" most="20000"`, `ask-within="4"`, false, 3},
+	{"span without a unit", `ask-within="4s" most="20000"`, `ask-within="4"`, false, 3},
 	{"span with a sign", `ask-within="4s" most="20000"`, `ask-within="-4s"`, false, 3},
-	{"bad size", `transfer="128KiB"`, `transfer="128kb"`, false, 35},
+	{"size with an unknown unit", `transfer="128KiB"`, `transfer="128kb"`, false, 35},
 	{"not loopback", `127.0.0.1:4420`, `10.0.0.1:4420`, false, 2},
-	{"bad kind", `kind="once-only"`, `kind="unsafe"`, false, 10},
+	{"unknown kind", `kind="once-only"`, `kind="unsafe"`, false, 10},
 	{"a share over 1", `late-utility="0.2" kind="replayable"/>`, `late-utility="1.01" kind="replayable"/>`, false, 7},
 	{"weight 0", `weight="2"`, `weight="0"`, false, 15},
-	{"half a host", `hosts="2"`, `hosts="2.5"`, false, 4},
+	{"fractional number of hosts", `hosts="2"`, `hosts="2.5"`, false, 4},
 	{"yes for true", `ordered="true"`, `ordered="yes"`, false, 9},
 	{"a volume without a plan", `name="c" plan="basic"`, `name="c"`, false, 21},
 	{"a plan that is not defined", `name="c" plan="basic"`, `name="c" plan="none"`, false, 21},
@@ -91,7 +91,8 @@
 	{"a namespace", `<honeyplank version`, `<honeyplank xmlns="urn:x" version`, false, 1},
 }
 
-// TestSchema holds the program's reading of the schema against xmllint's, case by case.
+// TestSchema checks that Parse accepts only the files that the schema permits, that errors have the right line, and that
+// xmllint agrees.
 func TestSchema(t *testing.T) {
 	xmllint, err := exec.LookPath("xmllint")
 	if err != nil && os.Getenv("CI") != "" {
@@ -99,72 +100,72 @@
 	}
 	for _, c := range schemaCases {
 		t.Run(c.name, func(t *testing.T) {
-			text := change(t, example(t), c.from, c.to)
+			text := replaceOnce(t, exampleText(t), c.from, c.to)
 			_, err := Parse("x.xml", []byte(text))
-			if (err == nil) != c.right {
-				t.Fatalf("%v, right is %v", err, c.right)
+			if (err == nil) != c.valid {
+				t.Fatalf("error %v, want valid: %v", err, c.valid)
 			}
 			if err != nil {
-				checkFault(t, err, c.line)
+				checkError(t, err, c.line)
 			}
 			if xmllint != "" {
-				checkAgainstXMLLint(t, xmllint, text, c.right)
+				checkXMLLint(t, xmllint, text, c.valid)
 			}
 		})
 	}
 }
 
-func checkFault(t *testing.T, err error, line int) {
+func checkError(t *testing.T, err error, line int) {
 	t.Helper()
 	var fault *Error
 	if !errors.As(err, &fault) || fault.File != "x.xml" || fault.Line != line || fault.Problem == "" {
-		t.Errorf("%v, want line %d", err, line)
+		t.Errorf("error %v, want an Error in line %d", err, line)
 	}
 }
 
-func checkAgainstXMLLint(t *testing.T, xmllint, text string, right bool) {
+func checkXMLLint(t *testing.T, xmllint, text string, valid bool) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "x.xml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	out, err := exec.Command(xmllint, "--nonet", "--noout", "--schema", "honeyplank.xsd", file).CombinedOutput()
-	if (err == nil) != right {
-		t.Errorf("xmllint: %v\n%s", err, out)
+	if (err == nil) != valid {
+		t.Errorf("xmllint disagrees: %v\n%s", err, out)
 	}
 }
 
-// TestValidation changes the example into what the schema lets pass and the program must not.
+// TestValidation checks that Parse rejects files that the schema permits but whose values violate a constraint.
 func TestValidation(t *testing.T) {
-	for _, c := range []struct{ name, from, to, says string }{
+	for _, c := range []struct{ name, from, to, wantText string }{
 		{"block", `block="4KiB"`, `block="5KiB"`, "power of two"},
 		{"extent", `extent="256MiB"`, `extent="255B"`, "multiple of block"},
 		{"overlap", `from="36KiB"`, `from="16KiB"`, "overlap"},
-		{"hole", `from="36KiB"`, `from="64KiB"`, "no op type"},
+		{"lengths without an op type", `from="36KiB"`, `from="64KiB"`, "no op type"},
 		{"target over timeout", `target-latency="200ms"`, `target-latency="2s"`, "over its op timeout"},
 		{"margin", `answer-margin="60ms"`, `answer-margin="700ms"`, "answer-margin"},
 		{"deduplicated", `kind="once-only"`, `kind="deduplicated"`, "without a time"},
 		{"limit", `limit="12" burst="24"`, `limit="12"`, "without a burst"},
 		{"ordinal", `ordinal="0"`, `ordinal="2"`, "ordinal"},
 		{"hosts of a volume", `cells="0 1 2"`, `cells="0 1 2" hosts="3"`, "more hosts"},
-		{"address", `127.0.0.1:4420`, `127.0.0.999:4420`, "no address"},
+		{"address", `127.0.0.1:4420`, `127.0.0.999:4420`, "is not an address"},
 		{"no source", `<etcd endpoint="127.0.0.1:2379"/>`, ``, "no source"},
-		{"no rule", `</list>`, dnsElement + `</list>`, "without a believe"},
+		{"DNS without a rule", `</list>`, dnsElement + `</list>`, "without a believe"},
 		{"depth", `depth="128"`, `depth="2000"`, "depth"},
-		{"huge", `size="2GiB"`, `size="999999999TiB"`, "too large"},
+		{"size too large", `size="2GiB"`, `size="999999999TiB"`, "too large"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("x.xml", []byte(change(t, example(t), c.from, c.to)))
+			_, err := Parse("x.xml", []byte(replaceOnce(t, exampleText(t), c.from, c.to)))
 			var fault *Error
-			if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%v, want %q", err, c.says)
+			if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.wantText) {
+				t.Errorf("error %v, want an Error with %q", err, c.wantText)
 			}
 		})
 	}
 }
 
-// TestHostile gives files that are made to cost much.
-func TestHostile(t *testing.T) {
+// TestExpensiveFiles checks that Parse rejects files that would take much time or memory, and rejects them soon.
+func TestExpensiveFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"nesting":  strings.Repeat("<honeyplank>", 100_000),
 		"entities": `<!DOCTYPE x [<!ENTITY a "aaaa"><!ENTITY b "&a;&a;">]><honeyplank version="&b;"/>`,
@@ -173,17 +174,17 @@
 		"many":     "<honeyplank>" + strings.Repeat("<a/>", 300_000),
 	} {
 		t.Run(name, func(t *testing.T) {
-			began := time.Now()
-			if _, err := Parse("x.xml", []byte(text)); err == nil || time.Since(began) > 2*time.Second {
-				t.Errorf("%v after %v", err, time.Since(began))
+			start := time.Now()
+			if _, err := Parse("x.xml", []byte(text)); err == nil || time.Since(start) > 2*time.Second {
+				t.Errorf("error %v after %v, want an error within 2s", err, time.Since(start))
 			}
 		})
 	}
 }
 
-// TestModuleSettings checks what the decision module is handed.
+// TestModuleSettings checks the settings that the decision module gets.
 func TestModuleSettings(t *testing.T) {
-	g := mustParse(t, example(t))
+	g := mustParse(t, exampleText(t))
 	m := g.ModuleSettings()
 	if m.OpTypes[3].Semantics != honeyplank.AtMostOnce || m.OpTypes[0].Semantics != honeyplank.Idempotent {
 		t.Error("semantics", m.OpTypes)
@@ -202,44 +203,44 @@
 	}
 }
 
-// TestUsageElsewhere: disk servers count for other gateways only where the settings say so.
+// TestUsageElsewhere checks that usage at other gateways is counted only if the attribute is set.
 func TestUsageElsewhere(t *testing.T) {
-	if mustParse(t, example(t)).ModuleSettings().Usage.Elsewhere {
-		t.Error("usage elsewhere without the attribute")
+	if mustParse(t, exampleText(t)).ModuleSettings().Usage.Elsewhere {
+		t.Error("usage elsewhere is counted without the attribute")
 	}
-	counting := change(t, example(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)
+	counting := replaceOnce(t, exampleText(t), `meter-period="1s"`, `meter-period="1s" meter-elsewhere="true"`)
 	if !mustParse(t, counting).ModuleSettings().Usage.Elsewhere {
-		t.Error("no usage elsewhere with the attribute")
+		t.Error("usage elsewhere is not counted with the attribute")
 	}
 }
 
 func TestOpTypeIndex(t *testing.T) {
-	g := mustParse(t, example(t))
+	g := mustParse(t, exampleText(t))
 	for bytes, want := range map[int64]int{4096: 0, 32 << 10: 0, 36 << 10: 1, 128 << 10: 1} {
 		t.Run(fmt.Sprint(bytes), func(t *testing.T) {
 			if n := g.OpTypeIndex(nvme.Read, bytes); n != want {
-				t.Errorf("a read of %d bytes is of op type %d, want %d", bytes, n, want)
+				t.Errorf("a read of %d bytes has op type %d, want %d", bytes, n, want)
 			}
 		})
 	}
 }
 
 func TestRoundTrip(t *testing.T) {
-	checkRoundTrip(t, mustParse(t, example(t)))
+	checkRoundTrip(t, mustParse(t, exampleText(t)))
 }
 
-// checkRoundTrip wants what XML shows to read back the same.
+// checkRoundTrip checks that Parse reads the output of XML back as the same settings.
 func checkRoundTrip(t *testing.T, g *Gateway) {
 	t.Helper()
-	shown, err := g.XML()
+	encoded, err := g.XML()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := mustParse(t, string(shown)).XML()
+	encodedAgain, err := mustParse(t, string(encoded)).XML()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(again) != string(shown) {
-		t.Fatalf("shown\n%s\nthen\n%s", shown, again)
+	if string(encodedAgain) != string(encoded) {
+		t.Fatalf("first output\n%s\nsecond output\n%s", encoded, encodedAgain)
 	}
 }
--- a/settings/types.go
+++ b/settings/types.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Opcode is the kind of command that an op type is made of.
+// Opcode is the NVMe command of an op type.
 type Opcode string
 
 // The opcodes of op types.
@@ -14,49 +14,49 @@
 	OpcodeWrite Opcode = "write"
 )
 
-// Semantics tells whether an op may run more than once.
+// Semantics states whether an op may run more than once.
 type Semantics string
 
 // The semantics of op types.
 const (
-	Replayable   Semantics = "replayable"   // it may run any number of times
-	Deduplicated Semantics = "deduplicated" // disk servers drop repeats for a time
-	OnceOnly     Semantics = "once-only"    // it must not run twice
+	Replayable   Semantics = "replayable"   // may run any number of times
+	Deduplicated Semantics = "deduplicated" // disk servers drop repeats within the deduplication window
+	OnceOnly     Semantics = "once-only"    // must not run twice
 )
 
-// DedupScope is the group of disk servers that drops repeats of an op.
+// DedupScope is the group of disk servers that together drop repeats of an op.
 type DedupScope string
 
-// The deduplication scopes; an op type that names none has ScopeAll.
+// The deduplication scopes. The default is ScopeAll.
 const (
 	ScopeAll  DedupScope = "all"
 	ScopeZone DedupScope = "zone"
 	ScopeCell DedupScope = "cell"
 )
 
-// Listen is where clients connect, and the NQNs of the gateway.
+// Listen holds the address that clients connect to, and the NQNs of the gateway.
 type Listen struct {
 	Address   string `xml:"address,attr"`
-	Subsystem string `xml:"subsystem,attr"` // that clients see
-	Host      string `xml:"host,attr"`      // towards disk servers and etcd
+	Subsystem string `xml:"subsystem,attr"` // the subsystem NQN that clients connect to
+	Host      string `xml:"host,attr"`      // the host NQN that the gateway sends to disk servers and etcd
 }
 
-// EndpointList is where the list of disk servers comes from, and the bounds of following it.
+// EndpointList holds the sources of the list of disk servers, and the limits for watching it.
 type EndpointList struct {
 	Etcd        []EtcdSource `xml:"etcd"`
 	DNS         *DNSSource   `xml:"dns"`
 	SourceTrust *SourceTrust `xml:"believe"`
-	Prefix      string       `xml:"prefix,attr"` // of the keys in etcd
+	Prefix      string       `xml:"prefix,attr"` // prefix of the keys in etcd
 	WatchWithin Span         `xml:"ask-within,attr"`
 	MaxServers  int          `xml:"most,attr"`
 }
 
-// EtcdSource is a member of the etcd cluster that has the list.
+// EtcdSource is a member of the etcd cluster that stores the list.
 type EtcdSource struct {
 	Endpoint string `xml:"endpoint,attr"`
 }
 
-// DNSSource is the list in DNS: docs/dns.md.
+// DNSSource holds how the list is queried from DNS; see docs/dns.md.
 type DNSSource struct {
 	Servers     []NameServer `xml:"server"`
 	Name        string       `xml:"name,attr"`
@@ -70,7 +70,7 @@
 	Address string `xml:"address,attr"`
 }
 
-// SourceTrust is when a source's removals and changes are accepted: docs/sources.md.
+// SourceTrust holds the conditions under which removals and changes from a source are accepted; see docs/sources.md.
 type SourceTrust struct {
 	MaxRemovedShare float64 `xml:"vanish,attr"`
 	ConfirmAfter    Span    `xml:"confirm,attr"`
@@ -79,7 +79,7 @@
 	FlapHold        Span    `xml:"hold,attr"`
 }
 
-// Scheduler is this gateway's place among the gateways of the deployment.
+// Scheduler holds the number of gateways in the deployment, and the ordinal and zone of this one.
 type Scheduler struct {
 	Instances int  `xml:"hosts,attr"`
 	Ordinal   int  `xml:"ordinal,attr"`
@@ -87,19 +87,19 @@
 	Step      Span `xml:"step,attr,omitempty"`
 }
 
-// Dispatches bound how often an op is sent to disk servers.
+// Dispatches limits how often an op is sent to disk servers.
 type Dispatches struct {
 	Max            int  `xml:"most,attr"`
 	HedgingAllowed bool `xml:"parallel,attr,omitempty"`
 	MaxRetryAfter  Span `xml:"advice-most,attr,omitempty"`
 }
 
-// OpType is an op type, and which commands are of it: an opcode and a range of lengths, both ends included.
+// OpType is an op type and its commands: those with its opcode and a length from MinBytes to MaxBytes, both included.
 type OpType struct {
 	Name          string     `xml:"name,attr"`
 	Opcode        Opcode     `xml:"opcode,attr"`
 	MinBytes      Bytes      `xml:"from,attr,omitempty"`
-	MaxBytes      Bytes      `xml:"to,attr,omitempty"` // 0: up to the largest transfer
+	MaxBytes      Bytes      `xml:"to,attr,omitempty"` // 0: up to Limits.MaxTransfer
 	TargetLatency Span       `xml:"target-latency,attr"`
 	OpTimeout     Span       `xml:"op-timeout,attr"`
 	Utility       float64    `xml:"utility,attr"`
@@ -110,14 +110,14 @@
 	Ordered       bool       `xml:"ordered,attr,omitempty"`
 }
 
-// Plans are the plans that volumes may have.
+// Plans holds the plans that volumes may have.
 type Plans struct {
 	List        []Plan  `xml:"plan"`
-	WithinShare float64 `xml:"within-share,attr,omitempty"` // part of the utility beyond the reserve
-	SpareShare  float64 `xml:"spare,attr,omitempty"`        // part of the utility beyond the volume's share too
+	WithinShare float64 `xml:"within-share,attr,omitempty"` // share of the utility of ops beyond the reserve
+	SpareShare  float64 `xml:"spare,attr,omitempty"`        // share of the utility of ops beyond the volume's share
 }
 
-// Plan holds what is due to each volume of it; rates are in units a second over all gateways.
+// Plan holds the guarantees and limits of each volume that has the plan. Rates are in units a second over all gateways.
 type Plan struct {
 	Name    string  `xml:"name,attr"`
 	Rate    float64 `xml:"rate,attr"`
@@ -129,7 +129,7 @@
 	Slack   float64 `xml:"slack,attr,omitempty"`
 }
 
-// Volumes are the namespaces and what all of them share.
+// Volumes holds the namespaces and the sizes that all of them share.
 type Volumes struct {
 	List      []Volume `xml:"volume"`
 	Block     Bytes    `xml:"block,attr"`
@@ -138,27 +138,27 @@
 	MeanUnits float64  `xml:"mean-units,attr"`
 }
 
-// Volume is a namespace. Its extents lie on its cells in turn.
+// Volume is a namespace. Its extents are assigned to its cells in turn.
 type Volume struct {
 	NSID      uint32 `xml:"nsid,attr"`
 	Name      string `xml:"name,attr"`
 	Plan      string `xml:"plan,attr"`
 	Size      Bytes  `xml:"size,attr"`
 	Cells     string `xml:"cells,attr"`
-	Instances int    `xml:"hosts,attr,omitempty"` // gateways its ops come through; 0: all
+	Instances int    `xml:"hosts,attr,omitempty"` // number of gateways that its ops arrive at; 0: all
 }
 
-// CellList is Cells as numbers.
+// CellList returns the numbers of the cells.
 func (v *Volume) CellList() []int {
 	var cells []int
 	for _, field := range strings.Fields(v.Cells) {
-		cell, _ := strconv.Atoi(field) // the schema admits digits alone
+		cell, _ := strconv.Atoi(field) // the schema accepts only digits
 		cells = append(cells, cell)
 	}
 	return cells
 }
 
-// Policy holds what the decision module's rules need.
+// Policy holds the parameters of the decision module's rules.
 type Policy struct {
 	SlowStart      *SlowStart   `xml:"cold"`
 	RetryBudget    *RetryBudget `xml:"budget"`
@@ -169,23 +169,23 @@
 	UsageElsewhere bool         `xml:"meter-elsewhere,attr,omitempty"`
 }
 
-// SlowStart says how a new disk server is warmed up.
+// SlowStart holds how the load of a new disk server is increased.
 type SlowStart struct {
-	From     float64 `xml:"from,attr"` // share of the full rate that it begins with
-	Time     Span    `xml:"time,attr"` // after which it is warm
+	From     float64 `xml:"from,attr"` // share of the full rate that a new server begins with
+	Time     Span    `xml:"time,attr"` // time after which a server gets the full rate
 	Window   Span    `xml:"window,attr"`
-	Units    float64 `xml:"units,attr"`    // that it may always be sent in a window
-	Multiple float64 `xml:"multiple,attr"` // of its rate that overloads it
+	Units    float64 `xml:"units,attr"`    // number that a server may always be sent in a window
+	Multiple float64 `xml:"multiple,attr"` // multiple of a server's rate that overloads it
 }
 
-// RetryBudget bounds retries and hedged requests: Free, and a share of the ops admitted in the window.
+// RetryBudget limits retries and hedged requests in a window to Free plus a share of the ops admitted in it.
 type RetryBudget struct {
 	Free   float64 `xml:"free,attr"`
 	Share  float64 `xml:"share,attr"`
 	Window Span    `xml:"window,attr"`
 }
 
-// Limits bound what clients may cost.
+// Limits bounds the resources that clients may use.
 type Limits struct {
 	Client           *ClientLimits `xml:"peer"`
 	MaxConnections   int           `xml:"connections,attr"`
@@ -198,7 +198,7 @@
 	HandshakeTimeout Span          `xml:"handshake,attr"`
 }
 
-// ClientLimits bound what one client address may cost: docs/peers.md.
+// ClientLimits bounds the resources that one client address may use; see docs/peers.md.
 type ClientLimits struct {
 	MaxConnections   int   `xml:"connections,attr"`
 	MaxHandshakes    int   `xml:"handshakes,attr"`
@@ -211,7 +211,7 @@
 	MaxBan           Span  `xml:"most,attr"`
 }
 
-// DiskServers is how the gateway connects to disk servers.
+// DiskServers holds the parameters of connections to disk servers.
 type DiskServers struct {
 	Subsystem      string `xml:"subsystem,attr"`
 	ConnectTimeout Span   `xml:"connect-within,attr"`
@@ -220,18 +220,18 @@
 	Digests        bool   `xml:"digests,attr,omitempty"`
 }
 
-// FaultTest is a script: fake disk servers, traffic, and which faults are injected when.
+// FaultTest is the script of a fault test: the fake disk servers, the traffic, and the faults with their times.
 type FaultTest struct {
 	Gateways    int         `xml:"gateways,attr"`
 	Duration    Span        `xml:"length,attr"`
-	Clients     int         `xml:"clients,attr"` // of each gateway
+	Clients     int         `xml:"clients,attr"` // at each gateway
 	Retries     int         `xml:"retries,attr,omitempty"`
 	FakeServers FakeServers `xml:"fleet"`
 	Traffic     []Traffic   `xml:"traffic"`
 	Faults      []Fault     `xml:"trouble"`
 }
 
-// FakeServers is what each fake disk server is like.
+// FakeServers holds the performance model that all fake disk servers have.
 type FakeServers struct {
 	Cores             int     `xml:"cores,attr"`
 	QueueLimit        int     `xml:"queue,attr"`
@@ -246,15 +246,16 @@
 	ReportInterval    Span    `xml:"reports-every,attr,omitempty"`
 }
 
-// Traffic is ops of one type over all gateways.
+// Traffic is a stream of ops of one type, over all gateways.
 type Traffic struct {
 	OpType    string  `xml:"op-type,attr"`
 	Rate      float64 `xml:"rate,attr"` // ops a second
 	OpBytes   Bytes   `xml:"bytes,attr"`
-	ExtentRun int     `xml:"run,attr,omitempty"` // how many ops of one extent come in a row
+	ExtentRun int     `xml:"run,attr,omitempty"` // number of consecutive ops on one extent
 }
 
-// Fault begins at Start for Duration, at Count servers, gateways or clients, or with Factor as much.
+// Fault is a fault that begins at Start and lasts for Duration. Depending on its kind, it affects Count servers,
+// gateways or clients, or multiplies a quantity by Factor.
 type Fault struct {
 	Kind     string  `xml:"kind,attr"`
 	Start    Span    `xml:"at,attr"`
--- a/settings/units.go
+++ b/settings/units.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Span is a time such as "250ms".
+// Span is a duration that is written like "250ms" in XML.
 type Span time.Duration
 
-// UnmarshalText reads a time in the form of time.ParseDuration.
+// UnmarshalText reads a duration in the format of time.ParseDuration.
 func (s *Span) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	*s = Span(d)
 	return err
 }
 
-// MarshalText writes the time in that form.
+// MarshalText writes the duration in the format of time.Duration.String.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Duration is the span as the standard library has it.
+// Duration returns the span as a time.Duration.
 func (s Span) Duration() time.Duration { return time.Duration(s) }
 
-// Bytes is a size such as "64KiB".
+// Bytes is a size in bytes that is written like "64KiB" in XML.
 type Bytes int64
 
 // Binary multiples of a byte.
@@ -33,7 +33,7 @@
 	mib Bytes = 1 << 20
 )
 
-// maxSizeBits keeps sizes so small that sums of two of them don't overflow.
+// maxSizeBits limits sizes so that the sum of two sizes doesn't overflow.
 const maxSizeBits = 62
 
 // sizeUnit is a unit of sizes: 1<<shift bytes.
@@ -43,12 +43,13 @@
 }
 
 var (
-	singleByte   = sizeUnit{"B", 0}
-	multiples    = []sizeUnit{{"TiB", 40}, {"GiB", 30}, {"MiB", 20}, {"KiB", 10}} // largest first
-	allSizeUnits = append(multiples[:len(multiples):len(multiples)], singleByte)  // "B" is a suffix of the others
+	singleByte  = sizeUnit{"B", 0}
+	binaryUnits = []sizeUnit{{"TiB", 40}, {"GiB", 30}, {"MiB", 20}, {"KiB", 10}} // largest first
+	// allSizeUnits has "B" last, since it is a suffix of the other units.
+	allSizeUnits = append(binaryUnits[:len(binaryUnits):len(binaryUnits)], singleByte)
 )
 
-// UnmarshalText reads a whole number with one of the units B, KiB, MiB, GiB and TiB.
+// UnmarshalText reads an integer with one of the units B, KiB, MiB, GiB and TiB.
 func (s *Bytes) UnmarshalText(b []byte) error {
 	for _, unit := range allSizeUnits {
 		digits, ok := strings.CutSuffix(string(b), unit.name)
@@ -65,9 +66,9 @@
 	return fmt.Errorf("size %q has no unit", b)
 }
 
-// MarshalText writes the size in the largest unit of which it is a whole number.
+// MarshalText writes the size in the largest unit that divides it.
 func (s Bytes) MarshalText() ([]byte, error) {
-	for _, unit := range multiples {
+	for _, unit := range binaryUnits {
 		if s != 0 && int64(s)%(1<<unit.shift) == 0 {
 			return fmt.Appendf(nil, "%d%s", int64(s)>>unit.shift, unit.name), nil
 		}
--- a/settings/validation.go
+++ b/settings/validation.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Bounds of what the protocol layer can be set to.
+// The ranges of values that the protocol layer supports.
 const (
 	minBlock, maxBlock       = 512, 64 * kib
 	minTransfer, maxTransfer = 4 * kib, 1 * mib
@@ -17,7 +17,7 @@
 	capsuleAlignment         = 16
 )
 
-// constraint is a condition on the values of a file, and what to tell where it doesn't hold.
+// constraint is a condition on the values of a file, and the error to report if it doesn't hold.
 type constraint struct {
 	holds    bool
 	at       position
@@ -25,7 +25,7 @@
 	expected string
 }
 
-// validate checks what the schema can't express; it returns the first problem as an *Error.
+// validate checks the constraints that the schema can't express. It returns the first violation as an *Error.
 func validate(g *Gateway, root *node) error {
 	v := validator{g, root}
 	constraints := slices.Concat(
@@ -34,27 +34,29 @@
 	)
 	for _, c := range constraints {
 		if !c.holds {
-			return c.at.fault(c.problem, c.expected)
+			return c.at.newError(c.problem, c.expected)
 		}
 	}
 	return nil
 }
 
-// validator lists the constraints on the values of a file, section by section.
+// validator holds a file. Each of its methods returns the constraints of one section.
 type validator struct {
 	*Gateway
 	root *node
 }
 
-// section is where the one element stands that the path leads to.
-func (v validator) section(path string) position { return v.root.find(path)[0].at }
+// sectionPosition returns the position of the element at a path. The schema permits exactly one.
+func (v validator) sectionPosition(path string) position { return v.root.find(path)[0].at }
 
 func isPowerOfTwo(b Bytes) bool { return b > 0 && b&(b-1) == 0 }
 
-func isWithin[T Bytes | int](value, least, most T) bool { return value >= least && value <= most }
+func isWithin[T Bytes | int](value, minimum, maximum T) bool {
+	return value >= minimum && value <= maximum
+}
 
 func (v validator) blockSizes() []constraint {
-	at := v.section("volumes")
+	at := v.sectionPosition("volumes")
 	block, extent := v.Volumes.Block, v.Volumes.Extent
 	return []constraint{
 		{isPowerOfTwo(block) && isWithin(block, minBlock, maxBlock), at,
@@ -65,7 +67,7 @@
 }
 
 func (v validator) limits() []constraint {
-	at, l := v.section("limits"), v.Limits
+	at, l := v.sectionPosition("limits"), v.Limits
 	dataPDU, capsule := l.MaxDataPDU, l.MaxCapsule
 	return []constraint{
 		{isPowerOfTwo(l.MaxTransfer) && isWithin(l.MaxTransfer, minTransfer, maxTransfer), at,
@@ -75,14 +77,14 @@
 		{capsule%capsuleAlignment == 0 && isWithin(capsule, minCapsule, dataPDU), at,
 			"capsule is not a multiple of 16 from 1KiB to piece", "such as 8KiB"},
 		{isWithin(l.QueueDepth, minQueue, maxQueue), at, "depth is not from 2 to 1024", "such as 128"},
-		{l.MaxBuffered >= l.MaxTransfer, at, "held is under transfer", "at least one transfer must fit"},
-		{l.MaxUnsent >= 4*l.MaxTransfer, at, "unsent is under four times transfer", "room for some answers"},
+		{l.MaxBuffered >= l.MaxTransfer, at, "held is less than transfer", "at least one transfer must fit"},
+		{l.MaxUnsent >= 4*l.MaxTransfer, at, "unsent is less than four times transfer", "several answers must fit"},
 		{l.HandshakeTimeout > 0, at, "handshake is 0", "such as 1s"},
 	}
 }
 
 func (v validator) diskServers() []constraint {
-	at, servers := v.section("disk-servers"), v.DiskServers
+	at, servers := v.sectionPosition("disk-servers"), v.DiskServers
 	return []constraint{
 		{isWithin(servers.QueueDepth, minQueue, maxQueue), at, "depth is not from 2 to 1024", "such as 256"},
 		{servers.ConnectTimeout > 0, at, "connect-within is 0", "such as 250ms"},
@@ -90,28 +92,28 @@
 }
 
 func (v validator) scheduler() []constraint {
-	at := v.section("scheduler")
+	at := v.sectionPosition("scheduler")
 	return []constraint{
-		{v.Scheduler.Ordinal < v.Scheduler.Instances, at, "ordinal is not below hosts", "schedulers count from 0"},
+		{v.Scheduler.Ordinal < v.Scheduler.Instances, at, "ordinal is not below hosts", "ordinals start at 0"},
 	}
 }
 
 func (v validator) policy() []constraint {
-	at := v.section("rules")
+	at := v.sectionPosition("rules")
 	slowStart, budget := v.Policy.SlowStart, v.Policy.RetryBudget
 	return []constraint{
 		{slowStart == nil || slowStart.From > 0 && slowStart.Window > 0, at,
-			"cold has from or window 0", "leave the element out where servers start warm"},
+			"cold has from or window 0", "omit the element if servers start at the full rate"},
 		{budget == nil || budget.Window > 0, at,
-			"budget has window 0", "leave the element out where there is no budget"},
+			"budget has window 0", "omit the element if there is no budget"},
 	}
 }
 
 func (v validator) endpointList() []constraint {
-	at := v.section("list")
+	at := v.sectionPosition("list")
 	return []constraint{
 		{v.EndpointList.WatchWithin > 0, at, "ask-within is 0", "such as 10s"},
-		{v.EndpointList.MaxServers > 0, at, "most is 0", "more than the fleet will ever have, such as 20000"},
+		{v.EndpointList.MaxServers > 0, at, "most is 0", "a number above any expected fleet size, such as 20000"},
 	}
 }
 
@@ -123,22 +125,22 @@
 	usable := c.MaxConnections >= 2 && c.ViolationWindow > 0 && c.InitialBan > 0 && c.MaxBan >= c.InitialBan &&
 		c.MaxBufferedBytes >= v.Limits.MaxTransfer
 	return []constraint{
-		{usable, v.section("limits"),
-			"peer has under 2 connections, bytes under transfer, window or shut 0, or most under shut",
-			"a host needs two connections, and one transfer must fit"},
+		{usable, v.sectionPosition("limits"),
+			"peer has fewer than 2 connections, bytes less than transfer, window or shut 0, or most less than shut",
+			"a host needs two connections, and at least one transfer must fit"},
 	}
 }
 
 func (v validator) discoverySources() []constraint {
-	at, list := v.section("list"), v.EndpointList
+	at, list := v.sectionPosition("list"), v.EndpointList
 	if list.DNS == nil {
 		return []constraint{{len(list.Etcd) > 0, at, "the list has no source", "etcd, dns, or both"}}
 	}
 	dns := list.DNS
 	usable := dns.MinInterval > 0 && dns.MinInterval <= dns.MaxInterval && dns.Timeout > 0
 	return []constraint{
-		{list.SourceTrust != nil, at, "dns stands without a believe", "with two sources the rule needs its figures"},
-		{usable, at, "dns has floor or timeout 0, or a floor over its ceiling",
+		{list.SourceTrust != nil, at, "dns is given without a believe", "add a <believe> element"},
+		{usable, at, "dns has floor or timeout 0, or floor over ceiling",
 			"such as floor 1s, ceiling 30s, timeout 500ms"},
 	}
 }
@@ -147,22 +149,22 @@
 	nodes := slices.Concat(v.root.find("listen"), v.root.find("list/etcd"), v.root.find("list/dns/server"))
 	var constraints []constraint
 	for _, n := range nodes {
-		text := n.attributes["address"] + n.attributes["endpoint"] // an element has one of them
+		text := n.attributes["address"] + n.attributes["endpoint"] // an element has only one of them
 		_, err := netip.ParseAddrPort(text)
 		constraints = append(constraints,
-			constraint{err == nil, n.at, fmt.Sprintf("%q is no address", text), "such as 127.0.0.1:4420"})
+			constraint{err == nil, n.at, fmt.Sprintf("%q is not an address", text), "such as 127.0.0.1:4420"})
 	}
 	return constraints
 }
 
 // lengthRange is a range of command lengths in bytes, both ends included.
-type lengthRange struct{ least, most Bytes }
+type lengthRange struct{ minimum, maximum Bytes }
 
 func (l lengthRange) overlaps(other lengthRange) bool {
-	return l.most >= other.least && l.least <= other.most
+	return l.maximum >= other.minimum && l.minimum <= other.maximum
 }
 
-// lengthsOf is how long commands of an op type may be.
+// lengthsOf returns the range of lengths that commands of an op type may have.
 func (v validator) lengthsOf(t OpType) lengthRange {
 	if t.MaxBytes == 0 {
 		return lengthRange{t.MinBytes, max(v.Limits.MaxTransfer, 1)}
@@ -186,33 +188,34 @@
 		constraints = append(constraints,
 			constraint{t.TargetLatency > 0 && t.TargetLatency <= t.OpTimeout, at,
 				fmt.Sprintf("the target latency of %q is 0 or over its op timeout", t.Name),
-				"an answer is wanted before the client gives up"},
-			constraint{v.Policy.AnswerMargin < t.OpTimeout/2, v.section("rules"),
+				"it must not exceed the time after which the client gives up"},
+			constraint{v.Policy.AnswerMargin < t.OpTimeout/2, v.sectionPosition("rules"),
 				fmt.Sprintf("answer-margin is half of the op timeout of %q or more", t.Name),
-				"it is the time an answer needs to the client"},
+				"it is the time that an answer takes to reach the client"},
 			constraint{t.Semantics != Deduplicated || t.DedupWindow > 0, at,
 				fmt.Sprintf("%q is deduplicated without a time", t.Name),
-				"remember tells how long repeats are known"})
+				"remember is the time for which repeats are dropped"})
 	}
 	return constraints
 }
 
-// opTypeCoverage wants each length that a command may have in an op type.
+// opTypeCoverage requires that each length that a command may have belongs to an op type.
 func (v validator) opTypeCoverage() []constraint {
 	if v.Volumes.Block == 0 {
-		return nil // blockSizes has reported it
+		return nil // blockSizes reports it
 	}
-	at := v.section("op-types")
+	at := v.sectionPosition("op-types")
 	var constraints []constraint
 	for _, opcode := range []Opcode{OpcodeRead, OpcodeWrite} {
 		next := v.firstUncovered(opcode)
 		constraints = append(constraints, constraint{next > v.Limits.MaxTransfer, at,
-			fmt.Sprintf("a %s of %d bytes is of no op type", opcode, next), "each length up to transfer needs one"})
+			fmt.Sprintf("a %s of %d bytes has no op type", opcode, next), "each length up to transfer needs one"})
 	}
 	return constraints
 }
 
-// firstUncovered is the least whole number of blocks that no op type of an opcode has among its lengths.
+// firstUncovered returns the smallest length, in whole blocks, that no op type of an opcode covers. The result is in
+// bytes.
 func (v validator) firstUncovered(opcode Opcode) Bytes {
 	var covered []lengthRange
 	for _, t := range v.OpTypes {
@@ -220,12 +223,12 @@
 			covered = append(covered, v.lengthsOf(t))
 		}
 	}
-	slices.SortFunc(covered, func(a, b lengthRange) int { return int(a.least - b.least) })
+	slices.SortFunc(covered, func(a, b lengthRange) int { return int(a.minimum - b.minimum) })
 	block := v.Volumes.Block
 	next := block
 	for _, l := range covered {
-		if l.least <= next {
-			next = max(next, (l.most/block+1)*block)
+		if l.minimum <= next {
+			next = max(next, (l.maximum/block+1)*block)
 		}
 	}
 	return next
@@ -236,7 +239,7 @@
 	elements := v.root.find("plans/plan")
 	for i, p := range v.Plans.List {
 		constraints = append(constraints, constraint{p.Limit == 0 || p.Burst > 0, elements[i].at,
-			fmt.Sprintf("plan %q has a limit without a burst", p.Name), "burst is the amount it fills up to"})
+			fmt.Sprintf("plan %q has a limit without a burst", p.Name), "burst is the capacity that the limit refills up to"})
 	}
 	return constraints
 }
@@ -251,7 +254,7 @@
 			constraint{volume.Size > 0 && block > 0 && volume.Size%block == 0, at,
 				fmt.Sprintf("the size of %q is not a multiple of block", volume.Name), ""},
 			constraint{volume.Instances <= v.Scheduler.Instances, at,
-				fmt.Sprintf("%q has more hosts than there are", volume.Name), ""})
+				fmt.Sprintf("%q has more hosts than the scheduler element", volume.Name), ""})
 	}
 	return constraints
 }
--- a/settings/values.go
+++ b/settings/values.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// The types that XML Schema brings itself.
+// The built-in types of XML Schema that honeyplank.xsd uses.
 const (
 	typeString  = "xs:string"
 	typeBoolean = "xs:boolean"
@@ -16,7 +16,7 @@
 	typeInteger = "xs:integer"
 )
 
-// maxNumberLength bounds the text of a number.
+// maxNumberLength is the maximum length of a number's text in bytes.
 const maxNumberLength = 63
 
 var (
@@ -24,7 +24,7 @@
 	integerText = regexp.MustCompile(`^[+-]?[0-9]+$`)
 )
 
-// accepts tells whether a value is of a type. Numbers are compared exactly, as the schema's are.
+// accepts reports whether a value is valid for a type. Numbers are compared exactly, as XML Schema requires.
 func (s *schema) accepts(typeName, value string) bool {
 	switch typeName {
 	case typeString:
@@ -40,7 +40,7 @@
 	return t != nil && s.accepts(t.Restriction.Base, value) && t.accepts(value)
 }
 
-// accepts tells whether a value of the type's base is within its restriction.
+// accepts reports whether a value of the type's base satisfies the type's restriction.
 func (t *simpleType) accepts(value string) bool {
 	if t.pattern != nil && !t.pattern.MatchString(value) {
 		return false
@@ -54,7 +54,8 @@
 		(r.MaxInclusive == nil || r.MaxInclusive.compare(value) <= 0)
 }
 
-// compare is above 0 where a value is above the facet's, below 0 where it is below, and 0 where one is no number.
+// compare returns a positive number if value is greater than the facet's value and a negative number if it is less. It
+// returns 0 if they are equal or if one of them is not a number.
 func (f *facet) compare(value string) int {
 	number, valid := new(big.Rat).SetString(strings.TrimPrefix(collapse(value), "+"))
 	bound, validBound := new(big.Rat).SetString(f.Value)
@@ -64,10 +65,10 @@
 	return number.Cmp(bound)
 }
 
-// collapse removes the white space around a value, as XML Schema does for all types but strings.
+// collapse removes the white space around a value, as XML Schema does for all types except strings.
 func collapse(value string) string { return strings.Trim(value, " \t\r\n") }
 
-// describe tells what a value of a type looks like.
+// describe returns a description of the valid values of a type for error messages.
 func (s *schema) describe(typeName string) string {
 	switch typeName {
 	case "span":
@@ -75,7 +76,7 @@
 	case "bytes":
 		return `a size is a whole number with its unit, such as "64KiB" (B, KiB, MiB, GiB, TiB)`
 	case "address":
-		return `an address is IPv4 loopback and a port, such as "127.0.0.1:4420"`
+		return `an address is an IPv4 loopback address with a port, such as "127.0.0.1:4420"`
 	case typeBoolean:
 		return "true or false"
 	}
