--- a/cmd/honeyplank/bench.go
+++ b/cmd/honeyplank/bench.go
@@ -9,14 +9,14 @@
 )
 
 type benchCommand struct {
-	Ops     opsCommand     `cmd:"" default:"withargs" help:"Measure the cost of an op, by the gateway and direct."`
-	Hostile hostileCommand `cmd:"" help:"Measure what clients get beside hostile peers."`
-	Sources sourcesCommand `cmd:"" help:"Measure the cost of following the endpoint list."`
+	Ops     opsCommand     `cmd:"" default:"withargs" help:"Measure the cost of an op, through the gateway and direct."`
+	Hostile hostileCommand `cmd:"" help:"Measure the service of clients while others are abusive."`
+	Sources sourcesCommand `cmd:"" help:"Measure the cost of watching the endpoint list."`
 	Fleet   fleetCommand   `cmd:"" help:"Measure the cost of one scheduler, by fleet size."`
 }
 
 type hostileCommand struct {
-	Connections int     `help:"Hostile connections." default:"1000"`
+	Connections int     `help:"Connections of abusive clients." default:"1000"`
 	Seconds     float64 `help:"Length of each phase." default:"3"`
 	JSON        bool    `help:"Print the figures as JSON."`
 }
@@ -36,7 +36,7 @@
 type sourcesCommand struct {
 	Nodes   []int   `help:"Sizes of the fleet." default:"10,100,1000,10000"`
 	Rates   []int   `help:"Changes per second." default:"1,100,1000"`
-	Seconds float64 `help:"Length at each size and rate." default:"3"`
+	Seconds float64 `help:"Length of the run at each size and rate." default:"3"`
 	JSON    bool    `help:"Print the figures as JSON."`
 }
 
@@ -58,25 +58,25 @@
 	return nil
 }
 
-// recordLifetime is how long name servers' records live where their queries are counted.
-const recordLifetime = 2
+// recordTTLSeconds is the TTL of the DNS records whose queries are counted.
+const recordTTLSeconds = 2
 
 func (c *sourcesCommand) printQueries(schedulers int) error {
-	rate, err := bench.DNSLoad(schedulers, recordLifetime, recordLifetime*c.Seconds)
+	rate, err := bench.DNSLoad(schedulers, recordTTLSeconds, recordTTLSeconds*c.Seconds)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("\n%d schedulers, records of %d s: %.1f queries a second at the name server, "+
-		"at most %.0f a second within any tenth of one", schedulers, recordLifetime, rate.Mean, rate.Peak)
+		"at most %.0f a second within any tenth of one", schedulers, recordTTLSeconds, rate.Mean, rate.Peak)
 	return nil
 }
 
 type opsCommand struct {
 	Seconds float64 `help:"Length of each phase." default:"3"`
 	Depth   int     `help:"Ops in flight at saturation." default:"128"`
-	Rate    float64 `help:"Ops per second where latency is measured." default:"1000"`
+	Rate    float64 `help:"Ops per second while latency is measured." default:"1000"`
 	JSON    bool    `help:"Print the report as JSON."`
-	Check   bool    `help:"Fail if the cost of an op has grown by over a tenth."`
+	Check   bool    `help:"Fail if the cost of an op exceeds the baseline by over a tenth."`
 }
 
 func (c *opsCommand) Run() error {
@@ -105,13 +105,13 @@
 	JSON    bool    `help:"Print the figures as JSON."`
 }
 
-// Run starts this program as a scheduler, once for each fleet size.
+// Run starts this program as a scheduler and measures it, once for each fleet size.
 func (c *fleetCommand) Run() error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	costs, err := bench.Fleet(ctx, program, c.Servers, c.Seconds)
 	if err != nil {
--- a/cmd/honeyplank/estimates_test.go
+++ b/cmd/honeyplank/estimates_test.go
@@ -13,7 +13,7 @@
 	"honeyplank/estimates"
 )
 
-// encodedEstimates is a file of one disk server's estimates, saved at a time.
+// encodedEstimates returns a file with the estimates of one disk server, saved at the given time.
 func encodedEstimates(t *testing.T, savedAt time.Time) string {
 	t.Helper()
 	server := estimates.Server{ID: "127.0.0.1:9", At: savedAt, BestPerUnit: 0.001, Latency: 0.01}
@@ -25,14 +25,14 @@
 	return string(text)
 }
 
-// TestEstimatesFile stops and starts a daemon that saves its estimates: a stop writes the file, a start reads it, and a
-// damaged one keeps no daemon from serving. The flag's old name does the same.
+// TestEstimatesFile checks that a daemon reads its file of estimates when it starts, that it starts even if the file is
+// damaged, and that it writes the file when it stops. The old name of the flag must have the same effect.
 func TestEstimatesFile(t *testing.T) {
 	now := time.Now().UTC()
 	for _, flag := range []string{"--estimates", "--learnt"} {
 		for _, c := range []struct {
 			name, before string
-			servers      int // in the file after the stop; no server is listed
+			servers      int // in the file after the stop; the endpoint list is empty
 		}{
 			{"no file", "", 0},
 			{"damaged", "damaged", 0},
@@ -44,41 +44,43 @@
 	}
 }
 
-// checkEstimatesFile starts and stops a daemon with a file, and counts the servers in what it has saved.
+// checkEstimatesFile starts and stops a daemon with a file, and checks the number of servers in the saved file.
 func checkEstimatesFile(t *testing.T, flag, before string, servers int) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "estimates")
 	if before != "" {
 		writeFile(t, file, before)
 	}
-	t.Run("serve", func(t *testing.T) { startDaemon(t, exampleSettings(t), 1, flag, file) }) // its end is the stop
+	// The cleanup of the subtest stops the daemon.
+	t.Run("serve", func(t *testing.T) { startDaemon(t, exampleSettings(t), 1, flag, file) })
 	r, err := estimates.Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(r.Servers) != servers {
-		t.Errorf("%d servers, want %d", len(r.Servers), servers)
+		t.Errorf("%d servers in the file, want %d", len(r.Servers), servers)
 	}
 }
 
-// TestEstimatesFaults stops a daemon while it can open no file, for a moment or for good, and one whose folder is
-// missing: it ends gracefully and within its time, logs the fault once, and saves what it can.
+// TestEstimatesFaults stops a daemon while it can't open files, temporarily or permanently, or while the folder of its
+// file is missing. The daemon must shut down gracefully and in time, log each error once, and save the estimates if the
+// fault is temporary.
 func TestEstimatesFaults(t *testing.T) {
 	const retrying, notSaved, saved = "saving estimates failed, retrying", "estimates not saved", "estimates saved"
 	for _, c := range []estimatesFault{
-		{"for a moment", false, true, []string{retrying, saved}},
-		{"for good", false, false, []string{retrying, notSaved}},
-		{"no folder", true, false, []string{notSaved}},
+		{"temporarily no files", false, true, []string{retrying, saved}},
+		{"permanently no files", false, false, []string{retrying, notSaved}},
+		{"missing folder", true, false, []string{notSaved}},
 	} {
 		t.Run(c.name, c.check)
 	}
 }
 
-// estimatesFault is what keeps a daemon from saving its estimates, and what it logs of that.
+// estimatesFault is a fault while a daemon saves its estimates, with the messages that the daemon must log.
 type estimatesFault struct {
 	name          string
-	missingFolder bool // in place of a process that can open no file
-	passes        bool // the fault, once it has been logged
+	missingFolder bool // otherwise the process can't open files
+	temporary     bool // the fault ends once it has been logged
 	messages      []string
 }
 
@@ -92,53 +94,53 @@
 	d, lines, _ := startServe(t, exampleSettings(t), 1, "--stop", stopTimeout.String(), "--estimates", file)
 	allow := func() error { return nil }
 	if !c.missingFolder {
-		allow = forbidFiles(t, d)
+		allow = forbidOpeningFiles(t, d)
 	}
-	began := time.Now()
+	started := time.Now()
 	sendSignal(t, d, syscall.SIGTERM)
-	messages := c.follow(t, lines, func() {
+	messages := c.collectMessages(t, lines, func() {
 		if err := allow(); err != nil && d.ProcessState != nil {
 			t.Fatal(err)
 		}
 	})
 	if err := d.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the daemon ended with %v", err)
 	}
 	const busyMachine = 5 * time.Second
-	if took := time.Since(began); took > stopTimeout+saveReturnGrace+busyMachine {
-		t.Errorf("its stop took %v", took)
+	if took := time.Since(started); took > stopTimeout+saveReturnGrace+busyMachine {
+		t.Errorf("the shutdown took too long: %v", took)
 	}
 	if !slices.Equal(messages, c.messages) {
-		t.Errorf("it logged %q, want %q", messages, c.messages)
+		t.Errorf("logged %q, want %q", messages, c.messages)
 	}
-	if _, err := estimates.Read(file); (err == nil) != c.passes {
-		t.Errorf("its file: %v", err)
+	if _, err := estimates.Read(file); (err == nil) != c.temporary {
+		t.Errorf("reading the saved file: %v", err)
 	}
 }
 
-// follow reads a log to its end and returns the messages about the file of estimates. A fault that passes is ended
-// once the first of them has come.
-func (c estimatesFault) follow(t *testing.T, lines chan string, end func()) []string {
+// collectMessages reads a log to its end and returns the messages about the file of estimates. After the first of them,
+// it calls end if the fault is temporary.
+func (c estimatesFault) collectMessages(t *testing.T, lines chan string, end func()) []string {
 	t.Helper()
 	var messages []string
 	for line := range lines {
 		if message := estimatesMessage(t, line); message != "" {
 			messages = append(messages, message)
 		}
-		if c.passes && len(messages) == 1 {
+		if c.temporary && len(messages) == 1 {
 			end()
 		}
 	}
 	return messages
 }
 
-// estimatesMessage is the message of a log line about the file of estimates, with the error that stands for a write
-// that hangs; of another line it is empty.
+// estimatesMessage returns the message of a log line about the file of estimates, followed by the error if that is
+// errSaveHangs. It returns an empty string for any other line.
 func estimatesMessage(t *testing.T, line string) string {
 	t.Helper()
 	var l struct{ Message, Error string }
 	if err := json.Unmarshal([]byte(line), &l); err != nil {
-		t.Errorf("%v in %s", err, line)
+		t.Errorf("%v in log line %s", err, line)
 	}
 	switch {
 	case !strings.Contains(l.Message, "estimates"):
--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -18,18 +18,18 @@
 )
 
 type fakeCommand struct {
-	Disk diskCommand `cmd:"" help:"Run the disk servers of a script, until interrupted."`
-	DNS  dnsCommand  `cmd:"" help:"Run a name server that lists the given disk servers, until interrupted."`
-	Etcd etcdCommand `cmd:"" help:"Run an etcd that lists the given disk servers, until interrupted."`
+	Disk diskCommand `cmd:"" help:"Run a fake disk server as in a script, until interrupted."`
+	DNS  dnsCommand  `cmd:"" help:"Run a DNS server that lists the given disk servers, until interrupted."`
+	Etcd etcdCommand `cmd:"" help:"Run a fake etcd that lists the given disk servers, until interrupted."`
 }
 
 type diskCommand struct {
-	Script string        `arg:"" help:"Script, or settings with a <rehearsal>: its fleet is what the server is like."`
+	Script string        `arg:"" help:"Script, or settings with a <rehearsal>, whose fleet describes the server."`
 	Listen string        `help:"Address to listen on." default:"127.0.0.1:0"`
-	Slow   float64       `help:"Factor on the service time."`
+	Slow   float64       `help:"Factor by which the service time is multiplied."`
 	Fail   float64       `help:"Share of ops that fail."`
 	Lose   float64       `help:"Share of answers that are never sent."`
-	Silent time.Duration `help:"Stop answering after this long; 0: never."`
+	Silent time.Duration `help:"Stop answering after this time; 0: never."`
 }
 
 func (c *diskCommand) Run(log zerolog.Logger) error {
@@ -56,9 +56,9 @@
 		})
 	}
 	fmt.Println(d.Address())
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
-	go func() { // it ends with the process, if the loop fails first
+	go func() { // if the loop fails first, this goroutine ends with the process
 		<-ctx.Done()
 		l.Post(l.Stop)
 	}()
@@ -85,16 +85,16 @@
 		s.Set(c.Prefix+address, value)
 	}
 	fmt.Println(s.Address())
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	<-ctx.Done()
 	return nil
 }
 
 type dnsCommand struct {
-	Nodes    []string `arg:"" optional:"" help:"Addresses of disk servers, by cell; /0 behind one: draining."`
+	Nodes    []string `arg:"" optional:"" help:"Addresses of disk servers, by cell; suffix /0: draining."`
 	Name     string   `help:"Owner of the SRV records." default:"_honeyplank._tcp.storage.example."`
-	Lifetime uint32   `help:"Lifetime of the records in seconds." default:"10"`
+	Lifetime uint32   `help:"TTL of the records in seconds." default:"10"`
 	Truncate bool     `help:"Truncate over UDP."`
 	Empty    bool     `help:"Answer without records or an SOA."`
 	Rcode    int      `help:"Answer with this response code."`
@@ -127,7 +127,7 @@
 	s.SetRecords(c.Lifetime, list)
 	s.SetFaults(dns.Faults{Truncate: c.Truncate, Empty: c.Empty, Rcode: c.Rcode})
 	fmt.Println(s.Address())
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	<-ctx.Done()
 	return nil
--- a/cmd/honeyplank/faulttest.go
+++ b/cmd/honeyplank/faulttest.go
@@ -13,18 +13,18 @@
 )
 
 type faultTestCommand struct {
-	Script   string `help:"Script to run: badday, sources and wires are built in, else a file." default:"badday"`
+	Script   string `help:"Script to run: badday, sources, wires (built in) or a file." default:"badday"`
 	Seed     int64  `help:"Seed of all random numbers." default:"1"`
-	Trouble  string `help:"Inject one kind of fault on its own, or all of them one by one."`
+	Trouble  string `help:"Inject only this kind of fault, or all kinds one by one."`
 	Baseline bool   `help:"Have the gateways dispatch ops in order of arrival, as a baseline."`
 	JSON     bool   `help:"Print the report as JSON."`
 	Verbose  bool   `help:"Show the gateways' log lines."`
 }
 
-// maxParallelScenarios is how many scenarios run at a time.
+// maxParallelScenarios is the maximum number of scenarios that run at a time.
 const maxParallelScenarios = 3
 
-var errRuleBroken = errors.New("a rule is broken; the same command with the same seed plays it again")
+var errRuleBroken = errors.New("a rule is broken; run the same command with the same seed to reproduce it")
 
 func (c *faultTestCommand) Run(log zerolog.Logger) error {
 	script, err := c.readScript()
@@ -37,7 +37,7 @@
 			return usageError{err}
 		}
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	kept := true
 	for i, result := range c.runAll(ctx, scenarios, log) {
@@ -72,13 +72,13 @@
 	return readSettings(c.Script)
 }
 
-// faultTestResult is how a scenario ended: with a report or an error.
+// faultTestResult is the result of a scenario: a report or an error.
 type faultTestResult struct {
 	report *faulttest.Report
 	err    error
 }
 
-// runAll runs the scenarios, some at a time, and returns their results in order.
+// runAll runs the scenarios, at most maxParallelScenarios at a time, and returns their results in order.
 func (c *faultTestCommand) runAll(
 	ctx context.Context, scenarios []faulttest.Scenario, log zerolog.Logger,
 ) []faultTestResult {
@@ -108,7 +108,7 @@
 	return o
 }
 
-// faultTestJSON is a report with the kind of fault that was injected, where it was one alone.
+// faultTestJSON is a report, with the kind of fault if only one was injected.
 type faultTestJSON struct {
 	Trouble string `json:"trouble,omitempty"`
 	*faulttest.Report
--- a/cmd/honeyplank/filereader.go
+++ b/cmd/honeyplank/filereader.go
@@ -13,27 +13,28 @@
 	"honeyplank/scheduler"
 )
 
-// How long a read is retried, from the first attempt on.
+// Limits of the retries of a read. Times are counted from the first attempt.
 const (
-	readTimeout     = 3 * time.Second        // while the system can't read the file
-	replaceTimeout  = 500 * time.Millisecond // while its content is wrong: it may be half written
-	minReadAttempts = 5                      // even if the process was suspended in between
+	readTimeout     = 3 * time.Second        // if the system can't read the file
+	replaceTimeout  = 500 * time.Millisecond // if the content is wrong, since it may be partly written
+	minReadAttempts = 5                      // made even if the process is suspended meanwhile
 )
 
 var readBackoff = estimates.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond}
 
-// fileReader reads a file and retries where that fails for a moment.
+// fileReader reads a file and retries errors that may be temporary.
 type fileReader[T any] struct {
 	read func() (T, error)
-	// retryFor is how long after the first attempt an error is retried; 0: not at all.
+	// retryFor returns the time after the first attempt during which an error is retried. 0 means that the error is not
+	// retried.
 	retryFor func(error) time.Duration
 	log      zerolog.Logger
 }
 
-// load reads until an attempt succeeds, the error is not to be retried any more, or ctx is done. A signal on reload
-// starts over: what has been read since may be older than the change that the signal stands for.
+// load reads until an attempt succeeds, the retries of the error are used up, or ctx is done. A signal on reload starts
+// the retries over, since the attempts so far may have read the file before the change that the signal announces.
 func (r fileReader[T]) load(ctx context.Context, reload <-chan os.Signal) (T, error) {
-	began, failed := time.Now(), 0
+	started, failed := time.Now(), 0
 	for {
 		content, err := r.read()
 		if err == nil {
@@ -45,21 +46,21 @@
 		failed++
 		wait := readBackoff.Wait(failed)
 		timeout := r.retryFor(err)
-		if timeout == 0 || failed >= minReadAttempts && time.Since(began)+wait > timeout {
+		if timeout == 0 || failed >= minReadAttempts && time.Since(started)+wait > timeout {
 			return content, err
 		}
 		select {
 		case <-ctx.Done():
 			return content, ctx.Err()
 		case <-reload:
-			began, failed = time.Now(), 0
+			started, failed = time.Now(), 0
 		case <-time.After(wait):
 		}
 	}
 }
 
-// follow loads the file at each signal on reload and passes it to apply, until ctx is done. If a load fails, what was
-// applied before stays.
+// follow loads the file at each signal on reload and passes the content to apply, until ctx is done. If a load fails,
+// it doesn't call apply, and the previous content stays in use.
 func (r fileReader[T]) follow(ctx context.Context, reload <-chan os.Signal, apply func(T)) {
 	for {
 		select {
@@ -79,13 +80,14 @@
 	}
 }
 
-// readWithRetry reads a file and retries while the system can't read it. Any other error is returned at once.
+// readWithRetry reads a file. It retries temporary system errors and returns any other error at once.
 func readWithRetry[T any](log zerolog.Logger, file string, read func(string) (T, error)) (T, error) {
 	r := fileReader[T]{func() (T, error) { return read(file) }, retrySystemError, log}
 	return r.load(context.Background(), nil)
 }
 
-// retrySystemError is how long an error is retried that the system gives for a moment.
+// retrySystemError returns the time for which an error is retried: readTimeout for system errors that may be temporary,
+// and 0 for all others.
 func retrySystemError(err error) time.Duration {
 	for _, kind := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EIO, syscall.EINTR, syscall.EAGAIN} {
 		if errors.Is(err, kind) {
@@ -95,8 +97,8 @@
 	return 0
 }
 
-// retryConfigError is how long an error of a scheduler's configuration is retried. Content that is wrong may be half
-// written; without a line the file could not be read.
+// retryConfigError returns the time for which an error of a scheduler's configuration is retried. An error with a line
+// is in the content, which may be partly written. An error without a line means that the file could not be read.
 func retryConfigError(err error) time.Duration {
 	var fault *scheduler.ConfigError
 	if errors.As(err, &fault) && fault.Line > 0 {
--- a/cmd/honeyplank/filereader_test.go
+++ b/cmd/honeyplank/filereader_test.go
@@ -22,20 +22,20 @@
 	errContent = &scheduler.ConfigError{
 		File: "config.json", Line: 3, Wrong: "unexpected end of JSON input", Want: "one JSON object",
 	}
-	errUnread = &scheduler.ConfigError{
+	errUnreadable = &scheduler.ConfigError{
 		File: "config.json", Wrong: "open config.json: too many open files",
 		Want: "the configuration that the platform writes",
 	}
 )
 
-// fileContent is what a reader that succeeds reads.
+// fileContent is the content that a successful read returns.
 const fileContent = 7
 
-// failingReader fails so many times, and then reads fileContent.
-func failingReader(err error, times int) fileReader[int] {
+// failingReader returns a reader that fails the given number of times and then returns fileContent.
+func failingReader(err error, failures int) fileReader[int] {
 	read := func() (int, error) {
-		if times > 0 {
-			times--
+		if failures > 0 {
+			failures--
 			return 0, err
 		}
 		return fileContent, nil
@@ -43,49 +43,50 @@
 	return fileReader[int]{read, retryConfigError, zerolog.Nop()}
 }
 
-// loadCase is a read that fails so many times with an error.
+// loadCase is a load whose first reads fail with an error.
 type loadCase struct {
-	err      error
-	times    int
-	least    time.Duration // the time it takes; at most one wait more
-	succeeds bool
+	err         error
+	failures    int
+	minDuration time.Duration // of the load; the maximum is one wait longer
+	succeeds    bool
 }
 
-// TestLoad: an error that passes is waited for, one that lasts is returned as it is and in bounded time.
+// TestLoad checks that load retries until a temporary error has ended, and that it returns a permanent error unchanged
+// and in bounded time.
 func TestLoad(t *testing.T) {
 	const always = 1 << 30
 	for _, c := range []loadCase{
 		{nil, 0, 0, true},
-		{errUnread, 1, 20 * time.Millisecond, true},
-		{errUnread, 6, 1100 * time.Millisecond, true},
-		{errUnread, always, readTimeout - readBackoff.Max, false},
+		{errUnreadable, 1, 20 * time.Millisecond, true},
+		{errUnreadable, 6, 1100 * time.Millisecond, true},
+		{errUnreadable, always, readTimeout - readBackoff.Max, false},
 		{syscall.EIO, 3, 140 * time.Millisecond, true},
 		{errContent, 4, 300 * time.Millisecond, true},
 		{errContent, always, 300 * time.Millisecond, false},
 	} {
-		t.Run(fmt.Sprintf("%v, %d times", c.err, c.times), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v, %d times", c.err, c.failures), func(t *testing.T) {
 			synctest.Test(t, c.check)
 		})
 	}
 }
 
 func (c loadCase) check(t *testing.T) {
-	began := time.Now()
-	got, err := failingReader(c.err, c.times).load(t.Context(), nil)
-	if took := time.Since(began); took < c.least || took > c.least+readBackoff.Max {
-		t.Errorf("it took %v", took)
+	started := time.Now()
+	got, err := failingReader(c.err, c.failures).load(t.Context(), nil)
+	if took := time.Since(started); took < c.minDuration || took > c.minDuration+readBackoff.Max {
+		t.Errorf("unexpected duration of load: %v", took)
 	}
 	wantErr := c.err
 	if c.succeeds {
 		wantErr = nil
 	}
 	if (got == fileContent) != c.succeeds || err != wantErr {
-		t.Errorf("%d, %v", got, err)
+		t.Errorf("load returned %d, error %v", got, err)
 	}
 }
 
-// followed is a file that changes, and its follower. Its content is valid or not.
-type followed struct {
+// followedFile is a file whose content changes and may be invalid, and the follow call that reads it.
+type followedFile struct {
 	reload  chan os.Signal
 	valid   atomic.Bool
 	newest  atomic.Int64
@@ -94,9 +95,9 @@
 	ended   chan struct{}
 }
 
-func follow(t *testing.T) *followed {
+func follow(t *testing.T) *followedFile {
 	t.Helper()
-	f := &followed{reload: make(chan os.Signal, 1), ended: make(chan struct{})}
+	f := &followedFile{reload: make(chan os.Signal, 1), ended: make(chan struct{})}
 	f.newest.Store(1)
 	r := fileReader[int64]{f.read, retryConfigError, zerolog.Nop()}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -108,46 +109,46 @@
 	return f
 }
 
-func (f *followed) read() (int64, error) {
+func (f *followedFile) read() (int64, error) {
 	if !f.valid.Load() {
 		return 0, errContent
 	}
 	return f.newest.Load(), nil
 }
 
-// signal sends a signal, which is dropped where one waits, as signal.Notify does.
-func (f *followed) signal() {
+// signal sends a signal on the channel. Like signal.Notify, it drops the signal if one is pending.
+func (f *followedFile) signal() {
 	select {
 	case f.reload <- syscall.SIGHUP:
 	default:
 	}
 }
 
-// stop ends the follower, which must end at once.
-func (f *followed) stop(t *testing.T) {
+// stop cancels follow, which must return at once.
+func (f *followedFile) stop(t *testing.T) {
 	t.Helper()
 	f.cancel()
-	began := time.Now()
+	started := time.Now()
 	<-f.ended
-	if time.Since(began) > 0 {
-		t.Errorf("it ended only after %v", time.Since(began))
+	if time.Since(started) > 0 {
+		t.Errorf("follow returned %v after it was canceled, want at once", time.Since(started))
 	}
 }
 
-func (f *followed) checkApplied(t *testing.T, want ...int64) {
+func (f *followedFile) checkApplied(t *testing.T, want ...int64) {
 	t.Helper()
 	synctest.Wait()
 	if !slices.Equal(f.applied, want) {
-		t.Errorf("applied: %v, want %v", f.applied, want)
+		t.Errorf("applied contents %v, want %v", f.applied, want)
 	}
 }
 
-// TestFollow: a signal while the read is retried starts over, several end with the newest file, and a load that fails
-// keeps what was applied before; the end of the context is heard at any time.
+// TestFollow checks that a signal during retries starts them over, that the newest content is applied after several
+// signals, that a failed load applies nothing, and that follow returns as soon as its context is canceled.
 func TestFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := follow(t)
-		for range 4 { // each before the time of the one before is up; four are more than the time of one
+		for range 4 { // each arrives before the retries of the previous one end; together they exceed replaceTimeout
 			f.signal()
 			time.Sleep(replaceTimeout / 2)
 		}
@@ -160,12 +161,12 @@
 		}
 		synctest.Wait()
 		if n := len(f.applied); n == 0 || f.applied[n-1] != 9 {
-			t.Errorf("applied: %v", f.applied)
+			t.Errorf("applied contents %v, want 9 last", f.applied)
 		}
 		before := slices.Clone(f.applied)
 		f.valid.Store(false)
 		f.signal()
-		time.Sleep(2 * replaceTimeout) // given up; the next signal is heard
+		time.Sleep(2 * replaceTimeout) // the retries end; the next signal starts a new load
 		f.valid.Store(true)
 		f.signal()
 		f.checkApplied(t, append(before, 9)...)
@@ -176,23 +177,23 @@
 	})
 }
 
-// succeedingAttempt is the attempt at which the reads of TestReadWithRetry succeed.
+// succeedingAttempt is the number of the attempt at which the reads of TestReadWithRetry succeed.
 const succeedingAttempt = 3
 
-// retryCase is a read that fails with an error until its third attempt.
+// retryCase is a read that fails with an error before succeedingAttempt.
 type retryCase struct {
 	err      error
-	attempts int // that are made
+	attempts int // expected number
 }
 
-// TestReadWithRetry: settings that can't be read for a moment are read again; any other error is returned at once.
+// TestReadWithRetry checks that temporary system errors are retried and that any other error is returned at once.
 func TestReadWithRetry(t *testing.T) {
 	for _, c := range []retryCase{
 		{&os.PathError{Op: "open", Path: "x", Err: syscall.EMFILE}, succeedingAttempt},
 		{&os.PathError{Op: "read", Path: "x", Err: syscall.EIO}, succeedingAttempt},
 		{usageError{os.ErrNotExist}, 1},
 		{&settings.Error{}, 1},
-		{errors.New("its checksum is wrong"), 1},
+		{errors.New("wrong checksum"), 1},
 	} {
 		t.Run(c.err.Error(), func(t *testing.T) {
 			synctest.Test(t, c.check)
@@ -209,6 +210,6 @@
 		return 0, c.err
 	})
 	if attempts != c.attempts || (err == nil) != (c.attempts == succeedingAttempt) {
-		t.Errorf("%v after %d attempts", err, attempts)
+		t.Errorf("unexpected error %v after %d attempts", err, attempts)
 	}
 }
--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -10,13 +10,13 @@
 )
 
 type fuzzCorpusCommand struct {
-	Root   string `help:"The source tree." default:"." type:"existingdir"`
+	Root   string `help:"Root of the source tree." default:"." type:"existingdir"`
 	Target string `help:"Only targets whose name or package matches this pattern."`
 
 	Replay   replayCommand   `cmd:"" help:"Run every input through its target."`
-	Grow     growCommand     `cmd:"" help:"Fuzz each target for a time and keep inputs that reach new code."`
-	Minimise minimiseCommand `cmd:"" help:"Drop inputs that reach nothing new, and rewrite old ones."`
-	Stats    statsCommand    `cmd:"" help:"Print what each target has and reaches."`
+	Grow     growCommand     `cmd:"" help:"Fuzz each target for a time and keep the inputs that cover new code."`
+	Minimise minimiseCommand `cmd:"" help:"Drop inputs that cover no new code, and rewrite old ones."`
+	Stats    statsCommand    `cmd:"" help:"Print the number of inputs and the coverage of each target."`
 	Mutate   mutateCommand   `cmd:"" aliases:"sabotage" help:"Check that targets find seeded faults in the code."`
 }
 
@@ -28,18 +28,18 @@
 	return targets, err
 }
 
-var errFuzzCorpus = errors.New("an input fails or is not one for its target")
+var errFuzzCorpus = errors.New("an input fails or is not valid for its target")
 
-// corpusJob works on the inputs of targets, and calls done with the result of each.
+// corpusJob processes the inputs of targets, and calls done with the result of each target.
 type corpusJob func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error
 
-// run does a job over the targets; show prints each result, and a fault among them is an error.
+// run runs a job on the targets and prints each result with show. It returns an error if a result has a fault.
 func (c *fuzzCorpusCommand) run(job corpusJob, show func(fuzzcorpus.Result)) error {
 	targets, err := c.targets()
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	failed := false
 	err = job(ctx, targets, func(r fuzzcorpus.Result) {
@@ -85,7 +85,7 @@
 	fmt.Printf("%-28s %10d inputs tried in %6s, %4d kept, now %5d\n",
 		r.Target, r.Tried, r.Took.Round(time.Second), len(r.Added), r.Files)
 	if r.Crash != "" {
-		fmt.Printf("a finding, kept as %s; go test -run '%s/%s' ./%s plays it\n",
+		fmt.Printf("crash saved as %s; reproduce it with go test -run '%s/%s' ./%s\n",
 			r.Crash, r.Target.Name, r.Crash, r.Target.Package)
 	}
 }
@@ -99,7 +99,7 @@
 }
 
 func printMinimised(r fuzzcorpus.Result) {
-	fmt.Printf("%-28s %5d inputs dropped, %5d stay, %d rewritten; "+
+	fmt.Printf("%-28s %5d inputs dropped, %5d kept, %d rewritten; "+
 		"%.1f%% of the package's statements, seeds alone %.1f%%\n",
 		r.Target, len(r.Dropped), r.Files, r.Upgraded, 100*r.Covered, 100*r.Seeds)
 }
@@ -119,7 +119,7 @@
 }
 
 type mutateCommand struct {
-	Runs int `help:"New inputs a target may run after its corpus has found nothing." default:"200000"`
+	Runs int `help:"Maximum number of new inputs of a target whose corpus finds nothing." default:"200000"`
 }
 
 func (m *mutateCommand) Run(c *fuzzCorpusCommand) error {
@@ -127,8 +127,8 @@
 	if err != nil {
 		return err
 	}
-	mutations := mutationsOf(targets)
-	ctx, stop := untilSignal()
+	mutations := mutationsFor(targets)
+	ctx, stop := signalContext()
 	defer stop()
 	missed := 0
 	err = fuzzcorpus.Mutate(ctx, c.Root, mutations, m.Runs, func(f fuzzcorpus.MutationResult) {
@@ -143,15 +143,15 @@
 	return err
 }
 
-// mutationsOf are the seeded faults that the targets should find.
-func mutationsOf(targets []fuzzcorpus.Target) []fuzzcorpus.Mutation {
-	wanted := map[string]bool{}
+// mutationsFor returns the seeded faults that the targets should find.
+func mutationsFor(targets []fuzzcorpus.Target) []fuzzcorpus.Mutation {
+	selected := map[string]bool{}
 	for _, t := range targets {
-		wanted[t.String()] = true
+		selected[t.String()] = true
 	}
 	var mutations []fuzzcorpus.Mutation
 	for _, m := range fuzzcorpus.Mutations {
-		if wanted[m.Package+" "+m.Target] {
+		if selected[m.Package+" "+m.Target] {
 			mutations = append(mutations, m)
 		}
 	}
@@ -161,9 +161,9 @@
 func describeResult(f fuzzcorpus.MutationResult) string {
 	switch {
 	case !f.Found:
-		return fmt.Sprintf("MISSED in %d and %d inputs", f.Replayed, f.Fuzzed)
+		return fmt.Sprintf("MISSED in %d corpus and %d new inputs", f.Replayed, f.Fuzzed)
 	case !f.FoundByCorpus:
-		return fmt.Sprintf("found after the corpus, %d, and about %d new inputs", f.Replayed, f.Fuzzed)
+		return fmt.Sprintf("found after %d corpus and about %d new inputs", f.Replayed, f.Fuzzed)
 	}
 	return fmt.Sprintf("found by input %d of the corpus", f.Replayed)
 }
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -1,6 +1,6 @@
-// Command honeyplank is the gateway's daemon, a scheduler of the operators' platform and their tools: flags, files,
-// signals and logging round the other packages. It holds no policy and no protocol, and nothing imports it. Each
-// subcommand is a struct with its flags whose Run method kong calls on the main goroutine.
+// Command honeyplank runs the gateway's daemon, a scheduler of the operators' platform, and their tools. It handles
+// flags, files, signals and logging for the other packages. It contains no policy and no protocol, and no package
+// imports it. Each subcommand is a struct whose fields are its flags. Kong calls its Run method on the main goroutine.
 package main
 
 import (
@@ -27,12 +27,12 @@
 
 	Serve      serveCommand      `cmd:"" help:"Run a gateway."`
 	Platform   platformCommand   `cmd:"" help:"Run one scheduler of the operators' platform."`
-	Nodes      nodesCommand      `cmd:"" help:"Print each disk server's state, and its cause."`
+	Nodes      nodesCommand      `cmd:"" help:"Print the state of each disk server and its cause."`
 	Settings   settingsCommand   `cmd:"" help:"Check and print settings."`
 	FaultTest  faultTestCommand  `cmd:"" name:"faulttest" aliases:"rehearse" help:"Run a fault test against fakes."`
 	Bench      benchCommand      `cmd:"" help:"Measure what the gateway costs."`
 	FuzzCorpus fuzzCorpusCommand `cmd:"" name:"fuzzcorpus" aliases:"corpus" help:"Maintain the fuzz targets' inputs."`
-	Fake       fakeCommand       `cmd:"" aliases:"standin" help:"Run a fake disk server, DNS or etcd."`
+	Fake       fakeCommand       `cmd:"" aliases:"standin" help:"Run a fake disk server, DNS server or etcd."`
 	Version    versionCommand    `cmd:"" help:"Print the version."`
 }
 
@@ -42,7 +42,7 @@
 	exitUsage   = 2 // wrong flags, settings or scripts
 )
 
-// usageError is an error of the command line or of a file that it names: exitUsage.
+// usageError is an error of the command line or of a file that it names. The exit code is exitUsage.
 type usageError struct{ error }
 
 func main() {
@@ -51,7 +51,7 @@
 		kong.Name("honeyplank"),
 		kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."),
 		kong.UsageOnError(),
-		kong.Exit(exitParsing),
+		kong.Exit(exitAfterParsing),
 	)
 	if err := parsed.Run(c.logger()); err != nil {
 		fmt.Fprintln(os.Stderr, "honeyplank:", err)
@@ -59,8 +59,8 @@
 	}
 }
 
-// exitParsing ends the program where kong does: after help, or with wrong flags.
-func exitParsing(code int) {
+// exitAfterParsing ends the program when kong asks for it: after printing help, or because of wrong flags.
+func exitAfterParsing(code int) {
 	if code != 0 {
 		code = exitUsage
 	}
@@ -76,7 +76,7 @@
 }
 
 func (c *commands) logger() zerolog.Logger {
-	level, _ := zerolog.ParseLevel(c.LogLevel) // kong has checked it
+	level, _ := zerolog.ParseLevel(c.LogLevel) // kong has checked the level
 	log := zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger()
 	if c.LogText {
 		log = log.Output(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.StampMilli})
@@ -84,8 +84,8 @@
 	return log
 }
 
-// untilSignal returns a context that is done at SIGINT or SIGTERM.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is canceled at SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
@@ -97,7 +97,7 @@
 	return s, err
 }
 
-// printJSON writes a value to the standard output, as one line.
+// printJSON writes a value as one line of JSON to the standard output.
 func printJSON(value any) error { return json.NewEncoder(os.Stdout).Encode(value) }
 
 type versionCommand struct{}
--- a/cmd/honeyplank/main_test.go
+++ b/cmd/honeyplank/main_test.go
@@ -10,7 +10,8 @@
 	"honeyplank/bench"
 )
 
-// TestExit checks what a bad setting or flag ends with: file, line, what is wrong, what would be right, exit 2.
+// TestExit checks the output and the exit code of commands. For an invalid setting, the output must have the file, the
+// line, the problem and what is expected. Invalid settings and flags must give exit code 2.
 func TestExit(t *testing.T) {
 	text := readFile(t, exampleFile)
 	badSpan := filepath.Join(t.TempDir(), "bad.xml")
@@ -20,16 +21,16 @@
 	for _, c := range []struct {
 		arguments string
 		code      int
-		says      string
+		wantText  string
 	}{
-		{"settings check " + exampleFile, 0, "right"},
+		{"settings check " + exampleFile, 0, ": valid"},
 		{"settings check " + badSpan, 2, badSpan + `:3: ask-within="soon"`},
 		{"serve " + badSpan, 2, "a span is a number with its unit"},
 		{"serve no-such-file.xml", 2, "no such file"},
 		{"faulttest --script " + exampleFile, 2, "has no <rehearsal>"},
 		{"faulttest --trouble none", 2, "no trouble is called"},
 		{"faulttest --no-such-flag", 2, "unknown flag"},
-		{"rehearse --trouble none", 2, "no trouble is called"}, // the old words of sub-commands, for one release
+		{"rehearse --trouble none", 2, "no trouble is called"}, // old names of sub-commands, accepted for one release
 		{"standin disk --no-such-flag", 2, "unknown flag"},
 		{"corpus stats --no-such-flag", 2, "unknown flag"},
 		{"corpus sabotage --no-such-flag", 2, "unknown flag"},
@@ -39,39 +40,40 @@
 	} {
 		t.Run(c.arguments, func(t *testing.T) {
 			out, code := run(t, strings.Fields(c.arguments)...)
-			if code != c.code || !strings.Contains(out, c.says) {
-				t.Errorf("exit %d, want %d with %q\n%s", code, c.code, c.says, out)
+			if code != c.code || !strings.Contains(out, c.wantText) {
+				t.Errorf("exit code %d, want %d and output with %q\n%s", code, c.code, c.wantText, out)
 			}
 		})
 	}
 }
 
-// TestHelp: the help of serve has the flag --estimates and not its old name.
+// TestHelp checks that the help of serve lists the flag --estimates and not its old name.
 func TestHelp(t *testing.T) {
 	out, code := run(t, "serve", "--help")
 	if code != 0 || !strings.Contains(out, "--estimates=FILE") || strings.Contains(out, "learnt") {
-		t.Errorf("exit %d\n%s", code, out)
+		t.Errorf("exit code %d, output:\n%s", code, out)
 	}
 }
 
-// TestBenchFleet: the benchmark of fleets starts this program as a scheduler, serves its load and measures the process.
+// TestBenchFleet checks that bench fleet starts this program as a scheduler, which serves the load, and measures its
+// process.
 func TestBenchFleet(t *testing.T) {
 	out, code := run(t, "bench", "fleet", "--servers", "4,64", "--seconds", "1", "--json")
 	if code != 0 {
-		t.Fatalf("exit %d: %s", code, out)
+		t.Fatalf("exit code %d, output: %s", code, out)
 	}
 	var costs []bench.FleetCost
 	if err := json.Unmarshal([]byte(out), &costs); err != nil || len(costs) != 2 {
-		t.Fatalf("%v in %s", err, out)
+		t.Fatalf("error %v, want costs of 2 fleet sizes in %s", err, out)
 	}
 	for i, servers := range []int{4, 64} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
 			c := costs[i]
 			if c.Servers != servers || c.Served == 0 || c.Served > c.Requests {
-				t.Errorf("ops: %+v", c)
+				t.Errorf("unexpected number of servers, requests or served ops: %+v", c)
 			}
 			if c.Memory <= 0 || c.Descriptors == 0 || c.Connections == 0 {
-				t.Errorf("process: %+v", c)
+				t.Errorf("memory, descriptors or connections are not measured: %+v", c)
 			}
 		})
 	}
--- a/cmd/honeyplank/nodes.go
+++ b/cmd/honeyplank/nodes.go
@@ -13,12 +13,12 @@
 
 type nodesCommand struct {
 	File  string        `arg:"" help:"Settings, as XML."`
-	Wait  time.Duration `help:"How long to follow the sources before printing." default:"1s"`
-	Watch bool          `help:"Go on, and print the nodes whenever something has changed."`
+	Wait  time.Duration `help:"Time to watch the sources before printing." default:"1s"`
+	Watch bool          `help:"Keep running, and print the nodes whenever one has changed."`
 	JSON  bool          `help:"Print JSON lines."`
 }
 
-// Run follows the sources as a gateway does, on an address that nobody knows.
+// Run starts a gateway that watches the sources. It listens on an ephemeral port, so that no client connects.
 func (c *nodesCommand) Run() error {
 	s, err := readSettings(c.File)
 	if err != nil {
@@ -29,10 +29,10 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	go func() {
-		_ = g.Serve(context.Background()) // Kill ends it; nodes of a gateway that has ended are none
+		_ = g.Serve(context.Background()) // Kill ends it; a gateway that has ended returns no nodes
 	}()
 	defer g.Kill()
 	lastState := ""
@@ -42,8 +42,8 @@
 			return nil
 		case <-time.After(c.Wait):
 		}
-		nodes, _ := g.Nodes() // the gateway has not ended, since Kill comes last
-		state := stateOf(nodes)
+		nodes, _ := g.Nodes() // the gateway has not ended, since Kill is called last
+		state := nodeStates(nodes)
 		if state == lastState && !first {
 			continue
 		}
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// stateOf is what has changed when the nodes are worth printing again.
-func stateOf(nodes []gateway.Node) string {
+// nodeStates returns a text that differs whenever the nodes must be printed again.
+func nodeStates(nodes []gateway.Node) string {
 	var b strings.Builder
 	for _, n := range nodes {
 		b.WriteString(n.Server + n.State + n.Cause)
@@ -69,7 +69,7 @@
 		return printJSON(nodes)
 	}
 	fmt.Printf("%-22s %5s %-9s %-20s %-8s %-28s %s\n",
-		"disk server", "cell", "believed", "cause", "since", "etcd says", "dns says")
+		"disk server", "cell", "believed", "cause", "since", "etcd", "dns")
 	for _, n := range nodes {
 		fmt.Printf("%-22s %5d %-9s %-20s %-8s %-28s %s\n", n.Server, n.Cell, n.State, n.Cause, n.Since, n.Etcd, n.DNS)
 	}
--- a/cmd/honeyplank/platform.go
+++ b/cmd/honeyplank/platform.go
@@ -16,26 +16,27 @@
 )
 
 type platformCommand struct {
-	File string `arg:"" optional:"" env:"PROXY_CONFIG" help:"Configuration that the platform writes, as JSON."`
+	File string `arg:"" optional:"" env:"PROXY_CONFIG" help:"Configuration written by the platform, as JSON."`
 }
 
 const (
-	// memoryLimitShare is the part of the configured memory that is the runtime's limit; sockets take memory beside it.
+	// memoryLimitShare is the share of the configured memory that is the Go runtime's limit. Sockets use memory outside
+	// this limit.
 	memoryLimitShare = 0.5
-	// gcPercent lets the heap grow to five times what is live between collections: little is.
+	// gcPercent lets the heap grow to five times the live heap between collections, since the live heap is small.
 	gcPercent = 400
 	bytesInMB = 1 << 20
 )
 
-// errTerminated means that a signal to terminate came before the scheduler served.
+// errTerminated means that a signal to terminate arrived before the scheduler was serving.
 var errTerminated = errors.New("terminated before serving")
 
-// Run serves as one scheduler in the foreground: SIGHUP reloads the configuration, SIGTERM shuts down gracefully.
+// Run runs one scheduler in the foreground. SIGHUP reloads the configuration; SIGTERM and SIGINT shut down gracefully.
 func (c *platformCommand) Run(log zerolog.Logger) error {
 	if c.File == "" {
-		return usageError{errors.New("no configuration file is named, nor PROXY_CONFIG set")}
+		return usageError{errors.New("no configuration file: give its path or set PROXY_CONFIG")}
 	}
-	// A signal is dropped if its channel is full: one that waits there stands for all of its kind.
+	// A signal is dropped if its channel is full. The one that is pending in the channel has the same effect.
 	reload, terminate := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
@@ -78,7 +79,7 @@
 	})
 }
 
-// serveUntilTerminated runs the scheduler to its end; each signal on terminate asks it to shut down.
+// serveUntilTerminated runs the scheduler until it ends. Each signal on terminate makes it shut down.
 func serveUntilTerminated(s *scheduler.Scheduler, terminate <-chan os.Signal) error {
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
@@ -92,14 +93,14 @@
 	}
 }
 
-// applyResourceLimits keeps the process within what the configuration allows it.
+// applyResourceLimits applies the limits of the configuration to the process.
 func applyResourceLimits(config *scheduler.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(config.MemoryMB) * bytesInMB))
 }
 
-// unlessTerminated calls do, which may block, and returns errTerminated if a signal to terminate comes first. The
-// call's goroutine then ends with the process.
+// unlessTerminated calls do, which may block, and returns its results. If a signal to terminate arrives first, it
+// returns errTerminated, and the goroutine of the call ends with the process.
 func unlessTerminated[T any](terminate <-chan os.Signal, do func() (T, error)) (T, error) {
 	type result struct {
 		value T
--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// schedulerConfig is a configuration as the platform hands it to a scheduler.
+// schedulerConfig is a configuration in the form in which the platform passes it to a scheduler.
 const schedulerConfig = `{
   "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
   "limits": {"cores": 1, "memory_mb": 64, "sockets": 256},
@@ -30,7 +30,7 @@
   }
 }`
 
-// configChange changes a configuration; nil: nothing.
+// configChange changes a configuration; nil means no change.
 type configChange func(map[string]any)
 
 func discoveryAt(address string) configChange {
@@ -53,13 +53,13 @@
 	return string(text)
 }
 
-// writeConfig writes a configuration in place.
+// writeConfig overwrites a file with a configuration.
 func writeConfig(t *testing.T, file string, change configChange) {
 	t.Helper()
 	writeFile(t, file, configText(t, change))
 }
 
-// configFile is the path of a file with a configuration.
+// configFile writes a configuration to a new file and returns its path.
 func configFile(t *testing.T, change configChange) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -67,16 +67,16 @@
 	return file
 }
 
-// startScheduling starts a scheduler as the platform does; lines are its log.
-func startScheduling(t *testing.T, file string) (*exec.Cmd, chan string) {
+// startPlatform starts a scheduler as the platform does and returns its log lines.
+func startPlatform(t *testing.T, file string) (*exec.Cmd, chan string) {
 	t.Helper()
 	c := exec.Command(binary, "platform")
 	c.Env = append(os.Environ(), "PROXY_CONFIG="+file)
 	return start(t, c)
 }
 
-// TestPlatformStart: a configuration that can't be used is one line with file, line, what is wrong and what would be
-// right, exit 2, and nothing listens.
+// TestPlatformStart checks that an invalid configuration gives exit code 2 and one line of output with the file, the
+// line, the problem and what is expected, and that the scheduler does not listen.
 func TestPlatformStart(t *testing.T) {
 	for problem, change := range map[string]configChange{
 		`listen is "nowhere"`: func(c map[string]any) { c["listen"] = "nowhere" },
@@ -87,7 +87,7 @@
 			file := configFile(t, change)
 			out, code := run(t, "platform", file)
 			if code != 2 || strings.Count(strings.TrimSpace(out), "\n") != 0 {
-				t.Errorf("exit %d: %s", code, out)
+				t.Errorf("exit code %d, want 2 and one line of output: %s", code, out)
 			}
 			for _, part := range []string{problem, file + ":", "expected "} {
 				if !strings.Contains(out, part) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// silentDiscovery is the address of a server that accepts connections and never answers.
-func silentDiscovery(t *testing.T) string {
+// startSilentDiscovery starts a server that accepts connections and never answers, and returns its address.
+func startSilentDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,8 +113,8 @@
 	return l.Addr().String()
 }
 
-// ping checks that a scheduler answers at an address.
-func ping(t *testing.T, address string) {
+// checkPing checks that a scheduler answers at an address.
+func checkPing(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -128,15 +128,15 @@
 		t.Fatal(err)
 	}
 	if got, err := bufio.NewReader(conn).ReadString('\n'); got != "+PONG\r\n" {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("answer to PING: %q, %v", got, err)
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// addressOf reads the address from the log line that a scheduler serves.
-func addressOf(t *testing.T, serving string) string {
+// servingAddress returns the address in the log line "serving" of a scheduler.
+func servingAddress(t *testing.T, serving string) string {
 	t.Helper()
 	var line struct{ Address string }
 	if err := json.Unmarshal([]byte(serving), &line); err != nil {
@@ -145,52 +145,52 @@
 	return line.Address
 }
 
-// TestPlatformSignals: with discovery down a scheduler is ready at once; a configuration that can't be used changes
-// nothing at SIGHUP, one that can is applied; SIGTERM ends it gracefully, also twice.
+// TestPlatformSignals checks that a scheduler is ready at once even if discovery does not answer, that SIGHUP applies a
+// valid configuration and ignores an invalid one, and that one or several SIGTERM shut it down gracefully.
 func TestPlatformSignals(t *testing.T) {
-	file := configFile(t, discoveryAt(silentDiscovery(t)))
-	c, lines := startScheduling(t, file)
-	address := addressOf(t, waitForLine(t, lines, "serving"))
-	ping(t, address)
+	file := configFile(t, discoveryAt(startSilentDiscovery(t)))
+	c, lines := startPlatform(t, file)
+	address := servingAddress(t, waitForLine(t, lines, "serving"))
+	checkPing(t, address)
 	writeConfig(t, file, discoveryAt("nowhere"))
 	sendSignal(t, c, syscall.SIGHUP)
 	if got := waitForLine(t, lines, "configuration not reloaded"); !strings.Contains(got, `discovery is \"nowhere\"`) {
 		t.Error(got)
 	}
-	ping(t, address)
+	checkPing(t, address)
 	writeConfig(t, file, nil)
 	sendSignal(t, c, syscall.SIGHUP)
-	waitForLine(t, lines, movedTo("127.0.0.1:1"))
-	ping(t, address)
+	waitForLine(t, lines, discoveryChangedTo("127.0.0.1:1"))
+	checkPing(t, address)
 	sendSignal(t, c, syscall.SIGTERM)
 	sendSignal(t, c, syscall.SIGTERM)
-	waitForLine(t, lines, shuttingDown)
+	waitForLine(t, lines, shutdownStarted)
 	sendSignal(t, c, syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestPlatformEarlySignal: whenever SIGTERM comes before a scheduler is ready it ends by itself, and without an error.
+// TestPlatformEarlySignal checks that a scheduler that gets SIGTERM before it is ready exits without an error. The
+// signal may kill the process if it arrives before the program has started.
 func TestPlatformEarlySignal(t *testing.T) {
-	file := configFile(t, discoveryAt(silentDiscovery(t)))
+	file := configFile(t, discoveryAt(startSilentDiscovery(t)))
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			c, _ := startScheduling(t, file)
+			c, _ := startPlatform(t, file)
 			time.Sleep(after)
 			sendSignal(t, c, syscall.SIGTERM)
 			timeout := time.AfterFunc(5*time.Second, func() { kill(t, c) })
-			err := c.Wait() // an error where the signal came before the program had begun
+			err := c.Wait() // an error if the signal arrived before the program had started
 			status := c.ProcessState.Sys().(syscall.WaitStatus)
 			if !timeout.Stop() || status.Exited() && status.ExitStatus() != 0 {
-				t.Errorf("%v, %v", c.ProcessState, err)
+				t.Errorf("process state %v, error %v", c.ProcessState, err)
 			}
 		})
 	}
 }
 
-// pipeFile makes a configuration file that is a named pipe: a read of it is what the test makes of it, when the test
-// does.
+// pipeFile creates a configuration file that is a named pipe, so that the test decides when and how a read ends.
 func pipeFile(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "pipe")
@@ -204,7 +204,7 @@
 	return os.OpenFile(file, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 }
 
-// waitForReader waits until someone reads the pipe. As long as the writer is open, the read does not end.
+// waitForReader waits until a process opens the pipe for reading. The read does not end while writer is open.
 func waitForReader(t *testing.T, file string) (writer *os.File) {
 	t.Helper()
 	for timeout := time.Now().Add(10 * time.Second); time.Now().Before(timeout); time.Sleep(time.Millisecond) {
@@ -219,12 +219,12 @@
 		})
 		return writer
 	}
-	t.Fatal("nobody reads the configuration")
+	t.Fatal("timeout: the configuration is not read")
 	return nil
 }
 
-// answerRead ends a read of the pipe with a text. The next read finds another pipe there, so that none gets two
-// answers.
+// answerRead ends a read of the pipe with a text. It first replaces the pipe with a new one for the next read, so that
+// no read gets two texts.
 func answerRead(t *testing.T, writer *os.File, text string) {
 	t.Helper()
 	file := writer.Name()
@@ -240,8 +240,8 @@
 	}
 }
 
-// answerReads answers reads of the pipe until stop is called: the first with a part of the configuration, the others
-// with the whole.
+// answerReads answers reads of the pipe until stop is called. The first read gets the first half of the configuration,
+// the others get all of it.
 func answerReads(t *testing.T, file string, change configChange) (stop func()) {
 	t.Helper()
 	text := configText(t, change)
@@ -263,40 +263,40 @@
 	return func() { close(end); <-ended }
 }
 
-// What schedulers log of reloads and shutdowns.
+// The messages that schedulers log at a reload and at the start of a shutdown.
 const (
-	reloaded     = `"message":"configuration reloaded"`
-	shuttingDown = `"message":"graceful shutdown started"`
+	reloaded        = `"message":"configuration reloaded"`
+	shutdownStarted = `"message":"graceful shutdown started"`
 )
 
-// movedTo is what the log line of a reload has where discovery's address has changed.
-func movedTo(discovery string) string {
+// discoveryChangedTo returns the fields in the log line of a reload that has changed the address of discovery.
+func discoveryChangedTo(discovery string) string {
 	return fmt.Sprintf(`"discovery":%q,"discovery_changed":true`, discovery)
 }
 
-// waitForMove waits for a reload that has changed discovery's address.
-func waitForMove(t *testing.T, lines chan string, discovery string) {
+// waitForDiscoveryChange waits for a reload, which must have changed the address of discovery.
+func waitForDiscoveryChange(t *testing.T, lines chan string, discovery string) {
 	t.Helper()
-	if got := waitForLine(t, lines, reloaded); !strings.Contains(got, movedTo(discovery)) {
+	if got := waitForLine(t, lines, reloaded); !strings.Contains(got, discoveryChangedTo(discovery)) {
 		t.Error(got)
 	}
 }
 
 const newDiscovery = "127.0.0.1:2"
 
-// TestPlatformRead has reads of the configuration fail for a moment, hang, or find it half written, at the start and at
-// SIGHUP: none of it keeps a scheduler from starting, from the newest configuration, or from hearing SIGTERM.
+// TestPlatformRead checks that a scheduler starts, applies the newest configuration and handles SIGTERM even if reads
+// of the configuration fail temporarily, hang, or find the file partly written, at the start or at SIGHUP.
 func TestPlatformRead(t *testing.T) {
 	t.Run("SIGTERM while the first read hangs", testTerminateHangingRead)
-	t.Run("SIGHUP at any time after the start, where the shell ignores it", testReloadIgnoredByShell)
-	t.Run("SIGHUP and a half file before it is ready", testReloadBeforeReady)
-	t.Run("a half file, and one that hangs, at SIGHUP", testReloadHalfAndHanging)
-	t.Run("no descriptor for a moment, and many in quick succession", testReloadWithoutDescriptors)
+	t.Run("SIGHUP at any time after the start, ignored by the shell", testReloadIgnoredByShell)
+	t.Run("SIGHUP and a partly written file before the scheduler is ready", testReloadBeforeReady)
+	t.Run("partly written file and hanging read at SIGHUP", testReloadPartialAndHanging)
+	t.Run("temporarily no descriptors, then many SIGHUP in quick succession", testReloadWithoutDescriptors)
 }
 
 func testTerminateHangingRead(t *testing.T) {
 	file := pipeFile(t)
-	c, lines := startScheduling(t, file)
+	c, lines := startPlatform(t, file)
 	waitForReader(t, file)
 	sendSignal(t, c, syscall.SIGTERM)
 	waitForLine(t, lines, errTerminated.Error())
@@ -321,7 +321,7 @@
 
 func testReloadBeforeReady(t *testing.T) {
 	file := pipeFile(t)
-	c, lines := startScheduling(t, file)
+	c, lines := startPlatform(t, file)
 	writer := waitForReader(t, file)
 	sendSignal(t, c, syscall.SIGHUP)
 	answerRead(t, writer, "")
@@ -334,43 +334,43 @@
 	waitForExit(t, c)
 }
 
-func testReloadHalfAndHanging(t *testing.T) {
+func testReloadPartialAndHanging(t *testing.T) {
 	file := pipeFile(t)
-	c, lines := startScheduling(t, file)
+	c, lines := startPlatform(t, file)
 	stop := answerReads(t, file, nil)
 	waitForLine(t, lines, "serving")
 	stop()
 	sendSignal(t, c, syscall.SIGHUP)
 	stop = answerReads(t, file, discoveryAt(newDiscovery))
-	waitForMove(t, lines, newDiscovery)
+	waitForDiscoveryChange(t, lines, newDiscovery)
 	stop()
 	sendSignal(t, c, syscall.SIGHUP)
 	waitForReader(t, file)
-	for range 20 { // none of these takes the place of the signal to end
+	for range 20 { // pending SIGHUP must not displace SIGTERM
 		sendSignal(t, c, syscall.SIGHUP)
 	}
 	sendSignal(t, c, syscall.SIGTERM)
-	waitForLine(t, lines, shuttingDown)
+	waitForLine(t, lines, shutdownStarted)
 	waitForExit(t, c)
 }
 
 func testReloadWithoutDescriptors(t *testing.T) {
 	file := configFile(t, nil)
-	c, lines := startScheduling(t, file)
+	c, lines := startPlatform(t, file)
 	waitForLine(t, lines, "serving")
 	writeConfig(t, file, discoveryAt(newDiscovery))
-	allow := forbidFiles(t, c)
+	allow := forbidOpeningFiles(t, c)
 	sendSignal(t, c, syscall.SIGHUP)
 	time.Sleep(readTimeout / 10)
 	if err := allow(); err != nil {
 		t.Fatal(err)
 	}
-	waitForMove(t, lines, newDiscovery)
-	for n := range 30 { // written in place, so that some are read half
+	waitForDiscoveryChange(t, lines, newDiscovery)
+	for n := range 30 { // overwritten in place, so that some reads find the file partly written
 		writeConfig(t, file, discoveryAt(fmt.Sprintf("127.0.0.1:%d", 10+n)))
 		sendSignal(t, c, syscall.SIGHUP)
 	}
-	waitForLine(t, lines, movedTo("127.0.0.1:39"))
+	waitForLine(t, lines, discoveryChangedTo("127.0.0.1:39"))
 	sendSignal(t, c, syscall.SIGTERM)
 	sendSignal(t, c, syscall.SIGTERM)
 	waitForExit(t, c)
--- a/cmd/honeyplank/process_test.go
+++ b/cmd/honeyplank/process_test.go
@@ -20,7 +20,7 @@
 	"honeyplank/settings"
 )
 
-// binary is the program that the tests run.
+// binary is the path of the program under test.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// runTests builds the program first.
+// runTests builds the program and runs the tests.
 func runTests(m *testing.M) (code int, err error) {
 	dir, err := os.MkdirTemp("", "honeyplank")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return m.Run(), nil
 }
 
-// run runs the program to its end.
+// run runs the program until it ends and returns its output and exit code.
 func run(t *testing.T, arguments ...string) (out string, code int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -59,7 +59,7 @@
 	return string(b), c.ProcessState.ExitCode()
 }
 
-// start starts a command; lines are its log.
+// start starts a command and returns the lines that it writes to the standard error.
 func start(t *testing.T, c *exec.Cmd) (*exec.Cmd, chan string) {
 	t.Helper()
 	log, err := c.StderrPipe()
@@ -85,15 +85,15 @@
 	sendSignal(t, c, os.Kill)
 }
 
-// sendSignal sends a signal to a process, which may have ended.
+// sendSignal sends a signal to a process. It is no error if the process has ended.
 func sendSignal(t *testing.T, c *exec.Cmd, s os.Signal) {
 	t.Helper()
 	if err := c.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		t.Errorf("signal %v: %v", s, err)
+		t.Errorf("sending signal %v: %v", s, err)
 	}
 }
 
-// waitForLine waits for a line of the log with a text.
+// waitForLine waits for a log line that contains a text, and returns the line.
 func waitForLine(t *testing.T, lines chan string, text string) string {
 	t.Helper()
 	for timeout := time.After(5 * time.Second); ; {
@@ -103,38 +103,40 @@
 				return line
 			}
 			if !ok {
-				t.Fatalf("it has ended without %q", text)
+				t.Fatalf("the log ended without a line with %q", text)
 			}
 		case <-timeout:
-			t.Fatalf("no line with %q", text)
+			t.Fatalf("timeout: no log line with %q", text)
 		}
 	}
 }
 
-// waitForExit waits for a process that was told to end: by itself, without an error, and not by the signal.
+// waitForExit waits for a process that was sent a signal to terminate. The process must exit in time with code 0, and
+// must not be killed by the signal.
 func waitForExit(t *testing.T, c *exec.Cmd) {
 	t.Helper()
 	timeout := time.AfterFunc(10*time.Second, func() { kill(t, c) })
 	if err := c.Wait(); err != nil || !timeout.Stop() {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the process ended with %v", err)
 	}
 }
 
-// forbidFiles keeps a process from opening files; allow ends that.
-func forbidFiles(t *testing.T, c *exec.Cmd) (allow func() error) {
+// forbidOpeningFiles sets the limit of open files of a process to 0; allow restores the limit.
+func forbidOpeningFiles(t *testing.T, c *exec.Cmd) (allow func() error) {
 	t.Helper()
 	var usual unix.Rlimit
 	if err := unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, nil, &usual); err != nil {
 		t.Fatal(err)
 	}
-	none := &unix.Rlimit{Cur: 0, Max: usual.Max}
-	if err := unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, none, nil); err != nil {
+	noFiles := &unix.Rlimit{Cur: 0, Max: usual.Max}
+	if err := unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, noFiles, nil); err != nil {
 		t.Fatal(err)
 	}
 	return func() error { return unix.Prlimit(c.Process.Pid, unix.RLIMIT_NOFILE, &usual, nil) }
 }
 
-// startServe starts the program's serve; lines are its log after the one that tells where it listens.
+// startServe runs the serve command and returns the address on which it listens. The channel lines gets the log lines
+// after the one with the address.
 func startServe(
 	t *testing.T, s *settings.Gateway, seed int, flags ...string,
 ) (c *exec.Cmd, lines chan string, address string) {
@@ -156,11 +158,12 @@
 			return c, lines, line.Address
 		}
 	}
-	t.Fatal("the daemon did not say where it serves")
+	t.Fatal("the daemon did not log the address on which it listens")
 	return nil, nil, ""
 }
 
-// startDaemon starts the program's serve and returns where it listens; it is stopped gracefully at the test's end.
+// startDaemon runs the serve command and returns the address on which it listens. The end of the test stops the daemon
+// gracefully.
 func startDaemon(t *testing.T, s *settings.Gateway, seed int, flags ...string) string {
 	t.Helper()
 	c, lines, address := startServe(t, s, seed, flags...)
@@ -193,7 +196,7 @@
 	}
 }
 
-// exampleSettings is settings of a gateway that finds no disk server.
+// exampleSettings returns the settings of a gateway that discovers no disk server.
 func exampleSettings(t *testing.T) *settings.Gateway {
 	t.Helper()
 	text := strings.Replace(readFile(t, exampleFile), "127.0.0.1:4420", "127.0.0.1:0", 1)
--- a/cmd/honeyplank/serve.go
+++ b/cmd/honeyplank/serve.go
@@ -11,19 +11,19 @@
 	"honeyplank/gateway"
 )
 
-// At a graceful shutdown the file of estimates is written beside the draining of ops.
+// Times of a graceful shutdown, which writes the file of estimates while ops are drained.
 const (
-	saveHeadStart   = 200 * time.Millisecond // before ops are rejected; enough for a write that works
-	saveTimeout     = 10 * time.Second       // for all attempts of the write, within the time for the shutdown
-	saveReturnGrace = time.Second            // for the last attempt to return
+	saveHeadStart   = 200 * time.Millisecond // before ops are rejected; enough for a write without errors
+	saveTimeout     = 10 * time.Second       // for all attempts of the write; the shutdown timeout may end them earlier
+	saveReturnGrace = time.Second            // additional time for the last attempt to return
 )
 
 var errSaveHangs = errors.New("write did not return")
 
 type serveCommand struct {
 	File      string        `arg:"" help:"Settings, as XML."`
-	Seed      int64         `help:"Seed of the gateway's random numbers; 0: from the time."`
-	Stop      time.Duration `help:"Time for a graceful shutdown; then ops are failed." default:"30s"`
+	Seed      int64         `help:"Seed of the gateway's random numbers; 0: seed from the time."`
+	Stop      time.Duration `help:"Time limit of a graceful shutdown; remaining ops then fail." default:"30s"`
 	Estimates string        `help:"File that keeps estimates across restarts." placeholder:"FILE" aliases:"learnt"`
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	log.Info().Str("address", g.Address()).Str("subsystem", s.Listen.Subsystem).Msg("serving")
 	served := make(chan error, 1)
@@ -56,22 +56,23 @@
 	return errors.Join(err, <-served)
 }
 
-// shutDown drains the gateway and saves its estimates meanwhile, both within the time for a graceful shutdown.
+// shutDown drains the gateway and saves its estimates at the same time. Both end within the time limit of a graceful
+// shutdown.
 func (c *serveCommand) shutDown(g *gateway.Instance, log zerolog.Logger) error {
-	began := time.Now()
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Stop)
 	defer cancel()
 	saved := c.saveEstimates(ctx, g, log)
 	closesWithin(saved, saveHeadStart)
 	err := g.Shutdown(ctx)
-	if !closesWithin(saved, min(c.Stop, saveTimeout)-time.Since(began)+saveReturnGrace) {
+	if !closesWithin(saved, min(c.Stop, saveTimeout)-time.Since(started)+saveReturnGrace) {
 		log.Warn().Err(errSaveHangs).Msg("estimates not saved")
 	}
 	return err
 }
 
-// loadEstimates reads what an earlier instance has saved. Without a valid file it returns nil, and the gateway starts
-// without estimates.
+// loadEstimates reads the estimates that an earlier instance has saved. If there is no valid file, it returns nil, and
+// the gateway starts without estimates.
 func (c *serveCommand) loadEstimates(log zerolog.Logger) *estimates.Record {
 	if c.Estimates == "" {
 		return nil
@@ -85,8 +86,9 @@
 	return r
 }
 
-// saveEstimates writes the file for a later instance on a goroutine of its own and closes saved at its end: after
-// saveTimeout or when ctx is done, at the latest. A system call that does not return keeps it until the process ends.
+// saveEstimates writes the file for a later instance in a goroutine and closes saved when the goroutine ends. This is
+// after saveTimeout or when ctx is done, at the latest. Only a system call that does not return keeps the goroutine
+// until the process ends.
 func (c *serveCommand) saveEstimates(
 	ctx context.Context, g *gateway.Instance, log zerolog.Logger,
 ) (saved <-chan struct{}) {
@@ -110,8 +112,8 @@
 	return done
 }
 
-// closesWithin waits for a channel to be closed, and tells whether it was. One that is closed already counts even if
-// there is no time left.
+// closesWithin waits for a channel to be closed and reports whether it is closed. It returns true for a channel that is
+// already closed, even if the timeout is 0 or negative.
 func closesWithin(done <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-done:
--- a/cmd/honeyplank/serve_test.go
+++ b/cmd/honeyplank/serve_test.go
@@ -23,8 +23,9 @@
 	"honeyplank/settings"
 )
 
-// TestSameAnswers sends the same ops to two gateways in this process and to two daemons, each against fakes of the same
-// kind: one server sound, one failing every op, one not listed, one rejecting ops. The answers are the same, op by op.
+// TestSameAnswers sends the same ops to two gateways in this process and to two daemons. All use the same fake servers:
+// one without faults, one that fails every op, and one that rejects ops. The other cells have no server. The answers to
+// each op must be the same.
 func TestSameAnswers(t *testing.T) {
 	script, err := settings.Parse("built-in script", faulttest.BadDay)
 	if err != nil {
@@ -42,25 +43,25 @@
 		s.Scheduler.Ordinal = ordinal
 		addresses = append(addresses, startDaemon(t, &s, ordinal+1))
 	}
-	time.Sleep(500 * time.Millisecond) // each has the list
+	time.Sleep(500 * time.Millisecond) // so that all have received the endpoint list
 	answers := make([]string, len(addresses))
 	for i, a := range addresses {
-		answers[i] = answersOf(t, loop, config.Listen.Subsystem, a)
+		answers[i] = collectAnswers(t, loop, config.Listen.Subsystem, a)
 	}
 	for i := range answers {
 		if answers[i] != answers[0] {
-			t.Errorf("gateway %d answers\n%s\nthe first\n%s", i, answers[i], answers[0])
+			t.Errorf("answers of gateway %d:\n%s\nanswers of the first:\n%s", i, answers[i], answers[0])
 		}
 	}
-	for _, want := range []string{" 0x0 ", " 0x821 ", " 0x4006 "} { // complete, rejected with Retry-After, failed
+	for _, want := range []string{" 0x0 ", " 0x821 ", " 0x4006 "} { // success, rejected with Retry-After, failed
 		if !strings.Contains(answers[0], want) {
-			t.Errorf("no answer with status%sin\n%s", want, answers[0])
+			t.Errorf("no answer with status%sin:\n%s", want, answers[0])
 		}
 	}
 }
 
-// startFakes starts disk servers and an etcd that lists them, which the script's endpoint list then names. It returns
-// the loop of the disk servers.
+// startFakes starts disk servers and an etcd that lists them, and sets the etcd in the script's endpoint list. It
+// returns the event loop of the disk servers.
 func startFakes(t *testing.T, script *settings.Gateway) *eventloop.Loop {
 	t.Helper()
 	loop, err := eventloop.New(time.Minute)
@@ -94,7 +95,7 @@
 	t.Cleanup(func() {
 		loop.Post(loop.Stop)
 		if err := <-ended; err != nil {
-			t.Errorf("the loop of the fakes: %v", err)
+			t.Errorf("event loop of the fake servers: %v", err)
 		}
 	})
 	return loop
@@ -119,12 +120,12 @@
 	return g.Address()
 }
 
-// connected receives nil once an association is ready, or the error it ended with before.
-type connected chan error
+// connectResult receives nil when an association is ready, or an error if the association ends before that.
+type connectResult chan error
 
-func (c connected) Ready(*initiator.Association) { c <- nil }
+func (c connectResult) Ready(*initiator.Association) { c <- nil }
 
-func (c connected) Ended(_ *initiator.Association, err error) {
+func (c connectResult) Ended(_ *initiator.Association, err error) {
 	select {
 	case c <- err:
 	default:
@@ -133,10 +134,10 @@
 
 const blockBytes = 4096
 
-// answersOf sends ops one after another and writes down their answers.
-func answersOf(t *testing.T, loop *eventloop.Loop, subsystem, address string) string {
+// collectAnswers sends ops one after another and returns a text with one line for each answer.
+func collectAnswers(t *testing.T, loop *eventloop.Loop, subsystem, address string) string {
 	t.Helper()
-	ready := make(connected, 2)
+	ready := make(connectResult, 2)
 	var association *initiator.Association
 	loop.Post(func() {
 		association = initiator.Dial(loop, initiator.Settings{
@@ -153,15 +154,15 @@
 	}
 	var b strings.Builder
 	for i := range 24 {
-		fmt.Fprintln(&b, answerOf(loop, association, i))
+		fmt.Fprintln(&b, submitOp(loop, association, i))
 	}
 	loop.Post(association.Close)
 	return b.String()
 }
 
-// answerOf sends the op of a number to volume 9, whose extents of 65536 blocks lie on cells 0 to 5 in turn. Every
-// fourth is a Write that must not run twice.
-func answerOf(loop *eventloop.Loop, association *initiator.Association, number int) string {
+// submitOp sends the op with a number to volume 9 and returns a description of the answer. The volume's extents of
+// 65536 blocks are assigned to cells 0 to 5 in turn. Every fourth op is a Write that must not run twice.
+func submitOp(loop *eventloop.Loop, association *initiator.Association, number int) string {
 	const nsid, extentBlocks = 9, 65536
 	extent := uint64(number % 6)
 	blocks, opcode := 4, uint8(nvme.Read)
--- a/cmd/honeyplank/settings.go
+++ b/cmd/honeyplank/settings.go
@@ -10,7 +10,7 @@
 
 type settingsCommand struct {
 	Check  checkCommand  `cmd:"" help:"Check files for errors."`
-	Show   showCommand   `cmd:"" help:"Print settings with their defaults."`
+	Show   showCommand   `cmd:"" help:"Print the settings as the program reads them."`
 	Schema schemaCommand `cmd:"" help:"Print the XML schema."`
 }
 
@@ -25,7 +25,7 @@
 			all = errors.Join(all, err)
 			continue
 		}
-		fmt.Println(file + ": right")
+		fmt.Println(file + ": valid")
 	}
 	return all
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -91,8 +91,8 @@
 	{"a namespace", `<honeyplank version`, `<honeyplank xmlns="urn:x" version`, false, 1},
 }
 
-// TestSchema checks that Parse accepts only the files that the schema permits, that errors have the right line, and that
-// xmllint agrees.
+// TestSchema checks that Parse accepts only the files that the schema permits, that errors have the right line, and
+// that xmllint agrees.
 func TestSchema(t *testing.T) {
 	xmllint, err := exec.LookPath("xmllint")
 	if err != nil && os.Getenv("CI") != "" {
@@ -187,16 +187,16 @@
 	g := mustParse(t, exampleText(t))
 	m := g.ModuleSettings()
 	if m.OpTypes[3].Semantics != honeyplank.AtMostOnce || m.OpTypes[0].Semantics != honeyplank.Idempotent {
-		t.Error("semantics", m.OpTypes)
+		t.Error("unexpected semantics:", m.OpTypes)
 	}
 	if latency := m.OpTypes[1].TargetLatency; latency != 900*time.Millisecond {
-		t.Error("target latency", latency)
+		t.Error("unexpected target latency:", latency)
 	}
 	if m.LargestUnits != 8.0 || m.Plans[1].Value != 1 {
-		t.Error("sizes and plans", m)
+		t.Error("unexpected sizes or plans:", m)
 	}
 	if m.RetryBudget.Share != 0.25 || m.SlowStart.Window != time.Second {
-		t.Error("retry budget and slow start", m)
+		t.Error("unexpected retry budget or slow start:", m)
 	}
 	if got, want := m.Dispatches.ConnectTimeout, g.DiskServers.ConnectTimeout.Duration(); got != want || got <= 0 {
 		t.Errorf("connect timeout %v, want %v", got, want)
--- a/settings/validation.go
+++ b/settings/validation.go
@@ -239,7 +239,8 @@
 	elements := v.root.find("plans/plan")
 	for i, p := range v.Plans.List {
 		constraints = append(constraints, constraint{p.Limit == 0 || p.Burst > 0, elements[i].at,
-			fmt.Sprintf("plan %q has a limit without a burst", p.Name), "burst is the capacity that the limit refills up to"})
+			fmt.Sprintf("plan %q has a limit without a burst", p.Name),
+			"burst is the amount that the limit refills up to"})
 	}
 	return constraints
 }
