--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks the pages of docs against the program.
+// Package docs_test checks that the pages in docs agree with the program.
 package docs_test
 
 import (
@@ -14,17 +14,18 @@
 	"testing"
 )
 
-// logLine is a log message of the program, with the fields that any of its places adds.
+// logLine is a log message of the program, with the fields that any of its calls adds and the positions of the calls.
 type logLine struct {
 	fields    map[string]bool
 	positions []string
 }
 
-// pagesByPackage are the pages that must have the log lines of a package. Those of others may be on either.
+// pagesByPackage maps a package to the page that must have its log lines. Log lines of other packages may be on either
+// page.
 var pagesByPackage = map[string]string{"gateway": "operators.md", "scheduler": "platform.md"}
 
 // TestLogLines checks that operators.md and platform.md have a row for each log line of the program and name each of
-// its fields, and that they have no row for a line and name no field that does not exist.
+// its fields. They must not have rows or fields of log lines that do not exist.
 func TestLogLines(t *testing.T) {
 	lines := programLogLines(t)
 	if len(lines) < 20 {
@@ -39,7 +40,7 @@
 	}
 }
 
-// checkDocumented checks that a log line has its row on the page of its package, and that its rows name its fields.
+// checkDocumented checks that a log line has a row on the page of its package, and that its rows name its fields.
 func checkDocumented(t *testing.T, message string, line *logLine, rows []logRow) {
 	t.Helper()
 	pages, spans := map[string]bool{}, map[string]bool{}
@@ -60,7 +61,7 @@
 	}
 	for field := range line.fields {
 		if !spans[field] {
-			t.Errorf("%s: no row of %q names the field %q", line.positions, message, field)
+			t.Errorf("%s: no row for %q names the field %q", line.positions, message, field)
 		}
 	}
 }
@@ -98,18 +99,18 @@
 	}
 }
 
-// TestParsers checks that the functions of this file find what they are to find.
+// TestParsers checks the functions that find code spans and rows in a page.
 func TestParsers(t *testing.T) {
 	spans := codeSpans("a `one` b `two\n  three` c")
 	if !slices.Equal(spans, []string{"one", "two three"}) {
-		t.Errorf("code spans %q", spans)
+		t.Errorf("unexpected code spans: %q", spans)
 	}
 	row, ok := parseRow("page.md", "| `a line` (debug) with `server`, `error` | of `other` |")
 	if !ok || row.message != "a line" || !slices.Equal(row.fields, []string{"server", "error"}) || !row.spans["other"] {
-		t.Errorf("row %+v", row)
+		t.Errorf("unexpected row: %+v", row)
 	}
 	if _, ok := parseRow("page.md", "| line | meaning |"); ok {
-		t.Error("a heading is taken for a row")
+		t.Error("parseRow accepts a table heading as a row")
 	}
 }
 
@@ -132,7 +133,7 @@
 	return lines
 }
 
-// recordLogLine records a call if it ends a log line: Msg, or one of its variants that must not be used since their
+// recordLogLine records a call of Msg, which ends a log line. It reports an error for Msgf and MsgFunc, since their
 // messages are not constant.
 func recordLogLine(t *testing.T, lines map[string]*logLine, fileSet *token.FileSet, call *ast.CallExpr) {
 	t.Helper()
@@ -156,8 +157,8 @@
 	}
 }
 
-// addFields adds the names of the fields that the calls before Msg add: Err is the field error, all others have their
-// name as the first argument.
+// addFields adds the names of the fields that the calls before Msg add. Err adds the field error. All other calls have
+// the name of the field as their first argument.
 func addFields(fields map[string]bool, call *ast.CallExpr) {
 	for call != nil {
 		if calledName(call) == "Err" {
@@ -175,7 +176,8 @@
 	}
 }
 
-// calledName returns the name of the method or function that is called, without what it is selected from.
+// calledName returns the name of the method or function of a call, without its receiver or package. It returns an empty
+// string if there is neither.
 func calledName(call *ast.CallExpr) string {
 	if selector, ok := call.Fun.(*ast.SelectorExpr); ok {
 		return selector.Sel.Name
@@ -233,7 +235,7 @@
 
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
-// codeSpans returns the code spans of a text, with white space as single blanks.
+// codeSpans returns the code spans of a text, with each run of white space replaced by one blank.
 func codeSpans(text string) []string {
 	var spans []string
 	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// pagesOfRecord are pages that record how the work went: what they name may be gone.
-var pagesOfRecord = map[string]bool{"results.md": true}
+// historicalPages are pages that record past work. The names on them may no longer exist.
+var historicalPages = map[string]bool{"results.md": true}
 
 var (
 	testName = regexp.MustCompile(`\b(?:Test|Fuzz|Example)[A-Z]\w*`)
@@ -24,7 +24,7 @@
 // camelCase matches code spans that name a Go identifier, such as closeWhenAcked or Tracker.ClientGone.
 var camelCase = regexp.MustCompile(`^(?:\w+\.)?[A-Za-z]+[A-Z][a-z]\w*$`)
 
-// foreignNames are code spans of that form which name something else.
+// foreignNames are code spans that match camelCase but do not name a Go identifier.
 var foreignNames = map[string]bool{}
 
 // TestIdentifiers checks that the identifiers in architecture.md and endings.md are declared in the program.
@@ -51,13 +51,13 @@
 	}
 	tests := testFunctions(t)
 	for _, page := range pages {
-		if pagesOfRecord[page] {
+		if historicalPages[page] {
 			continue
 		}
 		text := readPage(t, page)
 		for _, name := range testName.FindAllString(text, -1) {
 			if !tests[name] {
-				t.Errorf("%s: there is no %s", page, name)
+				t.Errorf("%s names %s, which does not exist", page, name)
 			}
 		}
 		for _, match := range goFile.FindAllStringSubmatch(text, -1) {
