--- a/cmd/honeyplank/bench.go
+++ b/cmd/honeyplank/bench.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	fmt.Printf("\n%d schedulers, records of %d s: %.1f queries a second at the name server, "+
-		"at most %.0f a second within any tenth of one", schedulers, recordTTLSeconds, rate.Mean, rate.Peak)
+		"at most %.0f a second within any 100 ms", schedulers, recordTTLSeconds, rate.Mean, rate.Peak)
 	return nil
 }
 
--- a/cmd/honeyplank/filereader.go
+++ b/cmd/honeyplank/filereader.go
@@ -100,8 +100,8 @@
 // retryConfigError returns the time for which an error of a scheduler's configuration is retried. An error with a line
 // is in the content, which may be partly written. An error without a line means that the file could not be read.
 func retryConfigError(err error) time.Duration {
-	var fault *scheduler.ConfigError
-	if errors.As(err, &fault) && fault.Line > 0 {
+	var configError *scheduler.ConfigError
+	if errors.As(err, &configError) && configError.Line > 0 {
 		return replaceTimeout
 	}
 	return readTimeout
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -30,7 +30,7 @@
 	Nodes      nodesCommand      `cmd:"" help:"Print the state of each disk server and its cause."`
 	Settings   settingsCommand   `cmd:"" help:"Check and print settings."`
 	FaultTest  faultTestCommand  `cmd:"" name:"faulttest" aliases:"rehearse" help:"Run a fault test against fakes."`
-	Bench      benchCommand      `cmd:"" help:"Measure what the gateway costs."`
+	Bench      benchCommand      `cmd:"" help:"Measure the cost of the gateway."`
 	FuzzCorpus fuzzCorpusCommand `cmd:"" name:"fuzzcorpus" aliases:"corpus" help:"Maintain the fuzz targets' inputs."`
 	Fake       fakeCommand       `cmd:"" aliases:"standin" help:"Run a fake disk server, DNS server or etcd."`
 	Version    versionCommand    `cmd:"" help:"Print the version."`
@@ -49,7 +49,7 @@
 	var c commands
 	parsed := kong.Parse(&c,
 		kong.Name("honeyplank"),
-		kong.Description("A storage gateway that schedules a host's reads and writes over storage nodes."),
+		kong.Description("A storage gateway that schedules a host's reads and writes over disk servers."),
 		kong.UsageOnError(),
 		kong.Exit(exitAfterParsing),
 	)
@@ -68,8 +68,8 @@
 }
 
 func exitCode(err error) int {
-	var fault *settings.Error
-	if errors.As(err, &fault) || errors.As(err, &usageError{}) {
+	var settingsError *settings.Error
+	if errors.As(err, &settingsError) || errors.As(err, &usageError{}) {
 		return exitUsage
 	}
 	return exitFailure
--- a/settings/example_test.go
+++ b/settings/example_test.go
@@ -28,11 +28,11 @@
 // An invalid file gives an Error with the place, the problem and what is expected.
 func ExampleParse() {
 	_, err := settings.Parse("gateway.xml", []byte(`<honeyplank version="2"/>`))
-	var fault *settings.Error
-	if errors.As(err, &fault) {
-		fmt.Println("line:", fault.Line)
-		fmt.Println("problem:", fault.Problem)
-		fmt.Println("expected:", fault.Expected)
+	var settingsError *settings.Error
+	if errors.As(err, &settingsError) {
+		fmt.Println("line:", settingsError.Line)
+		fmt.Println("problem:", settingsError.Problem)
+		fmt.Println("expected:", settingsError.Expected)
 	}
 	// Output:
 	// line: 1
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -158,18 +158,18 @@
 		return false
 	}
 	e, parent := all[at%len(all)].node, all[at%len(all)].parent
-	place := slices.Index(parent.children, e)
+	index := slices.Index(parent.children, e)
 	names := slices.Sorted(maps.Keys(e.attributes))
 	switch kind % editKinds {
 	case editDelete:
-		parent.children = slices.Delete(parent.children, place, place+1)
+		parent.children = slices.Delete(parent.children, index, index+1)
 	case editRepeat, editRepeatAgain:
 		for range 1 + n%9 {
-			parent.children = slices.Insert(parent.children, place, e)
+			parent.children = slices.Insert(parent.children, index, e)
 		}
 	case editSwap:
-		other := (place + 1) % len(parent.children)
-		parent.children[place], parent.children[other] = parent.children[other], parent.children[place]
+		other := (index + 1) % len(parent.children)
+		parent.children[index], parent.children[other] = parent.children[other], parent.children[index]
 	case editValue, editValueAgain:
 		if len(names) > 0 {
 			e.attributes[names[n%len(names)]] = attributeValues[(n*7+at)%len(attributeValues)]
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -117,8 +117,8 @@
 
 func checkError(t *testing.T, err error, line int) {
 	t.Helper()
-	var fault *Error
-	if !errors.As(err, &fault) || fault.File != "x.xml" || fault.Line != line || fault.Problem == "" {
+	var got *Error
+	if !errors.As(err, &got) || got.File != "x.xml" || got.Line != line || got.Problem == "" {
 		t.Errorf("error %v, want an Error in line %d", err, line)
 	}
 }
@@ -156,8 +156,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse("x.xml", []byte(replaceOnce(t, exampleText(t), c.from, c.to)))
-			var fault *Error
-			if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.wantText) {
+			var got *Error
+			if !errors.As(err, &got) || !strings.Contains(err.Error(), c.wantText) {
 				t.Errorf("error %v, want an Error with %q", err, c.wantText)
 			}
 		})
