--- a/audit/taps.go
+++ b/audit/taps.go
@@ -8,8 +8,8 @@
 
 // Link is a connection of a client as the audit sees it.
 type Link struct {
-	// Tap is called with what crosses the socket; empty data tells that the connection has ended.
-	Tap func(sent bool, data []byte)
+	// Observe is called with what crosses the socket; empty data tells that the connection has ended.
+	Observe func(sent bool, data []byte)
 	// MarkCorrupted records that the wire has damaged what crossed. From then on the gateway can't know what its
 	// client meant, so its ops that were open, and those that come, are owed no answer; where the wire repeated a
 	// command, no order and no single effect either.
@@ -21,7 +21,7 @@
 func (l *Log) ClientLinks(gateway, blockSize int) func() Link {
 	return func() Link {
 		connection := &clientConnection{log: l, gateway: gateway, blockSize: blockSize, wire: newWire[*opRecord]()}
-		return Link{Tap: connection.tap, MarkCorrupted: connection.markCorrupted}
+		return Link{Observe: connection.tap, MarkCorrupted: connection.markCorrupted}
 	}
 }
 
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -182,7 +182,7 @@
 	associations := map[int][]audit.Link{}
 	return func(client int, c *eventloop.Conn) {
 		link := newLink()
-		c.Tap = link.Tap
+		c.Tap = link.Observe
 		if len(associations[client]) == queuesOfAssociation {
 			associations[client] = nil
 		}
