--- a/audit/taps.go
+++ b/audit/taps.go
@@ -99,9 +99,9 @@
 	c.wire.open[command.CID()] = op
 }
 
-// ServerTaps makes taps for the connections of a disk server; gateways are the numbers of the hosts by their NQN. The
+// ServerObservers makes taps for the connections of a disk server; gateways are the numbers of the hosts by their NQN. The
 // tap sits at the disk server: what it sent came from the controller.
-func (l *Log) ServerTaps(server func() string, gateways map[string]int) func() func(sent bool, data []byte) {
+func (l *Log) ServerObservers(server func() string, gateways map[string]int) func() func(sent bool, data []byte) {
 	return func() func(bool, []byte) {
 		connection := &serverConnection{log: l, server: server, gateways: gateways, wire: newWire[*dispatchRecord]()}
 		return connection.tap
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -123,7 +123,7 @@
 func (r *run) startDiskServer(cell int) (*disk.Server, error) {
 	var server *disk.Server
 	model := r.diskModel
-	model.Tap = r.log.ServerTaps(func() string { return server.Address() }, r.gatewaysByNQN)
+	model.Tap = r.log.ServerObservers(func() string { return server.Address() }, r.gatewaysByNQN)
 	model.OnConnection = r.diskWire(func() *disk.Server { return server })
 	server, err := disk.New(r.loop, anyPort, model, r.rng.Int63())
 	if err != nil {
