--- a/audit/harness_test.go
+++ b/audit/harness_test.go
@@ -64,7 +64,7 @@
 			log := NewLog()
 			log.places["a"], log.places["b"] = Place{Zone: 0}, Place{Zone: 1}
 			c.build(constructedRun{log})
-			for _, verdict := range log.Judge(shared) {
+			for _, verdict := range log.Check(shared) {
 				if verdict.Kept != (verdict.Rule != c.broken) {
 					t.Errorf("rule %d kept: %v (%s)", verdict.Rule, verdict.Kept, verdict.Evidence)
 				}
--- a/audit/judge.go
+++ b/audit/judge.go
@@ -47,8 +47,8 @@
 	verdict  Verdict
 }
 
-// Judge holds what was seen to the rules, by the settings that all gateways shared.
-func (l *Log) Judge(shared *settings.Gateway) []Verdict {
+// Check holds what was seen to the rules, by the settings that all gateways shared.
+func (l *Log) Check(shared *settings.Gateway) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var verdicts []Verdict
--- a/faulttest/report.go
+++ b/faulttest/report.go
@@ -73,7 +73,7 @@
 		}
 	})
 	<-done
-	report.Rules = r.log.Judge(r.script)
+	report.Rules = r.log.Check(r.script)
 	for _, verdict := range report.Rules {
 		report.Kept = report.Kept && verdict.Kept
 	}
