--- a/audit/harness_test.go
+++ b/audit/harness_test.go
@@ -62,7 +62,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			log := NewLog()
-			log.places["a"], log.places["b"] = Place{Zone: 0}, Place{Zone: 1}
+			log.places["a"], log.places["b"] = Location{Zone: 0}, Location{Zone: 1}
 			c.build(constructedRun{log})
 			for _, verdict := range log.Check(shared) {
 				if verdict.Kept != (verdict.Rule != c.broken) {
--- a/audit/log.go
+++ b/audit/log.go
@@ -26,7 +26,7 @@
 	kills        map[int][]time.Duration  // by gateway
 	clientCloses map[int][]time.Duration  // by gateway
 	starts       map[string][]startRecord // by disk server
-	places       map[string]Place         // by disk server
+	places       map[string]Location         // by disk server
 }
 
 // opKey tells ops apart.
@@ -92,8 +92,8 @@
 	capacity func(age time.Duration) float64 // units a second, by the time since the start
 }
 
-// Place is where a disk server stands, for the groups that drop repeats.
-type Place struct{ Zone, Cell int }
+// Location is where a disk server stands, for the groups that drop repeats.
+type Location struct{ Zone, Cell int }
 
 // NewLog begins to record now.
 func NewLog() *Log {
@@ -103,7 +103,7 @@
 		kills:        map[int][]time.Duration{},
 		clientCloses: map[int][]time.Duration{},
 		starts:       map[string][]startRecord{},
-		places:       map[string]Place{},
+		places:       map[string]Location{},
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // AddServer records where a disk server stands.
-func (l *Log) AddServer(server string, place Place) {
+func (l *Log) AddServer(server string, place Location) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.places[server] = place
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -131,7 +131,7 @@
 	}
 	r.serverOfCell[cell] = server
 	r.servers = append(r.servers, server)
-	r.log.AddServer(server.Address(), audit.Place{Zone: zoneOf(cell), Cell: cell})
+	r.log.AddServer(server.Address(), audit.Location{Zone: zoneOf(cell), Cell: cell})
 	return server, nil
 }
 
