--- a/audit/judge.go
+++ b/audit/judge.go
@@ -14,7 +14,7 @@
 	Name    string `json:"name"`
 	Kept    bool   `json:"kept"`
 	Checked int    `json:"checked"` // how many cases were looked at
-	Broken  int    `json:"broken"`
+	Violations  int    `json:"broken"`
 	// Evidence is the first case that broke it, or how near the nearest came where there is such a measure.
 	Evidence string `json:"evidence,omitempty"`
 }
@@ -63,7 +63,7 @@
 // violation records that a case broke the rule.
 func (j *judge) violation(format string, values ...any) {
 	j.verdict.Kept = false
-	if j.verdict.Broken++; j.verdict.Broken == 1 {
+	if j.verdict.Violations++; j.verdict.Violations == 1 {
 		j.verdict.Evidence = fmt.Sprintf(format, values...)
 	}
 }
--- a/faulttest/report.go
+++ b/faulttest/report.go
@@ -154,7 +154,7 @@
 func verdictLine(v audit.Verdict) string {
 	result := "kept"
 	if !v.Kept {
-		result = fmt.Sprintf("BROKEN %d times", v.Broken)
+		result = fmt.Sprintf("BROKEN %d times", v.Violations)
 	}
 	line := fmt.Sprintf("rule %d  %-50s %s (%d cases)", v.Rule, v.Name, result, v.Checked)
 	if v.Evidence != "" {
