--- a/audit/answers_test.go
+++ b/audit/answers_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-func TestAnswers(t *testing.T) {
-	checkVerdicts(t, map[string]constructedCase{
+func TestCheckAnswers(t *testing.T) {
+	checkVerdicts(t, map[string]verdictCase{
 		"answered in time": {0, func(run constructedRun) { run.op(constructedOp{answered: 999 * ms}) }},
 		"answered late":    {1, func(run constructedRun) { run.op(constructedOp{answered: 1001 * ms}) }},
 		"never answered":   {1, func(run constructedRun) { run.op(constructedOp{}) }},
--- a/audit/drains.go
+++ b/audit/drains.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// noticeKey tells the notices of a gateway of a disk server apart from others.
+// noticeKey identifies the notices to one gateway about one disk server.
 type noticeKey struct {
 	gateway int
 	server  string
 }
 
-// checkDrains checks that a gateway dispatches nothing to a disk server that drains or is gone, once it was notified
-// and the grace is over.
-func (j *judge) checkDrains() {
-	grace := j.settings.Policy.DrainGrace.Duration()
+// checkDrains checks that a gateway dispatches nothing to a disk server that is draining or gone, once the gateway has
+// been notified and the drain grace has passed.
+func (c *checker) checkDrains() {
+	grace := c.settings.Policy.DrainGrace.Duration()
 	notices := map[noticeKey][]noticeRecord{}
-	for _, notice := range j.notices {
+	for _, notice := range c.notices {
 		key := noticeKey{notice.gateway, notice.server}
 		notices[key] = append(notices[key], notice)
 	}
-	for _, dispatch := range j.dispatches {
-		j.verdict.Checked++
-		stopped := stoppedBy(notices[noticeKey{dispatch.gateway, dispatch.server}], dispatch.at)
+	for _, dispatch := range c.dispatches {
+		c.verdict.Checked++
+		stopped := stopNotices(notices[noticeKey{dispatch.gateway, dispatch.server}], dispatch.at)
 		for source, notice := range stopped {
-			if dispatch.at > notice.at+grace+slack {
-				j.violation("%s was sent an op by gateway %d at %v, %v after %s reported it as %s",
+			if dispatch.at > notice.at+grace+timeTolerance {
+				c.recordViolation("%s was sent an op by gateway %d at %v, %v after %s reported it as %s",
 					dispatch.server, dispatch.gateway, dispatch.at, dispatch.at-notice.at, source, notice.state)
 			}
 		}
 	}
 }
 
-// stoppedBy are the sources by which a disk server drains or is gone at a time, each with its first notice of that
-// and its last state. A source that tells of a start which is newer than another's notice overrules it.
-func stoppedBy(notices []noticeRecord, at time.Duration) map[string]noticeRecord {
+// stopNotices returns, by source, the notices that a disk server is draining or gone at a time. Each entry has the time
+// of the source's first such notice and the last state that it reported. A notice that the server is on cancels the
+// source's own entry, and those of other sources that are older than the start it reports.
+func stopNotices(notices []noticeRecord, at time.Duration) map[string]noticeRecord {
 	stopped := map[string]noticeRecord{}
 	for _, notice := range notices {
 		if notice.at > at {
--- a/audit/drains_test.go
+++ b/audit/drains_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestDrains(t *testing.T) {
+func TestCheckDrains(t *testing.T) {
 	dispatchLate := func(run constructedRun) {
 		op := run.op(constructedOp{sent: 1200 * ms, answered: 1300 * ms})
 		run.dispatch(op, "a", 1250*ms, 1260*ms, 0)
 	}
-	checkVerdicts(t, map[string]constructedCase{
-		"within the grace": {0, func(run constructedRun) {
+	checkVerdicts(t, map[string]verdictCase{
+		"within the drain grace": {0, func(run constructedRun) {
 			run.notify(noticeRecord{state: stateDraining})
 			run.dispatch(run.op(constructedOp{sent: 900 * ms, answered: 999 * ms}), "a", 950*ms, 960*ms, 0)
 		}},
-		"past the grace": {3, func(run constructedRun) {
+		"past the drain grace": {3, func(run constructedRun) {
 			run.notify(noticeRecord{state: stateDraining}, noticeRecord{at: 900 * ms, state: stateGone})
 			dispatchLate(run)
 		}},
@@ -20,12 +20,12 @@
 			run.notify(noticeRecord{state: stateDraining}, noticeRecord{at: 900 * ms, state: stateOn})
 			dispatchLate(run)
 		}},
-		"on again by the other source": {3, func(run constructedRun) {
+		"on again according to the other source only": {3, func(run constructedRun) {
 			run.notify(noticeRecord{source: "dns", state: stateGone},
 				noticeRecord{source: "etcd", at: 900 * ms, state: stateOn})
 			dispatchLate(run)
 		}},
-		"a newer start by the other source": {0, func(run constructedRun) {
+		"newer start according to the other source": {0, func(run constructedRun) {
 			run.notify(noticeRecord{source: "dns", at: ms, state: stateGone},
 				noticeRecord{source: "etcd", at: 900 * ms, state: stateOn, started: 800 * ms})
 			dispatchLate(run)
--- a/audit/harness_test.go
+++ b/audit/harness_test.go
@@ -9,7 +9,7 @@
 	"honeyplank/settings"
 )
 
-// testSettings are those of two gateways, in XML.
+// testSettings are the XML settings of two gateways.
 const testSettings = `<honeyplank version="1">
   <listen address="127.0.0.1:0" subsystem="nqn.2026-12.x:s" host="nqn.2026-12.x:h"/>
   <list prefix="/n/" ask-within="4s" most="20000"><etcd endpoint="127.0.0.1:2379"/></list>
@@ -36,7 +36,7 @@
   <disk-servers subsystem="nqn.2026-12.x:d" connect-within="1s" keep-alive="1s" depth="9"/>
 </honeyplank>`
 
-// The numbers of blocks that make a write of each op type.
+// The number of blocks of a write of each op type.
 const (
 	orderedBlocks = 1
 	onceBlocks    = 2
@@ -46,14 +46,15 @@
 
 const ms = time.Millisecond
 
-// constructedCase is a run that is built by hand, and the number of the one rule that it breaks; 0: none.
-type constructedCase struct {
-	broken int
-	build  func(run constructedRun)
+// verdictCase is a constructed run with the verdicts that are expected of it.
+type verdictCase struct {
+	violatedRule int // its number; 0: the run keeps all rules
+	build        func(run constructedRun)
 }
 
-// checkVerdicts judges cases, and checks that each keeps all rules but the one that it breaks.
-func checkVerdicts(t *testing.T, cases map[string]constructedCase) {
+// checkVerdicts checks the log of each case against the rules. It fails the test unless exactly the case's violatedRule
+// is violated.
+func checkVerdicts(t *testing.T, cases map[string]verdictCase) {
 	t.Helper()
 	shared, err := settings.Parse("audit", []byte(testSettings))
 	if err != nil {
@@ -62,21 +63,21 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			log := NewLog()
-			log.places["a"], log.places["b"] = Location{Zone: 0}, Location{Zone: 1}
+			log.locations["a"], log.locations["b"] = Location{Zone: 0}, Location{Zone: 1}
 			c.build(constructedRun{log})
 			for _, verdict := range log.Check(shared) {
-				if verdict.Kept != (verdict.Rule != c.broken) {
-					t.Errorf("rule %d kept: %v (%s)", verdict.Rule, verdict.Kept, verdict.Evidence)
+				if verdict.Kept != (verdict.Rule != c.violatedRule) {
+					t.Errorf("rule %d: kept = %v (%s), want the opposite", verdict.Rule, verdict.Kept, verdict.Evidence)
 				}
 			}
 		})
 	}
 }
 
-// constructedRun builds a log by hand.
+// constructedRun is a log that a test fills in directly, without connections.
 type constructedRun struct{ *Log }
 
-// constructedOp is an op to build: by default a read of the first block through the first gateway.
+// constructedOp describes an op to add to a run. By default it is a read of block 1 through gateway 0.
 type constructedOp struct {
 	gateway  int
 	opcode   uint8
@@ -101,12 +102,12 @@
 	return op
 }
 
-// write is a write of some blocks, sent at 0.
+// write adds a write that was sent at 0. The number of blocks selects its op type.
 func (run constructedRun) write(blocks int, answered time.Duration, status nvme.Status) *opRecord {
 	return run.op(constructedOp{opcode: nvme.Write, blocks: blocks, answered: answered, status: status})
 }
 
-// dispatch has an op received by a disk server at a time, and answered at another; 0: never.
+// dispatch adds a dispatch that a disk server received at a time, and answered at another; answered 0 means never.
 func (run constructedRun) dispatch(
 	op *opRecord, server string, at, answered time.Duration, status nvme.Status,
 ) *dispatchRecord {
@@ -119,13 +120,13 @@
 	return dispatch
 }
 
-// read dispatches a read of one block at a time, which is answered.
+// read adds a read of one block with a dispatch at a time, both answered.
 func (run constructedRun) read(lba int, at time.Duration) {
 	op := run.op(constructedOp{lba: uint64(lba), sent: at - ms, answered: at + 20*ms})
 	run.dispatch(op, "a", at, at+10*ms, nvme.Success)
 }
 
-// notify has the gateways notified of the disk server a.
+// notify adds notices about the disk server a.
 func (run constructedRun) notify(notices ...noticeRecord) {
 	for _, notice := range notices {
 		notice.server = "a"
--- a/audit/limits.go
+++ b/audit/limits.go
@@ -7,33 +7,34 @@
 	"honeyplank/settings"
 )
 
-// checkLimits checks that no volume is served more than the limit of its plan: a token bucket of its first dispatches.
-func (j *judge) checkLimits() {
+// checkLimits checks that no volume is served more than the limit of its plan. The limit is a token bucket that counts
+// the first dispatch of each op.
+func (c *checker) checkLimits() {
 	plans := map[uint32]*settings.Plan{}
-	for _, volume := range j.settings.Volumes.List {
-		plans[volume.NSID] = &j.settings.Plans.List[j.settings.PlanIndex(volume.Plan)]
+	for _, volume := range c.settings.Volumes.List {
+		plans[volume.NSID] = &c.settings.Plans.List[c.settings.PlanIndex(volume.Plan)]
 	}
 	firsts := map[uint32][]*dispatchRecord{}
-	for _, op := range j.order {
+	for _, op := range c.order {
 		if plan := plans[op.nsid]; plan != nil && plan.Limit > 0 && len(op.dispatches) > 0 {
 			firsts[op.nsid] = append(firsts[op.nsid], op.dispatches[0])
 		}
 	}
 	for nsid, dispatches := range firsts {
-		j.checkLimit(nsid, plans[nsid], dispatches)
+		c.checkLimit(nsid, plans[nsid], dispatches)
 	}
 }
 
-// checkLimit checks the first dispatches of a volume's ops.
-func (j *judge) checkLimit(nsid uint32, plan *settings.Plan, dispatches []*dispatchRecord) {
+// checkLimit checks the first dispatches of a volume's ops against the limit of its plan.
+func (c *checker) checkLimit(nsid uint32, plan *settings.Plan, dispatches []*dispatchRecord) {
 	slices.SortFunc(dispatches, byTime)
 	bucket, refilledAt := plan.Burst, time.Duration(0)
 	for _, dispatch := range dispatches {
-		j.verdict.Checked++
-		bucket = min(plan.Burst, bucket+plan.Limit*(dispatch.at-refilledAt).Seconds()) - j.units(dispatch.op)
+		c.verdict.Checked++
+		bucket = min(plan.Burst, bucket+plan.Limit*(dispatch.at-refilledAt).Seconds()) - c.units(dispatch.op)
 		refilledAt = dispatch.at
-		if bucket < -plan.Slack-plan.Limit*slack.Seconds() {
-			j.violation("volume %d was sent %.1f units past its limit at %v", nsid, -bucket, dispatch.at)
+		if bucket < -plan.Slack-plan.Limit*timeTolerance.Seconds() {
+			c.recordViolation("volume %d was sent %.1f units past its limit at %v", nsid, -bucket, dispatch.at)
 		}
 	}
 }
--- a/audit/log.go
+++ b/audit/log.go
@@ -1,11 +1,11 @@
-// Package audit judges the seven rules of a gateway from what crossed the sockets of clients and disk servers, and
-// from what the sources of the endpoint list notified whom of.
+// Package audit checks whether gateways keep their seven rules. It uses the bytes that crossed the sockets of clients
+// and disk servers, and the notices that the sources of the endpoint list sent to gateways.
 //
-// It shares no code with the gateway or the decision module: it reads the bytes by the codec of package nvme and
-// keeps its own records. It sends nothing and changes nothing. An op is known by its volume, block and opcode, which
-// the load never uses twice.
+// It shares no code with the gateway or the decision module: it decodes the bytes with the codec of package nvme and
+// keeps its own records. It sends nothing and changes nothing. An op is identified by its volume, block and opcode; the
+// load generator never uses the same three twice.
 //
-// Package faulttest writes the Log from its event loop and from goroutines of the fakes, and judges it at the end.
+// Package faulttest writes the Log from its event loop and from goroutines of the fakes, and calls Check at the end.
 package audit
 
 import (
@@ -15,7 +15,8 @@
 	"honeyplank/nvme"
 )
 
-// Log is what was seen. It may be written from any goroutine.
+// Log records the ops, dispatches, notices and restarts of a test. Any goroutine may call its methods. All its times
+// are relative to its start.
 type Log struct {
 	mu           sync.Mutex
 	start        time.Time
@@ -26,10 +27,10 @@
 	kills        map[int][]time.Duration  // by gateway
 	clientCloses map[int][]time.Duration  // by gateway
 	starts       map[string][]startRecord // by disk server
-	places       map[string]Location         // by disk server
+	locations    map[string]Location      // by disk server
 }
 
-// opKey tells ops apart.
+// opKey identifies an op.
 type opKey struct {
 	nsid   uint32
 	lba    uint64
@@ -41,12 +42,12 @@
 	opKey
 	gateway       int
 	bytes         int
-	clientTimeout time.Duration // that the command states; 0: none
+	clientTimeout time.Duration // in the command; 0: none
 	sent          time.Duration
 	answers       []answerRecord
-	closed        time.Duration // when its connection ended; 0: it has not
-	corrupted     bool          // the wire damaged its connection while it was open, or before
-	duplicated    bool          // the wire repeated its command
+	closed        time.Duration // the time at which its connection ended; 0: still open
+	corrupted     bool          // its connection was damaged before an answer
+	duplicated    bool          // the damage repeated its command
 	dispatches    []*dispatchRecord
 }
 
@@ -58,15 +59,15 @@
 
 // dispatchRecord is one dispatch as a disk server received it.
 type dispatchRecord struct {
-	op      *opRecord // nil: no client sent it
-	gateway int       // unknownGateway: no gateway of the test
+	op      *opRecord // nil: sent by no client
+	gateway int       // unknownGateway: none of the test
 	server  string
 	at      time.Duration
-	answer  answerRecord  // at 0: none
-	closed  time.Duration // when its connection ended before an answer; 0: it did not
+	answer  answerRecord  // its at is 0 if there was none
+	closed  time.Duration // the time at which its connection ended without an answer; 0: it did not
 }
 
-// unknownGateway is the number of a gateway that is not of the test.
+// unknownGateway is the number recorded for a sender that is no gateway of the test.
 const unknownGateway = -1
 
 // The states of a disk server in a notice.
@@ -76,26 +77,26 @@
 	stateGone     = "gone"
 )
 
-// noticeRecord is what a source of the endpoint list reported to a gateway about a disk server.
+// noticeRecord is one report of a source of the endpoint list to a gateway about a disk server.
 type noticeRecord struct {
 	gateway int
 	source  string
 	server  string
 	at      time.Duration
 	state   string
-	started time.Duration // when the disk server last started; 0: long ago
+	started time.Duration // the last start of the disk server; 0: none given
 }
 
-// startRecord is a start of a disk server.
+// startRecord is one start of a disk server.
 type startRecord struct {
 	at       time.Duration
-	capacity func(age time.Duration) float64 // units a second, by the time since the start
+	capacity func(age time.Duration) float64 // units per second
 }
 
-// Location is where a disk server stands, for the groups that drop repeats.
+// Location is the zone and the cell of a disk server. Ops can be deduplicated within a zone or within a cell.
 type Location struct{ Zone, Cell int }
 
-// NewLog begins to record now.
+// NewLog returns an empty log. Its times count from this call.
 func NewLog() *Log {
 	return &Log{
 		start:        time.Now(),
@@ -103,14 +104,14 @@
 		kills:        map[int][]time.Duration{},
 		clientCloses: map[int][]time.Duration{},
 		starts:       map[string][]startRecord{},
-		places:       map[string]Location{},
+		locations:    map[string]Location{},
 	}
 }
 
 func (l *Log) now() time.Duration { return time.Since(l.start) }
 
-// Notified records what a source reported to a gateway about a disk server: that it is on, draining or gone. started
-// is when it last started, zero if long ago.
+// Notified records that a source reported a disk server to a gateway. The state is "on", "draining" or "gone". started
+// is the last start of the disk server, or the zero time if the source gave none.
 func (l *Log) Notified(gateway int, source, server, state string, started time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,63 +122,64 @@
 	l.notices = append(l.notices, notice)
 }
 
-// GatewayKilled records the death of a gateway, with all its ops.
+// GatewayKilled records that a gateway was killed. Its ops end with it.
 func (l *Log) GatewayKilled(gateway int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.kills[gateway] = append(l.kills[gateway], l.now())
 }
 
-// ClientClosed records that a client of a gateway is about to close its connection. Only then is nothing owed for its
-// ops: a gateway that closes one has not answered.
+// ClientClosed records that a client of a gateway is about to close its connection, so that the ops on it need no
+// answer. If the gateway closes a connection instead, the ops on it count as unanswered.
 func (l *Log) ClientClosed(gateway int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.clientCloses[gateway] = append(l.clientCloses[gateway], l.now())
 }
 
-// AddServer records where a disk server stands.
-func (l *Log) AddServer(server string, place Location) {
+// AddServer records the location of a disk server, which is named by its address.
+func (l *Log) AddServer(server string, location Location) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.places[server] = place
+	l.locations[server] = location
 }
 
-// ServerStarted records that a disk server has just started, and its capacity at an age, in units a second.
+// ServerStarted records that a disk server has just started. capacity returns its capacity in units per second at an
+// age, the time since the start.
 func (l *Log) ServerStarted(server string, capacity func(age time.Duration) float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.starts[server] = append(l.starts[server], startRecord{l.now(), capacity})
 }
 
-// final is the final answer of an op; ok is false where there was none.
-func (op *opRecord) final() (answer answerRecord, ok bool) {
+// finalAnswer returns the first answer to an op; ok is false if there was none.
+func (op *opRecord) finalAnswer() (answer answerRecord, ok bool) {
 	if len(op.answers) == 0 {
 		return answerRecord{}, false
 	}
 	return op.answers[0], true
 }
 
-// neverRan reports whether a dispatch is known not to have run.
+// neverRan reports whether the disk server rejected a dispatch, so that it has certainly not run.
 func (d *dispatchRecord) neverRan() bool {
 	return d.answer.at > 0 && d.answer.status.Code() == nvme.Rejected
 }
 
-// ended is when a dispatch had its outcome, at the end of the disk server; 0: never.
-func (d *dispatchRecord) ended() time.Duration {
+// endedAt returns the time at which a dispatch had its outcome, as observed at the disk server, or 0 if it had none.
+func (d *dispatchRecord) endedAt() time.Duration {
 	if d.answer.at > 0 {
 		return d.answer.at
 	}
 	return d.closed
 }
 
-// abandoned is when a dispatch without an answer ended for its gateway: with its connection, or with its op. It is 0
-// where it had an answer or has not ended.
-func (d *dispatchRecord) abandoned() time.Duration {
+// abandonedAt returns the time at which a dispatch without an answer ended for its gateway: when its op was answered or
+// its connection ended, whichever came first. It returns 0 if the dispatch was answered or has not ended.
+func (d *dispatchRecord) abandonedAt() time.Duration {
 	if d.answer.at > 0 {
 		return 0
 	}
-	if answer, ok := d.op.final(); ok && (d.closed == 0 || answer.at < d.closed) {
+	if answer, ok := d.op.finalAnswer(); ok && (d.closed == 0 || answer.at < d.closed) {
 		return answer.at
 	}
 	return d.closed
--- a/audit/retrybudget_test.go
+++ b/audit/retrybudget_test.go
@@ -7,15 +7,15 @@
 	"honeyplank/nvme"
 )
 
-func TestRetryBudget(t *testing.T) {
-	checkVerdicts(t, map[string]constructedCase{
-		"one free retry":         {0, func(run constructedRun) { run.dispatchTimes(2) }},
-		"two retries of few ops": {6, func(run constructedRun) { run.dispatchTimes(3) }},
+func TestCheckRetryBudget(t *testing.T) {
+	checkVerdicts(t, map[string]verdictCase{
+		"one free retry":        {0, func(run constructedRun) { run.dispatchRepeatedly(2) }},
+		"two retries of one op": {6, func(run constructedRun) { run.dispatchRepeatedly(3) }},
 	})
 }
 
-// dispatchTimes dispatches one op a number of times.
-func (run constructedRun) dispatchTimes(number int) {
+// dispatchRepeatedly dispatches one op the given number of times.
+func (run constructedRun) dispatchRepeatedly(number int) {
 	op := run.op(constructedOp{answered: 900 * ms})
 	for i := range number {
 		at := time.Duration(10+200*i) * ms
--- a/audit/slowstart.go
+++ b/audit/slowstart.go
@@ -8,54 +8,55 @@
 	"honeyplank/settings"
 )
 
-// slowStartWindow is what a disk server in slow start was sent within a window.
+// slowStartWindow sums up the dispatches to a disk server in slow start within one window of time.
 type slowStartWindow struct {
-	server   string
-	age      time.Duration // of the disk server at the end of the window
-	units    float64
-	notified float64 // units of these from gateways that were notified of the start
-	most     float64 // units with which it is overloaded
+	server        string
+	age           time.Duration // of the disk server at the end of the window
+	units         float64
+	notifiedUnits float64 // the part of units from gateways that were notified of the start
+	maxUnits      float64 // more units than these overload the disk server
 }
 
-// checkSlowStarts checks that no disk server that has just started is sent more within a window than it can bear.
-func (j *judge) checkSlowStarts() {
-	slowStart := j.settings.Policy.SlowStart
+// checkSlowStarts checks that no disk server in slow start is sent so many units within a window that it is overloaded.
+func (c *checker) checkSlowStarts() {
+	slowStart := c.settings.Policy.SlowStart
 	if slowStart == nil {
 		return
 	}
 	byServer := map[string][]*dispatchRecord{}
-	for _, dispatch := range j.dispatches {
+	for _, dispatch := range c.dispatches {
 		byServer[dispatch.server] = append(byServer[dispatch.server], dispatch)
 	}
-	nearest, evidence := 0.0, ""
-	for server, starts := range j.starts {
+	highestRatio, evidence := 0.0, ""
+	for server, starts := range c.starts {
 		for _, start := range starts {
-			for _, window := range j.slowStartWindows(byServer[server], server, start, slowStart) {
-				if part := window.part(); part > nearest {
-					nearest, evidence = part, window.String()
+			for _, window := range c.slowStartWindows(byServer[server], server, start, slowStart) {
+				if loadRatio := window.loadRatio(); loadRatio > highestRatio {
+					highestRatio, evidence = loadRatio, window.String()
 				}
-				j.checkSlowStart(window, slowStart)
+				c.checkSlowStart(window, slowStart)
 			}
 		}
 	}
-	if j.verdict.Kept {
-		j.verdict.Evidence = evidence
+	if c.verdict.Kept {
+		c.verdict.Evidence = evidence
 	}
 }
 
-// checkSlowStart checks what a disk server was sent within a window.
-func (j *judge) checkSlowStart(window slowStartWindow, slowStart *settings.SlowStart) {
-	j.verdict.Checked++
-	// With a third or more from gateways that were not notified of the start, the others could not know.
-	couldKnow := window.notified >= window.units*2/3
-	if window.units > window.most && couldKnow {
-		j.violation("%s, %v after its start, had been sent %.0f units within %v, over %.1f times its capacity",
+// checkSlowStart checks one window of a disk server in slow start.
+func (c *checker) checkSlowStart(window slowStartWindow, slowStart *settings.SlowStart) {
+	c.verdict.Checked++
+	// Gateways that were not notified of the start cannot limit their load, and the other gateways have no information
+	// on that load. A window with more than a third of its units from them is therefore no violation.
+	mostWereNotified := window.notifiedUnits >= window.units*2/3
+	if window.units > window.maxUnits && mostWereNotified {
+		c.recordViolation("%s, %v after its start, had been sent %.0f units within %v, over %.1f times its capacity",
 			window.server, window.age, window.units, slowStart.Window.Duration(), slowStart.Multiple)
 	}
 }
 
-// slowStartWindows are the windows that end with a dispatch to a disk server in slow start.
-func (j *judge) slowStartWindows(
+// slowStartWindows returns one window for each dispatch to a disk server in slow start; the window ends with it.
+func (c *checker) slowStartWindows(
 	dispatches []*dispatchRecord, server string, start startRecord, slowStart *settings.SlowStart,
 ) (windows []slowStartWindow) {
 	length := slowStart.Window.Duration()
@@ -69,16 +70,16 @@
 			first++
 		}
 		window := slowStartWindow{
-			server: server, age: age, most: slowStart.Multiple * start.capacity(age) * length.Seconds(),
+			server: server, age: age, maxUnits: slowStart.Multiple * start.capacity(age) * length.Seconds(),
 		}
 		for _, within := range dispatches[first : i+1] {
 			if within.op == nil {
 				continue
 			}
-			units := j.units(within.op)
+			units := c.units(within.op)
 			window.units += units
-			if j.wasNotified(within, start) {
-				window.notified += units
+			if c.wasNotified(within, start) {
+				window.notifiedUnits += units
 			}
 		}
 		windows = append(windows, window)
@@ -86,19 +87,19 @@
 	return windows
 }
 
-// wasNotified reports whether the gateway of a dispatch had been notified of a start of its disk server.
-func (j *judge) wasNotified(dispatch *dispatchRecord, start startRecord) bool {
-	return slices.ContainsFunc(j.notices, func(notice noticeRecord) bool {
+// wasNotified reports whether, by the time of a dispatch, its gateway had been notified of a start of the disk server.
+func (c *checker) wasNotified(dispatch *dispatchRecord, start startRecord) bool {
+	return slices.ContainsFunc(c.notices, func(notice noticeRecord) bool {
 		return notice.gateway == dispatch.gateway && notice.server == dispatch.server &&
-			notice.at <= dispatch.at && notice.started >= start.at-slack
+			notice.at <= dispatch.at && notice.started >= start.at-timeTolerance
 	})
 }
 
-// part is what was sent as a part of what overloads the disk server.
-func (window slowStartWindow) part() float64 { return window.units / window.most }
+// loadRatio returns the units that were sent, as a fraction of maxUnits.
+func (window slowStartWindow) loadRatio() float64 { return window.units / window.maxUnits }
 
-// String is the evidence of how near the window came.
+// String describes the window's load as evidence.
 func (window slowStartWindow) String() string {
 	return fmt.Sprintf("nearest: %.0f%% of what overloads %s, %v after its start",
-		100*window.part(), window.server, window.age.Round(time.Millisecond))
+		100*window.loadRatio(), window.server, window.age.Round(time.Millisecond))
 }
--- a/audit/slowstart_test.go
+++ b/audit/slowstart_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-func TestSlowStarts(t *testing.T) {
-	checkVerdicts(t, map[string]constructedCase{
-		"within its budget": {0, func(run constructedRun) {
+func TestCheckSlowStarts(t *testing.T) {
+	checkVerdicts(t, map[string]verdictCase{
+		"within the capacity": {0, func(run constructedRun) {
 			run.notifyOfStart()
-			run.flood(2)
+			run.dispatchUnits(2)
 		}},
 		"overloaded": {4, func(run constructedRun) {
 			run.notifyOfStart()
-			run.flood(9)
+			run.dispatchUnits(9)
 		}},
-		"overloaded by a gateway that was not notified": {0, func(run constructedRun) { run.flood(9) }},
+		"overloaded by a gateway that was not notified": {0, func(run constructedRun) { run.dispatchUnits(9) }},
 	})
 }
 
-// startedAt is when the disk server a starts.
-const startedAt = 1000 * ms
+// startTime is the time at which the disk server a starts.
+const startTime = 1000 * ms
 
-// notifyOfStart has the gateway notified of the start of the disk server a.
+// notifyOfStart adds a notice to the gateway that the disk server a has started.
 func (run constructedRun) notifyOfStart() {
-	run.notify(noticeRecord{at: startedAt, state: stateOn, started: startedAt})
+	run.notify(noticeRecord{at: startTime, state: stateOn, started: startTime})
 }
 
-// flood dispatches a number of units at once to a disk server that has just started, with a capacity of 10 units a
-// second once it is warm.
-func (run constructedRun) flood(units int) {
+// dispatchUnits dispatches ops of one unit, 30 ms apart, to a disk server that has just started. Its capacity is 10
+// units per second at the end of the slow start.
+func (run constructedRun) dispatchUnits(units int) {
 	capacity := func(age time.Duration) float64 { return 10 * (0.25 + 0.75*age.Seconds()/4) }
-	run.starts["a"] = []startRecord{{startedAt, capacity}}
+	run.starts["a"] = []startRecord{{startTime, capacity}}
 	for i := range units {
-		run.read(1+i, startedAt+time.Duration(10+30*i)*ms)
+		run.read(1+i, startTime+time.Duration(10+30*i)*ms)
 	}
 }
--- a/audit/taps.go
+++ b/audit/taps.go
@@ -6,31 +6,33 @@
 	"honeyplank/nvme"
 )
 
-// Link is a connection of a client as the audit sees it.
+// Link records the traffic of one client connection in the log. Any goroutine may call its functions.
 type Link struct {
-	// Observe is called with what crosses the socket; empty data tells that the connection has ended.
+	// Observe must be called with the bytes that cross the client's socket, in order, and with empty data when the
+	// connection has ended. sent reports whether the client sent them.
 	Observe func(sent bool, data []byte)
-	// MarkCorrupted records that the wire has damaged what crossed. From then on the gateway can't know what its
-	// client meant, so its ops that were open, and those that come, are owed no answer; where the wire repeated a
-	// command, no order and no single effect either.
+	// MarkCorrupted records that an injected fault has damaged the bytes of the connection. From then on the gateway
+	// cannot decode its client's commands reliably. Unanswered and later ops of the connection therefore need no
+	// answer. If the damage repeated a command, its op is also exempt from the rules on effects and order.
 	MarkCorrupted func()
 }
 
-// ClientLinks makes links for the connections of a gateway's clients; blockSize is in bytes. The tap sits at the
-// client: what it sent came from the host.
+// ClientLinks returns a function that makes a link for each new connection of a gateway's clients. blockSize is in
+// bytes. The links observe the client's socket, so the sent bytes come from the NVMe host.
 func (l *Log) ClientLinks(gateway, blockSize int) func() Link {
 	return func() Link {
-		connection := &clientConnection{log: l, gateway: gateway, blockSize: blockSize, wire: newWire[*opRecord]()}
-		return Link{Observe: connection.tap, MarkCorrupted: connection.markCorrupted}
+		connection := &clientConnection{
+			log: l, gateway: gateway, blockSize: blockSize, decoder: newDecoder[*opRecord](),
+		}
+		return Link{Observe: connection.observe, MarkCorrupted: connection.markCorrupted}
 	}
 }
 
-// clientConnection is a connection of a client.
 type clientConnection struct {
 	log       *Log
 	gateway   int
 	blockSize int
-	wire      *wire[*opRecord]
+	decoder   *decoder[*opRecord]
 	closed    bool
 	corrupted bool
 }
@@ -39,14 +41,14 @@
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
 	c.corrupted = true
-	for _, op := range c.wire.open {
+	for _, op := range c.decoder.commands {
 		if len(op.answers) == 0 {
 			op.corrupted = true
 		}
 	}
 }
 
-func (c *clientConnection) tap(sent bool, data []byte) {
+func (c *clientConnection) observe(sent bool, data []byte) {
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
 	if len(data) == 0 {
@@ -57,26 +59,26 @@
 	if sent {
 		from = fromHost
 	}
-	c.wire.read(from, data, c.handle)
+	c.decoder.decode(from, data, c.handle)
 }
 
-// close records the end of the connection, at the first call only.
+// close records the end of the connection. Only the first call has an effect.
 func (c *clientConnection) close() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	for _, op := range c.wire.open {
+	for _, op := range c.decoder.commands {
 		op.closed = c.log.now()
 	}
 }
 
-// handle records an op or an answer. An op stays open, so that a second answer is seen.
+// handle records an op or an answer. An answered op stays in the decoder, so that a second answer is recorded too.
 func (c *clientConnection) handle(pdu *nvme.PDU) {
-	if command, ok := c.wire.ioCommand(pdu); ok {
+	if command, ok := c.decoder.ioCommand(pdu); ok {
 		c.recordOp(command)
-	} else if id, status, ok := completion(pdu); ok && c.wire.open[id] != nil {
-		op := c.wire.open[id]
+	} else if id, status, ok := completion(pdu); ok && c.decoder.commands[id] != nil {
+		op := c.decoder.commands[id]
 		op.answers = append(op.answers, answerRecord{c.log.now(), status})
 	}
 }
@@ -96,27 +98,30 @@
 	}
 	c.log.ops[op.opKey] = op
 	c.log.order = append(c.log.order, op)
-	c.wire.open[command.CID()] = op
+	c.decoder.commands[command.CID()] = op
 }
 
-// ServerObservers makes taps for the connections of a disk server; gateways are the numbers of the hosts by their NQN. The
-// tap sits at the disk server: what it sent came from the controller.
+// ServerObservers returns a function that makes an observer for each new connection of a disk server. server returns
+// the server's address, and gateways maps the NQN of each gateway to its number. An observer must be called with the
+// bytes that cross the disk server's socket, so the sent bytes come from the NVMe controller. It must be called with
+// empty data when the connection has ended.
 func (l *Log) ServerObservers(server func() string, gateways map[string]int) func() func(sent bool, data []byte) {
 	return func() func(bool, []byte) {
-		connection := &serverConnection{log: l, server: server, gateways: gateways, wire: newWire[*dispatchRecord]()}
-		return connection.tap
+		connection := &serverConnection{
+			log: l, server: server, gateways: gateways, decoder: newDecoder[*dispatchRecord](),
+		}
+		return connection.observe
 	}
 }
 
-// serverConnection is a connection of a disk server.
 type serverConnection struct {
 	log      *Log
 	server   func() string
 	gateways map[string]int
-	wire     *wire[*dispatchRecord]
+	decoder  *decoder[*dispatchRecord]
 }
 
-func (c *serverConnection) tap(sent bool, data []byte) {
+func (c *serverConnection) observe(sent bool, data []byte) {
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
 	if len(data) == 0 {
@@ -127,12 +132,12 @@
 	if sent {
 		from = fromController
 	}
-	c.wire.read(from, data, c.handle)
+	c.decoder.decode(from, data, c.handle)
 }
 
-// close records the end of the connection for the dispatches without an answer.
+// close records the end of the connection for all dispatches without an answer.
 func (c *serverConnection) close() {
-	for _, dispatch := range c.wire.open {
+	for _, dispatch := range c.decoder.commands {
 		if dispatch.answer.at == 0 && dispatch.closed == 0 {
 			dispatch.closed = c.log.now()
 		}
@@ -141,16 +146,16 @@
 
 // handle records a dispatch or its answer.
 func (c *serverConnection) handle(pdu *nvme.PDU) {
-	if command, ok := c.wire.ioCommand(pdu); ok {
+	if command, ok := c.decoder.ioCommand(pdu); ok {
 		c.recordDispatch(command)
-	} else if id, status, ok := completion(pdu); ok && c.wire.open[id] != nil {
-		c.wire.open[id].answer = answerRecord{c.log.now(), status}
-		delete(c.wire.open, id)
+	} else if id, status, ok := completion(pdu); ok && c.decoder.commands[id] != nil {
+		c.decoder.commands[id].answer = answerRecord{c.log.now(), status}
+		delete(c.decoder.commands, id)
 	}
 }
 
 func (c *serverConnection) recordDispatch(command nvme.Command) {
-	gateway, known := c.gateways[c.wire.hostNQN]
+	gateway, known := c.gateways[c.decoder.hostNQN]
 	if !known {
 		gateway = unknownGateway
 	}
@@ -164,5 +169,5 @@
 		dispatch.op.dispatches = append(dispatch.op.dispatches, dispatch)
 	}
 	c.log.dispatches = append(c.log.dispatches, dispatch)
-	c.wire.open[command.CID()] = dispatch
+	c.decoder.commands[command.CID()] = dispatch
 }
--- a/audit/wire.go
+++ b/audit/wire.go
@@ -2,7 +2,7 @@
 
 import "honeyplank/nvme"
 
-// direction is one of the two of a connection.
+// direction is one of the two directions of a connection.
 type direction int
 
 const (
@@ -11,63 +11,63 @@
 	directions
 )
 
-// maxWireData bounds the data of one PDU, in bytes.
-const maxWireData = 4 << 20
+// maxPDUData is the largest size of a PDU's data, in bytes.
+const maxPDUData = 4 << 20
 
-// wire reads both directions of one NVMe/TCP connection. R is the record of a command.
-type wire[R any] struct {
-	framing [directions]nvme.Framing
-	pending [directions][]byte // bytes of an incomplete PDU
-	broken  bool               // what came is no NVMe/TCP; the rest is not read
-	ioQueue bool               // it is of an I/O queue
-	hostNQN string
-	open    map[uint16]R // commands by id
+// decoder decodes both directions of one NVMe/TCP connection. R is the type of a command's record.
+type decoder[R any] struct {
+	framing   [directions]nvme.Framing
+	pending   [directions][]byte // an incomplete PDU
+	malformed bool               // the bytes are not valid NVMe/TCP; the rest is ignored
+	ioQueue   bool               // the connection is an I/O queue
+	hostNQN   string
+	commands  map[uint16]R // records of commands by command id
 }
 
-func newWire[R any]() *wire[R] {
-	return &wire[R]{
+func newDecoder[R any]() *decoder[R] {
+	return &decoder[R]{
 		framing: [directions]nvme.Framing{
-			fromHost:       {MaxData: maxWireData, FromHost: true},
-			fromController: {MaxData: maxWireData},
+			fromHost:       {MaxData: maxPDUData, FromHost: true},
+			fromController: {MaxData: maxPDUData},
 		},
-		open: map[uint16]R{},
+		commands: map[uint16]R{},
 	}
 }
 
-// read decodes what came from one side, and has handle see each PDU but Connect commands.
-func (w *wire[R]) read(from direction, data []byte, handle func(*nvme.PDU)) {
-	pending := append(w.pending[from], data...)
-	used := 0
-	for !w.broken {
-		pdu, length, err := w.framing[from].Decode(pending[used:])
+// decode decodes bytes of one direction and calls handle with each PDU that is not a Connect command.
+func (d *decoder[R]) decode(from direction, data []byte, handle func(*nvme.PDU)) {
+	pending := append(d.pending[from], data...)
+	consumed := 0
+	for !d.malformed {
+		pdu, length, err := d.framing[from].Decode(pending[consumed:])
 		if err != nil {
-			w.broken = true
+			d.malformed = true
 			break
 		}
 		if length == 0 {
 			break
 		}
-		used += length
+		consumed += length
 		if pdu.Type == nvme.TypeICResp {
-			w.setDigests(&pdu)
+			d.setDigests(&pdu)
 		}
-		if !w.readConnect(&pdu) {
+		if !d.readConnect(&pdu) {
 			handle(&pdu)
 		}
 	}
-	w.pending[from] = append(pending[:0], pending[used:]...)
+	d.pending[from] = append(pending[:0], pending[consumed:]...)
 }
 
-// setDigests takes over the digests that the controller has agreed to.
-func (w *wire[R]) setDigests(response *nvme.PDU) {
+// setDigests applies the digest settings of the controller's initialization response.
+func (d *decoder[R]) setDigests(response *nvme.PDU) {
 	init := response.Init()
-	for from := range w.framing {
-		w.framing[from].HeaderDigest, w.framing[from].DataDigest = init.HeaderDigest, init.DataDigest
+	for from := range d.framing {
+		d.framing[from].HeaderDigest, d.framing[from].DataDigest = init.HeaderDigest, init.DataDigest
 	}
 }
 
-// readConnect reads a Connect command; it reports whether the PDU is one.
-func (w *wire[R]) readConnect(pdu *nvme.PDU) bool {
+// readConnect reports whether a PDU is a Connect command. If so, it records the host NQN and the kind of the queue.
+func (d *decoder[R]) readConnect(pdu *nvme.PDU) bool {
 	if pdu.Type != nvme.TypeCapsuleCmd || len(pdu.Data) != nvme.ConnectLen {
 		return false
 	}
@@ -75,21 +75,21 @@
 	if command.Opcode() != nvme.Fabrics || command.FabricsType() != nvme.FabricsConnect {
 		return false
 	}
-	w.hostNQN = nvme.ParseConnectData(pdu.Data).Host
-	w.ioQueue = command.DW(10)>>16 != 0
+	d.hostNQN = nvme.ParseConnectData(pdu.Data).Host
+	d.ioQueue = command.DW(10)>>16 != 0
 	return true
 }
 
-// ioCommand is the Read or Write of an I/O queue that a PDU holds; ok is false where it holds none.
-func (w *wire[R]) ioCommand(pdu *nvme.PDU) (command nvme.Command, ok bool) {
-	if pdu.Type != nvme.TypeCapsuleCmd || !w.ioQueue {
+// ioCommand returns the Read or Write command in a PDU of an I/O queue; ok is false if there is none.
+func (d *decoder[R]) ioCommand(pdu *nvme.PDU) (command nvme.Command, ok bool) {
+	if pdu.Type != nvme.TypeCapsuleCmd || !d.ioQueue {
 		return command, false
 	}
 	command = pdu.Command()
 	return command, command.Opcode() == nvme.Read || command.Opcode() == nvme.Write
 }
 
-// completion is the id of the command that a PDU completes, and its status; ok is false where it completes none.
+// completion returns the id of the command that a PDU completes and its status; ok is false if it completes none.
 func completion(pdu *nvme.PDU) (id uint16, status nvme.Status, ok bool) {
 	switch {
 	case pdu.Type == nvme.TypeCapsuleResp:
