--- a/bench/testbed.go
+++ b/bench/testbed.go
@@ -90,7 +90,7 @@
 	if bed.registry, err = etcd.New(anyPort); err != nil {
 		return err
 	}
-	model := faulttest.Model(bed.settings)
+	model := faulttest.DiskModel(bed.settings)
 	model.Meter = nil
 	for cell := range bed.settings.Volumes.List[0].CellList() {
 		if err := bed.startDiskServer(model, cell); err != nil {
--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	d, err := disk.New(l, c.Listen, faulttest.Model(s), time.Now().UnixNano())
+	d, err := disk.New(l, c.Listen, faulttest.DiskModel(s), time.Now().UnixNano())
 	if err != nil {
 		return err
 	}
--- a/cmd/honeyplank/serve_test.go
+++ b/cmd/honeyplank/serve_test.go
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(registry.Close)
-	model := faulttest.Model(script)
+	model := faulttest.DiskModel(script)
 	model.ServiceTimeSpread, model.Pause, model.PauseEvery, model.DeferredWorkEvery = 0, 0, 0, 0
 	model.UnitServiceTime = settings.Span(time.Millisecond)
 	for cell, faults := range map[int]disk.Faults{0: {}, 1: {FailShare: 1}, 4: {Draining: true}} {
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -51,7 +51,7 @@
 			return err
 		}
 	}
-	r.diskModel = Model(r.script)
+	r.diskModel = DiskModel(r.script)
 	for _, cell := range cellsOf(r.script) {
 		if _, err := r.startDiskServer(cell); err != nil {
 			return err
@@ -242,8 +242,8 @@
 	})
 }
 
-// Model is what the fake disk servers of a script are like.
-func Model(s *settings.Gateway) disk.Model {
+// DiskModel is what the fake disk servers of a script are like.
+func DiskModel(s *settings.Gateway) disk.Model {
 	model := disk.Model{
 		FakeServers: s.FaultTest.FakeServers,
 		Block:       int(s.Volumes.Block),
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -118,7 +118,7 @@
 
 // addDisk brings up a fake disk server for a cell; before the loop runs.
 func (h *harness) addDisk(cell int) *disk.Server {
-	d, err := disk.New(h.loop, "127.0.0.1:0", faulttest.Model(h.settings), int64(cell))
+	d, err := disk.New(h.loop, "127.0.0.1:0", faulttest.DiskModel(h.settings), int64(cell))
 	if err != nil {
 		h.t.Fatal(err)
 	}
