--- a/faulttest/baseline.go
+++ b/faulttest/baseline.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// baselineWatchRetry is the time after which the baseline asks for a failed watch again.
+	// baselineWatchRetry is the time after which the baseline retries a failed watch.
 	baselineWatchRetry = time.Second
 
 	baselineWatchTimer honeyplank.TimerID = "watch"
 )
 
-// NewBaseline returns a decision module to measure against: every op is dispatched at once, in order of arrival and
-// whatever the state of its disk server, and never retried. It keeps no rule but the first. Its parameters are those
-// of Options.Module.
+// NewBaseline returns a decision module that serves as a baseline for measurements. It dispatches every op at once, in
+// order of arrival and regardless of the state of the disk server, and never retries. It keeps no rule but the first.
+// The parameters are those of Options.Module and are ignored.
 func NewBaseline(int64, *honeyplank.Settings) honeyplank.DecisionModule {
 	return &baseline{serverOfCell: map[int]honeyplank.ServerID{}}
 }
--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -10,21 +10,20 @@
 	"honeyplank/settings"
 )
 
-// injector makes a fault of a script happen now. It runs on the loop.
+// injector injects a fault of a script. It runs on the loop.
 type injector func(*run, settings.Fault)
 
-// Severity of a fault for which the script gives none.
+// Defaults for faults without a factor or count in the script.
 const (
-	defaultSlowdown     = 5.0  // times the service time
-	defaultFailureShare = 0.6  // of ops
-	defaultLossShare    = 0.3  // of answers
-	defaultSurge        = 5.0  // times the rate
-	defaultTimeoutShare = 0.25 // of the op timeout that clients wait
-	defaultListDelay    = 2.0  // seconds
-	replacedByRelease   = 3    // disk servers, at least
+	defaultSlowdown        = 5.0  // factor of the service time
+	defaultFailureShare    = 0.6  // of ops
+	defaultLossShare       = 0.3  // of answers
+	defaultLoadSpike       = 5.0  // factor of the rate
+	defaultTimeoutShare    = 0.25 // client timeout as a share of the op timeout
+	defaultListDelay       = 2.0  // seconds
+	minRollingReplacements = 3    // disk servers
 )
 
-// scheduleFaults schedules the faults of the script.
 func (r *run) scheduleFaults() {
 	for _, fault := range r.script.FaultTest.Faults {
 		r.after(warmUp+fault.Start.Duration(), func() {
@@ -37,7 +36,7 @@
 	}
 }
 
-// injectors are the faults that a script can have, by kind.
+// injectors holds the injector of each kind of fault that a script can have.
 var injectors = map[string]injector{
 	"slow": diskFault(func(f settings.Fault) disk.Faults {
 		return disk.Faults{SlowFactor: cmp.Or(f.Factor, defaultSlowdown)}
@@ -52,13 +51,13 @@
 	"mute-handshake": diskFault(func(settings.Fault) disk.Faults { return disk.Faults{NoHandshake: true} }),
 	"cut":            diskFault(func(settings.Fault) disk.Faults { return disk.Faults{Truncate: true} }),
 	"pause":          injectPause,
-	"die":            injectDeath,
+	"die":            injectCrash,
 	"silent":         injectSilence,
 	"drain":          injectDrain,
-	"replace":        injectRelease,
+	"replace":        injectRollingReplacement,
 
-	"surge":           injectSurge,
-	"plan-surge":      injectPlanSurge,
+	"surge":           injectLoadSpike,
+	"plan-surge":      injectPlanLoadSpike,
 	"hurry":           injectShortTimeouts,
 	"clients-leave":   func(r *run, f settings.Fault) { r.load.Disconnect(max(f.Count, 1)) },
 	"gateway-restart": injectGatewayRestart,
@@ -77,18 +76,18 @@
 	"dns-drain":     injectDNSDrain,
 	"dns-stale":     injectStaleDNS,
 
-	wireFlip:   wireFault(wireFlip),
-	wireDrop:   wireFault(wireDrop),
-	wireDelay:  wireFault(wireDelay),
-	wireCut:    wireFault(wireCut),
-	wireRepeat: wireFault(wireRepeat),
-	wireLie:    wireFault(wireLie),
+	wireFlip:        wireFault(wireFlip),
+	wireDrop:        wireFault(wireDrop),
+	wireDelay:       wireFault(wireDelay),
+	wireCut:         wireFault(wireCut),
+	wireRepeat:      wireFault(wireRepeat),
+	wireWrongLength: wireFault(wireWrongLength),
 }
 
-// diskFault gives some disk servers faults for a time.
+// diskFault returns an injector that sets faults of some disk servers for the duration of the fault.
 func diskFault(faults func(settings.Fault) disk.Faults) injector {
 	return func(r *run, f settings.Fault) {
-		for _, cell := range r.pick(f.Count) {
+		for _, cell := range r.pickFaultFree(f.Count) {
 			server := r.serverOfCell[cell]
 			server.SetFaults(faults(f))
 			r.after(f.Duration.Duration(), func() { server.SetFaults(disk.Faults{}) })
@@ -96,7 +95,8 @@
 	}
 }
 
-// dnsFault gives all name servers faults, one after another, each for its part of the time.
+// dnsFault returns an injector that sets faults of all name servers. The stages follow one another, each for an equal
+// part of the duration.
 func dnsFault(stages ...dns.Faults) injector {
 	return func(r *run, f settings.Fault) {
 		for i, faults := range append(slices.Clone(stages), dns.Faults{}) {
@@ -110,57 +110,57 @@
 }
 
 func injectPause(r *run, f settings.Fault) {
-	for _, cell := range r.pick(f.Count) {
+	for _, cell := range r.pickFaultFree(f.Count) {
 		r.serverOfCell[cell].Stall(f.Duration.Duration())
 	}
 }
 
-func injectDeath(r *run, f settings.Fault) {
-	for _, cell := range r.pick(f.Count) {
+func injectCrash(r *run, f settings.Fault) {
+	for _, cell := range r.pickFaultFree(f.Count) {
 		r.restart(cell, f.Duration.Duration())
 	}
 }
 
 func injectSilence(r *run, f settings.Fault) {
-	for _, cell := range r.pick(f.Count) {
+	for _, cell := range r.pickFaultFree(f.Count) {
 		r.serverOfCell[cell].SetFaults(disk.Faults{Silent: true})
 		r.after(f.Duration.Duration(), func() { r.restart(cell, listLag) })
 	}
 }
 
 func injectDrain(r *run, f settings.Fault) {
-	for _, cell := range r.pick(f.Count) {
+	for _, cell := range r.pickFaultFree(f.Count) {
 		r.replace(cell, f.Duration.Duration())
 	}
 }
 
-// injectRelease replaces several disk servers, one after another.
-func injectRelease(r *run, f settings.Fault) {
-	cells := r.pick(max(f.Count, replacedByRelease))
+// injectRollingReplacement replaces several disk servers, one after another.
+func injectRollingReplacement(r *run, f settings.Fault) {
+	cells := r.pickFaultFree(max(f.Count, minRollingReplacements))
 	count := time.Duration(len(cells))
 	for i, cell := range cells {
 		r.after(f.Duration.Duration()*time.Duration(i)/count, func() { r.replace(cell, f.Duration.Duration()/count) })
 	}
 }
 
-func injectSurge(r *run, f settings.Fault) {
+func injectLoadSpike(r *run, f settings.Fault) {
 	volumes := r.script.Volumes.List
 	for _, i := range r.rng.Perm(len(volumes))[:min(max(f.Count, 1), len(volumes))] {
-		r.surge(volumes[i].NSID, f)
+		r.loadSpike(volumes[i].NSID, f)
 	}
 }
 
-func injectPlanSurge(r *run, f settings.Fault) {
+func injectPlanLoadSpike(r *run, f settings.Fault) {
 	for _, volume := range r.script.Volumes.List {
 		if volume.Plan == f.Plan || f.Plan == "" {
-			r.surge(volume.NSID, f)
+			r.loadSpike(volume.NSID, f)
 		}
 	}
 }
 
-// surge multiplies the rate of a volume for a time.
-func (r *run) surge(nsid uint32, f settings.Fault) {
-	r.load.RateFactor[nsid] = cmp.Or(f.Factor, defaultSurge)
+// loadSpike multiplies the request rate of a volume for the duration of the fault.
+func (r *run) loadSpike(nsid uint32, f settings.Fault) {
+	r.load.RateFactor[nsid] = cmp.Or(f.Factor, defaultLoadSpike)
 	r.after(f.Duration.Duration(), func() { delete(r.load.RateFactor, nsid) })
 }
 
@@ -169,19 +169,19 @@
 	r.after(f.Duration.Duration(), func() { r.load.TimeoutFactor = 0 })
 }
 
-// injectGatewayRestart kills a gateway and starts it again at the same address.
+// injectGatewayRestart kills a random gateway and starts it again at the same address after the duration of the fault.
 func injectGatewayRestart(r *run, f settings.Fault) {
 	n := r.rng.Intn(len(r.gateways))
 	g := r.gateways[n]
 	address := g.Address()
 	r.log.GatewayKilled(n)
-	go func() { // Kill waits for the gateway's own loop
+	go func() { // because Kill blocks until the gateway's own loop has ended
 		g.Kill()
 		r.loop.Post(func() {
 			r.log.GatewayKilled(n)
 			r.after(f.Duration.Duration(), func() {
 				if err := r.startGateway(n, address); err != nil {
-					r.injected = err
+					r.injectionErr = err
 				}
 			})
 		})
@@ -196,13 +196,14 @@
 func injectEtcdDelay(r *run, f settings.Fault) {
 	r.etcd.SetWatchDelay(time.Duration(cmp.Or(f.Factor, defaultListDelay) * float64(time.Second)))
 	r.after(f.Duration.Duration(), func() { r.etcd.SetWatchDelay(0) })
-	r.replace(r.pick(1)[0], f.Duration.Duration()/2)
+	r.replace(r.pickFaultFree(1)[0], f.Duration.Duration()/2)
 }
 
-// injectEtcdCompaction has etcd miss changes and compact its history before it returns.
+// injectEtcdCompaction makes etcd unavailable while disk servers are replaced. etcd compacts its history before it
+// becomes available again, so that watches cannot resume from their last revision.
 func injectEtcdCompaction(r *run, f settings.Fault) {
 	r.etcd.SetUnavailable(true)
-	for _, cell := range r.pick(f.Count) {
+	for _, cell := range r.pickFaultFree(f.Count) {
 		r.replace(cell, f.Duration.Duration()/4)
 	}
 	r.after(f.Duration.Duration(), func() {
@@ -218,24 +219,24 @@
 
 func injectReRegistration(r *run, _ settings.Fault) {
 	for cell, server := range r.serverOfCell {
-		if isSound(server) {
-			r.list(cell, stateOn)
+		if isFaultFree(server) {
+			r.updateList(cell, stateOn)
 		}
 	}
 }
 
-// injectDNSDrain has DNS alone list some servers as draining.
+// injectDNSDrain makes DNS list some servers as draining while etcd lists them as on.
 func injectDNSDrain(r *run, f settings.Fault) {
-	for _, cell := range r.pick(f.Count) {
-		r.listInDNS(cell, weightDraining)
-		r.after(f.Duration.Duration(), func() { r.listInDNS(cell, weightUp) })
+	for _, cell := range r.pickFaultFree(f.Count) {
+		r.updateDNSRecord(cell, weightDraining)
+		r.after(f.Duration.Duration(), func() { r.updateDNSRecord(cell, weightUp) })
 	}
 }
 
-// injectStaleDNS has DNS miss the replacement of some servers for a time.
+// injectStaleDNS keeps the DNS records unchanged while some servers are replaced, and updates them afterwards.
 func injectStaleDNS(r *run, f settings.Fault) {
 	r.dnsFrozen = true
-	for _, cell := range r.pick(f.Count) {
+	for _, cell := range r.pickFaultFree(f.Count) {
 		r.replace(cell, f.Duration.Duration()/2)
 	}
 	r.after(f.Duration.Duration(), func() {
--- a/faulttest/faulttest.go
+++ b/faulttest/faulttest.go
@@ -1,9 +1,9 @@
-// Package faulttest plays a script in one process on loopback: gateways, fake disk servers, a fake etcd, fake name
-// servers and clients, with faults that are injected at the script's times. Package audit checks the rules on what
-// crossed the sockets. All figures are of fakes.
+// Package faulttest runs a script in one process on the loopback interface. It starts gateways, fake disk servers, a
+// fake etcd, fake name servers and clients, and injects faults at the times in the script. Package audit checks the
+// rules on the traffic that crossed the sockets. All measurements are of fake servers.
 //
-// It is a test tool: no instance uses it, and it takes no decision on ops. Run may be called from any goroutine,
-// several times at once. What touches fakes and clients runs on the event loop of the run.
+// It is a test tool: no instance uses it, and it takes no decision on ops. Any goroutine may call Run, and calls may
+// overlap. The code that accesses fakes and clients runs on the event loop of its run.
 package faulttest
 
 import (
@@ -18,37 +18,37 @@
 	"honeyplank/settings"
 )
 
-// BadDay is the built-in script.
+// BadDay is the default built-in script. It injects faults of disk servers, clients, gateways and etcd.
 //
 //go:embed badday.xml
 var BadDay []byte
 
-// Sources is the built-in script in which etcd and DNS misbehave.
+// Sources is the built-in script with faults of the sources of the endpoint list, etcd and DNS.
 //
 //go:embed sources.xml
 var Sources []byte
 
-// Wires is the built-in script in which bytes are damaged between clients, gateways and disk servers.
+// Wires is the built-in script that damages the bytes between clients, gateways and disk servers.
 //
 //go:embed wires.xml
 var Wires []byte
 
-// Options are how a script is played.
+// Options configures a run.
 type Options struct {
-	// Script is the settings of all gateways, with a FaultTest.
+	// Script holds the settings of all gateways. Its FaultTest must be set.
 	Script *settings.Gateway
-	// Seed is that of all random numbers.
+	// Seed is the seed of all random number generators.
 	Seed int64
-	// Module replaces the decision module of every gateway; nil: the product's own.
+	// Module makes the decision module of each gateway; nil selects the module of package policy.
 	Module func(seed int64, settings *honeyplank.Settings) honeyplank.DecisionModule
-	// Log receives the log lines of gateways and the faults that are injected.
+	// Log receives the log lines of the gateways and a line for each injected fault.
 	Log zerolog.Logger
 }
 
 var errNoFaultTest = errors.New("faulttest: the script has no <rehearsal>")
 
-// Run plays a script and reports on it. If ctx is done before the end, it returns the context's error with the report
-// of what was played.
+// Run runs a script and returns a report. If ctx is done before the script has ended, Run returns the error of the
+// context together with a report on the part that has run.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	if options.Script == nil || options.Script.FaultTest == nil {
 		return nil, errNoFaultTest
@@ -63,7 +63,7 @@
 		r.loop.Stop()
 		return nil, errors.Join(err, r.loop.Run())
 	}
-	report, err := r.play(ctx)
+	report, err := r.execute(ctx)
 	report.Seconds = time.Since(began).Seconds()
 	return report, err
 }
--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	// zones is the number of zones that cells are spread over.
-	zones = 3
-	// anyPort is an address to listen on.
-	anyPort = "127.0.0.1:0"
-	// listLag is how long the endpoint list takes to notice that a process died.
+	// zoneCount is the number of zones over which the cells are spread.
+	zoneCount = 3
+	// anyPortAddress is a loopback address to listen on; the system chooses the port.
+	anyPortAddress = "127.0.0.1:0"
+	// listLag is the time after which the endpoint list reflects the end or start of a process.
 	listLag = 300 * time.Millisecond
 )
 
-// Limits of the fake disk servers, in bytes where nothing else is said.
+// Limits of the fake disk servers, in bytes unless stated otherwise.
 const (
-	diskCapsule     = 8 << 10
-	diskPiece       = 32 << 10
-	diskDepth       = 1024 // commands in a queue
-	diskQueues      = 8    // queues of an association
-	diskConnections = 1024
-	diskUnsent      = 64 << 20
-	diskBuffered    = 256 << 20
-	diskHandshake   = time.Second
+	diskCapsule          = 8 << 10
+	diskDataPDU          = 32 << 10
+	diskQueueDepth       = 1024 // commands per queue
+	diskQueues           = 8    // queues per association
+	diskConnections      = 1024
+	diskUnsent           = 64 << 20
+	diskBuffered         = 256 << 20
+	diskHandshakeTimeout = time.Second
 )
 
-// build starts etcd, the name servers, the disk servers, the gateways and the clients, in this order.
+// build starts etcd, the name servers, the disk servers and the gateways, in this order. It schedules the start of the
+// clients on the loop.
 func (r *run) build() error {
 	var err error
-	if r.etcd, err = etcd.New(anyPort); err != nil {
+	if r.etcd, err = etcd.New(anyPortAddress); err != nil {
 		return err
 	}
 	r.etcd.OnNotify = r.recordEtcdNotice
@@ -56,11 +57,11 @@
 		if _, err := r.startDiskServer(cell); err != nil {
 			return err
 		}
-		r.list(cell, stateOn)
+		r.updateList(cell, stateOn)
 	}
 	for n := range r.script.FaultTest.Gateways {
 		r.gateways = append(r.gateways, nil)
-		if err := r.startGateway(n, anyPort); err != nil {
+		if err := r.startGateway(n, anyPortAddress); err != nil {
 			return err
 		}
 	}
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// cellsOf returns the cells of all volumes, each once, in order.
+// cellsOf returns the cells of all volumes, sorted and without duplicates.
 func cellsOf(s *settings.Gateway) []int {
 	var cells []int
 	for i := range s.Volumes.List {
@@ -79,7 +80,7 @@
 	return slices.Compact(cells)
 }
 
-// startNameServer starts the name server of a gateway, if the script has DNS.
+// startNameServer starts the name server of a gateway if the script uses DNS.
 func (r *run) startNameServer(n int) error {
 	if r.script.EndpointList.DNS == nil {
 		return nil
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// loadOptions are the clients of all gateways.
+// loadOptions returns the options of the load generator, which runs the clients of all gateways.
 func (r *run) loadOptions() loadgen.Options {
 	script := r.script.FaultTest
 	options := loadgen.Options{
@@ -112,20 +113,21 @@
 		options.Targets = append(options.Targets, loadgen.Target{
 			Address:      g.Address(),
 			Subsystem:    r.script.Listen.Subsystem,
-			OnConnection: r.clientWire(n),
+			OnConnection: r.clientConnectionSetup(n),
 			BeforeClose:  func() { r.log.ClientClosed(n) },
 		})
 	}
 	return options
 }
 
-// startDiskServer starts a disk server that serves a cell from now on, warm.
+// startDiskServer starts a disk server and makes it the current one of a cell. It runs at full capacity, without slow
+// start.
 func (r *run) startDiskServer(cell int) (*disk.Server, error) {
 	var server *disk.Server
 	model := r.diskModel
 	model.Tap = r.log.ServerObservers(func() string { return server.Address() }, r.gatewaysByNQN)
-	model.OnConnection = r.diskWire(func() *disk.Server { return server })
-	server, err := disk.New(r.loop, anyPort, model, r.rng.Int63())
+	model.OnConnection = r.diskConnectionSetup(func() *disk.Server { return server })
+	server, err := disk.New(r.loop, anyPortAddress, model, r.rng.Int63())
 	if err != nil {
 		return nil, err
 	}
@@ -135,13 +137,13 @@
 	return server, nil
 }
 
-func zoneOf(cell int) int { return cell % zones }
+func zoneOf(cell int) int { return cell % zoneCount }
 
 func hostNQN(s *settings.Gateway, ordinal int) string {
 	return fmt.Sprintf("%s-%d", s.Listen.Host, ordinal)
 }
 
-// startGateway starts a gateway that listens on an address: after a restart, the one that it had before.
+// startGateway starts a gateway that listens on an address. After a restart this is the address that it had before.
 func (r *run) startGateway(n int, address string) error {
 	g, err := gateway.New(gateway.Options{
 		Settings: r.gatewaySettings(n, address),
@@ -156,12 +158,12 @@
 	r.serving.Add(1)
 	go func() {
 		defer r.serving.Done()
-		_ = g.Serve(context.Background()) // its loop's error: the audit sees the ops that have no answer
+		_ = g.Serve(context.Background()) // the audit reports the ops that stay unanswered
 	}()
 	return nil
 }
 
-// gatewaySettings are the script's settings for one gateway.
+// gatewaySettings returns the script's settings, adapted to one gateway.
 func (r *run) gatewaySettings(n int, address string) *settings.Gateway {
 	s := *r.script
 	s.DiskServers.Digests = s.DiskServers.Digests || hasWireFaults(r.script)
@@ -181,11 +183,12 @@
 	return &s
 }
 
-// pick chooses count disk servers, at least one, of those that serve a cell without a fault, and returns their cells.
-func (r *run) pick(count int) []int {
+// pickFaultFree randomly chooses count, but at least one, of the current disk servers without a fault and returns their
+// cells. It returns fewer if there are not enough.
+func (r *run) pickFaultFree(count int) []int {
 	var cells []int
 	for cell, server := range r.serverOfCell {
-		if isSound(server) {
+		if isFaultFree(server) {
 			cells = append(cells, cell)
 		}
 	}
@@ -194,55 +197,58 @@
 	return cells[:min(max(count, 1), len(cells))]
 }
 
-// isSound reports whether a disk server has no fault now.
-func isSound(server *disk.Server) bool { return server.Faults == (disk.Faults{}) && !server.Overloaded }
+// isFaultFree reports whether a disk server has no injected fault and is not overloaded.
+func isFaultFree(server *disk.Server) bool {
+	return server.Faults == (disk.Faults{}) && !server.Overloaded
+}
 
-// restart ends the disk server of a cell as the death of its process, and starts it again after a time, cold. The
-// endpoint list notices both with a lag; a restart within twice the lag it does not notice.
+// restart kills the disk server of a cell, as if its process had crashed, and starts it again after a downtime, in slow
+// start. The endpoint list reflects both after listLag. If the downtime is at most twice as long, the server stays on
+// the list.
 func (r *run) restart(cell int, downtime time.Duration) {
 	server := r.serverOfCell[cell]
 	server.Kill()
-	server.Faults.Silent = true // not to be picked meanwhile
+	server.Faults.Silent = true // so that pickFaultFree does not choose it meanwhile
 	if downtime > 2*listLag {
-		r.after(listLag, func() { r.unlist(server.Address()) })
+		r.after(listLag, func() { r.removeFromList(server.Address()) })
 	}
 	r.after(downtime, func() {
 		if err := server.Start(); err != nil {
-			r.injected = err
+			r.injectionErr = err
 			return
 		}
 		r.recordStart(server)
-		r.after(listLag, func() { r.list(cell, stateOn) })
+		r.after(listLag, func() { r.updateList(cell, stateOn) })
 	})
 }
 
-// recordStart tells the audit of a start, with the capacity by age: the server may start again before the audit
-// judges.
+// recordStart records the start of a disk server in the audit's log, with its capacity as a function of the age. The
+// server may have started again by the time the rules are checked.
 func (r *run) recordStart(server *disk.Server) {
 	r.log.ServerStarted(server.Address(), server.CapacityAt)
 }
 
-// replace drains the disk server of a cell for a time, ends it, and has a cold one take its place.
+// replace drains the disk server of a cell for a time and then kills it. A new disk server in slow start replaces it.
 func (r *run) replace(cell int, notice time.Duration) {
 	server := r.serverOfCell[cell]
 	server.Faults.Draining = true
-	r.list(cell, stateDraining)
+	r.updateList(cell, stateDraining)
 	r.after(notice, func() {
 		server.Kill()
 		former := *server
 		replacement, err := r.startDiskServer(cell)
 		if err != nil {
-			r.injected = err
+			r.injectionErr = err
 			return
 		}
 		replacement.Adopt(&former)
 		r.recordStart(replacement)
-		r.unlist(former.Address())
-		r.list(cell, stateOn)
+		r.removeFromList(former.Address())
+		r.updateList(cell, stateOn)
 	})
 }
 
-// DiskModel is what the fake disk servers of a script are like.
+// DiskModel returns the configuration of the fake disk servers of a script. s.FaultTest must be set.
 func DiskModel(s *settings.Gateway) disk.Model {
 	model := disk.Model{
 		FakeServers: s.FaultTest.FakeServers,
@@ -255,10 +261,10 @@
 			Serial:           "standin",
 			MaxTransfer:      int(s.Limits.MaxTransfer),
 			MaxCapsule:       diskCapsule,
-			MaxDataPDU:       diskPiece,
-			QueueDepth:       diskDepth,
+			MaxDataPDU:       diskDataPDU,
+			QueueDepth:       diskQueueDepth,
 			MaxQueues:        diskQueues,
-			HandshakeTimeout: diskHandshake,
+			HandshakeTimeout: diskHandshakeTimeout,
 			MaxConnections:   diskConnections,
 			MaxUnsent:        diskUnsent,
 			MaxBuffered:      diskBuffered,
@@ -274,7 +280,8 @@
 	return model
 }
 
-// volumeRates returns the expected rate of a volume by its namespace id, in units a second.
+// volumeRates returns a function from a volume's namespace id to its expected rate, in units per second. The rate of an
+// unknown volume is 0.
 func volumeRates(s *settings.Gateway) func(nsid uint32) float64 {
 	return func(nsid uint32) float64 {
 		for _, v := range s.Volumes.List {
@@ -286,7 +293,7 @@
 	}
 }
 
-// diskNamespaces are the volumes of the settings as namespaces of a disk server, by id.
+// diskNamespaces returns the volumes of the settings as namespaces of a disk server, sorted by id.
 func diskNamespaces(s *settings.Gateway) []target.Namespace {
 	shift := uint8(0)
 	for 1<<shift < int(s.Volumes.Block) {
--- a/faulttest/lists.go
+++ b/faulttest/lists.go
@@ -12,7 +12,7 @@
 	"honeyplank/fake/dns"
 )
 
-// States of a disk server in the audit's record and in the list of etcd.
+// States of a disk server in the audit's log and in etcd.
 const (
 	stateOn       = "on"
 	stateDraining = "draining"
@@ -26,13 +26,13 @@
 )
 
 const (
-	recordTTL      = 1 // of the records in DNS, in seconds
-	weightUp       = 1 // of the SRV record of a server that is up
-	weightDraining = 0 // and of one that is draining
+	recordTTL      = 1 // of DNS records, in seconds
+	weightUp       = 1 // of the SRV record of an available server
+	weightDraining = 0 // of the SRV record of a draining server
 )
 
-// list enters the disk server of a cell in etcd and in DNS, with its state.
-func (r *run) list(cell int, state string) {
+// updateList writes the state of a cell's disk server to etcd and DNS.
+func (r *run) updateList(cell int, state string) {
 	server := r.serverOfCell[cell]
 	record := discovery.Record{State: state, Size: float64(r.diskModel.Cores), Zone: zoneOf(cell), Cell: cell}
 	if server.Started > 0 {
@@ -40,7 +40,7 @@
 	}
 	value, err := json.Marshal(record)
 	if err != nil {
-		r.injected = err
+		r.injectionErr = err
 		return
 	}
 	r.etcd.Set(r.script.EndpointList.Prefix+server.Address(), value)
@@ -48,11 +48,11 @@
 	if state != stateOn {
 		weight = weightDraining
 	}
-	r.listInDNS(cell, weight)
+	r.updateDNSRecord(cell, weight)
 }
 
-// listInDNS enters the disk server of a cell in DNS.
-func (r *run) listInDNS(cell int, weight uint16) {
+// updateDNSRecord writes the DNS record of a cell's disk server.
+func (r *run) updateDNSRecord(cell int, weight uint16) {
 	server := r.serverOfCell[cell]
 	address := netip.MustParseAddrPort(server.Address())
 	label := fmt.Sprintf("n%d--c%d-z%d", address.Port(), cell, zoneOf(cell))
@@ -68,14 +68,14 @@
 	r.publishDNS()
 }
 
-// unlist removes a disk server from etcd and DNS.
-func (r *run) unlist(address string) {
+// removeFromList removes a disk server from etcd and DNS.
+func (r *run) removeFromList(address string) {
 	r.etcd.Delete(r.script.EndpointList.Prefix + address)
 	delete(r.dnsRecords, address)
 	r.publishDNS()
 }
 
-// publishDNS has the name servers answer with the records as they are now, unless DNS is frozen.
+// publishDNS makes the name servers answer with the current records, unless dnsFrozen is set.
 func (r *run) publishDNS() {
 	if r.dnsFrozen {
 		return
@@ -89,7 +89,9 @@
 	}
 }
 
-// recordEtcdNotice records for the audit what etcd has sent to a gateway. Any goroutine may call it.
+// recordEtcdNotice records in the audit's log a key and value that etcd sends to a gateway. agent is the user agent of
+// the client, which is the host NQN of a gateway. An empty or malformed value means that the disk server is gone. Any
+// goroutine may call it.
 func (r *run) recordEtcdNotice(agent, key string, value []byte) {
 	r.mu.Lock()
 	gateway, known := r.gatewaysByNQN[agent]
@@ -108,11 +110,11 @@
 	r.log.Notified(gateway, sourceEtcd, strings.TrimPrefix(key, r.script.EndpointList.Prefix), state, started)
 }
 
-// dnsNoticeRecorder returns a function that tells the audit what the answers of a name server tell its gateway. By
-// the rule of docs/sources.md a server is removed when an answer lacks it together with no more than a share of those
-// of the answer before.
+// dnsNoticeRecorder returns a function that records the answers of a gateway's name server in the audit's log. It
+// applies the rule of docs/sources.md: the servers that are missing from an answer count as gone only if they make up
+// at most MaxRemovedShare of the servers in the last accepted answer. Otherwise the answer is not accepted.
 func (r *run) dnsNoticeRecorder(gateway int) func([]dns.Record) {
-	before := map[string]bool{} // addresses of the last answer that counted
+	before := map[string]bool{} // the addresses in the last accepted answer
 	return func(records []dns.Record) {
 		now := map[string]bool{}
 		for _, record := range records {
@@ -127,7 +129,7 @@
 			}
 		}
 		if float64(len(missing)) > r.script.EndpointList.SourceTrust.MaxRemovedShare*float64(len(before)) {
-			return // unconfirmed: what was listed before stays
+			return // unconfirmed: the servers of the last accepted answer stay
 		}
 		for _, address := range missing {
 			r.log.Notified(gateway, sourceDNS, address, stateGone, time.Time{})
@@ -143,7 +145,8 @@
 	return stateOn
 }
 
-// startOfTarget returns the start that the first label of an SRV target names (docs/dns.md); the zero time: none.
+// startOfTarget returns the start time in the first label of an SRV target (docs/dns.md), or the zero time if there is
+// none.
 func startOfTarget(target string) time.Time {
 	label, _, _ := strings.Cut(target, ".")
 	_, text, ok := strings.Cut(label, "-t")
--- a/faulttest/report.go
+++ b/faulttest/report.go
@@ -10,26 +10,26 @@
 	"honeyplank/loadgen"
 )
 
-// Report is the result of a run. Service is the share of the utility due that was earned.
+// Report is the result of a run. Each Service is the utility that was earned, as a share of the utility due.
 type Report struct {
 	Seed    int64           `json:"seed"`
 	Rules   []audit.Verdict `json:"rules"`
-	Kept    bool            `json:"kept"` // no rule was violated, and no disk server removed wrongly
+	Kept    bool            `json:"kept"` // no rule was violated and WrongRemovals is 0
 	OpTypes []OpTypeReport  `json:"op_types"`
 	Service float64         `json:"service"`
-	// Of clients whose connections were damaged, and of all others; 0 where no connection was.
+	// The service of clients whose connections were damaged, and of all others; 0 if no connections were damaged.
 	ServiceBehindFaultyWires float64 `json:"service_behind_faulty_wires,omitempty"`
 	ServiceOfOthers          float64 `json:"service_of_others,omitempty"`
-	// Leaked counts ops, dispatches and bytes that gateways still held once their clients had gone.
+	// Leaked is the number of ops, dispatches and bytes that gateways still held after the clients had stopped.
 	Leaked   int              `json:"leaked"`
 	Gateways []gateway.Counts `json:"gateways"`
-	// OverloadedServers counts disk servers that failed under load during their slow start.
+	// OverloadedServers is the number of disk servers that failed under load during their slow start.
 	OverloadedServers int `json:"overloaded_servers"`
-	// WrongRemovals counts the samples of a disk server that a gateway had removed though both sources listed it as
-	// up and it was not held out for flapping.
+	// WrongRemovals is the number of samples in which a gateway had removed a disk server although both sources listed
+	// it as up and the gateway did not keep it out because of flapping.
 	WrongRemovals int     `json:"wrong_removals"`
-	Samples       int     `json:"samples"`
-	Seconds       float64 `json:"seconds"`
+	Samples       int     `json:"samples"` // one per disk server, gateway and sampling time
+	Seconds       float64 `json:"seconds"` // duration of the run
 }
 
 // OpTypeReport is the result of the ops of one type.
@@ -42,14 +42,14 @@
 	Rejected   int     `json:"rejected"`
 	Failed     int     `json:"failed"`
 	Lost       int     `json:"lost"`       // the connection ended before an answer
-	Mismatches int     `json:"mismatches"` // reads with other bytes than were written
+	Mismatches int     `json:"mismatches"` // reads whose bytes differ from those written
 	Target     float64 `json:"target_latency_ms"`
 	P50        float64 `json:"p50_ms"`
 	P99        float64 `json:"p99_ms"`
 	Service    float64 `json:"service"`
 }
 
-// report sums up. The load must have stopped, and the loop must still run.
+// report returns the report of the run. The load must have stopped, and the loop must still be running.
 func (r *run) report() *Report {
 	report := &Report{
 		Seed:          r.options.Seed,
@@ -58,7 +58,7 @@
 		WrongRemovals: r.wrongRemovals,
 	}
 	for _, g := range r.gateways {
-		counts, _ := g.Counts() // zero of a gateway that has been killed
+		counts, _ := g.Counts() // zero if the gateway has been killed
 		report.Gateways = append(report.Gateways, counts)
 		report.Leaked += counts.Unanswered + counts.Outstanding + counts.BufferedBytes
 	}
@@ -80,7 +80,7 @@
 	return report
 }
 
-// reportLoad adds the results of the clients, on the loop.
+// reportLoad adds the results of the clients to a report. It must be called on the loop.
 func (r *run) reportLoad(report *Report) {
 	var due, earned float64
 	for i, name := range r.load.OpTypes() {
@@ -89,7 +89,7 @@
 		target := r.script.OpTypes[i].TargetLatency.Duration()
 		report.OpTypes = append(report.OpTypes, reportOpType(name, target, tally))
 	}
-	report.Service = share(earned, due)
+	report.Service = ratio(earned, due)
 	if behind := r.load.CountedSeparately; behind.Due > 0 {
 		report.ServiceBehindFaultyWires = behind.Earned / behind.Due
 		report.ServiceOfOthers = (earned - behind.Earned) / (due - behind.Due)
@@ -110,12 +110,12 @@
 		Target:     milliseconds(target),
 		P50:        milliseconds(tally.Quantile(0.5)),
 		P99:        milliseconds(tally.Quantile(0.99)),
-		Service:    share(tally.Earned, tally.Due),
+		Service:    ratio(tally.Earned, tally.Due),
 	}
 }
 
-// share is a part of a whole; 0 where there is nothing.
-func share(part, whole float64) float64 {
+// ratio returns part / whole, or 0 if whole is 0.
+func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -126,7 +126,7 @@
 	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
 }
 
-// String is the report as text.
+// String returns the report as text, with the verdicts and a table of the op types.
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %.0f s; all figures are of fakes\n\n", r.Seed, r.Seconds)
--- a/faulttest/run.go
+++ b/faulttest/run.go
@@ -20,40 +20,40 @@
 )
 
 const (
-	// warmUp is how long the fleet runs before the script's time begins.
+	// warmUp is the time that the fleet runs before the script's clock starts.
 	warmUp = time.Second
-	// shutdownMargin is how much longer than its longest op a gateway may take to shut down.
+	// shutdownMargin is added to the longest op timeout to limit the time of a gateway's shutdown.
 	shutdownMargin = time.Second
-	// sampleInterval is the time between two samples of the gateways' view of disk servers.
+	// sampleInterval is the time between two samples of the disk servers' states in the gateways.
 	sampleInterval = 200 * time.Millisecond
-	// loopOrigin is where the loop's clock begins: late enough for a disk server to have started before it.
+	// loopOrigin is the initial time of the loop's clock. It is not 0, so that disk servers can have started earlier.
 	loopOrigin = time.Minute
 )
 
-// run is a script that is being played. Its fields belong to its event loop, where nothing else is said.
+// run is the execution of one script. Unless stated otherwise, only its event loop may access its fields.
 type run struct {
-	options  Options
-	script   *settings.Gateway
-	loop     *eventloop.Loop
-	rng      *rand.Rand
-	log      *audit.Log
-	load     *loadgen.Generator
-	injected error // of a fault that could not be injected
+	options      Options
+	script       *settings.Gateway
+	loop         *eventloop.Loop
+	rng          *rand.Rand
+	log          *audit.Log
+	load         *loadgen.Generator
+	injectionErr error // the failure to inject a fault
 
 	diskModel     disk.Model
-	serverOfCell  map[int]*disk.Server // that serves the cell now
-	servers       []*disk.Server       // all that ever served
+	serverOfCell  map[int]*disk.Server // the current server of each cell
+	servers       []*disk.Server       // including replaced ones
 	gateways      []*gateway.Instance
-	serving       sync.WaitGroup // for the gateways' Serve
+	serving       sync.WaitGroup // the calls of the gateways' Serve
 	wireFaults    wireFaults
 	etcd          *etcd.Server
 	nameServers   []*dns.Server // one for each gateway
 	dnsRecords    map[string]dns.Record
-	dnsFrozen     bool // DNS keeps its records as they are
+	dnsFrozen     bool // the name servers keep their current records
 	gatewaysByNQN map[string]int
 	mu            sync.Mutex // guards gatewaysByNQN
 
-	// Of the goroutine that samples, until it has ended.
+	// Owned by the goroutine of sampleMembership until it has ended.
 	samples       int
 	wrongRemovals int
 }
@@ -75,7 +75,7 @@
 	}, nil
 }
 
-// close ends what still runs once the loop has ended.
+// close stops what is still running of the gateways, etcd and the name servers. The loop must have ended.
 func (r *run) close() {
 	for _, g := range r.gateways {
 		if g != nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// play runs the loop until the script has ended or ctx is done, shuts the gateways down and reports.
-func (r *run) play(ctx context.Context) (*Report, error) {
+// execute runs the loop until the script has ended or ctx is done, shuts the gateways down and returns the report.
+func (r *run) execute(ctx context.Context) (*Report, error) {
 	finished := make(chan struct{})
 	r.loop.Post(r.scheduleFaults)
 	r.loop.Schedule(r.loop.Now()+r.script.FaultTest.Duration.Duration()+warmUp, func() {
@@ -121,11 +121,12 @@
 	})
 	loopErr := <-looped
 	r.gateways = nil // they have ended
-	return report, errors.Join(err, loopErr, r.injected)
+	return report, errors.Join(err, loopErr, r.injectionErr)
 }
 
-// shutDownGateways shuts the gateways down one after another. One that does not end within the time of its longest op
-// is cut off; its unanswered ops are the audit's matter, so the error is dropped.
+// shutDownGateways shuts the gateways down one after another. All shutdowns together may take the longest op timeout
+// and shutdownMargin; then the remaining gateways are stopped at once. The error is ignored, because the audit reports
+// the ops that stay unanswered.
 func (r *run) shutDownGateways(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, longestOpTimeout(r.script)+shutdownMargin)
 	defer cancel()
@@ -143,8 +144,8 @@
 	return longest
 }
 
-// sampleMembership compares, again and again, the gateways' merged state of disk servers with what their two sources
-// report, until the script has finished or stop is closed. With one source there is nothing to compare.
+// sampleMembership compares the gateways' merged state of disk servers with the reports of their two sources, at every
+// sampleInterval, until finished or stop is closed. It does nothing if the script has only one source.
 func (r *run) sampleMembership(finished, stop <-chan struct{}) {
 	if r.script.EndpointList.DNS == nil {
 		return
@@ -165,10 +166,10 @@
 	}
 }
 
-// sampleGateway counts the disk servers that a gateway has removed though both its sources list them as up, and which
-// it does not hold out for flapping.
+// sampleGateway counts the disk servers that a gateway has removed although both its sources list them as up. Servers
+// that the gateway keeps out because of flapping do not count.
 func (r *run) sampleGateway(g *gateway.Instance) {
-	nodes, _ := g.Nodes() // none of a gateway that has been killed
+	nodes, _ := g.Nodes() // empty if the gateway has been killed
 	for _, node := range nodes {
 		r.samples++
 		listed := strings.HasPrefix(node.Etcd, "on") && strings.HasPrefix(node.DNS, "on")
@@ -179,5 +180,5 @@
 	}
 }
 
-// after calls f on the loop when a time has passed. It must be called on the loop.
+// after calls f on the loop after a delay. It must be called on the loop.
 func (r *run) after(delay time.Duration, f func()) { r.loop.Schedule(r.loop.Now()+delay, f) }
--- a/faulttest/run_test.go
+++ b/faulttest/run_test.go
@@ -9,7 +9,7 @@
 	"honeyplank/settings"
 )
 
-// parseScript reads a built-in script and changes its length.
+// parseScript parses a built-in script and sets its duration.
 func parseScript(t *testing.T, text []byte, length time.Duration) *settings.Gateway {
 	t.Helper()
 	script, err := settings.Parse("built-in script", text)
@@ -20,7 +20,7 @@
 	return script
 }
 
-// shortScript is the bad day's fleet and traffic for some seconds, with these faults.
+// shortScript returns a script with the fleet and traffic of BadDay, and with the given duration and faults.
 func shortScript(t *testing.T, length time.Duration, faults ...settings.Fault) *settings.Gateway {
 	t.Helper()
 	script := parseScript(t, BadDay, length)
@@ -38,13 +38,14 @@
 	}
 }
 
-// TestKept plays some faults with the module as it is: every rule is kept, and every rule was checked.
-func TestKept(t *testing.T) {
+// TestRulesKeptUnderFaults injects crashes, drains, failures, lost answers, load spikes and a gateway restart with the
+// regular decision module. The run must keep and check every rule, and reads must return the bytes that were written.
+func TestRulesKeptUnderFaults(t *testing.T) {
 	for seed := range int64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			script := shortScript(t, 7*time.Second,
-				fault("fail", 200*time.Millisecond, 800*time.Millisecond, 2, 0.8), // retries: rule 6 has cases
+				fault("fail", 200*time.Millisecond, 800*time.Millisecond, 2, 0.8), // for retries, which rule 6 checks
 				fault("die", 500*time.Millisecond, 1200*time.Millisecond, 2, 0),
 				fault("surge", time.Second, 2*time.Second, 3, 6),
 				fault("lose-answers", 2*time.Second, time.Second, 2, 0.3),
@@ -72,8 +73,9 @@
 	}
 }
 
-// TestSources plays the first part of the day on which both sources misbehave.
-func TestSources(t *testing.T) {
+// TestRulesKeptWithFaultySources injects faults of etcd and DNS while disk servers drain, are replaced and crash. Every
+// rule must be kept, and no gateway may remove a disk server that both sources list as up.
+func TestRulesKeptWithFaultySources(t *testing.T) {
 	t.Parallel()
 	script := parseScript(t, Sources, 9*time.Second)
 	script.FaultTest.Faults = []settings.Fault{
@@ -96,9 +98,10 @@
 	}
 }
 
-// TestWires damages in every way what crosses between some clients, disk servers and the gateways: every sound op is
-// answered, nothing leaks, no read has wrong bytes, and the clients whose connections are sound hardly notice.
-func TestWires(t *testing.T) {
+// TestRulesKeptWithDamagedConnections applies every kind of damage to the connections of some clients and disk servers.
+// Ops on undamaged connections must be answered, nothing may leak and no read may return wrong bytes. The service of
+// clients with undamaged connections must be at least 0.8, and no lower than that of the other clients.
+func TestRulesKeptWithDamagedConnections(t *testing.T) {
 	t.Parallel()
 	script := parseScript(t, Wires, 9*time.Second)
 	for i := range script.FaultTest.Faults {
@@ -115,14 +118,14 @@
 	for _, x := range report.OpTypes {
 		lost += x.Lost
 		if x.Mismatches > 0 {
-			t.Errorf("%s: %d with other bytes than were written", x.Name, x.Mismatches)
+			t.Errorf("%s: %d reads returned bytes that differ from those written", x.Name, x.Mismatches)
 		}
 	}
 	if !report.Kept || report.Leaked > 0 || lost == 0 {
-		t.Errorf("%d lost, %d leaked; %v", lost, report.Leaked, report)
+		t.Errorf("%d ops lost (want some), %d leaked (want 0); %v", lost, report.Leaked, report)
 	}
 	behind, others := report.ServiceBehindFaultyWires, report.ServiceOfOthers
 	if behind == 0 || others < behind || others < 0.8 {
-		t.Errorf("service %v behind faulty wires, %v of the others; %v", behind, others, report)
+		t.Errorf("service %v of clients behind faulty wires, %v of the others; %v", behind, others, report)
 	}
 }
--- a/faulttest/sabotage_test.go
+++ b/faulttest/sabotage_test.go
@@ -14,23 +14,24 @@
 // actionFilter changes the actions that a decision module returns for an event.
 type actionFilter func(now time.Duration, event honeyplank.Event, actions []honeyplank.Action) []honeyplank.Action
 
-// sabotagedModule is a decision module whose actions are changed.
-type sabotagedModule struct {
+// filteredModule is a decision module whose actions pass through a filter.
+type filteredModule struct {
 	honeyplank.DecisionModule
 	filter actionFilter
 }
 
-func (m *sabotagedModule) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
+func (m *filteredModule) Handle(now time.Duration, event honeyplank.Event) []honeyplank.Action {
 	return m.filter(now, event, m.DecisionModule.Handle(now, event))
 }
 
-// sabotages violate one rule each. Gateways carry out what they are told; the audit must see it from the sockets.
-var sabotages = []struct {
+// violationCases are runs that violate one rule each, because of a filter or because they use the baseline. Gateways
+// carry out the actions of their module; the audit must detect the violation from the traffic on the sockets.
+var violationCases = []struct {
 	name   string
 	rule   int
 	faults []settings.Fault
-	// newFilter makes the filter of a gateway's module; nil: the gateway has the baseline, which keeps none of the
-	// rules but the first.
+	// newFilter makes the filter of a gateway's module. If it is nil, the gateway uses the baseline, which keeps no
+	// rule but the first.
 	newFilter func() actionFilter
 }{
 	{
@@ -51,13 +52,13 @@
 		newFilter: dispatchTwice,
 	},
 	{
-		name:      "a drained server is sent to",
+		name:      "an op is dispatched to a drained server",
 		rule:      3,
 		faults:    []settings.Fault{fault("drain", 500*time.Millisecond, 3*time.Second, 2, 0)},
 		newFilter: dispatchToFirstServer,
 	},
 	{
-		name: "a cold server is flooded",
+		name: "a server in slow start is overloaded",
 		rule: 4,
 		faults: []settings.Fault{
 			fault("die", 500*time.Millisecond, 700*time.Millisecond, 2, 0),
@@ -70,35 +71,35 @@
 		faults: []settings.Fault{fault("slow", 200*time.Millisecond, 3*time.Second, 6, 4)},
 	},
 	{
-		name:      "the budget is exceeded",
+		name:      "the retry budget is exceeded",
 		rule:      6,
 		faults:    []settings.Fault{fault("fail", 500*time.Millisecond, 3*time.Second, 6, 0.9)},
 		newFilter: retryAllFailures,
 	},
 	{
-		name:   "a limit is exceeded",
+		name:   "the limit of a plan is exceeded",
 		rule:   7,
 		faults: []settings.Fault{fault("surge", 200*time.Millisecond, 4*time.Second, 11, 8)},
 	},
 }
 
-// TestSabotage has gateways violate each rule; the audit must tell which, from the sockets alone.
-func TestSabotage(t *testing.T) {
-	for _, sabotage := range sabotages {
-		t.Run(sabotage.name, func(t *testing.T) {
+// TestViolationsDetected checks that the audit detects a violation of each rule from the traffic alone.
+func TestViolationsDetected(t *testing.T) {
+	for _, violation := range violationCases {
+		t.Run(violation.name, func(t *testing.T) {
 			t.Parallel()
-			options := Options{Script: shortScript(t, 4*time.Second, sabotage.faults...), Seed: 3, Module: NewBaseline}
-			if sabotage.newFilter != nil {
+			options := Options{Script: shortScript(t, 4*time.Second, violation.faults...), Seed: 3, Module: NewBaseline}
+			if violation.newFilter != nil {
 				options.Module = func(seed int64, s *honeyplank.Settings) honeyplank.DecisionModule {
-					return &sabotagedModule{policy.New(seed, s), sabotage.newFilter()}
+					return &filteredModule{policy.New(seed, s), violation.newFilter()}
 				}
 			}
 			report, err := Run(context.Background(), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if v := report.Rules[sabotage.rule-1]; v.Kept || v.Evidence == "" {
-				t.Errorf("rule %d counts as kept\n%v", sabotage.rule, report)
+			if v := report.Rules[violation.rule-1]; v.Kept || v.Evidence == "" {
+				t.Errorf("the violation of rule %d was not detected\n%v", violation.rule, report)
 			}
 		})
 	}
@@ -120,7 +121,7 @@
 	}
 }
 
-// delayRejections has ops rejected up to two seconds late.
+// delayRejections delays rejections by up to two seconds.
 func delayRejections() actionFilter {
 	const lateTimer honeyplank.TimerID = "late"
 	var delayed []honeyplank.Action
@@ -156,7 +157,7 @@
 	}
 }
 
-// dispatchToFirstServer dispatches each op to the first disk server that its cell ever had.
+// dispatchToFirstServer dispatches each op to the first disk server that its cell had.
 func dispatchToFirstServer() actionFilter {
 	first := map[int]honeyplank.ServerID{}
 	return func(_ time.Duration, event honeyplank.Event, actions []honeyplank.Action) []honeyplank.Action {
@@ -175,7 +176,7 @@
 	}
 }
 
-// retryAllFailures retries each failed op of the first two types up to six times, whatever the retry budget.
+// retryAllFailures retries each failed op of the first two types up to six times, regardless of the retry budget.
 func retryAllFailures() actionFilter {
 	opTypes := map[honeyplank.OpID]int{}
 	return func(_ time.Duration, event honeyplank.Event, actions []honeyplank.Action) []honeyplank.Action {
--- a/faulttest/scenarios.go
+++ b/faulttest/scenarios.go
@@ -10,20 +10,20 @@
 	"honeyplank/settings"
 )
 
-// Times of a scenario.
+// Duration of a scenario, and start and duration of its faults.
 const (
-	scenarioLength = 9 * time.Second
-	faultAt        = 2 * time.Second
-	faultFor       = 2500 * time.Millisecond
+	scenarioDuration = 9 * time.Second
+	faultStart       = 2 * time.Second
+	faultDuration    = 2500 * time.Millisecond
 )
 
-// AllScenarios as a name stands for all scenarios.
+// AllScenarios is the name that selects all scenarios.
 const AllScenarios = "all"
 
-// ErrUnknownScenario is the error of Scenarios for a name that it does not know.
+// ErrUnknownScenario is returned by Scenarios if no scenario has the given name.
 var ErrUnknownScenario = errors.New("no trouble is called")
 
-// scenarios are the faults that are played one by one, each during an otherwise undisturbed day.
+// scenarios holds the faults of each scenario by name. A scenario has no other faults.
 var scenarios = map[string][]settings.Fault{
 	"died":            {{Kind: "die", Count: 1}},
 	"silent":          {{Kind: "silent", Count: 1}},
@@ -36,7 +36,7 @@
 	"slow":            {{Kind: "slow", Count: 1, Factor: 6}},
 	"pauses":          {{Kind: "pause", Count: 3}},
 	"surge":           {{Kind: "surge", Count: 2, Factor: 8}},
-	"overload":        {{Kind: "surge", Count: 1000, Factor: 6}}, // with the built-in fleet: twice its capacity
+	"overload":        {{Kind: "surge", Count: 1000, Factor: 6}}, // twice the capacity of the built-in fleet
 	"plan-surge":      {{Kind: "plan-surge", Plan: "standard", Factor: 4}},
 	"list-stale":      {{Kind: "list-late", Factor: 2}},
 	"list-down":       {{Kind: "list-down"}, {Kind: "die", Count: 1}},
@@ -57,7 +57,7 @@
 	"wire-lie":        {{Kind: "wire-lie", Count: 2}},
 }
 
-// dnsScenarios are those of scripts with DNS.
+// dnsScenarios holds the additional scenarios of scripts with DNS.
 var dnsScenarios = map[string][]settings.Fault{
 	"dns-down":      {{Kind: "dns-down"}, {Kind: "die", Count: 1}},
 	"dns-empty":     {{Kind: "dns-empty"}},
@@ -67,14 +67,14 @@
 	"dns-stale":     {{Kind: "dns-stale", Count: 1}},
 }
 
-// A Scenario is a script with the faults of one kind.
+// Scenario is a script with the faults of one scenario.
 type Scenario struct {
 	Name   string
 	Script *settings.Gateway
 }
 
-// Scenarios makes a script for one kind of fault, with the fleet and traffic of a script, or for each kind; sorted by
-// name. Its error is ErrUnknownScenario.
+// Scenarios returns the scenario of a name, or all scenarios sorted by name if the name is AllScenarios. Fleet and
+// traffic are those of the given script. The only possible error wraps ErrUnknownScenario.
 func Scenarios(script *settings.Gateway, name string) ([]Scenario, error) {
 	known := maps.Clone(scenarios)
 	if script.EndpointList.DNS != nil {
@@ -94,16 +94,16 @@
 	return list, nil
 }
 
-// withFaults returns a script with these faults in place of its own.
+// withFaults returns a copy of a script with these faults in place of its own, and with the times of a scenario.
 func withFaults(script *settings.Gateway, faults []settings.Fault) *settings.Gateway {
 	copied, faultTest := *script, *script.FaultTest
 	copied.FaultTest = &faultTest
-	faultTest.Duration = settings.Span(scenarioLength)
+	faultTest.Duration = settings.Span(scenarioDuration)
 	faultTest.Faults = nil
 	for _, f := range faults {
-		f.Start, f.Duration = settings.Span(faultAt), settings.Span(faultFor)
+		f.Start, f.Duration = settings.Span(faultStart), settings.Span(faultDuration)
 		if f.Plan != "" && script.PlanIndex(f.Plan) < 0 {
-			f.Plan = "" // all plans, where the script has not this one
+			f.Plan = "" // all plans, because the script lacks this one
 		}
 		faultTest.Faults = append(faultTest.Faults, f)
 	}
--- a/faulttest/scenarios_test.go
+++ b/faulttest/scenarios_test.go
@@ -7,8 +7,8 @@
 	"honeyplank/settings"
 )
 
-// TestScenarios checks that there is a scenario for every kind of fault that a script can have.
-func TestScenarios(t *testing.T) {
+// TestScenarioForEachFaultKind checks that every kind of fault in injectors occurs in a scenario.
+func TestScenarioForEachFaultKind(t *testing.T) {
 	script, err := settings.Parse("built-in script", Sources)
 	if err != nil {
 		t.Fatal(err)
@@ -17,18 +17,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	played := map[string]bool{}
+	covered := map[string]bool{}
 	for _, scenario := range list {
 		for _, f := range scenario.Script.FaultTest.Faults {
-			played[f.Kind] = true
+			covered[f.Kind] = true
 		}
 	}
 	for kind := range injectors {
-		if !played[kind] {
-			t.Errorf("no scenario plays %s", kind)
+		if !covered[kind] {
+			t.Errorf("no scenario has a fault of kind %s", kind)
 		}
 	}
 	if _, err := Scenarios(script, "no such thing"); !errors.Is(err, ErrUnknownScenario) {
-		t.Errorf("an unknown name gives %v", err)
+		t.Errorf("unknown scenario name: got error %v, want ErrUnknownScenario", err)
 	}
 }
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -14,15 +14,15 @@
 	"honeyplank/settings"
 )
 
-// Kinds of faults that damage what crosses a connection. Each time bytes cross, they do so with the chance that the
-// script gives as times.
+// Kinds of faults that damage the bytes of a connection. The attribute "times" of the fault in the script is the
+// probability of damage each time that bytes are sent or received.
 const (
-	wireFlip   = "wire-flip"   // a bit is flipped
-	wireDrop   = "wire-drop"   // some bytes are lost
-	wireDelay  = "wire-delay"  // all that crosses is delayed
-	wireCut    = "wire-cut"    // the connection is reset within it
-	wireRepeat = "wire-repeat" // some bytes, or all, cross twice
-	wireLie    = "wire-lie"    // a PDU has a wrong length under a correct header digest
+	wireFlip        = "wire-flip"   // a bit is flipped
+	wireDrop        = "wire-drop"   // some bytes are dropped
+	wireDelay       = "wire-delay"  // all bytes are delayed
+	wireCut         = "wire-cut"    // the connection is reset after a part of the bytes
+	wireRepeat      = "wire-repeat" // some or all bytes are sent twice
+	wireWrongLength = "wire-lie"    // a PDU has a wrong length and a correct header digest
 
 	wireFaultPrefix = "wire-"
 )
@@ -30,15 +30,16 @@
 const (
 	defaultDamageChance = 0.03
 	maxDamagedBytes     = 64
-	// maxWireDelay is below any reader's timeout for a PDU: past it a delay would be a cut.
+	// maxWireDelay is shorter than the PDU timeouts of all receivers. A longer delay would end the connection.
 	maxWireDelay = 400 * time.Millisecond
-	// faultyWireShare is how many clients there are for each one behind a faulty wire.
+	// faultyWireShare is the number of clients per client behind a faulty wire.
 	faultyWireShare = 3
-	// queuesOfAssociation is the number of connections of a client's association: admin queue and I/O queue.
+	// queuesOfAssociation is the number of connections of a client's association: an admin queue and an I/O queue.
 	queuesOfAssociation = 2
 )
 
-// wireFaults is how the connections of some clients and disk servers are damaged now. All others are never damaged.
+// wireFaults is the current damage to the connections of some clients and disk servers. All other connections are free
+// of damage.
 type wireFaults struct {
 	kind   string // "": none
 	chance float64
@@ -48,18 +49,19 @@
 // isBehindFaultyWire reports whether a client's connections are damaged in scripts with wire faults.
 func isBehindFaultyWire(client int) bool { return client%faultyWireShare == 0 }
 
-// hasWireFaults reports whether a script damages connections at times.
+// hasWireFaults reports whether a script has a fault that damages connections.
 func hasWireFaults(s *settings.Gateway) bool {
 	return slices.ContainsFunc(s.FaultTest.Faults, func(f settings.Fault) bool {
 		return strings.HasPrefix(f.Kind, wireFaultPrefix)
 	})
 }
 
-// wireFault damages the connections of some disk servers, and those of the clients behind faulty wires, for a time.
+// wireFault returns an injector that damages the connections of some disk servers, and those of the clients behind
+// faulty wires, for the duration of the fault. It replaces a wire fault that is still in effect.
 func wireFault(kind string) injector {
 	return func(r *run, f settings.Fault) {
 		faults := wireFaults{kind: kind, chance: cmp.Or(f.Factor, defaultDamageChance), disks: map[*disk.Server]bool{}}
-		for _, cell := range r.pick(f.Count) {
+		for _, cell := range r.pickFaultFree(f.Count) {
 			faults.disks[r.serverOfCell[cell]] = true
 		}
 		r.wireFaults = faults
@@ -67,29 +69,30 @@
 	}
 }
 
-// faultyWire is an eventloop.FaultFilter that damages what crosses one connection, as the run's wireFaults say.
+// faultyWire is an eventloop.FaultFilter that damages the bytes of one connection according to the run's wireFaults.
 type faultyWire struct {
 	run      *run
 	conn     *eventloop.Conn
-	isFaulty func() bool // whether the connection is one of those that are damaged
-	onDamage func()      // called before the damaged bytes are passed on
+	isFaulty func() bool // whether the current fault affects this connection
+	onDamage func()      // called before damaged bytes are passed on
 	in, out  delayedBytes
 }
 
-// delayedBytes are bytes that are kept back until a time.
+// delayedBytes are bytes that are held back until a time.
 type delayedBytes struct {
 	bytes []byte
 	until time.Duration
 }
 
 // FilterInput implements eventloop.FaultFilter.
-func (w *faultyWire) FilterInput(b []byte) []byte { return w.pass(&w.in, b) }
+func (w *faultyWire) FilterInput(b []byte) []byte { return w.transfer(&w.in, b) }
 
 // FilterOutput implements eventloop.FaultFilter.
-func (w *faultyWire) FilterOutput(b []byte) []byte { return w.pass(&w.out, b) }
+func (w *faultyWire) FilterOutput(b []byte) []byte { return w.transfer(&w.out, b) }
 
-// pass returns what crosses in one direction when b is to.
-func (w *faultyWire) pass(delayed *delayedBytes, b []byte) []byte {
+// transfer returns the bytes to pass on now in one direction when b was received or is to be sent. Bytes that were
+// delayed come first.
+func (w *faultyWire) transfer(delayed *delayedBytes, b []byte) []byte {
 	now := w.run.loop.Now()
 	if len(delayed.bytes) > 0 {
 		b = append(delayed.bytes, b...)
@@ -107,7 +110,7 @@
 	return w.damage(faults.kind, delayed, slices.Clone(b))
 }
 
-// damage returns what crosses of b under a fault.
+// damage applies a fault to b and returns the bytes to pass on now. It may modify b.
 func (w *faultyWire) damage(kind string, delayed *delayedBytes, b []byte) []byte {
 	rng := w.run.rng
 	from := rng.Intn(len(b))
@@ -127,11 +130,11 @@
 	case wireDrop:
 		b = slices.Delete(b, from, to)
 	case wireRepeat:
-		if rng.Intn(2) == 0 { // all that crossed at once: complete PDUs
+		if rng.Intn(2) == 0 { // all bytes, to repeat complete PDUs
 			from, to = 0, len(b)
 		}
 		b = slices.Insert(b, to, slices.Clone(b[from:to])...)
-	case wireLie:
+	case wireWrongLength:
 		if delayed != &w.out || !tamperLength(b, rng.Intn(len(wrongLengths))) {
 			return b
 		}
@@ -140,7 +143,7 @@
 	return b
 }
 
-// wrongLengths make a wrong PDU length from the right one.
+// wrongLengths are functions from the correct length of a PDU to a wrong one.
 var wrongLengths = [...]func(length uint32) uint32{
 	func(uint32) uint32 { return 0 },
 	func(uint32) uint32 { return 1 },
@@ -150,7 +153,8 @@
 	func(uint32) uint32 { return 1 << 31 },
 }
 
-// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), and its least length with a command.
+// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), the fewest bytes that tamperLength changes, and the size of a
+// digest.
 const (
 	flagsOffset        = 1
 	headerLengthOffset = 2
@@ -159,8 +163,8 @@
 	digestBytes        = 4
 )
 
-// tamperLength changes the length of the PDU that b begins with and makes its header digest right again. It reports
-// whether b begins with a PDU that is long enough.
+// tamperLength replaces the length of the PDU at the start of b with a wrong one and updates the header digest. how is
+// an index into wrongLengths. tamperLength reports whether b holds enough of a PDU for that.
 func tamperLength(b []byte, how int) bool {
 	if len(b) < minTamperedBytes || int(b[headerLengthOffset])+digestBytes > len(b) {
 		return false
@@ -174,10 +178,11 @@
 	return true
 }
 
-// clientWire returns what connects a client's connections to a gateway with the audit, and with faults. What damages
-// one connection of an association ends both, admin queue and I/O queue (NVMe/TCP 3.5), so the audit is notified for
-// both.
-func (r *run) clientWire(gateway int) func(client int, c *eventloop.Conn) {
+// clientConnectionSetup returns a function that prepares each new connection of a client to a gateway. It lets the
+// audit observe the connection and adds the faults of clients behind faulty wires. Damage to one connection of an
+// association ends both, the admin queue and the I/O queue (NVMe/TCP 3.5), so both are marked as corrupted for the
+// audit.
+func (r *run) clientConnectionSetup(gateway int) func(client int, c *eventloop.Conn) {
 	newLink := r.log.ClientLinks(gateway, int(r.script.Volumes.Block))
 	associations := map[int][]audit.Link{}
 	return func(client int, c *eventloop.Conn) {
@@ -203,8 +208,9 @@
 	}
 }
 
-// diskWire returns what gives a gateway's connections at a disk server their faults.
-func (r *run) diskWire(server func() *disk.Server) func(c *eventloop.Conn) {
+// diskConnectionSetup returns a function that adds the wire faults to each new connection of a gateway at a disk
+// server.
+func (r *run) diskConnectionSetup(server func() *disk.Server) func(c *eventloop.Conn) {
 	return func(c *eventloop.Conn) {
 		if !hasWireFaults(r.script) {
 			return
@@ -213,7 +219,7 @@
 			run:      r,
 			conn:     c,
 			isFaulty: func() bool { return r.wireFaults.disks[server()] },
-			onDamage: func() {}, // the gateway's retries are to hide it
+			onDamage: func() {}, // not excused: the gateway's retries must compensate for the damage
 		}
 	}
 }
