--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -158,7 +158,7 @@
 	r.serving.Add(1)
 	go func() {
 		defer r.serving.Done()
-		_ = g.Serve(context.Background()) // the audit reports the ops that stay unanswered
+		_ = g.Serve(context.Background()) // the error of its loop; the audit reports unanswered ops
 	}()
 	return nil
 }
@@ -222,8 +222,8 @@
 	})
 }
 
-// recordStart records the start of a disk server in the audit's log, with its capacity as a function of the age. The
-// server may have started again by the time the rules are checked.
+// recordStart records the start of a disk server in the audit's log. The capacity is recorded as a function of the age,
+// because the server may have started again by the time the rules are checked.
 func (r *run) recordStart(server *disk.Server) {
 	r.log.ServerStarted(server.Address(), server.CapacityAt)
 }
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -153,7 +153,7 @@
 	func(uint32) uint32 { return 1 << 31 },
 }
 
-// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), the fewest bytes that tamperLength changes, and the size of a
+// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), the minimum length of a PDU with a command, and the size of a
 // digest.
 const (
 	flagsOffset        = 1
