--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -79,7 +79,7 @@
 
 // TestHostile drives honest load beside a few hostile connections.
 func TestHostile(t *testing.T) {
-	report, err := Hostile(2*len(hostileBehaviours), shortPhase)
+	report, err := Abusive(2*len(hostileBehaviours), shortPhase)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -103,9 +103,9 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Hostile drives honest load alone, then beside a number of hostile connections, which are made again whenever they
+// Abusive drives honest load alone, then beside a number of hostile connections, which are made again whenever they
 // end, and then until the load has recovered. length is that of each phase, in seconds.
-func Hostile(connections int, length float64) (*HostileReport, error) {
+func Abusive(connections int, length float64) (*HostileReport, error) {
 	bed, err := newTestbed(func(s *settings.Gateway) { limitClients(s, connections) })
 	if err != nil {
 		return nil, err
--- a/cmd/honeyplank/bench.go
+++ b/cmd/honeyplank/bench.go
@@ -22,7 +22,7 @@
 }
 
 func (c *hostileCommand) Run() error {
-	h, err := bench.Hostile(c.Connections, c.Seconds)
+	h, err := bench.Abusive(c.Connections, c.Seconds)
 	if err != nil {
 		return err
 	}
