--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -32,8 +32,8 @@
 	recoveredShare   = 0.95 // of the throughput alone
 )
 
-// HostileReport is what honest clients get beside hostile ones.
-type HostileReport struct {
+// AbusiveReport is what honest clients get beside hostile ones.
+type AbusiveReport struct {
 	Connections    int     `json:"hostile_connections"`
 	Alone          Phase   `json:"alone"`
 	Beside         Phase   `json:"beside"`
@@ -105,7 +105,7 @@
 
 // Abusive drives honest load alone, then beside a number of hostile connections, which are made again whenever they
 // end, and then until the load has recovered. length is that of each phase, in seconds.
-func Abusive(connections int, length float64) (*HostileReport, error) {
+func Abusive(connections int, length float64) (*AbusiveReport, error) {
 	bed, err := newTestbed(func(s *settings.Gateway) { limitClients(s, connections) })
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	}
 	defer honest.close()
 	duration := seconds(length)
-	report := &HostileReport{Connections: connections}
+	report := &AbusiveReport{Connections: connections}
 	honest.saturate(honestInFlight, duration/2)
 	report.Alone = measureHonest(honest, duration)
 	clients := startHostileClients(connections, bed.gateway.Address())
@@ -249,7 +249,7 @@
 }
 
 // String is the report as text.
-func (r *HostileReport) String() string {
+func (r *AbusiveReport) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d hostile connections beside honest load; figures are of fakes on loopback, ", r.Connections)
 	b.WriteString("the hostile clients share the machine\n\n")
