--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Alone.Throughput <= 0 || report.Beside.Throughput <= 0 {
+	if report.Alone.Throughput <= 0 || report.WithAbusive.Throughput <= 0 {
 		t.Errorf("%+v", report)
 	}
 	if report.Attempts < int64(report.Connections) || report.Rejected > report.Attempts {
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -36,7 +36,7 @@
 type AbusiveReport struct {
 	Connections    int     `json:"hostile_connections"`
 	Alone          Phase   `json:"alone"`
-	Beside         Phase   `json:"beside"`
+	WithAbusive    Phase   `json:"beside"`
 	Attempts       int64   `json:"connection_attempts"`
 	Rejected       int64   `json:"rejected_connections"`
 	MaxConnections int     `json:"max_connections"` // at the gateway, honest ones too
@@ -122,7 +122,7 @@
 	report.Alone = measureHonest(honest, duration)
 	clients := startHostileClients(connections, bed.gateway.Address())
 	usage := startUsageSampler(bed.gateway)
-	report.Beside = measureHonest(honest, duration)
+	report.WithAbusive = measureHonest(honest, duration)
 	usage.stop()
 	clients.stop()
 	report.MaxConnections, report.Heap = usage.maxConnections, usage.maxHeap
@@ -257,9 +257,9 @@
 	row := func(name string, alone, beside float64) {
 		fmt.Fprintf(&b, "%-26s %12.0f %12.0f %8.2f\n", name, alone, beside, beside/alone)
 	}
-	row("ops a second, saturated", r.Alone.Throughput, r.Beside.Throughput)
-	row("p99 at 1,000 a second, us", r.Alone.P99, r.Beside.P99)
-	fmt.Fprintf(&b, "%-26s %12d %12d\n\n", "not succeeded", r.Alone.Unsuccessful, r.Beside.Unsuccessful)
+	row("ops a second, saturated", r.Alone.Throughput, r.WithAbusive.Throughput)
+	row("p99 at 1,000 a second, us", r.Alone.P99, r.WithAbusive.P99)
+	fmt.Fprintf(&b, "%-26s %12d %12d\n\n", "not succeeded", r.Alone.Unsuccessful, r.WithAbusive.Unsuccessful)
 	fmt.Fprintf(&b, "hostile connections tried %d times, %d ended within 50 ms; ", r.Attempts, r.Rejected)
 	fmt.Fprintf(&b, "at most %d open; heap at most %.0f MiB\n", r.MaxConnections, r.Heap)
 	fmt.Fprintf(&b, "95%% of the throughput alone %.0f ms after they had left\n", r.Recovery)
