--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, phase := range map[string]Phase{"direct": report.Direct, "through": report.Through} {
+	for name, phase := range map[string]Phase{"direct": report.Direct, "through": report.ThroughGateway} {
 		if phase.Throughput <= 0 || phase.P50 <= 0 || phase.P99 < phase.P50 || phase.Unsuccessful != 0 {
 			t.Errorf("%s: %+v", name, phase)
 		}
--- a/bench/ops.go
+++ b/bench/ops.go
@@ -45,13 +45,13 @@
 
 // OpsReport is the result of Ops.
 type OpsReport struct {
-	Servers int     `json:"servers"`
-	Volumes int     `json:"volumes"`
-	Bytes   int     `json:"bytes_an_op"`
-	Direct  Phase   `json:"direct"`
-	Through Phase   `json:"through"`
-	Op      OpCost  `json:"op"`
-	PerCore float64 `json:"ops_a_second_of_one_core"` // of the gateway's loop
+	Servers        int     `json:"servers"`
+	Volumes        int     `json:"volumes"`
+	Bytes          int     `json:"bytes_an_op"`
+	Direct         Phase   `json:"direct"`
+	ThroughGateway Phase   `json:"through"`
+	Op             OpCost  `json:"op"`
+	PerCore        float64 `json:"ops_a_second_of_one_core"` // of the gateway's loop
 }
 
 // Ops drives load straight at the disk servers, then through the gateway. Each way first warms up, then saturates,
@@ -74,9 +74,9 @@
 		return nil, err
 	}
 	var usage gatewayUsage
-	report.Through, usage = measurePhase(through, options)
+	report.ThroughGateway, usage = measurePhase(through, options)
 	report.Op = OpCost{
-		Allocations: report.Through.Allocations - report.Direct.Allocations,
+		Allocations: report.ThroughGateway.Allocations - report.Direct.Allocations,
 		SystemCalls: float64(usage.systemCalls) / usage.ops,
 		Copied:      float64(usage.copied) / usage.ops,
 		CPU:         float64(usage.cpu.Microseconds()) / usage.ops,
@@ -158,14 +158,14 @@
 	row := func(name string, direct, through float64) {
 		fmt.Fprintf(&b, "%-28s %12.1f %12.1f %8.2f\n", name, direct, through, through/direct)
 	}
-	row("ops a second, saturated", r.Direct.Throughput, r.Through.Throughput)
-	row("p50, us", r.Direct.P50, r.Through.P50)
-	row("p99, us", r.Direct.P99, r.Through.P99)
-	row("allocations an op, in all", r.Direct.Allocations, r.Through.Allocations)
+	row("ops a second, saturated", r.Direct.Throughput, r.ThroughGateway.Throughput)
+	row("p50, us", r.Direct.P50, r.ThroughGateway.P50)
+	row("p99, us", r.Direct.P99, r.ThroughGateway.P99)
+	row("allocations an op, in all", r.Direct.Allocations, r.ThroughGateway.Allocations)
 	fmt.Fprintf(&b, "\nat the gateway, an op: %.2f allocations, %.2f system calls, %.0f bytes copied, ",
 		r.Op.Allocations, r.Op.SystemCalls, r.Op.Copied)
 	fmt.Fprintf(&b, "%.1f us of its loop's core\n", r.Op.CPU)
 	fmt.Fprintf(&b, "one core of the gateway carries %.0f ops a second; not succeeded: %d direct, %d through\n",
-		r.PerCore, r.Direct.Unsuccessful, r.Through.Unsuccessful)
+		r.PerCore, r.Direct.Unsuccessful, r.ThroughGateway.Unsuccessful)
 	return b.String()
 }
