--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -101,7 +101,7 @@
 		t.Fatalf("%d costs", len(costs))
 	}
 	c := costs[0]
-	if c.Nodes != 20 || c.Changes != 20 || c.P50 <= 0 || c.P99 < c.P50 || c.AfterBreak <= 0 || c.AfterCompaction <= 0 {
+	if c.Nodes != 20 || c.Changes != 20 || c.P50 <= 0 || c.P99 < c.P50 || c.AfterOutage <= 0 || c.AfterCompaction <= 0 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/bench/sources.go
+++ b/bench/sources.go
@@ -44,7 +44,7 @@
 	Memory  float64 `json:"bytes_a_node"`
 	// From etcd's return until the list is complete, where a tenth of the nodes has changed meanwhile, and with the
 	// history compacted too.
-	AfterBreak      float64 `json:"right_after_break_ms"`
+	AfterOutage     float64 `json:"right_after_break_ms"`
 	AfterCompaction float64 `json:"right_after_compaction_ms"`
 }
 
@@ -82,7 +82,7 @@
 	if err := bench.measureChanges(&cost, duration, idle); err != nil {
 		return WatchCost{}, err
 	}
-	if cost.AfterBreak, err = bench.measureReturn(0, func() {}); err != nil {
+	if cost.AfterOutage, err = bench.measureReturn(0, func() {}); err != nil {
 		return WatchCost{}, err
 	}
 	cost.AfterCompaction, err = bench.measureReturn(1, bench.registry.CompactHistory)
@@ -306,7 +306,7 @@
 		"p99 ms", "idle ms/s", "loop us/chg", "process us/chg", "bytes/node", "break ms", "compaction ms")
 	for _, c := range costs {
 		fmt.Fprintf(&b, "%8d %10d %9d %9.2f %9.2f %10.1f %12.1f %15.1f %10.0f %12.0f %16.0f\n", c.Nodes, c.Rate,
-			c.Changes, c.P50, c.P99, c.Idle, c.Loop, c.Process, c.Memory, c.AfterBreak, c.AfterCompaction)
+			c.Changes, c.P50, c.P99, c.Idle, c.Loop, c.Process, c.Memory, c.AfterOutage, c.AfterCompaction)
 	}
 	return b.String()
 }
