--- a/bench/sources.go
+++ b/bench/sources.go
@@ -38,7 +38,7 @@
 	Changes int     `json:"changes"`
 	P50     float64 `json:"p50_ms"` // from the change at etcd until the module is notified
 	P99     float64 `json:"p99_ms"`
-	Idle    float64 `json:"idle_ms_a_second"`    // of the gateway's loop when nothing changes
+	IdleCPU float64 `json:"idle_ms_a_second"`    // of the gateway's loop when nothing changes
 	Loop    float64 `json:"loop_us_a_change"`    // of the loop beyond that: merging of sources and module
 	Process float64 `json:"process_us_a_change"` // of the whole process: gRPC and the fake too
 	Memory  float64 `json:"bytes_a_node"`
@@ -173,7 +173,7 @@
 	time.Sleep(duration)
 	after, _ := b.gateway.Counts()
 	idle := after.CPU - before.CPU
-	cost.Idle = milliseconds(idle) / duration.Seconds()
+	cost.IdleCPU = milliseconds(idle) / duration.Seconds()
 	return idle
 }
 
@@ -306,7 +306,7 @@
 		"p99 ms", "idle ms/s", "loop us/chg", "process us/chg", "bytes/node", "break ms", "compaction ms")
 	for _, c := range costs {
 		fmt.Fprintf(&b, "%8d %10d %9d %9.2f %9.2f %10.1f %12.1f %15.1f %10.0f %12.0f %16.0f\n", c.Nodes, c.Rate,
-			c.Changes, c.P50, c.P99, c.Idle, c.Loop, c.Process, c.Memory, c.AfterOutage, c.AfterCompaction)
+			c.Changes, c.P50, c.P99, c.IdleCPU, c.Loop, c.Process, c.Memory, c.AfterOutage, c.AfterCompaction)
 	}
 	return b.String()
 }
