--- a/bench/sources.go
+++ b/bench/sources.go
@@ -33,15 +33,15 @@
 
 // WatchCost is what following the endpoint list costs at one size of the fleet and one rate of changes.
 type WatchCost struct {
-	Nodes   int     `json:"nodes"`
-	Rate    int     `json:"changes_a_second"`
-	Changes int     `json:"changes"`
-	P50     float64 `json:"p50_ms"` // from the change at etcd until the module is notified
-	P99     float64 `json:"p99_ms"`
-	IdleCPU float64 `json:"idle_ms_a_second"`    // of the gateway's loop when nothing changes
-	LoopCPU float64 `json:"loop_us_a_change"`    // of the loop beyond that: merging of sources and module
-	Process float64 `json:"process_us_a_change"` // of the whole process: gRPC and the fake too
-	Memory  float64 `json:"bytes_a_node"`
+	Nodes      int     `json:"nodes"`
+	Rate       int     `json:"changes_a_second"`
+	Changes    int     `json:"changes"`
+	P50        float64 `json:"p50_ms"` // from the change at etcd until the module is notified
+	P99        float64 `json:"p99_ms"`
+	IdleCPU    float64 `json:"idle_ms_a_second"`    // of the gateway's loop when nothing changes
+	LoopCPU    float64 `json:"loop_us_a_change"`    // of the loop beyond that: merging of sources and module
+	ProcessCPU float64 `json:"process_us_a_change"` // of the whole process: gRPC and the fake too
+	Memory     float64 `json:"bytes_a_node"`
 	// From etcd's return until the list is complete, where a tenth of the nodes has changed meanwhile, and with the
 	// history compacted too.
 	AfterOutage     float64 `json:"right_after_break_ms"`
@@ -199,7 +199,7 @@
 	idle = time.Duration(float64(idle) * time.Since(began).Seconds() / duration.Seconds())
 	loop := max(countsAfter.CPU-countsBefore.CPU-idle, 0)
 	cost.LoopCPU = microseconds(loop) / float64(cost.Changes)
-	cost.Process = microseconds(processTime()-processBefore) / float64(cost.Changes)
+	cost.ProcessCPU = microseconds(processTime()-processBefore) / float64(cost.Changes)
 	latency := b.module.noticeLatency
 	cost.P50 = float64(latency.ValueAtQuantile(50)) / 1000
 	cost.P99 = float64(latency.ValueAtQuantile(99)) / 1000
@@ -306,7 +306,7 @@
 		"p99 ms", "idle ms/s", "loop us/chg", "process us/chg", "bytes/node", "break ms", "compaction ms")
 	for _, c := range costs {
 		fmt.Fprintf(&b, "%8d %10d %9d %9.2f %9.2f %10.1f %12.1f %15.1f %10.0f %12.0f %16.0f\n", c.Nodes, c.Rate,
-			c.Changes, c.P50, c.P99, c.IdleCPU, c.LoopCPU, c.Process, c.Memory, c.AfterOutage, c.AfterCompaction)
+			c.Changes, c.P50, c.P99, c.IdleCPU, c.LoopCPU, c.ProcessCPU, c.Memory, c.AfterOutage, c.AfterCompaction)
 	}
 	return b.String()
 }
