--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -77,7 +77,7 @@
 func (g *growCommand) Run(c *fuzzCorpusCommand) error {
 	options := fuzzcorpus.GrowOptions{Time: g.Time, Workers: g.Workers, MaxBytes: g.MaxBytes}
 	return c.run(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
-		return fuzzcorpus.Grow(ctx, c.Root, targets, options, done)
+		return fuzzcorpus.Extend(ctx, c.Root, targets, options, done)
 	}, printGrown)
 }
 
--- a/fuzzcorpus/grow.go
+++ b/fuzzcorpus/grow.go
@@ -26,9 +26,9 @@
 	MaxBytes int64         // longest input that is kept
 }
 
-// Grow fuzzes each target for a time and keeps the inputs that reached something new. A crash is kept under a name of
+// Extend fuzzes each target for a time and keeps the inputs that reached something new. A crash is kept under a name of
 // its own, so that every later run of the target plays it. The results go to done, one target after another.
-func Grow(ctx context.Context, root string, targets []Target, options GrowOptions, done func(Result)) error {
+func Extend(ctx context.Context, root string, targets []Target, options GrowOptions, done func(Result)) error {
 	cache, err := fuzzCache(ctx, root)
 	if err != nil {
 		return err
