--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -75,7 +75,7 @@
 }
 
 func (g *growCommand) Run(c *fuzzCorpusCommand) error {
-	options := fuzzcorpus.GrowOptions{Time: g.Time, Workers: g.Workers, MaxBytes: g.MaxBytes}
+	options := fuzzcorpus.ExtendOptions{Time: g.Time, Workers: g.Workers, MaxBytes: g.MaxBytes}
 	return c.run(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
 		return fuzzcorpus.Extend(ctx, c.Root, targets, options, done)
 	}, printGrown)
--- a/fuzzcorpus/grow.go
+++ b/fuzzcorpus/grow.go
@@ -19,8 +19,8 @@
 	minimiseRuns = "20x"
 )
 
-// GrowOptions are how targets are fuzzed.
-type GrowOptions struct {
+// ExtendOptions are how targets are fuzzed.
+type ExtendOptions struct {
 	Time     time.Duration // for each target
 	Workers  int           // inputs tried at a time
 	MaxBytes int64         // longest input that is kept
@@ -28,7 +28,7 @@
 
 // Extend fuzzes each target for a time and keeps the inputs that reached something new. A crash is kept under a name of
 // its own, so that every later run of the target plays it. The results go to done, one target after another.
-func Extend(ctx context.Context, root string, targets []Target, options GrowOptions, done func(Result)) error {
+func Extend(ctx context.Context, root string, targets []Target, options ExtendOptions, done func(Result)) error {
 	cache, err := fuzzCache(ctx, root)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 }
 
 // growTarget fuzzes one target and keeps a crash.
-func growTarget(ctx context.Context, root string, t Target, options GrowOptions) (Result, error) {
+func growTarget(ctx context.Context, root string, t Target, options ExtendOptions) (Result, error) {
 	result := Result{Target: t}
 	var err error
 	if result.Faults, result.Upgraded, err = upgradeInputs(root, t); err != nil {
--- a/fuzzcorpus/lifecycle_test.go
+++ b/fuzzcorpus/lifecycle_test.go
@@ -80,7 +80,7 @@
 
 func (c *corpusTest) grow() {
 	c.t.Helper()
-	options := GrowOptions{Time: 20 * time.Second, Workers: 2, MaxBytes: 2048}
+	options := ExtendOptions{Time: 20 * time.Second, Workers: 2, MaxBytes: 2048}
 	if err := Extend(c.ctx, c.root, c.targets, options, c.keep); err != nil {
 		c.t.Fatal(err)
 	}
