--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -135,7 +135,7 @@
 		if !f.Found {
 			missed++
 		}
-		fmt.Printf("%-24s %-48s %s\n", f.Package+" "+f.Target, f.Kind, describeResult(f))
+		fmt.Printf("%-24s %-48s %s\n", f.Package+" "+f.Target, f.Description, describeResult(f))
 	})
 	if missed > 0 {
 		err = errors.Join(err, fmt.Errorf("%d of %d faults were not found", missed, len(mutations)))
--- a/fuzzcorpus/mutations_test.go
+++ b/fuzzcorpus/mutations_test.go
@@ -24,7 +24,7 @@
 	kinds := []string{"a PDU one byte short is read", "an id that is in use is taken again", "success before the data"}
 	var mutations []Mutation
 	for _, m := range Mutations {
-		if slices.Contains(kinds, m.Kind) {
+		if slices.Contains(kinds, m.Description) {
 			mutations = append(mutations, m)
 		}
 	}
