--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -101,7 +101,7 @@
 func printMinimised(r fuzzcorpus.Result) {
 	fmt.Printf("%-28s %5d inputs dropped, %5d stay, %d rewritten; "+
 		"%.1f%% of the package's statements, seeds alone %.1f%%\n",
-		r.Target, len(r.Dropped), r.Files, r.Upgraded, 100*r.Covered, 100*r.Seeds)
+		r.Target, len(r.Removed), r.Files, r.Upgraded, 100*r.Covered, 100*r.Seeds)
 }
 
 type statsCommand struct{}
--- a/fuzzcorpus/minimise.go
+++ b/fuzzcorpus/minimise.go
@@ -60,7 +60,7 @@
 		if err := os.Remove(filepath.Join(t.Directory(root), name)); err != nil {
 			return result, err
 		}
-		result.Dropped = append(result.Dropped, name)
+		result.Removed = append(result.Removed, name)
 	}
 	result.Covered = covered.share()
 	return result, result.countFiles(root)
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -33,7 +33,7 @@
 	Took     time.Duration
 	Tried    int64    // inputs, by Grow
 	Added    []string // files, by Grow
-	Dropped  []string // files, by Minimise
+	Removed  []string // files, by Minimise
 	Upgraded int      // files, by Grow and Minimise
 	Seeds    float64  // share of the package's statements that the seeds in the source reach
 	Covered  float64  // share that they reach together with the corpus
