--- a/fuzzcorpus/minimise.go
+++ b/fuzzcorpus/minimise.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return result, err
 	}
-	result.Seeds = covered.share()
+	result.SeedCoverage = covered.share()
 	names, err := minimiseOrder(root, t)
 	if err != nil {
 		return result, err
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -27,18 +27,18 @@
 
 // Result is the result for one target.
 type Result struct {
-	Target   Target
-	Files    int
-	Bytes    int64
-	Took     time.Duration
-	Tried    int64    // inputs, by Grow
-	Added    []string // files, by Grow
-	Removed  []string // files, by Minimise
-	Upgraded int      // files, by Grow and Minimise
-	Seeds    float64  // share of the package's statements that the seeds in the source reach
-	Covered  float64  // share that they reach together with the corpus
-	Crash    string   // the file of a new finding; empty: there is none
-	Faults   []Fault
+	Target       Target
+	Files        int
+	Bytes        int64
+	Took         time.Duration
+	Tried        int64    // inputs, by Grow
+	Added        []string // files, by Grow
+	Removed      []string // files, by Minimise
+	Upgraded     int      // files, by Grow and Minimise
+	SeedCoverage float64  // share of the package's statements that the seeds in the source reach
+	Covered      float64  // share that they reach together with the corpus
+	Crash        string   // the file of a new finding; empty: there is none
+	Faults       []Fault
 }
 
 // countFiles adds the number and size of the target's inputs.
