--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -101,7 +101,7 @@
 func printMinimised(r fuzzcorpus.Result) {
 	fmt.Printf("%-28s %5d inputs dropped, %5d stay, %d rewritten; "+
 		"%.1f%% of the package's statements, seeds alone %.1f%%\n",
-		r.Target, len(r.Removed), r.Files, r.Upgraded, 100*r.Covered, 100*r.SeedCoverage)
+		r.Target, len(r.Removed), r.Files, r.Upgraded, 100*r.Coverage, 100*r.SeedCoverage)
 }
 
 type statsCommand struct{}
@@ -115,7 +115,7 @@
 }
 
 func printStats(r fuzzcorpus.Result) {
-	fmt.Printf("%-28s %8d %9d %42.1f%% %10.1f%%\n", r.Target, r.Files, r.Bytes, 100*r.SeedCoverage, 100*r.Covered)
+	fmt.Printf("%-28s %8d %9d %42.1f%% %10.1f%%\n", r.Target, r.Files, r.Bytes, 100*r.SeedCoverage, 100*r.Coverage)
 }
 
 type mutateCommand struct {
--- a/fuzzcorpus/coverage.go
+++ b/fuzzcorpus/coverage.go
@@ -131,7 +131,7 @@
 		return result, err
 	}
 	covered, err := binary.measure(ctx, allInputs)
-	result.SeedCoverage, result.Covered = seeds.share(), covered.share()
+	result.SeedCoverage, result.Coverage = seeds.share(), covered.share()
 	return result, err
 }
 
--- a/fuzzcorpus/lifecycle_test.go
+++ b/fuzzcorpus/lifecycle_test.go
@@ -144,7 +144,7 @@
 	// mended.
 	c.write(directory+"000000000000000c", Encoding+"\n[]byte(\"!x\")\n")
 	c.minimise()
-	if c.result.Covered <= c.result.SeedCoverage || len(c.result.Removed) < 2 {
+	if c.result.Coverage <= c.result.SeedCoverage || len(c.result.Removed) < 2 {
 		c.t.Fatalf("minimised: %+v", c.result)
 	}
 }
--- a/fuzzcorpus/minimise.go
+++ b/fuzzcorpus/minimise.go
@@ -62,7 +62,7 @@
 		}
 		result.Removed = append(result.Removed, name)
 	}
-	result.Covered = covered.share()
+	result.Coverage = covered.share()
 	return result, result.countFiles(root)
 }
 
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -36,7 +36,7 @@
 	Removed      []string // files, by Minimise
 	Upgraded     int      // files, by Grow and Minimise
 	SeedCoverage float64  // share of the package's statements that the seeds in the source reach
-	Covered      float64  // share that they reach together with the corpus
+	Coverage     float64  // share that they reach together with the corpus
 	Crash        string   // the file of a new finding; empty: there is none
 	Faults       []Fault
 }
