--- a/fuzzcorpus/grow.go
+++ b/fuzzcorpus/grow.go
@@ -78,7 +78,7 @@
 		return result, ctx.Err()
 	}
 	result.Took = time.Since(began)
-	result.Tried = executions(output)
+	result.Executions = executions(output)
 	finding, found := writtenFinding(output)
 	if !found {
 		if err != nil {
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -31,7 +31,7 @@
 	Files        int
 	Bytes        int64
 	Took         time.Duration
-	Tried        int64    // inputs, by Grow
+	Executions   int64    // inputs, by Grow
 	Added        []string // files, by Grow
 	Removed      []string // files, by Minimise
 	Upgraded     int      // files, by Grow and Minimise
