--- a/loadgen/blocks.go
+++ b/loadgen/blocks.go
@@ -2,11 +2,11 @@
 
 import "honeyplank/settings"
 
-// maxWriteHistory bounds the writes that are kept to be read back.
+// maxWriteHistory is the largest number of writes that a writeHistory holds.
 const maxWriteHistory = 1000
 
-// blockAllocator gives out the blocks of extents in order, so that each attempt of an op has blocks of its own and is
-// known by its place. An extent that is used up begins again.
+// blockAllocator allocates the blocks of each extent in ascending order. Each attempt of an op gets its own blocks, so
+// that its LBA identifies it. When an extent has too few blocks left, allocation restarts at its first block.
 type blockAllocator struct {
 	perExtent uint64 // blocks
 	used      map[extentID]uint64
@@ -21,7 +21,7 @@
 	return &blockAllocator{perExtent: uint64(volumes.Extent / volumes.Block), used: map[extentID]uint64{}}
 }
 
-// next returns the first of a number of blocks of an extent.
+// next allocates consecutive blocks of an extent and returns the address of the first.
 func (a *blockAllocator) next(extent extentID, blocks int) (lba uint64) {
 	used := a.used[extent]
 	if used+uint64(blocks) > a.perExtent {
@@ -38,7 +38,7 @@
 	data   []byte
 }
 
-// writeHistory has writes that succeeded, to be read back. The newest is the last.
+// writeHistory holds writes that succeeded and have not been read back. The newest is the last.
 type writeHistory []write
 
 func (h *writeHistory) add(w write) {
@@ -47,12 +47,12 @@
 	}
 }
 
-// hasNewest reports whether the newest write has a number of bytes.
+// hasNewest reports whether the newest write has the given length in bytes.
 func (h writeHistory) hasNewest(bytes int) bool {
 	return len(h) > 0 && len(h[len(h)-1].data) == bytes
 }
 
-// takeNewest removes the newest write.
+// takeNewest removes the newest write and returns it. The history must not be empty.
 func (h *writeHistory) takeNewest() write {
 	last := len(*h) - 1
 	w := (*h)[last]
--- a/loadgen/client.go
+++ b/loadgen/client.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// queueDepth is how many commands a client may have outstanding.
+	// queueDepth is the largest number of outstanding commands of a client.
 	queueDepth = 120
-	// connectTimeout is how long a client waits for its association.
+	// connectTimeout bounds the time in which a client's association must be established.
 	connectTimeout = time.Second
-	// keepAlive is the interval of its Keep Alive commands.
+	// keepAlive is the interval of a client's Keep Alive commands.
 	keepAlive = 5 * time.Second
-	// reconnectDelay is how long a client waits before it connects again.
+	// reconnectDelay is the time from the end of a client's association until it connects again.
 	reconnectDelay = 100 * time.Millisecond
 )
 
-// client is one client with its association, the handler of which it is.
+// client is one client. It implements initiator.Handler for its association.
 type client struct {
 	generator   *Generator
 	target      Target
 	index       int                    // among the clients of its target
-	association *initiator.Association // nil: not connected
-	ready       bool
+	association *initiator.Association // nil while not connected
+	ready       bool                   // the association accepts commands
 }
 
 func (c *client) connect() {
@@ -53,10 +53,10 @@
 	}
 }
 
-// Ready takes up ops. The association calls it.
+// Ready implements initiator.Handler. From now on the client sends ops.
 func (c *client) Ready(*initiator.Association) { c.ready = true }
 
-// Ended connects again after a moment. The association calls it.
+// Ended implements initiator.Handler. It connects again after reconnectDelay.
 func (c *client) Ended(association *initiator.Association, _ error) {
 	if c.association != association {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// disconnect closes the connection; the client connects again after a moment.
+// disconnect closes the association. The client connects again after reconnectDelay.
 func (c *client) disconnect() {
 	if c.association == nil {
 		return
--- a/loadgen/generator.go
+++ b/loadgen/generator.go
@@ -1,9 +1,10 @@
-// Package loadgen drives gateways, or anything that speaks the same NVMe/TCP subset, with Reads and Writes of clients
-// that time out and retry. It is open-loop: ops come at their times whether or not answers do, and latency counts from
-// when an op was due, so that slow answers hide nothing. It judges nothing beyond its tallies.
+// Package loadgen generates load for gateways, or for any server that implements the same NVMe/TCP subset. Its clients
+// send Reads and Writes, time out and retry. The load is open-loop: ops arrive at their scheduled times even if earlier
+// ones have no answer, and latency counts from the scheduled arrival, so that slow answers do not reduce the load or
+// the measured latency (coordinated omission). The package counts results and does not evaluate them.
 //
-// A Generator runs on the event loop it is given: Start, its methods and its fields may be used on the goroutine of
-// that loop only. The package starts no goroutine.
+// A Generator runs on the event loop that is passed to Start. Start, the methods and the fields may be used only on the
+// goroutine of that loop. The package starts no goroutine.
 package loadgen
 
 import (
@@ -13,44 +14,47 @@
 	"honeyplank/settings"
 )
 
-// Options say who is driven and how.
+// Options configure a Generator.
 type Options struct {
 	Settings *settings.Gateway
 	Targets  []Target
 	Traffic  []settings.Traffic
 	// Clients is the number of clients of each target.
 	Clients int
-	// Retries is how often a client retries an op that was rejected.
+	// Retries is the largest number of retries of an op that was rejected.
 	Retries int
 	// Seed is the seed of all random draws.
 	Seed int64
-	// Digests has connections use digests of headers and data.
+	// Digests enables header and data digests on all connections.
 	Digests bool
-	// CountedSeparately, where set, reports whether Generator.CountedSeparately has the utility of a client too.
+	// CountedSeparately, if not nil, reports whether the utility of a client is also added to
+	// Generator.CountedSeparately.
 	CountedSeparately func(client int) bool
-	// Expect, where set, fills a block as it is before its first write; reads are compared with it.
+	// Expect, if not nil, fills block with the content of a block before its first write. Read data is compared with
+	// it. If Expect is nil, no read data is compared.
 	Expect func(block []byte, nsid uint32, lba uint64)
 }
 
-// Target is where clients connect.
+// Target is a server to which clients connect.
 type Target struct {
 	Address   string
 	Subsystem string
-	// OnConnection, where set, is called with each new connection of a client.
+	// OnConnection, if not nil, is called with each new connection of a client.
 	OnConnection func(client int, c *eventloop.Conn)
-	// BeforeClose, where set, is called before Generator.Disconnect closes a client's connection.
+	// BeforeClose, if not nil, is called before Generator.Disconnect closes a client's connections.
 	BeforeClose func()
 }
 
-// Generator is a load that runs.
+// Generator generates load from Start until Stop.
 type Generator struct {
-	// RateFactor multiplies the rate of a volume, by its nsid; absent: 1.
+	// RateFactor holds, by nsid, the factor by which the rate of a volume is multiplied. The default is 1.
 	RateFactor map[uint32]float64
-	// TimeoutFactor, where positive, is the part of the op timeout that clients wait; they announce it to the target.
+	// TimeoutFactor, if positive, sets the timeout of clients to this share of the op timeout. The commands then carry
+	// the client's timeout.
 	TimeoutFactor float64
-	// ByType are the results, by op type.
+	// ByType holds the results by op type, in the order of Settings.OpTypes.
 	ByType []Tally
-	// CountedSeparately is the utility of the clients of Options.CountedSeparately, which ByType has too.
+	// CountedSeparately is the utility of the clients that Options.CountedSeparately selects. ByType includes it too.
 	CountedSeparately Utility
 
 	options Options
@@ -61,15 +65,15 @@
 	written writeHistory
 	streams []*stream // by kind of traffic
 
-	volumeRates []float64 // of the plans, by volume
+	volumeRates []float64 // rate of the volume's plan, by volume
 	totalRate   float64   // sum of volumeRates
 
-	pending int // ops that have not ended
+	pending int // number of ops that have not ended
 	stopped bool
-	onIdle  func() // called once the load is stopped and no op is pending
+	onIdle  func() // called once, when the load is stopped and no op is pending
 }
 
-// Start begins a load; it runs until Stop.
+// Start connects the clients and starts the arrivals of ops, which continue until Stop.
 func Start(l *eventloop.Loop, options Options) *Generator {
 	s := options.Settings
 	g := &Generator{
@@ -100,27 +104,28 @@
 	return g
 }
 
-// Stop ends the arrivals and calls onIdle once every op has ended.
+// Stop ends the arrivals and calls onIdle when every op has ended.
 func (g *Generator) Stop(onIdle func()) {
 	g.stopped, g.onIdle = true, onIdle
 	g.notifyIfIdle()
 }
 
-// Close closes the clients' connections.
+// Close closes the associations of all clients.
 func (g *Generator) Close() {
 	for _, c := range g.clients {
 		c.close()
 	}
 }
 
-// Disconnect closes the connections of n clients in the midst of their ops; they connect again later.
+// Disconnect closes the associations of n randomly chosen clients, whose ops may be in flight. The clients connect
+// again after reconnectDelay.
 func (g *Generator) Disconnect(n int) {
 	for _, i := range g.rng.Perm(len(g.clients))[:min(n, len(g.clients))] {
 		g.clients[i].disconnect()
 	}
 }
 
-// OpTypes are the names of the op types, in the order of ByType.
+// OpTypes returns the names of the op types, in the order of ByType.
 func (g *Generator) OpTypes() []string {
 	var names []string
 	for i := range g.options.Settings.OpTypes {
@@ -129,7 +134,7 @@
 	return names
 }
 
-// opEnded takes an op off the pending ones.
+// opEnded counts an op as ended. It is called once for each op.
 func (g *Generator) opEnded() {
 	g.pending--
 	g.notifyIfIdle()
@@ -144,7 +149,7 @@
 	onIdle()
 }
 
-// rateOf is the present rate of a volume.
+// rateOf returns the current rate of a volume.
 func (g *Generator) rateOf(volume int) float64 {
 	rate := g.volumeRates[volume]
 	if factor, ok := g.RateFactor[g.options.Settings.Volumes.List[volume].NSID]; ok {
@@ -153,8 +158,8 @@
 	return rate
 }
 
-// presentRate is the sum of the present rates of all volumes.
-func (g *Generator) presentRate() float64 {
+// currentRate returns the sum of the current rates of all volumes.
+func (g *Generator) currentRate() float64 {
 	sum := 0.0
 	for volume := range g.volumeRates {
 		sum += g.rateOf(volume)
@@ -162,9 +167,9 @@
 	return sum
 }
 
-// drawVolume draws a volume by the present rates.
+// drawVolume draws a volume at random, with probabilities in proportion to the current rates.
 func (g *Generator) drawVolume() int {
-	x := g.rng.Float64() * g.presentRate()
+	x := g.rng.Float64() * g.currentRate()
 	for volume := range g.volumeRates {
 		if x -= g.rateOf(volume); x < 0 {
 			return volume
--- a/loadgen/generator_test.go
+++ b/loadgen/generator_test.go
@@ -11,24 +11,24 @@
 	"honeyplank/target"
 )
 
-// testbed is a loop on which a load drives a fake disk server.
+// testbed is an event loop with a Generator and a fake disk server as its target.
 type testbed struct {
 	*testing.T
 	loop     *eventloop.Loop
 	settings *settings.Gateway
 	server   *disk.Server
 	options  Options
-	// timeoutFactor is Generator.TimeoutFactor from the start.
+	// timeoutFactor is the value of Generator.TimeoutFactor from the start of the load.
 	timeoutFactor float64
 	load          *Generator
 }
 
 const (
-	// warmUp is the time before the arrivals begin to count, in which clients connect.
+	// warmUp is the time from the start of the load until ops count. The clients connect in this time.
 	warmUp = 100 * time.Millisecond
-	// loadTime is how long a test has ops arrive.
+	// loadTime is the time for which ops arrive after warmUp.
 	loadTime = 400 * time.Millisecond
-	// testTimeout is how long a load may take to end once it is stopped.
+	// testTimeout bounds the time from the start of a load until its last op ends.
 	testTimeout = 10 * time.Second
 	blockSize   = 4096
 )
@@ -52,7 +52,7 @@
 	}}
 }
 
-// serve starts a disk server with a number of cores and makes it the target.
+// serve starts a disk server with the given number of cores and service time of a unit, and makes it the target.
 func (b *testbed) serve(cores int, serviceTime time.Duration) {
 	b.Helper()
 	v := &b.settings.Volumes
@@ -72,7 +72,7 @@
 	b.options.Targets = []Target{{Address: b.server.Address(), Subsystem: b.settings.Listen.Subsystem}}
 }
 
-// targetSettings are those of a target with the volumes of the settings.
+// targetSettings returns the settings of a target with the volumes of the gateway's settings.
 func (b *testbed) targetSettings() target.Settings {
 	const blockShift = 12 // 4 KiB
 	var namespaces []target.Namespace
@@ -97,7 +97,7 @@
 }
 
 // run starts the load, calls during after warmUp, stops the load after loadTime and waits until it is idle. The tallies
-// count from warmUp on, so that no op is lost because its client is still connecting.
+// are reset after warmUp, so that ops dropped while their client was still connecting do not count.
 func (b *testbed) run(during func()) {
 	b.Helper()
 	b.load = Start(b.loop, b.options)
@@ -120,11 +120,11 @@
 		b.Fatal(err)
 	}
 	if !idle {
-		b.Fatalf("%d ops have not ended", b.load.pending)
+		b.Fatalf("%d ops are still pending after %v", b.load.pending, testTimeout)
 	}
 }
 
-// tally is the results of an op type. Each op must have ended in one way.
+// tally returns the results of an op type. It fails the test if an op has not ended.
 func (b *testbed) tally(opType string) *Tally {
 	b.Helper()
 	for i, name := range b.load.OpTypes() {
@@ -133,19 +133,19 @@
 		}
 		t := &b.load.ByType[i]
 		if t.Ops == 0 {
-			b.Fatalf("no op of type %s", opType)
+			b.Fatalf("no op of type %q was sent", opType)
 		}
 		if ended := t.Succeeded + t.Rejected + t.Failed + t.Lost; ended < t.Ops {
-			b.Errorf("%d of %d ops have ended", ended, t.Ops)
+			b.Errorf("ops that ended: %d of %d", ended, t.Ops)
 		}
 		return t
 	}
-	b.Fatalf("no op type %s", opType)
+	b.Fatalf("unknown op type %q", opType)
 	return nil
 }
 
-// TestStop stops a load with an arrival due: once it says that every op has ended, no further one begins.
-func TestStop(t *testing.T) {
+// TestNoOpBeginsAfterStop stops a load while an arrival is scheduled. No op may begin after the call of onIdle.
+func TestNoOpBeginsAfterStop(t *testing.T) {
 	s, err := settings.Read("../settings/examples/gateway.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 	}
 	g := Start(l, Options{
 		Settings: s,
-		Targets:  []Target{{Address: "127.0.0.1:1"}}, // nobody serves there
+		Targets:  []Target{{Address: "127.0.0.1:1"}}, // nothing listens there
 		Clients:  1,
 		Seed:     1,
 		Traffic:  []settings.Traffic{{OpType: "read", Rate: 200, OpBytes: blockSize}},
@@ -168,65 +168,66 @@
 		t.Fatal(err)
 	}
 	if opsAtStop <= 0 || g.ByType[0].Ops != opsAtStop {
-		t.Errorf("%d ops at the end, %d begun in all", opsAtStop, g.ByType[0].Ops)
+		t.Errorf("%d ops when the load became idle, %d ops in all", opsAtStop, g.ByType[0].Ops)
 	}
 }
 
-// TestReads has all reads succeed: each brings what Expect fills, and earns at most what was due.
-func TestReads(t *testing.T) {
+// TestReadsSucceed sends reads to a server that is free of faults. All succeed with the data of Expect, and the earned
+// utility does not exceed the utility due, apart from ops that were pending when the tallies were reset.
+func TestReadsSucceed(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(4, 100*time.Microsecond)
 	b.run(func() {})
 	got := b.tally("read")
 	if got.Succeeded < got.Ops || got.Mismatches > 0 || got.Attempts != got.Ops {
-		t.Errorf("%+v", got)
+		t.Errorf("not all reads succeeded at the first attempt with the expected data: %+v", got)
 	}
 	if got.Earned <= 0 || got.Earned > 1.1*got.Due {
-		t.Errorf("earned %v of %v", got.Earned, got.Due)
+		t.Errorf("earned utility %v, utility due %v", got.Earned, got.Due)
 	}
 	if mean, median := got.Mean(), got.Quantile(0.5); mean <= 0 || median <= 0 || median > got.Quantile(1) {
 		t.Errorf("mean latency %v, median %v, largest %v", mean, median, got.Quantile(1))
 	}
 }
 
-// TestMismatches expects other bytes than the server has: each read that succeeds is a mismatch.
+// TestMismatches expects other data than the server has. Each read that succeeds counts as a mismatch.
 func TestMismatches(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(4, 100*time.Microsecond)
 	b.options.Expect = func(block []byte, nsid uint32, lba uint64) { disk.Fill(block, nsid, lba+1) }
 	b.run(func() {})
 	if got := b.tally("read"); got.Succeeded == 0 || got.Mismatches != got.Succeeded {
-		t.Errorf("%d mismatches of %d reads", got.Mismatches, got.Succeeded)
+		t.Errorf("%d mismatches in %d reads that succeeded", got.Mismatches, got.Succeeded)
 	}
 }
 
-// TestReadBack has writes read back: these reads bring what was written.
+// TestReadBack sends reads and writes. Some reads read back a write and return its data.
 func TestReadBack(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(4, 100*time.Microsecond)
 	b.options.Traffic = append(b.options.Traffic, settings.Traffic{OpType: "write", Rate: 200, OpBytes: blockSize})
 	filled := 0
 	b.options.Expect = func(block []byte, nsid uint32, lba uint64) {
-		filled++ // once for each read that does not read back a write
+		filled++ // once for each read that does not read back a write: its op has one block
 		disk.Fill(block, nsid, lba)
 	}
 	b.run(func() { filled = 0 })
 	reads, writes := b.tally("read"), b.tally("write")
 	if reads.Mismatches > 0 || writes.Succeeded < writes.Ops {
-		t.Errorf("reads %+v, writes %+v", reads, writes)
+		t.Errorf("mismatches, or writes that did not succeed: reads %+v, writes %+v", reads, writes)
 	}
 	if filled == 0 || filled >= reads.Succeeded {
 		t.Errorf("%d of %d reads read blocks that were never written", filled, reads.Succeeded)
 	}
 }
 
-// firstBlock is where a command begins.
+// firstBlock identifies the first block of a command.
 type firstBlock struct {
 	nsid uint32
 	lba  uint64
 }
 
-// rejectingHandler rejects each command with a Retry-After.
+// rejectingHandler rejects each command with a Retry-After and counts commands by their first block.
 type rejectingHandler struct {
 	server     *target.Server
 	retryAfter time.Duration
@@ -242,9 +243,9 @@
 func (h *rejectingHandler) ClientGone(*target.Command) {}
 func (h *rejectingHandler) Log(uint8) ([]byte, bool)   { return nil, false }
 
-// TestRetries has a target reject all ops: each is attempted twice more, with other blocks, after the time that the
-// target says.
-func TestRetries(t *testing.T) {
+// TestRejectedOpsAreRetried sends ops to a target that rejects all of them. Each op is retried twice, on other blocks,
+// after the Retry-After of the target.
+func TestRejectedOpsAreRetried(t *testing.T) {
 	b := newTestbed(t)
 	h := &rejectingHandler{retryAfter: 20 * time.Millisecond, commands: map[firstBlock]int{}}
 	var err error
@@ -257,32 +258,33 @@
 	pending := 0
 	b.run(func() { pending = b.load.pending })
 	got := b.tally("read")
-	ops := got.Ops + pending // the tally has the ends of those that were pending too
+	ops := got.Ops + pending // ops that were pending when the tally was reset end in it too
 	if got.Rejected != ops || got.Earned != 0 {
-		t.Errorf("%d ops, %+v", ops, got)
+		t.Errorf("not all of %d ops were rejected: %+v", ops, got)
 	}
-	if got.Attempts < 2*got.Ops || got.Attempts > 3*ops { // the last are not retried, once the load is stopped
-		t.Errorf("%d attempts of %d ops", got.Attempts, ops)
+	if got.Attempts < 2*got.Ops || got.Attempts > 3*ops { // ops rejected after Stop are not retried
+		t.Errorf("%d attempts of %d ops, expected two to three attempts of each", got.Attempts, ops)
 	}
 	for at, n := range h.commands {
 		if n > 1 {
-			t.Errorf("%d attempts begin at %+v", n, at)
+			t.Errorf("%d attempts begin at block %+v, expected one", n, at)
 		}
 	}
 }
 
-// TestFailures has a server fail all ops: these are not retried.
-func TestFailures(t *testing.T) {
+// TestFailedOpsAreNotRetried sends ops to a server that fails all of them. None is retried.
+func TestFailedOpsAreNotRetried(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(1, time.Millisecond)
 	b.options.Retries = 2
 	b.run(func() { b.server.SetFaults(disk.Faults{FailShare: 1}) })
 	if got := b.tally("read"); got.Failed == 0 || got.Attempts != got.Ops || got.Earned > 0.1*got.Due {
-		t.Errorf("%+v", got)
+		t.Errorf("ops did not fail, or were retried: %+v", got)
 	}
 }
 
-// TestTimeoutFactor has a server answer nothing: clients wait for the part of the op timeout that is set.
+// TestTimeoutFactor sends ops to a server that does not answer. Clients time out after the configured share of the op
+// timeout.
 func TestTimeoutFactor(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(1, time.Millisecond)
@@ -290,23 +292,23 @@
 	b.run(func() { b.server.SetFaults(disk.Faults{Silent: true}) })
 	got := b.tally("read")
 	if got.TimedOut == 0 || got.TimedOut > got.Lost {
-		t.Errorf("%+v", got)
+		t.Errorf("no attempt timed out, or more attempts timed out than ops were lost: %+v", got)
 	}
 	timeout := b.settings.OpTypes[0].OpTimeout.Duration()
 	if took := b.loop.Now() - time.Minute; took > warmUp+loadTime+timeout/2 {
-		t.Errorf("the last op ended after %v, with a timeout of a tenth of %v", took, timeout)
+		t.Errorf("the last op ended after %v, expected a client timeout of a tenth of %v", took, timeout)
 	}
 }
 
-// TestDisconnect closes a client's connection: it connects again, and its ops that were under way are lost.
-func TestDisconnect(t *testing.T) {
+// TestClientReconnects closes a client's association. The client connects again, and its ops in flight are dropped.
+func TestClientReconnects(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(4, 100*time.Microsecond)
 	connections, closed := 0, 0
 	b.options.Clients = 1
 	b.options.Targets[0].OnConnection = func(client int, _ *eventloop.Conn) {
 		if client != 0 {
-			t.Errorf("connection of client %d", client)
+			t.Errorf("connection of client %d, expected only client 0", client)
 		}
 		connections++
 	}
@@ -316,15 +318,15 @@
 		before = connections
 		b.load.Disconnect(1)
 	})
-	if closed != 1 || before != 2 || connections != 2*before { // an admin and an I/O queue each time
-		t.Errorf("%d closed, %d connections before and %d in all", closed, before, connections)
+	if closed != 1 || before != 2 || connections != 2*before { // an association has an admin and an I/O connection
+		t.Errorf("%d associations closed, %d connections before that and %d in all", closed, before, connections)
 	}
 	if got := b.tally("read"); got.Lost == 0 || got.Succeeded == 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("no op was dropped, or none succeeded: %+v", got)
 	}
 }
 
-// TestCountedSeparately counts one of two clients separately: its utility is part of the whole.
+// TestCountedSeparately counts one of two clients separately. Its utility is a part of the utility of both.
 func TestCountedSeparately(t *testing.T) {
 	b := newTestbed(t)
 	b.serve(4, 100*time.Microsecond)
@@ -332,11 +334,11 @@
 	b.run(func() {})
 	all, part := b.tally("read").Utility, b.load.CountedSeparately
 	if part.Due <= 0 || part.Due >= all.Due || part.Earned <= 0 || part.Earned >= all.Earned {
-		t.Errorf("%+v of %+v", part, all)
+		t.Errorf("utility of one client %+v, of both clients %+v", part, all)
 	}
 }
 
-// TestRateFactor has one volume a thousand times busier: nearly all ops are on it.
+// TestRateFactor multiplies the rate of one volume by 1000. At least 95 % of the draws select this volume.
 func TestRateFactor(t *testing.T) {
 	b := newTestbed(t)
 	g := Start(b.loop, b.options)
@@ -349,7 +351,7 @@
 		}
 	}
 	if drawn < draws*95/100 {
-		t.Errorf("%d of %d", drawn, draws)
+		t.Errorf("%d of %d draws selected the volume, expected 95 %% or more", drawn, draws)
 	}
 	b.loop.Stop()
 	if err := b.loop.Run(); err != nil {
@@ -357,7 +359,7 @@
 	}
 }
 
-// TestBlockAllocator gives out the blocks of two extents: none twice until an extent is used up.
+// TestBlockAllocator allocates blocks of several extents. No block is allocated twice until its extent is used up.
 func TestBlockAllocator(t *testing.T) {
 	a := newBlockAllocator(&settings.Volumes{Block: blockSize, Extent: 8 * blockSize})
 	for i, c := range []struct {
--- a/loadgen/op.go
+++ b/loadgen/op.go
@@ -10,34 +10,34 @@
 	"honeyplank/settings"
 )
 
-// op is an op of a client. It has one attempt at a time.
+// op is an op of a client. It has at most one attempt in flight.
 type op struct {
 	generator   *Generator
 	client      *client
 	opType      int
 	volume      *settings.Volume
 	units       float64
-	due         time.Duration // clock time
+	due         time.Duration // scheduled arrival, on the loop's clock
 	opcode      uint8
 	extent      uint64
 	lba         uint64
 	blocks      int
-	data        []byte // of a write
-	written     []byte // of a read that reads back a write: what that wrote
+	data        []byte // data of a write
+	written     []byte // the expected data if the op reads back a write, else nil
 	retriesLeft int
 
-	// Of the present attempt:
+	// State of the current attempt:
 	ended   bool
-	command uint16 // its identifier
+	command uint16 // command identifier
 	timeout *eventloop.Timer
 }
 
-// settings are those of the op's type.
+// settings returns the settings of the op's type.
 func (o *op) settings() *settings.OpType { return &o.generator.options.Settings.OpTypes[o.opType] }
 
 func (o *op) tally() *Tally { return &o.generator.ByType[o.opType] }
 
-// utility is what the op is worth if it succeeds within its target latency.
+// utility returns the utility of the op if it succeeds within its target latency.
 func (o *op) utility() float64 {
 	s := o.generator.options.Settings
 	value := s.Plans.List[s.PlanIndex(o.volume.Plan)].Value
@@ -52,19 +52,19 @@
 	return f != nil && f(o.client.index)
 }
 
-// allocateBlocks gives an attempt blocks of its own.
+// allocateBlocks allocates new blocks for the next attempt.
 func (o *op) allocateBlocks() {
 	o.lba = o.generator.blocks.next(extentID{o.volume.NSID, o.extent}, o.blocks)
 }
 
-// readBack makes the op read what a write has written.
+// readBack makes the op read the blocks of an earlier write and expect its data.
 func (o *op) readBack(w write) { o.volume, o.lba, o.written = w.volume, w.lba, w.data }
 
-// send begins an attempt.
+// send begins an attempt. The op is dropped if its client is not connected or has no free command slot.
 func (o *op) send() {
 	o.tally().Attempts++
 	if !o.client.ready {
-		o.lose()
+		o.drop()
 		return
 	}
 	command := nvme.NewRW(o.opcode, o.volume.NSID, o.lba, o.blocks)
@@ -81,38 +81,38 @@
 	queue := o.client.association.IO
 	id, ok := queue.Submit(command, o.data, readBytes, o)
 	if !ok {
-		o.lose()
+		o.drop()
 		return
 	}
 	o.command = id
 	loop := o.generator.loop
-	o.timeout = loop.Schedule(loop.Now()+clientTimeout, func() { o.timedOut(queue) })
+	o.timeout = loop.Schedule(loop.Now()+clientTimeout, func() { o.handleTimeout(queue) })
 }
 
-// timedOut ends the op at the client's timeout.
-func (o *op) timedOut(queue *initiator.Session) {
+// handleTimeout ends the op when the client's timeout expires without an answer.
+func (o *op) handleTimeout(queue *initiator.Session) {
 	if o.ended {
 		return
 	}
 	queue.Abandon(o.command)
 	o.tally().TimedOut++
 	o.ended = true
-	o.lose()
+	o.drop()
 }
 
-// lose ends the op without an answer.
-func (o *op) lose() {
+// drop counts the op as lost and ends it without an answer.
+func (o *op) drop() {
 	o.tally().Lost++
 	o.generator.opEnded()
 }
 
-// Done takes the result of an attempt. The association calls it.
+// Done implements initiator.Call. It handles the result of an attempt.
 func (o *op) Done(r initiator.Result) {
 	o.generator.loop.Cancel(o.timeout)
 	status := r.Status()
 	switch {
 	case r.Lost:
-		o.connectionLost()
+		o.dropWithConnection()
 	case status.Code() == nvme.CommandInterrupted && o.mayRetry():
 		o.retry(time.Duration(r.DW0()) * time.Millisecond)
 	default:
@@ -123,17 +123,17 @@
 	}
 }
 
-// connectionLost ends the op where its connection has ended.
-func (o *op) connectionLost() {
+// dropWithConnection drops the op after its connection ended, unless the attempt had ended before.
+func (o *op) dropWithConnection() {
 	if !o.ended {
 		o.ended = true
-		o.lose()
+		o.drop()
 	}
 }
 
 func (o *op) mayRetry() bool { return o.retriesLeft > 0 && o.written == nil && !o.generator.stopped }
 
-// retry begins another attempt after a delay.
+// retry schedules another attempt, on newly allocated blocks, after a delay.
 func (o *op) retry(delay time.Duration) {
 	o.retriesLeft--
 	o.ended = true
@@ -141,7 +141,7 @@
 	o.generator.loop.Schedule(o.generator.loop.Now()+delay, o.send)
 }
 
-// matches reports whether a read has brought what was expected.
+// matches reports whether the data of a read is the expected data. It returns true if Options.Expect is nil.
 func (o *op) matches(data []byte) bool {
 	if o.generator.options.Expect == nil {
 		return true
@@ -160,7 +160,7 @@
 	return true
 }
 
-// finish ends the op with the status of its last attempt.
+// finish ends the op with the status of its last attempt, unless the attempt had ended before.
 func (o *op) finish(status nvme.Status) {
 	if o.ended {
 		return
@@ -177,7 +177,7 @@
 	o.generator.opEnded()
 }
 
-// succeed counts the op as succeeded.
+// succeed counts the op as succeeded and adds its utility. A write becomes available for reading back.
 func (o *op) succeed() {
 	tally := o.tally()
 	tally.Succeeded++
--- a/loadgen/stream.go
+++ b/loadgen/stream.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// randomStride is the distance of the random numbers in data that is written, in bytes; the rest is 0.
+	// randomStride is the distance between the random 64-bit numbers in written data, in bytes. The other bytes are 0.
 	randomStride = 512
-	// readBackOdds is how many reads there are for one that reads back a write, where there is one of its size.
+	// readBackOdds sets the probability that a read reads back a write: one in readBackOdds, if the newest write that
+	// has not been read back has the read's size.
 	readBackOdds = 4
 )
 
-// stream makes the ops of one kind of traffic.
+// stream creates the ops of one kind of traffic.
 type stream struct {
 	generator *Generator
 	traffic   *settings.Traffic
@@ -24,11 +25,11 @@
 	run       extentRun
 }
 
-// extentRun is a number of ops on one extent in a row.
+// extentRun is a sequence of consecutive ops on one extent.
 type extentRun struct {
-	volume int
-	extent int
-	left   int // ops
+	volume    int
+	extent    int
+	remaining int // ops still to come
 }
 
 func newStream(g *Generator, traffic *settings.Traffic) *stream {
@@ -38,13 +39,14 @@
 	return &stream{generator: g, traffic: traffic, opType: max(opType, 0)}
 }
 
-// scheduleNext schedules the op that follows one which was due at a time.
+// scheduleNext schedules the next op after one that was due at the given time. The intervals are exponentially
+// distributed.
 func (s *stream) scheduleNext(due time.Duration) {
 	g := s.generator
 	if g.stopped {
 		return
 	}
-	rate := s.traffic.Rate * g.presentRate() / g.totalRate
+	rate := s.traffic.Rate * g.currentRate() / g.totalRate
 	due += time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second))
 	g.loop.Schedule(due, func() {
 		if !g.stopped {
@@ -54,7 +56,7 @@
 	})
 }
 
-// startOp makes an op and sends it.
+// startOp creates an op, counts it and sends it.
 func (s *stream) startOp(due time.Duration) {
 	o := s.newOp(due)
 	tally := o.tally()
@@ -67,13 +69,13 @@
 	o.send()
 }
 
-// newOp makes the next op of the run, or the first of a new run.
+// newOp creates the next op of the run, or the first op of a new run.
 func (s *stream) newOp(due time.Duration) *op {
 	g := s.generator
-	if s.run.left == 0 {
+	if s.run.remaining == 0 {
 		s.run = s.drawRun()
 	}
-	s.run.left--
+	s.run.remaining--
 	volumes := &g.options.Settings.Volumes
 	volume := &volumes.List[s.run.volume]
 	o := &op{
@@ -98,16 +100,16 @@
 	return o
 }
 
-// drawRun draws a volume, an extent of it and the number of ops.
+// drawRun draws a volume, an extent of it and the number of ops of the run.
 func (s *stream) drawRun() extentRun {
 	g := s.generator
 	volumes := &g.options.Settings.Volumes
 	volume := g.drawVolume()
 	extents := int(volumes.List[volume].Size / volumes.Extent)
 	return extentRun{
-		volume: volume,
-		extent: g.rng.Intn(max(extents, 1)),
-		left:   1 + g.rng.Intn(max(s.traffic.ExtentRun, 1)),
+		volume:    volume,
+		extent:    g.rng.Intn(max(extents, 1)),
+		remaining: 1 + g.rng.Intn(max(s.traffic.ExtentRun, 1)),
 	}
 }
 
