--- a/bench/dnsload.go
+++ b/bench/dnsload.go
@@ -8,7 +8,7 @@
 	"honeyplank/fake/dns"
 )
 
-// Settings of the DNS clients.
+// Settings of the DNS clients that DNSLoad starts.
 const (
 	serviceName    = "_honeyplank._tcp.storage.example."
 	dnsMinInterval = 100 * time.Millisecond
@@ -16,17 +16,18 @@
 	dnsTimeout     = time.Second
 )
 
-// peakWindow is the time over which the peak of queries counts.
+// peakWindow is the length of the windows over which the peak query rate is measured.
 const peakWindow = 100 * time.Millisecond
 
-// QueryRate is how many queries a name server gets, in queries a second.
+// QueryRate is the rate of queries that a name server receives, in queries per second.
 type QueryRate struct {
 	Mean float64
-	Peak float64 // within any tenth of a second
+	Peak float64 // the highest rate within a tenth of a second
 }
 
-// DNSLoad has many schedulers follow one name server whose records have a lifetime in seconds, for some seconds. All
-// begin at once; what is measured begins two lifetimes later, when they have spread out.
+// DNSLoad measures the queries that a number of schedulers send to one name server whose records have the given
+// lifetime, in seconds. All schedulers start at once. The measurement starts two lifetimes later, when their queries
+// are spread over time, and takes length seconds.
 func DNSLoad(schedulers int, lifetime uint32, length float64) (QueryRate, error) {
 	server, err := dns.New(serviceName)
 	if err != nil {
--- a/bench/driver.go
+++ b/bench/driver.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	opBytes         = 4096 // of a Read
-	hostNQN         = "nqn.2026-12.org.honeyplank:bench"
-	hostQueueDepth  = 120
-	connectTimeout  = 2 * time.Second
-	maxLatency      = 10 * time.Second       // that a histogram can hold
-	lastAnswersTime = 100 * time.Millisecond // for answers after the last op at a rate
-	histogramDigits = 3
+	opBytes          = 4096 // size of a Read
+	hostNQN          = "nqn.2026-12.org.honeyplank:bench"
+	hostQueueDepth   = 120
+	connectTimeout   = 2 * time.Second
+	maxLatency       = 10 * time.Second       // largest latency that a histogram records
+	lastRepliesDelay = 100 * time.Millisecond // from the last op at a rate until the latencies are read
+	histogramDigits  = 3
 )
 
-// driver drives load at several controllers. Its fields belong to the clients' loop.
+// driver sends Reads to several controllers. Its fields may be used only on the goroutine of the clients' loop.
 type driver struct {
 	bed          *testbed
 	associations []*initiator.Association
-	connected    chan error // one value for each association that is up, or the error with which it ended
+	connected    chan error // nil for each association that is ready, or the error with which an association ended
 	submitted    int
 	completed    int
 	unsuccessful int
-	saturating   bool
+	saturating   bool                    // saturate sends a new op for each that completes
 	latency      *hdrhistogram.Histogram // in microseconds
 }
 
-// newDriver connects to all addresses.
+// newDriver connects to all addresses and returns when all associations are ready. The caller closes the driver.
 func newDriver(bed *testbed, addresses []string, subsystem string) (*driver, error) {
 	d := &driver{
 		bed:       bed,
@@ -61,8 +61,8 @@
 // Ready implements initiator.Handler.
 func (d *driver) Ready(*initiator.Association) { d.connected <- nil }
 
-// Ended implements initiator.Handler. Once all associations have been up nobody waits for the error any more: their
-// ops count as unsuccessful.
+// Ended implements initiator.Handler. After newDriver has returned, nothing receives the error: the ops of the
+// association count as unsuccessful instead.
 func (d *driver) Ended(_ *initiator.Association, err error) {
 	select {
 	case d.connected <- err:
@@ -81,9 +81,9 @@
 	<-done
 }
 
-// submit sends the next Read and calls then when it is completed. Association n gets the extents of cell n, so that
-// load through the gateway and load straight at the disk servers reach the same ones.
-func (d *driver) submit(then func()) {
+// submit sends the next Read and calls onComplete when it is completed. Association n reads extents of cell n, so that
+// the load through the gateway and the load sent directly to the disk servers read the same extents.
+func (d *driver) submit(onComplete func()) {
 	d.submitted++
 	volumes := d.bed.settings.Volumes
 	volume := &volumes.List[d.submitted%len(volumes.List)]
@@ -97,16 +97,17 @@
 		if r.Lost || r.Status() != nvme.Success {
 			d.unsuccessful++
 		}
-		// The error says that the latency is beyond the histogram, which an op timeout is not.
+		// An error would mean that the latency exceeds maxLatency. The op timeout is shorter.
 		_ = d.latency.RecordValue((d.bed.clientLoop.Now() - began).Microseconds())
-		then()
+		onComplete()
 	}))
 	if !ok {
 		d.unsuccessful++
 	}
 }
 
-// saturate keeps a number of ops in flight for a time. It returns how many were completed, and the time that it took.
+// saturate keeps inFlight ops in flight for the given duration and then waits until they have completed. It returns the
+// number of ops that completed and the time that this took.
 func (d *driver) saturate(inFlight int, duration time.Duration) (int, time.Duration) {
 	finished := make(chan int)
 	began := time.Now()
@@ -132,7 +133,8 @@
 	return completed, time.Since(began)
 }
 
-// sendAtRate sends ops at a rate, in ops a second, and returns their latencies in microseconds.
+// sendAtRate sends ops at a rate, in ops per second, for the given duration and returns their latencies in
+// microseconds. The histogram is valid until the next call.
 func (d *driver) sendAtRate(rate float64, duration time.Duration) *hdrhistogram.Histogram {
 	finished := make(chan struct{})
 	loop := d.bed.clientLoop
@@ -142,7 +144,7 @@
 		var tick func()
 		tick = func() {
 			if loop.Now() >= end {
-				loop.Schedule(end+lastAnswersTime, func() { close(finished) })
+				loop.Schedule(end+lastRepliesDelay, func() { close(finished) })
 				return
 			}
 			d.submit(func() {})
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -18,7 +18,8 @@
 	codec "honeyplank/resp"
 )
 
-// FleetCost is what one scheduler process of the platform needs at one size of the fleet, under the same load.
+// FleetCost is the resource usage of one scheduler process of the platform at one size of the fleet, under the same
+// load at each size.
 type FleetCost struct {
 	Servers     int     `json:"servers"`
 	CPU         float64 `json:"cpu_seconds"` // from the start to the end of the load
@@ -29,32 +30,32 @@
 	Served      int64   `json:"served"`
 }
 
-// servedShare is the part of the requests that was served.
+// servedShare returns the share of the requests that were served.
 func (c FleetCost) servedShare() float64 { return float64(c.Served) / float64(max(c.Requests, 1)) }
 
-// Load and shape of Fleet: the same at each size.
+// Load and environment of Fleet, the same at each size of the fleet.
 const (
-	fleetDisks         = 8                      // fake disk servers that stand behind all listed ones
-	fleetClients       = 20                     // client connections
-	requestInterval    = 100 * time.Millisecond // between two requests of a client connection
-	listChangeInterval = 200 * time.Millisecond // between two changes of the list, of one server each
-	requestTimeoutMS   = 400                    // of the request, as it names it
-	replyTimeout       = 2 * time.Second        // of the connection
-	maxReplyBytes      = 64 << 10
-	schedulerStart     = 10 * time.Second // for a scheduler to be ready
-	pingInterval       = 10 * time.Millisecond
-	newObjectCell      = -1
+	fleetDisks            = 8                      // fake disk servers, among which all listed servers are distributed
+	fleetClients          = 20                     // client connections
+	requestInterval       = 100 * time.Millisecond // between two requests of a client connection
+	listChangeInterval    = 200 * time.Millisecond // between two changes of the list, each of one server
+	requestTimeoutMS      = 400                    // sent with each request
+	replyTimeout          = 2 * time.Second        // for writing a request and reading its reply
+	maxReplyBytes         = 64 << 10
+	schedulerStartTimeout = 10 * time.Second // from the start of a scheduler until it is ready
+	pingInterval          = 10 * time.Millisecond
+	newObjectCell         = -1 // the cell in a request for a new object
 )
 
-// Strides, primes, by which the cells of requests differ.
+// Strides between the cells of requests. They are primes, so that the requests spread over all cells.
 const (
 	clientCellStride  = 7919
 	requestCellStride = 104729
 )
 
-var errNotReady = errors.New("bench: the scheduler is not ready in time")
+var errNotReady = errors.New("bench: the scheduler did not answer PING before the start timeout")
 
-// fleetSettings are the settings of the deployment, in the form of the platform's configuration.
+// fleetSettings holds the settings of the deployment, in the format of the platform's configuration.
 const fleetSettings = `{
 "caps":{"cancel":true,"connect_timeout_ms":250,"keepalive_ms":30000,"max_attempts":3,"may_duplicate":true,
 	"peer_messages":false,"probes":false,"retry_after":true,"max_retry_after_ms":1000,"streams_per_conn":4},
@@ -68,13 +69,13 @@
 	"tip_multiple":4},
 "step_ms":1}`
 
-// Fleet runs the program itself (command, with the argument platform) as one scheduler among fakes, at each size of
-// the fleet for some seconds, and measures the process from outside. Half of the requests are for data at any server,
-// half for new objects. It needs Linux's /proc.
+// Fleet runs the program itself (command, with the argument platform) as one scheduler with fake peers, for length
+// seconds at each size of the fleet. It measures the process through /proc and therefore needs Linux. Half of the
+// requests read data at any of the servers, half are for new objects.
 func Fleet(ctx context.Context, command string, sizes []int, length float64) ([]FleetCost, error) {
 	var costs []FleetCost
 	for _, servers := range sizes {
-		cost, err := fleetCost(ctx, command, servers, seconds(length))
+		cost, err := measureFleetCost(ctx, command, servers, seconds(length))
 		if err != nil {
 			return nil, fmt.Errorf("%d servers: %w", servers, err)
 		}
@@ -83,7 +84,7 @@
 	return costs, nil
 }
 
-func fleetCost(ctx context.Context, command string, servers int, duration time.Duration) (FleetCost, error) {
+func measureFleetCost(ctx context.Context, command string, servers int, duration time.Duration) (FleetCost, error) {
 	disks, err := startDisks()
 	defer stopDisks(disks)
 	if err != nil {
@@ -113,7 +114,8 @@
 	return cost, err
 }
 
-// runFleetLoad has clients send requests, and the list change, for a time.
+// runFleetLoad sends requests from all clients and changes the list for the given duration, and records the requests
+// and the peak of open descriptors in cost.
 func runFleetLoad(cost *FleetCost, scheduler *schedulerProcess, discovery *resp.Discovery, members []resp.Member,
 	duration time.Duration) {
 	var requests, served atomic.Int64
@@ -138,7 +140,7 @@
 	cost.Requests, cost.Served = requests.Load(), served.Load()
 }
 
-// startDisks starts the fake disk servers. With an error it returns those that run.
+// startDisks starts the fake disk servers. If one fails to start, it returns those already started with the error.
 func startDisks() ([]*resp.Disk, error) {
 	var disks []*resp.Disk
 	for range fleetDisks {
@@ -157,7 +159,7 @@
 	}
 }
 
-// listMembers lists the disk servers under n ids.
+// listMembers returns a list of n members, whose addresses are those of the disk servers in turn.
 func listMembers(disks []*resp.Disk, n int) []resp.Member {
 	var members []resp.Member
 	for i := range n {
@@ -174,7 +176,7 @@
 	return members
 }
 
-// schedulerProcess is a scheduler that runs as a process of its own.
+// schedulerProcess is a scheduler that runs as a separate process.
 type schedulerProcess struct {
 	command *exec.Cmd
 	address string
@@ -182,7 +184,7 @@
 
 func (p *schedulerProcess) pid() int { return p.command.Process.Pid }
 
-// kill ends the process. Its errors are dropped: what was to be measured has been.
+// kill kills the process and waits for its end. It ignores errors, since the measurement is complete.
 func (p *schedulerProcess) kill() {
 	_ = p.command.Process.Kill()
 	_ = p.command.Wait()
@@ -194,7 +196,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // what cannot be removed stays for the system to clean up
+	defer func() { _ = os.RemoveAll(directory) }() // a file that cannot be removed stays in the temporary directory
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
@@ -210,7 +212,7 @@
 	if err := process.command.Start(); err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(schedulerStart); time.Now().Before(end); time.Sleep(pingInterval) {
+	for end := time.Now().Add(schedulerStartTimeout); time.Now().Before(end); time.Sleep(pingInterval) {
 		if answersPing(address, end) {
 			return process, nil
 		}
@@ -219,7 +221,7 @@
 	return nil, errNotReady
 }
 
-// freeAddress returns an address that nothing listens on.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
@@ -250,13 +252,13 @@
 	return err == nil && strings.HasPrefix(reply, "+PONG")
 }
 
-// exchange sends bytes on a new connection and returns the first that come back.
+// exchange sends a command on a new connection and returns the first bytes of the reply.
 func exchange(address string, deadline time.Time, command []byte) (string, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = c.Close() }() // nothing of it is needed any more
+	defer func() { _ = c.Close() }() // the connection is not used any more
 	if err := c.SetDeadline(deadline); err != nil {
 		return "", err
 	}
@@ -268,7 +270,7 @@
 	return string(reply[:n]), err
 }
 
-// fleetClient is a client with one connection, which sends one request at a time.
+// fleetClient is a client with one connection, on which it sends one request at a time.
 type fleetClient struct {
 	address  string
 	number   int
@@ -277,13 +279,13 @@
 	served   *atomic.Int64
 }
 
-// run sends requests until a time, or until the connection ends.
+// run sends requests until end, or until the connection fails.
 func (f *fleetClient) run(end time.Time) {
 	c, err := net.Dial("tcp", f.address)
 	if err != nil {
 		return
 	}
-	defer func() { _ = c.Close() }() // nothing of it is needed any more
+	defer func() { _ = c.Close() }() // the connection is not used any more
 	reply := make([]byte, maxReplyBytes)
 	for i := 0; time.Now().Before(end); i++ {
 		if err := c.SetDeadline(time.Now().Add(replyTimeout)); err != nil {
@@ -304,7 +306,7 @@
 	}
 }
 
-// command is the i-th request.
+// command returns the i-th request of the client.
 func (f *fleetClient) command(i int) []byte {
 	cell := newObjectCell
 	if i%2 == 0 {
@@ -317,7 +319,7 @@
 	return codec.AppendCommand(nil, []byte("BLK.READ"), key, id, options)
 }
 
-// changeList has one server after another drain and return, until a time.
+// changeList lists one server after another as draining and then as up again, until end.
 func changeList(discovery *resp.Discovery, members []resp.Member, end time.Time) {
 	for i := 0; time.Now().Before(end); i++ {
 		member := members[i/2%len(members)]
@@ -329,7 +331,7 @@
 	}
 }
 
-// FleetTable is the costs as a table, with ratios to the first size.
+// FleetTable returns the costs as a table, with ratios to the costs at the first size.
 func FleetTable(costs []FleetCost) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%8s %8s %8s %12s %12s %8s %8s   ratios: CPU, memory, descriptors, connections, share served\n",
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -17,70 +17,70 @@
 )
 
 const (
-	hostileAddresses    = 16                     // loopback addresses that hostile connections come from
-	reconnectInterval   = 200 * time.Millisecond // between two connections of one hostile client
-	hostileDialTimeout  = time.Second
-	rejectedWithin      = 50 * time.Millisecond // a connection that ends sooner counts as rejected
-	hostileReadInterval = 100 * time.Millisecond
+	abusiveAddresses    = 16                     // number of loopback addresses from which abusive clients connect
+	reconnectInterval   = 200 * time.Millisecond // between two connections of one abusive client
+	abusiveDialTimeout  = time.Second
+	maxRejectionTime    = 50 * time.Millisecond // a connection attempt that ends sooner counts as rejected
+	abusiveReadInterval = 100 * time.Millisecond
 	slowByteInterval    = time.Second
 	sampleInterval      = 100 * time.Millisecond
 
-	honestInFlight   = 128  // ops of honest clients at saturation
-	honestRate       = 1000 // ops a second where latency is measured
-	recoveryTimeout  = 30 * time.Second
-	recoveryInterval = 100 * time.Millisecond
-	recoveredShare   = 0.95 // of the throughput alone
+	regularOpsInFlight = 128  // ops of regular clients at saturation
+	regularOpRate      = 1000 // ops per second while latency is measured
+	recoveryTimeout    = 30 * time.Second
+	recoveryInterval   = 100 * time.Millisecond
+	recoveredShare     = 0.95 // share of the throughput without abusive clients that counts as recovered
 )
 
-// AbusiveReport is what honest clients get beside hostile ones.
+// AbusiveReport compares the service of regular clients without and with abusive clients.
 type AbusiveReport struct {
 	Connections    int     `json:"hostile_connections"`
 	Alone          Phase   `json:"alone"`
 	WithAbusive    Phase   `json:"beside"`
 	Attempts       int64   `json:"connection_attempts"`
 	Rejected       int64   `json:"rejected_connections"`
-	MaxConnections int     `json:"max_connections"` // at the gateway, honest ones too
-	Heap           float64 `json:"heap_mib"`        // of the whole process, at most
-	Recovery       float64 `json:"recovery_ms"`     // after the hostile clients have gone, until 95 % of the throughput
+	MaxConnections int     `json:"max_connections"` // largest number open at the gateway, regular clients included
+	Heap           float64 `json:"heap_mib"`        // largest heap of the whole process
+	Recovery       float64 `json:"recovery_ms"`     // from the end of the abusive clients until 95 % of the throughput
 }
 
-// hostileBehaviour is what a hostile client does on one connection, until that ends or done is closed.
-type hostileBehaviour func(c net.Conn, done <-chan struct{})
+// abusiveBehaviour runs an abusive client on one connection. It returns when the connection ends or done is closed.
+type abusiveBehaviour func(c net.Conn, done <-chan struct{})
 
-var hostileBehaviours = []hostileBehaviour{
-	sendAndStay(nil),
-	sendAndStay([]byte("GET / HTTP/1.1\r\n\r\n")),
+var abusiveBehaviours = []abusiveBehaviour{
+	sendAndKeepOpen(nil),
+	sendAndKeepOpen([]byte("GET / HTTP/1.1\r\n\r\n")),
 	sendSlowly,
-	sendAndStay(withWrongLength()),
-	sendAndStay(withUnrequestedData()),
+	sendAndKeepOpen(handshakeWithWrongLength()),
+	sendAndKeepOpen(handshakeWithUnsolicitedData()),
 }
 
-// withWrongLength is a valid handshake with a PDU behind it whose length is wrong.
-func withWrongLength() []byte {
+// handshakeWithWrongLength returns a valid handshake followed by a PDU with a wrong length.
+func handshakeWithWrongLength() []byte {
 	b := nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{})
 	return append(b, nvme.TypeCapsuleCmd, 0, 72, 0, 0xFF, 0xFF, 0xFF, 0xFF)
 }
 
-// withUnrequestedData is a valid handshake with data behind it that no R2T has asked for.
-func withUnrequestedData() []byte {
+// handshakeWithUnsolicitedData returns a valid handshake followed by data that no R2T has requested.
+func handshakeWithUnsolicitedData() []byte {
 	b := nvme.AppendInit(nil, nvme.TypeICReq, nvme.Init{})
 	framing := nvme.Framing{}
 	header := nvme.DataHeader{Type: nvme.TypeH2CData, Flags: nvme.FlagLast, CID: 1, TTAG: 1}
 	return framing.AppendData(b, header, make([]byte, opBytes))
 }
 
-// sendAndStay sends bytes and keeps the connection open.
-func sendAndStay(b []byte) hostileBehaviour {
+// sendAndKeepOpen returns a behaviour that sends b and keeps the connection open.
+func sendAndKeepOpen(b []byte) abusiveBehaviour {
 	return func(c net.Conn, done <-chan struct{}) {
 		if _, err := c.Write(b); err != nil {
 			return
 		}
-		for !hasEnded(c, hostileReadInterval, done) {
+		for !hasEnded(c, abusiveReadInterval, done) {
 		}
 	}
 }
 
-// sendSlowly sends a byte at long intervals.
+// sendSlowly sends one byte in each slowByteInterval.
 func sendSlowly(c net.Conn, done <-chan struct{}) {
 	for {
 		if _, err := c.Write([]byte{0}); err != nil || hasEnded(c, slowByteInterval, done) {
@@ -89,7 +89,8 @@
 	}
 }
 
-// hasEnded reads for a time and reports whether the connection has ended or done is closed.
+// hasEnded reads from the connection for at most wait. It reports whether the connection has ended, or done was closed
+// before the read.
 func hasEnded(c net.Conn, wait time.Duration, done <-chan struct{}) bool {
 	select {
 	case <-done:
@@ -103,35 +104,36 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Abusive drives honest load alone, then beside a number of hostile connections, which are made again whenever they
-// end, and then until the load has recovered. length is that of each phase, in seconds.
+// Abusive measures the load of regular clients without abusive clients, then with the given number of abusive
+// connections, which are opened again whenever they end, and then the time until the throughput has recovered. length
+// is the length of each phase, in seconds.
 func Abusive(connections int, length float64) (*AbusiveReport, error) {
 	bed, err := newTestbed(func(s *settings.Gateway) { limitClients(s, connections) })
 	if err != nil {
 		return nil, err
 	}
 	defer bed.close()
-	honest, err := newDriver(bed, bed.gatewayAddresses(), bed.settings.Listen.Subsystem)
+	regular, err := newDriver(bed, bed.gatewayAddresses(), bed.settings.Listen.Subsystem)
 	if err != nil {
 		return nil, err
 	}
-	defer honest.close()
+	defer regular.close()
 	duration := seconds(length)
 	report := &AbusiveReport{Connections: connections}
-	honest.saturate(honestInFlight, duration/2)
-	report.Alone = measureHonest(honest, duration)
-	clients := startHostileClients(connections, bed.gateway.Address())
+	regular.saturate(regularOpsInFlight, duration/2)
+	report.Alone = measureRegularClients(regular, duration)
+	clients := startAbusiveClients(connections, bed.gateway.Address())
 	usage := startUsageSampler(bed.gateway)
-	report.WithAbusive = measureHonest(honest, duration)
+	report.WithAbusive = measureRegularClients(regular, duration)
 	usage.stop()
 	clients.stop()
 	report.MaxConnections, report.Heap = usage.maxConnections, usage.maxHeap
-	report.Recovery = milliseconds(awaitRecovery(honest, report.Alone.Throughput))
+	report.Recovery = milliseconds(awaitRecovery(regular, report.Alone.Throughput))
 	report.Attempts, report.Rejected = clients.attempts.Load(), clients.rejected.Load()
 	return report, nil
 }
 
-// limitClients bounds what the clients of one address may use.
+// limitClients sets the limits of the clients of one address.
 func limitClients(s *settings.Gateway, connections int) {
 	s.Limits.MaxConnections = 4 * connections
 	s.Limits.Client = &settings.ClientLimits{
@@ -146,25 +148,25 @@
 	}
 }
 
-// measureHonest measures the honest clients for one phase.
-func measureHonest(honest *driver, duration time.Duration) Phase {
-	honest.unsuccessful = 0
-	completed, took := honest.saturate(honestInFlight, duration)
-	latency := honest.sendAtRate(honestRate, duration)
+// measureRegularClients measures throughput and latency of the regular clients in one phase.
+func measureRegularClients(regular *driver, duration time.Duration) Phase {
+	regular.unsuccessful = 0
+	completed, took := regular.saturate(regularOpsInFlight, duration)
+	latency := regular.sendAtRate(regularOpRate, duration)
 	return Phase{
 		Throughput:   float64(completed) / took.Seconds(),
 		P50:          float64(latency.ValueAtQuantile(50)),
 		P99:          float64(latency.ValueAtQuantile(99)),
-		Unsuccessful: honest.unsuccessful,
+		Unsuccessful: regular.unsuccessful,
 	}
 }
 
-// awaitRecovery saturates the gateway in short steps until it has its throughput again, and returns how long that
-// took.
-func awaitRecovery(honest *driver, throughput float64) time.Duration {
+// awaitRecovery saturates the gateway in steps of recoveryInterval until recoveredShare of the given throughput is
+// reached, or recoveryTimeout has passed. It returns the elapsed time.
+func awaitRecovery(regular *driver, throughput float64) time.Duration {
 	began := time.Now()
 	for time.Since(began) < recoveryTimeout {
-		completed, took := honest.saturate(honestInFlight, recoveryInterval)
+		completed, took := regular.saturate(regularOpsInFlight, recoveryInterval)
 		if float64(completed)/took.Seconds() >= recoveredShare*throughput {
 			break
 		}
@@ -172,39 +174,39 @@
 	return time.Since(began)
 }
 
-// hostileClients are clients that connect again and again.
-type hostileClients struct {
+// abusiveClients are clients that connect again whenever their connection ends.
+type abusiveClients struct {
 	attempts atomic.Int64
 	rejected atomic.Int64
 	done     chan struct{}
 	running  sync.WaitGroup
 }
 
-func startHostileClients(n int, address string) *hostileClients {
-	clients := &hostileClients{done: make(chan struct{})}
+func startAbusiveClients(n int, address string) *abusiveClients {
+	clients := &abusiveClients{done: make(chan struct{})}
 	for i := range n {
 		clients.running.Go(func() { clients.run(i, address) })
 	}
 	return clients
 }
 
-func (h *hostileClients) stop() {
+func (h *abusiveClients) stop() {
 	close(h.done)
 	h.running.Wait()
 }
 
-// run is one client, until stop.
-func (h *hostileClients) run(i int, address string) {
-	source := net.IPv4(127, 0, 1, byte(1+i%hostileAddresses))
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: source}, Timeout: hostileDialTimeout}
+// run runs the i-th client until stop is called.
+func (h *abusiveClients) run(i int, address string) {
+	source := net.IPv4(127, 0, 1, byte(1+i%abusiveAddresses))
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: source}, Timeout: abusiveDialTimeout}
 	for {
 		h.attempts.Add(1)
 		began := time.Now()
 		if c, err := dialer.Dial("tcp", address); err == nil {
-			hostileBehaviours[i%len(hostileBehaviours)](c, h.done)
-			_ = c.Close() // nothing of it is needed any more
+			abusiveBehaviours[i%len(abusiveBehaviours)](c, h.done)
+			_ = c.Close() // the connection is not used any more
 		}
-		if time.Since(began) < rejectedWithin {
+		if time.Since(began) < maxRejectionTime {
 			h.rejected.Add(1)
 		}
 		select {
@@ -215,7 +217,8 @@
 	}
 }
 
-// usageSampler samples a gateway's connections and the heap. Its results may be read after stop.
+// usageSampler samples the number of a gateway's connections and the size of the heap. Its results may be read after
+// stop has returned.
 type usageSampler struct {
 	maxConnections int
 	maxHeap        float64 // MiB
@@ -233,11 +236,11 @@
 				return
 			case <-time.After(sampleInterval):
 			}
-			counts, _ := g.Counts() // the gateway runs
+			counts, _ := g.Counts() // succeeds while the gateway runs
 			var memory runtime.MemStats
 			runtime.ReadMemStats(&memory)
 			u.maxConnections = max(u.maxConnections, counts.Connections)
-			u.maxHeap = max(u.maxHeap, float64(memory.HeapAlloc)/bytesOfMiB)
+			u.maxHeap = max(u.maxHeap, float64(memory.HeapAlloc)/bytesPerMiB)
 		}
 	}()
 	return u
@@ -248,20 +251,20 @@
 	<-u.ended
 }
 
-// String is the report as text.
+// String returns the report as text.
 func (r *AbusiveReport) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d hostile connections beside honest load; figures are of fakes on loopback, ", r.Connections)
-	b.WriteString("the hostile clients share the machine\n\n")
-	fmt.Fprintf(&b, "%-26s %12s %12s %8s\n", "", "alone", "beside", "ratio")
-	row := func(name string, alone, beside float64) {
-		fmt.Fprintf(&b, "%-26s %12.0f %12.0f %8.2f\n", name, alone, beside, beside/alone)
+	fmt.Fprintf(&b, "%d abusive connections besides regular load; measured with fakes on loopback, ", r.Connections)
+	b.WriteString("the abusive clients run on the same machine\n\n")
+	fmt.Fprintf(&b, "%-26s %12s %12s %8s\n", "", "without", "with", "ratio")
+	row := func(name string, without, with float64) {
+		fmt.Fprintf(&b, "%-26s %12.0f %12.0f %8.2f\n", name, without, with, with/without)
 	}
-	row("ops a second, saturated", r.Alone.Throughput, r.WithAbusive.Throughput)
-	row("p99 at 1,000 a second, us", r.Alone.P99, r.WithAbusive.P99)
+	row("ops per second, saturated", r.Alone.Throughput, r.WithAbusive.Throughput)
+	row("p99 at 1,000 ops/s, us", r.Alone.P99, r.WithAbusive.P99)
 	fmt.Fprintf(&b, "%-26s %12d %12d\n\n", "not succeeded", r.Alone.Unsuccessful, r.WithAbusive.Unsuccessful)
-	fmt.Fprintf(&b, "hostile connections tried %d times, %d ended within 50 ms; ", r.Attempts, r.Rejected)
-	fmt.Fprintf(&b, "at most %d open; heap at most %.0f MiB\n", r.MaxConnections, r.Heap)
-	fmt.Fprintf(&b, "95%% of the throughput alone %.0f ms after they had left\n", r.Recovery)
+	fmt.Fprintf(&b, "%d attempts of abusive connections, %d ended within 50 ms; ", r.Attempts, r.Rejected)
+	fmt.Fprintf(&b, "at most %d connections open; heap at most %.0f MiB\n", r.MaxConnections, r.Heap)
+	fmt.Fprintf(&b, "95%% of the throughput recovered %.0f ms after the abusive clients stopped\n", r.Recovery)
 	return b.String()
 }
--- a/bench/ops.go
+++ b/bench/ops.go
@@ -11,22 +11,23 @@
 	"honeyplank/gateway"
 )
 
-// Baseline is the recorded cost of an op, as JSON of an OpsReport.
+// Baseline is the recorded cost of an op, as the JSON form of an OpsReport.
 //
 //go:embed baseline.json
 var Baseline []byte
 
-// maxGrowth is how many times its baseline a cost may be.
-const maxGrowth = 1.1
+// maxCostRatio is the largest ratio of a cost to its baseline that Compare accepts.
+const maxCostRatio = 1.1
 
-// OpsOptions say how long and how large a measurement of ops is.
+// OpsOptions configure Ops.
 type OpsOptions struct {
-	Seconds  float64 // of each phase
+	Seconds  float64 // length of each phase
 	InFlight int     // ops in flight at saturation
-	Rate     float64 // ops a second where latency is measured
+	Rate     float64 // ops per second while latency is measured
 }
 
-// OpCost is what one op costs at the gateway: what load through it costs beyond load straight at the disk servers.
+// OpCost is the cost of one op at the gateway. Allocations are those of the load through the gateway minus those of the
+// load sent directly to the disk servers. The other costs are those of the gateway's loop.
 type OpCost struct {
 	Allocations float64 `json:"allocations"`
 	SystemCalls float64 `json:"system_calls"`
@@ -34,7 +35,7 @@
 	CPU         float64 `json:"cpu_us"`
 }
 
-// Phase is what one way of driving the load gave.
+// Phase is the result of one phase of a measurement: throughput at saturation and latency at a fixed rate.
 type Phase struct {
 	Throughput   float64 `json:"ops_a_second"`
 	P50          float64 `json:"p50_us"`
@@ -51,11 +52,11 @@
 	Direct         Phase   `json:"direct"`
 	ThroughGateway Phase   `json:"through"`
 	Op             OpCost  `json:"op"`
-	PerCore        float64 `json:"ops_a_second_of_one_core"` // of the gateway's loop
+	PerCore        float64 `json:"ops_a_second_of_one_core"` // for one core of the gateway's loop
 }
 
-// Ops drives load straight at the disk servers, then through the gateway. Each way first warms up, then saturates,
-// then sends at a rate.
+// Ops sends load directly to the disk servers, then through the gateway. Each phase warms up, then measures throughput
+// at saturation, then latency at a fixed rate.
 func Ops(options OpsOptions) (*OpsReport, error) {
 	bed, err := newTestbed(nil)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return report, nil
 }
 
-// gatewayUsage is what the gateway's loop has used, for a number of ops.
+// gatewayUsage is the resource usage of the gateway's loop for a number of ops.
 type gatewayUsage struct {
 	ops         float64
 	systemCalls int64
@@ -93,13 +94,13 @@
 	cpu         time.Duration
 }
 
-// readUsage reads what the gateway's loop has used since its start.
+// readUsage returns the resource usage of the gateway's loop since its start, without the number of ops.
 func readUsage(g *gateway.Instance) gatewayUsage {
-	counts, _ := g.Counts() // the gateway runs
+	counts, _ := g.Counts() // succeeds while the gateway runs
 	return gatewayUsage{systemCalls: g.Stats().Calls(), copied: g.Stats().Copied.Load(), cpu: counts.CPU}
 }
 
-// measurePhase measures one way of driving the load, and closes the driver. The usage is that of the saturation.
+// measurePhase measures one phase and closes the driver. The usage is that of the measurement at saturation.
 func measurePhase(d *driver, options OpsOptions) (Phase, gatewayUsage) {
 	defer d.close()
 	duration := seconds(options.Seconds)
@@ -127,45 +128,45 @@
 	}
 }
 
-// Compare returns an error that names the costs of an op that have grown by more than a tenth over a baseline.
-// Processor time is not compared, since it is the machine's.
+// Compare returns an error that names the costs of an op that exceed those of a baseline by more than a tenth.
+// Processor time is not compared, since it depends on the machine.
 func (r *OpsReport) Compare(baseline []byte) error {
 	var recorded OpsReport
 	if err := json.Unmarshal(baseline, &recorded); err != nil {
-		return fmt.Errorf("bench: the baseline: %w", err)
+		return fmt.Errorf("bench: reading the baseline: %w", err)
 	}
 	var grown []string
 	compare := func(name string, recorded, now float64) {
-		if now > maxGrowth*recorded {
-			grown = append(grown, fmt.Sprintf("%s an op: %.2f, were %.2f", name, now, recorded))
+		if now > maxCostRatio*recorded {
+			grown = append(grown, fmt.Sprintf("%s per op: %.2f, baseline %.2f", name, now, recorded))
 		}
 	}
 	compare("allocations", recorded.Op.Allocations, r.Op.Allocations)
 	compare("system calls", recorded.Op.SystemCalls, r.Op.SystemCalls)
 	compare("bytes copied", recorded.Op.Copied, r.Op.Copied)
 	if len(grown) > 0 {
-		return fmt.Errorf("bench: grown by more than a tenth: %s", strings.Join(grown, "; "))
+		return fmt.Errorf("bench: costs of an op have grown by more than a tenth: %s", strings.Join(grown, "; "))
 	}
 	return nil
 }
 
-// String is the report as text.
+// String returns the report as text.
 func (r *OpsReport) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d fake disk servers, %d volumes, reads of %d bytes; figures are of fakes on loopback\n\n",
+	fmt.Fprintf(&b, "%d fake disk servers, %d volumes, reads of %d bytes; measured with fakes on loopback\n\n",
 		r.Servers, r.Volumes, r.Bytes)
 	fmt.Fprintf(&b, "%-28s %12s %12s %8s\n", "", "direct", "through", "ratio")
 	row := func(name string, direct, through float64) {
 		fmt.Fprintf(&b, "%-28s %12.1f %12.1f %8.2f\n", name, direct, through, through/direct)
 	}
-	row("ops a second, saturated", r.Direct.Throughput, r.ThroughGateway.Throughput)
+	row("ops per second, saturated", r.Direct.Throughput, r.ThroughGateway.Throughput)
 	row("p50, us", r.Direct.P50, r.ThroughGateway.P50)
 	row("p99, us", r.Direct.P99, r.ThroughGateway.P99)
-	row("allocations an op, in all", r.Direct.Allocations, r.ThroughGateway.Allocations)
-	fmt.Fprintf(&b, "\nat the gateway, an op: %.2f allocations, %.2f system calls, %.0f bytes copied, ",
+	row("allocations per op, total", r.Direct.Allocations, r.ThroughGateway.Allocations)
+	fmt.Fprintf(&b, "\nat the gateway, per op: %.2f allocations, %.2f system calls, %.0f bytes copied, ",
 		r.Op.Allocations, r.Op.SystemCalls, r.Op.Copied)
-	fmt.Fprintf(&b, "%.1f us of its loop's core\n", r.Op.CPU)
-	fmt.Fprintf(&b, "one core of the gateway carries %.0f ops a second; not succeeded: %d direct, %d through\n",
+	fmt.Fprintf(&b, "%.1f us of processor time of its loop\n", r.Op.CPU)
+	fmt.Fprintf(&b, "one core of the gateway handles %.0f ops per second; not succeeded: %d direct, %d through\n",
 		r.PerCore, r.Direct.Unsuccessful, r.ThroughGateway.Unsuccessful)
 	return b.String()
 }
--- a/bench/process.go
+++ b/bench/process.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	bytesOfMiB = 1 << 20
-	kBOfMB     = 1024
-	// clockTicks is the unit of /proc/PID/stat in ticks a second, see proc(5) and sysconf(_SC_CLK_TCK).
-	clockTicks = 100
-	// statUserTime and statSystemTime are positions in /proc/PID/stat, counted behind the process's name.
-	statUserTime   = 11
-	statSystemTime = 12
+	bytesPerMiB = 1 << 20
+	kBPerMB     = 1024
+	// clockTicksPerSecond is the unit of times in /proc/PID/stat, see proc(5) and sysconf(_SC_CLK_TCK).
+	clockTicksPerSecond = 100
+	// statUserTimeField and statSystemTimeField are indices of fields in /proc/PID/stat, counted from the first field
+	// after the process name.
+	statUserTimeField   = 11
+	statSystemTimeField = 12
 )
 
 var (
-	errNoPeakMemory  = errors.New("bench: /proc has no peak of memory")
-	errNoProcessTime = errors.New("bench: /proc has no processor time")
+	errNoPeakMemory  = errors.New("bench: /proc/PID/status has no value of VmHWM")
+	errNoProcessTime = errors.New("bench: /proc/PID/stat has no processor time: too few fields")
 )
 
-// heapBytes returns the size of this process's live heap.
+// heapBytes runs a garbage collection and returns the size of this process's live heap.
 func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -34,7 +35,7 @@
 	return float64(stats.HeapAlloc)
 }
 
-// processTime returns the processor time that this process has used; 0 if the system does not tell.
+// processTime returns the processor time that this process has used, or 0 if getrusage fails.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -43,7 +44,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// openDescriptors returns how many files a process has open; 0 if it has ended.
+// openDescriptors returns the number of open file descriptors of a process, or 0 if the process has ended.
 func openDescriptors(pid int) int {
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -52,7 +53,7 @@
 	return len(files)
 }
 
-// peakMemory returns the most that a process had resident, in MB.
+// peakMemory returns the peak resident set size of a process, in MB.
 func peakMemory(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -64,7 +65,7 @@
 		return 0, errNoPeakMemory
 	}
 	kB, err := strconv.ParseFloat(fields[0], 64)
-	return kB / kBOfMB, err
+	return kB / kBPerMB, err
 }
 
 // cpuSeconds returns the processor time that a process has used, in seconds.
@@ -73,17 +74,17 @@
 	if err != nil {
 		return 0, err
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name before may have spaces
+	_, rest, _ := strings.Cut(string(text), ") ") // skips the process name, which may contain spaces
 	fields := strings.Fields(rest)
-	if len(fields) <= statSystemTime {
+	if len(fields) <= statSystemTimeField {
 		return 0, errNoProcessTime
 	}
-	user, err := strconv.ParseFloat(fields[statUserTime], 64)
+	user, err := strconv.ParseFloat(fields[statUserTimeField], 64)
 	if err != nil {
 		return 0, err
 	}
-	system, err := strconv.ParseFloat(fields[statSystemTime], 64)
-	return (user + system) / clockTicks, err
+	system, err := strconv.ParseFloat(fields[statSystemTimeField], 64)
+	return (user + system) / clockTicksPerSecond, err
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/bench/testbed.go
+++ b/bench/testbed.go
@@ -1,10 +1,10 @@
-// Package bench measures costs: of an op through the gateway (Ops), of honest clients beside hostile ones (Hostile),
-// of following the endpoint list (Sources, DNSLoad) and of one scheduler of the platform by the size of its fleet
-// (Fleet). Where a ratio tells more it drives the same load straight at fake disk servers. All figures are of fakes
-// on loopback.
+// Package bench measures the cost of an op through the gateway (Ops), the service that regular clients get while
+// abusive clients are connected (Abusive), the cost of following the endpoint list (Sources, DNSLoad) and the cost of
+// one scheduler of the platform by the size of its fleet (Fleet). Ops sends the same load directly to the fake disk
+// servers too, so that it can report ratios. All measurements use fake servers on the loopback interface.
 //
-// It is a measuring tool: no instance uses it. Its functions may be called from any goroutine, one at a time, since
-// they measure the process and the machine.
+// The package is a measuring tool that no instance uses. Its functions may be called from any goroutine, but only one
+// at a time, since they measure the process and the machine.
 package bench
 
 import (
@@ -27,21 +27,22 @@
 )
 
 const (
-	// anyPort is an address to listen on.
+	// anyPort is a loopback address to listen on, with a port that the system chooses.
 	anyPort = "127.0.0.1:0"
-	// loopOrigin is where the clocks of the loops begin: late enough for a disk server to have started before it.
+	// loopOrigin is the time at which the clocks of the loops start. It is late enough for the start time of a disk
+	// server to be before it.
 	loopOrigin = time.Minute
-	// listDelay is how long the endpoint list may take to reach a gateway that has just started.
-	listDelay = 300 * time.Millisecond
+	// listSyncDelay is the time in which the endpoint list reaches a gateway that has just started.
+	listSyncDelay = 300 * time.Millisecond
 )
 
 //go:embed bench.xml
 var settingsText []byte
 
-// readSettings returns the settings of all measurements that have a gateway.
+// readSettings returns the settings of the gateway in all measurements.
 func readSettings() (*settings.Gateway, error) { return settings.Parse("bench.xml", settingsText) }
 
-// testbed is a gateway before fake disk servers.
+// testbed is a gateway with fake disk servers.
 type testbed struct {
 	settings    *settings.Gateway
 	diskLoop    *eventloop.Loop
@@ -49,10 +50,10 @@
 	diskServers []*disk.Server
 	registry    *etcd.Server
 	gateway     *gateway.Instance
-	ended       chan error // of both loops and the gateway
+	ended       chan error // the errors with which both loops and the gateway ended
 }
 
-// newTestbed starts a testbed, with the settings changed where change is set. The caller closes it.
+// newTestbed starts a testbed. If change is not nil, it modifies the settings first. The caller closes the testbed.
 func newTestbed(change func(*settings.Gateway)) (*testbed, error) {
 	s, err := readSettings()
 	if err != nil {
@@ -66,25 +67,25 @@
 		return nil, err
 	}
 	if bed.clientLoop, err = eventloop.New(loopOrigin); err != nil {
-		return nil, errors.Join(err, endLoop(bed.diskLoop))
+		return nil, errors.Join(err, closeLoop(bed.diskLoop))
 	}
 	if err := bed.start(); err != nil {
 		if bed.registry != nil {
 			bed.registry.Close()
 		}
-		return nil, errors.Join(err, endLoop(bed.diskLoop), endLoop(bed.clientLoop))
+		return nil, errors.Join(err, closeLoop(bed.diskLoop), closeLoop(bed.clientLoop))
 	}
-	time.Sleep(listDelay)
+	time.Sleep(listSyncDelay)
 	return bed, nil
 }
 
-// endLoop ends a loop that does not run, which closes its sockets.
-func endLoop(loop *eventloop.Loop) error {
+// closeLoop closes the sockets of a loop that is not running: Run returns at once after Stop.
+func closeLoop(loop *eventloop.Loop) error {
 	loop.Stop()
 	return loop.Run()
 }
 
-// start starts etcd, the disk servers, which it lists there, and the gateway; then all run.
+// start starts etcd, the disk servers, which it lists in etcd, and the gateway. Then both loops and the gateway run.
 func (bed *testbed) start() error {
 	var err error
 	if bed.registry, err = etcd.New(anyPort); err != nil {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// close ends the testbed. Errors of the loops are dropped: what was measured stands.
+// close stops the testbed. It ignores the errors of the loops and the gateway, since the measurement is complete.
 func (bed *testbed) close() {
 	bed.gateway.Kill()
 	bed.diskLoop.Post(bed.diskLoop.Stop)
@@ -143,8 +144,8 @@
 	return addresses
 }
 
-// gatewayAddresses returns the gateway's address as often as there are disk servers, so that both ways of driving
-// load have as many connections.
+// gatewayAddresses returns the gateway's address once for each disk server, so that load through the gateway and load
+// sent directly to the disk servers use the same number of connections.
 func (bed *testbed) gatewayAddresses() []string {
 	var addresses []string
 	for range bed.diskServers {
@@ -153,5 +154,5 @@
 	return addresses
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/loadgen/generator_test.go
+++ b/loadgen/generator_test.go
@@ -120,7 +120,7 @@
 		b.Fatal(err)
 	}
 	if !idle {
-		b.Fatalf("%d ops are still pending after %v", b.load.pending, testTimeout)
+		b.Fatalf("%d ops are still pending at the end of the test", b.load.pending)
 	}
 }
 
