--- a/fuzzcorpus/coverage.go
+++ b/fuzzcorpus/coverage.go
@@ -10,28 +10,28 @@
 	"golang.org/x/tools/cover"
 )
 
-// Patterns of the inputs that measure runs.
+// Patterns for the names of the inputs that measure runs.
 const (
-	seedInputs = "^seed#" // those in the source
-	allInputs  = ""
+	seedsPattern     = "^seed#" // inputs that the source adds with f.Add
+	allInputsPattern = ""
 )
 
-// block is a block of statements in the source. runDigits is 0 for the block as such, else how many binary digits the
-// count of its runs has: an input that runs a loop more often reaches something new.
+// block is a block of statements in the source. countBits is 0 for the block itself. Otherwise it is the number of
+// binary digits of its execution count, so that an input that runs a loop more often counts as reaching new coverage.
 type block struct {
 	file                             string
 	line, column, endLine, endColumn int
-	runDigits                        int
+	countBits                        int
 }
 
-// coverage is what inputs reach: the blocks that ran, with the number of their statements, and all blocks of the
-// package.
+// coverage is the coverage of a set of inputs: the blocks that ran and all blocks of the package, each with its number
+// of statements.
 type coverage struct {
 	reached map[block]int
 	all     map[block]int
 }
 
-// readCoverage reads the profile that a test binary has written.
+// readCoverage reads a coverage profile that a test binary has written.
 func readCoverage(profile string) (coverage, error) {
 	profiles, err := cover.ParseProfiles(profile)
 	c := coverage{reached: map[block]int{}, all: map[block]int{}}
@@ -41,15 +41,15 @@
 			c.all[key] = b.NumStmt
 			if b.Count > 0 {
 				c.reached[key] = b.NumStmt
-				key.runDigits = bits.Len(uint(b.Count))
-				c.reached[key] = 0 // its statements count once
+				key.countBits = bits.Len(uint(b.Count))
+				c.reached[key] = 0 // the statements count only for the block itself
 			}
 		}
 	}
 	return c, err
 }
 
-// share is the part of the statements that is reached.
+// share returns the share of the statements that are reached.
 func (c coverage) share() float64 {
 	reached, all := 0, 0
 	for key, statements := range c.all {
@@ -59,7 +59,7 @@
 	return float64(reached) / float64(max(all, 1))
 }
 
-// add adds what another coverage of the same package reaches, and reports whether that is more.
+// add adds the reached blocks of another coverage of the same package and reports whether any of them is new.
 func (c coverage) add(other coverage) bool {
 	more := false
 	for key, statements := range other.reached {
@@ -71,16 +71,16 @@
 	return more
 }
 
-// coverageBinary is the test binary of a target, built to measure coverage.
+// coverageBinary is the test binary of a target, instrumented to measure coverage.
 type coverageBinary struct {
 	target    Target
-	directory string // of its package
+	directory string // of the target's package
 	path      string
-	profile   string // is overwritten by each measurement
+	profile   string // file that each measurement overwrites
 }
 
-// buildForCoverage builds the test binary of a target into a directory.
-func buildForCoverage(ctx context.Context, root string, t Target, into string) (*coverageBinary, error) {
+// buildCoverageBinary builds the instrumented test binary of a target in the directory into.
+func buildCoverageBinary(ctx context.Context, root string, t Target, into string) (*coverageBinary, error) {
 	path, err := buildTests(ctx, root, t, into, "-covermode=count")
 	if err != nil {
 		return nil, err
@@ -89,18 +89,19 @@
 	return &coverageBinary{target: t, directory: t.packageDirectory(root), path: path, profile: profile}, nil
 }
 
-// measure runs the inputs whose names match a pattern. They are read from the source tree.
+// measure runs the inputs whose names match a pattern and returns their coverage. The inputs are read from the source
+// tree.
 func (b *coverageBinary) measure(ctx context.Context, pattern string) (coverage, error) {
 	run := "^" + b.target.Name + "$/" + pattern
 	output, err := runCommand(ctx, b.directory, b.path, "-test.run", run, "-test.coverprofile", b.profile)
 	if err != nil {
-		return coverage{}, fmt.Errorf("fuzzcorpus: %s: %w\n%s", b.target, err, output)
+		return coverage{}, fmt.Errorf("fuzzcorpus: measuring the coverage of %s: %w\n%s", b.target, err, output)
 	}
 	return readCoverage(b.profile)
 }
 
-// Stats measures how much of its package's statements each target reaches, by the seeds in its source alone and
-// together with the corpus. The results go to done, one target after another.
+// Stats measures the share of its package's statements that each target reaches, with the seeds in its source alone
+// and together with the corpus. It calls done with the result of each target in turn.
 func Stats(ctx context.Context, root string, targets []Target, done func(Result)) error {
 	directory, err := os.MkdirTemp("", "fuzzcorpus")
 	if err != nil {
@@ -122,18 +123,18 @@
 	if err := result.countFiles(root); err != nil {
 		return result, err
 	}
-	binary, err := buildForCoverage(ctx, root, t, directory)
+	binary, err := buildCoverageBinary(ctx, root, t, directory)
 	if err != nil {
 		return result, err
 	}
-	seeds, err := binary.measure(ctx, seedInputs)
+	seeds, err := binary.measure(ctx, seedsPattern)
 	if err != nil {
 		return result, err
 	}
-	covered, err := binary.measure(ctx, allInputs)
+	covered, err := binary.measure(ctx, allInputsPattern)
 	result.SeedCoverage, result.Coverage = seeds.share(), covered.share()
 	return result, err
 }
 
-// removeTemporary removes a temporary directory. What cannot be removed stays for the system to clean up.
+// removeTemporary removes a temporary directory. Files that cannot be removed stay there.
 func removeTemporary(directory string) { _ = os.RemoveAll(directory) }
--- a/fuzzcorpus/gocommand.go
+++ b/fuzzcorpus/gocommand.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// killDelay is how long a command whose context is done may take to end.
-const killDelay = 5 * time.Second
+// commandWaitDelay bounds the time from the end of a command's context until its output pipes are closed.
+const commandWaitDelay = 5 * time.Second
 
-// What the go command prints when it fuzzes.
+// Patterns for the output of the go command when it fuzzes.
 var (
-	findingFile    = regexp.MustCompile(`Failing input written to (\S+)`)
-	executionCount = regexp.MustCompile(`execs: (\d+)`)
+	failingInputPattern = regexp.MustCompile(`Failing input written to (\S+)`)
+	executionsPattern   = regexp.MustCompile(`execs: (\d+)`)
 )
 
-// runCommand runs a program in a directory and returns its output, both streams together.
+// runCommand runs a program in a directory and returns its standard output and standard error, combined.
 func runCommand(ctx context.Context, directory, program string, arguments ...string) (string, error) {
 	command := exec.CommandContext(ctx, program, arguments...)
 	command.Dir = directory
-	command.WaitDelay = killDelay
+	command.WaitDelay = commandWaitDelay
 	output, err := command.CombinedOutput()
 	if ctx.Err() != nil {
 		err = ctx.Err()
@@ -32,7 +32,7 @@
 	return string(output), err
 }
 
-// buildTests compiles the test binary of a target's package into a directory and returns its path.
+// buildTests builds the test binary of a target's package in the directory into and returns its path.
 func buildTests(ctx context.Context, root string, t Target, into string, flags ...string) (string, error) {
 	binary := filepath.Join(into, strings.ReplaceAll(t.Package, "/", "-")+".test")
 	arguments := append([]string{"test", "-c", "-o", binary}, flags...)
@@ -44,27 +44,28 @@
 	return binary, nil
 }
 
-// executions returns how many inputs the go command has tried; 0 where it printed no count.
+// executions returns the number of executions that the go command has printed last, or 0 if it printed none.
 func executions(output string) int64 {
-	counts := executionCount.FindAllStringSubmatch(output, -1)
+	counts := executionsPattern.FindAllStringSubmatch(output, -1)
 	if len(counts) == 0 {
 		return 0
 	}
-	n, _ := strconv.ParseInt(counts[len(counts)-1][1], 10, 64) // digits, as the pattern says
+	n, _ := strconv.ParseInt(counts[len(counts)-1][1], 10, 64) // the pattern matches only digits
 	return n
 }
 
-// writtenFinding returns the path, below the package, of the input that the go command has found to fail; ok is false
-// if there is none.
-func writtenFinding(output string) (path string, ok bool) {
-	match := findingFile.FindStringSubmatch(output)
+// failingInputPath returns the path, relative to the package, of the failing input that the go command has written. ok
+// is false if there is none.
+func failingInputPath(output string) (path string, ok bool) {
+	match := failingInputPattern.FindStringSubmatch(output)
 	if match == nil {
 		return "", false
 	}
 	return filepath.FromSlash(match[1]), true
 }
 
-// failedInput returns the input that the output of a target's test names as failed; empty: it names none.
+// failedInput returns the name of the input that failed according to the output of a target's test, or "" if there is
+// none.
 func failedInput(target, output string) string {
 	match := regexp.MustCompile(`--- FAIL: ` + target + `/(\S+)`).FindStringSubmatch(output)
 	if match == nil {
--- a/fuzzcorpus/grow.go
+++ b/fuzzcorpus/grow.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// crashPrefix begins the names of inputs that are findings.
+	// crashPrefix is the prefix of the file names of findings: inputs on which a target has failed.
 	crashPrefix = "crash-"
-	// minimiseRuns is how often the go command may run a target to minimise one input.
+	// minimiseRuns bounds the executions of a target with which the go command minimises one input.
 	minimiseRuns = "20x"
 )
 
-// ExtendOptions are how targets are fuzzed.
+// ExtendOptions configure Extend.
 type ExtendOptions struct {
-	Time     time.Duration // for each target
-	Workers  int           // inputs tried at a time
-	MaxBytes int64         // longest input that is kept
+	Time     time.Duration // fuzzing time of each target
+	Workers  int           // number of inputs that run in parallel
+	MaxBytes int64         // size of the longest input file that is kept
 }
 
-// Extend fuzzes each target for a time and keeps the inputs that reached something new. A crash is kept under a name of
-// its own, so that every later run of the target plays it. The results go to done, one target after another.
+// Extend fuzzes each target for options.Time and adds the inputs that reached new coverage to the corpus. A crash is
+// kept under a name with crashPrefix, so that every later run of the target replays it. Extend calls done with the
+// result of each target in turn.
 func Extend(ctx context.Context, root string, targets []Target, options ExtendOptions, done func(Result)) error {
-	cache, err := fuzzCache(ctx, root)
+	cache, err := fuzzCacheDirectory(ctx, root)
 	if err != nil {
 		return err
 	}
 	for _, t := range targets {
-		result, err := growTarget(ctx, root, t, options)
+		result, err := extendTarget(ctx, root, t, options)
 		if err != nil {
 			return err
 		}
 		from := filepath.Join(t.packageDirectory(cache), t.Name)
-		if result.Added, err = t.adopt(root, from, options.MaxBytes); err != nil {
+		if result.Added, err = t.copyInputs(root, from, options.MaxBytes); err != nil {
 			return err
 		}
 		if err := result.countFiles(root); err != nil {
@@ -50,8 +51,9 @@
 	return nil
 }
 
-// fuzzCache returns the directory in which the go command keeps what it finds by fuzzing the module.
-func fuzzCache(ctx context.Context, root string) (string, error) {
+// fuzzCacheDirectory returns the directory in which the go command keeps the inputs that it generates by fuzzing the
+// module.
+func fuzzCacheDirectory(ctx context.Context, root string) (string, error) {
 	cache, err := runCommand(ctx, root, "go", "env", "GOCACHE")
 	if err != nil {
 		return "", err
@@ -63,8 +65,8 @@
 	return filepath.Join(strings.TrimSpace(cache), "fuzz", strings.TrimSpace(module)), nil
 }
 
-// growTarget fuzzes one target and keeps a crash.
-func growTarget(ctx context.Context, root string, t Target, options ExtendOptions) (Result, error) {
+// extendTarget fuzzes one target and, if it crashes, adds the failing input to its corpus.
+func extendTarget(ctx context.Context, root string, t Target, options ExtendOptions) (Result, error) {
 	result := Result{Target: t}
 	var err error
 	if result.Faults, result.Upgraded, err = upgradeInputs(root, t); err != nil {
@@ -79,10 +81,10 @@
 	}
 	result.Took = time.Since(began)
 	result.Executions = executions(output)
-	finding, found := writtenFinding(output)
+	finding, found := failingInputPath(output)
 	if !found {
 		if err != nil {
-			return result, fmt.Errorf("fuzzcorpus: %s: %w\n%s", t, err, output)
+			return result, fmt.Errorf("fuzzcorpus: fuzzing %s: %w\n%s", t, err, output)
 		}
 		return result, nil
 	}
@@ -92,9 +94,9 @@
 	return result, os.Rename(path, filepath.Join(filepath.Dir(path), result.Crash))
 }
 
-// adopt copies the inputs of a directory that are for the target, not too long, and not there yet. It returns their
-// names.
-func (t Target) adopt(root, from string, maxBytes int64) ([]string, error) {
+// copyInputs copies those files of the directory from to the corpus that are inputs for the target, have at most
+// maxBytes and are not in the corpus. It returns their names.
+func (t Target) copyInputs(root, from string, maxBytes int64) ([]string, error) {
 	entries, err := os.ReadDir(from)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/fuzzcorpus/inputs.go
+++ b/fuzzcorpus/inputs.go
@@ -17,26 +17,28 @@
 // maxInputLine is the longest line of a corpus file, in bytes.
 const maxInputLine = 16 << 20
 
-// errOlder is the error of an input that has other values than its target takes now.
-var errOlder = errors.New("written for an older version of its target")
+// errOutdatedInput is the error of an input whose values do not match the current parameters of its target.
+var errOutdatedInput = errors.New("written for an older version of its target")
 
-// literal matches a value: its type and, in parentheses, the rest.
-var literal = regexp.MustCompile(`^([a-z0-9\[\]]+)\((.*)\)$`)
+// literalPattern matches a literal: its type and, in parentheses, its value.
+var literalPattern = regexp.MustCompile(`^([a-z0-9\[\]]+)\((.*)\)$`)
 
-// aliases are other spellings of types, with the one that is compared.
-var aliases = map[string]string{"uint8": "byte", "int32": "rune"}
+// typeAliases maps alternative names of types to the names under which they are compared.
+var typeAliases = map[string]string{"uint8": "byte", "int32": "rune"}
 
-func withoutAlias(typeName string) string {
-	if name, ok := aliases[typeName]; ok {
+func canonicalType(typeName string) string {
+	if name, ok := typeAliases[typeName]; ok {
 		return name
 	}
 	return typeName
 }
 
-// typeOf returns the type of a literal.
-func typeOf(text string) string { return withoutAlias(literal.FindStringSubmatch(text)[1]) }
+// literalType returns the canonical name of the type of a literal. The text must match literalPattern.
+func literalType(text string) string {
+	return canonicalType(literalPattern.FindStringSubmatch(text)[1])
+}
 
-// zeroLiteral is the literal of a type's zero value.
+// zeroLiteral returns the literal of a type's zero value.
 func zeroLiteral(typeName string) string {
 	switch typeName {
 	case "string", "[]byte":
@@ -49,14 +51,17 @@
 	return typeName + "(0)"
 }
 
-// Check reports whether a text is an input for the target; the error is errOlder where its values are others.
+// Check returns nil if a text is an input for the target. The error wraps errOutdatedInput if the text is an input with
+// other values.
 func (t Target) Check(text []byte) error {
 	_, err := t.Upgrade(text)
 	return err
 }
 
-// Upgrade rewrites an input of an older version: its values become, in their order, the first values of their types,
-// all others are zero. It returns errOlder with the new text, and no text where the values do not fit.
+// Upgrade rewrites an input of an older version of the target. Its values, in their order, become the first parameters
+// of their types. All other parameters become zero. Upgrade returns the new text and an error that wraps
+// errOutdatedInput. The text is nil if a value fits no parameter. If the input is up to date, Upgrade returns it
+// unchanged and no error.
 func (t Target) Upgrade(text []byte) ([]byte, error) {
 	values, err := parseInput(text)
 	if err != nil {
@@ -65,8 +70,8 @@
 	var upgraded []string
 	rest, same := values, len(values) == len(t.Types)
 	for _, name := range t.Types {
-		name = withoutAlias(name)
-		if len(rest) > 0 && typeOf(rest[0]) == name {
+		name = canonicalType(name)
+		if len(rest) > 0 && literalType(rest[0]) == name {
 			upgraded = append(upgraded, rest[0])
 			rest = rest[1:]
 			continue
@@ -79,10 +84,10 @@
 	case same:
 		return text, nil
 	case len(rest) > 0:
-		return nil, fmt.Errorf("%w: %d of its values have no place among %s", errOlder, len(rest), types)
+		return nil, fmt.Errorf("%w: %d of its values fit none of the parameters %s", errOutdatedInput, len(rest), types)
 	}
 	return []byte(Encoding + "\n" + strings.Join(upgraded, "\n") + "\n"),
-		fmt.Errorf("%w: it has %d of %s", errOlder, len(values), types)
+		fmt.Errorf("%w: it has %d values for the parameters %s", errOutdatedInput, len(values), types)
 }
 
 // parseInput returns the literals of a corpus file.
@@ -90,7 +95,7 @@
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxInputLine)
 	if !lines.Scan() || strings.TrimSpace(lines.Text()) != Encoding {
-		return nil, fmt.Errorf("the first line is not %q: an unknown encoding", Encoding)
+		return nil, fmt.Errorf("unknown encoding: the first line is not %q", Encoding)
 	}
 	var values []string
 	for lines.Scan() {
@@ -98,28 +103,29 @@
 		if line == "" {
 			continue
 		}
-		if literal.FindStringSubmatch(line) == nil {
-			return nil, fmt.Errorf("line %d is no value, such as []byte(\"...\")", len(values)+2)
+		if literalPattern.FindStringSubmatch(line) == nil {
+			return nil, fmt.Errorf("line %d is not a literal such as []byte(\"...\")", len(values)+2)
 		}
 		values = append(values, line)
 	}
 	return values, lines.Err()
 }
 
-// checkInputs returns the inputs of a target that are none for it.
+// checkInputs returns a fault for each file in a target's corpus that is not an input for the target.
 func checkInputs(root string, t Target) ([]Fault, error) {
 	faults, _, err := visitInputs(root, t, nil)
 	return faults, err
 }
 
-// upgradeInputs rewrites the inputs of older versions of a target. It returns those that cannot be, and how many
-// were.
+// upgradeInputs rewrites the inputs of older versions of a target. It returns a fault for each file that it cannot
+// rewrite, and the number of files that it has rewritten.
 func upgradeInputs(root string, t Target) (faults []Fault, upgraded int, err error) {
 	write := func(path string, text []byte) error { return os.WriteFile(path, text, filePermissions) }
 	return visitInputs(root, t, write)
 }
 
-// visitInputs checks all inputs of a target, and has rewrite, where it is set, write those that can be upgraded.
+// visitInputs checks all inputs of a target. If rewrite is not nil, visitInputs calls it with the path and the new text
+// of each input that can be upgraded. It returns a fault for each other input that is invalid or outdated.
 func visitInputs(root string, t Target, rewrite func(string, []byte) error) (faults []Fault, rewritten int, err error) {
 	names, err := t.Files(root)
 	for _, name := range names {
--- a/fuzzcorpus/minimise.go
+++ b/fuzzcorpus/minimise.go
@@ -9,11 +9,13 @@
 	"slices"
 )
 
-// generatedName matches the names that the go command gives inputs. Inputs with other names are findings.
-var generatedName = regexp.MustCompile(`^[0-9a-f]{16}$`)
+// generatedNamePattern matches the names that the go command gives to generated inputs. Inputs with other names are
+// findings.
+var generatedNamePattern = regexp.MustCompile(`^[0-9a-f]{16}$`)
 
-// Minimise removes the inputs that reach nothing that the seeds and the inputs kept before do not reach, the shortest
-// tried first. Findings stay, whatever they reach. The results go to done, one target after another.
+// Minimise removes the inputs that reach no coverage beyond that of the seeds and of the inputs already kept. It tries
+// short inputs first. It keeps all findings, whatever their coverage. It calls done with the result of each target in
+// turn.
 func Minimise(ctx context.Context, root string, targets []Target, done func(Result)) error {
 	directory, err := os.MkdirTemp("", "fuzzcorpus")
 	if err != nil {
@@ -36,11 +38,11 @@
 	if result.Faults, result.Upgraded, err = upgradeInputs(root, t); err != nil {
 		return result, err
 	}
-	binary, err := buildForCoverage(ctx, root, t, directory)
+	binary, err := buildCoverageBinary(ctx, root, t, directory)
 	if err != nil {
 		return result, err
 	}
-	covered, err := binary.measure(ctx, seedInputs)
+	covered, err := binary.measure(ctx, seedsPattern)
 	if err != nil {
 		return result, err
 	}
@@ -54,7 +56,7 @@
 		if err != nil {
 			return result, err
 		}
-		if covered.add(reached) || !generatedName.MatchString(name) {
+		if covered.add(reached) || !generatedNamePattern.MatchString(name) {
 			continue
 		}
 		if err := os.Remove(filepath.Join(t.Directory(root), name)); err != nil {
@@ -66,7 +68,7 @@
 	return result, result.countFiles(root)
 }
 
-// minimiseOrder returns the inputs of a target: findings first, then from short to long.
+// minimiseOrder returns the names of the inputs of a target: findings first, each group in order of size.
 func minimiseOrder(root string, t Target) ([]string, error) {
 	names, err := t.Files(root)
 	if err != nil {
@@ -81,7 +83,7 @@
 		size[name] = info.Size()
 	}
 	rank := func(name string) int {
-		if generatedName.MatchString(name) {
+		if generatedNamePattern.MatchString(name) {
 			return 1
 		}
 		return 0
--- a/fuzzcorpus/mutate.go
+++ b/fuzzcorpus/mutate.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// replayTimeout bounds a run of the corpus against a mutation.
+// replayTimeout bounds a run of the corpus on mutated code.
 const replayTimeout = "60s"
 
-// MutationResult is what a target made of a mutation.
+// MutationResult tells whether a target found a mutation, and after how many inputs.
 type MutationResult struct {
 	Mutation
 	Found         bool          // the target failed, on the corpus or on a new input
-	FoundByCorpus bool          // it failed on the corpus
-	Replayed      int           // inputs of the corpus that ran, the one that failed last
-	Fuzzed        int64         // new inputs that were tried, as counted every three seconds
-	Took          time.Duration // the compiler's time included
+	FoundByCorpus bool          // the target failed on the corpus
+	Replayed      int           // number of inputs of the corpus that ran, up to the first that failed
+	Fuzzed        int64         // number of new inputs, which the go command counts every three seconds
+	Took          time.Duration // includes compilation
 }
 
-// Mutate puts each mutation into the code as the compiler sees it, never into the file, and runs its target: first
-// the corpus and, where that does not fail, up to maxInputs new inputs. The results go to done, one mutation after
-// another.
+// Mutate applies each mutation to the code by an overlay of the compiler, which leaves the source file unchanged, and
+// runs its target: first on the corpus and, if that does not fail, on up to maxInputs new inputs. It calls done with
+// the result of each mutation in turn.
 func Mutate(ctx context.Context, root string, mutations []Mutation, maxInputs int, done func(MutationResult)) error {
 	directory, err := os.MkdirTemp("", "fuzzcorpus")
 	if err != nil {
@@ -47,12 +47,12 @@
 	return nil
 }
 
-// mutant is a mutation that is being tried.
+// mutant is a mutation with the files that are needed to run its target.
 type mutant struct {
 	Mutation
 	root      string // of the source tree, absolute
 	directory string // for temporary files
-	overlay   string // the file that tells the compiler of the changed text
+	overlay   string // path of the overlay file for the compiler
 }
 
 func (m *mutant) target() Target { return Target{Package: m.Package, Name: m.Target} }
@@ -75,7 +75,8 @@
 	return result, nil
 }
 
-// writeOverlay writes the changed text, and the overlay by which the compiler reads it in place of the file.
+// writeOverlay writes the mutated text and an overlay file, with which the compiler reads this text instead of the
+// source file.
 func (m *mutant) writeOverlay() error {
 	path := filepath.Join(m.root, filepath.FromSlash(m.File))
 	text, err := os.ReadFile(path)
@@ -83,7 +84,7 @@
 		return err
 	}
 	if n := strings.Count(string(text), m.Old); n != 1 {
-		return fmt.Errorf("fuzzcorpus: %q stands %d times in %s, not once: the mutation is out of date",
+		return fmt.Errorf("fuzzcorpus: mutation is out of date: %q occurs %d times in %s, expected once",
 			m.Old, n, m.File)
 	}
 	changed := filepath.Join(m.directory, "changed.go")
@@ -99,7 +100,7 @@
 	return os.WriteFile(m.overlay, overlay, filePermissions)
 }
 
-// replay runs the corpus.
+// replay runs the corpus on the mutated code.
 func (m *mutant) replay(ctx context.Context, result *MutationResult) error {
 	binary, err := buildTests(ctx, m.root, m.target(), m.directory, "-overlay", m.overlay)
 	if err != nil {
@@ -115,7 +116,8 @@
 	return nil
 }
 
-// fuzz tries new inputs. What earlier fuzzing has left in the go command's cache is not used.
+// fuzz runs the target on new inputs. It uses a separate cache directory, so that inputs from earlier fuzzing in the go
+// command's cache have no effect.
 func (m *mutant) fuzz(ctx context.Context, maxInputs int, result *MutationResult) error {
 	pattern := "^" + m.Target + "$"
 	binary, err := buildTests(ctx, m.root, m.target(), m.directory, "-overlay", m.overlay, "-fuzz", pattern)
@@ -131,13 +133,13 @@
 	}
 	result.Found = err != nil
 	result.Fuzzed = executions(output)
-	if finding, found := writtenFinding(output); found { // of the mutation, not of the product
+	if finding, found := failingInputPath(output); found { // it shows the mutation, not a fault of the product
 		return os.Remove(filepath.Join(directory, finding))
 	}
 	return nil
 }
 
-// replayedInputs counts the inputs that a target's verbose output names, up to the first that failed.
+// replayedInputs counts the inputs that the verbose output of a target's test names, up to the first that failed.
 func replayedInputs(target, output string) int {
 	runs := strings.Split(output, "=== RUN   "+target+"/")[1:]
 	failed := failedInput(target, output)
--- a/fuzzcorpus/mutations.go
+++ b/fuzzcorpus/mutations.go
@@ -1,16 +1,16 @@
 package fuzzcorpus
 
-// Mutation is a fault that is put into a parser or state machine, as a change of its text, and that its target must
-// find.
+// Mutation is a change of the source text that puts a fault into a parser or state machine. The target of the mutation
+// must find the fault.
 type Mutation struct {
 	Package, Target string
 	File            string
-	Old, New        string // Old stands in the file once
-	Description     string // what is wrong, in a few words
+	Old, New        string // Old occurs once in the file
+	Description     string // the fault that the change causes
 }
 
-// Mutations are the faults that Mutate tries: lengths off by one, checks of state that are missing, bounds that are
-// gone.
+// Mutations are the mutations of this source tree: lengths that are off by one, missing checks of state and missing
+// bounds.
 var Mutations = []Mutation{
 	{
 		Package:     "nvme",
@@ -18,7 +18,7 @@
 		File:        "nvme/decode.go",
 		Old:         "if len(b) < headLen {",
 		New:         "if len(b) < headLen-1 {",
-		Description: "a header one byte short is read",
+		Description: "a header one byte too short is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -26,7 +26,7 @@
 		File:        "nvme/decode.go",
 		Old:         "len(b) < e.size {",
 		New:         "len(b) < e.size-1 {",
-		Description: "a PDU one byte short is read",
+		Description: "a PDU one byte too short is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -34,7 +34,7 @@
 		File:        "nvme/decode.go",
 		Old:         "if headerLen != l.headerLen {",
 		New:         "if headerLen < l.headerLen {",
-		Description: "a longer header is let pass",
+		Description: "a header that is too long is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -42,7 +42,7 @@
 		File:        "nvme/decode.go",
 		Old:         "if e.size < e.dataFrom+digestLen {",
 		New:         "if e.size < e.dataFrom+digestLen-1 {",
-		Description: "room for a digest is a byte short",
+		Description: "a PDU one byte short of its digest is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -50,7 +50,7 @@
 		File:        "nvme/decode.go",
 		Old:         "&& int(p.Length()) != len(p.Data) {",
 		New:         "&& int(p.Length()) > len(p.Data)+1 {",
-		Description: "a data length that lies is let pass",
+		Description: "a wrong data length is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -58,7 +58,7 @@
 		File:        "nvme/decode.go",
 		Old:         "if offset < e.dataFrom || offset > e.size",
 		New:         "if offset > e.size",
-		Description: "data may begin within the header",
+		Description: "a data offset within the header is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -66,7 +66,7 @@
 		File:        "nvme/decode.go",
 		Old:         "length > uint32(maxLen) {",
 		New:         "length > uint32(maxLen)+1 {",
-		Description: "a PDU a byte too long is waited for",
+		Description: "a PDU one byte too long is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -74,7 +74,7 @@
 		File:        "nvme/decode.go",
 		Old:         "	if len(p.Data) > f.MaxData && layouts",
 		New:         "	if len(p.Data) > f.MaxData+1 && layouts",
-		Description: "data a byte over the bound",
+		Description: "data one byte over the limit is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -82,7 +82,7 @@
 		File:        "nvme/decode.go",
 		Old:         "(b[flagsField]&FlagHeaderDigest != 0) != headerDigest {",
 		New:         "b[flagsField]&FlagHeaderDigest != 0 && !headerDigest {",
-		Description: "a header without its digest",
+		Description: "a header without its digest is accepted",
 	},
 	{
 		Package:     "nvme",
@@ -90,7 +90,7 @@
 		File:        "nvme/decode.go",
 		Old:         "offset%4 != 0 {",
 		New:         "offset%4 == 3 {",
-		Description: "data that is not aligned",
+		Description: "unaligned data is accepted",
 	},
 	{
 		Package:     "target",
@@ -98,7 +98,7 @@
 		File:        "target/transfer.go",
 		Old:         "from+int64(n) > int64(c.Bytes) || n == 0",
 		New:         "from+int64(n) > int64(c.Bytes)+1 || n == 0",
-		Description: "a byte past what was asked for is taken",
+		Description: "data one byte past the request is accepted",
 	},
 	{
 		Package:     "target",
@@ -106,7 +106,7 @@
 		File:        "target/transfer.go",
 		Old:         "if from != int64(c.received) ||",
 		New:         "if from > int64(c.received) ||",
-		Description: "data may come twice",
+		Description: "repeated data is accepted",
 	},
 	{
 		Package:     "target",
@@ -114,7 +114,7 @@
 		File:        "target/transfer.go",
 		Old:         "if c == nil || c.CID() != p.CCCID() {",
 		New:         "if c == nil {",
-		Description: "data may name another command",
+		Description: "data for another command is accepted",
 	},
 	{
 		Package:     "target",
@@ -122,7 +122,7 @@
 		File:        "target/session.go",
 		Old:         "if len(s.commands)+s.asyncEvents >= s.queueSize {",
 		New:         "if len(s.commands)+s.asyncEvents > s.queueSize {",
-		Description: "one command more than the queue holds",
+		Description: "one command over the queue size is accepted",
 	},
 	{
 		Package:     "target",
@@ -130,7 +130,7 @@
 		File:        "target/session.go",
 		Old:         "	if s.commands[c.CID()] != nil {",
 		New:         "	if x := s.commands[c.CID()]; x != nil && x.state == commandReceiving {",
-		Description: "an id that is in use is taken again",
+		Description: "a command id that is in use is accepted",
 	},
 	{
 		Package:     "target",
@@ -138,7 +138,7 @@
 		File:        "target/command.go",
 		Old:         "n.Blocks-c.SLBA() < uint64(c.Blocks())",
 		New:         "n.Blocks-c.SLBA()+1 < uint64(c.Blocks())",
-		Description: "a block past the end of a volume",
+		Description: "a block past the end of a volume is accepted",
 	},
 	{
 		Package:     "target",
@@ -146,7 +146,7 @@
 		File:        "target/transfer.go",
 		Old:         "	if p.BadData && c.state == commandReceiving {",
 		New:         "	if false {",
-		Description: "damaged data is written",
+		Description: "data with a wrong digest is written",
 	},
 	{
 		Package:     "target",
@@ -154,7 +154,7 @@
 		File:        "target/transfer.go",
 		Old:         "	if c.state == commandReceiving && s.phase != phaseEnded {",
 		New:         "	if c.state != commandOver {",
-		Description: "a command may be given up twice",
+		Description: "a command may expire twice",
 	},
 	{
 		Package:     "initiator",
@@ -162,7 +162,7 @@
 		File:        "initiator/transfer.go",
 		Old:         "from != int64(v.requested) || n == 0 || from+n > int64(len(v.data))",
 		New:         "from != int64(v.requested) || n == 0 || from+n > int64(len(v.data))+1",
-		Description: "an R2T a byte past the data",
+		Description: "an R2T one byte past the data is accepted",
 	},
 	{
 		Package:     "initiator",
@@ -170,7 +170,7 @@
 		File:        "initiator/transfer.go",
 		Old:         "	if from != int64(v.received) || from+int64(n) > int64(v.readBytes)",
 		New:         "	if from > int64(v.received) || from+int64(n) > int64(v.readBytes)",
-		Description: "data may come twice",
+		Description: "repeated data is accepted",
 	},
 	{
 		Package:     "initiator",
@@ -186,7 +186,7 @@
 		File:        "initiator/session.go",
 		Old:         "succeeded && v.received != v.readBytes {",
 		New:         "succeeded && v.received > v.readBytes {",
-		Description: "success before the data",
+		Description: "success of a Read before its data is accepted",
 	},
 	{
 		Package:     "initiator",
@@ -194,7 +194,7 @@
 		File:        "initiator/session.go",
 		Old:         "succeeded && v.write && v.requested != len(v.data) {",
 		New:         "false {",
-		Description: "success of a Write before its data",
+		Description: "success of a Write before its data is accepted",
 	},
 	{
 		Package:     "initiator",
@@ -210,7 +210,7 @@
 		File:        "discovery/etcd/list.go",
 		Old:         "if e.Kv.ModRevision <= l.revision {",
 		New:         "if e.Kv.ModRevision < l.revision {",
-		Description: "a revision passed on is passed on again",
+		Description: "a revision is reported twice",
 	},
 	{
 		Package:     "discovery/etcd",
@@ -226,7 +226,7 @@
 		File:        "discovery/etcd/watch.go",
 		Old:         "if e.GetKv() == nil || e.Kv.ModRevision < before {",
 		New:         "if e.Kv.ModRevision < before {",
-		Description: "an event without its pair",
+		Description: "an event without a key-value pair is accepted",
 	},
 	{
 		Package:     "discovery/etcd",
@@ -234,7 +234,7 @@
 		File:        "discovery/etcd/watch.go",
 		Old:         "if r.Header.Revision < l.revision {",
 		New:         "if r.Header.Revision < l.revision-1 {",
-		Description: "a history that is another",
+		Description: "another history of etcd is not detected",
 	},
 	{
 		Package:     "discovery/etcd",
@@ -242,7 +242,7 @@
 		File:        "discovery/etcd/watch.go",
 		Old:         "{receivingFragments, ignore}",
 		New:         "{receivingFragments, (*list).progress}",
-		Description: "progress passes events that are still in fragments",
+		Description: "progress is accepted before the last fragment",
 	},
 	{
 		Package:     "discovery/etcd",
@@ -250,7 +250,7 @@
 		File:        "discovery/etcd/list.go",
 		Old:         "if len(l.nodes)+l.growth >= l.maxNodes {",
 		New:         "if len(l.nodes)+l.growth > l.maxNodes {",
-		Description: "one node more than the bound",
+		Description: "one node over the limit is accepted",
 	},
 	{
 		Package:     "discovery",
@@ -258,7 +258,7 @@
 		File:        "discovery/discovery.go",
 		Old:         "r.Cell < 0 || ",
 		New:         "r.Cell < -1 || ",
-		Description: "a cell below zero",
+		Description: "a negative cell is accepted",
 	},
 	{
 		Package:     "discovery/dns",
@@ -266,7 +266,7 @@
 		File:        "discovery/dns/exchange.go",
 		Old:         "if header.Rrtype == recordType {",
 		New:         "if header.Rrtype >= recordType {",
-		Description: "records of another type are taken",
+		Description: "records of another type are accepted",
 	},
 	{
 		Package:     "discovery/dns",
@@ -274,7 +274,7 @@
 		File:        "discovery/dns/exchange.go",
 		Old:         "!m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) != 1",
 		New:         "!m.Response || m.Opcode != mdns.OpcodeQuery || len(m.Question) > 1",
-		Description: "an answer without its question",
+		Description: "an answer without its question is accepted",
 	},
 	{
 		Package:     "discovery/dns",
@@ -282,7 +282,7 @@
 		File:        "discovery/dns/list.go",
 		Old:         "if part == nil || r.Port == 0 {",
 		New:         "if part == nil {",
-		Description: "a server without a port counts",
+		Description: "a server without a port is accepted",
 	},
 	{
 		Package:     "discovery/dns",
@@ -290,7 +290,7 @@
 		File:        "discovery/dns/resolver.go",
 		Old:         "r.failed >= r.settings.servers {",
 		New:         "r.failed > r.settings.servers {",
-		Description: "one server more than there is",
+		Description: "one server more than configured is queried",
 	},
 	{
 		Package:     "discovery/dns",
@@ -298,7 +298,7 @@
 		File:        "discovery/dns/resolver.go",
 		Old:         "r.preferred, r.failed, r.interval = r.next.server, 0, 0",
 		New:         "r.preferred, r.failed = r.next.server, 0",
-		Description: "an answer does not shorten the pause",
+		Description: "an answer does not reset the retry interval",
 	},
 	{
 		Package:     "settings",
@@ -306,7 +306,7 @@
 		File:        "settings/schema.go",
 		Old:         "			if a.Use == \"required\" {",
 		New:         "			if a.Use == \"required\" && len(n.children) > 0 {",
-		Description: "a required attribute is missed",
+		Description: "a missing required attribute is accepted",
 	},
 	{
 		Package:     "settings",
@@ -314,7 +314,7 @@
 		File:        "settings/schema.go",
 		Old:         "		if !known[name] {",
 		New:         "		if !known[name] && len(n.children) > 0 {",
-		Description: "an attribute that is not known",
+		Description: "an unknown attribute is accepted",
 	},
 	{
 		Package:     "settings",
@@ -322,7 +322,7 @@
 		File:        "settings/schema.go",
 		Old:         "if count++; count > most {",
 		New:         "if count++; count > most+1 {",
-		Description: "one element more than the schema has",
+		Description: "one element over maxOccurs is accepted",
 	},
 	{
 		Package:     "settings",
@@ -330,7 +330,7 @@
 		File:        "settings/schema.go",
 		Old:         "if count < occurs(sequence[i].MinOccurs) {",
 		New:         "if count < occurs(sequence[i].MinOccurs)-1 {",
-		Description: "an element that must be there is missed",
+		Description: "a missing required element is accepted",
 	},
 	{
 		Package:     "internal/simwire",
@@ -338,7 +338,7 @@
 		File:        "internal/simwire/serve.go",
 		Old:         "	if batch.Now == nil {",
 		New:         "	if batch.Events == nil {",
-		Description: "a batch without its time",
+		Description: "a batch without its time is accepted",
 	},
 	{
 		Package:     "internal/simwire",
@@ -346,6 +346,6 @@
 		File:        "internal/simwire/serve.go",
 		Old:         "	if receiver == nil || receiver.failed {",
 		New:         "	if receiver != nil && receiver.failed {",
-		Description: "an event for an instance that never was",
+		Description: "an event for an unknown instance is accepted",
 	},
 }
--- a/fuzzcorpus/mutations_test.go
+++ b/fuzzcorpus/mutations_test.go
@@ -9,22 +9,28 @@
 	"testing"
 )
 
-// TestMutationsApply checks that every mutation still fits the text of its file.
+// TestMutationsApply checks that the text that each mutation replaces occurs exactly once in its file. A change of the
+// source makes a mutation out of date.
 func TestMutationsApply(t *testing.T) {
 	for _, m := range Mutations {
 		text, err := os.ReadFile(filepath.Join("..", filepath.FromSlash(m.File)))
 		if n := strings.Count(string(text), m.Old); err != nil || n != 1 {
-			t.Errorf("%s: %q stands %d times, %v", m.File, m.Old, n, err)
+			t.Errorf("%s: %q occurs %d times, expected once; error %v", m.File, m.Old, n, err)
 		}
 	}
 }
 
-// TestSabotage checks that the corpora find one mutation of each side of the protocol.
-func TestSabotage(t *testing.T) {
-	kinds := []string{"a PDU one byte short is read", "an id that is in use is taken again", "success before the data"}
+// TestCorpusFindsMutations checks that the corpora find one mutation of each of the packages nvme, target and
+// initiator.
+func TestCorpusFindsMutations(t *testing.T) {
+	descriptions := []string{
+		"a PDU one byte too short is accepted",
+		"a command id that is in use is accepted",
+		"success of a Read before its data is accepted",
+	}
 	var mutations []Mutation
 	for _, m := range Mutations {
-		if slices.Contains(kinds, m.Description) {
+		if slices.Contains(descriptions, m.Description) {
 			mutations = append(mutations, m)
 		}
 	}
@@ -36,7 +42,7 @@
 			t.Logf("%+v", r)
 		}
 	})
-	if err != nil || found != len(kinds) {
-		t.Errorf("%d of %d found, %v", found, len(mutations), err)
+	if err != nil || found != len(descriptions) {
+		t.Errorf("the corpora found %d of %d mutations, error %v", found, len(mutations), err)
 	}
 }
--- a/fuzzcorpus/replay.go
+++ b/fuzzcorpus/replay.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Replay runs every input through its target and hands the results to done, one target after another. Inputs that
-// fail are faults in the results; an error says that a target could not be run.
+// Replay runs each target on every input of its corpus and calls done with the result of each target in turn. Inputs
+// that fail are faults in the results. Replay returns an error if a target cannot be run.
 func Replay(ctx context.Context, root string, targets []Target, done func(Result)) error {
 	for _, t := range targets {
 		result, err := replayTarget(ctx, root, t)
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -13,7 +13,7 @@
 	directoryPermissions = 0o755
 )
 
-// Fault is an input that is none for its target, or on which its target fails.
+// Fault is a file in a corpus that is not an input for its target, or an input on which its target fails.
 type Fault struct {
 	Target Target
 	File   string
@@ -25,19 +25,19 @@
 	return fmt.Sprintf("%s: %s: %s", f.Target, f.File, f.Reason)
 }
 
-// Result is the result for one target.
+// Result is the result of one operation on the corpus of one target. Fields that an operation does not set are zero.
 type Result struct {
 	Target       Target
-	Files        int
-	Bytes        int64
-	Took         time.Duration
-	Executions   int64    // inputs, by Grow
-	Added        []string // files, by Grow
-	Removed      []string // files, by Minimise
-	Upgraded     int      // files, by Grow and Minimise
-	SeedCoverage float64  // share of the package's statements that the seeds in the source reach
-	Coverage     float64  // share that they reach together with the corpus
-	Crash        string   // the file of a new finding; empty: there is none
+	Files        int           // number of files in the corpus
+	Bytes        int64         // total size of the files
+	Took         time.Duration // duration of the run, by Replay and Extend
+	Executions   int64         // number of inputs that ran, by Extend
+	Added        []string      // names of added files, by Extend
+	Removed      []string      // names of removed files, by Minimise
+	Upgraded     int           // number of rewritten files, by Extend and Minimise
+	SeedCoverage float64       // share of the package's statements that the seeds in the source reach
+	Coverage     float64       // share of the statements that the seeds and the corpus reach together
+	Crash        string        // file name of a new finding, by Extend; empty if there is none
 	Faults       []Fault
 }
 
--- a/fuzzcorpus/targets.go
+++ b/fuzzcorpus/targets.go
@@ -1,9 +1,10 @@
-// Package fuzzcorpus keeps the inputs of the fuzz targets of a source tree, under testdata/fuzz: it replays, grows,
-// minimises and measures them, and tests the targets themselves by mutations of the code. It drives the go command;
-// the files are in its format ("go test fuzz v1", one Go literal a line).
+// Package fuzzcorpus maintains the inputs of the fuzz targets of a source tree, which are stored under testdata/fuzz.
+// It replays, extends and minimises the corpora, measures their coverage, and checks by mutations of the code that the
+// targets find faults. It runs the go command. The files are in the format of the go command ("go test fuzz v1",
+// followed by one Go literal per line).
 //
-// It is a development tool: no instance uses it. Its functions may be called from any goroutine, but for one source
-// tree only one at a time.
+// The package is a development tool that no instance uses. Its functions may be called from any goroutine, but only one
+// at a time for each source tree.
 package fuzzcorpus
 
 import (
@@ -20,20 +21,20 @@
 	"strings"
 )
 
-// fuzzPrefix begins the names of all fuzz targets.
+// fuzzPrefix is the prefix of the names of all fuzz targets.
 const fuzzPrefix = "Fuzz"
 
 // Target is one fuzz target.
 type Target struct {
-	Package string   // directory below the root, with slashes
+	Package string   // directory relative to the root, with slashes
 	Name    string   // such as FuzzDecode
-	Types   []string // of an input's values
+	Types   []string // types of the values of an input
 }
 
-// String is the package and the name.
+// String returns the package and the name.
 func (t Target) String() string { return t.Package + " " + t.Name }
 
-// Directory is where the inputs of a target are.
+// Directory returns the directory of the target's inputs.
 func (t Target) Directory(root string) string {
 	return filepath.Join(t.packageDirectory(root), "testdata", "fuzz", t.Name)
 }
@@ -42,7 +43,7 @@
 	return filepath.Join(root, filepath.FromSlash(t.Package))
 }
 
-// Files returns the names of the inputs of a target.
+// Files returns the file names of the target's inputs. A target without a directory has none.
 func (t Target) Files(root string) ([]string, error) {
 	entries, err := os.ReadDir(t.Directory(root))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -55,8 +56,8 @@
 	return names, err
 }
 
-// Find returns the targets below a root whose name, or whose package's, matches a pattern, sorted; an empty pattern
-// matches all. It is an error if there is none.
+// Find returns the targets below a root whose name or package matches the regular expression pattern, sorted by package
+// and name. An empty pattern matches all targets. Find returns an error if no target matches.
 func Find(root, pattern string) ([]Target, error) {
 	match, err := regexp.Compile(pattern)
 	if err != nil {
@@ -102,10 +103,10 @@
 	return files, err
 }
 
-// isSkipped reports whether a directory below the root has no packages.
+// isSkipped reports whether directories of this name are not searched for test files.
 func isSkipped(name string) bool { return name == "testdata" || strings.HasPrefix(name, ".") }
 
-// targetsOf returns the targets of a test file.
+// targetsOf returns the targets that a test file declares.
 func targetsOf(root, path string) ([]Target, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return targets, nil
 }
 
-// inputTypes returns the types of the parameters, after the *testing.T, of the function that a target hands to Fuzz.
+// inputTypes returns the types of the parameters, after the *testing.T, of the function that a target passes to Fuzz.
 func inputTypes(target *ast.FuncDecl) []string {
 	var types []string
 	ast.Inspect(target, func(node ast.Node) bool {
@@ -147,7 +148,7 @@
 	return types
 }
 
-// fuzzedFunction returns the function literal of a call x.Fuzz(func...); nil: the node is no such call.
+// fuzzedFunction returns the function literal of a call x.Fuzz(func...), or nil if the node is not such a call.
 func fuzzedFunction(node ast.Node) *ast.FuncLit {
 	call, ok := node.(*ast.CallExpr)
 	if !ok || len(call.Args) != 1 {
@@ -161,7 +162,7 @@
 	return function
 }
 
-// typeName spells a type that the go command can fuzz.
+// typeName returns the source text of a type that the go command can fuzz, or "?" for other types.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
