--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Alone.Throughput <= 0 || report.WithAbusive.Throughput <= 0 {
+	if report.WithoutAbusive.Throughput <= 0 || report.WithAbusive.Throughput <= 0 {
 		t.Errorf("no throughput in a phase: %+v", report)
 	}
 	if report.Attempts < int64(report.Connections) || report.Rejected > report.Attempts {
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -35,7 +35,7 @@
 // AbusiveReport compares the service of regular clients without and with abusive clients.
 type AbusiveReport struct {
 	Connections    int     `json:"hostile_connections"`
-	Alone          Phase   `json:"alone"`
+	WithoutAbusive Phase   `json:"alone"`
 	WithAbusive    Phase   `json:"beside"`
 	Attempts       int64   `json:"connection_attempts"`
 	Rejected       int64   `json:"rejected_connections"`
@@ -121,14 +121,14 @@
 	duration := seconds(length)
 	report := &AbusiveReport{Connections: connections}
 	regular.saturate(regularOpsInFlight, duration/2)
-	report.Alone = measureRegularClients(regular, duration)
+	report.WithoutAbusive = measureRegularClients(regular, duration)
 	clients := startAbusiveClients(connections, bed.gateway.Address())
 	usage := startUsageSampler(bed.gateway)
 	report.WithAbusive = measureRegularClients(regular, duration)
 	usage.stop()
 	clients.stop()
 	report.MaxConnections, report.Heap = usage.maxConnections, usage.maxHeap
-	report.Recovery = milliseconds(awaitRecovery(regular, report.Alone.Throughput))
+	report.Recovery = milliseconds(awaitRecovery(regular, report.WithoutAbusive.Throughput))
 	report.Attempts, report.Rejected = clients.attempts.Load(), clients.rejected.Load()
 	return report, nil
 }
@@ -260,9 +260,9 @@
 	row := func(name string, without, with float64) {
 		fmt.Fprintf(&b, "%-26s %12.0f %12.0f %8.2f\n", name, without, with, with/without)
 	}
-	row("ops per second, saturated", r.Alone.Throughput, r.WithAbusive.Throughput)
-	row("p99 at 1,000 ops/s, us", r.Alone.P99, r.WithAbusive.P99)
-	fmt.Fprintf(&b, "%-26s %12d %12d\n\n", "not succeeded", r.Alone.Unsuccessful, r.WithAbusive.Unsuccessful)
+	row("ops per second, saturated", r.WithoutAbusive.Throughput, r.WithAbusive.Throughput)
+	row("p99 at 1,000 ops/s, us", r.WithoutAbusive.P99, r.WithAbusive.P99)
+	fmt.Fprintf(&b, "%-26s %12d %12d\n\n", "not succeeded", r.WithoutAbusive.Unsuccessful, r.WithAbusive.Unsuccessful)
 	fmt.Fprintf(&b, "%d attempts of abusive connections, %d ended within 50 ms; ", r.Attempts, r.Rejected)
 	fmt.Fprintf(&b, "at most %d connections open; heap at most %.0f MiB\n", r.MaxConnections, r.Heap)
 	fmt.Fprintf(&b, "95%% of the throughput recovered %.0f ms after the abusive clients stopped\n", r.Recovery)
