--- a/fuzzcorpus/mutate.go
+++ b/fuzzcorpus/mutate.go
@@ -21,7 +21,7 @@
 	FoundByCorpus bool          // the target failed on the corpus
 	Replayed      int           // number of inputs of the corpus that ran, up to the first that failed
 	Fuzzed        int64         // number of new inputs, which the go command counts every three seconds
-	Took          time.Duration // includes compilation
+	Duration      time.Duration // includes compilation
 }
 
 // Mutate applies each mutation to the code by an overlay of the compiler, which leaves the source file unchanged, and
@@ -71,7 +71,7 @@
 			return result, err
 		}
 	}
-	result.Took = time.Since(began)
+	result.Duration = time.Since(began)
 	return result, nil
 }
 
