--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -35,7 +35,7 @@
 
 // Load and environment of Fleet, the same at each size of the fleet.
 const (
-	fleetDisks            = 8                      // fake disk servers, among which all listed servers are distributed
+	fleetDisks            = 8                      // fake disk servers, whose addresses the listed servers share
 	fleetClients          = 20                     // client connections
 	requestInterval       = 100 * time.Millisecond // between two requests of a client connection
 	listChangeInterval    = 200 * time.Millisecond // between two changes of the list, each of one server
@@ -69,9 +69,9 @@
 	"tip_multiple":4},
 "step_ms":1}`
 
-// Fleet runs the program itself (command, with the argument platform) as one scheduler with fake peers, for length
-// seconds at each size of the fleet. It measures the process through /proc and therefore needs Linux. Half of the
-// requests read data at any of the servers, half are for new objects.
+// Fleet runs the program itself (command, with the argument platform) as one scheduler with fake disk servers and a
+// fake discovery service, for length seconds at each size of the fleet. It measures the process through /proc and
+// therefore needs Linux. Half of the requests read data of one of the servers' cells, half are for new objects.
 func Fleet(ctx context.Context, command string, sizes []int, length float64) ([]FleetCost, error) {
 	var costs []FleetCost
 	for _, servers := range sizes {
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -190,27 +190,27 @@
 	return clients
 }
 
-func (h *abusiveClients) stop() {
-	close(h.done)
-	h.running.Wait()
+func (a *abusiveClients) stop() {
+	close(a.done)
+	a.running.Wait()
 }
 
 // run runs the i-th client until stop is called.
-func (h *abusiveClients) run(i int, address string) {
+func (a *abusiveClients) run(i int, address string) {
 	source := net.IPv4(127, 0, 1, byte(1+i%abusiveAddresses))
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: source}, Timeout: abusiveDialTimeout}
 	for {
-		h.attempts.Add(1)
+		a.attempts.Add(1)
 		began := time.Now()
 		if c, err := dialer.Dial("tcp", address); err == nil {
-			abusiveBehaviours[i%len(abusiveBehaviours)](c, h.done)
+			abusiveBehaviours[i%len(abusiveBehaviours)](c, a.done)
 			_ = c.Close() // the connection is not used any more
 		}
 		if time.Since(began) < maxRejectionTime {
-			h.rejected.Add(1)
+			a.rejected.Add(1)
 		}
 		select {
-		case <-h.done:
+		case <-a.done:
 			return
 		case <-time.After(reconnectInterval):
 		}
--- a/fuzzcorpus/mutate.go
+++ b/fuzzcorpus/mutate.go
@@ -14,13 +14,13 @@
 // replayTimeout bounds a run of the corpus on mutated code.
 const replayTimeout = "60s"
 
-// MutationResult tells whether a target found a mutation, and after how many inputs.
+// MutationResult is the result of running a target on a mutation.
 type MutationResult struct {
 	Mutation
 	Found         bool          // the target failed, on the corpus or on a new input
 	FoundByCorpus bool          // the target failed on the corpus
-	Replayed      int           // number of inputs of the corpus that ran, up to the first that failed
-	Fuzzed        int64         // number of new inputs, which the go command counts every three seconds
+	Replayed      int           // number of inputs of the corpus that ran, up to and including the first that failed
+	Fuzzed        int64         // number of new inputs, as last printed; the go command prints it every three seconds
 	Duration      time.Duration // includes compilation
 }
 
--- a/loadgen/client.go
+++ b/loadgen/client.go
@@ -56,7 +56,8 @@
 // Ready implements initiator.Handler. From now on the client sends ops.
 func (c *client) Ready(*initiator.Association) { c.ready = true }
 
-// Ended implements initiator.Handler. It connects again after reconnectDelay.
+// Ended implements initiator.Handler. It connects again after reconnectDelay. An association that disconnect has closed
+// is ignored.
 func (c *client) Ended(association *initiator.Association, _ error) {
 	if c.association != association {
 		return
