--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -64,7 +64,7 @@
 }
 
 func printReplayed(r fuzzcorpus.Result) {
-	took := r.Duration.Round(10 * time.Millisecond)
+	took := r.Elapsed.Round(10 * time.Millisecond)
 	fmt.Printf("%-28s %5d inputs %8d bytes %8s\n", r.Target, r.Files, r.Bytes, took)
 }
 
@@ -83,7 +83,7 @@
 
 func printGrown(r fuzzcorpus.Result) {
 	fmt.Printf("%-28s %10d inputs tried in %6s, %4d kept, now %5d\n",
-		r.Target, r.Executions, r.Duration.Round(time.Second), len(r.Added), r.Files)
+		r.Target, r.Executions, r.Elapsed.Round(time.Second), len(r.Added), r.Files)
 	if r.Crash != "" {
 		fmt.Printf("a finding, kept as %s; go test -run '%s/%s' ./%s plays it\n",
 			r.Crash, r.Target.Name, r.Crash, r.Target.Package)
--- a/fuzzcorpus/grow.go
+++ b/fuzzcorpus/grow.go
@@ -79,7 +79,7 @@
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
-	result.Duration = time.Since(began)
+	result.Elapsed = time.Since(began)
 	result.Executions = executions(output)
 	finding, found := failingInputPath(output)
 	if !found {
--- a/fuzzcorpus/replay.go
+++ b/fuzzcorpus/replay.go
@@ -29,7 +29,7 @@
 	}
 	began := time.Now()
 	output, err := runCommand(ctx, root, "go", "test", "-count=1", "-run", "^"+t.Name+"$", "./"+t.Package)
-	result.Duration = time.Since(began)
+	result.Elapsed = time.Since(began)
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -30,7 +30,7 @@
 	Target       Target
 	Files        int           // number of files in the corpus
 	Bytes        int64         // total size of the files
-	Duration     time.Duration // duration of the run, by Replay and Extend
+	Elapsed      time.Duration // duration of the run, by Replay and Extend
 	Executions   int64         // number of inputs that ran, by Extend
 	Added        []string      // names of added files, by Extend
 	Removed      []string      // names of removed files, by Minimise
