--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -64,7 +64,7 @@
 }
 
 func printReplayed(r fuzzcorpus.Result) {
-	took := r.Took.Round(10 * time.Millisecond)
+	took := r.Elapsed.Round(10 * time.Millisecond)
 	fmt.Printf("%-28s %5d inputs %8d bytes %8s\n", r.Target, r.Files, r.Bytes, took)
 }
 
@@ -75,15 +75,15 @@
 }
 
 func (g *growCommand) Run(c *fuzzCorpusCommand) error {
-	options := fuzzcorpus.GrowOptions{Time: g.Time, Workers: g.Workers, MaxBytes: g.MaxBytes}
+	options := fuzzcorpus.ExtendOptions{Time: g.Time, Workers: g.Workers, MaxBytes: g.MaxBytes}
 	return c.run(func(ctx context.Context, targets []fuzzcorpus.Target, done func(fuzzcorpus.Result)) error {
-		return fuzzcorpus.Grow(ctx, c.Root, targets, options, done)
+		return fuzzcorpus.Extend(ctx, c.Root, targets, options, done)
 	}, printGrown)
 }
 
 func printGrown(r fuzzcorpus.Result) {
 	fmt.Printf("%-28s %10d inputs tried in %6s, %4d kept, now %5d\n",
-		r.Target, r.Tried, r.Took.Round(time.Second), len(r.Added), r.Files)
+		r.Target, r.Executions, r.Elapsed.Round(time.Second), len(r.Added), r.Files)
 	if r.Crash != "" {
 		fmt.Printf("crash saved as %s; reproduce it with go test -run '%s/%s' ./%s\n",
 			r.Crash, r.Target.Name, r.Crash, r.Target.Package)
@@ -101,7 +101,7 @@
 func printMinimised(r fuzzcorpus.Result) {
 	fmt.Printf("%-28s %5d inputs dropped, %5d kept, %d rewritten; "+
 		"%.1f%% of the package's statements, seeds alone %.1f%%\n",
-		r.Target, len(r.Dropped), r.Files, r.Upgraded, 100*r.Covered, 100*r.Seeds)
+		r.Target, len(r.Removed), r.Files, r.Upgraded, 100*r.Coverage, 100*r.SeedCoverage)
 }
 
 type statsCommand struct{}
@@ -115,7 +115,7 @@
 }
 
 func printStats(r fuzzcorpus.Result) {
-	fmt.Printf("%-28s %8d %9d %42.1f%% %10.1f%%\n", r.Target, r.Files, r.Bytes, 100*r.Seeds, 100*r.Covered)
+	fmt.Printf("%-28s %8d %9d %42.1f%% %10.1f%%\n", r.Target, r.Files, r.Bytes, 100*r.SeedCoverage, 100*r.Coverage)
 }
 
 type mutateCommand struct {
@@ -135,7 +135,7 @@
 		if !f.Found {
 			missed++
 		}
-		fmt.Printf("%-24s %-48s %s\n", f.Package+" "+f.Target, f.Kind, describeResult(f))
+		fmt.Printf("%-24s %-48s %s\n", f.Package+" "+f.Target, f.Description, describeResult(f))
 	})
 	if missed > 0 {
 		err = errors.Join(err, fmt.Errorf("%d of %d faults were not found", missed, len(mutations)))
