--- a/events.go
+++ b/events.go
@@ -14,7 +14,7 @@
 }
 
 // Op reports that a request of a client was admitted. The op must get exactly one final answer, unless its client goes
-// first: the first Outcome with the code Succeeded, a Reject or a Fail.
+// first. The final answer is the first Outcome with the code Succeeded, a Reject or a Fail.
 type Op struct {
 	ID        OpID
 	Units     float64       // its size in units
--- a/settings.go
+++ b/settings.go
@@ -31,7 +31,8 @@
 	DrainGrace time.Duration
 	// AnswerGrace is how long after its deadline an op may still be answered.
 	AnswerGrace time.Duration
-	// OrderSettle is how long an op of an ordered type waits after an op of the same key that may still run.
+	// OrderSettle is how long an op of an ordered type waits after the outcome of an earlier op of its key, if that op
+	// may still be running on the disk server.
 	OrderSettle time.Duration
 }
 
@@ -96,7 +97,7 @@
 	Units  float64       // units that it can serve in a window right after the start
 }
 
-// UsageSettings describe which figures disk servers report of a volume's usage through all instances.
+// UsageSettings describe the usage figures of a volume that disk servers report in outcomes.
 type UsageSettings struct {
 	Period    time.Duration // period to which Outcome.QuotaUsed applies; 0: it is not reported
 	Elsewhere bool          // whether Outcome.ServedElsewhere is reported
