--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -45,8 +45,8 @@
 	UpSinceMS int64
 	// Started is the start time on the monotonic clock. 0 stands for long ago.
 	Started time.Duration
-	// StartedAfter is a lower bound of the start time on the monotonic clock, which holds by the wall clock and by the
-	// earlier lists. 0 means that none is known.
+	// StartedAfter is a lower bound of the start time on the monotonic clock: the earlier of the start time by the wall
+	// clock and the last call of MarkCurrent or RemoveUnlisted. 0 means that none is known.
 	StartedAfter time.Duration
 }
 
--- a/inflight/tracker.go
+++ b/inflight/tracker.go
@@ -19,8 +19,8 @@
 	"honeyplank/eventloop"
 )
 
-// Client receives the final answer of an op. For each admitted op exactly one of its methods is called once, and none
-// after Tracker.ClientGone. The calls are made on the event loop.
+// Client receives the final answer of an op. For each admitted op, exactly one of its methods is called, and it is
+// called once. After Tracker.ClientGone no method is called. The calls are made on the event loop.
 type Client interface {
 	// Succeeded delivers the data of the first dispatch that succeeded.
 	Succeeded(data []byte)
@@ -56,7 +56,7 @@
 	Counts Counts
 	// OnAction executes the module's actions that concern neither ops nor timers.
 	OnAction func(honeyplank.Action)
-	// OnIdle, if set, is called after events have been handled and no op is awaiting an answer.
+	// OnIdle, if set, is called after events have been handled, if no op is awaiting an answer then.
 	OnIdle func()
 
 	loop            *eventloop.Loop
