--- a/policy/admission.go
+++ b/policy/admission.go
@@ -186,11 +186,11 @@
 	return float64(1+server.outstanding+server.queuedCount) / limit
 }
 
-// acceptsNewObjects reports whether a server may get new objects: it is up, its failure rate is
-// low, and its slow start would allow an op beyond the reserve with a median admission draw. This
-// keeps new objects away from servers whose errors, resets or rejections come back fast, because
-// such servers appear to have free capacity. Limitation: the check does harm if most servers fail
-// at once.
+// acceptsNewObjects reports whether a server may get new objects: it is up, or half-open without an
+// outstanding op; its failure rate is low; and its slow start would allow an op beyond the reserve
+// with a median admission draw. This keeps new objects away from servers whose errors, resets or
+// rejections come back fast, because such servers appear to have free capacity. Limitation: the
+// check does harm if most servers fail at once.
 func (e *Engine) acceptsNewObjects(server *server) bool {
 	halfOpenIdle := server.health == honeyplank.HealthHalfOpen && server.outstanding == 0
 	usable := server.health == honeyplank.HealthUp || halfOpenIdle
@@ -203,8 +203,8 @@
 // prevents the windows of many instances from adding up to more than a server serves in time, for
 // whatever reason it is slow. Limitation: service suffers if most ops normally take long.
 func (e *Engine) hasCapacity(server *server, op *op) bool {
-	clientGone := e.now+e.earliestAnswer(server, op.Type) >= op.Deadline
-	if server.health == honeyplank.HealthDown || e.halfOpenBusy(server) || clientGone {
+	answerTooLate := e.now+e.earliestAnswer(server, op.Type) >= op.Deadline
+	if server.health == honeyplank.HealthDown || e.halfOpenBusy(server) || answerTooLate {
 		return false
 	}
 	limit, excess := e.concurrencyLimit(server, op.Type, reserveLatencyShare), 1.0
@@ -239,10 +239,10 @@
 
 // concurrencyLimit returns the part of a server's window, in ops, that its latency leaves to ops of
 // a type. This is the whole window up to a latency of latencyShare times the shortest target
-// latency. Below one op, the limit falls with the power 1.5, but not below an even share among the
-// instances of the mean-sized ops that the server serves within twice the shortest target latency
-// (or within that target latency, two at a time). With few instances, one op of each therefore
-// always fits.
+// latency. Below one op, the limit falls with the power 1.5, but not below a lower bound: the number
+// of mean-sized ops that the server serves within twice the shortest target latency (or within that
+// target latency, two at a time), divided by the number of instances. With few instances, each of
+// them can therefore always send one op.
 func (e *Engine) concurrencyLimit(server *server, opType int, latencyShare float64) float64 {
 	latency, target := e.expectedLatency(server, opType), e.settings.shortestTarget.Seconds()
 	if latency <= 0 || target <= 0 {
@@ -268,8 +268,8 @@
 	return largest
 }
 
-// mayDispatch reports whether the rules allow a dispatch to a server: attempts, semantics,
-// draining, slow start, order, retry budget and limit.
+// mayDispatch reports whether the rules allow the dispatch of an op to a server: deadline, started
+// response, retry budget, limit, order, cell, draining, semantics, retry credit and slow start.
 func (e *Engine) mayDispatch(op *op, server *server) bool {
 	return e.mayDispatchAnywhere(op) && e.mayDispatchTo(op, server, e.demandClass(op))
 }
@@ -301,9 +301,9 @@
 }
 
 // deadlineUnreachable reports whether a queued op can no longer earn its utility: its target
-// latency would be over before an early answer, or its client is about to give up. This avoids late
-// answers, which cost a server as much as timely ones. Limitation: after a short pause of a server,
-// some ops are given up too early.
+// latency would be over before the earliest answer, or its client gives up before the next sweep.
+// This avoids late answers, which cost a server as much as timely ones. Limitation: after a short
+// pause of a server, some ops are given up too early.
 func (e *Engine) deadlineUnreachable(op *op) bool {
 	earliest := e.now
 	if op.server != nil {
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -89,9 +89,10 @@
 	return resampled.rate()
 }
 
-// demandSplit returns the demand of this instance on a server within a window, by class: the demand
-// on a mean server, or the demand on the server's cell, scaled up by a current surge, if that is
-// higher. The units of queued ops that get new admission draws are added.
+// demandSplit returns the demand of this instance on a server within a window, in units by class.
+// It is the higher of two values: the demand on a mean server, and the demand on the server's cell.
+// The latter is scaled up while the demand on all cells exceeds its longer-term mean. The units of
+// queued ops that get new admission draws are added.
 func (e *Engine) demandSplit(server *server, window time.Duration) unitsByClass {
 	var units unitsByClass
 	surge := 1.0
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,8 +9,7 @@
 	"honeyplank"
 )
 
-// Bounds of the backoff of watch requests, as divisors of the time within which changes of the
-// endpoint list must be notified.
+// Bounds of the backoff of watch requests, as divisors of WatchSettings.Within.
 const (
 	longestWatchBackoffDivisor  = 4
 	shortestWatchBackoffDivisor = 16 // divides the longest backoff
@@ -31,7 +30,7 @@
 	window                 float64 // concurrency window: maximum of outstanding, in ops
 	outstanding            int
 	dispatches             []outstandingDispatch // in the order sent
-	fullDeadlineDispatches int                   // those of ops with enough time left for a typical answer
+	fullDeadlineDispatches int                   // number of those whose op had enough time left for a typical answer
 	unansweredSince        time.Duration         // since when a dispatch has been outstanding without any answer
 	unitsOutstanding       float64
 	retryCredit            float64 // retries that answers have earned
@@ -96,7 +95,8 @@
 }
 
 // backOffWatch sets the timer of the next watch request. The backoff grows with each failure and
-// has random jitter. It does not rely on any sign that a watch is still active.
+// has random jitter. After a failure the watch counts as ended until the next Delta or Complete
+// list.
 func (e *Engine) backOffWatch() {
 	e.watchActive = false
 	longest := e.settings.Watch.Within / longestWatchBackoffDivisor
@@ -126,8 +126,9 @@
 	return record
 }
 
-// addServer creates the record of a server. The units that an earlier instance sent to the server
-// are unknown. For slow start they count as infinitely many units, sent when this instance started.
+// addServer creates the record of a server. The units that an earlier process of this instance sent
+// to the server are unknown. For slow start they count as infinitely many units, sent when this
+// process started.
 func (e *Engine) addServer(member honeyplank.Member) *server {
 	record := &server{
 		Member:      member,
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -6,9 +6,9 @@
 // changes: the same seed, settings and events give the same actions. It does not depend on
 // protocols or connections.
 //
-// An Engine belongs to the goroutine of the event loop of its instance, on which package inflight
-// calls Handle and package gateway SavedEstimates. In the simulator's adapter, package simwire
-// calls Handle on the only goroutine.
+// An Engine belongs to the goroutine of the event loop of its instance. On this goroutine, package
+// inflight calls Handle and package gateway calls SavedEstimates. In the simulator's adapter,
+// package simwire calls Handle on the only goroutine.
 //
 // docs/design.md describes the mechanism, iShare, and how it was changed.
 package policy
@@ -40,7 +40,7 @@
 	now       time.Duration       // time of the event that is being handled
 	started   bool                // an event has been handled
 	startedAt time.Duration       // when the first event was handled
-	actions   []honeyplank.Action // returned for that event
+	actions   []honeyplank.Action // to be returned for the event that is being handled
 	evictedAt time.Duration
 
 	// Endpoint list and watch.
@@ -55,7 +55,7 @@
 
 	// Ranking for new objects.
 	joinedServers  []*server // servers that came up, in the order in which they did
-	rankingEpoch   int       // number of times that joinedServers was emptied, from 1
+	rankingEpoch   int       // 1 + number of times that joinedServers was emptied
 	acceptingCache []*server // servers that accepted new objects at acceptingAt
 	acceptingAt    time.Duration
 	serversVisited int // number of servers examined for new objects and in sweeps
@@ -160,13 +160,13 @@
 	return max(time.Duration(sweepShare*float64(e.settings.shortestTarget)), e.settings.Step, time.Millisecond)
 }
 
-// sweep does the work that depends on time alone: it checks health and lost answers, draws new
-// admission draws, dispatches queued ops, gives up ops that can no longer be answered in time,
-// requests the watch, and drops idle records.
+// sweep does the work that depends on time alone: it checks the health of servers, cancels
+// dispatches whose answers are probably lost, renews admission draws, dispatches queued ops, gives
+// up ops that can no longer be answered in time, requests the watch, and drops idle records.
 func (e *Engine) sweep() {
 	e.setTimer(e.now+e.sweepInterval(), sweepTimer)
 	e.deactivateIdle()
-	// A cancelled dispatch may keep running, so that a retry of its op is a hedged request.
+	// A cancelled dispatch may keep running. A retry of its op is therefore a hedged request.
 	mayCancel := e.settings.Dispatches.CancelAllowed && e.settings.Dispatches.HedgingAllowed
 	for _, server := range e.activeServers {
 		e.checkHealth(server)
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// estimateLifetime is the maximum age of a saved estimate of an earlier instance.
+	// estimateLifetime is the maximum age of a saved estimate of an earlier process.
 	estimateLifetime = 24 * time.Hour
 	// The window grows while the latency per unit is below nearBestLatencyFactor times its best. It
 	// is halved when that latency exceeds elevatedLatencyFactor times its best.
@@ -52,9 +52,9 @@
 }
 
 // expectedLatency returns the expected latency of a server for ops of a type, in seconds: the
-// typical latency of the type times the server's slowness. The slowness decays to 1, because with
-// many instances each instance gets few answers from one server. This prevents estimates from
-// outliving their cause, and prevents a server from counting as slow because of ops that take long.
+// typical latency of the type times the server's slowness. The slowness is relative, so that a
+// server does not count as slow because of ops that take long. It decays to 1, so that an estimate
+// does not outlive its cause: with many instances, each instance gets few answers from one server.
 // Limitation: if one server alone stays slow, it gets ops again too soon.
 func (e *Engine) expectedLatency(server *server, opType int) float64 {
 	typical := e.typicalLatency(opType)
@@ -142,8 +142,8 @@
 	return earliest
 }
 
-// SavedEstimates returns the estimates that a later instance can use: the latency estimates of the
-// servers, and saved estimates of servers that are not in the endpoint list yet.
+// SavedEstimates returns the estimates that a later process of this instance can use: the latency
+// estimates of the servers, and saved estimates of servers that are not in the endpoint list yet.
 func (e *Engine) SavedEstimates() honeyplank.SavedEstimates {
 	typical := e.meanLatency()
 	estimates := honeyplank.SavedEstimates{TypicalLatency: typical}
@@ -163,8 +163,8 @@
 	return estimates
 }
 
-// restoreEstimates restores the estimates that an earlier instance saved, and logs those that are
-// not valid.
+// restoreEstimates restores the estimates that an earlier process of this instance saved, and logs
+// those that are not valid.
 func (e *Engine) restoreEstimates(estimates honeyplank.SavedEstimates) {
 	for i := range e.latencyByType {
 		typical := estimates.TypicalLatency
@@ -180,8 +180,8 @@
 }
 
 // applySavedEstimate uses the saved estimate for a new record of a server, unless the server has
-// started since. Without it, an instance would have no estimates in its first seconds. Limitation:
-// the estimate is wrong if a machine was replaced under the same address.
+// started since. Without it, a process would have no estimates in its first seconds. Limitation: the
+// estimate is wrong if a machine was replaced under the same address.
 func (e *Engine) applySavedEstimate(server *server) {
 	saved, ok := e.savedEstimates[server.ID]
 	if ok && e.estimateValid(saved, server.Started) {
--- a/policy/health.go
+++ b/policy/health.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// halfOpenBusy reports whether the one op that a half-open server may get is outstanding, for no
-// longer than the backoff.
+// halfOpenBusy reports whether the one op that a half-open server may get is outstanding, and has
+// been for no longer than the backoff.
 func (e *Engine) halfOpenBusy(server *server) bool {
 	busy := server.health == honeyplank.HealthHalfOpen && server.outstanding > 0
 	return busy && e.now-server.unansweredSince <= server.backoff
@@ -103,8 +103,8 @@
 // halveWindow halves a server's concurrency window, down to minWindow.
 func halveWindow(server *server) { server.window = max(minWindow, server.window/2) }
 
-// backOff doubles the time for which nothing is sent to a server that is down, up to the longest
-// target latency.
+// backOff doubles the time for which nothing is sent to a server that is down. The time is at least
+// half of the shortest target latency and at most the longest target latency.
 func (e *Engine) backOff(server *server) {
 	doubled := time.Duration(elevatedLatencyFactor * float64(server.backoff))
 	server.backoff = min(max(doubled, e.settings.shortestTarget/2), e.settings.longestTarget)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -91,7 +91,7 @@
 	if server == nil || op == nil || !e.closeDispatch(op, outcome.Dispatch, meaning) {
 		return
 	}
-	e.recordResponse(server, op.dispatches[outcome.Dispatch], meaning)
+	e.recordDispatchEnd(server, op.dispatches[outcome.Dispatch], meaning)
 	e.applyHealthEvent(server, meaning.evidence)
 	// Any answer may report units that were served through other instances. Each amount is reported
 	// once.
@@ -135,8 +135,8 @@
 	return true
 }
 
-// recordResponse updates a server's record of its outstanding dispatches after one of them ended.
-func (e *Engine) recordResponse(server *server, dispatch opDispatch, meaning outcomeMeaning) {
+// recordDispatchEnd updates a server's record of its outstanding dispatches after one of them ended.
+func (e *Engine) recordDispatchEnd(server *server, dispatch opDispatch, meaning outcomeMeaning) {
 	server.outstanding--
 	if !dispatch.shortDeadline {
 		server.fullDeadlineDispatches--
@@ -148,8 +148,8 @@
 	}
 }
 
-// runSlicesOfNextInKey dispatches the ops that may be sent to the server at which the next op of an
-// op's key is queued.
+// runSlicesOfNextInKey runs the slices of the server at which the next op with the key of op is
+// queued.
 func (e *Engine) runSlicesOfNextInKey(op *op) {
 	queue := op.keyQueue
 	if queue != nil && len(queue.ops) > 0 && queue.ops[0].server != nil {
@@ -175,8 +175,9 @@
 }
 
 // recordLatencyPerUnit records the latency per unit of an answer, in seconds, and adapts the window
-// to it. The window grows by one op for each window of answers near the best latency. It is halved
-// once when the latency rises above a multiple of the best.
+// to it. The window grows by one op if the latency is near its best and, since the last growth, as
+// many answers have arrived as the window has ops. The window is halved once when the latency rises
+// above a multiple of the best.
 func (server *server) recordLatencyPerUnit(perUnit float64) {
 	server.perUnit = ewma(server.perUnit, perUnit, ewmaWeight)
 	if server.bestPerUnit == 0 || server.perUnit < server.bestPerUnit {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -30,7 +30,7 @@
 	lastSeen        time.Duration
 }
 
-// noDispatchSince returns the earliest time since which certainly nothing was dispatched for a
+// noDispatchSince returns a time since which this process has certainly dispatched nothing for a
 // volume without a record.
 func (e *Engine) noDispatchSince() time.Duration { return max(e.startedAt, e.now-idleExpiry) }
 
@@ -45,10 +45,10 @@
 	volume.limit = min(volume.limit+elapsed*plan.Limit/instances, e.bucketCapacity(plan, volume.instances))
 }
 
-// reserveRefillRate returns this instance's share of a volume's reserve, in units a second. It is
-// the same as this instance's share of the units served to the volume, but at least an even share.
-// That share is known from the total of the usage meter, or without a meter from the units that
-// servers report to have served through other instances.
+// reserveRefillRate returns the part of a volume's reserve that this instance gets, in units a
+// second. It is proportional to this instance's share of the units served to the volume, but at
+// least an even share. The share of the units is computed from the total of the usage meter or,
+// without a meter, from the units that servers report as served through other instances.
 func (e *Engine) reserveRefillRate(volume *volume, reserve float64) float64 {
 	evenShare := reserve / float64(volume.instances)
 	if volume.totalServedRate > 0 {
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -54,8 +54,8 @@
 }
 
 // retryBudgetAllows reports whether the sliding window of the retry budget allows one more retry.
-// Each dispatch may be delayed by processPause, so an earlier retry may reach its server later than
-// it was counted, when some admissions already lie outside of the window.
+// Each dispatch may be delayed by processPause, so an earlier retry may reach its server after it
+// was counted. By then, some admissions may already lie outside of the window.
 func (e *Engine) retryBudgetAllows() bool {
 	if !e.settings.RetryBudget.Limited {
 		return true
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -23,7 +23,7 @@
 	utilityDeficit  []float64     // by op type: 1 - utility / greatest utility
 }
 
-// readSettings returns the settings of an engine. It shares the op types and plans with its
+// readSettings returns the settings of an engine. The result shares its op types and plans with the
 // argument.
 func readSettings(settings *honeyplank.Settings) *engineSettings {
 	return &engineSettings{Settings: *settings, derivedSettings: deriveSettings(settings)}
--- a/policy/slices.go
+++ b/policy/slices.go
@@ -24,11 +24,11 @@
 
 const (
 	nothingReady      sliceSignal = iota // no op may be dispatched now
-	othersReady                          // no queue is served, and one has an op that may be dispatched
+	othersReady                          // no queue is served, and a queue has an op that may be dispatched
 	servedReady                          // the served queue has an op that may be dispatched
-	reserveWaiting                       // the served queue has no such op within its reserve, another queue has
-	sliceExpired                         // the slice is over, and another queue has such an op
-	thinkTimeTooLong                     // the served queue has none, and its next op is not expected within the slice
+	reserveWaiting                       // the served queue's next op is beyond its reserve, another queue's is within
+	sliceExpired                         // the slice is over, and another queue has an op that may be dispatched
+	thinkTimeTooLong                     // the served queue has none, and its next op is not due soon enough to wait
 	shorterAwaitReady                    // the served queue has none, and a queue with a shorter await has one
 	worthWaiting                         // the served queue has none, and its next op is due soon enough to wait for it
 )
@@ -105,12 +105,12 @@
 // this round whose await is no longer than that of the served queue, or nil. The mean await of the
 // server replaces the longest seek as an upper bound.
 func (e *Engine) shorterAwaitQueue(server *server) *volumeQueue {
-	longest, servedAwait := server.meanAwait(), server.servedQueue.await.value()
+	upperBound, servedAwait := server.meanAwait(), server.servedQueue.await.value()
 	for i, from := 0, server.ringStart(); i < len(server.nonEmpty); i++ {
 		queue := server.nonEmpty[(from+i)%len(server.nonEmpty)]
 		await := queue.await.value()
 		eligible := queue != server.servedQueue && queue.round < server.round
-		if eligible && await <= servedAwait && await < longest && e.chooseOp(server, queue) != nil {
+		if eligible && await <= servedAwait && await < upperBound && e.chooseOp(server, queue) != nil {
 			return queue
 		}
 	}
@@ -222,14 +222,14 @@
 	return op.target < other.target
 }
 
-// nothingDispatchable reports, without a check of each op, that chooseOp would return nil for a
-// queue: the server may get no op, the clients would have given up, or the window or the limit is
-// used up for all ops.
+// nothingDispatchable reports whether chooseOp certainly returns nil for a queue: the server may get
+// no op, all answers would be too late, or the window or the limit is used up for all ops. It is
+// cheaper than chooseOp, which checks all rules for each op.
 func (e *Engine) nothingDispatchable(server *server, queue *volumeQueue) bool {
 	if len(queue.ops) == 0 || server.health == honeyplank.HealthDown || e.halfOpenBusy(server) {
 		return true
 	}
-	if e.allClientsGone(server, queue) {
+	if e.allAnswersTooLate(server, queue) {
 		return true
 	}
 	e.refillBuckets(queue.volume)
@@ -247,9 +247,9 @@
 	return limited && queue.retryCount == 0 && volume.limit < queue.smallestUnits
 }
 
-// allClientsGone reports whether no client of a queue's ops would wait for the earliest answer of a
-// server. It checks the op queued last first, because that op usually has the most time left.
-func (e *Engine) allClientsGone(server *server, queue *volumeQueue) bool {
+// allAnswersTooLate reports whether the earliest answer of a server would come after the deadline of
+// each op of a queue. It checks the last op first, because that op usually has the most time left.
+func (e *Engine) allAnswersTooLate(server *server, queue *volumeQueue) bool {
 	earliest := e.now + e.earliestAnswerOfAnyType(server)
 	for i := len(queue.ops) - 1; i >= 0; i-- {
 		if earliest < queue.ops[i].Deadline {
@@ -259,7 +259,8 @@
 	return true
 }
 
-// meanAwait returns the mean await of those of a server's queues that have one, or 0 if none has.
+// meanAwait returns the mean await over the queues of a server for which an await is known, or 0 if
+// there are none.
 func (server *server) meanAwait() time.Duration {
 	var sum, known time.Duration
 	for _, queue := range server.queues {
