--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -9,7 +9,7 @@
 	"honeyplank"
 )
 
-// origin is the wall clock time in the tables at which the monotonic clock is 0, if the wall clock has not stepped.
+// origin is the wall clock time at which the monotonic clock of the tables is 0, if the wall clock has not stepped.
 var origin = time.UnixMilli(1_700_000_000_000)
 
 // step is one call or message.
@@ -75,7 +75,7 @@
 		{100 * sec, 0, completeList, absent, 0},
 		{110 * sec, 0, watchMessage, 104 * sec, 104 * sec},
 	},
-	"older than its absence from a complete list": {
+	"a start before a complete list without the server": {
 		{100 * sec, 0, completeList, absent, 0},
 		{110 * sec, 0, watchMessage, 50 * sec, 100 * sec},
 	},
@@ -83,7 +83,7 @@
 		{100 * sec, 0, cachedList, absent, 0},
 		{110 * sec, 0, watchMessage, 104 * sec, 110 * sec},
 	},
-	"in the future": {
+	"a start in the future": {
 		{100 * sec, 0, completeList, absent, 0},
 		{110 * sec, 0, completeList, 150 * sec, 110 * sec},
 		{200 * sec, 0, completeList, 150 * sec, 110 * sec},
@@ -93,65 +93,65 @@
 		{110 * sec, 0, completeList, 80 * sec, 100 * sec},
 		{120 * sec, 0, completeList, 90 * sec, 110 * sec},
 	},
-	"at the origin of the clock": {
+	"at the origin of the monotonic clock": {
 		{0, 0, completeList, -sec, 1},
 	},
-	"5 s back before the first list": {
+	"wall clock 5 s back before the first list": {
 		{100 * sec, -5 * sec, completeList, 90 * sec, 100 * sec},
 		{110 * sec, -5 * sec, completeList, 90 * sec, 100 * sec},
 	},
-	"5 s forward before the first list": {
+	"wall clock 5 s forward before the first list": {
 		{100 * sec, 5 * sec, completeList, 90 * sec, 100 * sec},
 		{110 * sec, 5 * sec, completeList, 90 * sec, 100 * sec},
 	},
-	"an hour back before the first list": {
+	"wall clock an hour back before the first list": {
 		{100 * sec, -hour, completeList, 90 * sec, 100 * sec},
 		{110 * sec, -hour, completeList, 90 * sec, 100 * sec},
 	},
-	"an hour forward before the first list": {
+	"wall clock an hour forward before the first list": {
 		{100 * sec, hour, completeList, 90 * sec, 100 * sec},
 		{110 * sec, hour, completeList, 90 * sec, 100 * sec},
 	},
-	"5 s back between lists, then a restart": {
+	"wall clock 5 s back between lists, then a restart": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, -5 * sec, completeList, 110*sec - 5*sec, 110 * sec},
 	},
-	"5 s back after a restart": {
+	"wall clock 5 s back after a restart": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, -5 * sec, completeList, 110 * sec, 115 * sec},
 	},
-	"5 s forward after a restart": {
+	"wall clock 5 s forward after a restart": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, 5 * sec, completeList, 110 * sec, 105 * sec},
 	},
-	"an hour back between lists, then a restart": {
+	"wall clock an hour back between lists, then a restart": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, -hour, completeList, 110*sec - hour, 110 * sec},
 	},
-	"an hour back after a restart": {
+	"wall clock an hour back after a restart": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, -hour, completeList, 110 * sec, 120 * sec},
 	},
-	"an hour forward after a restart": {
+	"wall clock an hour forward after a restart": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, hour, completeList, 110 * sec, 100 * sec},
 	},
-	"an hour forward, the previous start was current": {
+	"wall clock an hour forward, the previous start was current": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{115 * sec, 0, markedCurrent, 0, 0},
 		{120 * sec, hour, watchMessage, 110 * sec, 115 * sec},
 	},
-	"steps after the first listing": {
+	"wall clock steps after the first listing": {
 		{100 * sec, 0, completeList, longAgo, 0},
 		{120 * sec, 0, completeList, 110 * sec, 110 * sec},
 		{130 * sec, hour, completeList, 110 * sec, 110 * sec},
 		{140 * sec, -hour, watchMessage, 110 * sec, 110 * sec},
 		{150 * sec, 5 * sec, completeList, 110 * sec, 110 * sec},
 	},
-	"a new process after an hour back": {
+	"a new process after the wall clock went an hour back": {
 		{100 * sec, -hour, completeList, 50 * sec, 100 * sec},
 	},
-	"a new process after an hour forward": {
+	"a new process after the wall clock went an hour forward": {
 		{100 * sec, hour, completeList, 50 * sec, 100 * sec},
 	},
 	"cached, then the same": {
@@ -361,11 +361,11 @@
 		setUp: func(tracker *Tracker) { listServerAfterList(tracker, 0, 50*sec) },
 		want:  Incarnation{upSince(50 * sec), 90 * sec, 50 * sec}, again: 90 * sec,
 	},
-	"an hour back": {
+	"wall clock an hour back": {
 		setUp: func(tracker *Tracker) { listServerAfterList(tracker, -hour, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 100 * sec, 90 * sec}, again: 100 * sec,
 	},
-	"an hour forward": {
+	"wall clock an hour forward": {
 		setUp: func(tracker *Tracker) { listServerAfterList(tracker, hour, 95*sec) },
 		want:  Incarnation{upSince(95 * sec), 90 * sec, 0}, again: 90 * sec,
 	},
--- a/inflight/tracker_test.go
+++ b/inflight/tracker_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// admit admits an op whose deadline is after the duration within from now.
+// admit admits an op. Its deadline is the current time plus the duration within.
 func (h *harness) admit(id string, within time.Duration) *recordingClient {
 	h.t.Helper()
 	client := &recordingClient{}
