--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -10,9 +10,9 @@
 	"honeyplank"
 )
 
-// TestReserveFirstOnSlowServers: the windows of many instances add up to more than a server serves
-// in time (incidents i9adade, i340d5f). Ops beyond the reserve therefore get less of the window as
-// latency grows, and ops within the reserve are dispatched first.
+// TestReserveFirstOnSlowServers checks that ops beyond the reserve get less of the window as
+// latency grows, and that ops within the reserve are dispatched first. Otherwise the windows of
+// many instances add up to more than a server serves in time (incidents i9adade, i340d5f).
 func TestReserveFirstOnSlowServers(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("spare", 0, 8, 2, 0)
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestNewObjectsAvoidSlowServers: a new object does not go to the first server in rank if the
-// latency of that server leaves no capacity.
+// TestNewObjectsAvoidSlowServers checks that a new object does not go to the first server in rank
+// if the latency of that server leaves no capacity.
 func TestNewObjectsAvoidSlowServers(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, membersUpTo(3)...)
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestConcurrencyLimitBelowOne: if one op of each instance is more than a server serves in time
-// (incident i65239e), ops beyond the reserve are admitted at random, and those of a volume with
-// more demand than others less often. With few instances one op always fits.
+// TestConcurrencyLimitBelowOne checks that if one op of each instance is more than a server serves
+// in time (incident i65239e), ops beyond the reserve are admitted at random, and those of a volume
+// with more demand than others less often. With few instances one op always fits.
 func TestConcurrencyLimitBelowOne(t *testing.T) {
 	for instances, want := range map[int][]bool{3: {true, true, true}, 200: {false, true, false}} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestShortClientTimeout: an op with a short timeout does not count as one whose client has waited
-// for long. It is dispatched at once.
+// TestShortClientTimeout checks that an op with a short timeout does not count as one whose client
+// has waited for long. It is dispatched at once.
 func TestShortClientTimeout(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestSuccessProbability: on a heavily loaded server, an op with less time left than answers take
-// is admitted with the square of the ratio of these times.
+// TestSuccessProbability checks that on a heavily loaded server, an op with less time left than
+// answers take is admitted with the square of the ratio of these times.
 func TestSuccessProbability(t *testing.T) {
 	engine := New(1, testSettings())
 	server := &server{}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,8 +7,8 @@
 	"honeyplank"
 )
 
-// TestWatchIsRenewed: the watch of the endpoint list is requested, and requested again after a
-// failure, within the time that the settings state.
+// TestWatchIsRenewed checks that the watch of the endpoint list is requested, and requested again
+// after a failure, within the time that the settings state.
 func TestWatchIsRenewed(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.settings.Watch.OnRequest, fleet.settings.Watch.Within = true, time.Second
@@ -27,7 +27,8 @@
 			}
 		}
 		if fleet.now-last > time.Second || requests > 1000 {
-			t.Fatalf("%d watch requests until %v, the last at %v, want one a second", requests, fleet.now, last)
+			t.Fatalf("%d watch requests until %v, the last at %v, want one a second and at most 1000",
+				requests, fleet.now, last)
 		}
 	}
 }
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -8,9 +8,9 @@
 	"honeyplank"
 )
 
-// TestLatencyEstimate: an old latency of one server decays towards the latency of all servers.
-// Timeouts count up to the shortest target latency, and rejections as the longest (incident
-// i65239e: servers whose ops all timed out appeared healthy).
+// TestLatencyEstimate checks that an old latency of one server decays towards the latency of all
+// servers. Timeouts count up to the shortest target latency, and rejections as the longest
+// (incident i65239e: servers whose ops all timed out appeared healthy).
 func TestLatencyEstimate(t *testing.T) {
 	engine := fullServerFleet(t).instances[0]
 	server := engine.servers["osd0"]
@@ -29,16 +29,16 @@
 		t.Run(fmt.Sprintf("code %d after %v", test.code, test.elapsed), func(t *testing.T) {
 			engine.recordTimeout(server, &op{}, honeyplank.Outcome{Code: test.code, Elapsed: test.elapsed})
 			if got := engine.expectedLatency(server, 0); got < test.least || got > 2*test.least {
-				t.Errorf("expected latency %v s, want from least to twice that in %+v", got, test)
+				t.Errorf("expected latency %v s, want between the field least and twice that of %+v", got, test)
 			}
 		})
 	}
 }
 
-// TestSavedEstimates: the saved estimate of a slow server applies from the first op, decays with
-// its age, and is ignored if the server has started since. An estimate is not saved again if the
-// server has not answered since its start. The estimate of osd1, which is never listed, is saved
-// again.
+// TestSavedEstimates checks that the saved estimate of a slow server applies from the first op,
+// decays with its age, and is ignored if the server has started since. An estimate is not saved
+// again if the server has not answered since its start. The estimate of osd1, which is never
+// listed, is saved again.
 func TestSavedEstimates(t *testing.T) {
 	for _, test := range []struct {
 		at, started       time.Duration
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -8,8 +8,8 @@
 	"honeyplank"
 )
 
-// TestSilenceAndRecovery: a server that does not answer is down after two periods without an answer
-// (incident i9adade: timeouts), and up again after an answer.
+// TestSilenceAndRecovery checks that a server that does not answer is down after two periods
+// without an answer (incident i9adade: timeouts), and up again after an answer.
 func TestSilenceAndRecovery(t *testing.T) {
 	fleet := fullServerFleet(t)
 	server, seen := fleet.instances[0].servers["osd0"], map[honeyplank.Health]bool{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestServerThatRejectsAll: a server that rejects ops or resets connections gets no new objects for
-// a while, and does not affect the estimates of the others.
+// TestServerThatRejectsAll checks that a server that rejects ops or resets connections gets no new
+// objects for a while, and does not affect the estimates of the others.
 func TestServerThatRejectsAll(t *testing.T) {
 	for _, code := range []honeyplank.Code{honeyplank.Rejected, honeyplank.Reset} {
 		t.Run(fmt.Sprint("code ", code), func(t *testing.T) {
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestUnansweredShortTimeouts: a server may drop ops that have less time left than a typical answer
-// takes. Their missing answers are no evidence against the server, but those of ops with enough
-// time are.
+// TestUnansweredShortTimeouts checks that missing answers are evidence against a server if the ops
+// had enough time left for a typical answer, and no evidence if they had less. A server may drop
+// ops with less time left.
 func TestUnansweredShortTimeouts(t *testing.T) {
 	for left, want := range map[time.Duration]honeyplank.Health{
 		30 * ms: honeyplank.HealthUp, 400 * ms: honeyplank.HealthDown,
--- a/policy/idle_test.go
+++ b/policy/idle_test.go
@@ -196,9 +196,9 @@
 	},
 }
 
-// TestFaultsAfterLongIdle: if a fault begins after ten minutes or an hour without ops, each op
-// still gets exactly one answer in time, the rules hold, and the servers are used again once the
-// fault is over.
+// TestFaultsAfterLongIdle checks that if a fault begins after ten minutes or an hour without ops,
+// each op still gets exactly one answer in time, the rules hold, and the servers are used again
+// once the fault is over.
 func TestFaultsAfterLongIdle(t *testing.T) {
 	for name, fault := range faultsAfterIdle {
 		for _, idleTime := range []time.Duration{10 * time.Minute, time.Hour} {
--- a/policy/model_test.go
+++ b/policy/model_test.go
@@ -77,8 +77,8 @@
 	index int
 }
 
-// mayArrive reports whether a dispatch may reach its server at the time at or later. Dispatches
-// made before since do not count.
+// mayArrive reports whether a dispatch may reach its server at or after the time given by at. It
+// returns false for a dispatch that was made before since.
 func (sent slowStartDispatch) mayArrive(since, at time.Duration) bool {
 	dispatch := sent.op.dispatched[sent.index]
 	return dispatch.sentAt >= since && !dispatch.notArrived && (!dispatch.done || dispatch.endedAt >= at)
@@ -101,7 +101,7 @@
 	})
 }
 
-// mayRetry checks ruleRepeat for a retry that runs at a server the time after later than now.
+// mayRetry checks ruleRepeat for a retry that runs at a server when the duration after has passed.
 func (m *ruleModel) mayRetry(op *trackedOp, server honeyplank.ServerID, after time.Duration) bool {
 	opType := m.opType(op)
 	for _, dispatch := range op.dispatched {
@@ -297,7 +297,7 @@
 	}
 }
 
-// checkAnswered checks ruleAnswer for an op whose time is over.
+// checkAnswered checks ruleAnswer: an op has an answer once its deadline and the grace are over.
 func (m *ruleModel) checkAnswered(op *trackedOp) {
 	if !op.answered && !op.responseStarted && m.now > op.Deadline+m.settings.AnswerGrace {
 		m.violate(ruleAnswer, "%s not answered in time", op.ID)
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -8,11 +8,11 @@
 	"honeyplank"
 )
 
-// TestReserveShare: an instance's share of a reserve follows the units that the volume is served
-// through it.
+// TestReserveShare checks that an instance's share of a reserve follows its share of the units that
+// are served to the volume.
 func TestReserveShare(t *testing.T) {
 	for _, test := range []struct {
-		total, others float64 // units that the volume is served in all, and through other instances
+		total, others float64 // units served to the volume through all instances, and through other ones
 		elsewhere     bool    // servers report units served through other instances
 		want          bool    // an op is within the reserve
 	}{
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestLimitOfNewVolumes: an instance that has run for long has its share of a limit available for a
-// volume that is new or comes again. An instance that has just started has none, because the units
-// that its predecessor sent are unknown.
+// TestLimitOfNewVolumes checks that an instance that has run for long has its share of a limit
+// available for a volume that is new or comes again. An instance that has just started has none,
+// because the units that its earlier process sent are unknown.
 func TestLimitOfNewVolumes(t *testing.T) {
 	for up, want := range map[time.Duration]int{0: 0, 2 * time.Second: 4, time.Minute: 6} {
 		t.Run(fmt.Sprint("up for ", up), func(t *testing.T) {
@@ -72,12 +72,13 @@
 	return len(fleet.ops[op.ID].dispatched)
 }
 
-// TestLimitHeadroom: ops with less utility leave a part of a limit's bucket to ops with more.
+// TestLimitHeadroom checks that ops with less utility leave a part of a limit's bucket to ops with
+// more.
 func TestLimitHeadroom(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].Limit, settings.Plans[0].Burst, settings.Plans[0].Reserve = 1, 12, 20
 	settings.Plans[0].Slack = 1              // the refill during a process pause
-	for opType, want := range []int{12, 9} { // utilities 2 and 1: the second leaves half of a half
+	for opType, want := range []int{12, 9} { // utilities 2 and 1: for the second, limitHeadroomShare/2 is withheld
 		t.Run(fmt.Sprint("op type ", opType), func(t *testing.T) {
 			fleet := newTestFleet(t, 1, settings)
 			fleet.sendList(honeyplank.Cached, membersUpTo(4)...)
@@ -93,9 +94,9 @@
 	}
 }
 
-// TestLimitAfterIdleExpiry: the bucket of a volume whose record was dropped as idle holds only what
-// it was certainly refilled with since, not a full bucket. A full bucket allows an op even if the
-// headroom of its type exceeds the bucket.
+// TestLimitAfterIdleExpiry checks that the bucket of a volume whose record was dropped as idle
+// holds only what it was certainly refilled with since, not a full bucket. A full bucket allows an
+// op even if the headroom of its type exceeds the bucket.
 func TestLimitAfterIdleExpiry(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].Limit, settings.Plans[0].Burst = 0.1, 8
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestServedElsewhereInAnyAnswer: units that a server served through other instances are reported
-// once, also with an error or a rejection.
+// TestServedElsewhereInAnyAnswer checks that the units that a server reports as served through other
+// instances are counted in any answer, also in an error or a rejection.
 func TestServedElsewhereInAnyAnswer(t *testing.T) {
 	fleet := newTestFleet(t, 1, testSettings())
 	fleet.sendList(honeyplank.Cached, member(0, 0))
@@ -140,9 +141,9 @@
 	}
 }
 
-// TestLimitWithProcessPause: dispatches decided within a process pause may arrive at one instant.
-// Together they then take no more from a limit's bucket than it holds. A bucket that holds little
-// more than one largest op still allows such an op.
+// TestLimitWithProcessPause checks that dispatches decided within a process pause, which may arrive
+// at one instant, together take no more from a limit's bucket than it holds. A bucket that holds
+// little more than one largest op still allows such an op.
 func TestLimitWithProcessPause(t *testing.T) {
 	for _, test := range []struct {
 		limit, burst, slack float64
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -186,9 +186,10 @@
 	}
 }
 
-// TestChoiceMatchesFullRanking: in random fleets, a new object goes to the server that the whole
-// ranking gives. The choice may differ only past the top servers: if none of the top servers has
-// capacity, the least loaded of them is chosen, although servers further down may have capacity.
+// TestChoiceMatchesFullRanking checks that in random fleets, a new object goes to the server that
+// the whole ranking gives. The choice may differ only past the top servers: if none of the top
+// servers has capacity, the least loaded of them is chosen, although servers further down may have
+// capacity.
 func TestChoiceMatchesFullRanking(t *testing.T) {
 	beyond, compared := 0, 0
 	for seed := range int64(60) {
@@ -217,7 +218,7 @@
 	return engine
 }
 
-// replacement tells whether servers are replaced while new objects are written.
+// replacement is how servers are replaced while new objects are written.
 type replacement string
 
 const (
@@ -285,9 +286,10 @@
 	return cost
 }
 
-// TestWorkDoesNotGrowWithTheFleet: once all rankings have been built, new objects, answers and
-// sweeps visit at most 1.4 times as many servers with 3,200 servers as with 200, also while servers
-// are replaced. The same bound holds for the allocations and for the servers that the volumes keep.
+// TestWorkDoesNotGrowWithTheFleet checks that once all rankings have been built, new objects,
+// answers and sweeps visit at most 1.4 times as many servers with 3,200 servers as with 200, also
+// while servers are replaced. The same bound holds for the allocations and for the servers that the
+// volumes keep.
 func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, replaced := range []replacement{noneReplaced, oneByOne} {
 		t.Run(string(replaced), func(t *testing.T) {
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -8,10 +8,10 @@
 	"honeyplank"
 )
 
-// TestLostAnswer: if ops sent later to the same server are answered, a dispatch without an answer
-// is cancelled long before its op timeout, and its op is dispatched again in time for its target
-// latency. A dispatch that no other has overtaken is not cancelled, nor is one of an at-most-once
-// type, nor any if cancelling or hedging is not allowed.
+// TestLostAnswer checks that if ops sent later to the same server are answered, a dispatch without
+// an answer is cancelled long before its op timeout, and its op is dispatched again in time for its
+// target latency. A dispatch that no other has overtaken is not cancelled, nor is one of an
+// at-most-once type, nor any if cancelling or hedging is not allowed.
 func TestLostAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -85,8 +85,8 @@
 	fleet.endDispatch(fleet.order[len(fleet.order)-1], honeyplank.Succeeded)
 }
 
-// TestFrequentlyLostAnswers: if answers are lost often, an overtaken dispatch is cancelled after
-// half of the time that it may take otherwise.
+// TestFrequentlyLostAnswers checks that if answers are lost often, an overtaken dispatch is
+// cancelled after half of the time that it may take otherwise.
 func TestFrequentlyLostAnswers(t *testing.T) {
 	for share, want := range map[float64]int{0: 1, 0.05: 2} {
 		t.Run(fmt.Sprintf("share of %v lost", share), func(t *testing.T) {
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestRetryWithinDedupWindow: a deduplicated op is retried only while the retry can run before the
-// servers forget the first dispatch, even if the process is delayed and the connection is
-// established late. The first dispatch is always sent.
+// TestRetryWithinDedupWindow checks that a deduplicated op is retried only while the retry can run
+// before the servers forget the first dispatch, even if the process is delayed and the connection
+// is established late. The first dispatch is always sent.
 func TestRetryWithinDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		dedupWindow, connectTimeout time.Duration
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestRetryBudgetWithProcessPause: retries may reach their servers up to one process pause after
-// they were counted.
+// TestRetryBudgetWithProcessPause checks that the retry budget holds although retries may reach
+// their servers up to one process pause after they were counted.
 func TestRetryBudgetWithProcessPause(t *testing.T) {
 	for _, test := range []struct {
 		free, share     float64
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestSameEventsSameActions: two instances with the same seed return the same actions for the same
-// events.
+// TestSameEventsSameActions checks that two instances with the same seed return the same actions
+// for the same events.
 func TestSameEventsSameActions(t *testing.T) {
 	first, second := New(7, testSettings()), New(7, testSettings())
 	for i := range 300 {
--- a/policy/slices_test.go
+++ b/policy/slices_test.go
@@ -8,8 +8,8 @@
 	"honeyplank"
 )
 
-// TestSliceOrder: the window bounds the outstanding ops, the served volume goes first when the
-// window has capacity again, and the next slice starts when a slice is over.
+// TestSliceOrder checks that the window bounds the outstanding ops, the served volume goes first
+// when the window has capacity again, and the next slice starts when a slice is over.
 func TestSliceOrder(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("other", 0, 8, 2, 0)
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestSliceLengths: the lengths of slices follow the weights of the plans.
+// TestSliceLengths checks that the lengths of slices follow the weights of the plans.
 func TestSliceLengths(t *testing.T) {
 	fleet := fullServerFleet(t)
 	engine := fleet.instances[0]
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestThinkTimeAndAwait: if no op of the served volume is queued, its slice ends when the think
-// time exceeds the rest of the slice or another volume has a shorter await. Otherwise the instance
-// waits, and the other volumes use the window in the meantime.
+// TestThinkTimeAndAwait checks that if no op of the served volume is queued, its slice ends when
+// the think time exceeds the rest of the slice or another volume has a shorter await. Otherwise the
+// instance waits, and the other volumes use the window in the meantime.
 func TestThinkTimeAndAwait(t *testing.T) {
 	for _, test := range []struct {
 		thinkTime, ownAwait, otherAwait time.Duration
@@ -83,9 +83,9 @@
 	return decayedMean{total: 1e6 * float64(value/ms), sum: 1e6}
 }
 
-// TestKeyRunsAndUnreachableDeadlines: ops of one run of a key are dispatched to the server one
-// after another (incident i6f4fcd), and an op that can no longer be answered in time is given up at
-// once.
+// TestKeyRunsAndUnreachableDeadlines checks that ops of one run of a key are dispatched to the
+// server one after another (incident i6f4fcd), and an op that can no longer be answered in time is
+// given up at once.
 func TestKeyRunsAndUnreachableDeadlines(t *testing.T) {
 	fleet := fullServerFleet(t)
 	fleet.admit("other", 0, 9, 2, 0)
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -93,7 +93,7 @@
 	return settings
 }
 
-// starts returns the times at which the servers in slow start start.
+// starts returns the times at which servers start and enter slow start.
 func (scenario slowStartFleet) starts() []time.Duration {
 	if scenario.secondStart > 0 {
 		return []time.Duration{firstStart, firstStart + scenario.secondStart}
@@ -101,7 +101,7 @@
 	return []time.Duration{firstStart}
 }
 
-// startBefore returns the latest of the starts before a time, or the first start if there is none.
+// startBefore returns the latest start at or before a time, or the first start if there is none.
 func (scenario slowStartFleet) startBefore(at time.Duration) time.Duration {
 	if scenario.secondStart > 0 && at >= firstStart+scenario.secondStart {
 		return firstStart + scenario.secondStart
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -109,9 +109,9 @@
 	},
 }
 
-// TestSlowStartFleet: whatever the demand on a fleet is, all instances together send a server that
-// has just started no more than its budget and the deviation that chance explains. Ops count when
-// they arrive.
+// TestSlowStartFleet checks that whatever the demand on a fleet is, all instances together send a
+// server that has just started no more than its budget and the deviation that chance explains. Ops
+// count when they arrive.
 func TestSlowStartFleet(t *testing.T) {
 	for _, scenario := range slowStartScenarios {
 		t.Run(scenario.String(), func(t *testing.T) {
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestSlowStartBudgetIsUsed: a server that has just started is sent a large part of its budget,
-// even if its volumes come through a few of many instances. Ops on data that it holds cannot go
-// elsewhere.
+// TestSlowStartBudgetIsUsed checks that a server that has just started is sent a large part of its
+// budget, even if its volumes come through a few of many instances. Ops on data that it holds
+// cannot go elsewhere.
 func TestSlowStartBudgetIsUsed(t *testing.T) {
 	const least = 0.4
 	for _, scenario := range []slowStartFleet{
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestSlowStartRandomAdmission: a restarted server is sent the intended share of its budget on
-// average, even if the shares of a hundred instances are smaller than one op. Ops within their
-// reserves are admitted first.
+// TestSlowStartRandomAdmission checks that a restarted server is sent the intended share of its
+// budget on average, even if the shares of a hundred instances are smaller than one op. Ops within
+// their reserves are admitted first.
 func TestSlowStartRandomAdmission(t *testing.T) {
 	engine, server := slowStartEngine()
 	sent := unitsByClass{}
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestSlowStartBeforeFirstAnswer: before the first answer, connections may be established late, and
-// all dispatches sent until then may arrive together. Fewer ops are therefore admitted.
+// TestSlowStartBeforeFirstAnswer checks that fewer ops are admitted before the first answer. Until
+// then, connections may be established late, and all dispatches sent may arrive together.
 func TestSlowStartBeforeFirstAnswer(t *testing.T) {
 	engine, server := slowStartEngine()
 	server.respondedSinceStart = false
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestSlowStartMaxOps: an instance sends at most two mean-sized ops within a window, whatever their
-// admission draws are.
+// TestSlowStartMaxOps checks that an instance sends at most two mean-sized ops within a window,
+// whatever their admission draws are.
 func TestSlowStartMaxOps(t *testing.T) {
 	engine, server := slowStartEngine()
 	for n := range 4 {
