--- a/eventloop/close.go
+++ b/eventloop/close.go
@@ -8,9 +8,10 @@
 
 const (
 	// gracefulCloseTimeout is the time for which CloseGracefully waits for the peer to close after all output is
-	// written. CloseAfterFlush waits for its own delay plus this time until the peer has acknowledged the output.
+	// written. CloseAfterFlush closes the socket at the latest after its delay plus this time.
 	gracefulCloseTimeout = time.Second
-	// unreadCloseTimeout is the time for which CloseGracefully waits until the peer has received the output.
+	// unreadCloseTimeout is the time after which CloseGracefully closes the socket even if the peer has not received
+	// the output.
 	unreadCloseTimeout = 10 * time.Second
 	// ackPollInterval is the time between two checks of the number of unacknowledged bytes.
 	ackPollInterval = 10 * time.Millisecond
@@ -45,9 +46,10 @@
 func (c *Conn) SimulateReset() { c.fail(unix.ECONNRESET) }
 
 // CloseGracefully writes Output, shuts down sending, and closes the socket when the peer has closed too, or after one
-// second. If the socket were closed immediately, the kernel would answer further input with a reset, and the peer could
-// lose output that it has not read yet. Nothing more is read: a request that arrives during the close stays unread, so
-// that its sender may send it again. Handler.Closed is not called.
+// second. If the peer could then still lose output, the close is delayed further, up to ten seconds after the call. If
+// the socket were closed immediately, the kernel would answer further input with a reset, and the peer could lose
+// output that it has not read yet. Nothing more is read: a request that arrives during the close stays unread, so that
+// its sender may send it again. Handler.Closed is not called.
 func (c *Conn) CloseGracefully() {
 	if c.closing || c.closed {
 		return
@@ -69,8 +71,8 @@
 	c.closeAfterOutput(delay, gracefulCloseTimeout+delay)
 }
 
-// closeAfterOutput closes the socket when Output is written and then a delay has passed. It closes the socket when the
-// timeout expires in any case.
+// closeAfterOutput writes Output and shuts down sending. It closes the socket when the peer closes or a delay has
+// passed, but not while the peer could lose output. When the timeout expires, it closes the socket in any case.
 func (c *Conn) closeAfterOutput(delay, timeout time.Duration) {
 	c.closing, c.input, c.closeDelay = true, nil, delay
 	c.Pause()
--- a/eventloop/connection.go
+++ b/eventloop/connection.go
@@ -47,7 +47,8 @@
 	// OnClosed, if set, is called when the socket is closed, by either end.
 	OnClosed func()
 	// NotifyHalfClose makes the loop call Handler.Closed as soon as the peer shuts down sending, even if the connection
-	// is paused. Input that was not read before is lost. It must be set before the connection is added to the loop.
+	// is paused. Input that was not read before is lost. For an accepted connection it must be set in the accept
+	// function of Loop.Listen, for a dialled one before Handler.Opened returns.
 	NotifyHalfClose bool
 
 	loop    *Loop
@@ -68,7 +69,7 @@
 	closed      bool          // the socket is closed
 	closing     bool          // the socket is to be closed after Output is written
 	writeClosed bool          // Output is written and sending is shut down (FIN)
-	closeDelay  time.Duration // from then until the close, for CloseAfterFlush and CloseGracefully
+	closeDelay  time.Duration // time from the last write of Output to closeWhenAcked; 0: none, or scheduled
 }
 
 // Loop returns the loop that serves the connection.
--- a/eventloop/dial.go
+++ b/eventloop/dial.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection to an IP address and port. Later it calls Opened of the handler if the connection is
+// Dial starts a connection to an IP address and port. Later the loop calls Opened of the handler if the connection is
 // established, or Closed with the error if not. An error of the first system calls is returned; see Transient.
 func (l *Loop) Dial(address string, handler Handler) (*Conn, error) {
 	to, err := netip.ParseAddrPort(address)
--- a/eventloop/input.go
+++ b/eventloop/input.go
@@ -13,13 +13,13 @@
 	after         time.Duration // the input read last arrived after this time
 	lastPoll      time.Duration // time of the poll before the last read
 	backlog       bool          // the last read may have left input in the socket, or reading was paused after it
-	resumedAtPoll uint64        // number of the poll at which reading resumed
+	resumedAtPoll uint64        // number of the poll before the last read, or before reading resumed if that is later
 }
 
 // noteRead records a read. mayHaveMore means that the read filled its buffer, so that more input may be in the socket.
 func (a *arrival) noteRead(l *Loop, mayHaveMore bool) {
 	a.after = l.eventsAfter
-	if a.backlog && l.polls <= a.resumedAtPoll+1 { // the input was already in the socket when reading resumed
+	if a.backlog && l.polls <= a.resumedAtPoll+1 { // the input may have waited in the socket since the last read
 		a.after = min(a.after, a.lastPoll)
 	}
 	a.lastPoll, a.backlog, a.resumedAtPoll = l.lastPoll, mayHaveMore, l.polls
@@ -128,7 +128,7 @@
 	c.Send()
 }
 
-// maxInterruptions limits the attempts of a non-blocking call that returns EINTR, in one round.
+// maxInterruptions is the maximum number of attempts of a non-blocking call that returns EINTR.
 const maxInterruptions = 16
 
 // NoInputPending reports whether all input received so far has been consumed and the peer has not closed. If so, bytes
--- a/eventloop/listener.go
+++ b/eventloop/listener.go
@@ -109,8 +109,9 @@
 	}
 }
 
-// isConnectionError reports whether the next call of accept may succeed after this error. The error is a signal, or a
-// pending error of the new socket that accept returns (see "Error handling" in accept(2)).
+// isConnectionError reports whether an error of accept concerns only the current call, so that the next one may
+// succeed: a signal has interrupted the call, or accept has returned a pending error of the new socket (see "Error
+// handling" in accept(2)).
 func isConnectionError(err error) bool {
 	return anyOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ETIMEDOUT, unix.ENETDOWN,
 		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH)
--- a/eventloop/loop.go
+++ b/eventloop/loop.go
@@ -210,8 +210,8 @@
 }
 
 // pollAgain polls once more if the round has taken long. After a process pause the loop would otherwise act on a state
-// that has changed meanwhile, for example for a client that has disconnected. Limitation: a loop that is always late
-// handles new events before it has written its output, by at most one round.
+// that has changed meanwhile, for example for a client that has disconnected. Limitation: in a loop that is always
+// late, output is delayed until the new events are handled. It is still written in the same round.
 func (l *Loop) pollAgain(events []unix.EpollEvent) {
 	if l.Now()-l.lastPoll > maxPollAge && !l.stopping {
 		_ = l.poll(events, 0) // the poll of the next round returns the error too
--- a/eventloop/output.go
+++ b/eventloop/output.go
@@ -10,8 +10,8 @@
 // UnsentBytes returns the number of bytes of Output that are not written to the socket yet.
 func (c *Conn) UnsentBytes() int { return len(c.Output) - c.written }
 
-// DiscardUnsent removes the unsent bytes from index from up to, but not including, index to; index 0 is the first
-// unsent byte. It must not be used together with FaultFilter.
+// DiscardUnsent removes the unsent bytes at each index i with from <= i < to; index 0 is the first unsent byte. It must
+// not be used together with FaultFilter.
 func (c *Conn) DiscardUnsent(from, to int) {
 	c.Output = slices.Delete(c.Output, c.written+from, c.written+to)
 }
@@ -85,7 +85,8 @@
 	}
 }
 
-// releaseWritten removes the written bytes from Output. When all are written, it continues a close that waits for them.
+// releaseWritten removes the written bytes from Output when all bytes are written, or when more than readSize bytes
+// are. When all are written, it continues a close that waits for them.
 func (c *Conn) releaseWritten() {
 	switch {
 	case c.written == len(c.Output):
