--- a/discovery/dns/exchange.go
+++ b/discovery/dns/exchange.go
@@ -63,7 +63,7 @@
 	defer cancel()
 	c.Queries++
 	transport := &mdns.Client{Net: network, Timeout: c.settings.Timeout, UDPSize: udpSize}
-	answer, _, err := transport.ExchangeContext(ctx, query, server) // checks that the message ids are equal
+	answer, _, err := transport.ExchangeContext(ctx, query, server) // checks that the message IDs are equal
 	if err != nil {
 		return nil, fmt.Errorf("over %s: %w", network, err)
 	}
--- a/discovery/etcd/client.go
+++ b/discovery/etcd/client.go
@@ -43,7 +43,7 @@
 
 	mu           sync.Mutex
 	cancelWatch  context.CancelFunc // nil: no watch
-	nextEndpoint int                // number of sessions started; the index of the endpoint is the remainder
+	nextEndpoint int                // number of sessions started; modulo the number of endpoints, the next index
 	generation   int                // of the watch: results of an earlier generation are dropped
 	closed       bool
 	list         list
--- a/discovery/etcd/list.go
+++ b/discovery/etcd/list.go
@@ -42,7 +42,7 @@
 type pendingChanges struct {
 	pending []discovery.Node // in order
 	latest  map[string]int   // the last index of an address in pending
-	growth  int              // the change of the number of nodes by pending
+	growth  int              // number of nodes that pending adds, minus the number that it removes
 	events  int
 	skipped []string
 }
@@ -191,7 +191,8 @@
 	return p.More, nil
 }
 
-// replace replaces the nodes that were passed on by a complete list, unless the watch has passed on a later revision.
+// replace sets the nodes to those of a complete list and returns the update to be passed on. If the watch has passed on
+// a later revision, it changes nothing and returns an update without nodes.
 func (l *list) replace(r *listReader) *discovery.Update {
 	if r.revision < l.revision && (l.state == watching || l.state == receivingFragments) {
 		return &discovery.Update{Kind: honeyplank.Delta}
--- a/discovery/etcd/watch.go
+++ b/discovery/etcd/watch.go
@@ -105,7 +105,7 @@
 	case r.Created:
 		return inputCreated
 	case len(r.Events) == 0 && !r.Fragment && l.state == receivingFragments && r.WatchId >= 0:
-		return inputEvents // the last fragment may be empty; a requested progress notification has no watch id
+		return inputEvents // the last fragment may be empty; a requested progress notification has no watch ID
 	case len(r.Events) == 0 && !r.Fragment:
 		return inputProgress
 	}
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -149,7 +149,7 @@
 	return sim.handleEvent(now, head, raw)
 }
 
-// start starts an instance. It replaces an instance with the same id.
+// start starts an instance. It replaces an instance with the same ID.
 func (sim *simulation) start(id string, raw json.RawMessage) ([]any, error) {
 	var message startMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
--- a/membership/ledger.go
+++ b/membership/ledger.go
@@ -74,8 +74,8 @@
 	ConfirmAfter time.Duration
 	// FlapWindow is the time within which returns of a server are counted, and the maximum length of a hold.
 	FlapWindow time.Duration
-	// FlapThreshold is the number of returns within FlapWindow from which on returns are held; 0: returns are never
-	// held. Taking a server out of service is never held.
+	// FlapThreshold is the number of returns within FlapWindow at which a return is held; 0: returns are never held.
+	// Taking a server out of service is never held.
 	FlapThreshold int
 	// FlapHold is the length of the first hold. Each further hold is twice as long as the previous one.
 	FlapHold time.Duration
@@ -96,7 +96,7 @@
 // confirmedUp reports whether the source lists the server as up, without an unconfirmed removal.
 func (r *sourceReport) confirmedUp() bool { return r.state == Up && !r.removalUnconfirmed }
 
-// confirmAt returns the time from which on an unconfirmed removal may be applied; 0: there is none.
+// confirmAt returns the earliest time at which an unconfirmed removal may be applied; 0: there is none.
 func (r *sourceReport) confirmAt(settings Settings) time.Duration {
 	if !r.removalUnconfirmed {
 		return 0
@@ -206,7 +206,7 @@
 	return l.update(waiting)
 }
 
-// NextTick returns the time from which on a Tick may change the list; 0: no Tick is needed. An earlier Tick has no
+// NextTick returns the earliest time at which a Tick may change the list; 0: no Tick is needed. An earlier Tick has no
 // effect.
 func (l *Ledger) NextTick() time.Duration { return l.nextTick }
 
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -43,7 +43,7 @@
 
 // merge returns the merged state of a server and its cause. The only exception to mergeRule is a server that one source
 // lists as up with a start that is certainly newer than the report by which the other source took it out of service:
-// that source has not received the new start yet.
+// the other source has not received the new start yet.
 func merge(reports *[sourceCount]sourceReport) (State, Cause) {
 	etcd, dns := &reports[Etcd], &reports[DNS]
 	state, cause := mergeRule[etcd.state][dns.state], Agreed
--- a/membership/removal.go
+++ b/membership/removal.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// remove records that a source, which listed listedBefore servers, has removed nodes. If the share of the servers that
-// it has removed within ConfirmAfter is small, the removal is applied immediately. Otherwise the servers that were up
-// stay listed, and their removal is unconfirmed, since the source may have lost its list by mistake, at once or key by
-// key as leases expire. Limitation: if a large part of a fleet is really removed, dispatches to it fail until the
-// removal is confirmed. A draining server gets no new ops anyway, so its removal is always applied.
+// remove records that a source has removed nodes; listedBefore is the number of servers that it listed before. If the
+// share of the servers that it has removed within ConfirmAfter is small, the removal is applied immediately. Otherwise
+// the servers that were up stay listed, and their removal is unconfirmed, since the source may have lost its list by
+// mistake, at once or key by key as leases expire. Limitation: if a large part of a fleet is really removed, dispatches
+// to it fail until the removal is confirmed. A draining server gets no new ops anyway, so its removal is always
+// applied.
 func (l *Ledger) remove(from Source, nodes []*node, listedBefore int) {
 	source := &l.sources[from]
 	source.expireRemovals(l.now - l.settings.ConfirmAfter)
--- a/membership/view.go
+++ b/membership/view.go
@@ -31,7 +31,7 @@
 	return v, true
 }
 
-// Nodes returns the ids of all servers that a source has reported, in no particular order.
+// Nodes returns the IDs of all servers that a source has reported, in no particular order.
 func (l *Ledger) Nodes() (ids []honeyplank.ServerID) {
 	for id := range l.nodes {
 		ids = append(ids, id)
@@ -39,8 +39,8 @@
 	return ids
 }
 
-// SourceStatus returns the time at which a source last reported (0: never) and the time since which it has failed (0:
-// it does not fail).
+// SourceStatus returns the time at which a source last reported (0: never) and the time of its first failure since then
+// (0: none).
 func (l *Ledger) SourceStatus(source Source) (lastReportAt, failingSince time.Duration) {
 	return l.sources[source].lastReportAt, l.sources[source].failingSince
 }
--- a/peerlimit/guard.go
+++ b/peerlimit/guard.go
@@ -68,7 +68,7 @@
 	return p.standing == trusted && p.connections == 0 && p.bytes == 0 && p.commands == 0
 }
 
-// Guard tracks the usage and standing of all peers by their id, and decides what each may use. The zero value is not
+// Guard tracks the usage and standing of all peers by their ID, and decides what each may use. The zero value is not
 // usable: call New. All times are durations since a fixed moment of the caller's monotonic clock. They must not
 // decrease from call to call.
 type Guard struct {
--- a/peerlimit/standing.go
+++ b/peerlimit/standing.go
@@ -23,7 +23,7 @@
 
 const (
 	inputViolation        standingInput = iota // a violation, with fewer than Settings.BanThreshold in the window
-	inputThresholdReached                      // a violation, with which Settings.BanThreshold is reached
+	inputThresholdReached                      // the violation that reaches Settings.BanThreshold in the window
 	inputQuietPeriod                           // Settings.ViolationWindow without a violation
 	inputBanExpired                            // the ban has expired
 )
