--- a/gateway/clock_test.go
+++ b/gateway/clock_test.go
@@ -207,7 +207,8 @@
 	c.t.Helper()
 	first := c.notificationsOf(address)[0]
 	if first.Started <= 0 || first.Started > first.now {
-		c.t.Errorf("notified at %v of a start at %v, want one between 0 and then", first.now, first.Started)
+		c.t.Errorf("notified at %v of a start at %v, want one after 0 and not after the notification",
+			first.now, first.Started)
 	}
 	for _, again := range c.notificationsOf(address) {
 		if again.Started != first.Started {
--- a/gateway/estimates_test.go
+++ b/gateway/estimates_test.go
@@ -33,7 +33,7 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if len(c.estimates) != len(test.want) {
-				t.Fatalf("delivered estimates: %+v, want another number of them", c.estimates)
+				t.Fatalf("wrong number of estimates delivered: %+v", c.estimates)
 			}
 			now := c.notified[0].now
 			for i, estimate := range c.estimates {
--- a/gateway/rawclient_test.go
+++ b/gateway/rawclient_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// expect reads the next PDU and fails the test unless it has the type kind.
+// expect reads the next PDU and fails the test unless its type is kind.
 func (c *rawClient) expect(kind uint8) nvme.PDU {
 	c.t.Helper()
 	p := c.readPDU(kind)
@@ -86,7 +86,7 @@
 	return p
 }
 
-// expectAny reads PDUs until one has the type kind, and skips the others.
+// expectAny returns the next PDU whose type is kind, and skips PDUs of other types.
 func (c *rawClient) expectAny(kind uint8) nvme.PDU {
 	c.t.Helper()
 	for {
@@ -144,7 +144,7 @@
 	c.expect(nvme.TypeICResp)
 }
 
-// connect sends a Connect command and returns its status and the controller id.
+// connect sends a Connect command and returns its status and the controller ID.
 func (c *rawClient) connect(qid, cntlid uint16, subsystem, host string) (nvme.Status, uint16) {
 	sqe := nvme.NewConnect(qid, 32, 0)
 	sqe.SetSGL(nvme.SGLInCapsule, nvme.ConnectLen)
