--- a/eventloop/errno_test.go
+++ b/eventloop/errno_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// expectFewAccepts makes accept fail for 100 ms, and changes by epoll_ctl too if modErrno is not 0. It limits the calls
-// of accept.
+// expectFewAccepts makes accept fail for 100 ms, and EPOLL_CTL_MOD too if modErrno is not 0. It checks that accept is
+// called at most maxCalls times in that time.
 func expectFewAccepts(t *testing.T, errno, modErrno unix.Errno) {
 	t.Helper()
 	const span, maxCalls = 100 * time.Millisecond, 10 * maxAcceptErrors
@@ -206,7 +206,7 @@
 		f.kernel.faults["epoll_ctl add"] = []unix.Errno{unix.ENOMEM}
 	}, func() bool { return client.closed > 0 })
 	if server.closed != 1 || !errors.Is(server.err, unix.ENOMEM) || len(f.accepted) != 1 {
-		t.Errorf("Closed was called %d times, with error %v", server.closed, server.err)
+		t.Errorf("Closed was called %d times, with error %v; want 1 call with ENOMEM", server.closed, server.err)
 	}
 }
 
@@ -234,7 +234,8 @@
 		f.dial(client)
 	}, func() bool { return server.closed > 0 && (client.closed > 0 || client.echoReceived) })
 	if server.closed != 1 || server.nested || !errors.Is(server.err, errno) {
-		t.Errorf("Closed was called %d times, nested %v, with error %v", server.closed, server.nested, server.err)
+		t.Errorf("Closed was called %d times, nested %v, error %v; want 1 call, not nested, with the injected error",
+			server.closed, server.nested, server.err)
 	}
 	if !f.accepted[0].closed {
 		t.Error("the connection is still open")
@@ -399,7 +400,8 @@
 		f.dial(&endpoint{})
 	}, func() bool { return server.closed > 0 })
 	if !errors.Is(server.err, errno) || server.closed != 1 {
-		t.Errorf("Closed was called %d times, with error %v", server.closed, server.err)
+		t.Errorf("Closed was called %d times, with error %v; want 1 call with the injected error",
+			server.closed, server.err)
 	}
 }
 
@@ -511,7 +513,8 @@
 	}
 }
 
-// expectFewReads makes a call fail for 100 ms while a datagram and a posted function wait. It limits the calls.
+// expectFewReads makes a call fail for 100 ms while a datagram and a posted function wait. It checks that the call is
+// made at most about perRound times in each round.
 func expectFewReads(t *testing.T, call string, errno unix.Errno, perRound int) {
 	t.Helper()
 	const span = 100 * time.Millisecond
--- a/eventloop/faults_test.go
+++ b/eventloop/faults_test.go
@@ -114,7 +114,7 @@
 	s.check()
 }
 
-// expectCalls limits the number of calls since a time. The limit grows by 10 calls per millisecond.
+// expectCalls checks that at most atMost calls were made since a time, and 10 more for each millisecond since then.
 func expectCalls(t testing.TB, when string, calls, atMost int, since time.Time) {
 	t.Helper()
 	if atMost += 10 * int(time.Since(since)/time.Millisecond); calls > atMost {
--- a/peerlimit/guard_test.go
+++ b/peerlimit/guard_test.go
@@ -73,10 +73,10 @@
 	b.expectStanding(trusted)
 	b.ban()
 	if v := b.guard.Open(b.now, "p"); v != Banned {
-		t.Errorf("a banned peer opens a connection: %v", v)
+		t.Errorf("Open for a banned peer: %v, want banned", v)
 	}
 	if v := b.guard.Open(b.now, "q"); v != Admit {
-		t.Errorf("another peer opens a connection: %v", v)
+		t.Errorf("Open for another peer: %v, want admitted", v)
 	}
 }
 
@@ -118,7 +118,8 @@
 	b.violate(5 * second) // the previous bans no longer count
 }
 
-// TestViolationWindow records a peer's third violation at the end of the window of the first one, and just before.
+// TestViolationWindow records a peer's third violation just before the end of the window of the first one, and at its
+// end. Only the former must ban the peer.
 func TestViolationWindow(t *testing.T) {
 	for name, c := range map[string]struct{ third, ban time.Duration }{
 		"within":     {10*second - 1, 5 * second},
