--- a/discovery/dns/client_test.go
+++ b/discovery/dns/client_test.go
@@ -115,7 +115,7 @@
 	<-updates
 	servers[0].SetRecords(1, []fakedns.Record{
 		{Target: "a--c4-z2-t1700000000.x.", IP: "127.0.0.1", Port: 1, Weight: 3},
-		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // not listed, as a has a lower priority
+		{Target: "b--c4.x.", IP: "127.0.0.1", Port: 2, Weight: 1, Priority: 9}, // not used: a has the lower value
 		{Target: "c--c5.x.", IP: "127.0.0.1", Port: 3, Weight: 0},              // draining
 		{Target: "d--c5.x.", IP: "127.0.0.1", Port: 4, Weight: 1, Priority: 9},
 		{Target: "d--c8.x.", IP: "127.0.0.1", Port: 8, Weight: 1}, // both up and draining: draining wins
--- a/discovery/etcd/client_test.go
+++ b/discovery/etcd/client_test.go
@@ -33,7 +33,7 @@
 	return s, c, out
 }
 
-// nextUpdate returns the next update, which must be of a kind, and passes over updates of a watch without changes.
+// nextUpdate returns the next update and checks its kind. It skips updates of a watch without changes.
 func nextUpdate(t *testing.T, updates chan discovery.Update, kind honeyplank.ListKind) discovery.Update {
 	t.Helper()
 	for timeout := time.After(5 * time.Second); ; {
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -93,7 +93,8 @@
 	r.state, r.started, r.unconfirmedSince = state, started, 0
 }
 
-// tooMany reports whether a source, which listed that many servers before, removes too many within ConfirmAfter.
+// tooMany reports whether a source removes too many servers within ConfirmAfter; listed is the number of servers that
+// it listed before.
 func (m *model) tooMany(from Source, removed []string, listed int) bool {
 	recent := 0
 	for _, at := range m.removals[from] {
@@ -110,7 +111,7 @@
 	return listed+recent > 1 && float64(removedUp+recent) > testSettings.MaxRemovedShare*float64(listed+recent)
 }
 
-// remove removes servers of a source, which listed that many before.
+// remove removes servers of a source; listed is the number of servers that it listed before.
 func (m *model) remove(from Source, removed []string, listed int) {
 	tooMany := m.tooMany(from, removed, listed)
 	for _, n := range removed {
