--- a/discovery/dns/client.go
+++ b/discovery/dns/client.go
@@ -24,8 +24,8 @@
 type Settings struct {
 	Servers     []string      // addresses of the name servers, queried in turn
 	Name        string        // owner name of the SRV records
-	MinInterval time.Duration // between queries, even if the TTL of a record is shorter
-	MaxInterval time.Duration // between queries, even if the TTL of a record is longer
+	MinInterval time.Duration // between rounds of queries, before jitter, even if the TTL of a record is shorter
+	MaxInterval time.Duration // between rounds of queries, before jitter, even if the TTL of a record is longer
 	Timeout     time.Duration // of one exchange
 	Seed        int64         // of the jitter
 }
--- a/gateway/sources.go
+++ b/gateway/sources.go
@@ -102,8 +102,8 @@
 	return started, known.StartedAfter
 }
 
-// recordCurrent records what an update implies for the nodes that it doesn't mention: if a start of such a node is
-// reported later, it happened after this update.
+// recordCurrent records that an update is complete or current, if it is. The nodes that such an update doesn't mention
+// have not restarted until then: if a start of such a node is reported later, it happened after this update.
 func (g *Instance) recordCurrent(received receipt, update discovery.Update) {
 	switch {
 	case update.Kind == honeyplank.Complete:
