--- a/settings/schema.go
+++ b/settings/schema.go
@@ -189,7 +189,7 @@
 		at, found = rest[0].at, "<"+rest[0].name+">"
 	}
 	problem := fmt.Sprintf("%s found where <%s> is missing", found, name)
-	return at.newError(problem, fmt.Sprintf("<%s> must be first", name))
+	return at.newError(problem, fmt.Sprintf("<%s> must come before it", name))
 }
 
 // parseOccurs reads the value of minOccurs or maxOccurs, whose default is 1.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,8 +1,9 @@
 // Package settings reads the settings of a gateway and the scripts of fault tests from XML. It checks a file against
 // the embedded XML schema, and then checks the constraints between values that the schema can't express. The commands
 // call it when they start. The gateway and the fault tests read the settings as struct fields; the decision module gets
-// a honeyplank.Settings. The package sets no value of its own, keeps no state and starts no goroutine. Its functions
-// may be called from any goroutine.
+// a honeyplank.Settings. All values come from the file, except for the defaults of optional attributes and the fixed
+// abilities of the gateway. The package keeps no state and starts no goroutine. Its functions may be called from any
+// goroutine.
 package settings
 
 import (
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -164,7 +164,8 @@
 	}
 }
 
-// TestExpensiveFiles checks that Parse rejects files that would take much time or memory, and rejects them soon.
+// TestExpensiveFiles checks that Parse rejects malformed files within two seconds, also those that would take much time
+// or memory.
 func TestExpensiveFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"nesting":  strings.Repeat("<honeyplank>", 100_000),
--- a/settings/types.go
+++ b/settings/types.go
@@ -56,7 +56,7 @@
 	Endpoint string `xml:"endpoint,attr"`
 }
 
-// DNSSource holds how the list is queried from DNS; see docs/dns.md.
+// DNSSource holds the parameters of the queries for the list in DNS; see docs/dns.md.
 type DNSSource struct {
 	Servers     []NameServer `xml:"server"`
 	Name        string       `xml:"name,attr"`
@@ -87,14 +87,14 @@
 	Step      Span `xml:"step,attr,omitempty"`
 }
 
-// Dispatches limits how often an op is sent to disk servers.
+// Dispatches limits the number of times that an op is sent to disk servers, and the retry delays sent to clients.
 type Dispatches struct {
 	Max            int  `xml:"most,attr"`
 	HedgingAllowed bool `xml:"parallel,attr,omitempty"`
 	MaxRetryAfter  Span `xml:"advice-most,attr,omitempty"`
 }
 
-// OpType is an op type and its commands: those with its opcode and a length from MinBytes to MaxBytes, both included.
+// OpType is an op type. Its commands are those with its opcode and a length from MinBytes to MaxBytes, both included.
 type OpType struct {
 	Name          string     `xml:"name,attr"`
 	Opcode        Opcode     `xml:"opcode,attr"`
@@ -169,13 +169,13 @@
 	UsageElsewhere bool         `xml:"meter-elsewhere,attr,omitempty"`
 }
 
-// SlowStart holds how the load of a new disk server is increased.
+// SlowStart holds the parameters by which the load of a new disk server is increased.
 type SlowStart struct {
 	From     float64 `xml:"from,attr"` // share of the full rate that a new server begins with
 	Time     Span    `xml:"time,attr"` // time after which a server gets the full rate
 	Window   Span    `xml:"window,attr"`
-	Units    float64 `xml:"units,attr"`    // number that a server may always be sent in a window
-	Multiple float64 `xml:"multiple,attr"` // multiple of a server's rate that overloads it
+	Units    float64 `xml:"units,attr"`    // number of units that a server may always be sent in Window
+	Multiple float64 `xml:"multiple,attr"` // a server is overloaded at this multiple of its rate
 }
 
 // RetryBudget limits retries and hedged requests in a window to Free plus a share of the ops admitted in it.
