--- a/cmd/honeyplank/fake.go
+++ b/cmd/honeyplank/fake.go
@@ -66,7 +66,7 @@
 }
 
 type etcdCommand struct {
-	Nodes  []string `arg:"" optional:"" help:"Addresses of disk servers, by cell."`
+	Nodes  []string `arg:"" optional:"" help:"Addresses of disk servers, in order of cells."`
 	Listen string   `help:"Address to listen on." default:"127.0.0.1:0"`
 	Prefix string   `help:"Prefix of the keys." default:"/honeyplank/nodes/"`
 }
@@ -92,7 +92,7 @@
 }
 
 type dnsCommand struct {
-	Nodes    []string `arg:"" optional:"" help:"Addresses of disk servers, by cell; suffix /0: draining."`
+	Nodes    []string `arg:"" optional:"" help:"Addresses of disk servers, in order of cells; suffix /0: draining."`
 	Name     string   `help:"Owner of the SRV records." default:"_honeyplank._tcp.storage.example."`
 	Lifetime uint32   `help:"TTL of the records in seconds." default:"10"`
 	Truncate bool     `help:"Truncate over UDP."`
--- a/cmd/honeyplank/filereader.go
+++ b/cmd/honeyplank/filereader.go
@@ -17,7 +17,7 @@
 const (
 	readTimeout     = 3 * time.Second        // if the system can't read the file
 	replaceTimeout  = 500 * time.Millisecond // if the content is wrong, since it may be partly written
-	minReadAttempts = 5                      // made even if the process is suspended meanwhile
+	minReadAttempts = 5                      // made even if a process pause takes longer than the times above
 )
 
 var readBackoff = estimates.Backoff{Initial: 20 * time.Millisecond, Max: 500 * time.Millisecond}
--- a/cmd/honeyplank/fuzzcorpus.go
+++ b/cmd/honeyplank/fuzzcorpus.go
@@ -119,7 +119,7 @@
 }
 
 type mutateCommand struct {
-	Runs int `help:"Maximum number of new inputs of a target whose corpus finds nothing." default:"200000"`
+	Runs int `help:"Maximum number of new inputs for a fault that the corpus does not find." default:"200000"`
 }
 
 func (m *mutateCommand) Run(c *fuzzCorpusCommand) error {
--- a/cmd/honeyplank/platform_test.go
+++ b/cmd/honeyplank/platform_test.go
@@ -288,7 +288,7 @@
 // of the configuration fail temporarily, hang, or find the file partly written, at the start or at SIGHUP.
 func TestPlatformRead(t *testing.T) {
 	t.Run("SIGTERM while the first read hangs", testTerminateHangingRead)
-	t.Run("SIGHUP at any time after the start, ignored by the shell", testReloadIgnoredByShell)
+	t.Run("SIGHUP at any time after the start, inherited as ignored", testReloadIgnoredByShell)
 	t.Run("SIGHUP and a partly written file before the scheduler is ready", testReloadBeforeReady)
 	t.Run("partly written file and hanging read at SIGHUP", testReloadPartialAndHanging)
 	t.Run("temporarily no descriptors, then many SIGHUP in quick succession", testReloadWithoutDescriptors)
@@ -303,6 +303,8 @@
 	waitForExit(t, c)
 }
 
+// testReloadIgnoredByShell starts schedulers from a shell that ignores SIGHUP, as nohup does. The process inherits that
+// the signal is ignored, and must still reload at SIGHUP.
 func testReloadIgnoredByShell(t *testing.T) {
 	file := configFile(t, nil)
 	script := "trap '' HUP; echo ignored >&2; exec " + binary + " platform " + file
--- a/cmd/honeyplank/serve.go
+++ b/cmd/honeyplank/serve.go
@@ -86,9 +86,9 @@
 	return r
 }
 
-// saveEstimates writes the file for a later instance in a goroutine and closes saved when the goroutine ends. This is
-// after saveTimeout or when ctx is done, at the latest. Only a system call that does not return keeps the goroutine
-// until the process ends.
+// saveEstimates writes the file for a later instance in a goroutine and closes saved when the goroutine ends. The
+// goroutine ends after saveTimeout or when ctx is done, at the latest. If a system call does not return, the goroutine
+// ends with the process.
 func (c *serveCommand) saveEstimates(
 	ctx context.Context, g *gateway.Instance, log zerolog.Logger,
 ) (saved <-chan struct{}) {
