--- a/target/admin.go
+++ b/target/admin.go
@@ -75,11 +75,11 @@
 
 // Fields of the controller properties (Base 3.1.3).
 const (
-	capQueuesContiguous = 1 << 16 // CAP, CQR
-	capTimeout          = 10 << 24
-	capNVMCommandSet    = 1 << 5 // CAP, CSS, in the upper dword
-	statusReady         = 1      // CSTS, RDY
-	shutdownComplete    = 2 << 2 // CSTS, SHST
+	capQueuesContiguous = 1 << 16  // CAP, CQR
+	capTimeout          = 10 << 24 // CAP, TO, in units of 500 ms
+	capNVMCommandSet    = 1 << 5   // CAP, CSS, in the upper dword
+	statusReady         = 1        // CSTS, RDY
+	shutdownComplete    = 2 << 2   // CSTS, SHST
 )
 
 func (s *Session) getProperty(offset uint32) response {
--- a/target/command.go
+++ b/target/command.go
@@ -17,12 +17,12 @@
 	Host    string        // NQN of the client's host
 	User    any           // for use by the handler; the session does not read it
 
-	session     *Session
-	state       commandState
-	transferTag uint16
-	received    int
-	r2tSent     bool // the bytes of the transfer count for the client
-	counted     bool // the command counts for the client
+	session       *Session
+	state         commandState
+	transferTag   uint16
+	received      int
+	bytesReserved bool // the bytes of the transfer count towards the client's limit
+	counted       bool // the command counts towards the client's limit
 }
 
 type commandState int
@@ -150,7 +150,7 @@
 	s.handler.Admit(c)
 }
 
-// uncountCommand ends the counting of a command for its client, if it counts.
+// uncountCommand stops counting a command towards the limit of its client, if it is counted.
 func (s *Session) uncountCommand(c *Command) {
 	if c.counted {
 		c.counted = false
@@ -158,7 +158,7 @@
 	}
 }
 
-// drop removes a command that is not with the handler, and releases its buffer.
+// drop removes a command that has not been passed to the handler, and releases its buffer.
 func (s *Session) drop(c *Command) {
 	delete(s.commands, c.CID())
 	s.uncountCommand(c)
--- a/target/fuzz_test.go
+++ b/target/fuzz_test.go
@@ -184,7 +184,7 @@
 		s.io.session.buffers.Put(c.Data) // the handler owns it
 	}
 	if s.io.counted != 0 {
-		s.t.Fatalf("%d commands still count for their client after the connections ended", s.io.counted)
+		s.t.Fatalf("%d commands still count towards their client's limit after the connections ended", s.io.counted)
 	}
 	buffered, associations := s.io.session.buffers.InUse, len(s.io.session.associations.byID)
 	if open > 0 || buffered != 0 || associations != 0 {
--- a/target/session.go
+++ b/target/session.go
@@ -18,8 +18,8 @@
 	phaseEnded
 )
 
-// maxAsyncEvents is AERL, the number of Asynchronous Event Requests that may be open on a controller. The controller
-// reports no events, so they stay open.
+// maxAsyncEvents is the number of Asynchronous Event Requests that may be open on a controller: AERL, which is 0's
+// based, plus 1. The controller reports no events, so they stay open.
 const maxAsyncEvents = 4
 
 // Session is the state machine of one connection. Its methods are called on the event loop.
--- a/target/session_test.go
+++ b/target/session_test.go
@@ -15,7 +15,7 @@
 	session *Session
 	output  []byte
 	ended   bool
-	counted int // number of commands that count for the client
+	counted int // number of commands that count towards the client's limit
 	// The admitted commands, and those of them whose client has gone.
 	admitted []*Command
 	gone     []*Command
@@ -206,7 +206,7 @@
 }
 
 // TestCommandStatuses checks that each command, valid or invalid, is answered with the status that the specification
-// requires, and that none of them reaches the handler or ends the connection.
+// requires, and that none of them is admitted or ends the connection.
 func TestCommandStatuses(t *testing.T) {
 	admin, io := newQueuePair(t)
 	rw, sgl := nvme.NewRW, nvme.SGLTransport
--- a/target/target.go
+++ b/target/target.go
@@ -34,7 +34,7 @@
 	HandshakeTimeout time.Duration // from the start of a connection until its Connect has succeeded
 	MaxConnections   int
 	MaxUnsent        int // unsent bytes of a connection above which it is closed
-	MaxBuffered      int // bytes of write data in transfer on all connections, above which R2Ts are delayed
+	MaxBuffered      int // bytes of data buffers in use on all connections, above which R2Ts are delayed
 }
 
 // Handler executes the commands of clients. It is called on the event loop.
@@ -59,12 +59,12 @@
 	truncate()
 	// awaitData starts the timeout for the data of a Write. When it expires, the connection calls Session.Expire.
 	awaitData(c *Command)
-	// reserveBytes reports whether the client may send n more bytes of data now. If so, they count for the client until
-	// releaseBytes is called.
+	// reserveBytes reports whether the client may send n more bytes of data now. If so, they count towards the client's
+	// limit until releaseBytes is called.
 	reserveBytes(n int) bool
 	releaseBytes(n int)
-	// beginCommand reports whether the client may have one more command in flight. If so, the command counts for the
-	// client until endCommand is called.
+	// beginCommand reports whether the client may have one more command in flight. If so, the command counts towards
+	// the client's limit until endCommand is called.
 	beginCommand() bool
 	endCommand()
 }
--- a/target/transfer.go
+++ b/target/transfer.go
@@ -44,17 +44,17 @@
 	for s.lastTag++; s.transfers[s.lastTag] != nil; {
 		s.lastTag++
 	}
-	c.transferTag, c.r2tSent = s.lastTag, true
+	c.transferTag, c.bytesReserved = s.lastTag, true
 	c.Data = s.buffers.Get(c.Bytes)
 	s.transfers[c.transferTag] = c
 	*s.output = s.outputFraming.AppendR2T(*s.output, c.CID(), c.transferTag, 0, c.Bytes)
 	s.connection.flush()
 }
 
-// releaseTransfer ends the counting of a Write's bytes for its client, if they count.
+// releaseTransfer stops counting a Write's bytes towards the limit of its client, if they are counted.
 func (s *Session) releaseTransfer(c *Command) {
-	if c.r2tSent {
-		c.r2tSent = false
+	if c.bytesReserved {
+		c.bytesReserved = false
 		s.connection.releaseBytes(c.Bytes)
 	}
 }
