--- a/nvme/command.go
+++ b/nvme/command.go
@@ -101,7 +101,7 @@
 func (c *Command) PropertyValue() uint64 { return binary.LittleEndian.Uint64(c[48:]) }
 
 // ClientTimeout returns the time in milliseconds that a client waits for a Read or Write; 0: the timeout of the op
-// type. It is an extension of honeyplank in command dword 3, which the specification reserves: docs/protocol.md.
+// type. It is an extension of honeyplank in command dword 3, which the specification reserves; see docs/protocol.md.
 func (c *Command) ClientTimeout() uint32 { return c.DW(3) }
 
 // SetClientTimeout sets the client timeout in milliseconds.
--- a/nvme/encode.go
+++ b/nvme/encode.go
@@ -10,8 +10,8 @@
 	return dst
 }
 
-// finishPDU appends digests, padding and data to a header that begins at dst[start:], and sets the digest flags, the
-// data offset and the PDU length.
+// finishPDU appends digests, padding and data to the header dst[start:], and sets the digest flags, the data offset and
+// the PDU length.
 func (f *Framing) finishPDU(dst []byte, start int, data []byte) []byte {
 	h := dst[start:]
 	headerLen := len(h)
--- a/nvme/identify.go
+++ b/nvme/identify.go
@@ -40,7 +40,7 @@
 		le.PutUint16(d[128+2*i:], v)
 	}
 	d[258] = 3                                        // ACL: four Aborts in flight, 0's based
-	d[259] = 3                                        // AERL
+	d[259] = 3                                        // AERL: four Asynchronous Event Requests open, 0's based
 	d[261] = 1 << 2                                   // LPA: Get Log Page supports an offset
 	le.PutUint16(d[320:], c.KeepAliveUnits)           // KAS
 	d[512], d[513] = 0x66, 0x44                       // SQES, CQES: 64 and 16 bytes
--- a/nvme/load.go
+++ b/nvme/load.go
@@ -3,7 +3,7 @@
 import "encoding/binary"
 
 // Load is the load report of a disk server. It is sent in the result dwords of Read and Write, which the NVM command
-// set reserves, and in the vendor specific log page C0h: docs/protocol.md.
+// set reserves, and in the vendor specific log page C0h; see docs/protocol.md.
 type Load struct {
 	Latency        uint16 // recent service time without queueing, in tenths of a millisecond
 	Inflight       uint16 // number of ops in flight at the server
--- a/nvme/nvme_test.go
+++ b/nvme/nvme_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestInvalidHeadersRejected checks that a common header with an invalid field is rejected before the rest of the PDU
-// has come, or with it.
+// TestInvalidHeadersRejected checks that a common header with an invalid field is rejected, either before the rest of
+// the PDU has come or when the PDU is complete.
 func TestInvalidHeadersRejected(t *testing.T) {
 	f := Framing{MaxData: 8192, FromHost: true}
 	c := NewRW(Write, 1, 2, 1)
@@ -132,7 +132,7 @@
 		"more than MaxData":   func(b []byte) { copy(b[4:], []byte{0, 0x40, 0, 0}) },
 		"data in the header":  func(b []byte) { b[3] = 16 },
 		"data past the end":   func(b []byte) { b[3] = 252 },
-		"odd offset":          func(b []byte) { b[3] = 73 },
+		"unaligned offset":    func(b []byte) { b[3] = 73 },
 		"unnegotiated digest": func(b []byte) { b[1] = FlagHeaderDigest },
 	} {
 		t.Run(name, func(t *testing.T) {
