--- a/audit/effects.go
+++ b/audit/effects.go
@@ -40,7 +40,7 @@
 	case settings.Deduplicated:
 		if !c.isDropped(opType, earlier, later) {
 			c.recordViolation(
-				"%v was dispatched to %s, outside the group or time that drops repeats of the dispatch to %s",
+				"%v was dispatched to %s, which does not drop it as a repeat of the dispatch to %s",
 				later.op, later.server, earlier.server)
 		}
 	}
--- a/audit/judge.go
+++ b/audit/judge.go
@@ -15,17 +15,17 @@
 	Kept       bool   `json:"kept"`
 	Checked    int    `json:"checked"` // the number of cases
 	Violations int    `json:"broken"`
-	// Evidence describes the first violation. If there was none, it may state the highest load that was measured as a
-	// share of the permitted one; it is empty for rules without such a measure.
+	// Evidence describes the first violation. If there was none, it may state the highest load that was measured, as a
+	// share of the permitted load. For rules that have no such measure, it is then empty.
 	Evidence string `json:"evidence,omitempty"`
 }
 
 // timeTolerance is the longest delay that the checks allow between sending at a gateway and receiving at the other end
-// of a socket, because all processes of a fault test share one machine. Limitation: violations that last no longer than
+// of a socket, because all parts of a fault test share one process. Limitation: violations that last no longer than
 // this stay undetected.
 const timeTolerance = 100 * time.Millisecond
 
-// rule is a rule of the gateway and the check of it.
+// rule is a rule that gateways must keep, and its check.
 type rule struct {
 	name  string
 	check func(*checker)
--- a/audit/limits.go
+++ b/audit/limits.go
@@ -34,7 +34,7 @@
 		bucket = min(plan.Burst, bucket+plan.Limit*(dispatch.at-refilledAt).Seconds()) - c.units(dispatch.op)
 		refilledAt = dispatch.at
 		if bucket < -plan.Slack-plan.Limit*timeTolerance.Seconds() {
-			c.recordViolation("volume %d was sent %.1f units past its limit at %v", nsid, -bucket, dispatch.at)
+			c.recordViolation("volume %d was served %.1f units past its limit at %v", nsid, -bucket, dispatch.at)
 		}
 	}
 }
--- a/audit/order.go
+++ b/audit/order.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// mustHaveEnded reports whether a dispatch without an outcome had ended for its gateway by a time, because its op was
-// answered, its client's connection had ended or the gateway was killed.
+// mustHaveEnded reports whether a dispatch had ended for its gateway by a time at which it had no outcome yet: its op
+// was answered, its client's connection had ended or the gateway was killed.
 func (c *checker) mustHaveEnded(dispatch *dispatchRecord, by time.Duration) bool {
 	if answer, answered := dispatch.op.finalAnswer(); answered && answer.at <= by {
 		return true
--- a/audit/slowstart.go
+++ b/audit/slowstart.go
@@ -100,6 +100,6 @@
 
 // String describes the window's load as evidence.
 func (window slowStartWindow) String() string {
-	return fmt.Sprintf("nearest: %.0f%% of what overloads %s, %v after its start",
+	return fmt.Sprintf("highest load: %.0f%% of the overload limit of %s, %v after its start",
 		100*window.loadRatio(), window.server, window.age.Round(time.Millisecond))
 }
