--- a/faulttest/fleet.go
+++ b/faulttest/fleet.go
@@ -158,7 +158,7 @@
 	r.serving.Add(1)
 	go func() {
 		defer r.serving.Done()
-		_ = g.Serve(context.Background()) // the error of its loop; the audit reports unanswered ops
+		_ = g.Serve(context.Background()) // the error of its loop is ignored; the audit reports unanswered ops
 	}()
 	return nil
 }
@@ -203,7 +203,7 @@
 }
 
 // restart kills the disk server of a cell, as if its process had crashed, and starts it again after a downtime, in slow
-// start. The endpoint list reflects both after listLag. If the downtime is at most twice as long, the server stays on
+// start. The endpoint list reflects both after listLag. If the downtime is at most twice listLag, the server stays on
 // the list.
 func (r *run) restart(cell int, downtime time.Duration) {
 	server := r.serverOfCell[cell]
--- a/faulttest/run.go
+++ b/faulttest/run.go
@@ -75,7 +75,7 @@
 	}, nil
 }
 
-// close stops what is still running of the gateways, etcd and the name servers. The loop must have ended.
+// close stops the gateways that still run, etcd and the name servers. The loop must have ended.
 func (r *run) close() {
 	for _, g := range r.gateways {
 		if g != nil {
@@ -125,7 +125,7 @@
 }
 
 // shutDownGateways shuts the gateways down one after another. All shutdowns together may take the longest op timeout
-// and shutdownMargin; then the remaining gateways are stopped at once. The error is ignored, because the audit reports
+// plus shutdownMargin; then the remaining gateways are stopped at once. Errors are ignored, because the audit reports
 // the ops that stay unanswered.
 func (r *run) shutDownGateways(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, longestOpTimeout(r.script)+shutdownMargin)
--- a/faulttest/scenarios_test.go
+++ b/faulttest/scenarios_test.go
@@ -7,7 +7,8 @@
 	"honeyplank/settings"
 )
 
-// TestScenarioForEachFaultKind checks that every kind of fault in injectors occurs in a scenario.
+// TestScenarioForEachFaultKind checks that every kind of fault in injectors occurs in a scenario, and that an unknown
+// scenario name gives ErrUnknownScenario.
 func TestScenarioForEachFaultKind(t *testing.T) {
 	script, err := settings.Parse("built-in script", Sources)
 	if err != nil {
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -32,8 +32,8 @@
 	maxDamagedBytes     = 64
 	// maxWireDelay is shorter than the PDU timeouts of all receivers. A longer delay would end the connection.
 	maxWireDelay = 400 * time.Millisecond
-	// faultyWireShare is the number of clients per client behind a faulty wire.
-	faultyWireShare = 3
+	// One in clientsPerFaultyWire clients is behind a faulty wire.
+	clientsPerFaultyWire = 3
 	// queuesOfAssociation is the number of connections of a client's association: an admin queue and an I/O queue.
 	queuesOfAssociation = 2
 )
@@ -47,7 +47,7 @@
 }
 
 // isBehindFaultyWire reports whether a client's connections are damaged in scripts with wire faults.
-func isBehindFaultyWire(client int) bool { return client%faultyWireShare == 0 }
+func isBehindFaultyWire(client int) bool { return client%clientsPerFaultyWire == 0 }
 
 // hasWireFaults reports whether a script has a fault that damages connections.
 func hasWireFaults(s *settings.Gateway) bool {
@@ -153,8 +153,8 @@
 	func(uint32) uint32 { return 1 << 31 },
 }
 
-// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), the minimum length of a PDU with a command, and the size of a
-// digest.
+// Offsets in the common header of a PDU (NVMe/TCP 3.6.1), the length in bytes of the shortest PDU with a header digest,
+// and the size of a digest.
 const (
 	flagsOffset        = 1
 	headerLengthOffset = 2
@@ -219,7 +219,7 @@
 			run:      r,
 			conn:     c,
 			isFaulty: func() bool { return r.wireFaults.disks[server()] },
-			onDamage: func() {}, // not excused: the gateway's retries must compensate for the damage
+			onDamage: func() {}, // not reported to the audit: the gateway's retries must compensate for the damage
 		}
 	}
 }
