--- a/fake/disk/server.go
+++ b/fake/disk/server.go
@@ -21,7 +21,7 @@
 	Faults Faults
 	// Overloaded is set when the server kills itself because it received too many units while it was cold.
 	Overloaded bool
-	// Started is the time of the last cold start, by the loop's clock; 0 means that the server is warm.
+	// Started is the time of the last cold start, by the loop's clock; 0 means that the server has never started cold.
 	Started time.Duration
 
 	model   Model
--- a/fake/disk/server_test.go
+++ b/fake/disk/server_test.go
@@ -67,7 +67,7 @@
 	return &testbed{T: t, loop: loop, server: server}
 }
 
-// Ready and Ended implement the handler of the client.
+// Ready and Ended implement initiator.Handler.
 func (b *testbed) Ready(*initiator.Association) {}
 
 func (b *testbed) Ended(*initiator.Association, error) {}
