--- a/nvme/command.go
+++ b/nvme/command.go
@@ -79,10 +79,10 @@
 // NSID returns the namespace identifier.
 func (c *Command) NSID() uint32 { return binary.LittleEndian.Uint32(c[4:]) }
 
-// DW returns command dword n, 10 to 15.
+// DW returns command dword n, 0 to 15.
 func (c *Command) DW(n int) uint32 { return binary.LittleEndian.Uint32(c[4*n:]) }
 
-// SetDW sets command dword n, 10 to 15.
+// SetDW sets command dword n, 0 to 15.
 func (c *Command) SetDW(n int, v uint32) { binary.LittleEndian.PutUint32(c[4*n:], v) }
 
 // SetNSID sets the namespace identifier.
@@ -119,7 +119,7 @@
 	return c[39], binary.LittleEndian.Uint64(c[24:]), binary.LittleEndian.Uint32(c[32:])
 }
 
-// SetSGL sets the SGL descriptor, with address 0, and sets PSDT to SGL.
+// SetSGL sets the type and the length in bytes of the SGL descriptor, and sets PSDT to SGL. The address stays as it is.
 func (c *Command) SetSGL(kind uint8, length int) {
 	c[1] = c[1]&0x3F | 0x40
 	binary.LittleEndian.PutUint32(c[32:], uint32(length))
