--- a/settings/validation.go
+++ b/settings/validation.go
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// validator holds a file. Each of its methods returns the constraints of one section.
+// validator holds the settings and the root element of a file. Each of its methods that return constraints covers one
+// topic.
 type validator struct {
 	*Gateway
 	root *node
