--- a/faulttest/faults.go
+++ b/faulttest/faults.go
@@ -193,6 +193,7 @@
 	r.after(f.Duration.Duration(), func() { r.etcd.SetUnavailable(false) })
 }
 
+// injectEtcdDelay delays the watches of etcd, and replaces a disk server meanwhile.
 func injectEtcdDelay(r *run, f settings.Fault) {
 	r.etcd.SetWatchDelay(time.Duration(cmp.Or(f.Factor, defaultListDelay) * float64(time.Second)))
 	r.after(f.Duration.Duration(), func() { r.etcd.SetWatchDelay(0) })
--- a/faulttest/wire.go
+++ b/faulttest/wire.go
@@ -38,8 +38,8 @@
 	queuesOfAssociation = 2
 )
 
-// wireFaults is the current damage to the connections of some clients and disk servers. All other connections are free
-// of damage.
+// wireFaults describes the current damage to the connections of some clients and disk servers. All other connections
+// are free of damage.
 type wireFaults struct {
 	kind   string // "": none
 	chance float64
