--- a/settings/types.go
+++ b/settings/types.go
@@ -113,8 +113,8 @@
 // Plans holds the plans that volumes may have.
 type Plans struct {
 	List        []Plan  `xml:"plan"`
-	WithinShare float64 `xml:"within-share,attr,omitempty"` // share of the utility of ops beyond the reserve
-	SpareShare  float64 `xml:"spare,attr,omitempty"`        // share of the utility of ops beyond the volume's share
+	WithinShare float64 `xml:"within-share,attr,omitempty"` // factor on the utility of ops beyond the volume's reserve
+	SpareShare  float64 `xml:"spare,attr,omitempty"`        // factor on the utility of ops beyond the volume's expected rate
 }
 
 // Plan holds the guarantees and limits of each volume that has the plan. Rates are in units a second over all gateways.
