--- a/settings/types.go
+++ b/settings/types.go
@@ -112,9 +112,11 @@
 
 // Plans holds the plans that volumes may have.
 type Plans struct {
-	List        []Plan  `xml:"plan"`
-	WithinShare float64 `xml:"within-share,attr,omitempty"` // factor on the utility of ops beyond the volume's reserve
-	SpareShare  float64 `xml:"spare,attr,omitempty"`        // factor on the utility of ops beyond the volume's expected rate
+	List []Plan `xml:"plan"`
+	// WithinShare is a factor on the utility of ops beyond a volume's reserve.
+	WithinShare float64 `xml:"within-share,attr,omitempty"`
+	// SpareShare is a factor on the utility of ops beyond a volume's expected rate.
+	SpareShare float64 `xml:"spare,attr,omitempty"`
 }
 
 // Plan holds the guarantees and limits of each volume that has the plan. Rates are in units a second over all gateways.
