--- a/cmd/honeyplank/filereader_test.go
+++ b/cmd/honeyplank/filereader_test.go
@@ -131,7 +131,7 @@
 	started := time.Now()
 	<-f.ended
 	if time.Since(started) > 0 {
-		t.Errorf("follow returned %v after it was canceled, want at once", time.Since(started))
+		t.Errorf("follow returned %v after it was cancelled, want at once", time.Since(started))
 	}
 }
 
@@ -144,7 +144,7 @@
 }
 
 // TestFollow checks that a signal during retries starts them over, that the newest content is applied after several
-// signals, that a failed load applies nothing, and that follow returns as soon as its context is canceled.
+// signals, that a failed load applies nothing, and that follow returns as soon as its context is cancelled.
 func TestFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := follow(t)
--- a/cmd/honeyplank/main.go
+++ b/cmd/honeyplank/main.go
@@ -84,7 +84,7 @@
 	return log
 }
 
-// signalContext returns a context that is canceled at SIGINT or SIGTERM.
+// signalContext returns a context that is cancelled at SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
