--- a/nvme/command.go
+++ b/nvme/command.go
@@ -79,10 +79,10 @@
 // NSID returns the namespace identifier.
 func (c *Command) NSID() uint32 { return binary.LittleEndian.Uint32(c[4:]) }
 
-// DW returns command dword n, 10 to 15.
+// DW returns command dword n, 0 to 15.
 func (c *Command) DW(n int) uint32 { return binary.LittleEndian.Uint32(c[4*n:]) }
 
-// SetDW sets command dword n, 10 to 15.
+// SetDW sets command dword n, 0 to 15.
 func (c *Command) SetDW(n int, v uint32) { binary.LittleEndian.PutUint32(c[4*n:], v) }
 
 // SetNSID sets the namespace identifier.
@@ -101,7 +101,7 @@
 func (c *Command) PropertyValue() uint64 { return binary.LittleEndian.Uint64(c[48:]) }
 
 // ClientTimeout returns the time in milliseconds that a client waits for a Read or Write; 0: the timeout of the op
-// type. It is an extension of honeyplank in command dword 3, which the specification reserves: docs/protocol.md.
+// type. It is an extension of honeyplank in command dword 3, which the specification reserves; see docs/protocol.md.
 func (c *Command) ClientTimeout() uint32 { return c.DW(3) }
 
 // SetClientTimeout sets the client timeout in milliseconds.
@@ -119,7 +119,7 @@
 	return c[39], binary.LittleEndian.Uint64(c[24:]), binary.LittleEndian.Uint32(c[32:])
 }
 
-// SetSGL sets the SGL descriptor, with address 0, and sets PSDT to SGL.
+// SetSGL sets the type and the length in bytes of the SGL descriptor, and sets PSDT to SGL. The address stays as it is.
 func (c *Command) SetSGL(kind uint8, length int) {
 	c[1] = c[1]&0x3F | 0x40
 	binary.LittleEndian.PutUint32(c[32:], uint32(length))
