--- a/fake/etcd/server.go
+++ b/fake/etcd/server.go
@@ -20,7 +20,7 @@
 	"google.golang.org/grpc/status"
 )
 
-var errUnavailable = status.Error(codes.Unavailable, "fake etcd: unavailable")
+var errUnavailable = status.Error(codes.Unavailable, "fake etcd: out of service")
 
 // Server is a fake etcd server.
 type Server struct {
