--- a/resp/resp.go
+++ b/resp/resp.go
@@ -36,7 +36,7 @@
 	List []Value // elements of an Array
 }
 
-// Limits are the limits of the values that a Reader accepts. A value that exceeds one of them is a ProtocolError.
+// Limits are the limits of the values that a Reader accepts. A value that exceeds one of them causes a ProtocolError.
 type Limits struct {
 	Line       int // bytes of a line, with its kind and line end
 	BulkString int // bytes of a bulk string
@@ -69,7 +69,7 @@
 	line       []byte      // the incomplete line
 	bulk       []byte      // the incomplete bulk string
 	bulkSize   int         // bytes of the whole bulk string with its line end; 0 outside of a bulk string
-	total      int         // bytes of the incomplete value
+	total      int         // bytes of the incomplete value, with the declared length of its bulk string
 	openArrays []openArray // the incomplete arrays, outermost first
 }
 
@@ -82,7 +82,9 @@
 // Idle reports whether the Reader is between two values, so that the next byte is the first of a value.
 func (r *Reader) Idle() bool { return len(r.openArrays) == 0 && r.bulkSize == 0 && len(r.line) == 0 }
 
-// BufferedBytes returns the number of bytes that have been read of the incomplete value.
+// BufferedBytes returns the approximate number of bytes that have been read of the incomplete value. The ends of
+// complete lines do not count. An incomplete bulk string counts with its declared length in addition to the bytes read
+// of it.
 func (r *Reader) BufferedBytes() int { return r.total + len(r.line) + len(r.bulk) }
 
 // Frame is the result of Reader.Next.
@@ -125,7 +127,8 @@
 	return item, true
 }
 
-// readItem reads a value that is not an array or is an empty or null one, and the headers of the arrays before it.
+// readItem reads the headers of arrays up to the first value without elements, and returns that value. It is a value of
+// another kind, or an empty or null array.
 func (r *Reader) readItem(b []byte) (Frame, error) {
 	used := 0
 	for {
--- a/scheduler/client.go
+++ b/scheduler/client.go
@@ -10,18 +10,18 @@
 
 // Limits of client connections. The decision module limits ops.
 const (
-	maxCommandLine  = 64                   // bytes of a line, the header of an array or of an argument
+	maxCommandLine  = 64                   // bytes of a line, which is the header of an array or of an argument
 	maxArguments    = 16                   // arguments of a command
 	maxBody         = 64 << 10             // bytes of a command's body, and of a value
 	maxOtherBytes   = 4096                 // bytes of a command without its body
 	maxPending      = 32                   // unanswered commands of one connection; further ones stay unread
-	maxReplyBacklog = maxPending * maxBody // bytes of pending and unsent replies; above it no more commands are read
+	maxReplyBacklog = maxPending * maxBody // bytes of pending and unsent replies from which no more commands are read
 
-	commandTimeout = 2 * time.Second        // for the first command, and for the rest of an incomplete one
+	commandTimeout = 2 * time.Second        // idle time before the first op, and time for the rest of a command
 	errorReadTime  = 200 * time.Millisecond // for the client to read an error before the connection closes
 
-	// Idle connections stay open for maxIdle if there are few. If clients that have sent ops hold more than an eighth
-	// of all descriptors, they stay open for reducedIdle, and if these hold more than a quarter, for minIdle.
+	// The idle connection of a client that has sent ops stays open for maxIdle. If such clients hold more than an
+	// eighth of all descriptors, it stays open for reducedIdle, and if they hold more than a quarter, for minIdle.
 	maxIdle     = time.Minute
 	reducedIdle = 2 * time.Second
 	minIdle     = 500 * time.Millisecond
@@ -58,7 +58,7 @@
 	conn           *eventloop.Conn
 	reader         resp.Reader
 	pending        []*request    // commands whose reply has not been written, in order
-	lastActivity   time.Duration // time of the last complete command or reply
+	lastActivity   time.Duration // time of the last complete command, reply or skipped eviction
 	commandStarted time.Duration // when the first part of an incomplete command was received; 0 if there is none
 	hasSentOp      bool          // at least one of its ops was admitted
 	paused         bool          // reading is paused
@@ -347,8 +347,8 @@
 	}
 }
 
-// checkTimeouts closes the connection if its client sends no first command, does not complete a command, does not read
-// its replies or is idle for too long. Otherwise it resumes reading.
+// checkTimeouts closes the connection if its client does not complete a command, does not read its replies or is idle
+// for too long. Before the first op of a client, commandTimeout is too long. Otherwise it resumes reading.
 func (c *client) checkTimeouts(idleTimeout time.Duration) {
 	now := c.scheduler.loop.Now()
 	switch idle := now - c.lastActivity; {
@@ -360,7 +360,7 @@
 	case len(c.pending) > 0: // the pending ops have timeouts of their own
 	case c.conn.UnsentBytes() > 0 && idle > maxIdle: // the client does not read its replies
 		c.conn.Close()
-	case !c.hasSentOp && idle > commandTimeout: // closed without delay, since the descriptor may be needed
+	case !c.hasSentOp && idle > commandTimeout: // not closed gracefully, since the descriptor may be needed
 		if c.paused || c.conn.NoInputPending() { // otherwise the pending input is read first
 			c.conn.Close()
 		}
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -48,8 +48,8 @@
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 const (
-	// maxNotificationDelay is the time after a change at which an instance counts as notified of it by the platform's
-	// rules, if discovery is reachable.
+	// maxNotificationDelay is the time from a change of the endpoint list until, by the platform's rules, an instance
+	// counts as notified of it if discovery is reachable.
 	maxNotificationDelay = 6 * time.Second
 	// maxWatchWithin bounds Watch.Within of the settings. The decision module retries within a quarter of that time,
 	// which leaves two thirds of maxNotificationDelay for the calls themselves.
@@ -135,8 +135,8 @@
 	return 1 + bytes.Count(p.text[:min(offset, int64(len(p.text)))], []byte("\n"))
 }
 
-// errorAt returns an error in the value of a JSON key, with the line of the key's first occurrence. An empty name
-// stands for the whole file. The cause may be nil.
+// errorAt returns a *ConfigError for the value of a JSON key, with the line of the key's first occurrence. An empty
+// name stands for the whole file. The cause may be nil.
 func (p *configParser) errorAt(name, problem, expected string, cause error) error {
 	offset := 0
 	if name != "" {
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -18,7 +18,7 @@
 	Complete bool         `json:"complete"`
 	Members  []listMember `json:"members"`
 
-	isCurrent bool // with this message applied, the list is that of discovery
+	isCurrent bool // the list is up to date once this message is applied
 }
 
 // listMember is an entry of the endpoint list.
@@ -58,7 +58,7 @@
 	return list, skipped, nil
 }
 
-// skipReason returns the reason why an entry is invalid, or an empty text if it is valid.
+// skipReason returns the reason for which an entry is invalid, or an empty string if it is valid.
 func (m listMember) skipReason() string {
 	if m.ID == "" {
 		return "an entry has no id"
--- a/scheduler/list.go
+++ b/scheduler/list.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// handleList applies a message that the process received at notified. If the message is older than the current list,
-// the watch ends.
+// handleList applies a message; notified is the time at which the process received it. If the message is older than the
+// current list, the watch ends.
 func (s *Scheduler) handleList(list *listMessage, skipped []string, notified time.Duration) {
 	list.isCurrent = list.Complete || list.Revision >= s.revisionGuard.revision
 	if !s.revisionGuard.accept(s.loop.Now(), list) {
@@ -131,8 +131,8 @@
 	})
 }
 
-// applyList applies a list, or a change of the list, that the process received at notified. It then passes the list to
-// the module.
+// applyList applies a list, or a change of the list, and then passes it to the module; notified is the time at which
+// the process received it.
 func (s *Scheduler) applyList(list *listMessage, kind honeyplank.ListKind, notified time.Duration) {
 	event := honeyplank.List{Kind: kind, Version: list.Revision}
 	// The wall clock is read first: a process pause between the two readings makes starts of disk servers appear later,
--- a/scheduler/message_reader.go
+++ b/scheduler/message_reader.go
@@ -22,9 +22,9 @@
 	oldListTimeout   = 4 * time.Second        // time for which lists older than the current one are rejected
 )
 
-// messageReader splits the bytes of a discovery response into messages, JSON objects. A message may be received in
-// pieces, together with others, or on several lines. The reader computes the deadline for the next bytes. It does no
-// I/O, reads no clock and does not trust its input.
+// messageReader splits the bytes of a discovery response into messages, each of which is a JSON object. A message may
+// be received in pieces, together with others, or on several lines. The reader computes the deadline for the next
+// bytes. It does no I/O, reads no clock and is safe for untrusted input.
 type messageReader struct {
 	deadline time.Duration // when the call counts as failed
 	partial  []byte        // the incomplete message
@@ -47,7 +47,7 @@
 // feed processes the next bytes and returns the messages that they complete. Bytes between messages and complete
 // messages extend the deadline. Parts of a message do not, since its rest may never be received.
 func (r *messageReader) feed(now time.Duration, b []byte) (messages [][]byte, err error) {
-	stalled := len(r.partial) > 0 // the message that was incomplete before b still is
+	stalled := len(r.partial) > 0 // the message that was incomplete before b is still incomplete
 	for _, c := range b {
 		if r.depth == 0 {
 			if isJSONSpace(c) {
@@ -92,8 +92,8 @@
 
 // revisionGuard rejects lists that are older than the current one. Such a list comes from a slow call, or from a
 // discovery whose data is older than that of the one used before. It would make removed or draining servers available
-// again. Without an exception a discovery that restarts its revisions would be rejected forever, so older lists are
-// accepted once only older ones were received for oldListTimeout.
+// again. Without an exception, the lists of a discovery that restarts its revisions would be rejected forever. So an
+// older list is accepted if no other than older lists have been received for oldListTimeout.
 type revisionGuard struct {
 	revision   int64         // of the current list
 	olderSince time.Duration // when the first of the consecutive older lists came; 0 if the last one was not older
--- a/scheduler/pool.go
+++ b/scheduler/pool.go
@@ -22,7 +22,7 @@
 	waiting       []*attempt    // waiting for a connection, oldest first
 	dialing       int           // connections that are being opened
 	redialAfter   time.Duration // no dial starts before this time
-	dialFailures  int           // consecutive dials that could not start, at most maxRedialShift
+	dialFailures  int           // consecutive dials that could not start; counted up to maxRedialShift
 }
 
 const (
@@ -191,7 +191,7 @@
 	return ds.scheduler.reserveDescriptor() && ds.dial() == nil
 }
 
-// dial starts to open a connection. An error means that this machine could not start.
+// dial starts to open a connection. An error means that this machine could not start the dial.
 func (ds *diskServer) dial() error {
 	s := ds.scheduler
 	sc := &serverConn{server: ds, reader: resp.Reader{Limits: replyLimits}, idleSince: s.loop.Now()}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -213,7 +213,7 @@
 // maxOpTime returns the longest timeout of an op of a type, a multiple of the op timeout of the settings. It prevents
 // unanswered dispatches from holding a connection and capacity forever.
 //
-// Limitation: a client that sends a longer timeout gets its answer before that.
+// Limitation: an unanswered op with a longer timeout fails before that timeout.
 func maxOpTime(site *simwire.Site, opType int) time.Duration {
 	if timeout := site.Settings.OpTypes[opType].OpTimeout; timeout > 0 {
 		return maxTimeoutFactor * timeout
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -43,7 +43,7 @@
 	cancelWatch   context.CancelFunc // nil if there is no watch
 
 	// idleServerConns lists the idle connections to all disk servers, and peerOrdinals maps each address to its
-	// positions among the configured peers. With them the cost of periodic work does not grow with the fleet.
+	// positions among the configured peers. With them the cost of recurring operations does not grow with the fleet.
 	idleServerConns idleConnList
 	peerOrdinals    map[netip.AddrPort][]int
 	visited         visitCounts
@@ -59,14 +59,14 @@
 	countersLoggedAt time.Duration
 
 	shuttingDown    bool
-	graceElapsed    bool // the time in which clients may still connect is over
+	graceElapsed    bool // no more clients are expected to connect: killGrace has elapsed or admission is closed
 	admissionClosed bool // no more ops are admitted
 	stopping        bool // the loop is about to stop
 	shutdown        shutdownPlan
 }
 
-// visitCounts counts the entries that periodic work visits. A test uses it to compare the work in a small fleet and in
-// a large one.
+// visitCounts counts the entries that recurring operations visit. A test uses it to compare their cost in a small fleet
+// and in a large one.
 type visitCounts struct{ idleConns, peers, members int }
 
 const (
@@ -87,7 +87,7 @@
 // site returns the settings of the deployment.
 func (s *Scheduler) site() *simwire.Site { return s.config.Site }
 
-// descriptorQuota returns the number of descriptors in a share of the unreserved ones.
+// descriptorQuota returns the number of descriptors in a share, from 0 to 1, of all that are not reserved.
 func (s *Scheduler) descriptorQuota(share float64) int {
 	return int(share * float64(s.config.Sockets-reservedDescriptors))
 }
@@ -172,7 +172,8 @@
 	return s.loop.Run()
 }
 
-// start applies the cached list and starts housekeeping. It also starts the watch, unless the module requests it.
+// start applies the cached list and starts housekeeping. It also starts the watch, unless the decision module decides
+// when to watch.
 func (s *Scheduler) start() {
 	list := &listMessage{}
 	if len(s.config.CachedList) > 0 {
@@ -227,7 +228,7 @@
 		config.Site = s.config.Site
 		s.config = config
 		s.peerOrdinals = ordinalsByAddress(config.Peers)
-		if discoveryChanged { // also if a retry at the previous address is scheduled
+		if discoveryChanged { // without waiting for a scheduled retry, which then has no effect
 			s.stopWatch()
 			s.startWatch()
 		}
@@ -238,7 +239,8 @@
 	})
 }
 
-// execute executes the actions of the module that the tracker does not: those that concern neither an op nor a timer.
+// execute executes an action of the module that the tracker does not execute, because it concerns neither an op nor a
+// timer.
 func (s *Scheduler) execute(action honeyplank.Action) {
 	switch a := action.(type) {
 	case honeyplank.HealthCheck:
--- a/scheduler/server_conn.go
+++ b/scheduler/server_conn.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// A command carries the time that is left until its deadline, and may arrive maxProcessPause later. Unsent commands
-	// older than maxEncodedAge are encoded again. A partly written command cannot be encoded again. It is withdrawn
-	// when it is older than maxPartialAge, since the process may pause before it writes the rest.
+	// A command contains the time that is left until its deadline when it is encoded. It may arrive maxProcessPause
+	// later. Unsent commands older than maxEncodedAge are encoded again. A partly written command cannot be encoded
+	// again. It is withdrawn when it is older than maxPartialAge, since the process may pause before it writes the
+	// rest.
 	maxEncodedAge = 5 * time.Millisecond
 	maxPartialAge = 100 * time.Millisecond
 )
@@ -120,7 +121,7 @@
 	if len(unsent) == 0 || now-unsent[0].encodedAt <= maxEncodedAge {
 		return
 	}
-	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // its command has been released and is about to be withdrawn
+	if slices.ContainsFunc(unsent, (*attempt).abandoned) { // its request has released its args; it is withdrawn next
 		return
 	}
 	start := unsent[0].firstByte
@@ -240,7 +241,7 @@
 // failInFlight closes the connection and fails the attempts in flight. Fully written commands may have run.
 func (sc *serverConn) failInFlight() {
 	inFlight, connected := sc.inFlight, sc.connected
-	codes := make([]honeyplank.Code, len(inFlight)) // computed before the close, which ends the byte count
+	codes := make([]honeyplank.Code, len(inFlight)) // by the bytes that are written before the close
 	for i, a := range inFlight {
 		if codes[i] = honeyplank.ConnectFailed; a.fullyWritten() {
 			codes[i] = honeyplank.Reset
--- a/scheduler/shutdown.go
+++ b/scheduler/shutdown.go
@@ -51,7 +51,7 @@
 		s.graceElapsed = true
 		s.stopIfIdle()
 	})
-	s.loop.Schedule(s.shutdown.closeAdmission, func() { // one iteration later: the listener's queue is accepted first
+	s.loop.Schedule(s.shutdown.closeAdmission, func() { // one more iteration accepts the listener's queue
 		s.loop.Schedule(s.loop.Now(), s.closeAdmission)
 	})
 }
