--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -193,7 +193,7 @@
 	return list, false
 }
 
-// value parses a value at a nesting depth of arrays.
+// value parses a value that is nested in depth arrays.
 func (m *model) value(depth int) (Value, error) {
 	if len(m.text) == 0 {
 		return Value{}, errIncomplete
@@ -226,7 +226,7 @@
 	return m.array(n, depth)
 }
 
-// allowed reports whether a value at a nesting depth may be of a kind.
+// allowed reports whether a value that is nested in depth arrays may be of a kind.
 func (m *model) allowed(kind Kind, depth int) bool {
 	if m.limits.CommandsOnly {
 		return kind == Array && depth == 0 || kind == BulkString && depth > 0
--- a/scheduler/client_gone_test.go
+++ b/scheduler/client_gone_test.go
@@ -74,7 +74,7 @@
 		return false
 	}
 	s.conn = conns[0]
-	s.conn.conn.BeforeWrite = nil // prevents that the partly written command is withdrawn for its age
+	s.conn.conn.BeforeWrite = nil // otherwise the partly written command would be withdrawn because of its age
 	return true
 }
 
@@ -91,7 +91,8 @@
 }
 
 // TestClientGoneOnSharedConn checks a connection that several ops share and that the disk server does not read. An op
-// whose client disconnects never arrives if it is not or only partly written. The ops before and after it are served.
+// whose client disconnects never arrives if its command is unwritten or partly written. The ops before and after it are
+// served.
 func TestClientGoneOnSharedConn(t *testing.T) {
 	const n = 100 // together larger than the socket buffers of one connection
 	const partial = -1
--- a/scheduler/client_test.go
+++ b/scheduler/client_test.go
@@ -282,9 +282,9 @@
 	}
 }
 
-// TestManyIdleConns checks that more connections without ops than there are descriptors neither prevent other clients
-// from being served nor displace clients that send ops, also during a shutdown. Hundreds of commands sent at once all
-// get their replies, in order.
+// TestManyIdleConns checks clients that send no ops and open more connections than there are descriptors. They neither
+// prevent other clients from being served nor displace clients that send ops, also during a shutdown. Hundreds of
+// commands sent at once all get their replies, in order.
 func TestManyIdleConns(t *testing.T) {
 	bed := newTestbed(t, 1)
 	c := bed.dialClient()
--- a/scheduler/config_options_test.go
+++ b/scheduler/config_options_test.go
@@ -56,7 +56,7 @@
 	section(config, "settings", "caps")["connect_timeout_ms"] = 5000
 }
 
-// withStreamsPerConn lets a connection to a disk server carry n commands.
+// withStreamsPerConn lets a connection to a disk server carry n commands at a time.
 func withStreamsPerConn(n int) func(map[string]any) {
 	return func(config map[string]any) { section(config, "settings", "caps")["streams_per_conn"] = n }
 }
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -153,7 +153,7 @@
 	late  time.Duration          // delay until the command is read
 }
 
-// run sends the command with a timeout and returns the time left of it when the op is admitted.
+// run sends the command with a timeout and returns the time left until its deadline when the op is admitted.
 func (x lateReadCase) run(t *testing.T, timeout time.Duration) time.Duration {
 	t.Helper()
 	bed := newTestbed(t, 1)
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -214,7 +214,7 @@
 	select {
 	case <-discovery.calls:
 		t.Error("the call was cancelled")
-	case <-time.After(2 * time.Second): // the longest time for which other sites let calls wait
+	case <-time.After(2 * time.Second): // the longest time that a call waits in the queue of a shared discovery
 	}
 	call.sendHeader()
 	call.sendChunk(deltaJSON(7, bed.member(1, "removed")))
--- a/scheduler/draining_test.go
+++ b/scheduler/draining_test.go
@@ -14,7 +14,7 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	for name, x := range map[string]struct {
 		phase  string
-		grace  time.Duration // the kernel retries a connect after a second
+		grace  time.Duration // above 1 s if within is set, since the kernel retries a connect after 1 s
 		within bool
 		want   string
 	}{
--- a/scheduler/late_reply_test.go
+++ b/scheduler/late_reply_test.go
@@ -11,9 +11,9 @@
 	"honeyplank/resp"
 )
 
-// lateReplyServer is a disk server that sends extra bytes a moment after each answer. It measures the delay from before
-// it writes the answer. On a busy machine the server itself may be delayed beyond reuseDelay, after which a scheduler
-// cannot distinguish such bytes from an answer. In this case the server sends no extra bytes.
+// lateReplyServer is a disk server that sends extra bytes a moment after each answer. The delay counts from the time at
+// which the server begins to write the answer. On a busy machine the server itself may be delayed beyond reuseDelay,
+// after which a scheduler cannot distinguish such bytes from an answer. So a late server sends no extra bytes.
 type lateReplyServer struct {
 	address string
 
--- a/scheduler/list_test.go
+++ b/scheduler/list_test.go
@@ -10,8 +10,8 @@
 	fakeresp "honeyplank/fake/resp"
 )
 
-// TestReloadShrinks checks that after a reload with fewer descriptors idle connections of clients and to disk servers
-// are closed, and that connections in use stay open.
+// TestReloadShrinks checks that idle connections of clients and to disk servers are closed after a reload with fewer
+// descriptors, and that connections in use stay open.
 func TestReloadShrinks(t *testing.T) {
 	bed := newTestbed(t, 1)
 	bed.useModule(singleServerModule{"s-0"})
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestListsOnRequest checks that if lists are received only on request, the watch that the module requests delivers
-// them, and the module is notified when its watch is established or has failed.
+// TestListsOnRequest checks that, if the module decides when to watch, the watch that it starts delivers changes of the
+// list, and the module is notified when the watch has failed.
 func TestListsOnRequest(t *testing.T) {
 	bed := newTestbed(t, 2, withWatchOnRequest(2000))
 	received := make(chan honeyplank.List, 64)
--- a/scheduler/message_reader_test.go
+++ b/scheduler/message_reader_test.go
@@ -90,7 +90,8 @@
 
 // TestNotifiedWithin checks that the limits of calls to discovery leave enough time to be notified of a change.
 func TestNotifiedWithin(t *testing.T) {
-	// One watch without data, one call without a response and one more call fit into maxNotificationDelay.
+	// A watch without data and a call without a response, each with its retry delay, take at most 5 s. So one more call
+	// fits into maxNotificationDelay.
 	if watchIdleTimeout+watchRetryDelay+headerTimeout+watchRetryDelay > 5*time.Second {
 		t.Error("a change is received too late after a watch without data")
 	}
--- a/scheduler/op_types_test.go
+++ b/scheduler/op_types_test.go
@@ -16,8 +16,8 @@
 	config["limits"] = map[string]any{"cores": 0.1, "memory_mb": 48, "sockets": 128}
 }
 
-// TestUnusualTimeout checks that a client with a far longer timeout than the others does not affect them, and that its
-// op does not wait for longer than the settings allow.
+// TestUnusualTimeout checks that an op with a far longer timeout than the others does not affect them, and that it does
+// not wait for longer than the settings allow.
 func TestUnusualTimeout(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 60 * time.Millisecond})
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestSlowOpType checks that late answers of one class do not keep another class from being served.
+// TestSlowOpType checks that late answers to ops of one type do not keep ops of another type from being served.
 func TestSlowOpType(t *testing.T) {
 	bed := newTestbed(t, 1, withLargeFleet)
 	slow, quick := bed.dialClient(), bed.dialClient()
@@ -50,6 +50,6 @@
 	bed.disks[0].SetFaults(fakeresp.Faults{Delay: 550 * time.Millisecond, Class: "write"})
 	slow.countServed("write", "slow", 6, 600)
 	if served := quick.countServed("read", "after", 20, 400); served < 18 {
-		t.Errorf("%d of 20 ops of the other class served", served)
+		t.Errorf("%d of 20 ops of the other type served", served)
 	}
 }
--- a/scheduler/pool_test.go
+++ b/scheduler/pool_test.go
@@ -127,16 +127,16 @@
 }
 
 // TestIdleReset checks that, after an idle period, the next write is served and reaches the disk server once. The
-// server closes or resets the idle connections before the write or in the same round of the loop.
+// server closes or resets the idle connections before the write or in the same iteration of the loop.
 func TestIdleReset(t *testing.T) {
 	for name, x := range map[string]struct {
 		end    func(*fakeresp.Disk)
 		before bool // the loop handles the end before the write
 	}{
-		"closed":                   {(*fakeresp.Disk).CloseConnections, true},
-		"closed in the same round": {(*fakeresp.Disk).CloseConnections, false},
-		"reset":                    {(*fakeresp.Disk).ResetConnections, true},
-		"reset in the same round":  {(*fakeresp.Disk).ResetConnections, false},
+		"closed":                       {(*fakeresp.Disk).CloseConnections, true},
+		"closed in the same iteration": {(*fakeresp.Disk).CloseConnections, false},
+		"reset":                        {(*fakeresp.Disk).ResetConnections, true},
+		"reset in the same iteration":  {(*fakeresp.Disk).ResetConnections, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed, c := newIdleTestbed(t)
--- a/scheduler/shutdown_test.go
+++ b/scheduler/shutdown_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestShutdownPlan checks that each step of the shutdown has more time than a process pause takes, and so has the
-// delivery of SIGTERM to the loop.
+// TestShutdownPlan checks, for many op timeouts, that admission stays open for minAdmissionTime and that ops fail no
+// earlier than it closes. The time from that failure to the kill is enough for two process pauses and flushMargin.
 func TestShutdownPlan(t *testing.T) {
 	const notified = time.Minute
 	for longest := 50 * time.Millisecond; longest <= 4*time.Second; longest += 10 * time.Millisecond {
