--- a/loadgen/blocks.go
+++ b/loadgen/blocks.go
@@ -38,9 +38,10 @@
 	data   []byte
 }
 
-// writeHistory holds writes that succeeded and have not been read back. The newest is the last.
+// writeHistory holds up to maxWriteHistory writes that succeeded and have not been read back. The newest is the last.
 type writeHistory []write
 
+// add adds a write, unless the history is full.
 func (h *writeHistory) add(w write) {
 	if len(*h) < maxWriteHistory {
 		*h = append(*h, w)
--- a/loadgen/client.go
+++ b/loadgen/client.go
@@ -11,7 +11,7 @@
 const (
 	// queueDepth is the largest number of outstanding commands of a client.
 	queueDepth = 120
-	// connectTimeout bounds the time in which a client's association must be established.
+	// connectTimeout bounds the time until a client's association is established.
 	connectTimeout = time.Second
 	// keepAlive is the interval of a client's Keep Alive commands.
 	keepAlive = 5 * time.Second
@@ -56,8 +56,8 @@
 // Ready implements initiator.Handler. From now on the client sends ops.
 func (c *client) Ready(*initiator.Association) { c.ready = true }
 
-// Ended implements initiator.Handler. It connects again after reconnectDelay. An association that disconnect has closed
-// is ignored.
+// Ended implements initiator.Handler. It connects again after reconnectDelay. It ignores an association that is not the
+// client's current one.
 func (c *client) Ended(association *initiator.Association, _ error) {
 	if c.association != association {
 		return
--- a/loadgen/generator.go
+++ b/loadgen/generator.go
@@ -30,8 +30,8 @@
 	// CountedSeparately, if not nil, reports whether the utility of a client is also added to
 	// Generator.CountedSeparately.
 	CountedSeparately func(client int) bool
-	// Expect, if not nil, fills block with the content of a block before its first write. Read data is compared with
-	// it. If Expect is nil, no read data is compared.
+	// Expect, if not nil, fills block with the content that a block has before its first write. Read data is compared
+	// with it, or with the written data if the read reads back a write. If Expect is nil, no read data is compared.
 	Expect func(block []byte, nsid uint32, lba uint64)
 }
 
--- a/loadgen/stream.go
+++ b/loadgen/stream.go
@@ -12,8 +12,8 @@
 const (
 	// randomStride is the distance between the random 64-bit numbers in written data, in bytes. The other bytes are 0.
 	randomStride = 512
-	// readBackOdds sets the probability that a read reads back a write: one in readBackOdds, if the newest write that
-	// has not been read back has the read's size.
+	// readBackOdds is the reciprocal of the probability that a read reads back a write, if the newest write in the
+	// history has the read's size. No other read reads back a write.
 	readBackOdds = 4
 )
 
--- a/loadgen/tally.go
+++ b/loadgen/tally.go
@@ -19,14 +19,14 @@
 type Utility struct {
 	// Due is the utility that all ops would have if each succeeded within its target latency.
 	Due float64
-	// Earned is the utility of the ops that succeeded. Ops later than their target latency count with their late
+	// Earned is the utility of the ops that succeeded. Those that exceeded their target latency count with their late
 	// utility.
 	Earned float64
 }
 
 // Tally counts the results of the ops of one type.
 type Tally struct {
-	// Attempts counts each attempt of an op, Ops each op once.
+	// Attempts counts each attempt of an op, even if it was not sent. Ops counts each op once.
 	Attempts, Ops int
 	// Succeeded, Rejected, Failed and Lost count ops by the result of their last attempt. Lost counts the ops that were
 	// dropped: without an answer, or not sent because the client was not connected or had no free command slot.
