--- a/bench/dnsload.go
+++ b/bench/dnsload.go
@@ -25,9 +25,9 @@
 	Peak float64 // the highest rate within a tenth of a second
 }
 
-// DNSLoad measures the queries that a number of schedulers send to one name server whose records have the given
-// lifetime, in seconds. All schedulers start at once. The measurement starts two lifetimes later, when their queries
-// are spread over time, and takes length seconds.
+// DNSLoad measures the rate of the queries that the DNS clients of a number of schedulers send to one name server whose
+// records have the given lifetime, in seconds. All clients start at once. The measurement starts two lifetimes later,
+// when their queries are spread over time, and takes length seconds.
 func DNSLoad(schedulers int, lifetime uint32, length float64) (QueryRate, error) {
 	server, err := dns.New(serviceName)
 	if err != nil {
@@ -58,9 +58,9 @@
 	last := first
 	for began := time.Now(); time.Since(began) < duration; {
 		time.Sleep(peakWindow)
-		now := server.Queries()
-		rate.Peak = max(rate.Peak, float64(now-last)/peakWindow.Seconds())
-		last = now
+		queries := server.Queries()
+		rate.Peak = max(rate.Peak, float64(queries-last)/peakWindow.Seconds())
+		last = queries
 	}
 	rate.Mean = float64(server.Queries()-first) / duration.Seconds()
 	return rate
--- a/bench/driver.go
+++ b/bench/driver.go
@@ -15,15 +15,16 @@
 	hostQueueDepth   = 120
 	connectTimeout   = 2 * time.Second
 	maxLatency       = 10 * time.Second       // largest latency that a histogram records
-	lastRepliesDelay = 100 * time.Millisecond // from the last op at a rate until the latencies are read
+	lastRepliesDelay = 100 * time.Millisecond // from the end of the load at a fixed rate until its latencies are read
 	histogramDigits  = 3
 )
 
-// driver sends Reads to several controllers. Its fields may be used only on the goroutine of the clients' loop.
+// driver sends Reads to several controllers. While ops are in flight, its fields may be used only on the goroutine of
+// the clients' loop.
 type driver struct {
 	bed          *testbed
 	associations []*initiator.Association
-	connected    chan error // nil for each association that is ready, or the error with which an association ended
+	connected    chan error // receives nil when an association is ready, and the error when one ends
 	submitted    int
 	completed    int
 	unsuccessful int
@@ -81,8 +82,9 @@
 	<-done
 }
 
-// submit sends the next Read and calls onComplete when it is completed. Association n reads extents of cell n, so that
-// the load through the gateway and the load sent directly to the disk servers read the same extents.
+// submit sends the next Read and calls onComplete when it is completed. A Read that cannot be sent counts as
+// unsuccessful, and onComplete is not called. Association n reads extents of cell n, so that the load through the
+// gateway and the load sent directly to the disk servers read the same extents.
 func (d *driver) submit(onComplete func()) {
 	d.submitted++
 	volumes := d.bed.settings.Volumes
@@ -134,7 +136,7 @@
 }
 
 // sendAtRate sends ops at a rate, in ops per second, for the given duration and returns their latencies in
-// microseconds. The histogram is valid until the next call.
+// microseconds. The histogram is valid until the driver sends ops again.
 func (d *driver) sendAtRate(rate float64, duration time.Duration) *hdrhistogram.Histogram {
 	finished := make(chan struct{})
 	loop := d.bed.clientLoop
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -22,10 +22,10 @@
 // load at each size.
 type FleetCost struct {
 	Servers     int     `json:"servers"`
-	CPU         float64 `json:"cpu_seconds"` // from the start to the end of the load
+	CPU         float64 `json:"cpu_seconds"` // from the start of the process to the end of the load
 	Memory      float64 `json:"peak_memory_mb"`
 	Descriptors int     `json:"peak_descriptors"`
-	Connections int     `json:"connections_made"`
+	Connections int     `json:"connections_made"` // to the disk servers
 	Requests    int64   `json:"requests"`
 	Served      int64   `json:"served"`
 }
@@ -69,9 +69,9 @@
 	"tip_multiple":4},
 "step_ms":1}`
 
-// Fleet runs the program itself (command, with the argument platform) as one scheduler with fake disk servers and a
-// fake discovery service, for length seconds at each size of the fleet. It measures the process through /proc and
-// therefore needs Linux. Half of the requests read data of one of the servers' cells, half are for new objects.
+// Fleet runs the program command, with the argument platform, as one scheduler with fake disk servers and a fake
+// discovery service, for length seconds at each size of the fleet. It measures the process through /proc and therefore
+// needs Linux. Half of the requests read data of one of the servers' cells, half are for new objects.
 func Fleet(ctx context.Context, command string, sizes []int, length float64) ([]FleetCost, error) {
 	var costs []FleetCost
 	for _, servers := range sizes {
@@ -184,7 +184,7 @@
 
 func (p *schedulerProcess) pid() int { return p.command.Process.Pid }
 
-// kill kills the process and waits for its end. It ignores errors, since the measurement is complete.
+// kill kills the process and waits for its end. It ignores errors, since the process is no longer measured.
 func (p *schedulerProcess) kill() {
 	_ = p.command.Process.Kill()
 	_ = p.command.Wait()
--- a/bench/hostile.go
+++ b/bench/hostile.go
@@ -41,7 +41,9 @@
 	Rejected       int64   `json:"rejected_connections"`
 	MaxConnections int     `json:"max_connections"` // largest number open at the gateway, regular clients included
 	Heap           float64 `json:"heap_mib"`        // largest heap of the whole process
-	Recovery       float64 `json:"recovery_ms"`     // from the end of the abusive clients until 95 % of the throughput
+	// Recovery is the time from the end of the abusive clients until the throughput has reached recoveredShare of that
+	// without abusive clients, or until recoveryTimeout.
+	Recovery float64 `json:"recovery_ms"`
 }
 
 // abusiveBehaviour runs an abusive client on one connection. It returns when the connection ends or done is closed.
@@ -104,9 +106,9 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Abusive measures the load of regular clients without abusive clients, then with the given number of abusive
-// connections, which are opened again whenever they end, and then the time until the throughput has recovered. length
-// is the length of each phase, in seconds.
+// Abusive measures throughput and latency of regular clients without abusive clients, then with the given number of
+// abusive connections, which are opened again whenever they end, and then the time until the throughput has recovered.
+// length is the duration of each measurement of throughput and of latency, in seconds.
 func Abusive(connections int, length float64) (*AbusiveReport, error) {
 	bed, err := newTestbed(func(s *settings.Gateway) { limitClients(s, connections) })
 	if err != nil {
@@ -133,7 +135,7 @@
 	return report, nil
 }
 
-// limitClients sets the limits of the clients of one address.
+// limitClients sets the gateway's connection limit and the limits of the clients of one address.
 func limitClients(s *settings.Gateway, connections int) {
 	s.Limits.MaxConnections = 4 * connections
 	s.Limits.Client = &settings.ClientLimits{
--- a/bench/ops.go
+++ b/bench/ops.go
@@ -21,7 +21,7 @@
 
 // OpsOptions configure Ops.
 type OpsOptions struct {
-	Seconds  float64 // length of each phase
+	Seconds  float64 // duration of each measurement of throughput and of latency
 	InFlight int     // ops in flight at saturation
 	Rate     float64 // ops per second while latency is measured
 }
@@ -52,7 +52,7 @@
 	Direct         Phase   `json:"direct"`
 	ThroughGateway Phase   `json:"through"`
 	Op             OpCost  `json:"op"`
-	PerCore        float64 `json:"ops_a_second_of_one_core"` // for one core of the gateway's loop
+	PerCore        float64 `json:"ops_a_second_of_one_core"` // ops per second of processor time of the gateway's loop
 }
 
 // Ops sends load directly to the disk servers, then through the gateway. Each phase warms up, then measures throughput
@@ -136,9 +136,9 @@
 		return fmt.Errorf("bench: reading the baseline: %w", err)
 	}
 	var grown []string
-	compare := func(name string, recorded, now float64) {
-		if now > maxCostRatio*recorded {
-			grown = append(grown, fmt.Sprintf("%s per op: %.2f, baseline %.2f", name, now, recorded))
+	compare := func(name string, recorded, current float64) {
+		if current > maxCostRatio*recorded {
+			grown = append(grown, fmt.Sprintf("%s per op: %.2f, baseline %.2f", name, current, recorded))
 		}
 	}
 	compare("allocations", recorded.Op.Allocations, r.Op.Allocations)
--- a/bench/process.go
+++ b/bench/process.go
@@ -14,10 +14,11 @@
 const (
 	bytesPerMiB = 1 << 20
 	kBPerMB     = 1024
-	// clockTicksPerSecond is the unit of times in /proc/PID/stat, see proc(5) and sysconf(_SC_CLK_TCK).
+	// clockTicksPerSecond is the number of clock ticks per second. Clock ticks are the unit of the times in
+	// /proc/PID/stat, see proc(5) and sysconf(_SC_CLK_TCK).
 	clockTicksPerSecond = 100
-	// statUserTimeField and statSystemTimeField are indices of fields in /proc/PID/stat, counted from the first field
-	// after the process name.
+	// statUserTimeField and statSystemTimeField are indices of fields in /proc/PID/stat. The first field after the
+	// process name has index 0.
 	statUserTimeField   = 11
 	statSystemTimeField = 12
 )
--- a/bench/sources.go
+++ b/bench/sources.go
@@ -25,7 +25,7 @@
 	listPollInterval       = time.Millisecond // between two checks of the module's list
 	maxNotificationLatency = time.Minute      // largest latency that a histogram records
 	watchWithin            = 2 * time.Second  // WatchWithin of the gateway's settings
-	changedNodeInterval    = 10               // one in this number of nodes changes while etcd is unavailable
+	changedNodeInterval    = 10               // one node in this number changes while etcd is unavailable
 	changeStride           = 7919             // prime stride between the nodes that change one after another
 	nodeStateUp            = "on"
 	nodeStateDrain         = "draining"
@@ -39,7 +39,7 @@
 	P50        float64 `json:"p50_ms"` // from the change at etcd until the module is notified
 	P99        float64 `json:"p99_ms"`
 	IdleCPU    float64 `json:"idle_ms_a_second"`    // of the gateway's loop while nothing changes
-	LoopCPU    float64 `json:"loop_us_a_change"`    // of the loop in excess of IdleCPU: merging of sources, module
+	LoopCPU    float64 `json:"loop_us_a_change"`    // of the loop, without IdleCPU: merging of sources, module
 	ProcessCPU float64 `json:"process_us_a_change"` // of the whole process, with gRPC and the fake etcd
 	Memory     float64 `json:"bytes_a_node"`
 	// AfterOutage and AfterCompaction are the times from the end of an outage of etcd until the list is complete. A
@@ -179,8 +179,8 @@
 	return idle
 }
 
-// measureChanges lists nodes as draining and then as up again, at the rate of the cost. idle is the processor time of
-// the idle loop for the duration. It is subtracted from the processor time with changes.
+// measureChanges lists nodes as draining and then as up again, at cost.Rate. idle is the processor time that the idle
+// loop uses in the given duration. It is subtracted from the processor time with changes.
 func (b *watchTestbed) measureChanges(cost *WatchCost, duration, idle time.Duration) error {
 	countsBefore, _ := b.gateway.Counts()
 	processBefore := processTime()
@@ -235,7 +235,7 @@
 	return milliseconds(time.Since(began)), err
 }
 
-// observedModule is the decision module. It records the states of servers of which the module is notified.
+// observedModule is the decision module. It also records the state of each server in the lists that it receives.
 type observedModule struct {
 	*policy.Engine
 
--- a/bench/testbed.go
+++ b/bench/testbed.go
@@ -29,8 +29,8 @@
 const (
 	// anyPort is a loopback address to listen on, with a port that the system chooses.
 	anyPort = "127.0.0.1:0"
-	// loopOrigin is the time at which the clocks of the loops start. It is late enough for the start time of a disk
-	// server to be before it.
+	// loopOrigin is the initial time of the loops' clocks. It is well above 0, so that the start time of a disk server
+	// can be before it.
 	loopOrigin = time.Minute
 	// listSyncDelay is the time in which the endpoint list reaches a gateway that has just started.
 	listSyncDelay = 300 * time.Millisecond
@@ -79,7 +79,7 @@
 	return bed, nil
 }
 
-// closeLoop closes the sockets of a loop that is not running: Run returns at once after Stop.
+// closeLoop closes the sockets of a loop that has never run. After Stop, Run closes them and returns at once.
 func closeLoop(loop *eventloop.Loop) error {
 	loop.Stop()
 	return loop.Run()
