--- a/fuzzcorpus/coverage.go
+++ b/fuzzcorpus/coverage.go
@@ -10,14 +10,15 @@
 	"golang.org/x/tools/cover"
 )
 
-// Patterns for the names of the inputs that measure runs.
+// Patterns for the names of inputs, passed to coverageBinary.measure.
 const (
 	seedsPattern     = "^seed#" // inputs that the source adds with f.Add
 	allInputsPattern = ""
 )
 
-// block is a block of statements in the source. countBits is 0 for the block itself. Otherwise it is the number of
-// binary digits of its execution count, so that an input that runs a loop more often counts as reaching new coverage.
+// block is a key of the maps in coverage. A key whose countBits is 0 stands for a block of statements in the source. If
+// the block ran, another key has the number of binary digits of its execution count in countBits, so that an input that
+// runs a loop much more or less often than others counts as reaching new coverage.
 type block struct {
 	file                             string
 	line, column, endLine, endColumn int
@@ -79,7 +80,7 @@
 	profile   string // file that each measurement overwrites
 }
 
-// buildCoverageBinary builds the instrumented test binary of a target in the directory into.
+// buildCoverageBinary builds the instrumented test binary of a target. It writes the files to the directory into.
 func buildCoverageBinary(ctx context.Context, root string, t Target, into string) (*coverageBinary, error) {
 	path, err := buildTests(ctx, root, t, into, "-covermode=count")
 	if err != nil {
@@ -100,7 +101,7 @@
 	return readCoverage(b.profile)
 }
 
-// Stats measures the share of its package's statements that each target reaches, with the seeds in its source alone
+// Stats measures, for each target, the share of the statements of its package that the seeds in the source reach alone
 // and together with the corpus. It calls done with the result of each target in turn.
 func Stats(ctx context.Context, root string, targets []Target, done func(Result)) error {
 	directory, err := os.MkdirTemp("", "fuzzcorpus")
--- a/fuzzcorpus/gocommand.go
+++ b/fuzzcorpus/gocommand.go
@@ -32,7 +32,7 @@
 	return string(output), err
 }
 
-// buildTests builds the test binary of a target's package in the directory into and returns its path.
+// buildTests builds the test binary of a target's package, writes it to the directory into and returns its path.
 func buildTests(ctx context.Context, root string, t Target, into string, flags ...string) (string, error) {
 	binary := filepath.Join(into, strings.ReplaceAll(t.Package, "/", "-")+".test")
 	arguments := append([]string{"test", "-c", "-o", binary}, flags...)
--- a/fuzzcorpus/grow.go
+++ b/fuzzcorpus/grow.go
@@ -23,12 +23,12 @@
 type ExtendOptions struct {
 	Time     time.Duration // fuzzing time of each target
 	Workers  int           // number of inputs that run in parallel
-	MaxBytes int64         // size of the longest input file that is kept
+	MaxBytes int64         // largest size of a generated input file that is added
 }
 
-// Extend fuzzes each target for options.Time and adds the inputs that reached new coverage to the corpus. A crash is
-// kept under a name with crashPrefix, so that every later run of the target replays it. Extend calls done with the
-// result of each target in turn.
+// Extend rewrites the inputs of older versions of each target. Then it fuzzes the target for options.Time and adds the
+// inputs that reached new coverage to the corpus. A finding is kept under a name with crashPrefix, so that every later
+// run of the target replays it. Extend calls done with the result of each target in turn.
 func Extend(ctx context.Context, root string, targets []Target, options ExtendOptions, done func(Result)) error {
 	cache, err := fuzzCacheDirectory(ctx, root)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return filepath.Join(strings.TrimSpace(cache), "fuzz", strings.TrimSpace(module)), nil
 }
 
-// extendTarget fuzzes one target and, if it crashes, adds the failing input to its corpus.
+// extendTarget fuzzes one target. If the target fails, the go command writes the finding to the corpus, and
+// extendTarget adds crashPrefix to its file name.
 func extendTarget(ctx context.Context, root string, t Target, options ExtendOptions) (Result, error) {
 	result := Result{Target: t}
 	var err error
@@ -94,8 +95,8 @@
 	return result, os.Rename(path, filepath.Join(filepath.Dir(path), result.Crash))
 }
 
-// copyInputs copies those files of the directory from to the corpus that are inputs for the target, have at most
-// maxBytes and are not in the corpus. It returns their names.
+// copyInputs copies files from another directory to the corpus: those that are inputs for the target, have at most
+// maxBytes and are not in the corpus. It returns their names. Without that directory, there is nothing to copy.
 func (t Target) copyInputs(root, from string, maxBytes int64) ([]string, error) {
 	entries, err := os.ReadDir(from)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/fuzzcorpus/inputs.go
+++ b/fuzzcorpus/inputs.go
@@ -51,17 +51,17 @@
 	return typeName + "(0)"
 }
 
-// Check returns nil if a text is an input for the target. The error wraps errOutdatedInput if the text is an input with
-// other values.
+// Check returns nil if a text is an input for the target. The error wraps errOutdatedInput if the text is an input
+// whose values do not match the target's parameters.
 func (t Target) Check(text []byte) error {
 	_, err := t.Upgrade(text)
 	return err
 }
 
-// Upgrade rewrites an input of an older version of the target. Its values, in their order, become the first parameters
-// of their types. All other parameters become zero. Upgrade returns the new text and an error that wraps
-// errOutdatedInput. The text is nil if a value fits no parameter. If the input is up to date, Upgrade returns it
-// unchanged and no error.
+// Upgrade rewrites an input of an older version of the target. The values keep their order, and each becomes the next
+// parameter that has its type. All other parameters get the zero value of their type. Upgrade returns the new text and
+// an error that wraps errOutdatedInput. The text is nil if a value fits no parameter. If the input is up to date,
+// Upgrade returns it unchanged and no error.
 func (t Target) Upgrade(text []byte) ([]byte, error) {
 	values, err := parseInput(text)
 	if err != nil {
--- a/fuzzcorpus/minimise.go
+++ b/fuzzcorpus/minimise.go
@@ -13,9 +13,9 @@
 // findings.
 var generatedNamePattern = regexp.MustCompile(`^[0-9a-f]{16}$`)
 
-// Minimise removes the inputs that reach no coverage beyond that of the seeds and of the inputs already kept. It tries
-// short inputs first. It keeps all findings, whatever their coverage. It calls done with the result of each target in
-// turn.
+// Minimise rewrites the inputs of older versions of each target. Then it removes the inputs that reach no coverage
+// beyond that of the seeds and of the inputs already kept. It tries short inputs first. It keeps all findings, whatever
+// their coverage. It calls done with the result of each target in turn.
 func Minimise(ctx context.Context, root string, targets []Target, done func(Result)) error {
 	directory, err := os.MkdirTemp("", "fuzzcorpus")
 	if err != nil {
--- a/fuzzcorpus/mutate.go
+++ b/fuzzcorpus/mutate.go
@@ -25,8 +25,8 @@
 }
 
 // Mutate applies each mutation to the code by an overlay of the compiler, which leaves the source file unchanged, and
-// runs its target: first on the corpus and, if that does not fail, on up to maxInputs new inputs. It calls done with
-// the result of each mutation in turn.
+// runs its target: first on the corpus and, if the target does not fail, on up to maxInputs new inputs. It calls done
+// with the result of each mutation in turn.
 func Mutate(ctx context.Context, root string, mutations []Mutation, maxInputs int, done func(MutationResult)) error {
 	directory, err := os.MkdirTemp("", "fuzzcorpus")
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	result.Found = err != nil
 	result.Fuzzed = executions(output)
-	if finding, found := failingInputPath(output); found { // it shows the mutation, not a fault of the product
+	if finding, found := failingInputPath(output); found { // the finding shows the mutation, not a fault of the product
 		return os.Remove(filepath.Join(directory, finding))
 	}
 	return nil
--- a/fuzzcorpus/replay.go
+++ b/fuzzcorpus/replay.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Replay runs each target on every input of its corpus and calls done with the result of each target in turn. Inputs
-// that fail are faults in the results. Replay returns an error if a target cannot be run.
+// Replay runs each target on every input of its corpus and calls done with the result of each target in turn. A failure
+// of a target is a fault in its result. If the corpus has files that are not inputs for the target, these are the
+// faults, and the target is not run. Replay returns an error if the corpus cannot be read or ctx ends.
 func Replay(ctx context.Context, root string, targets []Target, done func(Result)) error {
 	for _, t := range targets {
 		result, err := replayTarget(ctx, root, t)
--- a/fuzzcorpus/results.go
+++ b/fuzzcorpus/results.go
@@ -16,7 +16,7 @@
 // Fault is a file in a corpus that is not an input for its target, or an input on which its target fails.
 type Fault struct {
 	Target Target
-	File   string
+	File   string // path, or the name of the input on which the target fails; empty if unknown
 	Reason string
 }
 
