--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// shortPhase is the length of a phase in these tests, in seconds. The tests do not check performance.
+// shortPhase is the duration of a measurement in these tests, in seconds. The tests do not check performance.
 const shortPhase = 0.2
 
 // TestOps measures ops in short phases. Both phases complete ops, all successfully, and Compare accepts the report as
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestDNSLoad measures the query rate of two schedulers.
+// TestDNSLoad measures the query rate of the DNS clients of two schedulers.
 func TestDNSLoad(t *testing.T) {
 	rate, err := DNSLoad(2, 1, 2)
 	if err != nil {
@@ -156,10 +156,10 @@
 		t.Errorf("%d open descriptors, expected at least 3", n)
 	}
 	if mb, err := peakMemory(pid); err != nil || mb <= 0 {
-		t.Errorf("peak memory %v MB, %v", mb, err)
+		t.Errorf("peak memory %v MB, error %v", mb, err)
 	}
 	if s, err := cpuSeconds(pid); err != nil || s < 0 {
-		t.Errorf("%v s of processor time, %v", s, err)
+		t.Errorf("%v s of processor time, error %v", s, err)
 	}
 	const noProcess = 1 << 30
 	if _, err := peakMemory(noProcess); err == nil {
--- a/fuzzcorpus/inputs_test.go
+++ b/fuzzcorpus/inputs_test.go
@@ -34,12 +34,12 @@
 	}
 }
 
-// TestUpgradeEncoding checks that texts of another encoding are an error, but not outdated inputs.
+// TestUpgradeEncoding checks that Upgrade returns an error for texts of another encoding, but not errOutdatedInput.
 func TestUpgradeEncoding(t *testing.T) {
 	target := Target{Types: []string{"byte", "[]byte", "bool"}}
 	for _, text := range []string{"", "go test fuzz v9\nbyte('a')\n"} {
 		if _, err := target.Upgrade([]byte(text)); err == nil || errors.Is(err, errOutdatedInput) {
-			t.Errorf("text %q: error %v, expected another than errOutdatedInput", text, err)
+			t.Errorf("text %q: error %v, expected an error other than errOutdatedInput", text, err)
 		}
 	}
 }
--- a/fuzzcorpus/lifecycle_test.go
+++ b/fuzzcorpus/lifecycle_test.go
@@ -142,7 +142,7 @@
 		c.write(directory+name, Encoding+"\n[]byte(\"zz\")\n")
 	}
 	// Fuzzing may find the crash before any other input. Once the fault is fixed, the input "!" covers no more than the
-	// seeds. This input adds coverage in any case.
+	// seeds. The input "!x" adds coverage in any case.
 	c.write(directory+"000000000000000c", Encoding+"\n[]byte(\"!x\")\n")
 	c.minimise()
 	if c.result.Coverage <= c.result.SeedCoverage || len(c.result.Removed) < 2 {
--- a/fuzzcorpus/mutations_test.go
+++ b/fuzzcorpus/mutations_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestMutationsApply checks that the text that each mutation replaces occurs exactly once in its file. A change of the
-// source makes a mutation out of date.
+// TestMutationsApply checks that the text that each mutation replaces occurs exactly once in its file. A mutation is
+// out of date if a change of the source has removed or repeated this text.
 func TestMutationsApply(t *testing.T) {
 	for _, m := range Mutations {
 		text, err := os.ReadFile(filepath.Join("..", filepath.FromSlash(m.File)))
--- a/loadgen/generator_test.go
+++ b/loadgen/generator_test.go
@@ -208,7 +208,7 @@
 	b.options.Traffic = append(b.options.Traffic, settings.Traffic{OpType: "write", Rate: 200, OpBytes: blockSize})
 	filled := 0
 	b.options.Expect = func(block []byte, nsid uint32, lba uint64) {
-		filled++ // once for each read that does not read back a write: its op has one block
+		filled++ // once for each read that does not read back a write, since a read has one block
 		disk.Fill(block, nsid, lba)
 	}
 	b.run(func() { filled = 0 })
@@ -319,7 +319,8 @@
 		b.load.Disconnect(1)
 	})
 	if closed != 1 || before != 2 || connections != 2*before { // an association has an admin and an I/O connection
-		t.Errorf("%d associations closed, %d connections before that and %d in all", closed, before, connections)
+		t.Errorf("%d associations closed, %d connections before that and %d in all, expected 1, 2 and 4",
+			closed, before, connections)
 	}
 	if got := b.tally("read"); got.Lost == 0 || got.Succeeded == 0 {
 		t.Errorf("no op was dropped, or none succeeded: %+v", got)
